--- a/src/bin/dahliatrack-wirehost/codec.rs
+++ b/src/bin/dahliatrack-wirehost/codec.rs
@@ -131,25 +131,25 @@
             4 => AttemptResult::ConnectFailed,
             5 => AttemptResult::Reset,
             6 => AttemptResult::Cancelled,
-            7 => AttemptResult::Moot,
+            7 => AttemptResult::NotSent,
             8 => AttemptResult::Miss,
             other => return Err(format!("unknown outcome {other}")),
         })
     }
 
-    fn note(&mut self) -> Result<Option<Note>, String> {
+    fn note(&mut self) -> Result<Option<CacheStatus>, String> {
         Ok(Some(match self.u32()? {
             0 => return Ok(None),
-            1 => Note::Hit,
-            2 => Note::Filled,
-            3 => Note::FilledByOrigin,
-            4 => Note::Joined,
-            5 => Note::Old,
-            6 => Note::SourceRefused,
-            7 => Note::SourceLost,
-            8 => Note::SourceLacks,
-            9 => Note::NoPlace,
-            10 => Note::OriginFailed,
+            1 => CacheStatus::Hit,
+            2 => CacheStatus::Filled,
+            3 => CacheStatus::FilledByOrigin,
+            4 => CacheStatus::Collapsed,
+            5 => CacheStatus::Stale,
+            6 => CacheStatus::SourceRejected,
+            7 => CacheStatus::SourceUnreachable,
+            8 => CacheStatus::SourceMiss,
+            9 => CacheStatus::NoFillSlot,
+            10 => CacheStatus::OriginFailed,
             other => return Err(format!("unknown note {other}")),
         }))
     }
@@ -165,19 +165,19 @@
                 let note = self.note()?;
                 let (elapsed, finished, waited) = (self.time()?, self.u8()? != 0, self.time()?);
                 let load = self.load()?;
-                let outcome = Outcome {
+                let outcome = AttemptOutcome {
                     request,
                     attempt,
                     server,
                     result,
-                    note,
+                    cache_status: note,
                     elapsed,
-                    waited,
-                    sending: 0,
+                    fill_wait: waited,
+                    transfer_time: 0,
                     finished,
-                    load,
+                    load_report: load,
                 };
-                Event::Outcome(outcome)
+                Event::AttemptEnded(outcome)
             }
             2 => Event::Timer(self.u32()?),
             3 => {
@@ -185,20 +185,20 @@
                 let age = self.time()?;
                 let group = GroupId(self.u16()?.into());
                 let what = if object == 0 { Purge::Group(group) } else { Purge::Object(ObjectId(object)) };
-                Event::Purged { what, age }
+                Event::Purged { purge: what, age }
             }
             4 => {
                 let seed = self.u64()?;
                 let n = self.u32()? as usize;
                 return Ok((instance, Incoming::Born { seed, settings: self.take(n)?.to_vec() }));
             }
-            5 => Event::First {
+            5 => Event::FirstByte {
                 request: self.request()?,
                 attempt: self.u8()?,
                 server: self.server()?,
                 elapsed: self.time()?,
             },
-            6 => Event::Probed {
+            6 => Event::HealthChecked {
                 server: self.server()?,
                 result: self.result()?,
                 elapsed: self.time()?,
@@ -210,9 +210,9 @@
             10 => {
                 let from = self.u16()?;
                 let n = self.u16()?.into();
-                Event::Peer { from, bytes: self.take(n)?.to_vec() }
+                Event::PeerMessage { from, bytes: self.take(n)?.to_vec() }
             }
-            11 => Event::Gone(self.request()?),
+            11 => Event::RequestCancelled(self.request()?),
             other => return Err(format!("unknown event code {other}")),
         };
         Ok((instance, Incoming::Event(event)))
@@ -220,10 +220,10 @@
 
     fn members(&mut self) -> Result<Event, String> {
         let kind = match self.u8()? {
-            0 => ListKind::Cached,
-            1 => ListKind::Failed,
-            2 => ListKind::Delta,
-            3 => ListKind::Full,
+            0 => ListUpdate::Cached,
+            1 => ListUpdate::Failed,
+            2 => ListUpdate::Delta,
+            3 => ListUpdate::Rejected,
             other => return Err(format!("unknown list kind {other}")),
         };
         let _version = self.u64()?;
@@ -233,22 +233,22 @@
             return Err(format!("a list of {n} entries in {left} bytes"));
         }
         let entries = (0..n).map(|_| self.member()).collect::<Result<_, _>>()?;
-        Ok(Event::Members { kind, entries })
+        Ok(Event::EndpointList { update: kind, endpoints: entries })
     }
 
-    fn member(&mut self) -> Result<Member, String> {
+    fn member(&mut self) -> Result<Endpoint, String> {
         let since = self.time()?;
         let (weight, server) = (self.f32()?.into(), self.server()?);
         let (kind, cell) = (self.u16()?, self.u16()?);
         let state = match self.u8()? {
-            1 => ServerState::Gone,
+            1 => ServerState::Removed,
             2 => ServerState::Ready,
             3 => ServerState::Draining,
             other => return Err(format!("unknown server state {other}")),
         };
         let zone = ZoneId(self.u8()?.into());
         let up_since = (since != 0).then_some(since);
-        Ok(Member { server, up_since, weight, kind, cell, zone, state })
+        Ok(Endpoint { server, started_at: up_since, weight, kind, cell, zone, state })
     }
 
     fn incoming(&mut self) -> Result<Request, String> {
@@ -257,7 +257,7 @@
         let (size_kb, group, part) = (self.f32()?.into(), GroupId(self.f32()? as u32), self.f32()? as u32);
         let options = self.u8()?;
         let (repeat, write) = (options & 2 != 0, options & 4 != 0);
-        Ok(Request { id, class, tenant, object, part, group, patience, size_kb, repeat, write })
+        Ok(Request { id, class, tenant, object, part, group, client_timeout: patience, size_kb, is_retry: repeat, is_write: write })
     }
 }
 
@@ -286,10 +286,10 @@
     /// Appends an instance's action.
     pub fn action(&mut self, instance: u32, action: &Action) {
         match action {
-            Action::Send { request, server, timeout } => {
+            Action::SendCacheOnly { request, server, timeout } => {
                 self.code(1, instance).u64(request.0).time(*timeout).u32(server.0);
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 self.code(2, instance).u64(request.0).time(*retry_after);
             }
             Action::Fail(request) => {
@@ -301,31 +301,31 @@
             Action::Timer { token, after } => {
                 self.code(5, instance).u32(*token).time(*after);
             }
-            Action::Probe(server) => {
+            Action::HealthCheck(server) => {
                 self.code(6, instance).u32(server.0);
             }
-            Action::CloseIdle(server) => {
+            Action::CloseIdleConnections(server) => {
                 self.code(7, instance).u32(server.0);
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 self.code(8, instance).u32(to.map_or(EVERY_PEER, u32::from)).text(bytes);
             }
             Action::Log(line) => {
                 self.code(9, instance).text(line.as_bytes());
             }
-            Action::Watch(on) => {
+            Action::WatchEndpoints(on) => {
                 self.code(11, instance).u8((*on).into());
             }
-            Action::Fetch => {
+            Action::PollEndpoints => {
                 self.code(12, instance);
             }
-            Action::Get(get) => {
-                let mode = u8::from(get.join)
-                    | u8::from(get.only_held) << 1
-                    | u8::from(get.no_parent_copy) << 2
-                    | u8::from(get.renew) << 3;
+            Action::SendWithFill(get) => {
+                let mode = u8::from(get.join_fill)
+                    | u8::from(get.only_if_cached) << 1
+                    | u8::from(get.bypass_parent_cache) << 2
+                    | u8::from(get.stale_while_revalidate) << 3;
                 self.code(13, instance).u64(get.request.0).u32(get.server.0).time(get.timeout);
-                self.u32(get.source.0).u8(get.rank).time(get.max_age).u8(mode);
+                self.u32(get.source.0).u8(get.cache_rank).time(get.max_age).u8(mode);
             }
         }
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -109,7 +109,7 @@
             }
             names.classes.push(name.clone());
             names.retired.push(false);
-            names.writes.push(class.effect != Effect::Safe);
+            names.writes.push(class.effect != Idempotency::Always);
             names.deadlines.push(class.deadline);
             classes.push(class.clone());
         }
@@ -121,7 +121,7 @@
             zone: place.zone,
             routers_by_zone: place.routers_by_zone,
             hub_by_zone: place.hub_by_zone,
-            link_kb_per_s: place.link_kb_per_s,
+            zone_link_kb_per_s: place.link_kb_per_s,
             parent_kind: place.parent_kind,
             origin_kind: place.origin_kind,
             ..new.clone()
@@ -226,31 +226,31 @@
     for (i, grade) in wire.grades.iter().enumerate() {
         let lacking = |name: &str| format!("settings: domain.{name} has no entry for class {i}");
         classes.push(Class {
-            target: micros(grade.target),
-            stretch: grade.aim_stretch,
-            deadline: micros(grade.deadline),
-            worth: grade.points,
-            effect: word(
+            latency_objective: micros(grade.target),
+            objective_stretch: grade.aim_stretch,
+            client_deadline: micros(grade.deadline),
+            priority_weight: grade.points,
+            idempotency: word(
                 "effect",
                 &grade.effect,
-                &[("pure", Effect::Safe), ("token", Effect::Keyed), ("side_effect", Effect::Unsafe)],
+                &[("pure", Idempotency::Always), ("token", Idempotency::WithKey), ("side_effect", Idempotency::Never)],
             )?,
-            scope: word(
+            dedup_scope: word(
                 "dedup_scope",
                 &grade.dedup_scope,
                 &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)],
             )?,
-            window: micros(grade.window),
-            fresh: micros(*domain.fresh_for.get(i).ok_or_else(|| lacking("fresh_for"))?),
-            grace: micros(*domain.class_grace.get(i).ok_or_else(|| lacking("class_grace"))?),
-            never_kept: *domain.goes_through.get(i).ok_or_else(|| lacking("goes_through"))?,
+            dedup_window: micros(grade.window),
+            fresh_for: micros(*domain.fresh_for.get(i).ok_or_else(|| lacking("fresh_for"))?),
+            stale_for: micros(*domain.class_grace.get(i).ok_or_else(|| lacking("class_grace"))?),
+            uncached: *domain.goes_through.get(i).ok_or_else(|| lacking("goes_through"))?,
             retired: false,
         });
     }
     let names = Names {
         classes: wire.grades.iter().map(|grade| grade.name.clone()).collect(),
         retired: vec![false; classes.len()],
-        writes: classes.iter().map(|class| class.effect != Effect::Safe).collect(),
+        writes: classes.iter().map(|class| class.effect != Idempotency::Always).collect(),
         deadlines: classes.iter().map(|class| class.deadline).collect(),
         kinds: wire.skus.clone(),
         zones: wire.failure_domains.clone(),
@@ -267,45 +267,45 @@
         zone: ZoneId(wire.my_zone),
         routers_by_zone: domain.count_by_zone.clone(),
         hub_by_zone: domain.hub_by_zone.iter().copied().map(ZoneId).collect(),
-        link_kb_per_s: domain.pipe_kb_per_s.clone(),
-        pace_kb_per_s: domain.pace_kb_per_s,
-        weighed: wire.weights != "silent",
+        zone_link_kb_per_s: domain.pipe_kb_per_s.clone(),
+        transfer_kb_per_s: domain.pace_kb_per_s,
+        weights_state_links: wire.weights != "silent",
         classes,
         parent_kind: u16::try_from(domain.second_tier_kind).ok(),
         origin_kind: domain.root_kind,
-        direct: domain.straight,
-        joins: domain.collapses,
-        siblings: word(
+        direct_to_source: domain.straight,
+        join_fills: domain.collapses,
+        sibling_sources: word(
             "lateral",
             &domain.lateral,
-            &[("silent", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)],
+            &[("silent", SiblingSources::None), ("location", SiblingSources::SameLocation), ("any", SiblingSources::Any)],
         )?,
-        notes: word(
+        cache_status_detail: word(
             "tells",
             &domain.tells,
-            &[("all", Notes::All), ("hit", Notes::Hit), ("silent", Notes::None)],
+            &[("all", CacheStatusDetail::All), ("hit", CacheStatusDetail::Hit), ("silent", CacheStatusDetail::None)],
         )?,
-        ask_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
-        limits: Limits {
+        polls_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
+        limits: SiteLimits {
             max_attempts: limits.max_attempts,
-            parallel: limits.parallel_tries,
-            cancel: limits.cancel,
-            probes: limits.may_probe,
-            peers: limits.peer_messages,
+            parallel_attempts: limits.parallel_tries,
+            cancellation: limits.cancel,
+            health_checks: limits.may_probe,
+            peer_messages: limits.peer_messages,
             retry_after: limits.retry_after,
             max_retry_after: micros(limits.max_retry_after),
         },
-        rules: Rules {
-            cold_share: rules.cold_share,
-            warm_after: micros(rules.warm_after),
-            fall_multiple: rules.fall_multiple,
-            fall_span: micros(rules.overload_for),
-            parent_cold_share: domain.parent_floor,
-            parent_warm_after: micros(domain.parent_cold),
-            parent_fall_multiple: domain.upper_fall_multiple,
+        protection: ProtectionRules {
+            initial_share: rules.cold_share,
+            full_after: micros(rules.warm_after),
+            overload_multiple: rules.fall_multiple,
+            overload_window: micros(rules.overload_for),
+            parent_initial_share: domain.parent_floor,
+            parent_full_after: micros(domain.parent_cold),
+            parent_overload_multiple: domain.upper_fall_multiple,
             purge_grace: micros(domain.purge_grace),
-            purge_settles: micros(domain.purge_settles),
-            ask_within: micros(rules.ask_within),
+            purge_settled_after: micros(domain.purge_settles),
+            max_list_age: micros(rules.ask_within),
         },
     };
     Ok(Parsed { settings, names })
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-fn parsed(classes: &[(&str, Micros, Effect)]) -> Parsed {
+fn parsed(classes: &[(&str, Micros, Idempotency)]) -> Parsed {
     let text = include_str!("example.json");
     let mut parsed = parse(text.as_bytes()).expect("usable");
     let like = parsed.settings.classes[0].clone();
     let class =
-        |(_, deadline, effect): &(_, _, _)| Class { deadline: *deadline, effect: *effect, ..like.clone() };
+        |(_, deadline, effect): &(_, _, _)| Class { client_deadline: *deadline, idempotency: *effect, ..like.clone() };
     parsed.settings.classes = classes.iter().map(class).collect();
     parsed.names.classes = classes.iter().map(|(name, ..)| (*name).to_owned()).collect();
     parsed.names.deadlines = classes.iter().map(|(_, deadline, _)| *deadline).collect();
-    parsed.names.writes = classes.iter().map(|(.., effect)| *effect != Effect::Safe).collect();
+    parsed.names.writes = classes.iter().map(|(.., effect)| *effect != Idempotency::Always).collect();
     parsed.names.retired = vec![false; classes.len()];
     parsed
 }
@@ -28,8 +28,8 @@
 
 #[test]
 fn a_class_keeps_its_number_as_long_as_its_rules() {
-    use Effect::{Safe, Unsafe};
-    let first = parsed(&[("a", 5, Safe), ("b", 6, Safe)]);
+    use Idempotency::{Always, Never};
+    let first = parsed(&[("a", 5, Always), ("b", 6, Always)]);
     let steps = [
         (vec![("b", 6, Safe), ("a", 5, Safe)], (vec![Some(0), Some(1), None], 2)),
         (vec![("a", 5, Unsafe), ("b", 6, Safe)], (vec![Some(2), Some(1), None], 3)),
@@ -44,7 +44,7 @@
         now = next;
     }
     assert_eq!(now.settings.classes[0].effect, Safe, "open requests go on by the old record");
-    let mut moved = parsed(&[("a", 5, Safe)]);
+    let mut moved = parsed(&[("a", 5, Always)]);
     (moved.settings.zone, moved.settings.limits.max_attempts) = (ZoneId(0), 1);
     let (next, moved) = moved.following(&now).expect("usable");
     assert_eq!((next.settings.zone, next.settings.limits.max_attempts, moved), (now.settings.zone, 1, true));
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -4,7 +4,7 @@
 use crate::config::settings::Names;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
-    Action, AttemptResult, Class, ClassId, Event, Get, GroupId, Micros, Note, ObjectId, Outcome, Request,
+    Action, AttemptResult, Class, ClassId, Event, FillAttempt, GroupId, Micros, CacheStatus, ObjectId, AttemptOutcome, Request,
     RequestId, ServerId, Settings,
 };
 use crate::Router;
@@ -115,34 +115,34 @@
         object: hot.object,
         part: 0,
         group: GroupId(0),
-        patience,
+        client_timeout: patience,
         size_kb: 0.0,
-        repeat: false,
-        write: false,
+        is_retry: false,
+        is_write: false,
     }
 }
 
 /// Passes a request to a router, and that it was answered; returns what the router decided.
-fn answer(router: &mut Router, now: Micros, request: Request) -> Option<Get> {
+fn answer(router: &mut Router, now: Micros, request: Request) -> Option<FillAttempt> {
     let id = request.id;
     let mut actions = Vec::new();
     router.handle(now, Event::Request(request), &mut actions);
     let get = actions.into_iter().find_map(|action| match action {
-        Action::Get(get) => Some(get),
+        Action::SendWithFill(get) => Some(get),
         _ => None,
     })?;
-    let outcome = Outcome {
-        sending: 0,
+    let outcome = AttemptOutcome {
+        transfer_time: 0,
         request: id,
         attempt: 0,
         server: get.server,
         result: AttemptResult::Ok,
-        note: Some(Note::Hit),
+        cache_status: Some(CacheStatus::Hit),
         elapsed: QUERY_TIME,
-        waited: 0,
+        fill_wait: 0,
         finished: true,
-        load: Vec::new(),
+        load_report: Vec::new(),
     };
-    router.handle(now, Event::Outcome(outcome), &mut Vec::new());
+    router.handle(now, Event::AttemptEnded(outcome), &mut Vec::new());
     Some(get)
 }
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -82,7 +82,7 @@
         let hot = hot_objects(&settings, &names, control)?;
         let points = points(&settings, seed, now)?;
         // A purge is announced until all servers have dropped older copies, and as long again for the rest.
-        let purges = PurgeLog::new(2 * settings.rules.purge_settles);
+        let purges = PurgeLog::new(2 * settings.protection.purge_settled_after);
         Ok(Model {
             site: Site { settings, names, encode },
             registry: ServerRegistry::default(),
@@ -173,8 +173,8 @@
         if self.warm_up_at.is_none_or(|at| at > now) {
             return false;
         }
-        let rules = &self.site.settings.rules;
-        let warm_after = rules.warm_after.max(rules.parent_warm_after);
+        let rules = &self.site.settings.protection;
+        let warm_after = rules.full_after.max(rules.parent_full_after);
         let warming_up = self.registry.any_started_after(now - warm_after);
         self.warm_up_at = warming_up.then_some(now + WARM_UP_STEP);
         true
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -46,13 +46,13 @@
 
     /// Passes a change of the endpoint list to the router.
     pub(super) fn apply_members(&mut self, now: Micros, change: &ListChange) {
-        let event = Event::Members { kind: change.kind, entries: change.entries.clone() };
+        let event = Event::EndpointList { update: change.kind, endpoints: change.entries.clone() };
         self.router.handle(now, event, &mut Vec::new());
     }
 
     /// Passes a purge to the router; `age` is how long ago it was made, us.
     pub(super) fn apply_purge(&mut self, now: Micros, purge: Purge, age: Micros) {
-        self.router.handle(now, Event::Purged { what: purge, age }, &mut Vec::new());
+        self.router.handle(now, Event::Purged { purge, age }, &mut Vec::new());
     }
 
     /// Asks the router again where it sends the hot objects' requests.
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -3,7 +3,7 @@
 use crate::config::events::{self, Health};
 use crate::config::settings::Names;
 use crate::control::clock::Moment;
-use crate::interface::{ListKind, Member, Micros, ServerId, ServerState};
+use crate::interface::{ListUpdate, Endpoint, Micros, ServerId, ServerState};
 use crate::members::Members;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 /// A server of the list.
 pub(super) struct Server {
     /// Its entry for the decision module, with its start on the monotonic clock.
-    pub(super) member: Member,
+    pub(super) member: Endpoint,
     /// Its name.
     pub(super) name: String,
     /// Its address, if the list states one.
@@ -33,9 +33,9 @@
 
 /// A change of the list.
 pub(super) struct ListChange {
-    pub(super) kind: ListKind,
+    pub(super) kind: ListUpdate,
     /// The stated entries, for the decision module.
-    pub(super) entries: Vec<Member>,
+    pub(super) entries: Vec<Endpoint>,
     /// Whether a server that was ready no longer is.
     pub(super) lost_ready: bool,
 }
@@ -52,7 +52,7 @@
     pub(super) fn apply(&mut self, moment: Moment, change: &events::Members, names: &Names) -> ListChange {
         let ready_before = self.ready();
         let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
-        let entries: Vec<Member> = stated.iter().map(|server| server.member).collect();
+        let entries: Vec<Endpoint> = stated.iter().map(|server| server.member).collect();
         if change.whole {
             self.servers.clear();
         }
@@ -64,19 +64,19 @@
                 self.servers.insert(id, server);
             }
         }
-        for entry in entries.iter().filter(|entry| entry.state == ServerState::Gone) {
+        for entry in entries.iter().filter(|entry| entry.state == ServerState::Removed) {
             self.members.forget(entry.server);
         }
         let lost_ready = !ready_before.is_subset(&self.ready());
-        let kind = if change.whole { ListKind::Full } else { ListKind::Delta };
+        let kind = if change.whole { ListUpdate::Rejected } else { ListUpdate::Delta };
         ListChange { kind, entries, lost_ready }
     }
 
     /// A server as an entry of the list states it.
     fn stated(&mut self, moment: Moment, host: &events::Host, names: &Names) -> Server {
         let mut member = self.members.member(host, names);
-        let born_unix = member.up_since;
-        member.up_since = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
+        let born_unix = member.started_at;
+        member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
         Server { member, name: host.host.clone(), addr: host.dial, born_unix }
     }
 
--- a/src/control/model/routes.rs
+++ b/src/control/model/routes.rs
@@ -6,7 +6,7 @@
 use super::registry::ServerRegistry;
 use super::site::Site;
 use crate::control::resource::{Holder, Route};
-use crate::interface::{Class, ClassId, Effect, Purge, ServerId};
+use crate::interface::{Class, ClassId, Idempotency, Purge, ServerId};
 
 /// The rank at which copies are cached unless a router says otherwise.
 const DEFAULT_RANK: u8 = 2;
@@ -88,7 +88,7 @@
 }
 
 fn class_route(site: &Site, number: usize, class: &Class) -> ClassRoute {
-    let cached = !class.never_kept;
+    let cached = !class.uncached;
     let route = Route {
         class: site.names.classes[number].clone(),
         object: None,
@@ -96,9 +96,9 @@
         caches: Vec::new(),
         rank: if cached { DEFAULT_RANK } else { 0 },
         newer_than_ms: 0,
-        deadline: class.deadline,
-        fresh: class.fresh,
-        idempotent: class.effect == Effect::Safe,
+        deadline: class.client_deadline,
+        fresh: class.fresh_for,
+        idempotent: class.idempotency == Idempotency::Always,
         attempts: site.settings.limits.max_attempts,
     };
     ClassRoute { class: ClassId(number as u16), cached, route }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, AttemptKey, Command, Core, Due, End, Final, Order, RequestKey};
 use crate::deadlines::Schedule;
 use crate::interface::{
-    AttemptResult, Effect, Event, Get, Micros, Outcome, Purge, RequestId, ServerId, ServerState,
+    AttemptResult, Idempotency, Event, FillAttempt, Micros, AttemptOutcome, Purge, RequestId, ServerId, ServerState,
 };
 use crate::slots::Key;
 use tracing::debug;
@@ -15,7 +15,7 @@
     /// Its time-out; 0: until the client stops waiting.
     pub timeout: Micros,
     /// How it may be filled; `None`: not at all.
-    pub get: Option<Get>,
+    pub get: Option<FillAttempt>,
 }
 
 impl Core {
@@ -38,7 +38,7 @@
             attempt.due = Some(handle);
         }
         if is_moot {
-            self.end_attempt(now, key, End::bare(AttemptResult::Moot), due);
+            self.end_attempt(now, key, End::bare(AttemptResult::NotSent), due);
         } else {
             self.commands.push_back(Command::Send { attempt: key, request: request_key, server });
         }
@@ -51,7 +51,7 @@
         let is_wanted = self.requests.get(Key::from_number(attempt.request.0)).is_some_and(|r| r.is_open());
         let may_go = is_wanted && self.servers_are_ready(attempt) && self.may_repeat(now, key, attempt);
         if attempt.until <= now || !may_go {
-            self.end_attempt(now, key, End::bare(AttemptResult::Moot), due);
+            self.end_attempt(now, key, End::bare(AttemptResult::NotSent), due);
             self.run(now, due);
             return None;
         }
@@ -112,9 +112,9 @@
         let class = self.settings.classes.get(usize::from(request.ask.class.0));
         let (Some(first), Some(class)) = (first, class) else { return true };
         match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed => now < first + class.window,
+            Idempotency::Always => true,
+            Idempotency::Never => false,
+            Idempotency::WithKey => now < first + class.window,
         }
     }
 
@@ -146,7 +146,7 @@
         let found = self.attempts.iter().find(|(_, attempt)| is_it(attempt));
         let Some(key) = found.map(|(key, _)| key) else { return };
         let launched = self.is_launched(key);
-        let result = if launched { AttemptResult::Cancelled } else { AttemptResult::Moot };
+        let result = if launched { AttemptResult::Cancelled } else { AttemptResult::NotSent };
         self.call_off(now, key, result, due);
     }
 
@@ -190,7 +190,7 @@
         let finished = !self.requests.get(request_key).is_some_and(|request| request.is_open());
         let outcome = attempt.outcome(now, end, finished);
         log_outcome(request_key, &attempt, &outcome);
-        self.events.push_back(Event::Outcome(outcome));
+        self.events.push_back(Event::AttemptEnded(outcome));
     }
 }
 
@@ -201,25 +201,25 @@
     }
 
     /// How it ended, as the decision module is told.
-    fn outcome(&self, now: Micros, end: End, finished: bool) -> Outcome {
-        Outcome {
+    fn outcome(&self, now: Micros, end: End, finished: bool) -> AttemptOutcome {
+        AttemptOutcome {
             request: self.request,
             attempt: self.number,
             server: self.server,
             result: end.result,
-            note: end.note,
+            cache_status: end.note,
             elapsed: now - self.sent,
-            waited: end.waited,
-            sending: end.sending,
+            fill_wait: end.waited,
+            transfer_time: end.sending,
             finished,
-            load: end.load,
+            load_report: end.load,
         }
     }
 }
 
-fn log_outcome(request: RequestKey, attempt: &Attempt, outcome: &Outcome) {
+fn log_outcome(request: RequestKey, attempt: &Attempt, outcome: &AttemptOutcome) {
     let (server, number) = (attempt.server.0, attempt.number);
     let source = attempt.get.as_ref().map(|get| get.source.0);
-    let Outcome { result, note, elapsed: us, waited, sending, .. } = outcome;
+    let AttemptOutcome { result, cache_status: note, elapsed: us, fill_wait: waited, transfer_time: sending, .. } = outcome;
     debug!("{request} attempt {number} at {server} from {source:?}: {result:?} {note:?} us={us} waited={waited} sending={sending}");
 }
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -4,7 +4,7 @@
 use super::{Command, Core, Due, Final};
 use crate::deadlines::Schedule;
 use crate::interface::{
-    Action, AttemptResult, Event, ListKind, Member, Micros, Purge, RequestId, ServerId, ServerState, Why,
+    Action, AttemptResult, Event, ListUpdate, Endpoint, Micros, Purge, RequestId, ServerId, ServerState, RejectionReason,
 };
 use crate::slots::Key;
 
@@ -19,7 +19,7 @@
         load: Vec<f32>,
         due: &mut dyn Schedule<Due>,
     ) {
-        self.events.push_back(Event::Probed { server, result, elapsed, load });
+        self.events.push_back(Event::HealthChecked { server, result, elapsed, load });
         self.run(now, due);
     }
 
@@ -27,26 +27,26 @@
     pub fn members(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<Member>,
+        kind: ListUpdate,
+        entries: Vec<Endpoint>,
         due: &mut dyn Schedule<Due>,
     ) {
         if matches!(kind, ListKind::Cached | ListKind::Full) {
             self.states.clear();
         }
         self.states.extend(entries.iter().map(|member| (member.server, member.state)));
-        self.states.retain(|_, state| *state != ServerState::Gone); // unknown is as good as gone
-        self.events.push_back(Event::Members { kind, entries });
+        self.states.retain(|_, state| *state != ServerState::Removed); // unknown is as good as gone
+        self.events.push_back(Event::EndpointList { update: kind, endpoints: entries });
         self.run(now, due);
     }
 
     /// A purge, and the time at which it was made.
     pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<Due>) {
-        let kept = 2 * self.settings.rules.purge_settles;
+        let kept = 2 * self.settings.protection.purge_settled_after;
         self.purged.retain(|_, at| *at + kept > now);
         let newest = self.purged.entry(what).or_insert(at);
         *newest = at.max(*newest);
-        self.events.push_back(Event::Purged { what, age: now - at });
+        self.events.push_back(Event::Purged { purge: what, age: now - at });
         self.run(now, due);
     }
 
@@ -75,14 +75,14 @@
 
     pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<Due>) {
         match action {
-            Action::Send { request, server, timeout } => {
+            Action::SendCacheOnly { request, server, timeout } => {
                 self.begin_attempt(now, NewAttempt { request, server, timeout, get: None }, due);
             }
-            Action::Get(get) => {
+            Action::SendWithFill(get) => {
                 let (request, server, timeout) = (get.request, get.server, get.timeout);
                 self.begin_attempt(now, NewAttempt { request, server, timeout, get: Some(get) }, due);
             }
-            Action::Refuse { request, retry_after, why } => self.reject(now, request, retry_after, why),
+            Action::Reject { request, retry_after, reason: why } => self.reject(now, request, retry_after, why),
             Action::Fail(request) => {
                 let late = self.is_late(now, request);
                 self.answer(Key::from_number(request.0), Final::Failed { late });
@@ -91,15 +91,15 @@
             Action::Timer { token, after } => {
                 due.add(now + after.max(0), Due::Timer(token));
             }
-            Action::Probe(server) => self.commands.push_back(Command::Probe(server)),
-            Action::CloseIdle(server) => self.commands.push_back(Command::CloseIdle(server)),
+            Action::HealthCheck(server) => self.commands.push_back(Command::Probe(server)),
+            Action::CloseIdleConnections(server) => self.commands.push_back(Command::CloseIdle(server)),
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
             // No platform of ours has messages between proxies or a list that must be asked for.
-            Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer { .. } | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
         }
     }
 
-    fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: Why) {
+    fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: RejectionReason) {
         let late = self.is_late(now, request);
         let answer = Final::Refused { pause: retry_after.max(0), late, why };
         self.answer(Key::from_number(request.0), answer);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
 //! What passes between the core and those around it: requests, answers, ends of attempts, and what is to be done.
 
 use super::{AttemptKey, RequestKey};
-use crate::interface::{AttemptResult, ClassId, GroupId, Micros, Note, ObjectId, ServerId, Why};
+use crate::interface::{AttemptResult, ClassId, GroupId, Micros, CacheStatus, ObjectId, ServerId, RejectionReason};
 use bytes::Bytes;
 
 /// A request as a front hands it in.
@@ -46,7 +46,7 @@
         /// Whether its time was over.
         late: bool,
         /// What stood in its way.
-        why: Why,
+        why: RejectionReason,
     },
     /// Failed; promises nothing.
     Failed {
@@ -114,7 +114,7 @@
     /// The ending.
     pub result: AttemptResult,
     /// How the answer came about.
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     /// How long the fill waited for its first byte.
     pub waited: Micros,
     /// How long the answer's bytes take at full pace; 0: not known.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::deadlines::Handle;
 use crate::interface::{
-    Action, ClassId, Event, Get, Micros, Purge, RequestId, ServerId, ServerState, Settings, Why,
+    Action, ClassId, Event, FillAttempt, Micros, Purge, RequestId, ServerId, ServerState, Settings, RejectionReason,
 };
 use crate::slots::{Key, Slots};
 use crate::{Router, SettingsError};
@@ -58,7 +58,7 @@
     request: RequestId,
     number: u8,
     server: ServerId,
-    get: Option<Get>,
+    get: Option<FillAttempt>,
     purge: [Purge; 2],
     sent: Micros,
     until: Micros,
@@ -83,7 +83,7 @@
     /// By class; a request that its client abandons before its answer begins is in none.
     answered: Vec<Answered>,
     /// Refusals by what stood in the way, in the order of [`Why::ALL`].
-    refused: [u64; Why::ALL.len()],
+    refused: [u64; RejectionReason::ALL.len()],
 }
 
 impl Core {
@@ -105,7 +105,7 @@
             commands: VecDeque::new(),
             held: 0,
             answered: Vec::new(),
-            refused: [0; Why::ALL.len()],
+            refused: [0; RejectionReason::ALL.len()],
         })
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{Answered, Ask, Command, Core, Due, Final, RejectionCount, Request, RequestKey, State};
 use crate::deadlines::Schedule;
-use crate::interface::{AttemptResult, ClassId, Event, Micros, RequestId, Why};
+use crate::interface::{AttemptResult, ClassId, Event, Micros, RequestId, RejectionReason};
 use crate::slots::Key;
 use tracing::debug;
 
@@ -41,10 +41,10 @@
             object: ask.object,
             part: ask.part,
             group: ask.group,
-            patience: ask.patience,
+            client_timeout: ask.patience,
             size_kb: 0.0,
-            repeat: false,
-            write: class.is_some_and(|class| class.never_kept),
+            is_retry: false,
+            is_write: class.is_some_and(|class| class.never_kept),
         })
     }
 
@@ -91,7 +91,7 @@
 
     /// The rejections by reason.
     pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
-        Why::ALL.iter().map(|(why, reason)| RejectionCount { reason, count: self.refused[*why as usize] })
+        RejectionReason::ALL.iter().map(|(why, reason)| RejectionCount { reason, count: self.refused[*why as usize] })
     }
 
     /// The final answers to requests of this class.
@@ -142,7 +142,7 @@
 
     /// Tells the module that nothing more is owed, and calls off what is out.
     fn close(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<Due>) {
-        self.events.push_back(Event::Gone(RequestId(key.number())));
+        self.events.push_back(Event::RequestCancelled(RequestId(key.number())));
         self.run(now, due);
         for attempt in self.attempts_of(key) {
             self.call_off(now, attempt, AttemptResult::Cancelled, due);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -15,25 +15,25 @@
     due: Deadlines<Due>,
 }
 
-fn class(effect: Effect) -> Class {
-    let never_kept = effect == Effect::Unsafe;
+fn class(effect: Idempotency) -> Class {
+    let never_kept = effect == Idempotency::Never;
     Class {
-        target: 500 * MS,
-        stretch: 2.0,
-        deadline: 3 * SECOND,
-        worth: 1.0,
-        effect,
-        scope: DedupScope::All,
-        window: SECOND,
-        fresh: 0,
-        grace: 0,
-        never_kept,
+        latency_objective: 500 * MS,
+        objective_stretch: 2.0,
+        client_deadline: 3 * SECOND,
+        priority_weight: 1.0,
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: SECOND,
+        fresh_for: 0,
+        stale_for: 0,
+        uncached: never_kept,
         retired: false,
     }
 }
 
-fn member(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Member {
-    Member { server, up_since: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
+fn member(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Endpoint {
+    Endpoint { server, started_at: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
 }
 
 impl Bench {
@@ -44,44 +44,44 @@
             zone: ZoneId(0),
             routers_by_zone: vec![1, 0],
             hub_by_zone: vec![ZoneId(1); 2],
-            link_kb_per_s: vec![0.0; 2],
-            pace_kb_per_s: 1000.0,
-            weighed: true,
+            zone_link_kb_per_s: vec![0.0; 2],
+            transfer_kb_per_s: 1000.0,
+            weights_state_links: true,
             classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed)],
             parent_kind: Some(1),
             origin_kind: 2,
-            direct: false,
-            joins: false,
-            siblings: Siblings::Location,
-            notes: Notes::All,
-            ask_discovery: false,
-            limits: Limits {
+            direct_to_source: false,
+            join_fills: false,
+            sibling_sources: SiblingSources::SameLocation,
+            cache_status_detail: CacheStatusDetail::All,
+            polls_discovery: false,
+            limits: SiteLimits {
                 max_attempts: 6,
-                parallel: true,
-                cancel: true,
-                probes: true,
-                peers: false,
+                parallel_attempts: true,
+                cancellation: true,
+                health_checks: true,
+                peer_messages: false,
                 retry_after: true,
                 max_retry_after: 2 * SECOND,
             },
-            rules: Rules {
-                cold_share: 0.2,
-                warm_after: 10 * SECOND,
-                fall_multiple: 4.0,
-                fall_span: SECOND,
-                parent_cold_share: 0.1,
-                parent_warm_after: 10 * SECOND,
-                parent_fall_multiple: 2.0,
+            protection: ProtectionRules {
+                initial_share: 0.2,
+                full_after: 10 * SECOND,
+                overload_multiple: 4.0,
+                overload_window: SECOND,
+                parent_initial_share: 0.1,
+                parent_full_after: 10 * SECOND,
+                parent_overload_multiple: 2.0,
                 purge_grace: 500 * MS,
-                purge_settles: 6 * SECOND,
-                ask_within: 0,
+                purge_settled_after: 6 * SECOND,
+                max_list_age: 0,
             },
         };
         let mut bench =
             Bench { core: Core::new(settings, 1, 0).expect("settings"), due: Deadlines::default() };
         let mut list = vec![member(PARENT, 1, 1, ServerState::Ready)];
         list.extend(CACHES.map(|cache| member(cache, 0, 0, ServerState::Ready)));
-        bench.core.members(0, ListKind::Full, list, &mut bench.due);
+        bench.core.members(0, ListUpdate::Rejected, list, &mut bench.due);
         bench
     }
 
@@ -141,7 +141,7 @@
     /// Begins a second attempt beside the first.
     fn hedge(&mut self, now: Micros, request: RequestKey) {
         let request = RequestId(request.number());
-        let hedge = Action::Send { request, server: CACHES[1], timeout: 0 };
+        let hedge = Action::SendCacheOnly { request, server: CACHES[1], timeout: 0 };
         self.core.carry_out(now, hedge, &mut self.due);
         self.core.run(now, &mut self.due);
     }
@@ -169,8 +169,8 @@
 #[test]
 fn what_the_module_gives_up_on_is_answered_at_once() {
     let mut bench = Bench::new();
-    let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Gone)).to_vec();
-    bench.core.members(0, ListKind::Delta, removed, &mut bench.due);
+    let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
+    bench.core.members(0, ListUpdate::Delta, removed, &mut bench.due);
     let request = bench.ask(0, 0, None);
     assert_eq!(bench.commands().0, ["answer"]);
     assert_eq!(
@@ -183,9 +183,9 @@
 fn when_patience_ends_each_request_has_its_answer() {
     // A write that never left surely did not run and is refused; one that may have run has failed.
     for (class, leaves, wanted) in [
-        (0, true, Final::Refused { pause: 250 * MS, late: true, why: Why::Late }),
+        (0, true, Final::Refused { pause: 250 * MS, late: true, why: RejectionReason::DeadlineExceeded }),
         (1, true, Final::Failed { late: true }),
-        (1, false, Final::Refused { pause: 250 * MS, late: true, why: Why::Late }),
+        (1, false, Final::Refused { pause: 250 * MS, late: true, why: RejectionReason::DeadlineExceeded }),
     ] {
         let mut bench = Bench::new();
         let request = bench.ask(0, class, None);
@@ -278,7 +278,7 @@
         let (_, attempts) = bench.commands();
         let zone = if drained == PARENT { (1, 1) } else { (0, 0) };
         let entry = member(drained, zone.0, zone.1, ServerState::Draining);
-        bench.core.members(MS, ListKind::Delta, vec![entry], &mut bench.due);
+        bench.core.members(MS, ListUpdate::Delta, vec![entry], &mut bench.due);
         let order = bench.core.launch(2 * MS, attempts[0], &mut bench.due);
         let (words, next) = bench.commands();
         match order {
@@ -462,8 +462,8 @@
         let other = bench.ask(n, 0, None);
         bench.core.cancel(n, other, &mut bench.due);
     }
-    let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Gone)).to_vec();
-    bench.core.members(MS, ListKind::Delta, gone, &mut bench.due);
+    let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
+    bench.core.members(MS, ListUpdate::Delta, gone, &mut bench.due);
     bench.end(2 * MS, attempt, AttemptResult::Reset);
     assert!(bench.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
     assert!(matches!(bench.take(2 * MS, request), Some(Final::Refused { .. } | Final::Failed { .. })));
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -6,7 +6,7 @@
 use super::site::Site;
 use super::world::{Next, World};
 use crate::interface::{
-    Class, ClassId, Event, GroupId, ListKind, Member, Micros, ObjectId, Request, RequestId, ServerId,
+    Class, ClassId, Event, GroupId, ListUpdate, Endpoint, Micros, ObjectId, Request, RequestId, ServerId,
     ServerState, ZoneId,
 };
 use crate::{Router, SettingsError};
@@ -40,9 +40,9 @@
 }
 
 /// The list as it stands once a scenario's change was told.
-pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Member> {
+pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
-    let mut change = |server: &ServerId, change: &dyn Fn(&mut Member)| {
+    let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
         servers.entry(*server).and_modify(change);
     };
     for server in &scenario.cold {
@@ -55,7 +55,7 @@
         change(server, &|member| member.state = ServerState::Draining);
     }
     for server in &scenario.removed {
-        change(server, &|member| member.state = ServerState::Gone);
+        change(server, &|member| member.state = ServerState::Removed);
     }
     servers
 }
@@ -113,10 +113,10 @@
 /// Applies a scenario's change to the world; returns what the router hears of it.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
     let servers = changed(site, scenario).into_values();
-    let is_new = |member: &Member| site.servers.get(&member.server) != Some(member);
+    let is_new = |member: &Endpoint| site.servers.get(&member.server) != Some(member);
     let entries = servers.filter(is_new).collect();
     world.change(scenario);
-    Event::Members { kind: ListKind::Delta, entries }
+    Event::EndpointList { update: ListUpdate::Delta, endpoints: entries }
 }
 
 /// When what is asked, in one exploration.
@@ -155,7 +155,7 @@
         let objects: Vec<ObjectId> = before.into_iter().chain(self.phase()).collect();
         let mut world = World::new(site, objects.clone(), judged_from);
         let entries = site.servers.values().copied().collect();
-        world.plan(self.start, Next::Event(Event::Members { kind: ListKind::Full, entries }));
+        world.plan(self.start, Next::Event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries }));
         world.plan(self.change, Next::Change);
         for (number, object) in objects.into_iter().enumerate() {
             let (since, nth) = match number.checked_sub(judged_from) {
@@ -177,10 +177,10 @@
             object,
             part: 0,
             group: GroupId(0),
-            patience: class.deadline,
+            client_timeout: class.client_deadline,
             size_kb: 0.0,
-            repeat: false,
-            write: class.never_kept,
+            is_retry: false,
+            is_write: class.uncached,
         }
     }
 }
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -2,7 +2,7 @@
 //! can fill from, a list that contradicts itself.
 
 use super::site::Site;
-use crate::interface::{Class, Effect, Member, ServerState, ZoneId};
+use crate::interface::{Class, Idempotency, Endpoint, ServerState, ZoneId};
 use serde::Serialize;
 
 /// A finding names at most so many servers.
@@ -31,7 +31,7 @@
 
 /// Looks a site over. The findings come in an order that depends on the site alone.
 pub fn lint(site: &Site) -> Vec<Finding> {
-    let parents: Vec<&Member> = site.servers.values().filter(|member| site.is_parent(member)).collect();
+    let parents: Vec<&Endpoint> = site.servers.values().filter(|member| site.is_parent(member)).collect();
     let mut findings = Vec::new();
     findings.extend(no_source(site, &parents));
     for point in site.points() {
@@ -55,18 +55,18 @@
     Finding { severity: Severity::Warning, code, text }
 }
 
-fn is_ready(member: &Member) -> bool {
+fn is_ready(member: &Endpoint) -> bool {
     member.state == ServerState::Ready
 }
 
-fn any_ready(members: &[&Member]) -> bool {
+fn any_ready(members: &[&Endpoint]) -> bool {
     members.iter().any(|member| is_ready(member))
 }
 
 /// Nobody can fill a miss.
-fn no_source(site: &Site, parents: &[&Member]) -> Option<Finding> {
+fn no_source(site: &Site, parents: &[&Endpoint]) -> Option<Finding> {
     let origins = site.servers.values().filter(|member| site.is_origin(member));
-    let sources: Vec<&Member> = origins.chain(parents.iter().copied()).collect();
+    let sources: Vec<&Endpoint> = origins.chain(parents.iter().copied()).collect();
     if any_ready(&sources) {
         return None;
     }
@@ -78,13 +78,13 @@
 /// A point has no ready table cache.
 fn no_cache(site: &Site, point: ZoneId) -> Option<Finding> {
     let members = site.servers.values().filter(|member| member.zone == point);
-    let caches: Vec<&Member> = members.filter(|member| site.is_cache(member)).collect();
+    let caches: Vec<&Endpoint> = members.filter(|member| site.is_cache(member)).collect();
     if any_ready(&caches) {
         return None;
     }
     let states = states(site, &caches);
     let text = format!("point {} has no ready table cache{states}", site.zone_name(point));
-    Some(if site.settings.direct {
+    Some(if site.settings.direct_to_source {
         warning("point-direct", format!("{text}: parents are asked past them"))
     } else {
         error("point-unserved", format!("{text}: all its requests are refused"))
@@ -92,9 +92,9 @@
 }
 
 /// A point's hub has no ready parent, in a site that has parents.
-fn no_parent(site: &Site, point: ZoneId, parents: &[&Member]) -> Option<Finding> {
+fn no_parent(site: &Site, point: ZoneId, parents: &[&Endpoint]) -> Option<Finding> {
     let hub = site.hub(point).filter(|_| !parents.is_empty())?;
-    let at_hub: Vec<&Member> = parents.iter().copied().filter(|member| member.zone == hub).collect();
+    let at_hub: Vec<&Endpoint> = parents.iter().copied().filter(|member| member.zone == hub).collect();
     if any_ready(&at_hub) {
         return None;
     }
@@ -116,17 +116,17 @@
 
 fn class_findings(name: &str, class: &Class) -> Vec<Finding> {
     let mut findings = Vec::new();
-    if class.target > class.deadline {
+    if class.latency_objective > class.client_deadline {
         let text =
             format!("class {name}: its target is past its deadline, so no answer earns its full worth");
         findings.push(error("target-past-deadline", text));
     }
-    if class.effect == Effect::Keyed && class.window == 0 {
+    if class.idempotency == Idempotency::WithKey && class.dedup_window == 0 {
         let text =
             format!("class {name}: repeats are dropped for no time at all, so none is ever tried again");
         findings.push(warning("window-empty", text));
     }
-    if class.effect != Effect::Safe && !class.never_kept {
+    if class.idempotency != Idempotency::Always && !class.uncached {
         let text = format!("class {name}: it has an effect, and yet copies of its answers are kept");
         findings.push(warning("effect-kept", text));
     }
@@ -151,14 +151,14 @@
 }
 
 /// The first few servers that are not ready, in brackets.
-fn states(site: &Site, members: &[&Member]) -> String {
+fn states(site: &Site, members: &[&Endpoint]) -> String {
     if members.is_empty() {
         return " (none is listed)".to_owned();
     }
-    let word = |member: &&Member| match member.state {
+    let word = |member: &&Endpoint| match member.state {
         ServerState::Ready => None,
         ServerState::Draining => Some(format!("{} is draining", site.name(member.server))),
-        ServerState::Gone => Some(format!("{} is gone", site.name(member.server))),
+        ServerState::Removed => Some(format!("{} is gone", site.name(member.server))),
     };
     let words: Vec<String> = members.iter().filter_map(word).take(NAMED_SERVERS).collect();
     format!(" ({})", words.join(", "))
--- a/src/expect/rules.rs
+++ b/src/expect/rules.rs
@@ -3,7 +3,7 @@
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Rule};
 use super::site::{Selector, Site};
-use crate::interface::{ClassId, Member, ObjectId, ServerId, ZoneId};
+use crate::interface::{ClassId, Endpoint, ObjectId, ServerId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One thing that breaks a rule.
@@ -184,7 +184,7 @@
         is_carried && set.contains(&Selector::Origin)
     }
 
-    fn member_is(&self, server: ServerId, property: impl Fn(&Site, &Member) -> bool) -> bool {
+    fn member_is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
         let member = self.site.servers.get(&server);
         member.is_some_and(|member| property(self.site, member))
     }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -4,7 +4,7 @@
 use crate::config::located::unknown;
 use crate::config::settings::Names;
 use crate::config::Config;
-use crate::interface::{ClassId, Member, Micros, ServerId, ServerState, Settings, ZoneId};
+use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
 use crate::members::Members;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     /// The kinds of machine, by number.
     pub kinds: Vec<String>,
     /// The servers by number; those that were removed are not there.
-    pub servers: BTreeMap<ServerId, Member>,
+    pub servers: BTreeMap<ServerId, Endpoint>,
     /// Their names.
     pub names: BTreeMap<ServerId, String>,
     /// What was odd in the list: a zone or kind that the settings do not name, an address that comes twice.
@@ -120,9 +120,9 @@
         self.now += SETTLED;
     }
 
-    fn add(&mut self, host: &Host, member: Member, names: &Names, addresses: &mut Addresses) {
+    fn add(&mut self, host: &Host, member: Endpoint, names: &Names, addresses: &mut Addresses) {
         self.servers.insert(member.server, member);
-        self.now = self.now.max(member.up_since.unwrap_or(0));
+        self.now = self.now.max(member.started_at.unwrap_or(0));
         self.check_address(host, member.server, addresses);
         self.check_name("zone", host, &host.site, member.zone.0, &names.zones);
         self.check_name("kind", host, &host.class, member.kind, &names.kinds);
@@ -176,17 +176,17 @@
     }
 
     /// Whether a server is a parent, which stands at a hub.
-    pub fn is_parent(&self, member: &Member) -> bool {
+    pub fn is_parent(&self, member: &Endpoint) -> bool {
         Some(member.kind) == self.settings.parent_kind
     }
 
     /// Whether a server is the origin.
-    pub fn is_origin(&self, member: &Member) -> bool {
+    pub fn is_origin(&self, member: &Endpoint) -> bool {
         member.kind == self.settings.origin_kind
     }
 
     /// Whether a server is a table cache.
-    pub fn is_cache(&self, member: &Member) -> bool {
+    pub fn is_cache(&self, member: &Endpoint) -> bool {
         !self.is_parent(member) && !self.is_origin(member)
     }
 
@@ -202,8 +202,8 @@
     }
 
     /// The ready table caches of a point among these servers.
-    pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Member>, point: ZoneId) -> BTreeSet<ServerId> {
-        let fits = |member: &&Member| {
+    pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Endpoint>, point: ZoneId) -> BTreeSet<ServerId> {
+        let fits = |member: &&Endpoint| {
             self.is_cache(member) && member.zone == point && member.state == ServerState::Ready
         };
         servers.values().filter(fits).map(|member| member.server).collect()
@@ -269,7 +269,7 @@
     }
 
     /// Whether a selector names a server, for a request at a point.
-    pub fn selects(&self, selector: &Selector, member: &Member, point: ZoneId) -> bool {
+    pub fn selects(&self, selector: &Selector, member: &Endpoint, point: ZoneId) -> bool {
         match selector {
             Selector::Origin => self.is_origin(member),
             Selector::Hub => self.is_parent(member),
@@ -287,7 +287,7 @@
 
     /// The servers that any of the selectors names.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
-        let named = |member: &&Member| selectors.iter().any(|selector| self.selects(selector, member, point));
+        let named = |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
         self.servers.values().filter(named).map(|member| member.server).collect()
     }
 }
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -4,7 +4,7 @@
 use super::expectation::{Answer, Scenario};
 use super::site::Site;
 use crate::interface::{
-    Action, AttemptResult, Class, Event, Get, Member, Micros, Note, ObjectId, Outcome, RequestId, ServerId,
+    Action, AttemptResult, Class, Event, FillAttempt, Endpoint, Micros, CacheStatus, ObjectId, AttemptOutcome, RequestId, ServerId,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -35,23 +35,23 @@
     /// How long after its start, us.
     after: Micros,
     result: AttemptResult,
-    note: Option<Note>,
+    note: Option<CacheStatus>,
     /// How long it waited for the source of its fill, us.
     waited: Micros,
 }
 
 impl Ending {
-    fn of(after: Micros, result: AttemptResult, note: Option<Note>) -> Self {
+    fn of(after: Micros, result: AttemptResult, note: Option<CacheStatus>) -> Self {
         Ending { after, result, note, waited: 0 }
     }
 
     /// A copy was there.
     fn hit() -> Self {
-        Ending::of(ANSWER_TIME, AttemptResult::Ok, Some(Note::Hit))
+        Ending::of(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
     }
 
     /// It was filled, from the origin or from a copy.
-    fn filled(note: Note, waited: Micros) -> Self {
+    fn filled(note: CacheStatus, waited: Micros) -> Self {
         Ending { waited, ..Ending::of(ANSWER_TIME + waited, AttemptResult::Ok, Some(note)) }
     }
 
@@ -114,7 +114,7 @@
     pub(super) fn next_until(&mut self, end: Micros) -> Option<(Micros, Next)> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
         let ((now, _), next) = first.remove_entry();
-        if let Next::Event(Event::Outcome(outcome)) = &next {
+        if let Next::Event(Event::AttemptEnded(outcome)) = &next {
             self.open.remove(&(outcome.request.0 as usize, outcome.attempt));
         }
         Some((now, next))
@@ -129,18 +129,18 @@
     /// Carries out an action of the router.
     pub(super) fn act(&mut self, now: Micros, action: Action, class: &Class) {
         match action {
-            Action::Get(get) => self.start_attempt(now, &get, class),
-            Action::Send { request, server, timeout } => {
+            Action::SendWithFill(get) => self.start_attempt(now, &get, class),
+            Action::SendCacheOnly { request, server, timeout } => {
                 self.start_attempt(now, &sent(request, server, timeout), class);
             }
-            Action::Refuse { request, .. } => self.answer(request, Answer::Refused),
+            Action::Reject { request, .. } => self.answer(request, Answer::Refused),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.cancel(now, (request.0 as usize, attempt)),
             Action::Timer { token, after } => {
                 self.plan(now + after, Next::Event(Event::Timer(token)));
             }
-            Action::Probe(_) | Action::CloseIdle(_) | Action::Tell { .. } => {}
-            Action::Log(_) | Action::Watch(_) | Action::Fetch => {}
+            Action::HealthCheck(_) | Action::CloseIdleConnections(_) | Action::SendToPeer { .. } => {}
+            Action::Log(_) | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
         }
     }
 
@@ -149,33 +149,33 @@
     }
 
     /// Records an attempt, and plans how it ends.
-    fn start_attempt(&mut self, now: Micros, get: &Get, class: &Class) {
+    fn start_attempt(&mut self, now: Micros, get: &FillAttempt, class: &Class) {
         let request = get.request.0 as usize;
         let attempt = self.attempts[request];
         self.attempts[request] += 1;
         let source = Some(get.source).filter(|source| *source != get.server);
-        let decision = Decision { request, attempt, server: get.server, source, rank: get.rank };
+        let decision = Decision { request, attempt, server: get.server, source, rank: get.cache_rank };
         self.trace.decisions.push(decision);
         let ending = self.ending(get, class).within(get.timeout);
         if ending.result == AttemptResult::Ok {
             self.answer(get.request, Answer::Served);
-            if !class.never_kept {
+            if !class.uncached {
                 self.keep_copies(self.trace.objects[request], get.server, source);
             }
         }
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             request: get.request,
             attempt,
             server: get.server,
             result: ending.result,
-            note: ending.note,
+            cache_status: ending.note,
             elapsed: ending.after,
-            waited: ending.waited,
-            sending: 0,
+            fill_wait: ending.waited,
+            transfer_time: 0,
             finished: ending.result == AttemptResult::Ok,
-            load: Vec::new(),
+            load_report: Vec::new(),
         };
-        let slot = self.plan(now + ending.after, Next::Event(Event::Outcome(outcome)));
+        let slot = self.plan(now + ending.after, Next::Event(Event::AttemptEnded(outcome)));
         self.open.insert((request, attempt), slot);
     }
 
@@ -189,21 +189,21 @@
     /// Ends an open attempt as cancelled.
     fn cancel(&mut self, now: Micros, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
-        let Some(Next::Event(Event::Outcome(mut outcome))) = self.due.remove(&slot) else { return };
+        let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
         let (ends_at, _) = slot;
         let started_at = ends_at - outcome.elapsed;
         outcome.result = AttemptResult::Cancelled;
-        outcome.note = None;
+        outcome.cache_status = None;
         outcome.elapsed = now - started_at;
         outcome.finished = false;
-        let slot = self.plan(now, Next::Event(Event::Outcome(outcome)));
+        let slot = self.plan(now, Next::Event(Event::AttemptEnded(outcome)));
         self.open.insert(key, slot);
     }
 
     /// How an attempt ends.
-    fn ending(&self, get: &Get, class: &Class) -> Ending {
+    fn ending(&self, get: &FillAttempt, class: &Class) -> Ending {
         let object = self.trace.objects[get.request.0 as usize];
-        let holds = |server: ServerId| !class.never_kept && self.copies.contains(&(server, object));
+        let holds = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
         if self.down.contains(&get.server) {
             return Ending::of(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
         }
@@ -211,8 +211,8 @@
             return Ending::hit();
         }
         // A parent fills by itself what it lacks, from the origin.
-        if self.is(get.server, Site::is_parent) && !get.only_held {
-            return Ending::filled(Note::FilledByOrigin, 2 * FILL_TIME);
+        if self.is(get.server, Site::is_parent) && !get.only_if_cached {
+            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if get.source == get.server {
             return Ending::of(ANSWER_TIME, AttemptResult::Miss, None);
@@ -221,38 +221,38 @@
     }
 
     /// How an attempt ends that is filled from its source; `held`: whether the source holds a copy.
-    fn fill(&self, get: &Get, held: bool) -> Ending {
+    fn fill(&self, get: &FillAttempt, held: bool) -> Ending {
         if self.down.contains(&get.source) {
-            return Ending::of(ANSWER_TIME, AttemptResult::Error, Some(Note::SourceLost));
+            return Ending::of(ANSWER_TIME, AttemptResult::Error, Some(CacheStatus::SourceUnreachable));
         }
-        let parent_fills = self.is(get.source, Site::is_parent) && !get.only_held && !held;
+        let parent_fills = self.is(get.source, Site::is_parent) && !get.only_if_cached && !held;
         if self.is(get.source, Site::is_origin) || parent_fills {
-            return Ending::filled(Note::FilledByOrigin, 2 * FILL_TIME);
+            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if held {
-            return Ending::filled(Note::Filled, FILL_TIME);
+            return Ending::filled(CacheStatus::Filled, FILL_TIME);
         }
-        Ending::of(ANSWER_TIME, AttemptResult::Miss, Some(Note::SourceLacks))
+        Ending::of(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
     }
 
-    fn is(&self, server: ServerId, property: impl Fn(&Site, &Member) -> bool) -> bool {
+    fn is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
         let member = self.site.servers.get(&server);
         member.is_some_and(|member| property(self.site, member))
     }
 }
 
 /// A request that is sent on to a server as it is: no fill, no copy.
-fn sent(request: RequestId, server: ServerId, timeout: Micros) -> Get {
-    Get {
+fn sent(request: RequestId, server: ServerId, timeout: Micros) -> FillAttempt {
+    FillAttempt {
         request,
         server,
         timeout,
         source: server,
-        rank: 0,
+        cache_rank: 0,
         max_age: 0,
-        join: false,
-        only_held: true,
-        no_parent_copy: false,
-        renew: false,
+        join_fill: false,
+        only_if_cached: true,
+        bypass_parent_cache: false,
+        stale_while_revalidate: false,
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,11 +38,11 @@
     /// The hub of each zone.
     pub hub_by_zone: Vec<ZoneId>,
     /// What each zone's link for fills carries, KB a second; 0 where it is not told.
-    pub link_kb_per_s: Vec<f64>,
+    pub zone_link_kb_per_s: Vec<f64>,
     /// Top pace of one answer, KB a second; the unit of the servers' weights.
-    pub pace_kb_per_s: f64,
+    pub transfer_kb_per_s: f64,
     /// Whether a server's weight tells its link; else it says nothing, and what a link bears is learned.
-    pub weighed: bool,
+    pub weights_state_links: bool,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// Which kind of machine is a parent, if there are parents.
@@ -50,57 +50,57 @@
     /// Which kind of machine is the origin.
     pub origin_kind: u16,
     /// Whether requests may go straight to a parent or the origin.
-    pub direct: bool,
+    pub direct_to_source: bool,
     /// Whether a request may join a fill that is under way.
-    pub joins: bool,
+    pub join_fills: bool,
     /// Which caches may be the source of a fill.
-    pub siblings: Siblings,
+    pub sibling_sources: SiblingSources,
     /// What answers tell of how they came about.
-    pub notes: Notes,
+    pub cache_status_detail: CacheStatusDetail,
     /// Whether list changes come only after [`Action::Watch`] or [`Action::Fetch`].
-    pub ask_discovery: bool,
+    pub polls_discovery: bool,
     /// What the site permits.
-    pub limits: Limits,
+    pub limits: SiteLimits,
     /// The figures of the rules.
-    pub rules: Rules,
+    pub protection: ProtectionRules,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub target: Micros,
+    pub latency_objective: Micros,
     /// The target grows by this multiple of the request's own sending time.
-    pub stretch: f64,
+    pub objective_stretch: f64,
     /// The longest that a client waits over all tries.
-    pub deadline: Micros,
+    pub client_deadline: Micros,
     /// The worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For [`Effect::Keyed`]: the servers that drop repeats.
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     /// For [`Effect::Keyed`]: how long repeats are dropped.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Micros,
+    pub fresh_for: Micros,
     /// How long past its fresh time a copy may still be served.
-    pub grace: Micros,
+    pub stale_for: Micros,
     /// Whether the class is never kept and always runs at the origin.
-    pub never_kept: bool,
+    pub uncached: bool,
     /// New settings have dropped it or changed its rules: it has no requests but those that were open then.
     pub retired: bool,
 }
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated freely.
-    Safe,
+    Always,
     /// Nothing within the servers and the time that drop repeats.
-    Keyed,
+    WithKey,
     /// The effect a second time.
-    Unsafe,
+    Never,
 }
 
 /// The servers that drop repeats of a keyed request.
@@ -116,18 +116,18 @@
 
 /// Which caches may be the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Siblings {
+pub enum SiblingSources {
     /// No cache.
     None,
     /// Caches of the same location.
-    Location,
+    SameLocation,
     /// Any cache.
     Any,
 }
 
 /// What answers tell of how they came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notes {
+pub enum CacheStatusDetail {
     /// All that [`Note`] has.
     All,
     /// Hits, fills, joins and old copies.
@@ -138,17 +138,17 @@
 
 /// What a site permits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct SiteLimits {
     /// Attempts for one request.
     pub max_attempts: u32,
     /// Whether a request may have two attempts out at a time.
-    pub parallel: bool,
+    pub parallel_attempts: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Whether servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether routers may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether clients are told when to come back.
     pub retry_after: bool,
     /// The longest such wait that a client obeys.
@@ -157,43 +157,43 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct ProtectionRules {
     /// The part of its capacity with which a cache starts, at least.
-    pub cold_share: f64,
+    pub initial_share: f64,
     /// When a cache is warm at the latest.
-    pub warm_after: Micros,
+    pub full_after: Micros,
     /// A cold cache falls over at this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...kept up for this long; the span holds for parents too.
-    pub fall_span: Micros,
+    pub overload_window: Micros,
     /// The part of its link with which a parent starts, at least.
-    pub parent_cold_share: f64,
+    pub parent_initial_share: f64,
     /// When a parent is warm at the latest.
-    pub parent_warm_after: Micros,
+    pub parent_full_after: Micros,
     /// The multiple at which a cold parent falls over.
-    pub parent_fall_multiple: f64,
+    pub parent_overload_multiple: f64,
     /// From this long after a purge was told, no older copy may be served.
     pub purge_grace: Micros,
     /// By this long after a purge, all servers have dropped older copies.
-    pub purge_settles: Micros,
+    pub purge_settled_after: Micros,
     /// Where discovery must be asked: the longest a list may stand without asking.
-    pub ask_within: Micros,
+    pub max_list_age: Micros,
 }
 
 /// Something that a router is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Members {
+    EndpointList {
         /// How the entries are to be read.
-        kind: ListKind,
+        update: ListUpdate,
         /// The entries.
-        entries: Vec<Member>,
+        endpoints: Vec<Endpoint>,
     },
     /// A client's request; the router owes it one final answer.
     Request(Request),
     /// A streamed answer has started; its attempt can no longer be replaced.
-    First {
+    FirstByte {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -204,13 +204,13 @@
         elapsed: Micros,
     },
     /// How an attempt ended.
-    Outcome(Outcome),
+    AttemptEnded(AttemptOutcome),
     /// The client has left; nothing more is owed.
-    Gone(RequestId),
+    RequestCancelled(RequestId),
     /// A timer is due.
     Timer(u32),
     /// What a probe found.
-    Probed {
+    HealthChecked {
         /// The server.
         server: ServerId,
         /// How it went.
@@ -221,7 +221,7 @@
         load: Vec<f32>,
     },
     /// A message of another router.
-    Peer {
+    PeerMessage {
         /// The sender's number.
         from: u16,
         /// The message.
@@ -230,7 +230,7 @@
     /// A purge was made.
     Purged {
         /// What was purged.
-        what: Purge,
+        purge: Purge,
         /// How long ago.
         age: Micros,
     },
@@ -247,11 +247,11 @@
 
 /// How a list of servers is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// The whole list as it was had last; it may be old.
     Cached,
     /// The whole list.
-    Full,
+    Rejected,
     /// Changed entries only.
     Delta,
     /// A call for the list failed; the old one stays.
@@ -260,11 +260,11 @@
 
 /// One server of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
     /// Its last start; `None`: long ago.
-    pub up_since: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Its size; for caches and parents the link in full-pace answers.
     pub weight: f64,
     /// Kind of machine.
@@ -286,7 +286,7 @@
     /// Finishes what it has.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A client's request.
@@ -305,18 +305,18 @@
     /// The object's group.
     pub group: GroupId,
     /// Time until the client gives this try up.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Size in KB; 0 where it is not told.
     pub size_kb: f64,
     /// Whether the client marked it as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Whether it writes.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of sending.
@@ -326,17 +326,17 @@
     /// The ending.
     pub result: AttemptResult,
     /// How the answer came about, where that is told.
-    pub note: Option<Note>,
+    pub cache_status: Option<CacheStatus>,
     /// Time since the send.
     pub elapsed: Micros,
     /// How long the fill waited for its first byte, where that is told.
-    pub waited: Micros,
+    pub fill_wait: Micros,
     /// How long the answer's bytes take at full pace; 0 where that is not known.
-    pub sending: Micros,
+    pub transfer_time: Micros,
     /// Whether the request is over.
     pub finished: bool,
     /// The load report, if one came.
-    pub load: Vec<f32>,
+    pub load_report: Vec<f32>,
 }
 
 /// The ending of an attempt or a probe.
@@ -357,7 +357,7 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Nothing suitable held; it never ran.
     Miss,
 }
@@ -371,7 +371,7 @@
 
 /// How an answer came about, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// From a fresh copy.
     Hit,
     /// Filled.
@@ -379,24 +379,24 @@
     /// Filled by way of the origin.
     FilledByOrigin,
     /// Joined a fill; with a miss: one is under way.
-    Joined,
+    Collapsed,
     /// From a copy past its fresh time.
-    Old,
+    Stale,
     /// The source refused.
-    SourceRefused,
+    SourceRejected,
     /// The source was not reached, broke off or ran out of time.
-    SourceLost,
+    SourceUnreachable,
     /// The source lacks the object.
-    SourceLacks,
+    SourceMiss,
     /// No place for a fill at the cache.
-    NoPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
 /// An attempt that may be filled.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Get {
+pub struct FillAttempt {
     /// The request.
     pub request: RequestId,
     /// The server.
@@ -406,51 +406,51 @@
     /// Who supplies a miss; the server itself: nobody.
     pub source: ServerId,
     /// The rank at which the copy is kept, 1 to 3; 0: pass through.
-    pub rank: u8,
+    pub cache_rank: u8,
     /// The oldest copy that will do; 0: the class's fresh time, or any age.
     pub max_age: Micros,
     /// Wait for a fill that runs already.
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
-    pub only_held: bool,
+    pub only_if_cached: bool,
     /// The parent keeps no copy.
-    pub no_parent_copy: bool,
+    pub bypass_parent_cache: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub stale_while_revalidate: bool,
 }
 
 /// What stands in the way of a request that is refused. [`Why::ALL`] has them in the order of their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum RejectionReason {
     /// No server that may be asked is ready, or none that is left keeps the rules.
     NoServer,
     /// Its home is crowded: it is predicted to be late there.
-    Crowd,
+    Overloaded,
     /// What could serve it is cold, and its budget is spent.
-    Cold,
+    SlowStart,
     /// Too many fetches are out already.
-    Fetches,
+    FetchLimit,
     /// The budget of further attempts is spent.
-    Retries,
+    RetryBudget,
     /// It has had its attempts, or failed at too many servers.
-    Attempts,
+    AttemptsExhausted,
     /// Its time is over.
-    Late,
+    DeadlineExceeded,
     /// The edge proxy itself is full, or stops: the module was not asked.
     Full,
 }
 
-impl Why {
+impl RejectionReason {
     /// All of them, with their names for operators.
-    pub const ALL: [(Why, &'static str); 8] = [
-        (Why::NoServer, "no_server"),
-        (Why::Crowd, "crowd"),
-        (Why::Cold, "cold"),
-        (Why::Fetches, "fetches"),
-        (Why::Retries, "retries"),
-        (Why::Attempts, "attempts"),
-        (Why::Late, "late"),
-        (Why::Full, "full"),
+    pub const ALL: [(RejectionReason, &'static str); 8] = [
+        (RejectionReason::NoServer, "no_server"),
+        (RejectionReason::Overloaded, "crowd"),
+        (RejectionReason::SlowStart, "cold"),
+        (RejectionReason::FetchLimit, "fetches"),
+        (RejectionReason::RetryBudget, "retries"),
+        (RejectionReason::AttemptsExhausted, "attempts"),
+        (RejectionReason::DeadlineExceeded, "late"),
+        (RejectionReason::Full, "full"),
     ];
 }
 
@@ -458,7 +458,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// An attempt that is answered only from what the server holds.
-    Send {
+    SendCacheOnly {
         /// The request.
         request: RequestId,
         /// The server.
@@ -467,15 +467,15 @@
         timeout: Micros,
     },
     /// An attempt that may be filled.
-    Get(Get),
+    SendWithFill(FillAttempt),
     /// Final answer: refused; trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should wait; 0: no advice.
         retry_after: Micros,
         /// What stood in its way.
-        why: Why,
+        reason: RejectionReason,
     },
     /// Final answer: failed; promises nothing.
     Fail(RequestId),
@@ -494,11 +494,11 @@
         after: Micros,
     },
     /// Probe a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Close idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdleConnections(ServerId),
     /// Send a message to one router, or to all (`None`).
-    Tell {
+    SendToPeer {
         /// The receiver's number.
         to: Option<u16>,
         /// The message, 256 bytes at most.
@@ -507,7 +507,7 @@
     /// A line for the operators.
     Log(String),
     /// Subscribe to list changes, or end the subscription.
-    Watch(bool),
+    WatchEndpoints(bool),
     /// Ask once for the whole list.
-    Fetch,
+    PollEndpoints,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,9 +36,9 @@
 mod validate;
 
 pub use interface::{
-    Action, AttemptResult, Class, ClassId, DedupScope, Effect, Event, Get, GroupId, Limits, ListKind, Member,
-    Micros, Note, Notes, ObjectId, Outcome, Purge, Request, RequestId, Rules, ServerId, ServerState,
-    Settings, Siblings, Why, ZoneId,
+    Action, AttemptResult, Class, ClassId, DedupScope, Idempotency, Event, FillAttempt, GroupId, SiteLimits, ListUpdate, Endpoint,
+    Micros, CacheStatus, CacheStatusDetail, ObjectId, AttemptOutcome, Purge, Request, RequestId, ProtectionRules, ServerId, ServerState,
+    Settings, SiblingSources, RejectionReason, ZoneId,
 };
 pub use policy::Router;
 pub use validate::SettingsError;
--- a/src/members.rs
+++ b/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::config::events::{Health, Host};
 use crate::config::settings::Names;
-use crate::interface::{Member, Micros, ServerId, ServerState, ZoneId};
+use crate::interface::{Endpoint, Micros, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
@@ -46,13 +46,13 @@
     }
 
     /// An entry of the list in the module's words.
-    pub fn member(&mut self, host: &Host, names: &Names) -> Member {
+    pub fn member(&mut self, host: &Host, names: &Names) -> Endpoint {
         let place = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
         };
-        Member {
+        Endpoint {
             server: self.id(&host.host),
-            up_since: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Micros),
+            started_at: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Micros),
             weight: host.share,
             kind: place(&names.kinds, &host.class),
             cell: host.block,
@@ -60,7 +60,7 @@
             state: match host.health {
                 Health::Up => ServerState::Ready,
                 Health::Draining => ServerState::Draining,
-                Health::Removed => ServerState::Gone,
+                Health::Removed => ServerState::Removed,
             },
         }
     }
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -1,6 +1,6 @@
 //! Open requests and their attempts.
 
-use crate::interface::{AttemptResult, Limits, Micros, Note, Notes, Outcome, Request, ServerId};
+use crate::interface::{AttemptResult, SiteLimits, Micros, CacheStatus, CacheStatusDetail, AttemptOutcome, Request, ServerId};
 
 /// How an attempt failed whose fault may be its cache's or its source's.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -65,7 +65,7 @@
 pub struct OpenRequest {
     pub request: Request,
     /// The limits that held when it came.
-    pub limits: Limits,
+    pub limits: SiteLimits,
     pub arrived: Micros,
     pub attempts: Vec<Attempt>,
     pub finished: bool,
@@ -75,7 +75,7 @@
 
 impl OpenRequest {
     /// A request that has just arrived.
-    pub fn new(now: Micros, request: Request, limits: Limits) -> Self {
+    pub fn new(now: Micros, request: Request, limits: SiteLimits) -> Self {
         OpenRequest {
             request,
             limits,
@@ -93,7 +93,7 @@
     }
 
     /// Takes in the end of an attempt; gives the attempt as it stands then.
-    pub fn end_attempt(&mut self, outcome: &Outcome, notes: Notes) -> Option<Attempt> {
+    pub fn end_attempt(&mut self, outcome: &AttemptOutcome, notes: CacheStatusDetail) -> Option<Attempt> {
         let number = usize::from(outcome.attempt);
         let was_reset = |a: &Attempt| a.server == outcome.server && a.reset;
         let reset_before = self.attempts.iter().take(number).any(was_reset);
@@ -105,9 +105,9 @@
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
         attempt.unattributed = unattributed;
-        let by_source = outcome.note.is_some_and(|note| note as u8 >= Note::SourceRefused as u8);
+        let by_source = outcome.cache_status.is_some_and(|note| note as u8 >= CacheStatus::SourceRejected as u8);
         let called_off = attempt.rescued && outcome.result == AttemptResult::Cancelled;
-        attempt.origin_failed = outcome.note == Some(Note::OriginFailed);
+        attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
         // What broke once is asked for where it was, since the copy is there; what breaks again is not.
         attempt.reset = outcome.result == AttemptResult::Reset && !reset_before;
         attempt.errored = outcome.result == AttemptResult::Error && !by_source;
@@ -122,8 +122,8 @@
 }
 
 /// How an attempt failed as a fill, where the site's answers do not tell which of its two servers failed.
-fn unattributed_failure(notes: Notes, outcome: &Outcome, attempt: &Attempt) -> Option<Failure> {
-    if notes == Notes::All || outcome.note.is_some() || !attempt.is_fill() {
+fn unattributed_failure(notes: CacheStatusDetail, outcome: &AttemptOutcome, attempt: &Attempt) -> Option<Failure> {
+    if notes == CacheStatusDetail::All || outcome.cache_status.is_some() || !attempt.is_fill() {
         return None;
     }
     match outcome.result {
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -19,7 +19,7 @@
         let entry = self.directory.get(object_key(&open.request))?;
         let (home, others) = order.split_first()?;
         let is_home_full = || self.is_warm_up_budget_spent(now, *home, open.request.class);
-        if self.settings.siblings == Siblings::None || is_home_full() {
+        if self.settings.sibling_sources == SiblingSources::None || is_home_full() {
             return None;
         }
         let is_usable = |s: &ServerId| {
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -55,18 +55,18 @@
             Ok(route) => {
                 let get = self.get(now, open, &route);
                 self.record_attempt(now, &get, &route);
-                out.push(Action::Get(get));
+                out.push(Action::SendWithFill(get));
             }
         }
     }
 
     /// Where a request's next attempt goes, or what stands in its way.
-    fn route(&self, now: Micros, open: &OpenRequest, random: u64) -> Result<Route, Why> {
+    fn route(&self, now: Micros, open: &OpenRequest, random: u64) -> Result<Route, RejectionReason> {
         if open.attempts.len() >= open.limits.max_attempts as usize {
-            return Err(Why::Attempts);
+            return Err(RejectionReason::AttemptsExhausted);
         }
         if self.worth_until(open) <= now {
-            return Err(Why::Late);
+            return Err(RejectionReason::DeadlineExceeded);
         }
         let order = self.hash_order(now, object_key(&open.request));
         // An ejected cache is no home for delegates: what they ask of it would put its probe off for good.
@@ -96,31 +96,31 @@
     }
 
     /// The attempt as it is sent.
-    fn get(&self, now: Micros, open: &OpenRequest, route: &Route) -> Get {
+    fn get(&self, now: Micros, open: &OpenRequest, route: &Route) -> FillAttempt {
         let request = &open.request;
         let count = self.directory.count_of(object_key(request));
         let rescued_there = open.attempts.iter().any(|a| a.server == route.server && a.rescued);
-        Get {
+        FillAttempt {
             request: request.id,
             server: route.server,
             timeout: self.worth_until(open) - now,
             source: route.source.unwrap_or(route.server),
-            rank: if self.is_uncached(request) { 0 } else { count.min(REPEATED_RANK) as u8 },
+            cache_rank: if self.is_uncached(request) { 0 } else { count.min(REPEATED_RANK) as u8 },
             max_age: self.max_age(now, open),
-            join: self.settings.joins && !rescued_there,
-            only_held: route.only_held && route.source.is_some(),
-            no_parent_copy: false,
-            renew: self.class(request).fresh > 0,
+            join_fill: self.settings.join_fills && !rescued_there,
+            only_if_cached: route.only_held && route.source.is_some(),
+            bypass_parent_cache: false,
+            stale_while_revalidate: self.class(request).fresh_for > 0,
         }
     }
 
     /// Whether no cache keeps what a request asks for.
     fn is_uncached(&self, request: &Request) -> bool {
-        self.class(request).never_kept || request.write
+        self.class(request).uncached || request.is_write
     }
 
     /// Books an attempt that is sent.
-    fn record_attempt(&mut self, now: Micros, get: &Get, route: &Route) {
+    fn record_attempt(&mut self, now: Micros, get: &FillAttempt, route: &Route) {
         let (server, source) = (get.server, get.source);
         let attempt = Attempt {
             server,
@@ -160,10 +160,10 @@
     /// Until when a request is worth trying for: not long past its objective, where the size is told.
     fn worth_until(&self, open: &OpenRequest) -> Micros {
         let class = self.class(&open.request);
-        let objective = class.target as f64 + class.stretch * self.sending_time(&open.request);
+        let objective = class.latency_objective as f64 + class.objective_stretch * self.sending_time(&open.request);
         let is_size_told = open.request.size_kb > 0.0;
         let longest =
             if is_size_told { (objective * LONGEST_PART_OF_OBJECTIVE) as Micros } else { Micros::MAX };
-        open.arrived + longest.min(open.request.patience)
+        open.arrived + longest.min(open.request.client_timeout)
     }
 }
--- a/src/policy/effects.rs
+++ b/src/policy/effects.rs
@@ -11,17 +11,17 @@
     pub(super) fn may_send(&self, now: Micros, open: &OpenRequest, server: ServerId) -> bool {
         let class = self.class(&open.request);
         let in_flight = open.attempts.iter().find(|attempt| attempt.in_flight);
-        if in_flight.is_some() && (!open.limits.parallel || open.streaming) {
+        if in_flight.is_some() && (!open.limits.parallel_attempts || open.streaming) {
             return false;
         }
         let in_flight = in_flight.map(|attempt| PossibleRun { sent: attempt.sent, server: attempt.server });
         let Some(first) = open.may_have_run.into_iter().chain(in_flight).min() else { return true };
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed => {
-                self.drop_repeats_together(class.scope, first.server, server)
-                    && now < first.sent + class.window
+        match class.idempotency {
+            Idempotency::Always => true,
+            Idempotency::Never => false,
+            Idempotency::WithKey => {
+                self.drop_repeats_together(class.dedup_scope, first.server, server)
+                    && now < first.sent + class.dedup_window
             }
         }
     }
@@ -43,7 +43,7 @@
         let class = self.class(&open.request);
         let may_have_run = open.may_have_run.is_some() || open.has_attempt_in_flight();
         !may_have_run
-            || class.effect == Effect::Safe
-            || (class.effect == Effect::Keyed && class.scope == DedupScope::All)
+            || class.idempotency == Idempotency::Always
+            || (class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All)
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -8,18 +8,18 @@
     pub(super) fn on_members(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<Member>,
+        kind: ListUpdate,
+        entries: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
         match kind {
-            ListKind::Cached if self.settings.ask_discovery => out.push(Action::Watch(true)),
-            ListKind::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
+            ListUpdate::Cached if self.settings.polls_discovery => out.push(Action::WatchEndpoints(true)),
+            ListUpdate::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
             _ => {}
         }
         if matches!(kind, ListKind::Cached | ListKind::Full) {
             for server in self.servers.values_mut() {
-                server.member.state = ServerState::Gone;
+                server.member.state = ServerState::Removed;
             }
         }
         for member in entries {
@@ -30,9 +30,9 @@
     }
 
     /// Takes in one entry of the list.
-    fn update_member(&mut self, now: Micros, member: Member) {
+    fn update_member(&mut self, now: Micros, member: Endpoint) {
         let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
-        if server.member.up_since != member.up_since {
+        if server.member.up_since != member.started_at {
             server.on_restart();
         }
         server.member = member;
@@ -58,7 +58,7 @@
 
     /// The caches of the list, and how many of them get nothing now, or probes only.
     pub fn targets(&self) -> (usize, usize) {
-        let is_listed = |s: &&Server| s.member.state != ServerState::Gone && self.is_cache(s.member.server);
+        let is_listed = |s: &&Server| s.member.state != ServerState::Removed && self.is_cache(s.member.server);
         let caches: Vec<&Server> = self.servers.values().filter(is_listed).collect();
         let is_out = |s: &&&Server| s.ejected || s.member.state != ServerState::Ready;
         (caches.len(), caches.iter().filter(is_out).count())
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -21,7 +21,7 @@
     /// Where a miss is filled from: two parents by the object's hash, those of the hub first, and of them the
     /// first unless the other is clearly sooner. All routers draw the same two: not every parent fetches it.
     pub(super) fn fill_source(&self, now: Micros, open: &OpenRequest) -> Option<ServerId> {
-        let usual = self.class(&open.request).target as f64 / USUAL_FIRST_BYTE_DIVISOR;
+        let usual = self.class(&open.request).latency_objective as f64 / USUAL_FIRST_BYTE_DIVISOR;
         let first_byte = |server: &Server| expected_first_byte(now, server, usual);
         match self.parents_in_order(now, open)[..] {
             [] => self.origin,
@@ -58,7 +58,7 @@
             |s: &&Server| (!s.ejected || s.ejected_until <= now) && !has_failed(s) && self.is_sure(s, open);
         let good: Vec<&Server> = parents.iter().copied().filter(is_good).collect();
         // Without notes a slow origin looks like silent parents, and must not get more.
-        if good.is_empty() && self.settings.notes == Notes::None {
+        if good.is_empty() && self.settings.cache_status_detail == CacheStatusDetail::None {
             parents
         } else {
             good
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -8,14 +8,14 @@
 
 impl Router {
     /// The final answer to a request that nothing more is tried for: at once, with the time to come back.
-    pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: Why, out: &mut Vec<Action>) {
+    pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: RejectionReason, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.finished) else { return };
         if open.has_attempt_in_flight() && open.arrived + open.request.patience > now {
             return; // it may still be answered
         }
         let retry_after = self.advice(open.request.class);
         out.push(match self.may_reject(open) {
-            true => Action::Refuse { request: id, retry_after, why },
+            true => Action::Reject { request: id, retry_after, reason: why },
             false => Action::Fail(id),
         });
         self.finish(id, out);
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -14,8 +14,8 @@
     pub(super) fn max_age(&self, now: Micros, open: &OpenRequest) -> Micros {
         let class = self.class(&open.request);
         let may_fetch = open.attempts.is_empty() && self.fetches.admits(open.request.id);
-        let grace = if may_fetch { 0 } else { class.grace };
-        let fresh = if class.fresh > 0 { class.fresh + grace } else { 0 };
+        let grace = if may_fetch { 0 } else { class.stale_for };
+        let fresh = if class.fresh_for > 0 { class.fresh_for + grace } else { 0 };
         let object = self.purges.get(&Purge::Object(open.request.object));
         let group = self.purges.get(&Purge::Group(open.request.group));
         let Some(purged) = object.max(group) else { return fresh };
@@ -25,7 +25,7 @@
 
     /// Forgets the purges that all servers have followed.
     pub(super) fn forget_settled_purges(&mut self, now: Micros) {
-        let settles = self.settings.rules.purge_settles;
+        let settles = self.settings.protection.purge_settled_after;
         self.purges.retain(|_, at| *at + 2 * settles > now);
     }
 }
--- a/src/policy/home.rs
+++ b/src/policy/home.rs
@@ -28,7 +28,7 @@
         now: Micros,
         open: &OpenRequest,
         order: &[ServerId],
-    ) -> Result<ServerId, Why> {
+    ) -> Result<ServerId, RejectionReason> {
         let home = self.home(now, open, order);
         if let Some(home) = home.filter(|server| !self.is_overloaded(now, *server, open)) {
             return Ok(home);
@@ -38,9 +38,9 @@
         }
         let is_warming = |server: &ServerId| self.is_warm_up_budget_spent(now, *server, open.request.class);
         Err(match home {
-            Some(_) => Why::Crowd,
-            None if order.iter().any(is_warming) => Why::Cold,
-            None => Why::NoServer,
+            Some(_) => RejectionReason::Overloaded,
+            None if order.iter().any(is_warming) => RejectionReason::SlowStart,
+            None => RejectionReason::NoServer,
         })
     }
 
@@ -53,7 +53,7 @@
 
     /// A parent or the origin, where requests may go there and no cache is ready.
     fn parent_past_caches(&self, now: Micros, open: &OpenRequest) -> Option<ServerId> {
-        if !self.settings.direct || !self.caches.is_empty() {
+        if !self.settings.direct_to_source || !self.caches.is_empty() {
             return None;
         }
         self.fill_source(now, open)
@@ -64,7 +64,7 @@
     pub(super) fn is_usable(&self, now: Micros, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return false };
         // A write is no probe: where it fails it may have run, and is lost.
-        let may_probe = self.class(&open.request).effect == Effect::Safe && to.is_probe_due(now);
+        let may_probe = self.class(&open.request).idempotency == Idempotency::Always && to.is_probe_due(now);
         (!to.ejected || may_probe)
             && self.may_send(now, open, server)
             && !self.is_warm_up_budget_spent(now, server, open.request.class)
@@ -73,7 +73,7 @@
     /// Whether no failure is to be expected there that would lose the request: one that must not run twice.
     pub(super) fn is_sure(&self, server: &Server, open: &OpenRequest) -> bool {
         let is_healthy = !server.ejected && server.error_rate < UNSURE_ERROR_RATE;
-        self.class(&open.request).effect == Effect::Safe || is_healthy
+        self.class(&open.request).idempotency == Idempotency::Always || is_healthy
     }
 
     /// Whether this router has seen the object of a request before, of late.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -23,7 +23,7 @@
     pub(super) fn is_overloaded(&self, now: Micros, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return true };
         let attempts = self.attempts_at(now, to);
-        let is_capacity_known = self.settings.weighed || self.measured_link.is_some();
+        let is_capacity_known = self.settings.weights_state_links || self.measured_link.is_some();
         let load = (attempts + 1.0) / self.capacity(now, to, self.median_deviation());
         attempts >= 1.0 && is_capacity_known && load > self.most_load(open)
     }
@@ -44,7 +44,7 @@
         let class = self.class(&open.request);
         let sending = self.sending_time(&open.request).max(1.0);
         let part = OBJECTIVE_PART * if self.is_known(&open.request) { 1.0 } else { UNKNOWN_OBJECT_PART };
-        (part * (class.target as f64 + class.stretch * sending) / sending).clamp(1.0, MOST_LOAD)
+        (part * (class.latency_objective as f64 + class.objective_stretch * sending) / sending).clamp(1.0, MOST_LOAD)
     }
 
     /// What each server kept in mind, listed or gone with attempts still in flight, can be trusted with by
@@ -70,7 +70,7 @@
 
     /// Takes in an answer: as many as are there, each at its part of full pace, are what the link carries
     /// (Little's law).
-    pub(super) fn measure_link(&mut self, now: Micros, outcome: &Outcome, sending: f64, slack: f64) {
+    pub(super) fn measure_link(&mut self, now: Micros, outcome: &AttemptOutcome, sending: f64, slack: f64) {
         let Some(server) = self.servers.get(&outcome.server) else { return };
         let per_weight = (self.attempts_at(now, server) + 1.0) / server.member.weight.max(0.01);
         let elapsed = outcome.elapsed.max(1) as f64;
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -21,12 +21,12 @@
 }
 
 impl Measured {
-    fn new(router: &Router, outcome: &Outcome, request: &Request) -> Self {
+    fn new(router: &Router, outcome: &AttemptOutcome, request: &Request) -> Self {
         let class = router.class(request);
-        let is_sending_told = outcome.sending > 0 && !class.never_kept;
-        let sending = if is_sending_told { outcome.sending as f64 } else { router.sending_time(request) };
-        let slack = class.target as f64 / 4.0;
-        let own = (outcome.elapsed - outcome.waited).max(0) as f64;
+        let is_sending_told = outcome.transfer_time > 0 && !class.uncached;
+        let sending = if is_sending_told { outcome.transfer_time as f64 } else { router.sending_time(request) };
+        let slack = class.latency_objective as f64 / 4.0;
+        let own = (outcome.elapsed - outcome.fill_wait).max(0) as f64;
         let deviation = ((own + slack) / (sending + slack)).ln();
         Measured { is_sending_told, sending, slack, own, deviation }
     }
@@ -34,13 +34,13 @@
 
 impl Router {
     /// Takes in what the end of an attempt tells.
-    pub(super) fn measure(&mut self, now: Micros, outcome: &Outcome, request: &Request, attempt: &Attempt) {
+    pub(super) fn measure(&mut self, now: Micros, outcome: &AttemptOutcome, request: &Request, attempt: &Attempt) {
         let measured = Measured::new(self, outcome, request);
         let is_served = outcome.result == AttemptResult::Ok;
         if is_served {
             self.times_mut(request.class).observe_answer(outcome.elapsed as f64);
         }
-        if is_served && !self.settings.weighed {
+        if is_served && !self.settings.weights_state_links {
             self.measure_link(now, outcome, measured.sending, measured.slack);
         }
         if attempt.is_fill() && !attempt.only_held {
@@ -58,26 +58,26 @@
     /// What the end of a fetch tells of the origin.
     fn fetch_speed(
         &self,
-        outcome: &Outcome,
+        outcome: &AttemptOutcome,
         request: &Request,
         attempt: &Attempt,
         measured: &Measured,
     ) -> FetchSpeed {
         use AttemptResult::{Cancelled, Error, Full, Ok, Timeout};
         let class = self.class(request);
-        let target = class.target as f64;
+        let target = class.latency_objective as f64;
         let is_lost =
             matches!(outcome.result, Full | Timeout) || (outcome.result == Cancelled && attempt.rescued);
         // Where notes say less, any fill may be one from the origin.
-        let is_from_origin = match self.settings.notes {
-            Notes::All => outcome.note == Some(Note::FilledByOrigin),
-            Notes::Hit => outcome.note == Some(Note::Filled),
-            Notes::None => outcome.note.is_none() && outcome.result == Ok,
+        let is_from_origin = match self.settings.cache_status_detail {
+            CacheStatusDetail::All => outcome.cache_status == Some(CacheStatus::FilledByOrigin),
+            CacheStatusDetail::Hit => outcome.cache_status == Some(CacheStatus::Filled),
+            CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
         let is_late =
-            measured.is_sending_told && outcome.elapsed as f64 > target + class.stretch * measured.sending;
-        let is_slow_fill = is_late || outcome.waited as f64 > SLOW_FIRST_BYTE * target;
-        let is_mute = self.settings.notes == Notes::None;
+            measured.is_sending_told && outcome.elapsed as f64 > target + class.objective_stretch * measured.sending;
+        let is_slow_fill = is_late || outcome.fill_wait as f64 > SLOW_FIRST_BYTE * target;
+        let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
         let is_error = outcome.result == Error && (is_mute || !attempt.errored);
         if is_lost || (is_from_origin && is_slow_fill) || is_error {
             FetchSpeed::Slow
@@ -89,8 +89,8 @@
     }
 
     /// Takes in the sending time of an answer whose size is not known beforehand.
-    fn measure_sending(&mut self, outcome: &Outcome, request: &Request, measured: &Measured) {
-        let tells_sending = measured.is_sending_told || !is_filled(outcome) || self.class(request).never_kept;
+    fn measure_sending(&mut self, outcome: &AttemptOutcome, request: &Request, measured: &Measured) {
+        let tells_sending = measured.is_sending_told || !is_filled(outcome) || self.class(request).uncached;
         if outcome.result == AttemptResult::Ok && request.size_kb <= 0.0 && tells_sending {
             let sending = if measured.is_sending_told { measured.sending } else { measured.own };
             self.times_mut(request.class).observe_sending(sending);
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what an outcome tells of the cache.
-    fn measure_cache(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt, measured: &Measured) {
+    fn measure_cache(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, measured: &Measured) {
         use AttemptResult::{ConnectFailed, Error, Full, Miss, Ok, Reset};
         let Some(cache) = self.servers.get_mut(&attempt.server) else { return };
         if outcome.result == Ok || (attempt.blamed && !matches!(outcome.result, Error | Reset)) {
@@ -116,15 +116,15 @@
     }
 
     /// Takes in what an outcome tells of the source of a fill.
-    fn measure_source(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt, measured: &Measured) {
+    fn measure_source(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, measured: &Measured) {
         use AttemptResult::{Cancelled, Error, Full, Miss, Ok, Timeout};
-        let is_mute = self.settings.notes == Notes::None;
+        let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
         let Some(source) = self.servers.get_mut(&attempt.source) else { return };
         let is_source_fault = matches!(outcome.note, Some(Note::SourceLost | Note::SourceRefused));
         if is_filled(outcome) || (is_mute && outcome.result == Ok) {
             let elapsed = outcome.elapsed as f64;
             let first_byte =
-                if is_mute { (elapsed - measured.sending).max(0.0) } else { outcome.waited as f64 };
+                if is_mute { (elapsed - measured.sending).max(0.0) } else { outcome.fill_wait as f64 };
             source.on_fill(now, first_byte);
         } else if matches!(outcome.result, Timeout | Cancelled) {
             source.on_lost_fill(now, outcome.elapsed as f64);
@@ -136,6 +136,6 @@
 }
 
 /// Whether an answer is noted as filled.
-fn is_filled(outcome: &Outcome) -> bool {
+fn is_filled(outcome: &AttemptOutcome) -> bool {
     matches!(outcome.note, Some(Note::Filled | Note::FilledByOrigin))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -127,15 +127,15 @@
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, entries } => self.on_members(now, kind, entries, out),
+            Event::EndpointList { update: kind, endpoints: entries } => self.on_members(now, kind, entries, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::First { request, .. } => self.on_first_byte(request),
-            Event::Outcome(outcome) => self.on_outcome(now, outcome, out),
-            Event::Gone(id) => self.finish(id, out),
-            Event::Timer(WATCH_AGAIN) if self.settings.ask_discovery => out.push(Action::Watch(true)),
+            Event::FirstByte { request, .. } => self.on_first_byte(request),
+            Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, out),
+            Event::RequestCancelled(id) => self.finish(id, out),
+            Event::Timer(WATCH_AGAIN) if self.settings.polls_discovery => out.push(Action::WatchEndpoints(true)),
             Event::Timer(_) => self.on_tick(now, out),
-            Event::Probed { .. } | Event::Peer { .. } => {}
-            Event::Purged { what, age } => self.on_purged(now, what, age),
+            Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
+            Event::Purged { purge: what, age } => self.on_purged(now, what, age),
         }
         while let Some(id) = self.fetches.next_admitted() {
             self.dispatch(now, id, out);
@@ -168,8 +168,8 @@
 
     /// A request's own sending time at full pace, us; where sizes are not told, its class's mean.
     fn sending_time(&self, request: &Request) -> f64 {
-        if request.size_kb > 0.0 && self.settings.pace_kb_per_s > 0.0 {
-            return request.size_kb / self.settings.pace_kb_per_s * SECOND as f64;
+        if request.size_kb > 0.0 && self.settings.transfer_kb_per_s > 0.0 {
+            return request.size_kb / self.settings.transfer_kb_per_s * SECOND as f64;
         }
         self.times(request.class).sending
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -14,8 +14,8 @@
 
 impl Router {
     /// Takes in how an attempt ended.
-    pub(super) fn on_outcome(&mut self, now: Micros, outcome: Outcome, out: &mut Vec<Action>) {
-        let notes = self.settings.notes;
+    pub(super) fn on_outcome(&mut self, now: Micros, outcome: AttemptOutcome, out: &mut Vec<Action>) {
+        let notes = self.settings.cache_status_detail;
         let Some(open) = self.open.get_mut(&outcome.request) else { return };
         let request = open.request.clone();
         let Some(attempt) = open.end_attempt(&outcome, notes) else { return };
@@ -36,7 +36,7 @@
     }
 
     /// Ends, holds or retries the request of an attempt that has ended.
-    fn continue_request(&mut self, now: Micros, outcome: &Outcome, attempt: &Attempt, out: &mut Vec<Action>) {
+    fn continue_request(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, out: &mut Vec<Action>) {
         let id = outcome.request;
         let open = &self.open[&id];
         let is_miss = outcome.result == AttemptResult::Miss;
@@ -50,14 +50,14 @@
             return self.fetches.queue.push(id);
         }
         if open.attempts.iter().filter(|a| a.errored).count() >= MOST_ERRORS {
-            return self.give_up(now, id, Why::Attempts, out);
+            return self.give_up(now, id, RejectionReason::AttemptsExhausted, out);
         }
         if is_miss && attempt.only_held {
-            return self.give_up(now, id, Why::Fetches, out);
+            return self.give_up(now, id, RejectionReason::FetchLimit, out);
         }
         let is_free = attempt.rescued || attempt.reset || (attempt.delegate && is_miss);
         if !is_free && !self.retries.has_retry() {
-            return self.give_up(now, id, Why::Retries, out);
+            return self.give_up(now, id, RejectionReason::RetryBudget, out);
         }
         if !is_free {
             self.retries.spend();
@@ -67,7 +67,7 @@
 
     /// Whether a request may wait for a fetch: until well before its time, which a tick may miss by a little.
     pub(super) fn may_wait(&self, now: Micros, open: &OpenRequest) -> bool {
-        let wait = (FETCH_WAIT * self.class(&open.request).target as f64) as Micros;
-        now < open.arrived + wait.min(open.request.patience - 2 * TICK)
+        let wait = (FETCH_WAIT * self.class(&open.request).latency_objective as f64) as Micros;
+        now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK)
     }
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -37,8 +37,8 @@
         let patience = self.least_objective();
         let survey = self.survey(now, patience);
         let waited_too_long = self.take_expired_waiters(now);
-        survey.expired.into_iter().for_each(|id| self.give_up(now, id, Why::Late, out));
-        waited_too_long.into_iter().for_each(|id| self.give_up(now, id, Why::Fetches, out));
+        survey.expired.into_iter().for_each(|id| self.give_up(now, id, RejectionReason::DeadlineExceeded, out));
+        waited_too_long.into_iter().for_each(|id| self.give_up(now, id, RejectionReason::FetchLimit, out));
         // A source is silent by what it was to fill at several caches; what waits there is no cache's fault.
         let (caches, sources): (Vec<_>, Vec<_>) =
             survey.overdue.into_iter().partition(|(server, _)| self.is_cache(*server));
@@ -100,7 +100,7 @@
     ) {
         let is_cache = self.is_cache(server);
         let overdue = if is_cache { self.overdue_at_cache(overdue) } else { self.overdue_at_source(overdue) };
-        let is_mute_source = self.settings.notes == Notes::None && !is_cache;
+        let is_mute_source = self.settings.cache_status_detail == CacheStatusDetail::None && !is_cache;
         let Some(to) = self.servers.get_mut(&server) else { return };
         let is_unheard = match is_mute_source {
             true => 2 * overdue.len() > in_flight,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -4,7 +4,7 @@
     attempt::Failure,
     timing::{smooth, PROBE_INTERVAL, SMOOTHING},
 };
-use crate::interface::{Member, Micros};
+use crate::interface::{Endpoint, Micros};
 use std::collections::VecDeque;
 
 /// Latency deviation beyond the median cache's that chance does not explain.
@@ -32,7 +32,7 @@
 /// A server of the list, with what this router has seen of it.
 #[derive(Default)]
 pub struct Server {
-    pub member: Member,
+    pub member: Endpoint,
     /// Own attempts in flight.
     pub in_flight: u32,
     /// Own attempts in flight, smoothed over time: with many routers a count of one tells little.
@@ -58,7 +58,7 @@
 
 impl Server {
     /// A server that has just been listed.
-    pub fn new(member: Member, now: Micros) -> Self {
+    pub fn new(member: Endpoint, now: Micros) -> Self {
         Server {
             member,
             smoothed_at: now,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -11,13 +11,13 @@
 impl Router {
     /// The part of its capacity that a server surely has by now.
     pub(super) fn warmth(&self, now: Micros, server: &Server) -> f64 {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.protection;
         let (initial, warm_after) = if self.is_parent(server) {
-            (rules.parent_cold_share, rules.parent_warm_after)
+            (rules.parent_initial_share, rules.parent_full_after)
         } else {
-            (rules.cold_share, rules.warm_after)
+            (rules.initial_share, rules.full_after)
         };
-        let Some(up_since) = server.member.up_since else { return 1.0 };
+        let Some(up_since) = server.member.started_at else { return 1.0 };
         let part = (now - up_since).max(0) as f64 / warm_after.max(1) as f64;
         (initial + (1.0 - initial) * part).min(1.0)
     }
@@ -29,9 +29,9 @@
         if warmth >= 1.0 || server.member.kind == self.settings.origin_kind {
             return None;
         }
-        let rules = &self.settings.rules;
-        let multiple = if self.is_parent(server) { rules.parent_fall_multiple } else { rules.fall_multiple };
-        Some(BUDGET_MARGIN * multiple * warmth * self.link(server) * rules.fall_span as f64 / SECOND as f64)
+        let rules = &self.settings.protection;
+        let multiple = if self.is_parent(server) { rules.parent_overload_multiple } else { rules.overload_multiple };
+        Some(BUDGET_MARGIN * multiple * warmth * self.link(server) * rules.overload_window as f64 / SECOND as f64)
     }
 
     /// Whether this router's share of a warming server's budget is spent. Where the share is under one
@@ -46,7 +46,7 @@
         let sharers = self.routers_sharing(self.is_cache(server.member.server)) * processes;
         let number = self.settings.ordinal * processes + self.sharing.place;
         let share = budget / f64::from(sharers);
-        let span = self.settings.rules.fall_span.max(1);
+        let span = self.settings.protection.overload_window.max(1);
         let age = now - server.member.up_since.unwrap_or(now);
         let turns = (work / share.max(LEAST_SHARE)).ceil() as u32;
         let turns = Micros::from(turns.next_power_of_two().min(sharers)); // so that all routers hold it alike
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -12,8 +12,8 @@
         self.upkeep_at = now + UPKEEP_INTERVAL;
         self.directory.upkeep(now);
         self.forget_settled_purges(now);
-        self.servers.retain(|_, s| s.member.state != ServerState::Gone || s.in_flight > 0);
-        let since = now - self.settings.rules.fall_span;
+        self.servers.retain(|_, s| s.member.state != ServerState::Removed || s.in_flight > 0);
+        let since = now - self.settings.protection.overload_window;
         for server in self.servers.values_mut() {
             server.recent_work.retain(|sent| sent.at > since);
         }
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -4,7 +4,7 @@
 use super::instants::Heard;
 use super::Server;
 use crate::config::events::{Batch, Numbered};
-use crate::interface::{ListKind, Micros, ObjectId, Purge, ServerId, ServerState};
+use crate::interface::{ListUpdate, Micros, ObjectId, Purge, ServerId, ServerState};
 use crate::GroupId;
 use tracing::{info, warn};
 
@@ -24,11 +24,11 @@
                     let mut member = self.members.member(host, &self.names);
                     let server = member.server;
                     let start = |told| self.instants.start(heard, server, told);
-                    member.up_since = member.up_since.map(start);
+                    member.started_at = member.started_at.map(start);
                     let id = server.0;
-                    match host.dial.filter(|_| member.state != ServerState::Gone) {
+                    match host.dial.filter(|_| member.state != ServerState::Removed) {
                         Some(addr) => {
-                            let since = member.up_since;
+                            let since = member.started_at;
                             self.upstream.set_host(self.now, id, addr, since, &mut self.net, &mut self.due);
                         }
                         None => self.upstream.remove_host(self.now, id, &mut self.net, &mut self.due),
@@ -36,9 +36,9 @@
                     info!("event {n}: {} is {:?}", host.host, host.health);
                     entries.push(member);
                 }
-                let kind = if change.whole { ListKind::Full } else { ListKind::Delta };
+                let kind = if change.whole { ListUpdate::Rejected } else { ListUpdate::Delta };
                 let gone: Vec<ServerId> =
-                    entries.iter().filter(|m| m.state == ServerState::Gone).map(|m| m.server).collect();
+                    entries.iter().filter(|m| m.state == ServerState::Removed).map(|m| m.server).collect();
                 self.core.members(self.now, kind, entries, &mut self.due);
                 for server in gone {
                     self.members.forget(server);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -24,7 +24,7 @@
 use crate::front::admin;
 use crate::front::signed;
 use crate::front::thrift;
-use crate::interface::{ClassId, Micros, Note, ServerId};
+use crate::interface::{ClassId, Micros, CacheStatus, ServerId};
 use crate::members::Members;
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnKey, Listener, Net, Ready};
@@ -536,7 +536,7 @@
             Happening::Ended { job, ending } => {
                 let end = translate::end(ending, &self.names);
                 let attempt = Key::from_number(job);
-                let asked = self.core.launched_at(attempt).filter(|_| end.note == Some(Note::FilledByOrigin));
+                let asked = self.core.launched_at(attempt).filter(|_| end.note == Some(CacheStatus::FilledByOrigin));
                 self.instants.witness_copy(self.now, end.copy.born, asked);
                 self.core.ended(self.now, attempt, end, &mut self.due);
             }
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -5,7 +5,7 @@
 use crate::core::{Ask, Final, RequestKey};
 use crate::front::signed::{self, route::Place};
 use crate::front::thrift::{self, codec::Reply};
-use crate::interface::{ClassId, Micros, ObjectId, Why};
+use crate::interface::{ClassId, Micros, ObjectId, RejectionReason};
 use crate::net::ConnKey;
 use crate::slots::Key;
 use crate::GroupId;
@@ -87,7 +87,7 @@
         };
         let Some((class, patience)) = links.classes.get(route).copied() else { return };
         if full {
-            let refused = Final::Refused { pause: self.core.pause(class), late: false, why: Why::Full };
+            let refused = Final::Refused { pause: self.core.pause(class), late: false, why: RejectionReason::Full };
             self.core.count(class, &refused);
             return links.front.say(conn, number, translate::answer(refused, &[], self.net.unix_time()));
         }
@@ -152,7 +152,7 @@
 
     /// A refusal with this pause (us), counted for its class.
     pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Micros) -> Reply {
-        let refused = Final::Refused { pause, late: false, why: Why::Full };
+        let refused = Final::Refused { pause, late: false, why: RejectionReason::Full };
         class.into_iter().for_each(|class| self.core.count(class, &refused));
         translate::reply(refused)
     }
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -4,7 +4,7 @@
 use crate::core::{Copy, End, Final, Order};
 use crate::front::signed::http;
 use crate::front::thrift::codec::Reply;
-use crate::interface::{AttemptResult, ClassId, GroupId, Micros, Note, ObjectId};
+use crate::interface::{AttemptResult, ClassId, GroupId, Micros, CacheStatus, ObjectId};
 use crate::upstream::lines::{self, Answer, Fetch};
 use crate::upstream::Ending;
 use bytes::Bytes;
@@ -122,7 +122,7 @@
 pub fn end(ending: Ending, names: &Names) -> End {
     let answer = match ending {
         Ending::NotConnected => return End::bare(AttemptResult::ConnectFailed),
-        Ending::Unsent => return End::bare(AttemptResult::Moot),
+        Ending::Unsent => return End::bare(AttemptResult::NotSent),
         Ending::Reset => return End::bare(AttemptResult::Reset),
         Ending::Answer(answer) => answer,
     };
@@ -131,21 +131,21 @@
         "200" | "304" | "alive" | "status" => AttemptResult::Ok,
         "404" => AttemptResult::Miss,
         "503" => AttemptResult::Full,
-        "504" => AttemptResult::Moot,
+        "504" => AttemptResult::NotSent,
         _ => AttemptResult::Error, // 500, dead, and any word not known here: it may have run
     };
     let note = answer.field("tell").and_then(|word| {
         Some(match word {
-            "local" => Note::Hit,
-            "pulled" => Note::Filled,
-            "pulled_far" => Note::FilledByOrigin,
-            "rode" => Note::Joined,
-            "expired" => Note::Old,
-            "turned_away" => Note::SourceRefused,
-            "cut_off" => Note::SourceLost,
-            "not_there" => Note::SourceLacks,
-            "no_place" => Note::NoPlace,
-            "far_fault" => Note::OriginFailed,
+            "local" => CacheStatus::Hit,
+            "pulled" => CacheStatus::Filled,
+            "pulled_far" => CacheStatus::FilledByOrigin,
+            "rode" => CacheStatus::Collapsed,
+            "expired" => CacheStatus::Stale,
+            "turned_away" => CacheStatus::SourceRejected,
+            "cut_off" => CacheStatus::SourceUnreachable,
+            "not_there" => CacheStatus::SourceMiss,
+            "no_place" => CacheStatus::NoFillSlot,
+            "far_fault" => CacheStatus::OriginFailed,
             _ => return None,
         })
     });
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::Copy;
-use crate::interface::Why;
+use crate::interface::RejectionReason;
 
 fn names() -> Names {
     let classes = vec!["replay".into(), "piece".into()];
@@ -76,14 +76,14 @@
     };
     for (ending, result) in [
         (Ending::NotConnected, ConnectFailed),
-        (Ending::Unsent, Moot),
+        (Ending::Unsent, NotSent),
         (Ending::Reset, Reset),
         (answer("200", false), Ok),
         (answer("304", false), Ok),
         (answer("200", true), Error),
         (answer("404", false), Miss),
         (answer("503", false), Full),
-        (answer("504", false), Moot),
+        (answer("504", false), NotSent),
         (answer("500", false), Error),
         (answer("whatever", false), Error),
     ] {
@@ -102,10 +102,10 @@
         (Final::Served(copy(false)), &["b"][..], 200, None),
         (Final::Served(copy(false)), &["b", "a"], 304, None),
         (Final::Served(copy(true)), &["a"], 304, None),
-        (Final::Refused { pause: 250_000, late: false, why: Why::Full }, &[], 503, Some(1)),
-        (Final::Refused { pause: 1_000_001, late: false, why: Why::Full }, &[], 503, Some(2)),
-        (Final::Refused { pause: 0, late: false, why: Why::Full }, &[], 503, None),
-        (Final::Refused { pause: 250_000, late: true, why: Why::Late }, &[], 504, None),
+        (Final::Refused { pause: 250_000, late: false, why: RejectionReason::Full }, &[], 503, Some(1)),
+        (Final::Refused { pause: 1_000_001, late: false, why: RejectionReason::Full }, &[], 503, Some(2)),
+        (Final::Refused { pause: 0, late: false, why: RejectionReason::Full }, &[], 503, None),
+        (Final::Refused { pause: 250_000, late: true, why: RejectionReason::DeadlineExceeded }, &[], 504, None),
         (Final::Failed { late: true }, &[], 504, None),
         (Final::Failed { late: false }, &[], 502, None),
         (Final::Denied, &["a"], 403, None),
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -61,20 +61,20 @@
         };
         zone("zone", self.zone.0)?;
         self.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0))?;
-        figure("pace_kb_per_s", self.pace_kb_per_s)?;
-        self.link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link))?;
+        figure("pace_kb_per_s", self.transfer_kb_per_s)?;
+        self.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link))?;
         self.classes.iter().try_for_each(Class::check)?;
-        let rules = &self.rules;
-        figure("cold_share", rules.cold_share)?;
-        figure("fall_multiple", rules.fall_multiple)?;
-        figure("parent_cold_share", rules.parent_cold_share)?;
-        figure("parent_fall_multiple", rules.parent_fall_multiple)?;
-        span("fall_span", rules.fall_span, 1)?;
-        span("warm_after", rules.warm_after, 0)?;
-        span("parent_warm_after", rules.parent_warm_after, 0)?;
+        let rules = &self.protection;
+        figure("cold_share", rules.initial_share)?;
+        figure("fall_multiple", rules.overload_multiple)?;
+        figure("parent_cold_share", rules.parent_initial_share)?;
+        figure("parent_fall_multiple", rules.parent_overload_multiple)?;
+        span("fall_span", rules.overload_window, 1)?;
+        span("warm_after", rules.full_after, 0)?;
+        span("parent_warm_after", rules.parent_full_after, 0)?;
         span("purge_grace", rules.purge_grace, 0)?;
-        span("purge_settles", rules.purge_settles, 0)?;
-        span("ask_within", rules.ask_within, 0)?;
+        span("purge_settles", rules.purge_settled_after, 0)?;
+        span("ask_within", rules.max_list_age, 0)?;
         span("max_attempts", i64::from(self.limits.max_attempts), 1)?;
         span("max_retry_after", self.limits.max_retry_after, 0)
     }
@@ -82,13 +82,13 @@
 
 impl Class {
     fn check(&self) -> Result<(), SettingsError> {
-        figure("stretch", self.stretch)?;
-        figure("worth", self.worth)?;
-        span("target", self.target, 1)?;
-        span("deadline", self.deadline, 1)?;
-        span("window", self.window, 0)?;
-        span("fresh", self.fresh, 0)?;
-        span("grace", self.grace, 0)
+        figure("stretch", self.objective_stretch)?;
+        figure("worth", self.priority_weight)?;
+        span("target", self.latency_objective, 1)?;
+        span("deadline", self.client_deadline, 1)?;
+        span("window", self.dedup_window, 0)?;
+        span("fresh", self.fresh_for, 0)?;
+        span("grace", self.stale_for, 0)
     }
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -30,7 +30,7 @@
     cancel: bool,
     retry_after: bool,
     max_attempts: u32,
-    notes: Notes,
+    notes: CacheStatusDetail,
     /// The part of requests for objects that nobody has asked for.
     new: f64,
     /// Requests a second, all routers together.
@@ -59,7 +59,7 @@
             cancel: true,
             retry_after: true,
             max_attempts: 6,
-            notes: Notes::All,
+            notes: CacheStatusDetail::All,
             new,
             rate,
         }
@@ -92,7 +92,7 @@
             cancel: random.random_range(0..3) > 0,
             retry_after: random.random_range(0..2) == 0,
             max_attempts: random.random_range(2..7),
-            notes: [Notes::All, Notes::All, Notes::Hit, Notes::None][random.random_range(0..4)],
+            notes: [CacheStatusDetail::All, CacheStatusDetail::All, CacheStatusDetail::Hit, CacheStatusDetail::None][random.random_range(0..4)],
             new,
             rate: rate.min(3000.0),
         }
@@ -104,16 +104,16 @@
 
     fn settings(&self, ordinal: usize) -> Settings {
         let class = |class| Class {
-            target: self.target(class),
-            stretch: 2.0,
-            deadline: 4 * SECOND,
-            worth: 1.0,
-            effect: Effect::Safe,
-            scope: DedupScope::All,
-            window: 0,
-            fresh: 0,
-            grace: 0,
-            never_kept: false,
+            latency_objective: self.target(class),
+            objective_stretch: 2.0,
+            client_deadline: 4 * SECOND,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Always,
+            dedup_scope: DedupScope::All,
+            dedup_window: 0,
+            fresh_for: 0,
+            stale_for: 0,
+            uncached: false,
             retired: false,
         };
         Settings {
@@ -122,37 +122,37 @@
             zone: ZoneId(0),
             routers_by_zone: vec![self.routers as u32, 0],
             hub_by_zone: vec![ZoneId(1); 2],
-            link_kb_per_s: vec![0.0; 2],
-            pace_kb_per_s: 4000.0,
-            weighed: self.weighed,
+            zone_link_kb_per_s: vec![0.0; 2],
+            transfer_kb_per_s: 4000.0,
+            weights_state_links: self.weighed,
             classes: (0..self.sending.len()).map(class).collect(),
             parent_kind: None,
             origin_kind: 1,
-            direct: self.direct,
-            joins: false,
-            siblings: Siblings::Location,
-            notes: self.notes,
-            ask_discovery: false,
-            limits: Limits {
+            direct_to_source: self.direct,
+            join_fills: false,
+            sibling_sources: SiblingSources::SameLocation,
+            cache_status_detail: self.notes,
+            polls_discovery: false,
+            limits: SiteLimits {
                 max_attempts: self.max_attempts,
-                parallel: self.parallel,
-                cancel: self.cancel,
-                probes: false,
-                peers: false,
+                parallel_attempts: self.parallel,
+                cancellation: self.cancel,
+                health_checks: false,
+                peer_messages: false,
                 retry_after: self.retry_after,
                 max_retry_after: SECOND,
             },
-            rules: Rules {
-                cold_share: 0.2,
-                warm_after: 15 * SECOND,
-                fall_multiple: 4.0,
-                fall_span: SECOND,
-                parent_cold_share: 0.1,
-                parent_warm_after: 20 * SECOND,
-                parent_fall_multiple: 2.0,
+            protection: ProtectionRules {
+                initial_share: 0.2,
+                full_after: 15 * SECOND,
+                overload_multiple: 4.0,
+                overload_window: SECOND,
+                parent_initial_share: 0.1,
+                parent_full_after: 20 * SECOND,
+                parent_overload_multiple: 2.0,
                 purge_grace: 500 * MS,
-                purge_settles: 6 * SECOND,
-                ask_within: 0,
+                purge_settled_after: 6 * SECOND,
+                max_list_age: 0,
             },
         }
     }
@@ -195,7 +195,7 @@
     /// Requests over, those in time, and refusals by cause.
     over: usize,
     timely: usize,
-    refused: BTreeMap<Why, usize>,
+    refused: BTreeMap<RejectionReason, usize>,
 }
 
 impl Play {
@@ -220,17 +220,17 @@
             refused: BTreeMap::new(),
         };
         let weight = if site.weighed { site.link } else { 1.0 };
-        let member = |server: u32, kind: u16, zone: u16| Member {
+        let member = |server: u32, kind: u16, zone: u16| Endpoint {
             server: ServerId(server),
             weight,
             kind,
             zone: ZoneId(zone),
-            ..Member::default()
+            ..Endpoint::default()
         };
         let caches = (1..=site.caches as u32).map(|n| member(n, 0, 0));
-        let entries: Vec<Member> = caches.chain([member(99, 1, 1)]).collect();
+        let entries: Vec<Endpoint> = caches.chain([member(99, 1, 1)]).collect();
         for router in 0..site.routers {
-            play.event(router, Event::Members { kind: ListKind::Full, entries: entries.clone() });
+            play.event(router, Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries.clone() });
         }
         play
     }
@@ -243,9 +243,9 @@
         self.routers[router].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Get(get) => self.sent(router, get),
-                Action::Send { .. } => panic!("the module does not send without a source"),
-                Action::Refuse { request, why, .. } => {
+                Action::SendWithFill(get) => self.sent(router, get),
+                Action::SendCacheOnly { .. } => panic!("the module does not send without a source"),
+                Action::Reject { request, reason: why, .. } => {
                     *self.refused.entry(why).or_default() += 1;
                     self.answered(request, false);
                 }
@@ -282,14 +282,14 @@
         self.timely += usize::from(served && (self.now - arrived) as f64 <= aim);
     }
 
-    fn sent(&mut self, router: usize, get: Get) {
+    fn sent(&mut self, router: usize, get: FillAttempt) {
         let number = self.attempts.entry((router, get.request)).or_default();
         let attempt = std::mem::replace(number, *number + 1);
         let Some(&(class, object, _, sending)) = self.open.get(&get.request) else { return };
         let fill = !self.held.contains(&(get.server, object));
         // A sibling gives what it holds, over its own link, which is not modelled.
         let sibling = get.source != ServerId(99);
-        let nothing = fill && (get.only_held || (sibling && !self.held.contains(&(get.source, object))));
+        let nothing = fill && (get.only_if_cached || (sibling && !self.held.contains(&(get.source, object))));
         let (request, server) = (get.request, get.server);
         self.out.push(Transfer {
             router,
@@ -322,26 +322,26 @@
         attempt: u8,
         server: ServerId,
         result: AttemptResult,
-        note: Option<Note>,
+        note: Option<CacheStatus>,
         (sent, waited, sending): (Micros, Micros, Micros),
     ) {
         let note = match self.site.notes {
-            Notes::All => note,
-            Notes::Hit if note == Some(Note::FilledByOrigin) => Some(Note::Filled),
-            Notes::Hit => note.filter(|note| *note == Note::Hit),
-            Notes::None => None,
+            CacheStatusDetail::All => note,
+            CacheStatusDetail::Hit if note == Some(CacheStatus::FilledByOrigin) => Some(CacheStatus::Filled),
+            CacheStatusDetail::Hit => note.filter(|note| *note == CacheStatus::Hit),
+            CacheStatusDetail::None => None,
         };
         let finished = result == AttemptResult::Ok;
         let elapsed = self.now - sent;
-        let waited = if self.site.notes == Notes::All { waited } else { 0 };
+        let waited = if self.site.notes == CacheStatusDetail::All { waited } else { 0 };
         let sending = if self.site.told { sending } else { 0 };
         let load = Vec::new();
         if finished || self.plain {
             self.answered(request, finished);
         }
         let outcome =
-            Outcome { request, attempt, server, result, note, elapsed, waited, sending, finished, load };
-        self.event(router, Event::Outcome(outcome));
+            AttemptOutcome { request, attempt, server, result, cache_status: note, elapsed, fill_wait: waited, transfer_time: sending, finished, load_report: load };
+        self.event(router, Event::AttemptEnded(outcome));
     }
 
     /// Moves all transfers on by a tick and tells how those ended that are over.
@@ -388,9 +388,9 @@
                 continue;
             }
             let (result, note) = match (miss, t.fill) {
-                (true, _) => (AttemptResult::Miss, Some(Note::SourceLacks)),
-                (_, true) => (AttemptResult::Ok, Some(Note::FilledByOrigin)),
-                _ => (AttemptResult::Ok, Some(Note::Hit)),
+                (true, _) => (AttemptResult::Miss, Some(CacheStatus::SourceMiss)),
+                (_, true) => (AttemptResult::Ok, Some(CacheStatus::FilledByOrigin)),
+                _ => (AttemptResult::Ok, Some(CacheStatus::Hit)),
             };
             let times = (t.sent, t.waits, if miss { 0 } else { t.sending as Micros });
             self.outcome(t.router, t.request, t.attempt, t.server, result, note, times);
@@ -454,27 +454,27 @@
             object: ObjectId(object),
             part: 0,
             group: GroupId(0),
-            patience: 3 * SECOND,
+            client_timeout: 3 * SECOND,
             size_kb: 0.0,
-            repeat: false,
-            write: false,
+            is_retry: false,
+            is_write: false,
         };
         if self.plain {
             let home = (object.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) % self.site.caches as u64;
-            let (server, source, timeout) = (ServerId(home as u32 + 1), ServerId(99), request.patience);
+            let (server, source, timeout) = (ServerId(home as u32 + 1), ServerId(99), request.client_timeout);
             let (join, only_held, no_parent_copy, renew) = (false, false, false, false);
             let (request, rank, max_age) = (id, 1, 0);
-            let get = Get {
+            let get = FillAttempt {
                 request,
                 server,
                 timeout,
                 source,
-                rank,
+                cache_rank: rank,
                 max_age,
-                join,
-                only_held,
-                no_parent_copy,
-                renew,
+                join_fill: join,
+                only_if_cached: only_held,
+                bypass_parent_cache: no_parent_copy,
+                stale_while_revalidate: renew,
             };
             self.sent(router, get);
         } else {
--- a/tests/logic/cold.rs
+++ b/tests/logic/cold.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Plays routers that share a cold server for ten seconds; what reached it, by time in ms.
-fn sent_cold(routers: u32, list: &[Member], cold: u32, source: bool) -> Vec<i64> {
+fn sent_cold(routers: u32, list: &[Endpoint], cold: u32, source: bool) -> Vec<i64> {
     let mut told = settings();
     told.routers = routers;
     told.routers_by_zone = vec![routers, 0, 0];
@@ -21,7 +21,7 @@
             if get.server.0 == cold || (source && get.source.0 == cold) {
                 sent.push(bench.now / MS);
             }
-            bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled));
+            bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
         }
     }
     sent
@@ -38,7 +38,7 @@
 fn one_four_and_many_routers_keep_a_cold_servers_budget_and_use_it() {
     for routers in [1, 4, 240] {
         let cold =
-            |server, kind, zone| Member { up_since: Some(0), weight: 10.0, ..member(server, kind, zone) };
+            |server, kind, zone| Endpoint { started_at: Some(0), weight: 10.0, ..member(server, kind, zone) };
         let parents =
             [member(1, CACHE, 0), cold(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)];
         let sent = sent_cold(routers, &parents, 11, true);
@@ -58,7 +58,7 @@
 #[test]
 fn a_cold_cache_gets_no_more_than_its_budget_within_a_span() {
     let mut cold = member(1, CACHE, 0);
-    (cold.up_since, cold.weight) = (Some(0), 10.0);
+    (cold.started_at, cold.weight) = (Some(0), 10.0);
     let mut bench = Bench::new(settings(), vec![cold, member(21, ORIGIN, 1)]);
     // 2 x (0.25 of 10) transfers x 1 s = 5 s of sending may reach it; means start at the target, 0.6 s.
     let sent = (0..100).filter(|object| get_of(&bench.ask(100 + object).1).is_some()).count();
@@ -71,7 +71,7 @@
 #[test]
 fn a_cold_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
     let mut cold = member(11, PARENT, 1);
-    (cold.up_since, cold.weight) = (Some(0), 20.0);
+    (cold.started_at, cold.weight) = (Some(0), 20.0);
     let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), cold, member(12, PARENT, 1)]);
     let named = (0..400).filter(|object| bench.served(*object).source.0 == 11).count();
     // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at the most, each fill 0.1 s and more.
@@ -87,7 +87,7 @@
         let mut bench = Bench::new(settings(), list.clone());
         bench.now = SECOND;
         list[0].up_since = Some(SECOND);
-        bench.list(ListKind::Delta, vec![list[0]]);
+        bench.list(ListUpdate::Delta, vec![list[0]]);
         bench.router.share(processes, 0);
         let large = |id| Event::Request(Request { size_kb: 1000.0, ..request(id, id) });
         (0..200).filter(|id| get_of(&bench.event(large(*id))).is_some()).count()
@@ -101,7 +101,7 @@
 struct ColdFleet {
     routers: u32,
     /// The server, whether as a cache or as the source of fills.
-    server: Member,
+    server: Endpoint,
     /// When it starts, or joins, and when a burst comes.
     starts: Micros,
     burst: Micros,
@@ -123,10 +123,10 @@
             routers_by_zone: vec![count, 0, 0],
             ..settings()
         };
-        let cold = Member { up_since: Some(self.starts), ..self.server };
+        let cold = Endpoint { started_at: Some(self.starts), ..self.server };
         let mut list = fleet();
         list.retain(|known| known.server != cold.server && known.kind != cold.kind);
-        list.push(Member { server: ServerId(cold.server.0 + 1), up_since: None, ..cold });
+        list.push(Endpoint { server: ServerId(cold.server.0 + 1), started_at: None, ..cold });
         let mut sends = Vec::new();
         for ordinal in 0..self.routers {
             let mut random = ChaCha8Rng::seed_from_u64(seed << 8 | u64::from(ordinal));
@@ -142,7 +142,7 @@
                     break;
                 }
                 if !listed && bench.now >= self.starts {
-                    bench.list(ListKind::Delta, vec![cold]);
+                    bench.list(ListUpdate::Delta, vec![cold]);
                     listed = true;
                 }
                 let (_, actions) = bench.ask(random.random_range(0..10_000));
@@ -150,7 +150,7 @@
                 if get.server == cold.server || get.source == cold.server {
                     sends.push(bench.now);
                 }
-                bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled));
+                bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
             }
         }
         sends.sort_unstable();
@@ -159,18 +159,18 @@
 
     /// By how many calls a span goes over N + 2 x root of N + 2 at most, N being what the rules allow in it.
     fn excess(&self, seed: u64) -> f64 {
-        let rules = settings().rules;
+        let rules = settings().protection;
         let (share, warm, multiple) = match self.server.kind {
-            PARENT => (rules.parent_cold_share, rules.parent_warm_after, rules.parent_fall_multiple),
-            _ => (rules.cold_share, rules.warm_after, rules.fall_multiple),
+            PARENT => (rules.parent_initial_share, rules.parent_full_after, rules.parent_overload_multiple),
+            _ => (rules.initial_share, rules.full_after, rules.overload_multiple),
         };
         let sends = self.sends(seed);
         assert!(!sends.is_empty(), "it is used while it is cold");
         let over = |from: &Micros| {
             let warmth = share + (1.0 - share) * (from - self.starts).max(0) as f64 / warm as f64;
-            let span = rules.fall_span as f64 / SECOND as f64;
+            let span = rules.overload_window as f64 / SECOND as f64;
             let allowed = multiple * warmth * self.server.weight * span / SENDING;
-            let count = sends.iter().filter(|at| (*from..from + rules.fall_span).contains(at)).count();
+            let count = sends.iter().filter(|at| (*from..from + rules.overload_window).contains(at)).count();
             count as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
         sends.iter().map(over).fold(f64::MIN, f64::max)
@@ -179,8 +179,8 @@
 
 /// Caches that join or come back cold, and parents that are asked for fills, under a burst.
 fn cold_fleets(routers: u32, undivided: bool) -> Vec<ColdFleet> {
-    let cache = Member { weight: 1.0, ..member(1, CACHE, 0) };
-    let parent = Member { weight: 2.0, ..member(11, PARENT, 1) };
+    let cache = Endpoint { weight: 1.0, ..member(1, CACHE, 0) };
+    let parent = Endpoint { weight: 2.0, ..member(11, PARENT, 1) };
     let with = |server, starts, burst| ColdFleet { routers, server, starts, burst, undivided };
     vec![
         with(cache, 0, 2 * SECOND),
--- a/tests/logic/directory.rs
+++ b/tests/logic/directory.rs
@@ -12,10 +12,10 @@
     assert_eq!(first.source, home);
     assert!(first.rank > 0);
     assert_eq!(bench.get(7).server, home, "one at a time is started");
-    bench.end(&first, 0, AttemptResult::Ok, Some(Note::Filled));
+    bench.end(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let second = bench.get(7);
     assert!(second.server != home && second.server != first.server);
-    bench.end(&second, 0, AttemptResult::Ok, Some(Note::Filled));
+    bench.end(&second, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let sends: Vec<ServerId> = (0..8).map(|_| bench.served(7).server).collect();
     for delegate in [first.server, second.server] {
         assert_eq!(sends.iter().filter(|s| **s == delegate).count(), 4, "least distributed first: {sends:?}");
@@ -52,7 +52,7 @@
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.popular(7);
     let delegate = bench.get(7);
-    let actions = bench.end(&delegate, 0, AttemptResult::Miss, Some(Note::SourceLacks));
+    let actions = bench.end(&delegate, 0, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
     let again = get_of(&actions).expect("goes home");
     assert_eq!(again.server, home);
     assert!([11, 12].contains(&again.source.0), "the home fills from a parent");
@@ -64,7 +64,7 @@
     let home = bench.popular(7);
     let delegate = bench.get(7);
     assert_ne!(delegate.server, home);
-    bench.end(&delegate, 0, AttemptResult::Full, Some(Note::NoPlace));
+    bench.end(&delegate, 0, AttemptResult::Full, Some(CacheStatus::NoFillSlot));
     bench.now += SECOND - 1;
     assert_eq!(bench.served(7).server, home);
     bench.now += 1;
--- a/tests/logic/effects.rs
+++ b/tests/logic/effects.rs
@@ -29,11 +29,11 @@
 #[test]
 fn peer_messages_change_nothing_and_none_are_sent() {
     let mut with_peers = settings();
-    with_peers.limits.peers = true;
+    with_peers.limits.peer_messages = true;
     let mut bench = Bench::new(with_peers, fleet());
     bench.popular(7);
     let first = bench.get(7);
-    let told = bench.end(&first, 0, AttemptResult::Ok, Some(Note::Filled));
+    let told = bench.end(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     assert!(!told.iter().any(|a| matches!(a, Action::Tell { .. })), "{told:?}");
     let mut about_a_stranger = 7u64.to_le_bytes().to_vec();
     about_a_stranger.extend(77u32.to_le_bytes());
@@ -48,11 +48,11 @@
 fn a_drain_told_between_two_attempts_holds_for_server_and_source() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
-    let drains = |server: ServerId, kind, zone| Member {
+    let drains = |server: ServerId, kind, zone| Endpoint {
         state: ServerState::Draining,
         ..member(server.0, kind, zone)
     };
-    bench.list(ListKind::Delta, vec![drains(get.server, CACHE, 0), drains(get.source, PARENT, 1)]);
+    bench.list(ListUpdate::Delta, vec![drains(get.server, CACHE, 0), drains(get.source, PARENT, 1)]);
     let actions = bench.end(&get, 0, AttemptResult::ConnectFailed, None);
     let next = get_of(&actions).expect("a further attempt");
     assert!(next.server != get.server && next.source != get.source, "{next:?}");
@@ -65,7 +65,7 @@
 #[test]
 fn equal_events_give_equal_actions_with_200_servers() {
     let play = || {
-        let mut list: Vec<Member> = (1..=190).map(|id| member(id, CACHE, (id % 30 * 2) as u16)).collect();
+        let mut list: Vec<Endpoint> = (1..=190).map(|id| member(id, CACHE, (id % 30 * 2) as u16)).collect();
         list.extend((200..210).map(|id| member(id, PARENT, 1)));
         let mut bench = Bench::new(settings(), list);
         let mut all = Vec::new();
@@ -73,7 +73,7 @@
             bench.now += 7 * MS;
             let (_, actions) = bench.ask(object % 40);
             if let Some(get) = get_of(&actions).filter(|_| object % 3 > 0) {
-                all.extend(bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled)));
+                all.extend(bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled)));
             }
             all.extend(actions);
         }
@@ -86,15 +86,15 @@
 fn after_a_purge_only_newer_copies_do_and_the_bound_is_never_0() {
     let mut bench = Bench::new(settings(), fleet());
     assert_eq!(bench.served(7).max_age, 0);
-    bench.event(Event::Purged { what: Purge::Object(ObjectId(7)), age: 0 });
+    bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 0 });
     assert_eq!(bench.served(7).max_age, 1, "0 would mean any age");
     bench.now += 200 * MS;
     assert_eq!(bench.served(7).max_age, 200 * MS);
     assert_eq!(bench.served(8).max_age, 0);
-    bench.event(Event::Purged { what: Purge::Group(GroupId(5)), age: 50 * MS });
+    bench.event(Event::Purged { purge: Purge::Group(GroupId(5)), age: 50 * MS });
     assert_eq!(bench.served(7).max_age, 50 * MS, "the newest purge counts");
     assert_eq!(bench.served(8).max_age, 50 * MS);
-    bench.event(Event::Purged { what: Purge::Object(ObjectId(7)), age: 4 * SECOND });
+    bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 4 * SECOND });
     assert_eq!(bench.served(7).max_age, 50 * MS, "news of an older one changes nothing");
     bench.get(9);
     bench.pass(5 * SECOND);
@@ -107,7 +107,7 @@
     (ageing.classes[0].fresh, ageing.classes[0].grace) = (5 * SECOND, 20 * SECOND);
     let mut bench = Bench::new(ageing, fleet());
     assert_eq!(bench.served(7).max_age, 5 * SECOND);
-    bench.event(Event::Purged { what: Purge::Object(ObjectId(7)), age: 90 * MS });
+    bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 90 * MS });
     let get = bench.served(7);
     assert!(get.renew);
     assert_eq!(get.max_age, 90 * MS);
@@ -118,16 +118,16 @@
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.popular(7);
     bench.served(7);
-    let drained = [Member { state: ServerState::Draining, ..member(home.0, CACHE, 0) }];
-    bench.list(ListKind::Delta, drained.to_vec());
-    bench.list(ListKind::Delta, vec![Member { state: ServerState::Draining, ..member(11, PARENT, 1) }]);
+    let drained = [Endpoint { state: ServerState::Draining, ..member(home.0, CACHE, 0) }];
+    bench.list(ListUpdate::Delta, drained.to_vec());
+    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Draining, ..member(11, PARENT, 1) }]);
     for object in 1..50 {
         let get = bench.served(object);
         assert!(get.server != home && get.source != home && get.source.0 != 11, "{get:?}");
     }
     let mut rest = fleet();
     rest.retain(|m| m.server.0 != 3);
-    bench.list(ListKind::Full, rest);
+    bench.list(ListUpdate::Rejected, rest);
     assert!((50..90).all(|object| bench.served(object).server.0 != 3), "absent from a full list: gone");
 }
 
@@ -158,7 +158,7 @@
         (AttemptResult::Timeout, false),
     ] {
         let mut careful = settings();
-        careful.classes[0].effect = Effect::Unsafe;
+        careful.classes[0].effect = Idempotency::Never;
         let mut bench = Bench::new(careful, fleet());
         let get = bench.get(7);
         let actions = bench.end(&get, 0, result, None);
@@ -171,7 +171,7 @@
 #[test]
 fn a_keyed_request_is_repeated_within_its_group_and_window_only() {
     let mut keyed = settings();
-    (keyed.classes[0].effect, keyed.classes[0].scope) = (Effect::Keyed, DedupScope::Cell);
+    (keyed.classes[0].effect, keyed.classes[0].scope) = (Idempotency::WithKey, DedupScope::Cell);
     let mut cells = fleet();
     cells.iter_mut().for_each(|m| m.cell = m.server.0 as u16);
     let mut bench = Bench::new(keyed.clone(), cells.clone());
@@ -206,7 +206,7 @@
 fn a_streaming_answer_is_neither_doubled_nor_called_off() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
-    bench.event(Event::First { request: get.request, attempt: 0, server: get.server, elapsed: MS });
+    bench.event(Event::FirstByte { request: get.request, attempt: 0, server: get.server, elapsed: MS });
     let actions = bench.pass(10 * SECOND);
     assert!(actions.iter().all(|action| matches!(action, Action::Timer { .. })), "{actions:?}");
 }
@@ -216,7 +216,7 @@
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     assert!(bench.end(&get, 5, AttemptResult::Ok, None).is_empty());
-    bench.event(Event::Gone(get.request));
+    bench.event(Event::RequestCancelled(get.request));
     bench.end(&get, 0, AttemptResult::Cancelled, None);
     assert!(bench.end(&get, 0, AttemptResult::Error, None).is_empty());
     assert!(bench.event(Event::Gone(RequestId(12345))).is_empty());
@@ -225,11 +225,11 @@
 #[test]
 fn asked_discovery_is_subscribed_to_and_again_after_a_failure() {
     let mut asked = settings();
-    asked.ask_discovery = true;
+    asked.polls_discovery = true;
     let mut bench = Bench::new(asked, fleet());
-    let cached = bench.event(Event::Members { kind: ListKind::Cached, entries: vec![] });
+    let cached = bench.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: vec![] });
     assert_eq!(cached, [Action::Watch(true)]);
-    let failed = bench.event(Event::Members { kind: ListKind::Failed, entries: vec![] });
+    let failed = bench.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] });
     let [Action::Timer { token, after }] = failed[..] else { panic!("{failed:?}") };
     assert!(after > 0, "the discovery service is not called again at once");
     assert_eq!(bench.event(Event::Timer(token)), [Action::Watch(true)]);
@@ -243,7 +243,7 @@
         for step in 0..400u64 {
             let (_, actions) = bench.ask(step * step % 37);
             if let Some(get) = get_of(&actions).filter(|_| step % 5 > 0) {
-                all.extend(bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled)));
+                all.extend(bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled)));
             }
             all.extend(actions);
             all.extend(bench.pass(20 * MS));
@@ -261,9 +261,9 @@
     for object in 0..1000 {
         bench.now += 10 * MS;
         let get = bench.get(object);
-        let again = get_of(&bench.end(&get, 0, AttemptResult::Full, Some(Note::NoPlace)));
+        let again = get_of(&bench.end(&get, 0, AttemptResult::Full, Some(CacheStatus::NoFillSlot)));
         further += usize::from(again.is_some());
-        again.map(|again| bench.end(&again, 1, AttemptResult::Ok, Some(Note::Filled)));
+        again.map(|again| bench.end(&again, 1, AttemptResult::Ok, Some(CacheStatus::Filled)));
     }
     assert!((50..=80).contains(&further), "{further} of 1000");
 }
@@ -288,14 +288,14 @@
 fn a_cache_that_mostly_errs_is_left_with_trials_that_are_no_writes() {
     // Fast errors kept their place as home: each cost a further attempt, and a write that erred was lost.
     let mut told = settings();
-    told.classes.push(Class { effect: Effect::Unsafe, never_kept: true, ..told.classes[0].clone() });
+    told.classes.push(Class { idempotency: Idempotency::Never, uncached: true, ..told.classes[0].clone() });
     let mut bench = Bench::new(told, fleet());
     let bad = bench.served(7).server;
     let write = |bench: &mut Bench| {
         bench.next += 1;
-        let request = Request { class: ClassId(1), write: true, ..request(bench.next, 7) };
+        let request = Request { class: ClassId(1), is_write: true, ..request(bench.next, 7) };
         let get = get_of(&bench.event(Event::Request(request))).expect("an attempt");
-        bench.end(&get, 0, AttemptResult::Ok, Some(Note::FilledByOrigin));
+        bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::FilledByOrigin));
         get.server
     };
     assert_eq!(write(&mut bench), bad, "its home before");
@@ -328,14 +328,14 @@
 #[test]
 fn no_write_goes_by_a_parent_that_failed_of_late() {
     let mut told = settings();
-    told.classes.push(Class { effect: Effect::Unsafe, never_kept: true, ..told.classes[0].clone() });
+    told.classes.push(Class { idempotency: Idempotency::Never, uncached: true, ..told.classes[0].clone() });
     let mut bench = Bench::new(told, fleet());
     let writes = |bench: &mut Bench, parents: [u32; 2]| {
         bench.now += 2 * SECOND;
         let mut sources: Vec<u32> = Vec::new();
         for object in 1..40 {
             bench.next += 1;
-            let write = Request { class: ClassId(1), write: true, ..request(bench.next, object) };
+            let write = Request { class: ClassId(1), is_write: true, ..request(bench.next, object) };
             let get = get_of(&bench.event(Event::Request(write))).expect("an attempt");
             bench.end(&get, 0, AttemptResult::Ok, None);
             sources.push(get.source.0);
@@ -348,12 +348,12 @@
             let get = bench.get(object);
             let failed = bad.contains(&get.source.0);
             let (result, note) = if failed {
-                (AttemptResult::Error, Note::SourceLost)
+                (AttemptResult::Error, CacheStatus::SourceUnreachable)
             } else {
-                (AttemptResult::Ok, Note::Filled)
+                (AttemptResult::Ok, CacheStatus::Filled)
             };
             if let Some(again) = get_of(&bench.end(&get, 0, result, Some(note))) {
-                bench.end(&again, 1, AttemptResult::Ok, Some(Note::Filled));
+                bench.end(&again, 1, AttemptResult::Ok, Some(CacheStatus::Filled));
             }
         }
     };
@@ -375,7 +375,7 @@
     let mut fewer = settings();
     fewer.limits.max_attempts = 1;
     fewer.classes[0].retired = true;
-    fewer.classes.push(Class { effect: Effect::Unsafe, retired: false, ..fewer.classes[0].clone() });
+    fewer.classes.push(Class { idempotency: Idempotency::Never, retired: false, ..fewer.classes[0].clone() });
     bench.router.reconfigure(fewer);
     let again = bench.end(&old, 0, AttemptResult::Error, None);
     assert!(get_of(&again).is_some(), "it came when six attempts and a repeat were allowed");
--- a/tests/logic/fetches.rs
+++ b/tests/logic/fetches.rs
@@ -8,7 +8,7 @@
     let source = |seed: u64| {
         let mut router = Router::new(settings(), seed, 0).expect("usable");
         let mut out = Vec::new();
-        router.handle(0, Event::Members { kind: ListKind::Full, entries: fleet() }, &mut out);
+        router.handle(0, Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() }, &mut out);
         router.handle(0, Event::Request(request(1, 7)), &mut out);
         get_of(&out).expect("an attempt").source
     };
@@ -17,15 +17,15 @@
     for object in 1..80 {
         bench.now += 100 * MS;
         let get = bench.get(object);
-        if !get.only_held {
-            let actions = bench.end(&get, 0, AttemptResult::Full, Some(Note::OriginFailed));
+        if !get.only_if_cached {
+            let actions = bench.end(&get, 0, AttemptResult::Full, Some(CacheStatus::OriginFailed));
             if let Some(next) = get_of(&actions) {
                 assert!(next.only_held, "a request asks the failing origin once");
-                bench.end(&next, 1, AttemptResult::Miss, Some(Note::SourceLacks));
+                bench.end(&next, 1, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
             }
         }
     }
-    let gets: Vec<Get> = (100..200).map(|object| bench.get(object)).collect();
+    let gets: Vec<FillAttempt> = (100..200).map(|object| bench.get(object)).collect();
     let looks = gets.iter().filter(|get| get.only_held && get.source.0 > 10).count();
     assert!(looks > 50, "{looks} of 100 look at a parent");
 }
@@ -36,17 +36,17 @@
     for object in 1..40 {
         let get = bench.get(object);
         let waited = if get.source.0 == 11 { 300 * MS } else { 5 * MS };
-        bench.event(Event::Outcome(Outcome {
+        bench.event(Event::AttemptEnded(AttemptOutcome {
             request: get.request,
             attempt: 0,
             server: get.server,
             result: AttemptResult::Ok,
-            note: Some(Note::Filled),
+            cache_status: Some(CacheStatus::Filled),
             elapsed: 110 * MS,
-            waited,
-            sending: 0,
+            fill_wait: waited,
+            transfer_time: 0,
             finished: true,
-            load: vec![],
+            load_report: vec![],
         }));
     }
     assert!((40..60).all(|object| bench.served(object).source.0 == 12));
@@ -68,19 +68,19 @@
     let (mut bench, out) = slowed(ageing);
     let held = bench.get(300);
     assert_eq!((held.max_age, held.only_held), (25 * SECOND, true));
-    bench.end(&out[0], 0, AttemptResult::Ok, Some(Note::Filled));
+    bench.end(&out[0], 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     assert_eq!(bench.get(301).max_age, 5 * SECOND);
 }
 
 #[test]
 fn what_is_not_held_waits_for_a_fetch_to_end_and_is_refused_well_before_its_time() {
     let (mut bench, out) = slowed(settings());
-    let waiting: Vec<Get> = (300..303).map(|object| bench.get(object)).collect();
+    let waiting: Vec<FillAttempt> = (300..303).map(|object| bench.get(object)).collect();
     assert!(waiting.iter().all(|get| get.only_held), "what is held is still served");
     for get in &waiting {
         assert_eq!(bench.end(get, 0, AttemptResult::Miss, Some(Note::SourceLacks)), [], "it waits");
     }
-    let sent = bench.end(&out[0], 0, AttemptResult::Ok, Some(Note::Filled));
+    let sent = bench.end(&out[0], 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let sent = get_of(&sent).expect("the newest goes out in its place");
     assert_eq!((sent.request, sent.only_held), (waiting[2].request, false));
     bench.now += 301 * MS; // half of the target
@@ -101,17 +101,17 @@
         let get = bench.get(object);
         bench.now += 20 * MS;
         let slow = get.server.0 == 1;
-        bench.event(Event::Outcome(Outcome {
+        bench.event(Event::AttemptEnded(AttemptOutcome {
             request: get.request,
             attempt: 0,
             server: get.server,
             result: AttemptResult::Ok,
-            note: Some(Note::Filled),
+            cache_status: Some(CacheStatus::Filled),
             elapsed: if slow { 2 * SECOND } else { 100 * MS },
-            waited: if slow { SECOND } else { 10 * MS },
-            sending: 90 * MS,
+            fill_wait: if slow { SECOND } else { 10 * MS },
+            transfer_time: 90 * MS,
             finished: true,
-            load: vec![],
+            load_report: vec![],
         }));
     }
     let again: Vec<ServerId> = (1..60).map(|object| bench.served(object).server).collect();
--- a/tests/logic/golden.rs
+++ b/tests/logic/golden.rs
@@ -15,7 +15,7 @@
 
 /// An attempt that the stand-in fleet has not answered yet.
 struct Pending {
-    get: Get,
+    get: FillAttempt,
     attempt: u8,
     sent: Micros,
     ends: Micros,
@@ -75,7 +75,7 @@
 
     fn take(&mut self, action: Action) {
         let kind = match action {
-            Action::Get(get) => {
+            Action::SendWithFill(get) => {
                 let number = self.attempts.entry(get.request).or_default();
                 let attempt = *number;
                 *number += 1;
@@ -102,14 +102,14 @@
                 self.due_ticks.push((self.now + after, token));
                 "timer"
             }
-            Action::Refuse { why, .. } => {
-                let (_, name) = Why::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
+            Action::Reject { reason: why, .. } => {
+                let (_, name) = RejectionReason::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
                 *self.counts.entry(name).or_default() += 1;
                 "refuse"
             }
             Action::Fail(_) => "fail",
             Action::Log(_) => "log",
-            Action::Watch(_) => "watch",
+            Action::WatchEndpoints(_) => "watch",
             _ => "other",
         };
         *self.counts.entry(kind).or_default() += 1;
@@ -124,7 +124,7 @@
         let write = self.draw(20) == 0;
         let patience = (200 + self.draw(5000) as Micros) * MS;
         let group = GroupId((skewed % 7) as u32);
-        let made = Request { class, size_kb, part, write, patience, group, ..request(id, skewed) };
+        let made = Request { class, size_kb, part, is_write: write, client_timeout: patience, group, ..request(id, skewed) };
         self.event(Event::Request(made));
     }
 
@@ -137,31 +137,31 @@
                 true => (AttemptResult::Cancelled, None),
                 false => self.ending(&get, scenario),
             };
-            let notes = scenario.settings.notes;
+            let notes = scenario.settings.cache_status_detail;
             let told = match (notes, note) {
-                (Notes::All, note) => note,
-                (Notes::Hit, Some(Note::Hit | Note::Filled | Note::Joined | Note::Old)) => note,
+                (CacheStatusDetail::All, note) => note,
+                (CacheStatusDetail::Hit, Some(CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale)) => note,
                 _ => None,
             };
             let elapsed = self.now - sent;
-            let waited = if notes == Notes::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
+            let waited = if notes == CacheStatusDetail::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
             let sending = if self.draw(2) == 0 { elapsed / 3 } else { 0 };
-            self.event(Event::Outcome(Outcome {
+            self.event(Event::AttemptEnded(AttemptOutcome {
                 request: get.request,
                 attempt,
                 server: get.server,
                 result,
-                note: told,
+                cache_status: told,
                 elapsed,
-                waited,
-                sending,
+                fill_wait: waited,
+                transfer_time: sending,
                 finished: result == AttemptResult::Ok,
-                load: vec![],
+                load_report: vec![],
             }));
         }
     }
 
-    fn ending(&mut self, get: &Get, scenario: &Scenario) -> (AttemptResult, Option<Note>) {
+    fn ending(&mut self, get: &FillAttempt, scenario: &Scenario) -> (AttemptResult, Option<CacheStatus>) {
         // One cache and one parent are worse than the others for some seconds of every forty.
         let bad_time = self.now / (10 * SECOND) % 4 == 1;
         let bad_server = [get.server, get.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
@@ -172,25 +172,25 @@
         if self.draw(1000) < failures {
             return match self.draw(10) {
                 0 | 1 => (AttemptResult::Error, None),
-                2 => (AttemptResult::Error, Some(Note::SourceLost)),
-                3 => (AttemptResult::Error, Some(Note::OriginFailed)),
-                4 => (AttemptResult::Full, Some(Note::SourceRefused)),
-                5 => (AttemptResult::Full, Some(Note::NoPlace)),
+                2 => (AttemptResult::Error, Some(CacheStatus::SourceUnreachable)),
+                3 => (AttemptResult::Error, Some(CacheStatus::OriginFailed)),
+                4 => (AttemptResult::Full, Some(CacheStatus::SourceRejected)),
+                5 => (AttemptResult::Full, Some(CacheStatus::NoFillSlot)),
                 6 => (AttemptResult::Timeout, None),
                 7 => (AttemptResult::Reset, None),
                 8 => (AttemptResult::ConnectFailed, None),
-                _ => (AttemptResult::Miss, Some(Note::SourceLacks)),
+                _ => (AttemptResult::Miss, Some(CacheStatus::SourceMiss)),
             };
         }
-        if get.only_held && self.draw(2) == 0 {
+        if get.only_if_cached && self.draw(2) == 0 {
             return (AttemptResult::Miss, None);
         }
         let note = match self.draw(8) {
-            0..=3 => Note::Hit,
-            4 => Note::Filled,
-            5 => Note::FilledByOrigin,
-            6 => Note::Joined,
-            _ => Note::Old,
+            0..=3 => CacheStatus::Hit,
+            4 => CacheStatus::Filled,
+            5 => CacheStatus::FilledByOrigin,
+            6 => CacheStatus::Collapsed,
+            _ => CacheStatus::Stale,
         };
         (AttemptResult::Ok, Some(note))
     }
@@ -201,12 +201,12 @@
         let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining][self.draw(3) as usize];
         let up_since = (self.draw(2) == 0).then_some(self.now);
         let weight = 20.0 + self.draw(100) as f64;
-        let entry = Member { up_since, state, weight, ..member(id, kind, zone) };
+        let entry = Endpoint { started_at: up_since, state, weight, ..member(id, kind, zone) };
         match self.draw(4) {
-            0 => self.event(Event::Members { kind: ListKind::Full, entries: fleet() }),
-            1 => self.event(Event::Members { kind: ListKind::Failed, entries: vec![] }),
-            2 => self.event(Event::Members { kind: ListKind::Cached, entries: fleet() }),
-            _ => self.event(Event::Members { kind: ListKind::Delta, entries: vec![entry] }),
+            0 => self.event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() }),
+            1 => self.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] }),
+            2 => self.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: fleet() }),
+            _ => self.event(Event::EndpointList { update: ListUpdate::Delta, endpoints: vec![entry] }),
         }
     }
 
@@ -231,7 +231,7 @@
 fn play(scenario: &Scenario, seed: u64) -> String {
     let classes = scenario.settings.classes.len() as u64;
     let mut stream = Stream::new(scenario.settings.clone(), seed);
-    stream.event(Event::Members { kind: ListKind::Full, entries: fleet() });
+    stream.event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() });
     for step in 0..STEPS {
         stream.now += 1 + stream.draw(2 * scenario.pause as u64) as Micros;
         stream.tick();
@@ -241,17 +241,17 @@
             0 => stream.change_list(),
             1..=3 => {
                 let object = ObjectId(stream.draw(OBJECTS));
-                stream.event(Event::Purged { what: Purge::Object(object), age: 10 * MS });
+                stream.event(Event::Purged { purge: Purge::Object(object), age: 10 * MS });
             }
             4 => {
                 let group = GroupId(stream.draw(7) as u32);
-                stream.event(Event::Purged { what: Purge::Group(group), age: 0 });
+                stream.event(Event::Purged { purge: Purge::Group(group), age: 0 });
             }
-            5 => stream.event(Event::Gone(RequestId(step as u64 + 1))),
+            5 => stream.event(Event::RequestCancelled(RequestId(step as u64 + 1))),
             6 => {
                 if let Some(get) = stream.pending.last().map(|p| p.get.clone()) {
                     let (request, server) = (get.request, get.server);
-                    stream.event(Event::First { request, attempt: 0, server, elapsed: MS });
+                    stream.event(Event::FirstByte { request, attempt: 0, server, elapsed: MS });
                 }
             }
             _ => {}
@@ -271,7 +271,7 @@
 /// The settings after a reload: one class more, and other limits.
 fn reconfigured(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    let added = Class { target: 900 * MS, ..settings.classes[0].clone() };
+    let added = Class { latency_objective: 900 * MS, ..settings.classes[0].clone() };
     settings.classes.push(added);
     settings.classes[1].retired = true;
     settings.limits.max_attempts = 5;
@@ -282,7 +282,7 @@
 fn all_classes() -> Settings {
     let usual = settings();
     let class = usual.classes[0].clone();
-    let keyed = Class { effect: Effect::Keyed, never_kept: true, ..class.clone() };
+    let keyed = Class { idempotency: Idempotency::WithKey, uncached: true, ..class.clone() };
     let classes = vec![
         class.clone(),
         Class { fresh: 2 * SECOND, grace: 3 * SECOND, target: 300 * MS, stretch: 1.0, ..class.clone() },
@@ -297,8 +297,8 @@
 
 fn scenarios() -> Vec<Scenario> {
     let usual = all_classes();
-    let parallel = Limits { parallel: true, ..usual.limits.clone() };
-    let no_cancel = Limits { cancel: false, retry_after: false, ..usual.limits.clone() };
+    let parallel = SiteLimits { parallel_attempts: true, ..usual.limits.clone() };
+    let no_cancel = SiteLimits { cancellation: false, retry_after: false, ..usual.limits.clone() };
     let scenario = |name, settings, failures, pause| Scenario {
         name,
         settings,
@@ -307,8 +307,8 @@
         pause,
     };
     let many = Settings { routers: 20, ordinal: 4, routers_by_zone: vec![8, 0, 12], ..usual.clone() };
-    let mute = Settings { notes: Notes::None, weighed: false, ..usual.clone() };
-    let asked = Settings { ask_discovery: true, direct: true, limits: no_cancel, ..usual.clone() };
+    let mute = Settings { cache_status_detail: CacheStatusDetail::None, weights_state_links: false, ..usual.clone() };
+    let asked = Settings { polls_discovery: true, direct_to_source: true, limits: no_cancel, ..usual.clone() };
     vec![
         scenario("notes-all", usual.clone(), 60, 5 * MS),
         scenario("notes-all-busy", usual.clone(), 20, MS),
--- a/tests/logic/health.rs
+++ b/tests/logic/health.rs
@@ -7,7 +7,7 @@
 fn only_the_objects_of_a_lost_home_move() {
     let mut bench = Bench::new(settings(), fleet());
     let before: Vec<ServerId> = (1..60).map(|object| bench.served(object).server).collect();
-    bench.list(ListKind::Delta, vec![Member { state: ServerState::Gone, ..member(2, CACHE, 0) }]);
+    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Gone, ..member(2, CACHE, 0) }]);
     for (object, home) in (1..60).zip(before) {
         let now = bench.served(object).server;
         assert!(now == home || home.0 == 2, "object {object} left {home:?} for {now:?}");
@@ -18,7 +18,7 @@
 #[test]
 fn a_cell_lost_at_once_leaves_the_rest_in_use() {
     let caches = |cell, ids: std::ops::RangeInclusive<u32>| {
-        ids.map(move |id| Member { cell, ..member(id, CACHE, 0) }).collect::<Vec<_>>()
+        ids.map(move |id| Endpoint { cell, ..member(id, CACHE, 0) }).collect::<Vec<_>>()
     };
     let mut list = [caches(1, 1..=4), caches(2, 5..=6)].concat();
     list.extend([member(11, PARENT, 1), member(21, ORIGIN, 1)]);
@@ -32,7 +32,7 @@
             let lost = get.server.0 <= 4;
             served += u32::from(!lost && object > 20);
             let result = if lost { AttemptResult::ConnectFailed } else { AttemptResult::Ok };
-            actions = bench.end(&get, attempt, result, Some(Note::Hit).filter(|_| !lost));
+            actions = bench.end(&get, attempt, result, Some(CacheStatus::Hit).filter(|_| !lost));
         }
     }
     assert!(served >= 18, "{served} of the last 19 served by the other cell");
@@ -57,7 +57,7 @@
 #[test]
 fn where_two_may_be_out_the_second_is_sent_beside_the_first() {
     let mut parallel = settings();
-    parallel.limits.parallel = true;
+    parallel.limits.parallel_attempts = true;
     let mut bench = Bench::new(parallel, fleet());
     let home = bench.served(7).server;
     let first = bench.get(7);
@@ -65,7 +65,7 @@
     let actions = bench.pass(900 * MS);
     let second = get_of(&actions).expect("a double");
     assert_ne!(second.server, home);
-    let over = bench.end(&second, 1, AttemptResult::Ok, Some(Note::Filled));
+    let over = bench.end(&second, 1, AttemptResult::Ok, Some(CacheStatus::Filled));
     assert_eq!(over, [Action::Cancel { request: first.request, attempt: 0 }], "the loser is called off");
 }
 
@@ -78,7 +78,7 @@
         if get.source.0 == 11 {
             waiting.push(get);
         } else {
-            bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled));
+            bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
         }
     }
     bench.pass(860 * MS);
@@ -101,16 +101,16 @@
     let trial = (300..900).map(|object| bench.get(object)).find(|g| g.server == get.server);
     let trial = trial.expect("one trial");
     assert!((900..1200).all(|object| bench.get(object).server != get.server), "one at a time");
-    bench.end(&trial, 0, AttemptResult::Ok, Some(Note::Hit));
+    bench.end(&trial, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     assert!((1200..1500).any(|object| get_of(&bench.ask(object).1).is_some_and(|g| g.server == get.server)));
 }
 
 #[test]
 fn a_slow_origin_is_asked_for_less_and_a_quick_one_for_more_again() {
     let at_once = |bench: &mut Bench| {
-        let gets: Vec<Get> =
+        let gets: Vec<FillAttempt> =
             (1000..1100).map(|object| bench.get(object)).take_while(|get| !get.only_held).collect();
-        gets.iter().for_each(|get| drop(bench.end(get, 0, AttemptResult::Ok, Some(Note::Filled))));
+        gets.iter().for_each(|get| drop(bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Filled))));
         gets.len()
     };
     let mut bench = Bench::new(settings(), fleet());
@@ -118,23 +118,23 @@
     let mut run = |waited: Micros| {
         for object in 1..100 {
             bench.now += 50 * MS;
-            let gets: Vec<Get> = (0..9).map(|i| bench.get(2000 + 10 * object + i)).collect();
+            let gets: Vec<FillAttempt> = (0..9).map(|i| bench.get(2000 + 10 * object + i)).collect();
             for get in gets.iter().filter(|get| !get.only_held) {
-                bench.event(Event::Outcome(Outcome {
+                bench.event(Event::AttemptEnded(AttemptOutcome {
                     request: get.request,
                     attempt: 0,
                     server: get.server,
                     result: AttemptResult::Ok,
-                    note: Some(Note::FilledByOrigin),
+                    cache_status: Some(CacheStatus::FilledByOrigin),
                     elapsed: waited + 100 * MS,
-                    waited,
-                    sending: 0,
+                    fill_wait: waited,
+                    transfer_time: 0,
                     finished: true,
-                    load: vec![],
+                    load_report: vec![],
                 }));
             }
             for get in gets.iter().filter(|get| get.only_held) {
-                bench.end(get, 0, AttemptResult::Ok, Some(Note::Hit));
+                bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
             }
         }
         at_once(&mut bench)
@@ -153,17 +153,17 @@
     for object in 1..400 {
         let get = bench.get(object);
         let waited = if get.source.0 == 11 { 400 * MS } else { 30 * MS };
-        bench.event(Event::Outcome(Outcome {
+        bench.event(Event::AttemptEnded(AttemptOutcome {
             request: get.request,
             attempt: 0,
             server: get.server,
             result: AttemptResult::Ok,
-            note: Some(Note::Filled),
+            cache_status: Some(CacheStatus::Filled),
             elapsed: 110 * MS,
-            waited,
-            sending: 0,
+            fill_wait: waited,
+            transfer_time: 0,
             finished: true,
-            load: vec![],
+            load_report: vec![],
         }));
         last.push(get.source.0);
     }
@@ -178,10 +178,10 @@
 fn a_broken_connection_counts_once_and_its_requests_stay_where_the_copies_are() {
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.served(7).server;
-    let open: Vec<Get> = (300..340).map(|object| bench.get(object)).collect();
-    let (lost, others): (Vec<Get>, Vec<Get>) = open.into_iter().partition(|get| get.server == home);
+    let open: Vec<FillAttempt> = (300..340).map(|object| bench.get(object)).collect();
+    let (lost, others): (Vec<FillAttempt>, Vec<FillAttempt>) = open.into_iter().partition(|get| get.server == home);
     assert!(lost.len() > 4);
-    let again: Vec<Get> = lost
+    let again: Vec<FillAttempt> = lost
         .iter()
         .map(|get| get_of(&bench.end(get, 0, AttemptResult::Reset, None)).expect("it is sent again"))
         .collect();
@@ -192,7 +192,7 @@
     let elsewhere = get_of(&bench.end(&again[0], 1, AttemptResult::Reset, None)).expect("elsewhere");
     assert_ne!(elsewhere.server, home, "what breaks twice there is not asked for there a third time");
     for get in &others {
-        bench.end(get, 0, AttemptResult::Ok, Some(Note::Hit));
+        bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     }
     // One that breaks again and again is shut all the same.
     for object in 400..460 {
@@ -243,10 +243,10 @@
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     let home = fleet().into_iter().find(|m| m.server == get.server).expect("it is listed");
-    bench.list(ListKind::Delta, vec![Member { state: ServerState::Gone, ..home }]);
+    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Gone, ..home }]);
     bench.pass(2 * SECOND);
     assert_eq!(bench.router.capacities(0).len(), fleet().len(), "its attempt is still out");
-    bench.end(&get, 0, AttemptResult::Ok, Some(Note::Hit));
+    bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     bench.get(8);
     bench.pass(2 * SECOND);
     assert_eq!(bench.router.capacities(0).len(), fleet().len() - 1);
@@ -257,13 +257,13 @@
 #[test]
 fn what_takes_no_longer_than_others_did_is_not_silent() {
     let mut bench = Bench::new(settings(), fleet());
-    let answer = |bench: &mut Bench, get: &Get, elapsed| {
+    let answer = |bench: &mut Bench, get: &FillAttempt, elapsed| {
         let (request, server) = (get.request, get.server);
-        let (result, note, load) = (AttemptResult::Ok, Some(Note::Filled), vec![]);
+        let (result, note, load) = (AttemptResult::Ok, Some(CacheStatus::Filled), vec![]);
         let (waited, sending, finished) = (SECOND, 100 * MS, true);
         let outcome =
-            Outcome { request, attempt: 0, server, result, note, elapsed, waited, sending, finished, load };
-        bench.event(Event::Outcome(outcome));
+            AttemptOutcome { request, attempt: 0, server, result, cache_status: note, elapsed, fill_wait: waited, transfer_time: sending, finished, load_report: load };
+        bench.event(Event::AttemptEnded(outcome));
     };
     for object in 0..60 {
         let get = bench.get(object);
--- a/tests/logic/homes.rs
+++ b/tests/logic/homes.rs
@@ -19,7 +19,7 @@
 fn with_many_routers_one_attempt_out_is_no_crowd() {
     let mut told = settings();
     (told.routers, told.routers_by_zone) = (240, vec![8, 0, 232]);
-    let small = |server| Member { weight: 4.0, ..member(server, CACHE, 0) };
+    let small = |server| Endpoint { weight: 4.0, ..member(server, CACHE, 0) };
     let mut bench = Bench::new(told, vec![small(1), member(11, PARENT, 1), member(21, ORIGIN, 1)]);
     bench.get(1);
     bench.get(2); // one out, times eight routers, is no reason to refuse at a cache of four
@@ -45,7 +45,7 @@
 #[test]
 fn over_the_budget_the_next_cache_in_hash_order_serves() {
     let mut cold = member(1, CACHE, 0);
-    cold.up_since = Some(0);
+    cold.started_at = Some(0);
     let mut bench = Bench::new(settings(), vec![cold, member(2, CACHE, 0), member(21, ORIGIN, 1)]);
     let sent: Vec<u32> = (0..2000).map(|object| bench.served(object).server.0).collect();
     let to_cold = sent.iter().filter(|s| **s == 1).count();
@@ -58,7 +58,7 @@
     let wait = refused(&bench.ask(7).1).expect("refused");
     assert!(wait > 0 && wait <= 200 * MS);
     let mut direct = settings();
-    direct.direct = true;
+    direct.direct_to_source = true;
     let get = Bench::new(direct, vec![member(11, PARENT, 1)]).get(7);
     assert_eq!(get.server.0, 11, "straight to the parent where that is allowed");
 }
@@ -109,19 +109,19 @@
     for object in 0..60 {
         bench.now += 100 * MS;
         let get = get_of(&ask(&mut bench, object)).expect("an attempt");
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             request: get.request,
             attempt: 0,
             server: get.server,
             result: AttemptResult::Ok,
-            note: Some(Note::FilledByOrigin),
+            cache_status: Some(CacheStatus::FilledByOrigin),
             elapsed: 100 * MS,
-            waited: 90 * MS,
-            sending: 0,
+            fill_wait: 90 * MS,
+            transfer_time: 0,
             finished: true,
-            load: vec![],
+            load_report: vec![],
         };
-        bench.event(Event::Outcome(outcome));
+        bench.event(Event::AttemptEnded(outcome));
     }
     bench.now += SECOND;
     for out in 0..10 {
@@ -133,7 +133,7 @@
 /// Attempts at caches whose links bear so many full-pace answers each: they share a link that has more.
 struct Links {
     bears: f64,
-    out: Vec<(Micros, Get)>,
+    out: Vec<(Micros, FillAttempt)>,
 }
 
 impl Links {
@@ -153,22 +153,22 @@
                 self.out.extend(get_of(&actions).map(|get| (bench.now, get)));
             }
             let there = |server| self.out.iter().filter(|(_, get)| get.server == server).count() as f64;
-            let takes = |get: &Get| (SENDING as f64 * (there(get.server) / self.bears).max(1.0)) as Micros;
-            let over = |(sent, get): &(Micros, Get)| sent + takes(get) <= bench.now;
+            let takes = |get: &FillAttempt| (SENDING as f64 * (there(get.server) / self.bears).max(1.0)) as Micros;
+            let over = |(sent, get): &(Micros, FillAttempt)| sent + takes(get) <= bench.now;
             let (ended, out): (Vec<_>, Vec<_>) = self.out.iter().cloned().partition(over);
             self.out = out;
             for (sent, get) in ended {
-                bench.event(Event::Outcome(Outcome {
+                bench.event(Event::AttemptEnded(AttemptOutcome {
                     request: get.request,
                     attempt: 0,
                     server: get.server,
                     result: AttemptResult::Ok,
-                    note: Some(Note::Hit),
+                    cache_status: Some(CacheStatus::Hit),
                     elapsed: bench.now - sent,
-                    waited: 0,
-                    sending: SENDING,
+                    fill_wait: 0,
+                    transfer_time: SENDING,
                     finished: true,
-                    load: vec![],
+                    load_report: vec![],
                 }));
             }
         }
@@ -180,10 +180,10 @@
 /// full-pace answer, and 34 to 43 % of the tries were refused as a crowd at idle caches.
 #[test]
 fn a_weight_that_tells_nothing_makes_no_crowd_and_what_links_bear_is_learned() {
-    let one = |member: Member| Member { weight: 1.0, ..member };
+    let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
     let fleet = || fleet().into_iter().map(one).collect::<Vec<_>>();
     let played = |weighed, bears, each| {
-        let mut bench = Bench::new(Settings { weighed, ..settings() }, fleet());
+        let mut bench = Bench::new(Settings { weights_state_links: weighed, ..settings() }, fleet());
         let mut links = Links { bears, out: Vec::new() };
         links.play(&mut bench, 5 * SECOND, 4);
         links.play(&mut bench, 5 * SECOND, each)
--- a/tests/logic/sources.rs
+++ b/tests/logic/sources.rs
@@ -10,8 +10,8 @@
 /// A site whose answers tell only how a served request came about, with a second class that must not run twice.
 fn silent_failures() -> Settings {
     let mut settings = settings();
-    settings.notes = Notes::Hit;
-    let unsafe_class = Class { effect: Effect::Unsafe, never_kept: true, ..settings.classes[0].clone() };
+    settings.cache_status_detail = CacheStatusDetail::Hit;
+    let unsafe_class = Class { idempotency: Idempotency::Never, uncached: true, ..settings.classes[0].clone() };
     settings.classes.push(unsafe_class);
     settings
 }
@@ -21,7 +21,7 @@
 fn play(
     bench: &mut Bench,
     objects: std::ops::Range<u64>,
-    fails: impl Fn(&Get) -> Option<AttemptResult>,
+    fails: impl Fn(&FillAttempt) -> Option<AttemptResult>,
 ) -> (usize, usize) {
     let (mut served, mut failed) = (0, 0);
     for object in objects {
@@ -32,7 +32,7 @@
             let failure = fails(&get);
             failed += usize::from(failure.is_some());
             served += usize::from(failure.is_none());
-            let note = failure.is_none().then_some(Note::Filled);
+            let note = failure.is_none().then_some(CacheStatus::Filled);
             actions = bench.end(&get, attempt, failure.unwrap_or(AttemptResult::Ok), note);
         }
     }
@@ -46,7 +46,7 @@
 #[test]
 fn a_parent_whose_fills_err_is_ejected_and_no_cache_is() {
     let mut bench = Bench::new(silent_failures(), fleet());
-    let errs = |get: &Get| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
+    let errs = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
     let (served, failed) = play(&mut bench, 1..400, errs);
     assert_eq!(served, 399, "each request is served by a retry at the latest");
     // One probe a second, over 8 s, and what it took to find out.
@@ -59,7 +59,7 @@
 #[test]
 fn a_parent_that_rejects_every_fill_is_ejected_and_no_cache_is() {
     let mut bench = Bench::new(silent_failures(), fleet());
-    let rejects = |get: &Get| (get.source == FAILING_PARENT).then_some(AttemptResult::Full);
+    let rejects = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Full);
     let (served, failed) = play(&mut bench, 1..400, rejects);
     assert_eq!(served, 399);
     assert!(failed <= 16, "{failed} fills were asked of the parent that rejects them");
@@ -82,7 +82,7 @@
     let failing_cache = ServerId(2);
     let mut bench = Bench::new(silent_failures(), fleet());
     let count = std::cell::Cell::new(0);
-    let errs = |get: &Get| {
+    let errs = |get: &FillAttempt| {
         count.set(count.get() + usize::from(get.server == failing_cache));
         // Two errors, then two answers, and so on.
         (get.server == failing_cache && count.get() % 4 < 2).then_some(AttemptResult::Error)
@@ -103,7 +103,7 @@
         for attempt in 0.. {
             let Some(get) = get_of(&actions) else { break };
             let result = if malformed { AttemptResult::Error } else { AttemptResult::Ok };
-            actions = bench.end(&get, attempt, result, (!malformed).then_some(Note::Filled));
+            actions = bench.end(&get, attempt, result, (!malformed).then_some(CacheStatus::Filled));
         }
     }
     assert_eq!(ejected_caches(&bench), 0);
@@ -114,13 +114,13 @@
 #[test]
 fn a_class_that_must_not_run_twice_avoids_a_parent_that_failed_a_fill() {
     let mut bench = Bench::new(silent_failures(), fleet());
-    let errs = |get: &Get| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
+    let errs = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
     play(&mut bench, 1..60, errs);
     for object in 1000..1100 {
         bench.next += 1;
-        let write = Request { class: UNSAFE, write: true, ..request(bench.next, object) };
+        let write = Request { class: UNSAFE, is_write: true, ..request(bench.next, object) };
         let get = get_of(&bench.event(Event::Request(write))).expect("an attempt");
         assert_ne!(get.source, FAILING_PARENT);
-        bench.end(&get, 0, AttemptResult::Ok, Some(Note::Filled));
+        bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     }
 }
