--- a/tests/logic/support.rs
+++ b/tests/logic/support.rs
@@ -15,9 +15,9 @@
         zone: ZoneId(0),
         routers_by_zone: vec![1, 0, 1],
         hub_by_zone: vec![ZoneId(1), ZoneId(1), ZoneId(1)],
-        link_kb_per_s: vec![0.0; 3],
-        pace_kb_per_s: 1000.0,
-        weighed: true,
+        zone_link_kb_per_s: vec![0.0; 3],
+        transfer_kb_per_s: 1000.0,
+        weights_state_links: true,
         classes: vec![Class {
             target: 600 * MS,
             stretch: 2.0,
@@ -33,40 +33,40 @@
         }],
         parent_kind: Some(PARENT),
         origin_kind: ORIGIN,
-        direct: false,
-        joins: true,
-        siblings: Siblings::Location,
-        notes: Notes::All,
-        ask_discovery: false,
-        limits: Limits {
+        direct_to_source: false,
+        join_fills: true,
+        sibling_sources: SiblingSources::SameLocation,
+        cache_status_detail: CacheStatusDetail::All,
+        polls_discovery: false,
+        limits: SiteLimits {
             max_attempts: 8,
-            parallel: false,
-            cancel: true,
-            probes: true,
-            peers: false,
+            parallel_attempts: false,
+            cancellation: true,
+            health_checks: true,
+            peer_messages: false,
             retry_after: true,
             max_retry_after: 200 * MS,
         },
-        rules: Rules {
-            cold_share: 0.25,
-            warm_after: 10 * SECOND,
-            fall_multiple: 2.0,
-            fall_span: SECOND,
-            parent_cold_share: 0.1,
-            parent_warm_after: 10 * SECOND,
-            parent_fall_multiple: 2.0,
+        protection: ProtectionRules {
+            initial_share: 0.25,
+            full_after: 10 * SECOND,
+            overload_multiple: 2.0,
+            overload_window: SECOND,
+            parent_initial_share: 0.1,
+            parent_full_after: 10 * SECOND,
+            parent_overload_multiple: 2.0,
             purge_grace: 300 * MS,
-            purge_settles: 6 * SECOND,
-            ask_within: 10 * SECOND,
+            purge_settled_after: 6 * SECOND,
+            max_list_age: 10 * SECOND,
         },
     }
 }
 
-pub fn member(server: u32, kind: u16, zone: u16) -> Member {
+pub fn member(server: u32, kind: u16, zone: u16) -> Endpoint {
     let state = ServerState::Ready;
-    Member {
+    Endpoint {
         server: ServerId(server),
-        up_since: None,
+        started_at: None,
         weight: 100.0,
         kind,
         cell: 0,
@@ -76,8 +76,8 @@
 }
 
 /// Three caches of the own location, one of another, two hub parents, the origin.
-pub fn fleet() -> Vec<Member> {
-    let mut all: Vec<Member> = (1..=3).map(|id| member(id, CACHE, 0)).collect();
+pub fn fleet() -> Vec<Endpoint> {
+    let mut all: Vec<Endpoint> = (1..=3).map(|id| member(id, CACHE, 0)).collect();
     all.extend([member(9, CACHE, 2), member(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)]);
     all
 }
@@ -90,10 +90,10 @@
         object: ObjectId(object),
         part: 0,
         group: GroupId(5),
-        patience: 5 * SECOND,
+        client_timeout: 5 * SECOND,
         size_kb: 100.0,
-        repeat: false,
-        write: false,
+        is_retry: false,
+        is_write: false,
     }
 }
 
@@ -104,9 +104,9 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Self {
+    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
         let mut bench = Bench { router: Router::new(settings, 1, 0).expect("usable"), now: 0, next: 0 };
-        bench.list(ListKind::Full, members);
+        bench.list(ListUpdate::Rejected, members);
         bench
     }
 
@@ -116,8 +116,8 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Member>) {
-        self.event(Event::Members { kind, entries });
+    pub fn list(&mut self, kind: ListUpdate, entries: Vec<Endpoint>) {
+        self.event(Event::EndpointList { update: kind, endpoints: entries });
     }
 
     pub fn ask(&mut self, object: u64) -> (RequestId, Vec<Action>) {
@@ -133,29 +133,29 @@
         (request.id, self.event(Event::Request(request)))
     }
 
-    pub fn get(&mut self, object: u64) -> Get {
+    pub fn get(&mut self, object: u64) -> FillAttempt {
         let (_, actions) = self.ask(object);
         get_of(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub fn end(&mut self, get: &Get, attempt: u8, result: AttemptResult, note: Option<Note>) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
+    pub fn end(&mut self, get: &FillAttempt, attempt: u8, result: AttemptResult, note: Option<CacheStatus>) -> Vec<Action> {
+        self.event(Event::AttemptEnded(AttemptOutcome {
             request: get.request,
             attempt,
             server: get.server,
             result,
-            note,
+            cache_status: note,
             elapsed: 100 * MS,
-            waited: 10 * MS,
-            sending: 0,
+            fill_wait: 10 * MS,
+            transfer_time: 0,
             finished: result == AttemptResult::Ok,
-            load: vec![],
+            load_report: vec![],
         }))
     }
 
-    pub fn served(&mut self, object: u64) -> Get {
+    pub fn served(&mut self, object: u64) -> FillAttempt {
         let get = self.get(object);
-        self.end(&get, 0, AttemptResult::Ok, Some(Note::Hit));
+        self.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
         get
     }
 
@@ -180,30 +180,30 @@
     }
 }
 
-pub fn get_of(actions: &[Action]) -> Option<Get> {
+pub fn get_of(actions: &[Action]) -> Option<FillAttempt> {
     actions.iter().find_map(|action| match action {
-        Action::Get(get) => Some(get.clone()),
+        Action::SendWithFill(get) => Some(get.clone()),
         _ => None,
     })
 }
 
 pub fn refused(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { retry_after, .. } => Some(*retry_after),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     })
 }
 
 /// A bench whose fetches have failed for a while: few may be out, and so many are.
-pub fn slowed(settings: Settings) -> (Bench, Vec<Get>) {
+pub fn slowed(settings: Settings) -> (Bench, Vec<FillAttempt>) {
     // The least of all routers together is one: here there is one.
     let mut bench = Bench::new(Settings { routers: 1, ..settings }, fleet());
     for object in 1..80 {
         bench.now += 100 * MS;
         let get = bench.get(object);
-        bench.end(&get, 0, AttemptResult::Error, Some(Note::OriginFailed));
+        bench.end(&get, 0, AttemptResult::Error, Some(CacheStatus::OriginFailed));
     }
-    let out: Vec<Get> = (100..200).map(|object| bench.get(object)).take_while(|get| !get.only_held).collect();
+    let out: Vec<FillAttempt> = (100..200).map(|object| bench.get(object)).take_while(|get| !get.only_held).collect();
     assert!((1..10).contains(&out.len()), "{} fetches may be out", out.len());
     (bench, out)
 }
