--- a/src/config/events.rs
+++ b/src/config/events.rs
@@ -4,39 +4,39 @@
 
 /// An answer of the control feed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Batch {
+pub struct FeedBatch {
     /// The number of the last event.
     pub n: u64,
     /// The events.
-    pub events: Vec<Numbered>,
+    pub events: Vec<FeedEvent>,
 }
 
 /// An event and its number; an event of an unknown kind has neither part and is passed over.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Numbered {
+pub struct FeedEvent {
     /// The number.
     pub n: u64,
     /// A change of the list.
     #[serde(default)]
-    pub members: Option<Members>,
+    pub members: Option<ListChange>,
     /// A purge.
     #[serde(default)]
-    pub purge: Option<Purge>,
+    pub purge: Option<FeedPurge>,
 }
 
 /// A change of the list of servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Members {
+pub struct ListChange {
     /// Whether this is the whole list.
     #[serde(default)]
     pub whole: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<FeedServer>,
 }
 
 /// A server of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Host {
+pub struct FeedServer {
     /// Its id.
     pub host: String,
     /// Its address.
@@ -79,7 +79,7 @@
 
 /// A purge: of an object, or of a group.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct Purge {
+pub struct FeedPurge {
     /// The object, 16 hex digits.
     #[serde(default)]
     pub key: Option<String>,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -42,7 +42,7 @@
 
 /// What the process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Memory, in MB.
     pub memory_mb: u64,
     /// File descriptors.
@@ -54,13 +54,13 @@
     name: String,
     listen: SocketAddr,
     seed: String,
-    limits: Limits,
+    limits: ProcessLimits,
     feed: SocketAddr,
     #[serde(default)]
     flow_bytes_per_s: f64,
     #[serde(default)]
     admin: Option<SocketAddr>,
-    known: events::Batch,
+    known: events::FeedBatch,
     settings: Value,
 }
 
@@ -74,15 +74,15 @@
     /// For random numbers.
     pub seed: u64,
     /// What the process may use.
-    pub limits: Limits,
+    pub limits: ProcessLimits,
     /// Where the control feed listens.
     pub feed: SocketAddr,
     /// Where operators' calls are taken, which is off without it.
     pub admin: Option<SocketAddr>,
     /// The control feed's events up to the start.
-    pub known: events::Batch,
+    pub known: events::FeedBatch,
     /// The settings of the decision module, and the names that go with them.
-    pub settings: settings::Parsed,
+    pub settings: settings::SiteSettings,
     /// The keys that it has, by their paths: a new file that lacks one of them was not written whole.
     pub keys: BTreeSet<String>,
 }
@@ -168,8 +168,8 @@
     /// # Errors
     ///
     /// A file that cannot be read or used.
-    pub fn read(&self) -> Result<(Config, Option<signed::Signed>), ConfigError> {
-        let signed = self.signed.as_deref().map(signed::Signed::read).transpose()?;
+    pub fn read(&self) -> Result<(Config, Option<signed::SignedConfig>), ConfigError> {
+        let signed = self.signed.as_deref().map(signed::SignedConfig::read).transpose()?;
         let config = Config::read(&self.config)?;
         Ok((Config { admin: self.admin.or(config.admin), ..config }, signed))
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -31,7 +31,7 @@
 
 /// What a router program needs of the settings and the decision module does not.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
+pub struct SiteNames {
     /// The names of the classes, by number; those that are retired keep theirs.
     pub classes: Vec<String>,
     /// Which of them are retired.
@@ -60,14 +60,14 @@
 
 /// The settings message, read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parsed {
+pub struct SiteSettings {
     /// For the decision module.
     pub settings: Settings,
     /// For the program around it.
-    pub names: Names,
+    pub names: SiteNames,
 }
 
-impl Names {
+impl SiteNames {
     /// The class that requests of this name have now.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let known = self.classes.iter().zip(&self.retired);
@@ -76,7 +76,7 @@
     }
 }
 
-impl Parsed {
+impl SiteSettings {
     /// These settings as they follow older ones in a running program. A class of the same name and rules keeps its
     /// number; a new one, or one whose rules differ, gets a number that no class has had, and the old one is retired:
     /// its open requests go on by its rules. Where the own place and the servers' kinds and zones differ, the old
@@ -85,9 +85,9 @@
     /// # Errors
     ///
     /// The numbers are used up.
-    pub fn following(self, old: &Parsed) -> Result<(Parsed, bool), String> {
-        let Parsed { settings: new, names: told } = self;
-        let mut names = Names {
+    pub fn following(self, old: &SiteSettings) -> Result<(SiteSettings, bool), String> {
+        let SiteSettings { settings: new, names: told } = self;
+        let mut names = SiteNames {
             kinds: old.names.kinds.clone(),
             zones: old.names.zones.clone(),
             retired: vec![true; old.names.classes.len()],
@@ -128,7 +128,7 @@
         };
         let moved = Settings { classes: new.classes.clone(), ..settings.clone() } != new;
         let moved = moved || names.kinds != told.kinds || names.zones != told.zones;
-        Ok((Parsed { settings, names }, moved))
+        Ok((SiteSettings { settings, names }, moved))
     }
 }
 
@@ -217,7 +217,7 @@
 /// # Errors
 ///
 /// What is wrong, in one line.
-pub fn parse(text: &[u8]) -> Result<Parsed, String> {
+pub fn parse(text: &[u8]) -> Result<SiteSettings, String> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let wire: Wire = serde_path_to_error::deserialize(&mut json).map_err(|e| format!("settings: {e}"))?;
     json.end().map_err(|e| format!("settings: {e}"))?;
@@ -247,7 +247,7 @@
             retired: false,
         });
     }
-    let names = Names {
+    let names = SiteNames {
         classes: wire.grades.iter().map(|grade| grade.name.clone()).collect(),
         retired: vec![false; classes.len()],
         writes: classes.iter().map(|class| class.effect != Idempotency::Always).collect(),
@@ -308,7 +308,7 @@
             max_list_age: micros(rules.ask_within),
         },
     };
-    Ok(Parsed { settings, names })
+    Ok(SiteSettings { settings, names })
 }
 
 /// Milliseconds of the wire as microseconds.
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn parsed(classes: &[(&str, Micros, Idempotency)]) -> Parsed {
+fn parsed(classes: &[(&str, Micros, Idempotency)]) -> SiteSettings {
     let text = include_str!("example.json");
     let mut parsed = parse(text.as_bytes()).expect("usable");
     let like = parsed.settings.classes[0].clone();
@@ -17,7 +17,7 @@
 }
 
 /// The numbers that the names have, and how many records there are.
-fn numbers(parsed: &Parsed) -> (Vec<Option<u16>>, usize) {
+fn numbers(parsed: &SiteSettings) -> (Vec<Option<u16>>, usize) {
     let number = |name| parsed.names.class(name).map(|class| class.0);
     let n = parsed.settings.classes.len();
     assert!([parsed.names.classes.len(), parsed.names.writes.len(), parsed.names.deadlines.len()] == [n; 3]);
--- a/src/config/signed.rs
+++ b/src/config/signed.rs
@@ -112,7 +112,7 @@
 
 /// The operator's file, read and checked.
 #[derive(Clone, Debug)]
-pub struct Signed {
+pub struct SignedConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The scheme of the links, which a terminator in front of this program may speak.
@@ -131,7 +131,7 @@
     pub routes: Vec<Route>,
 }
 
-impl Signed {
+impl SignedConfig {
     /// Reads an operator's file and the key files that it names, relative to its folder.
     ///
     /// # Errors
@@ -163,7 +163,7 @@
                 return Err(bad(format!("route {:?} names no object, or something twice", route.path)));
             }
         }
-        Ok(Signed {
+        Ok(SignedConfig {
             listen: wire.listen,
             scheme: wire.scheme,
             hosts: wire.hosts,
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -1,7 +1,7 @@
 //! Hot objects: which ones the operator names, and where a router sends their requests.
 
 use crate::config::located::{unknown, Place};
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
     Action, AttemptResult, Class, ClassId, Event, FillAttempt, GroupId, Micros, CacheStatus, ObjectId, AttemptOutcome, Request,
@@ -57,7 +57,7 @@
 /// The hot objects that the operator's file names, sorted.
 pub(super) fn hot_objects(
     settings: &Settings,
-    names: &Names,
+    names: &SiteNames,
     control: &ControlSettings,
 ) -> Result<Vec<HotObject>, HotError> {
     let mut hot = Vec::new();
@@ -70,7 +70,7 @@
     Ok(hot)
 }
 
-fn hot_class(settings: &Settings, names: &Names, named: &HotClass) -> Result<ClassId, HotError> {
+fn hot_class(settings: &Settings, names: &SiteNames, named: &HotClass) -> Result<ClassId, HotError> {
     let at = named.class.at;
     let name = &named.class.value;
     let Some(class) = names.class(name) else {
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -19,8 +19,8 @@
 use super::settings::ControlSettings;
 use super::snapshot::Snapshot;
 use super::version::{Epoch, PollNumber, Sequence};
-use crate::config::events::{self, Batch};
-use crate::config::settings::Parsed;
+use crate::config::events::{self, FeedBatch};
+use crate::config::settings::SiteSettings;
 use crate::interface::{GroupId, Micros, ObjectId, Purge, Settings, ZoneId};
 use crate::SettingsError;
 pub use hot::HotError;
@@ -71,14 +71,14 @@
     ///
     /// Settings with which no router starts, or hot objects of a class that can have none.
     pub fn new(
-        parsed: Parsed,
+        parsed: SiteSettings,
         seed: u64,
         control: &ControlSettings,
         encode: Encode,
         epoch: Epoch,
         now: Micros,
     ) -> Result<Self, ModelError> {
-        let Parsed { settings, names } = parsed;
+        let SiteSettings { settings, names } = parsed;
         let hot = hot_objects(&settings, &names, control)?;
         let points = points(&settings, seed, now)?;
         // A purge is announced until all servers have dropped older copies, and as long again for the rest.
@@ -111,7 +111,7 @@
     }
 
     /// Applies events of the control feed; returns how soon what they change has to be published.
-    pub fn apply(&mut self, moment: Moment, batch: &Batch) -> Urgency {
+    pub fn apply(&mut self, moment: Moment, batch: &FeedBatch) -> Urgency {
         let mut urgency = Urgency::None;
         for event in &batch.events {
             if let Some(members) = &event.members {
@@ -124,7 +124,7 @@
         urgency
     }
 
-    fn apply_members(&mut self, moment: Moment, members: &events::Members) -> Urgency {
+    fn apply_members(&mut self, moment: Moment, members: &events::ListChange) -> Urgency {
         let change = self.registry.apply(moment, members, &self.site.names);
         for point in &mut self.points {
             point.apply_members(moment.now, &change);
@@ -139,7 +139,7 @@
         }
     }
 
-    fn apply_purge(&mut self, moment: Moment, event: &events::Purge) -> Urgency {
+    fn apply_purge(&mut self, moment: Moment, event: &events::FeedPurge) -> Urgency {
         let Some(purge) = purged(event) else { return Urgency::None };
         let made_at = (event.at * 1000.0) as Micros;
         self.purges.record(moment, purge, made_at);
@@ -216,7 +216,7 @@
 }
 
 /// What a purge event is about; `None`: neither an object nor a group.
-fn purged(event: &events::Purge) -> Option<Purge> {
+fn purged(event: &events::FeedPurge) -> Option<Purge> {
     let object = event.key.as_ref().and_then(|key| u64::from_str_radix(key, 16).ok());
     let object = object.map(|object| Purge::Object(ObjectId(object)));
     object.or_else(|| event.group.map(|group| Purge::Group(GroupId(group))))
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -1,10 +1,10 @@
 //! The servers of the endpoint list, as the control feed states them.
 
 use crate::config::events::{self, Health};
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::control::clock::Moment;
 use crate::interface::{ListUpdate, Endpoint, Micros, ServerId, ServerState};
-use crate::members::Members;
+use crate::members::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -43,13 +43,13 @@
 /// All servers of the list.
 #[derive(Default)]
 pub(super) struct ServerRegistry {
-    members: Members,
+    members: ServerNames,
     servers: BTreeMap<ServerId, Server>,
 }
 
 impl ServerRegistry {
     /// Applies a change of the list, complete or of some entries.
-    pub(super) fn apply(&mut self, moment: Moment, change: &events::Members, names: &Names) -> ListChange {
+    pub(super) fn apply(&mut self, moment: Moment, change: &events::ListChange, names: &SiteNames) -> ListChange {
         let ready_before = self.ready();
         let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
         let entries: Vec<Endpoint> = stated.iter().map(|server| server.member).collect();
@@ -73,8 +73,8 @@
     }
 
     /// A server as an entry of the list states it.
-    fn stated(&mut self, moment: Moment, host: &events::Host, names: &Names) -> Server {
-        let mut member = self.members.member(host, names);
+    fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &SiteNames) -> Server {
+        let mut member = self.members.endpoint(host, names);
         let born_unix = member.started_at;
         member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
         Server { member, name: host.host.clone(), addr: host.dial, born_unix }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: begun as the decision module says, written if that still holds at their writing, and ended once each.
 
-use super::{Attempt, AttemptKey, Command, Core, Due, End, Final, Order, RequestKey};
+use super::{Attempt, AttemptKey, Command, Core, CoreDeadline, AttemptEnd, FinalAnswer, OutgoingAttempt, RequestKey};
 use crate::deadlines::Schedule;
 use crate::interface::{
     AttemptResult, Idempotency, Event, FillAttempt, Micros, AttemptOutcome, Purge, RequestId, ServerId, ServerState,
@@ -15,12 +15,12 @@
     /// Its time-out; 0: until the client stops waiting.
     pub timeout: Micros,
     /// How it may be filled; `None`: not at all.
-    pub get: Option<FillAttempt>,
+    pub fill: Option<FillAttempt>,
 }
 
 impl Core {
     /// Begins an attempt: it is queued for its server, or ends at once if it comes too late.
-    pub(super) fn begin_attempt(&mut self, now: Micros, new: NewAttempt, due: &mut dyn Schedule<Due>) {
+    pub(super) fn begin_attempt(&mut self, now: Micros, new: NewAttempt, due: &mut dyn Schedule<CoreDeadline>) {
         let request_key = Key::from_number(new.request.0);
         let Some(request) = self.requests.get_mut(request_key) else { return };
         let number = request.sent;
@@ -28,31 +28,31 @@
         let deadline = request.deadline();
         let until = if new.timeout == 0 { deadline } else { (now + new.timeout).min(deadline) };
         let is_moot = !request.is_open() || u32::from(number) >= request.most || until <= now;
-        let NewAttempt { request: id, server, get, .. } = new;
+        let NewAttempt { request: id, server, fill: get, .. } = new;
         let purge = [Purge::Object(request.ask.object), Purge::Group(request.ask.group)];
         let attempt =
-            Attempt { request: id, number, server, get, purge, sent: now, until, due: None, launched: None };
+            Attempt { request: id, number, server, fill: get, purge_scopes: purge, started_at: now, deadline: until, timeout_deadline: None, written_at: None };
         let key = self.attempts.insert(attempt);
-        let handle = due.add(until, Due::Attempt(key));
+        let handle = due.add(until, CoreDeadline::AttemptTimeout(key));
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.due = Some(handle);
         }
         if is_moot {
-            self.end_attempt(now, key, End::bare(AttemptResult::NotSent), due);
+            self.end_attempt(now, key, AttemptEnd::without_details(AttemptResult::NotSent), due);
         } else {
-            self.commands.push_back(Command::Send { attempt: key, request: request_key, server });
+            self.commands.push_back(Command::SendAttempt { attempt: key, request: request_key, server });
         }
     }
 
     /// An attempt's bytes are about to be written: the last word on whether, and on what. `None`: it is not
     /// to be written; if it had not ended before, it ends as never sent.
-    pub fn launch(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<Due>) -> Option<Order> {
+    pub fn write_attempt(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<CoreDeadline>) -> Option<OutgoingAttempt> {
         let attempt = self.attempts.get(key)?;
         let is_wanted = self.requests.get(Key::from_number(attempt.request.0)).is_some_and(|r| r.is_open());
         let may_go = is_wanted && self.servers_are_ready(attempt) && self.may_repeat(now, key, attempt);
-        if attempt.until <= now || !may_go {
-            self.end_attempt(now, key, End::bare(AttemptResult::NotSent), due);
-            self.run(now, due);
+        if attempt.deadline <= now || !may_go {
+            self.end_attempt(now, key, AttemptEnd::without_details(AttemptResult::NotSent), due);
+            self.run_router(now, due);
             return None;
         }
         let max_age = self.max_age(now, attempt);
@@ -61,22 +61,22 @@
         attempt.launched = Some(now);
         let request = Key::from_number(attempt.request.0);
         let get = attempt.get.as_ref();
-        Some(Order {
+        Some(OutgoingAttempt {
             request,
             part: self.requests.get(request)?.ask.part,
-            source,
-            rank: get.map_or(0, |get| get.rank),
+            fill_source: source,
+            cache_rank: get.map_or(0, |get| get.rank),
             max_age,
-            join: get.is_some_and(|get| get.join),
-            only_held: get.is_some_and(|get| get.only_held),
-            no_parent_copy: get.is_some_and(|get| get.no_parent_copy),
-            renew: get.is_some_and(|get| get.renew),
-            limit: attempt.until - now,
+            join_fill: get.is_some_and(|get| get.join),
+            only_if_cached: get.is_some_and(|get| get.only_held),
+            bypass_parent_cache: get.is_some_and(|get| get.no_parent_copy),
+            stale_while_revalidate: get.is_some_and(|get| get.renew),
+            timeout: attempt.until - now,
         })
     }
 
     /// The attempt that was launched last has not left after all: not a whole line of it is out, so it has not run.
-    pub fn not_launched(&mut self, key: AttemptKey) {
+    pub fn attempt_not_written(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.launched = None;
         }
@@ -85,14 +85,14 @@
     /// Whether the servers of an attempt may still be asked: what was queued while a drain or a removal came in must
     /// not go out as it was decided.
     fn servers_are_ready(&self, attempt: &Attempt) -> bool {
-        let is_ready = |server: ServerId| self.states.get(&server) == Some(&ServerState::Ready);
+        let is_ready = |server: ServerId| self.server_states.get(&server) == Some(&ServerState::Ready);
         is_ready(attempt.server) && attempt.source().is_none_or(is_ready)
     }
 
     /// The oldest copy that will do for an attempt, after the purges that came in since it was decided on; 0: any.
     fn max_age(&self, now: Micros, attempt: &Attempt) -> Micros {
-        let purged = attempt.purge.iter().filter_map(|what| self.purged.get(what)).max();
-        let asked = attempt.get.as_ref().map_or(0, |get| get.max_age);
+        let purged = attempt.purge_scopes.iter().filter_map(|what| self.purge_times.get(what)).max();
+        let asked = attempt.fill.as_ref().map_or(0, |get| get.max_age);
         let Some(purged) = purged else { return asked };
         let since_purge = (now - purged).max(1);
         if asked == 0 {
@@ -119,18 +119,18 @@
     }
 
     /// An attempt has ended; what comes late for one that was given up is ignored.
-    pub fn ended(&mut self, now: Micros, key: AttemptKey, end: End, due: &mut dyn Schedule<Due>) {
+    pub fn attempt_ended(&mut self, now: Micros, key: AttemptKey, end: AttemptEnd, due: &mut dyn Schedule<CoreDeadline>) {
         if self.attempts.get(key).is_some() {
             self.end_attempt(now, key, end, due);
-            self.run(now, due);
+            self.run_router(now, due);
         }
     }
 
     /// Ends an attempt whose time is over. Unsent by then, it never ran: no connection came up in time.
-    pub(super) fn time_out(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<Due>) {
-        let launched = self.is_launched(key);
+    pub(super) fn time_out_attempt(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<CoreDeadline>) {
+        let launched = self.is_written(key);
         let result = if launched { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
-        self.call_off(now, key, result, due);
+        self.abandon_attempt(now, key, result, due);
     }
 
     /// Calls an attempt off as the decision module asks. One that still waits for a connection has not run, and its
@@ -140,34 +140,34 @@
         now: Micros,
         request: RequestId,
         number: u8,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
         let is_it = |attempt: &Attempt| (attempt.request, attempt.number) == (request, number);
         let found = self.attempts.iter().find(|(_, attempt)| is_it(attempt));
         let Some(key) = found.map(|(key, _)| key) else { return };
-        let launched = self.is_launched(key);
+        let launched = self.is_written(key);
         let result = if launched { AttemptResult::Cancelled } else { AttemptResult::NotSent };
-        self.call_off(now, key, result, due);
+        self.abandon_attempt(now, key, result, due);
     }
 
     /// Ends an attempt that is given up from here, as `result`.
-    pub(super) fn call_off(
+    pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
         key: AttemptKey,
         result: AttemptResult,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        self.commands.push_back(Command::Drop(key));
-        self.end_attempt(now, key, End::bare(result), due);
+        self.commands.push_back(Command::AbandonAttempt(key));
+        self.end_attempt(now, key, AttemptEnd::without_details(result), due);
     }
 
     /// When an attempt's bytes may have left, if they may have.
-    pub fn launched_at(&self, key: AttemptKey) -> Option<Micros> {
+    pub fn written_at(&self, key: AttemptKey) -> Option<Micros> {
         self.attempts.get(key)?.launched
     }
 
-    fn is_launched(&self, key: AttemptKey) -> bool {
+    fn is_written(&self, key: AttemptKey) -> bool {
         self.attempts.get(key).is_some_and(|attempt| attempt.launched.is_some())
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Ends an attempt and tells the module; the first copy answers the request.
-    fn end_attempt(&mut self, now: Micros, key: AttemptKey, mut end: End, due: &mut dyn Schedule<Due>) {
+    fn end_attempt(&mut self, now: Micros, key: AttemptKey, mut end: AttemptEnd, due: &mut dyn Schedule<CoreDeadline>) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         attempt.due.into_iter().for_each(|handle| due.remove(handle));
         let request_key = Key::from_number(attempt.request.0);
@@ -185,7 +185,7 @@
             request.may_have_run = request.may_have_run.into_iter().chain(attempt.launched).min();
         }
         if end.result == AttemptResult::Ok {
-            self.answer(request_key, Final::Served(std::mem::take(&mut end.copy)));
+            self.choose_answer(request_key, FinalAnswer::Served(std::mem::take(&mut end.copy)));
         }
         let finished = !self.requests.get(request_key).is_some_and(|request| request.is_open());
         let outcome = attempt.outcome(now, end, finished);
@@ -197,29 +197,29 @@
 impl Attempt {
     /// Who supplies a miss, if somebody does.
     fn source(&self) -> Option<ServerId> {
-        self.get.as_ref().map(|get| get.source).filter(|source| *source != self.server)
+        self.fill.as_ref().map(|get| get.source).filter(|source| *source != self.server)
     }
 
     /// How it ended, as the decision module is told.
-    fn outcome(&self, now: Micros, end: End, finished: bool) -> AttemptOutcome {
+    fn outcome(&self, now: Micros, end: AttemptEnd, finished: bool) -> AttemptOutcome {
         AttemptOutcome {
             request: self.request,
             attempt: self.number,
             server: self.server,
             result: end.result,
-            cache_status: end.note,
-            elapsed: now - self.sent,
-            fill_wait: end.waited,
-            transfer_time: end.sending,
+            cache_status: end.cache_status,
+            elapsed: now - self.started_at,
+            fill_wait: end.fill_wait,
+            transfer_time: end.transfer_time,
             finished,
-            load_report: end.load,
+            load_report: end.load_report,
         }
     }
 }
 
 fn log_outcome(request: RequestKey, attempt: &Attempt, outcome: &AttemptOutcome) {
     let (server, number) = (attempt.server.0, attempt.number);
-    let source = attempt.get.as_ref().map(|get| get.source.0);
+    let source = attempt.fill.as_ref().map(|get| get.source.0);
     let AttemptOutcome { result, cache_status: note, elapsed: us, fill_wait: waited, transfer_time: sending, .. } = outcome;
     debug!("{request} attempt {number} at {server} from {source:?}: {result:?} {note:?} us={us} waited={waited} sending={sending}");
 }
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,7 +1,7 @@
 //! What the decision module is told, and the actions with which it answers.
 
 use super::attempts::NewAttempt;
-use super::{Command, Core, Due, Final};
+use super::{Command, Core, CoreDeadline, FinalAnswer};
 use crate::deadlines::Schedule;
 use crate::interface::{
     Action, AttemptResult, Event, ListUpdate, Endpoint, Micros, Purge, RequestId, ServerId, ServerState, RejectionReason,
@@ -10,59 +10,59 @@
 
 impl Core {
     /// A probe was answered.
-    pub fn probed(
+    pub fn health_checked(
         &mut self,
         now: Micros,
         server: ServerId,
         result: AttemptResult,
         elapsed: Micros,
         load: Vec<f32>,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
         self.events.push_back(Event::HealthChecked { server, result, elapsed, load });
-        self.run(now, due);
+        self.run_router(now, due);
     }
 
     /// News of the list of servers.
-    pub fn members(
+    pub fn update_endpoints(
         &mut self,
         now: Micros,
         kind: ListUpdate,
         entries: Vec<Endpoint>,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
         if matches!(kind, ListKind::Cached | ListKind::Full) {
-            self.states.clear();
+            self.server_states.clear();
         }
-        self.states.extend(entries.iter().map(|member| (member.server, member.state)));
-        self.states.retain(|_, state| *state != ServerState::Removed); // unknown is as good as gone
+        self.server_states.extend(entries.iter().map(|member| (member.server, member.state)));
+        self.server_states.retain(|_, state| *state != ServerState::Removed); // unknown is as good as gone
         self.events.push_back(Event::EndpointList { update: kind, endpoints: entries });
-        self.run(now, due);
+        self.run_router(now, due);
     }
 
     /// A purge, and the time at which it was made.
-    pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<Due>) {
+    pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<CoreDeadline>) {
         let kept = 2 * self.settings.protection.purge_settled_after;
-        self.purged.retain(|_, at| *at + kept > now);
-        let newest = self.purged.entry(what).or_insert(at);
+        self.purge_times.retain(|_, at| *at + kept > now);
+        let newest = self.purge_times.entry(what).or_insert(at);
         *newest = at.max(*newest);
         self.events.push_back(Event::Purged { purge: what, age: now - at });
-        self.run(now, due);
+        self.run_router(now, due);
     }
 
     /// A deadline of the core has fallen.
-    pub fn due(&mut self, now: Micros, what: Due, due: &mut dyn Schedule<Due>) {
+    pub fn deadline_passed(&mut self, now: Micros, what: CoreDeadline, due: &mut dyn Schedule<CoreDeadline>) {
         match what {
-            Due::Timer(token) => self.events.push_back(Event::Timer(token)),
-            Due::Attempt(key) => self.time_out(now, key, due),
-            Due::Patience(key) => self.on_patience(now, key, due),
-            Due::Expiry(key) => self.on_expiry(now, key, due),
+            CoreDeadline::RouterTimer(token) => self.events.push_back(Event::Timer(token)),
+            CoreDeadline::AttemptTimeout(key) => self.time_out_attempt(now, key, due),
+            CoreDeadline::ClientTimeout(key) => self.on_client_timeout(now, key, due),
+            CoreDeadline::AuthorizationExpiry(key) => self.on_authorization_expiry(now, key, due),
         }
-        self.run(now, due);
+        self.run_router(now, due);
     }
 
     /// Feeds the module what has happened until it wants nothing more.
-    pub(super) fn run(&mut self, now: Micros, due: &mut dyn Schedule<Due>) {
+    pub(super) fn run_router(&mut self, now: Micros, due: &mut dyn Schedule<CoreDeadline>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, event, &mut actions);
@@ -73,26 +73,26 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<Due>) {
+    pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<CoreDeadline>) {
         match action {
             Action::SendCacheOnly { request, server, timeout } => {
-                self.begin_attempt(now, NewAttempt { request, server, timeout, get: None }, due);
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: None }, due);
             }
             Action::SendWithFill(get) => {
                 let (request, server, timeout) = (get.request, get.server, get.timeout);
-                self.begin_attempt(now, NewAttempt { request, server, timeout, get: Some(get) }, due);
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: Some(get) }, due);
             }
             Action::Reject { request, retry_after, reason: why } => self.reject(now, request, retry_after, why),
             Action::Fail(request) => {
-                let late = self.is_late(now, request);
-                self.answer(Key::from_number(request.0), Final::Failed { late });
+                let late = self.is_timed_out(now, request);
+                self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
             }
             Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, due),
             Action::Timer { token, after } => {
-                due.add(now + after.max(0), Due::Timer(token));
+                due.add(now + after.max(0), CoreDeadline::RouterTimer(token));
             }
-            Action::HealthCheck(server) => self.commands.push_back(Command::Probe(server)),
-            Action::CloseIdleConnections(server) => self.commands.push_back(Command::CloseIdle(server)),
+            Action::HealthCheck(server) => self.commands.push_back(Command::HealthCheck(server)),
+            Action::CloseIdleConnections(server) => self.commands.push_back(Command::CloseIdleConnections(server)),
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
             // No platform of ours has messages between proxies or a list that must be asked for.
             Action::SendToPeer { .. } | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
@@ -100,8 +100,8 @@
     }
 
     fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: RejectionReason) {
-        let late = self.is_late(now, request);
-        let answer = Final::Refused { pause: retry_after.max(0), late, why };
-        self.answer(Key::from_number(request.0), answer);
+        let late = self.is_timed_out(now, request);
+        let answer = FinalAnswer::Rejected { retry_after: retry_after.max(0), timed_out: late, reason: why };
+        self.choose_answer(Key::from_number(request.0), answer);
     }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -6,7 +6,7 @@
 
 /// A request as a front hands it in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its class.
     pub class: ClassId,
     /// The object.
@@ -16,37 +16,37 @@
     /// The object's group.
     pub group: GroupId,
     /// How long the client waits from now.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// From when on it may get no answer but 'denied', unless one has begun.
-    pub expires: Option<Micros>,
+    pub authorized_until: Option<Micros>,
 }
 
 /// A copy of an object as a server gave it out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copy {
+pub struct CachedCopy {
     /// The bytes; none where the client's copy is the one.
-    pub bytes: Bytes,
+    pub body: Bytes,
     /// Its tag.
-    pub tag: String,
+    pub etag: String,
     /// When the origin gave it out, in Unix milliseconds; 0: not told.
-    pub born: u64,
+    pub generated_at_ms: u64,
     /// Whether the client's own copy is the one.
-    pub same: bool,
+    pub not_modified: bool,
 }
 
 /// A request's one final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// A copy is served.
-    Served(Copy),
+    Served(CachedCopy),
     /// Refused: trying again is harmless, after the pause.
-    Refused {
+    Rejected {
         /// How long the client should stay away.
-        pause: Micros,
+        retry_after: Micros,
         /// Whether its time was over.
-        late: bool,
+        timed_out: bool,
         /// What stood in its way.
-        why: RejectionReason,
+        reason: RejectionReason,
     },
     /// Failed; promises nothing.
     Failed {
@@ -57,21 +57,21 @@
     Denied,
 }
 
-impl Final {
+impl FinalAnswer {
     /// Its name in the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
-            Final::Served(_) => "served",
-            Final::Refused { .. } => "refused",
-            Final::Failed { .. } => "failed",
-            Final::Denied => "denied",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Failed { .. } => "failed",
+            FinalAnswer::Denied => "denied",
         }
     }
 }
 
 /// The final answers that a class's requests got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct AnswerCounts {
     /// Served.
     pub success: u64,
     /// Refused.
@@ -80,12 +80,12 @@
     pub error: u64,
 }
 
-impl Answered {
-    pub(super) fn count(&mut self, answer: &Final) {
+impl AnswerCounts {
+    pub(super) fn count(&mut self, answer: &FinalAnswer) {
         match answer {
-            Final::Served(_) => self.success += 1,
-            Final::Refused { .. } => self.overload += 1,
-            Final::Failed { .. } | Final::Denied => self.error += 1,
+            FinalAnswer::Served(_) => self.success += 1,
+            FinalAnswer::Rejected { .. } => self.overload += 1,
+            FinalAnswer::Failed { .. } | FinalAnswer::Denied => self.error += 1,
         }
     }
 }
@@ -110,58 +110,58 @@
 
 /// How an attempt ended, as the upstream side saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     /// The ending.
     pub result: AttemptResult,
     /// How the answer came about.
-    pub note: Option<CacheStatus>,
+    pub cache_status: Option<CacheStatus>,
     /// How long the fill waited for its first byte.
-    pub waited: Micros,
+    pub fill_wait: Micros,
     /// How long the answer's bytes take at full pace; 0: not known.
-    pub sending: Micros,
+    pub transfer_time: Micros,
     /// The load report.
-    pub load: Vec<f32>,
+    pub load_report: Vec<f32>,
     /// The copy, with [`AttemptResult::Ok`].
-    pub copy: Copy,
+    pub copy: CachedCopy,
 }
 
-impl End {
+impl AttemptEnd {
     /// An ending about which nothing more is known.
-    pub fn bare(result: AttemptResult) -> Self {
-        End { result, note: None, waited: 0, sending: 0, load: Vec::new(), copy: Copy::default() }
+    pub fn without_details(result: AttemptResult) -> Self {
+        AttemptEnd { result, cache_status: None, fill_wait: 0, transfer_time: 0, load_report: Vec::new(), copy: CachedCopy::default() }
     }
 }
 
 /// An attempt as it is to be written now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct OutgoingAttempt {
     /// The request.
     pub request: RequestKey,
     /// The part of its object.
     pub part: u32,
     /// Who fills a miss; `None`: nobody.
-    pub source: Option<ServerId>,
+    pub fill_source: Option<ServerId>,
     /// The rank of the copy.
-    pub rank: u8,
+    pub cache_rank: u8,
     /// The oldest copy that will do; 0: the class's fresh time.
     pub max_age: Micros,
     /// Join a fill that is under way.
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
-    pub only_held: bool,
+    pub only_if_cached: bool,
     /// The parent keeps no copy.
-    pub no_parent_copy: bool,
+    pub bypass_parent_cache: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub stale_while_revalidate: bool,
     /// How long the answer is waited for.
-    pub limit: Micros,
+    pub timeout: Micros,
 }
 
 /// What the core wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Write this attempt as soon as a connection takes it; [`Core::launch`] says then what to write.
-    Send {
+    SendAttempt {
         /// The attempt.
         attempt: AttemptKey,
         /// The request.
@@ -170,13 +170,13 @@
         server: ServerId,
     },
     /// Give this attempt up; nothing more is heard of it.
-    Drop(AttemptKey),
+    AbandonAttempt(AttemptKey),
     /// The request's final answer is there: [`Core::answer_now`] tells it, [`Core::answer_begun`] ends it.
-    Answer(RequestKey),
+    AnswerRequest(RequestKey),
     /// Ask a server for its health; [`Core::probed`] takes the result.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Close idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdleConnections(ServerId),
     /// A line for the operators.
     Log(String),
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,9 +7,9 @@
 mod messages;
 mod requests;
 
-pub use messages::{Answered, Ask, CacheCounts, Command, Copy, End, Final, Order, RejectionCount};
+pub use messages::{AnswerCounts, ClientRequest, CacheCounts, Command, CachedCopy, AttemptEnd, FinalAnswer, OutgoingAttempt, RejectionCount};
 
-use crate::deadlines::Handle;
+use crate::deadlines::DeadlineHandle;
 use crate::interface::{
     Action, ClassId, Event, FillAttempt, Micros, Purge, RequestId, ServerId, ServerState, Settings, RejectionReason,
 };
@@ -24,66 +24,66 @@
 
 /// What falls due for the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum CoreDeadline {
     /// A timer of the decision module.
-    Timer(u32),
+    RouterTimer(u32),
     /// An attempt's time is over.
-    Attempt(AttemptKey),
+    AttemptTimeout(AttemptKey),
     /// The client stops waiting.
-    Patience(RequestKey),
+    ClientTimeout(RequestKey),
     /// The client's right to an answer ends, unless the answer has begun.
-    Expiry(RequestKey),
+    AuthorizationExpiry(RequestKey),
 }
 
-enum State {
-    Open,
+enum AnswerState {
+    Pending,
     /// The answer is known, and no byte of it is out.
-    Chosen(Final),
+    Chosen(FinalAnswer),
 }
 
-struct Request {
-    ask: Ask,
+struct OpenRequest {
+    client_request: ClientRequest,
     arrived: Micros,
-    state: State,
-    sent: u8,
+    state: AnswerState,
+    attempts_sent: u8,
     /// Attempts that it may have, by the settings that held when it came.
-    most: u32,
+    max_attempts: u32,
     /// When the first of its ended attempts that may have run was written.
-    may_have_run: Option<Micros>,
-    patience: Option<Handle>,
-    expiry: Option<Handle>,
+    first_possible_run: Option<Micros>,
+    timeout_deadline: Option<DeadlineHandle>,
+    authorization_deadline: Option<DeadlineHandle>,
 }
 
 struct Attempt {
     request: RequestId,
     number: u8,
     server: ServerId,
-    get: Option<FillAttempt>,
-    purge: [Purge; 2],
-    sent: Micros,
-    until: Micros,
-    due: Option<Handle>,
+    fill: Option<FillAttempt>,
+    purge_scopes: [Purge; 2],
+    started_at: Micros,
+    deadline: Micros,
+    timeout_deadline: Option<DeadlineHandle>,
     /// When its bytes may have left.
-    launched: Option<Micros>,
+    written_at: Option<Micros>,
 }
 
 /// The requests and attempts of one edge proxy, around its decision module.
 pub struct Core {
     router: Router,
     settings: Settings,
-    requests: Slots<Request>,
+    requests: Slots<OpenRequest>,
     attempts: Slots<Attempt>,
-    states: BTreeMap<ServerId, ServerState>,
-    purged: BTreeMap<Purge, Micros>,
+    server_states: BTreeMap<ServerId, ServerState>,
+    purge_times: BTreeMap<Purge, Micros>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
     /// Bytes of copies whose answers have not begun.
-    held: usize,
+    held_bytes: usize,
     /// By class; a request that its client abandons before its answer begins is in none.
-    answered: Vec<Answered>,
+    answer_counts: Vec<AnswerCounts>,
     /// Refusals by what stood in the way, in the order of [`Why::ALL`].
-    refused: [u64; RejectionReason::ALL.len()],
+    rejection_counts: [u64; RejectionReason::ALL.len()],
 }
 
 impl Core {
@@ -98,14 +98,14 @@
             settings,
             requests: Slots::default(),
             attempts: Slots::default(),
-            states: BTreeMap::new(),
-            purged: BTreeMap::new(),
+            server_states: BTreeMap::new(),
+            purge_times: BTreeMap::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
-            held: 0,
-            answered: Vec::new(),
-            refused: [0; RejectionReason::ALL.len()],
+            held_bytes: 0,
+            answer_counts: Vec::new(),
+            rejection_counts: [0; RejectionReason::ALL.len()],
         })
     }
 
@@ -117,18 +117,18 @@
     }
 
     /// Tells how many processes serve as this edge proxy just now, and which of them this is.
-    pub fn share(&mut self, processes: u32, place: u32) {
+    pub fn set_process_share(&mut self, processes: u32, place: u32) {
         self.router.share(processes, place);
     }
 
     /// The next thing that the core wants done.
-    pub fn command(&mut self) -> Option<Command> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
     /// Bytes of copies whose answers have not begun.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes
     }
 
     /// Requests whose answer has not begun.
@@ -142,13 +142,13 @@
     }
 
     /// The caches of the list, and how many of them the module avoids now.
-    pub fn caches(&self) -> CacheCounts {
+    pub fn cache_counts(&self) -> CacheCounts {
         let (listed, avoided) = self.router.targets();
         CacheCounts { listed, avoided }
     }
 
     /// The advice on staying away that the module gives a class's clients.
-    pub fn pause(&self, class: ClassId) -> Micros {
+    pub fn retry_after(&self, class: ClassId) -> Micros {
         self.router.advice(class)
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -12,7 +12,7 @@
 
 struct Bench {
     core: Core,
-    due: Deadlines<Due>,
+    due: Deadlines<CoreDeadline>,
 }
 
 fn class(effect: Idempotency) -> Class {
@@ -81,18 +81,18 @@
             Bench { core: Core::new(settings, 1, 0).expect("settings"), due: Deadlines::default() };
         let mut list = vec![member(PARENT, 1, 1, ServerState::Ready)];
         list.extend(CACHES.map(|cache| member(cache, 0, 0, ServerState::Ready)));
-        bench.core.members(0, ListUpdate::Rejected, list, &mut bench.due);
+        bench.core.update_endpoints(0, ListUpdate::Rejected, list, &mut bench.due);
         bench
     }
 
     fn ask(&mut self, now: Micros, class: u16, expires: Option<Micros>) -> RequestKey {
-        let ask = Ask {
+        let ask = ClientRequest {
             class: ClassId(class),
             object: ObjectId(7),
             part: 0,
             group: GroupId(3),
-            patience: 3 * SECOND,
-            expires,
+            timeout: 3 * SECOND,
+            authorized_until: expires,
         };
         self.core.submit(now, ask, &mut self.due)
     }
@@ -101,7 +101,7 @@
     fn pass(&mut self, until: Micros) {
         while let Some(at) = self.due.next().filter(|at| *at <= until) {
             while let Some(what) = self.due.pop(at) {
-                self.core.due(at, what, &mut self.due);
+                self.core.deadline_passed(at, what, &mut self.due);
             }
         }
     }
@@ -109,14 +109,14 @@
     /// The commands, in short words, and the attempts that are to be sent.
     fn commands(&mut self) -> (Vec<&'static str>, Vec<AttemptKey>) {
         let (mut words, mut attempts) = (Vec::new(), Vec::new());
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             words.push(match command {
-                Command::Send { attempt, .. } => {
+                Command::SendAttempt { attempt, .. } => {
                     attempts.push(attempt);
                     "send"
                 }
-                Command::Drop(_) => "drop",
-                Command::Answer(_) => "answer",
+                Command::AbandonAttempt(_) => "drop",
+                Command::AnswerRequest(_) => "answer",
                 Command::Log(_) => continue,
                 _ => "other",
             });
@@ -134,8 +134,8 @@
     }
 
     fn end(&mut self, now: Micros, attempt: AttemptKey, result: AttemptResult) {
-        let copy = Copy { bytes: Bytes::from_static(b"bytes"), ..Copy::default() };
-        self.core.ended(now, attempt, End { copy, ..End::bare(result) }, &mut self.due);
+        let copy = CachedCopy { body: Bytes::from_static(b"bytes"), ..CachedCopy::default() };
+        self.core.attempt_ended(now, attempt, AttemptEnd { copy, ..AttemptEnd::without_details(result) }, &mut self.due);
     }
 
     /// Begins a second attempt beside the first.
@@ -143,10 +143,10 @@
         let request = RequestId(request.number());
         let hedge = Action::SendCacheOnly { request, server: CACHES[1], timeout: 0 };
         self.core.carry_out(now, hedge, &mut self.due);
-        self.core.run(now, &mut self.due);
+        self.core.run_router(now, &mut self.due);
     }
 
-    fn take(&mut self, now: Micros, request: RequestKey) -> Option<Final> {
+    fn take(&mut self, now: Micros, request: RequestKey) -> Option<FinalAnswer> {
         let answer = self.core.answer_now(now, request);
         self.core.answer_begun(now, request, &mut self.due);
         answer
@@ -170,7 +170,7 @@
 fn what_the_module_gives_up_on_is_answered_at_once() {
     let mut bench = Bench::new();
     let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
-    bench.core.members(0, ListUpdate::Delta, removed, &mut bench.due);
+    bench.core.update_endpoints(0, ListUpdate::Delta, removed, &mut bench.due);
     let request = bench.ask(0, 0, None);
     assert_eq!(bench.commands().0, ["answer"]);
     assert_eq!(
@@ -183,15 +183,15 @@
 fn when_patience_ends_each_request_has_its_answer() {
     // A write that never left surely did not run and is refused; one that may have run has failed.
     for (class, leaves, wanted) in [
-        (0, true, Final::Refused { pause: 250 * MS, late: true, why: RejectionReason::DeadlineExceeded }),
-        (1, true, Final::Failed { late: true }),
-        (1, false, Final::Refused { pause: 250 * MS, late: true, why: RejectionReason::DeadlineExceeded }),
+        (0, true, FinalAnswer::Rejected { retry_after: 250 * MS, timed_out: true, reason: RejectionReason::DeadlineExceeded }),
+        (1, true, FinalAnswer::Failed { late: true }),
+        (1, false, FinalAnswer::Rejected { retry_after: 250 * MS, timed_out: true, reason: RejectionReason::DeadlineExceeded }),
     ] {
         let mut bench = Bench::new();
         let request = bench.ask(0, class, None);
         let (_, attempts) = bench.commands();
         if leaves {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
         }
         bench.pass(3 * SECOND);
         let (words, _) = bench.commands();
@@ -278,8 +278,8 @@
         let (_, attempts) = bench.commands();
         let zone = if drained == PARENT { (1, 1) } else { (0, 0) };
         let entry = member(drained, zone.0, zone.1, ServerState::Draining);
-        bench.core.members(MS, ListUpdate::Delta, vec![entry], &mut bench.due);
-        let order = bench.core.launch(2 * MS, attempts[0], &mut bench.due);
+        bench.core.update_endpoints(MS, ListUpdate::Delta, vec![entry], &mut bench.due);
+        let order = bench.core.write_attempt(2 * MS, attempts[0], &mut bench.due);
         let (words, next) = bench.commands();
         match order {
             Some(order) => assert_ne!(order.source, Some(drained)),
@@ -302,7 +302,7 @@
         bench.ask(0, 0, None);
         let (_, attempts) = bench.commands();
         bench.core.purge(2 * MS, what, -MS, &mut bench.due);
-        let order = bench.core.launch(5 * MS, attempts[0], &mut bench.due).expect("an order");
+        let order = bench.core.write_attempt(5 * MS, attempts[0], &mut bench.due).expect("an order");
         assert_eq!(order.max_age, limit, "{what:?}");
     }
 }
@@ -313,7 +313,7 @@
     let mut bench = Bench::new();
     let (read, _) = bench.launched(0, None);
     let write = bench.ask(0, 1, None);
-    bench.core.expire(100 * MS, &mut bench.due);
+    bench.core.time_out_all(100 * MS, &mut bench.due);
     let (words, _) = bench.commands();
     assert_eq!(words.iter().filter(|word| **word == "answer").count(), 2, "{words:?}");
     for request in [read, write] {
@@ -331,7 +331,7 @@
         bench.end(100 * MS, first, AttemptResult::Reset);
         let (words, repeats) = bench.commands();
         assert_eq!(words, ["send"], "it is repeated");
-        let order = bench.core.launch(dialled, repeats[0], &mut bench.due);
+        let order = bench.core.write_attempt(dialled, repeats[0], &mut bench.due);
         assert_eq!(order.is_some(), written, "its connection comes up after {dialled} us");
         if !written {
             assert_eq!(bench.commands().0, ["answer"]);
@@ -361,11 +361,11 @@
         let request = bench.ask(0, 1, None);
         let (_, attempts) = bench.commands();
         if leaves {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
         }
         let cancel = Action::Cancel { request: RequestId(request.number()), attempt: 0 };
         bench.core.carry_out(200 * MS, cancel, &mut bench.due);
-        bench.core.run(200 * MS, &mut bench.due);
+        bench.core.run_router(200 * MS, &mut bench.due);
         let (words, _) = bench.commands();
         assert_eq!(words, ["drop", if leaves { "answer" } else { "send" }], "leaves {leaves}");
     }
@@ -399,12 +399,12 @@
         bench.ask(0, 0, None);
         let (_, mut attempts) = bench.commands();
         if retried {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
             bench.end(9 * MS, attempts[0], AttemptResult::Error);
             attempts = bench.commands().1;
         }
         let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").until;
-        let order = bench.core.launch(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
+        let order = bench.core.write_attempt(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
         assert_eq!(order.limit, 7 * MS, "retried {retried}");
         assert!(deadline <= 3 * SECOND);
     }
@@ -439,9 +439,9 @@
     for written in [false, true] {
         let mut bench = Bench::new();
         let (request, attempt) = bench.launched(1, None);
-        bench.core.not_launched(attempt);
+        bench.core.attempt_not_written(attempt);
         if written {
-            let order = bench.core.launch(500 * MS, attempt, &mut bench.due);
+            let order = bench.core.write_attempt(500 * MS, attempt, &mut bench.due);
             assert_eq!(order.map(|order| order.limit), Some(2500 * MS));
         }
         bench.pass(3 * SECOND);
@@ -463,7 +463,7 @@
         bench.core.cancel(n, other, &mut bench.due);
     }
     let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
-    bench.core.members(MS, ListUpdate::Delta, gone, &mut bench.due);
+    bench.core.update_endpoints(MS, ListUpdate::Delta, gone, &mut bench.due);
     bench.end(2 * MS, attempt, AttemptResult::Reset);
     assert!(bench.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
     assert!(matches!(bench.take(2 * MS, request), Some(Final::Refused { .. } | Final::Failed { .. })));
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -5,19 +5,19 @@
 
 /// Names one deadline, to take it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Handle(Micros, u64);
+pub struct DeadlineHandle(Micros, u64);
 
 /// Where a part of the program hangs its own kind of deadline, without knowing of the others' kinds.
 pub trait Schedule<T> {
     /// Hangs a deadline.
-    fn add(&mut self, at: Micros, what: T) -> Handle;
+    fn add(&mut self, at: Micros, what: T) -> DeadlineHandle;
     /// Takes a deadline back, if it is not over.
-    fn remove(&mut self, handle: Handle);
+    fn remove(&mut self, handle: DeadlineHandle);
 }
 
 /// The deadlines, by time, and at one time in the order in which they were hung.
 pub struct Deadlines<D> {
-    due: BTreeMap<Handle, D>,
+    due: BTreeMap<DeadlineHandle, D>,
     count: u64,
 }
 
@@ -41,14 +41,14 @@
 }
 
 impl<T, D: From<T>> Schedule<T> for Deadlines<D> {
-    fn add(&mut self, at: Micros, what: T) -> Handle {
+    fn add(&mut self, at: Micros, what: T) -> DeadlineHandle {
         self.count += 1;
-        let handle = Handle(at, self.count);
+        let handle = DeadlineHandle(at, self.count);
         self.due.insert(handle, what.into());
         handle
     }
 
-    fn remove(&mut self, handle: Handle) {
+    fn remove(&mut self, handle: DeadlineHandle) {
         self.due.remove(&handle);
     }
 }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -1,11 +1,11 @@
 //! A site as its configuration and the control feed's known events describe it, and selectors of its servers.
 
-use crate::config::events::{Batch, Health, Host};
+use crate::config::events::{FeedBatch, Health, FeedServer};
 use crate::config::located::unknown;
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::config::Config;
 use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
-use crate::members::Members;
+use crate::members::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -98,8 +98,8 @@
     }
 
     /// Applies the events that the configuration knows.
-    fn apply(&mut self, batch: &Batch, names: &Names) {
-        let mut members = Members::default();
+    fn apply(&mut self, batch: &FeedBatch, names: &SiteNames) {
+        let mut members = ServerNames::default();
         let mut addresses = Addresses::new();
         for change in batch.events.iter().filter_map(|event| event.members.as_ref()) {
             if change.whole {
@@ -120,7 +120,7 @@
         self.now += SETTLED;
     }
 
-    fn add(&mut self, host: &Host, member: Endpoint, names: &Names, addresses: &mut Addresses) {
+    fn add(&mut self, host: &FeedServer, member: Endpoint, names: &SiteNames, addresses: &mut Addresses) {
         self.servers.insert(member.server, member);
         self.now = self.now.max(member.started_at.unwrap_or(0));
         self.check_address(host, member.server, addresses);
@@ -129,7 +129,7 @@
     }
 
     /// Notes an address that another server has too.
-    fn check_address(&mut self, host: &Host, server: ServerId, addresses: &mut Addresses) {
+    fn check_address(&mut self, host: &FeedServer, server: ServerId, addresses: &mut Addresses) {
         let Some(address) = host.dial else { return };
         let other = addresses.insert(address, server).filter(|other| *other != server);
         if let Some(other) = other {
@@ -139,7 +139,7 @@
     }
 
     /// Notes a name that the settings lack; `number` is its place in their list.
-    fn check_name(&mut self, what: &str, host: &Host, name: &str, number: u16, known: &[String]) {
+    fn check_name(&mut self, what: &str, host: &FeedServer, name: &str, number: u16, known: &[String]) {
         if usize::from(number) >= known.len() {
             let text = unknown(what, name, known.iter().map(String::as_str));
             self.oddities.push(format!("{}: {text}", host.host));
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -2,9 +2,9 @@
 
 mod http;
 
-use crate::config::events::Batch;
-use crate::deadlines::{Handle, Schedule};
-use crate::net::{ConnKey, Net, Reason, Role};
+use crate::config::events::FeedBatch;
+use crate::deadlines::{DeadlineHandle, Schedule};
+use crate::net::{ConnectionKey, Net, Reason, Role};
 use std::net::SocketAddr;
 use tracing::warn;
 
@@ -27,7 +27,7 @@
 
 /// What falls due for the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum FeedDeadline {
     /// The pause before the next try is over.
     Retry,
     /// Nothing came in time.
@@ -38,9 +38,9 @@
 pub struct Feed {
     addr: SocketAddr,
     last: u64,
-    conn: Option<ConnKey>,
+    conn: Option<ConnectionKey>,
     up: bool,
-    deadline: Option<Handle>,
+    deadline: Option<DeadlineHandle>,
     pause: i64,
     /// How long the next connection may take to come up, us.
     connect: i64,
@@ -79,16 +79,16 @@
     }
 
     /// Whether this connection is the feed's.
-    pub fn owns(&self, key: ConnKey) -> bool {
+    pub fn owns(&self, key: ConnectionKey) -> bool {
         self.conn == Some(key)
     }
 
     /// Connects.
-    pub fn start(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn start(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         match net.connect(now, self.addr, Role::Feed) {
             Ok(key) => {
                 (self.conn, self.up) = (Some(key), false);
-                self.expect(now + self.connect, Due::Overdue, due);
+                self.expect(now + self.connect, FeedDeadline::Overdue, due);
             }
             Err(_) => self.again(now, due),
         }
@@ -96,7 +96,7 @@
 
     /// Goes on at another address with the events after the last one that was had: the old connection ends at
     /// once, whatever it would still have told, since the new address tells it under the same numbers.
-    pub fn move_to(&mut self, now: i64, addr: SocketAddr, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn move_to(&mut self, now: i64, addr: SocketAddr, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         if addr == self.addr {
             return;
         }
@@ -107,38 +107,38 @@
         self.start(now, net, due);
     }
 
-    fn expect(&mut self, at: i64, what: Due, due: &mut dyn Schedule<Due>) {
+    fn expect(&mut self, at: i64, what: FeedDeadline, due: &mut dyn Schedule<FeedDeadline>) {
         self.deadline.take().into_iter().for_each(|handle| due.remove(handle));
         self.deadline = Some(due.add(at, what));
     }
 
-    fn again(&mut self, now: i64, due: &mut dyn Schedule<Due>) {
-        self.expect(now + self.pause, Due::Retry, due);
+    fn again(&mut self, now: i64, due: &mut dyn Schedule<FeedDeadline>) {
+        self.expect(now + self.pause, FeedDeadline::Retry, due);
         self.pause = (2 * self.pause).min(PAUSES[1]);
     }
 
-    fn broke(&mut self, now: i64, reason: Reason, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    fn broke(&mut self, now: i64, reason: Reason, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         if let Some(key) = self.conn.take() {
             net.close(now, key, reason);
         }
         self.again(now, due);
     }
 
-    fn ask(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    fn ask(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         let Some(key) = self.conn else { return };
         let (last, addr, wait) = (self.last, self.addr, self.wait);
         let head = format!("GET /v1/events?SUB={last}&wait={wait} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
         match net.write(key, [head.into()]) {
             Ok(()) => {
                 self.polls[0] += 1;
-                self.expect(now + wait * 1000 + SLACK, Due::Overdue, due);
+                self.expect(now + wait * 1000 + SLACK, FeedDeadline::Overdue, due);
             }
             Err(reason) => self.broke(now, reason, net, due),
         }
     }
 
     /// The connection may be read from, or written to; gives the events that are new.
-    pub fn ready(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) -> Vec<Batch> {
+    pub fn on_ready(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) -> Vec<FeedBatch> {
         let mut news = Vec::new();
         let Some(key) = self.conn else { return news };
         if !self.up {
@@ -163,7 +163,7 @@
             let end = got.is_ok_and(|got| got.end);
             match net.input(key, |input| http::answer(input, end)) {
                 Some(Ok(Some(answer))) => {
-                    let read = serde_json::from_slice::<Batch>(&answer.body);
+                    let read = serde_json::from_slice::<FeedBatch>(&answer.body);
                     match read {
                         Ok(batch) if answer.status == 200 => {
                             self.pause = PAUSES[0];
@@ -204,7 +204,7 @@
     }
 
     /// Passes on what was not had yet.
-    fn take(&mut self, mut batch: Batch, news: &mut Vec<Batch>) {
+    fn take(&mut self, mut batch: FeedBatch, news: &mut Vec<FeedBatch>) {
         batch.events.retain(|event| event.n > self.last);
         let newest = batch.events.iter().map(|event| event.n).max();
         self.last = self.last.max(newest.unwrap_or(0)).max(batch.n);
@@ -214,12 +214,12 @@
     }
 
     /// A deadline of the feed has fallen.
-    pub fn due(&mut self, now: i64, what: Due, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn deadline_passed(&mut self, now: i64, what: FeedDeadline, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         self.deadline = None;
         match what {
-            Due::Retry => self.start(now, net, due),
-            Due::Overdue if self.up => self.broke(now, Reason::Silent, net, due),
-            Due::Overdue => {
+            FeedDeadline::Retry => self.start(now, net, due),
+            FeedDeadline::Overdue if self.up => self.broke(now, Reason::Silent, net, due),
+            FeedDeadline::Overdue => {
                 // A host that takes connections slowly would never be heard by a time that is always too short.
                 self.connect = (2 * self.connect).min(CONNECT_MOST);
                 self.broke(now, Reason::ConnectTimeout, net, due);
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -4,16 +4,16 @@
 
 /// Keeps the one deadline that the feed has.
 #[derive(Default)]
-struct Last(Option<(i64, Due)>);
+struct Last(Option<(i64, FeedDeadline)>);
 
-impl Schedule<Due> for Last {
-    fn add(&mut self, at: i64, what: Due) -> Handle {
+impl Schedule<FeedDeadline> for Last {
+    fn add(&mut self, at: i64, what: FeedDeadline) -> DeadlineHandle {
         self.0 = Some((at, what));
-        let mut some = crate::deadlines::Deadlines::<Due>::default();
+        let mut some = crate::deadlines::Deadlines::<FeedDeadline>::default();
         some.add(at, what)
     }
 
-    fn remove(&mut self, _: Handle) {
+    fn remove(&mut self, _: DeadlineHandle) {
         self.0 = None;
     }
 }
@@ -37,10 +37,10 @@
     let (mut now, mut last) = (0, None);
     while let Some((at, what)) = due.0.take() {
         (now, last) = (at, Some(what));
-        if what == Due::Retry {
+        if what == FeedDeadline::Retry {
             break;
         }
-        feed.due(at, what, &mut net, &mut due);
+        feed.deadline_passed(at, what, &mut net, &mut due);
     }
     assert!(last == Some(Due::Retry) && now + CONNECT < WAIT_MS * 1000 + TOLD_AFTER, "{last:?} at {now}");
 }
@@ -69,16 +69,16 @@
     let (mut now, mut waits) = (0, Vec::new());
     while waits.len() < 4 {
         let (at, what) = due.0.take().expect("a deadline");
-        if what == Due::Overdue {
+        if what == FeedDeadline::Overdue {
             waits.push(at - now);
         }
         now = at;
-        feed.due(at, what, &mut net, &mut due);
+        feed.deadline_passed(at, what, &mut net, &mut due);
     }
     assert_eq!(waits, [CONNECT, 2 * CONNECT, CONNECT_MOST, CONNECT_MOST]);
     feed.start(now, &mut net, &mut due);
     while feed.polls() == [0; 2] {
-        feed.ready(now, &mut net, &mut due);
+        feed.on_ready(now, &mut net, &mut due);
     }
     assert_eq!(feed.connect, CONNECT, "one that came up is as quick as any");
 }
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -2,8 +2,8 @@
 //! neither clients nor callers that sit on a connection keep an answer from the next.
 
 use super::http::{self, HeadError};
-use crate::deadlines::{Handle, Schedule};
-use crate::net::{ConnKey, Net, Reason};
+use crate::deadlines::{DeadlineHandle, Schedule};
+use crate::net::{ConnectionKey, Net, Reason};
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
 
 /// What falls due: a caller's time is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due(ConnKey);
+pub struct CallerDeadline(ConnectionKey);
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCall {
     /// Whether this process takes clients.
     Healthcheck,
     /// The figures.
@@ -32,7 +32,7 @@
 }
 
 struct Session {
-    due: Handle,
+    due: DeadlineHandle,
     heard: i64,
     /// It has its answer and is to close: closing first, with its bytes unread, would reset the connection and could
     /// take the answer away from it.
@@ -41,25 +41,25 @@
 
 /// The callers' connections.
 #[derive(Default)]
-pub struct Front {
-    sessions: BTreeMap<ConnKey, Session>,
+pub struct AdminFront {
+    sessions: BTreeMap<ConnectionKey, Session>,
 }
 
-impl Front {
+impl AdminFront {
     /// Takes a caller's connection in, in the place of another where there are too many.
-    pub fn open(&mut self, now: i64, conn: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn open(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
         if self.sessions.len() >= CALLERS {
             let least = self.sessions.iter().min_by_key(|(conn, s)| (!s.answered, s.heard, **conn));
             if let Some(least) = least.map(|(conn, _)| *conn) {
                 self.close(now, least, Reason::Evicted, net, due);
             }
         }
-        let session = Session { due: due.add(now + WHOLE, Due(conn)), heard: now, answered: false };
+        let session = Session { due: due.add(now + WHOLE, CallerDeadline(conn)), heard: now, answered: false };
         self.sessions.insert(conn, session);
     }
 
     /// Whether this connection is a caller's.
-    pub fn owns(&self, conn: ConnKey) -> bool {
+    pub fn owns(&self, conn: ConnectionKey) -> bool {
         self.sessions.contains_key(&conn)
     }
 
@@ -67,10 +67,10 @@
     pub fn ready(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Option<Call> {
+        due: &mut dyn Schedule<CallerDeadline>,
+    ) -> Option<AdminCall> {
         let session = self.sessions.get_mut(&conn)?;
         if session.answered {
             if net.flush(conn).and_then(|()| net.ended(conn)) != Ok(false) {
@@ -102,16 +102,16 @@
     pub fn answer(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         status: u16,
         (kind, body): (&str, &str),
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<CallerDeadline>,
     ) {
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         (session.answered, session.heard) = (true, now);
         due.remove(session.due);
-        session.due = due.add(now + LINGER, Due(conn));
+        session.due = due.add(now + LINGER, CallerDeadline(conn));
         let mut head = http::start(status, net.unix_time());
         http::line(&mut head, "Content-Type", &kind);
         http::line(&mut head, "Content-Length", &body.len());
@@ -131,8 +131,8 @@
     }
 
     /// A caller's time is over: half a call gets its answer, what was answered is closed.
-    pub fn due(&mut self, now: i64, what: Due, net: &mut Net, due: &mut dyn Schedule<Due>) {
-        let Due(conn) = what;
+    pub fn due(&mut self, now: i64, what: CallerDeadline, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
+        let CallerDeadline(conn) = what;
         let Some(session) = self.sessions.get(&conn) else { return };
         let said_nothing = net.input(conn, |input| input.is_empty()).unwrap_or(true);
         match session.answered {
@@ -142,14 +142,14 @@
         }
     }
 
-    fn close(&mut self, now: i64, conn: ConnKey, reason: Reason, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    fn close(&mut self, now: i64, conn: ConnectionKey, reason: Reason, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
         let Some(session) = self.sessions.remove(&conn) else { return };
         due.remove(session.due);
         net.close(now, conn, reason);
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.close(now, conn, Reason::Stopping, net, due);
         }
@@ -161,7 +161,7 @@
 /// # Errors
 ///
 /// The status of what is no call.
-fn call(input: &mut BytesMut) -> Result<Option<Call>, u16> {
+fn call(input: &mut BytesMut) -> Result<Option<AdminCall>, u16> {
     let read = http::head(input, |head| {
         if head.method != Some("GET") {
             return Err(HeadError::Method { keep: false });
@@ -171,9 +171,9 @@
         }
         let path = head.path.unwrap_or_default();
         Ok(match path.split_once('?').map_or(path, |(path, _)| path) {
-            "/healthcheck" => Some(Call::Healthcheck),
-            "/stats" => Some(Call::Stats),
-            "/federation" => Some(Call::Federation),
+            "/healthcheck" => Some(AdminCall::Healthcheck),
+            "/stats" => Some(AdminCall::Stats),
+            "/federation" => Some(AdminCall::Federation),
             _ => None,
         })
     });
--- a/src/front/admin/tests.rs
+++ b/src/front/admin/tests.rs
@@ -5,10 +5,10 @@
 #[test]
 fn calls_are_read_byte_by_byte_as_the_table_says() {
     let cases = [
-        ("GET /healthcheck HTTP/1.1\r\nHost: h\r\n\r\n", Ok(Some(Call::Healthcheck))),
-        ("GET /federation HTTP/1.1\r\n\r\n", Ok(Some(Call::Federation))),
-        ("GET /stats HTTP/1.0\r\n\r\n", Ok(Some(Call::Stats))),
-        ("GET /stats?all HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", Ok(Some(Call::Stats))),
+        ("GET /healthcheck HTTP/1.1\r\nHost: h\r\n\r\n", Ok(Some(AdminCall::Healthcheck))),
+        ("GET /federation HTTP/1.1\r\n\r\n", Ok(Some(AdminCall::Federation))),
+        ("GET /stats HTTP/1.0\r\n\r\n", Ok(Some(AdminCall::Stats))),
+        ("GET /stats?all HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", Ok(Some(AdminCall::Stats))),
         ("GET / HTTP/1.1\r\nHost: h\r\n\r\n", Err(404)),
         ("POST /stats HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n", Err(405)),
         ("GET /stats HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n", Err(400)),
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -1,13 +1,13 @@
 //! The answers of a connection, in the order of its requests.
 
-use super::http::{self, Answer};
-use super::{Due, Front, State};
+use super::http::{self, HttpAnswer};
+use super::{SessionDeadline, SignedFront, State};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net};
+use crate::net::{ConnectionKey, Net};
 
-impl Front {
+impl SignedFront {
     /// Answers a request without the core; its turn is kept.
-    pub fn say(&mut self, conn: ConnKey, number: u64, answer: Answer) {
+    pub fn say(&mut self, conn: ConnectionKey, number: u64, answer: HttpAnswer) {
         let turns = self.sessions.get_mut(&conn).map(|session| &mut session.turns);
         if let Some(turn) = turns.and_then(|turns| turns.iter_mut().find(|turn| turn.number == number)) {
             turn.state = State::Said(answer);
@@ -19,9 +19,9 @@
     pub fn next(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<SessionDeadline>,
     ) -> Option<u64> {
         loop {
             let session = self.sessions.get_mut(&conn)?;
@@ -42,10 +42,10 @@
     pub fn begin(
         &mut self,
         now: i64,
-        conn: ConnKey,
-        answer: Answer,
+        conn: ConnectionKey,
+        answer: HttpAnswer,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<SessionDeadline>,
     ) -> bool {
         let Some(session) = self.sessions.get_mut(&conn) else { return false };
         let Some(turn) = session.turns.front() else { return false };
@@ -70,12 +70,12 @@
     pub fn refuse_all(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         seconds: i64,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<SessionDeadline>,
     ) {
-        let refused = Answer { retry_after: Some(seconds.max(1)), ..Answer::bare(503) };
+        let refused = HttpAnswer { retry_after: Some(seconds.max(1)), ..HttpAnswer::bare(503) };
         if let Err(reason) = net.write(conn, http::answer(&refused, false, false, net.unix_time())) {
             return self.close(now, conn, reason, net, due);
         }
--- a/src/front/signed/gate/mod.rs
+++ b/src/front/signed/gate/mod.rs
@@ -4,7 +4,7 @@
 mod url;
 
 use super::uri::{Malformed, Uri};
-use crate::config::signed::{Key, Signed};
+use crate::config::signed::{Key, SignedConfig};
 
 /// The parameter, or the cookie, that holds a token.
 pub const PACKAGE: &str = "URISigningPackage";
@@ -84,7 +84,7 @@
 
 impl Gate {
     /// A gate with the operator's keys.
-    pub fn new(config: &Signed) -> Self {
+    pub fn new(config: &SignedConfig) -> Self {
         Gate { keys: config.keys.clone(), audience: config.audience.clone() }
     }
 
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -8,7 +8,7 @@
 
 /// A request without a body, read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct RequestHead {
     /// Whether only the answer's head is wanted.
     pub only_head: bool,
     /// What is asked for.
@@ -22,11 +22,11 @@
 }
 
 /// Takes the next head; `None` if it is not whole.
-pub fn head(input: &mut BytesMut, scheme: &str) -> Result<Option<Head>, HeadError> {
+pub fn head(input: &mut BytesMut, scheme: &str) -> Result<Option<RequestHead>, HeadError> {
     http::head(input, |head| request(head, scheme))
 }
 
-fn request(head: &httparse::Request, scheme: &str) -> Result<Head, HeadError> {
+fn request(head: &httparse::Request, scheme: &str) -> Result<RequestHead, HeadError> {
     let named = |name| http::named(head, name);
     let words = |name| named(name).flat_map(|value| value.split(',')).map(str::trim);
     if http::has_body(head) {
@@ -55,12 +55,12 @@
     }
     let strong = |tag: &str| tag.trim_start_matches("W/").trim_matches('"').to_owned();
     let tags = words("if-none-match").filter(|tag| !tag.is_empty()).map(strong).collect();
-    Ok(Head { only_head, uri, cookie, tags, keep })
+    Ok(RequestHead { only_head, uri, cookie, tags, keep })
 }
 
 /// An answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpAnswer {
     /// Its status.
     pub status: u16,
     /// Its body.
@@ -73,15 +73,15 @@
     pub retry_after: Option<i64>,
 }
 
-impl Answer {
+impl HttpAnswer {
     /// An answer that is all said by its status.
     pub fn bare(status: u16) -> Self {
-        Answer { status, ..Answer::default() }
+        HttpAnswer { status, ..HttpAnswer::default() }
     }
 }
 
 /// An answer's bytes, at a Unix time in microseconds.
-pub fn answer(answer: &Answer, only_head: bool, keep: bool, now: i64) -> [Bytes; 2] {
+pub fn answer(answer: &HttpAnswer, only_head: bool, keep: bool, now: i64) -> [Bytes; 2] {
     let mut head = http::start(answer.status, now);
     let mut line = |name: &str, value: &dyn std::fmt::Display| http::line(&mut head, name, value);
     match answer.status {
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn read(text: &str) -> Result<Option<Head>, HeadError> {
+fn read(text: &str) -> Result<Option<RequestHead>, HeadError> {
     head(&mut BytesMut::from(text), "http")
 }
 
@@ -52,18 +52,18 @@
 
 #[test]
 fn answers_say_what_their_status_needs() {
-    let text = |given: Answer, only_head, keep| {
+    let text = |given: HttpAnswer, only_head, keep| {
         String::from_utf8(answer(&given, only_head, keep, 0).concat()).expect("text")
     };
     let served =
-        Answer { body: Bytes::from_static(b"hi"), tag: Some("t".into()), age: Some(3), ..Answer::bare(200) };
+        HttpAnswer { body: Bytes::from_static(b"hi"), tag: Some("t".into()), age: Some(3), ..HttpAnswer::bare(200) };
     let date = "Date: Thu, 01 Jan 1970 00:00:00 GMT\r\n";
     let kind = "Content-Type: application/octet-stream\r\nContent-Length: 2\r\n";
     let head = format!("HTTP/1.1 200 OK\r\n{date}{kind}ETag: \"t\"\r\nAge: 3\r\n\r\n");
     assert_eq!(text(served.clone(), false, true), format!("{head}hi"));
     assert_eq!(text(served, true, true), head);
     let none = "Cache-Control: no-store\r\nContent-Length: 0\r\n";
-    let refused = Answer { retry_after: Some(1), ..Answer::bare(503) };
+    let refused = HttpAnswer { retry_after: Some(1), ..HttpAnswer::bare(503) };
     let wanted = format!(
         "HTTP/1.1 503 Service Unavailable\r\n{date}{none}Retry-After: 1\r\nConnection: close\r\n\r\n"
     );
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -9,11 +9,11 @@
 pub mod route;
 pub mod uri;
 
-use crate::config::signed::{Route, Signed};
-use crate::deadlines::{Handle, Schedule};
-use crate::net::{ConnKey, Net};
+use crate::config::signed::{Route, SignedConfig};
+use crate::deadlines::{DeadlineHandle, Schedule};
+use crate::net::{ConnectionKey, Net};
 use gate::Gate;
-use http::Answer;
+use http::HttpAnswer;
 use std::collections::{HashMap, VecDeque};
 
 /// Requests that may be open on one connection; more are read once these are answered.
@@ -25,24 +25,24 @@
 
 /// What falls due for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum SessionDeadline {
     /// A look whether it stands still.
-    Look(ConnKey),
+    Look(ConnectionKey),
     /// A head that has begun must be whole, or a client that has its last answer must have closed.
-    Head(ConnKey),
+    Head(ConnectionKey),
 }
 
 /// What a client asks of the edge proxy.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum SignedEvent {
     /// A request that was let in.
-    Get {
+    Request {
         /// Its connection.
-        conn: ConnKey,
+        conn: ConnectionKey,
         /// Its number there.
         number: u64,
         /// What it names.
-        place: route::Place,
+        place: route::RequestTarget,
         /// The tags of the client's copies.
         tags: Vec<String>,
         /// The instant of the monotonic clock, us, from when on its right is over.
@@ -52,7 +52,7 @@
 
 enum State {
     /// Answered by the front itself.
-    Said(Answer),
+    Said(HttpAnswer),
     /// Handed in, and bound to this number.
     Open(Option<u64>),
 }
@@ -67,8 +67,8 @@
 struct Session {
     turns: VecDeque<Turn>,
     count: u64,
-    head: Option<Handle>,
-    look: Option<Handle>,
+    head: Option<DeadlineHandle>,
+    look: Option<DeadlineHandle>,
     /// Bytes written at the last look.
     seen: u64,
     heard: i64,
@@ -82,30 +82,30 @@
 }
 
 /// The clients' connections.
-pub struct Front {
-    config: Signed,
+pub struct SignedFront {
+    config: SignedConfig,
     gate: Gate,
-    sessions: HashMap<ConnKey, Session>,
+    sessions: HashMap<ConnectionKey, Session>,
     gone: Vec<u64>,
     /// Every answer is the last of its connection.
     retired: bool,
 }
 
-impl Front {
+impl SignedFront {
     /// A front by the operator's file.
-    pub fn new(config: Signed) -> Self {
-        Front { gate: Gate::new(&config), config, sessions: HashMap::new(), gone: Vec::new(), retired: false }
+    pub fn new(config: SignedConfig) -> Self {
+        SignedFront { gate: Gate::new(&config), config, sessions: HashMap::new(), gone: Vec::new(), retired: false }
     }
 
     /// Takes over an operator's file that was read again, but for where it listens. What was let in stays.
-    pub fn reload(&mut self, config: Signed) {
+    pub fn reload(&mut self, config: SignedConfig) {
         self.gate = Gate::new(&config);
         self.config = config;
     }
 
     /// Requests that are over for their clients since the last call, by the numbers that [`Front::bind`]
     /// gave: nothing is owed to them.
-    pub fn gone(&mut self) -> Vec<u64> {
+    pub fn take_cancelled(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.gone)
     }
 
@@ -115,9 +115,9 @@
     }
 
     /// Takes a client's connection in.
-    pub fn open(&mut self, now: i64, conn: ConnKey, due: &mut dyn Schedule<Due>) {
-        let look = Some(due.add(now + STALLED.min(self.config.idle_timeout), Due::Look(conn)));
-        let head = Some(due.add(now + self.config.head_timeout, Due::Head(conn)));
+    pub fn open(&mut self, now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
+        let look = Some(due.add(now + STALLED.min(self.config.idle_timeout), SessionDeadline::Look(conn)));
+        let head = Some(due.add(now + self.config.head_timeout, SessionDeadline::Head(conn)));
         let (turns, heard) = (VecDeque::new(), now);
         self.sessions.insert(
             conn,
@@ -126,7 +126,7 @@
     }
 
     /// From now on each connection ends with the answers that are open there: another process takes the clients.
-    pub fn retire(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn retire(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         self.retired = true;
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             let unread = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
@@ -142,14 +142,14 @@
 
     /// The connection that is missed least, if one is missed less than a new one: nothing is open there; first those
     /// that linger or never asked, the longest silent first.
-    pub fn least_missed(&self, net: &Net) -> Option<ConnKey> {
+    pub fn least_missed(&self, net: &Net) -> Option<ConnectionKey> {
         let idle = self.sessions.iter().filter(|(conn, s)| s.turns.is_empty() && net.unwritten(**conn) == 0);
         let least = idle.min_by_key(|(conn, s)| (!s.lingers, s.count > 0, s.heard, **conn));
         least.map(|(conn, _)| *conn)
     }
 
     /// Whether this connection is a client's.
-    pub fn owns(&self, conn: ConnKey) -> bool {
+    pub fn owns(&self, conn: ConnectionKey) -> bool {
         self.sessions.contains_key(&conn)
     }
 
@@ -159,12 +159,12 @@
     }
 
     /// Whether a request is still open: its client may have left within the read that brought it.
-    pub fn is_open(&self, conn: ConnKey, number: u64) -> bool {
+    pub fn is_open(&self, conn: ConnectionKey, number: u64) -> bool {
         self.sessions.get(&conn).is_some_and(|session| session.turns.iter().any(|t| t.number == number))
     }
 
     /// Gives an open request the number by which [`Front::gone`] and [`Front::next`] name it.
-    pub fn bind(&mut self, conn: ConnKey, number: u64, bound: u64) {
+    pub fn bind(&mut self, conn: ConnectionKey, number: u64, bound: u64) {
         let turns = self.sessions.get_mut(&conn).map(|session| &mut session.turns);
         if let Some(turn) = turns.and_then(|turns| turns.iter_mut().find(|turn| turn.number == number)) {
             turn.state = State::Open(Some(bound));
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,11 +1,11 @@
 //! Reading from clients: heads taken whole, and let in by their credentials.
 
 use super::gate::Denial;
-use super::http::{self, Answer, Head, HeadError};
-use super::route::{self, Place};
-use super::{Ask, Due, Front, State, Turn, MOST_OPEN};
+use super::http::{self, HttpAnswer, RequestHead, HeadError};
+use super::route::{self, RequestTarget};
+use super::{SignedEvent, SessionDeadline, SignedFront, State, Turn, MOST_OPEN};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 use tracing::info;
 
 /// One moment on both clocks, us.
@@ -17,16 +17,16 @@
 
 /// A request whose right was checked.
 struct Admitted {
-    place: Place,
+    place: RequestTarget,
     /// The tags of the client's copies.
     tags: Vec<String>,
     /// The instant of the monotonic clock, us, from when on its right is over.
     expires: i64,
 }
 
-impl Front {
+impl SignedFront {
     /// A connection may be read from, or written to.
-    pub fn ready(&mut self, now: i64, conn: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) -> Vec<Ask> {
+    pub fn ready(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Vec<SignedEvent> {
         let mut asks = Vec::new();
         if let Err(reason) = net.flush(conn).and_then(|()| self.read(now, conn, net, due, &mut asks)) {
             self.close(now, conn, reason, net, due);
@@ -37,10 +37,10 @@
     fn read(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-        asks: &mut Vec<Ask>,
+        due: &mut dyn Schedule<SessionDeadline>,
+        asks: &mut Vec<SignedEvent>,
     ) -> Result<(), Reason> {
         loop {
             let got = net.read(conn, http::MOST_HEAD + 1)?;
@@ -56,7 +56,7 @@
             // A head that has begun has its time; between requests the idle time holds.
             let begun = !session.last && net.input(conn, |input| !input.is_empty()).unwrap_or(false);
             if begun && session.head.is_none() && session.turns.len() < MOST_OPEN {
-                session.head = Some(due.add(now + self.config.head_timeout, Due::Head(conn)));
+                session.head = Some(due.add(now + self.config.head_timeout, SessionDeadline::Head(conn)));
             } else if !begun && session.count > 0 && !session.lingers {
                 session.head.take().into_iter().for_each(|handle| due.remove(handle));
             }
@@ -75,10 +75,10 @@
     fn take_heads(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-        asks: &mut Vec<Ask>,
+        due: &mut dyn Schedule<SessionDeadline>,
+        asks: &mut Vec<SignedEvent>,
     ) {
         while let Some(session) = self.sessions.get(&conn) {
             if session.last || session.turns.len() >= MOST_OPEN {
@@ -102,12 +102,12 @@
     }
 
     /// The turn of a request that was read.
-    fn turn(&self, now: Now, conn: ConnKey, number: u64, head: Head, asks: &mut Vec<Ask>) -> Turn {
+    fn turn(&self, now: Now, conn: ConnectionKey, number: u64, head: RequestHead, asks: &mut Vec<SignedEvent>) -> Turn {
         let (only_head, keep) = (head.only_head, head.keep && !self.retired);
         let state = match self.admit(head, now) {
             Err(answer) => State::Said(answer),
             Ok(Admitted { place, tags, expires }) => {
-                asks.push(Ask::Get { conn, number, place, tags, expires });
+                asks.push(SignedEvent::Request { conn, number, place, tags, expires });
                 State::Open(None)
             }
         };
@@ -115,7 +115,7 @@
     }
 
     /// The turn of what can't be served as it is.
-    fn refused_turn(&self, conn: ConnKey, number: u64, bad: HeadError) -> Turn {
+    fn refused_turn(&self, conn: ConnectionKey, number: u64, bad: HeadError) -> Turn {
         let (status, keep) = match bad {
             HeadError::Method { keep } => (405, keep && !self.retired),
             HeadError::Oversize => (431, false),
@@ -124,27 +124,27 @@
                 (400, false)
             }
         };
-        Turn { number, state: State::Said(Answer::bare(status)), only_head: false, keep }
+        Turn { number, state: State::Said(HttpAnswer::bare(status)), only_head: false, keep }
     }
 
     /// Checks a request's right before anything else is told of it. Rights end at a Unix time: its instant is reckoned
     /// here, once, and holds however the wall clock is stepped afterwards.
-    fn admit(&self, head: Head, now: Now) -> Result<Admitted, Answer> {
+    fn admit(&self, head: RequestHead, now: Now) -> Result<Admitted, HttpAnswer> {
         if !self.config.hosts.contains(&head.uri.host) {
-            return Err(Answer::bare(421));
+            return Err(HttpAnswer::bare(421));
         }
         let expires = self.gate.check(&head.uri, head.cookie.as_deref(), now.unix).map_err(|denial| {
             // The path only: what follows it is a credential.
             info!("denied: {} {}", denial.code(), head.uri.path);
-            Answer::bare(if matches!(denial, Denial::Malformed(_)) { 400 } else { 403 })
+            HttpAnswer::bare(if matches!(denial, Denial::Malformed(_)) { 400 } else { 403 })
         })?;
-        let place = route::place(&self.config.routes, &head.uri.path).ok_or(Answer::bare(404))?;
+        let place = route::place(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
         let expires = now.monotonic.saturating_add(expires.saturating_sub(now.unix));
         Ok(Admitted { place, tags: head.tags, expires })
     }
 
     /// Whether requests were left unread for want of turns, and there are some now.
-    pub fn has_more(&self, conn: ConnKey) -> bool {
+    pub fn has_more(&self, conn: ConnectionKey) -> bool {
         self.sessions.get(&conn).is_some_and(|session| session.more && session.turns.len() < MOST_OPEN / 2)
     }
 }
--- a/src/front/signed/route.rs
+++ b/src/front/signed/route.rs
@@ -4,7 +4,7 @@
 
 /// What a path names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct RequestTarget {
     /// The route, by its place in the operator's file.
     pub route: usize,
     /// The object.
@@ -16,13 +16,13 @@
 }
 
 /// The first route that a path fits.
-pub fn place(routes: &[Route], path: &str) -> Option<Place> {
+pub fn place(routes: &[Route], path: &str) -> Option<RequestTarget> {
     routes.iter().enumerate().find_map(|(number, route)| fit(number, route, path))
 }
 
-fn fit(number: usize, route: &Route, path: &str) -> Option<Place> {
+fn fit(number: usize, route: &Route, path: &str) -> Option<RequestTarget> {
     let (mut forms, mut segments) = (route.path.split('/'), path.split('/'));
-    let mut place = Place { route: number, object: 0, group: route.group, part: 0 };
+    let mut place = RequestTarget { route: number, object: 0, group: route.group, part: 0 };
     loop {
         let (form, segment) = match (forms.next(), segments.next()) {
             (None, None) => return Some(place),
--- a/src/front/signed/route/tests.rs
+++ b/src/front/signed/route/tests.rs
@@ -8,8 +8,8 @@
     let routes = [route("/replays/{group}/{object}/{part}", 0), route("/art/{object}", 9)];
     let object = 0x7f3a_9c21_e0b4_d655;
     let cases = [
-        ("/replays/17/7f3a9c21e0b4d655/3", Some(Place { route: 0, object, group: 17, part: 3 })),
-        ("/art/7f3a9c21e0b4d655", Some(Place { route: 1, object, group: 9, part: 0 })),
+        ("/replays/17/7f3a9c21e0b4d655/3", Some(RequestTarget { route: 0, object, group: 17, part: 3 })),
+        ("/art/7f3a9c21e0b4d655", Some(RequestTarget { route: 1, object, group: 9, part: 0 })),
         ("/art/7F3A9C21E0B4D655", None),
         ("/art/7f3a9c21e0b4d655/", None),
         ("/art/7f3a", None),
--- a/src/front/thrift/codec.rs
+++ b/src/front/thrift/codec.rs
@@ -213,7 +213,7 @@
 
 /// An answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum ThriftReply {
     /// `Answer` of `invoke`.
     Answer {
         /// The object's bytes.
@@ -224,7 +224,7 @@
     /// `Answer` of `ping`.
     Pong(bool),
     /// `Trylater`.
-    Refused {
+    Rejected {
         /// How long the client should stay away, in milliseconds; 0: not said.
         pause: i64,
     },
@@ -262,12 +262,12 @@
 }
 
 /// An answer's frame, in parts: the object's bytes are passed on without another copy.
-pub fn reply(seqid: i32, reply: Reply) -> [Bytes; 3] {
+pub fn reply(seqid: i32, reply: ThriftReply) -> [Bytes; 3] {
     let mut head = BytesMut::with_capacity(64);
     head.put_i32(0); // the length, once it is known
     let (kind, name) = match &reply {
-        Reply::Exception { name, .. } => (3, name.as_str()),
-        Reply::Pong(_) => (2, "ping"),
+        ThriftReply::Exception { name, .. } => (3, name.as_str()),
+        ThriftReply::Pong(_) => (2, "ping"),
         _ => (2, "invoke"),
     };
     head.put_u32(VERSION | kind);
@@ -284,20 +284,20 @@
         tail.put_slice(&[good.into(), STOP, STOP]);
     };
     match reply {
-        Reply::Answer { body, fields } => answer(&mut head, body, &fields, true),
-        Reply::Pong(good) => answer(&mut head, Bytes::new(), &[], good),
-        Reply::Refused { pause } => {
+        ThriftReply::Answer { body, fields } => answer(&mut head, body, &fields, true),
+        ThriftReply::Pong(good) => answer(&mut head, Bytes::new(), &[], good),
+        ThriftReply::Rejected { pause } => {
             put_field(&mut head, STRUCT, 1);
             let fields = if pause > 0 { vec![("pause", pause.to_string())] } else { Vec::new() };
             put_map(&mut head, 1, &fields);
             head.put_slice(&[STOP, STOP]);
         }
-        Reply::Failed => {
+        ThriftReply::Failed => {
             put_field(&mut head, STRUCT, 2);
             put_map(&mut head, 1, &[]);
             head.put_slice(&[STOP, STOP]);
         }
-        Reply::Exception { kind, text, .. } => {
+        ThriftReply::Exception { kind, text, .. } => {
             put_field(&mut head, STRING, 1);
             put_text(&mut head, &text);
             put_field(&mut head, I32, 2);
--- a/src/front/thrift/codec/tests.rs
+++ b/src/front/thrift/codec/tests.rs
@@ -51,12 +51,12 @@
 #[test]
 fn replies_are_written_as_the_table_says() {
     let cases = [
-        Reply::Answer { body: Bytes::from_static(b"body"), fields: vec![("current", "1".into())] },
-        Reply::Pong(true),
-        Reply::Refused { pause: 250 },
-        Reply::Refused { pause: 0 },
-        Reply::Failed,
-        Reply::Exception { name: "ping".into(), kind: 7, text: "why".into() },
+        ThriftReply::Answer { body: Bytes::from_static(b"body"), fields: vec![("current", "1".into())] },
+        ThriftReply::Pong(true),
+        ThriftReply::Rejected { pause: 250 },
+        ThriftReply::Rejected { pause: 0 },
+        ThriftReply::Failed,
+        ThriftReply::Exception { name: "ping".into(), kind: 7, text: "why".into() },
     ];
     let lines: Vec<String> = cases.map(|given| shown(&reply(7, given).concat())).into();
     insta::assert_snapshot!(lines.join("\n"));
--- a/src/front/thrift/ending.rs
+++ b/src/front/thrift/ending.rs
@@ -1,8 +1,8 @@
 //! The ends of clients' connections: looked for by time, told to the client, and awaited from it.
 
-use super::{Ask, Due, Front, IDLE, LINGER, LOOK, STALLED, WHOLE};
+use super::{ThriftEvent, SessionDeadline, ThriftFront, IDLE, LINGER, LOOK, STALLED, WHOLE};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::BTreeMap;
 use tracing::info;
 
@@ -16,10 +16,10 @@
     Idle,
 }
 
-impl Front {
+impl ThriftFront {
     /// A look at a connection has fallen due.
-    pub fn due(&mut self, now: i64, what: Due, net: &mut Net, due: &mut dyn Schedule<Due>) -> Vec<Ask> {
-        let Due(conn) = what;
+    pub fn due(&mut self, now: i64, what: SessionDeadline, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Vec<ThriftEvent> {
+        let SessionDeadline(conn) = what;
         match self.look(now, conn, net, due) {
             Look::Fine => Vec::new(),
             Look::End(reason) => self.end(now, conn, reason, net, due),
@@ -36,9 +36,9 @@
         }
     }
 
-    fn look(&mut self, now: i64, conn: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) -> Look {
+    fn look(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Look {
         let Some(session) = self.sessions.get_mut(&conn) else { return Look::Fine };
-        session.look = Some(due.add(now + LOOK, Due(conn)));
+        session.look = Some(due.add(now + LOOK, SessionDeadline(conn)));
         let (wrote, unwritten) = (net.wrote(conn), net.unwritten(conn) > 0);
         if wrote != session.wrote || !unwritten {
             (session.wrote, session.moved) = (wrote, now);
@@ -68,11 +68,11 @@
     pub(super) fn end(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get_mut(&conn) else { return Vec::new() };
         if net.wrote(conn) == 0 {
             return self.close(now, conn, reason, net, due); // there is no answer to be taken away
@@ -92,10 +92,10 @@
         now: i64,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let left = self.sessions.iter().filter(|(_, session)| session.lingers.is_none());
-        let left: Vec<ConnKey> = left.map(|(conn, _)| *conn).collect();
+        let left: Vec<ConnectionKey> = left.map(|(conn, _)| *conn).collect();
         left.into_iter().flat_map(|conn| self.end(now, conn, reason, net, due)).collect()
     }
 
@@ -104,10 +104,10 @@
     pub(super) fn linger(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let ended = net.flush(conn).and_then(|()| net.ended(conn));
         let Some(session) = self.sessions.get_mut(&conn) else { return Vec::new() };
         if !session.shut_down && net.unwritten(conn) == 0 {
@@ -122,7 +122,7 @@
 
     /// The connection that is missed least, if one is missed less than a new one: first those that were told the end,
     /// then those that never asked, then those on which nothing is open, the longest so first.
-    pub fn least_missed(&self, net: &Net) -> Option<ConnKey> {
+    pub fn least_missed(&self, net: &Net) -> Option<ConnectionKey> {
         let idle = self.sessions.iter().filter(|(conn, s)| s.open.is_empty() && net.unwritten(**conn) == 0);
         let least = idle.min_by_key(|(conn, s)| (s.lingers.is_none(), s.asked, s.heard, **conn));
         least.map(|(conn, _)| *conn)
@@ -132,11 +132,11 @@
     pub fn close(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.remove(&conn) else { return Vec::new() };
         session.look.into_iter().for_each(|handle| due.remove(handle));
         net.close(now, conn, reason);
@@ -144,7 +144,7 @@
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         for conn in self.connections() {
             self.close(now, conn, Reason::Stopping, net, due);
         }
@@ -152,8 +152,8 @@
 }
 
 /// What is over with a connection.
-fn over(open: BTreeMap<i32, Option<u64>>) -> Vec<Ask> {
+fn over(open: BTreeMap<i32, Option<u64>>) -> Vec<ThriftEvent> {
     let mut numbers: Vec<u64> = open.into_values().flatten().collect();
     numbers.sort_unstable();
-    numbers.into_iter().map(Ask::Cancelled).collect()
+    numbers.into_iter().map(ThriftEvent::Cancelled).collect()
 }
--- a/src/front/thrift/handing_on.rs
+++ b/src/front/thrift/handing_on.rs
@@ -1,17 +1,17 @@
 //! Connections that are handed on to a newer process, or end as they fall idle where there is none.
 
-use super::{Due, Front, PAUSE};
+use super::{SessionDeadline, ThriftFront, PAUSE};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 
-impl Front {
+impl ThriftFront {
     /// From now on each connection ends as it falls idle: another process takes the clients.
     pub fn retire(&mut self) {
         self.retired = true;
     }
 
     /// Takes in a connection that another process had: its client may have asked there already.
-    pub fn adopt(&mut self, now: i64, conn: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn adopt(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         self.open(now, conn, due);
         if let Some(session) = self.sessions.get_mut(&conn) {
             (session.asked, session.begun) = (true, None);
@@ -23,8 +23,8 @@
 
     /// The connections that can be handed on: nothing is open there. Where no more than `most` requests are open,
     /// nothing is read for [`PAUSE`], and then for as long what waits is; all of them pause before the end.
-    pub fn to_hand_on(&mut self, now: i64, most: usize, before_end: bool, net: &Net) -> Vec<ConnKey> {
-        let mut all: Vec<ConnKey> = Vec::new();
+    pub fn connections_to_hand_over(&mut self, now: i64, most: usize, before_end: bool, net: &Net) -> Vec<ConnectionKey> {
+        let mut all: Vec<ConnectionKey> = Vec::new();
         for (conn, session) in self.sessions.iter_mut().filter(|(_, session)| session.lingers.is_none()) {
             match session.paused {
                 Some(since) if !before_end && since + PAUSE <= now => {
@@ -44,7 +44,7 @@
     }
 
     /// Forgets a connection that was handed on.
-    pub fn handed_on(&mut self, conn: ConnKey, due: &mut dyn Schedule<Due>) {
+    pub fn handed_over(&mut self, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
         let look = self.sessions.remove(&conn).and_then(|session| session.look);
         look.into_iter().for_each(|handle| due.remove(handle));
     }
@@ -58,7 +58,7 @@
 
     /// A connection that has fallen idle, where they are to end then. One whose client has just connected is none: it
     /// is about to ask.
-    pub fn idle_connection(&self, now: i64, net: &mut Net) -> Option<ConnKey> {
+    pub fn idle_connection(&self, now: i64, net: &mut Net) -> Option<ConnectionKey> {
         let mut all = self.sessions.iter().filter(|_| self.retired);
         all.find(|(conn, session)| session.is_idle(now, **conn, net)).map(|(conn, _)| *conn)
     }
@@ -67,10 +67,10 @@
     pub fn end_if_idle(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<SessionDeadline>,
     ) {
         if self.sessions.get(&conn).is_some_and(|session| session.is_idle(now, conn, net)) {
             self.end(now, conn, reason, net, due);
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -9,9 +9,9 @@
 mod session;
 
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net};
+use crate::net::{ConnectionKey, Net};
 use bytes::Bytes;
-use codec::Reply;
+use codec::ThriftReply;
 use session::Session;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -46,15 +46,15 @@
 
 /// What falls due for a connection: a look whether it stands still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due(ConnKey);
+pub struct SessionDeadline(ConnectionKey);
 
 /// What a client asks of the edge proxy.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ThriftEvent {
     /// A request.
-    Invoke {
+    Request {
         /// Its connection.
-        conn: ConnKey,
+        conn: ConnectionKey,
         /// Its sequence number.
         seqid: i32,
         /// Its fields.
@@ -65,9 +65,9 @@
         arrived: i64,
     },
     /// A request beyond the most that may be open; [`Front::say`] answers it.
-    Over {
+    RequestOverLimit {
         /// Its connection.
-        conn: ConnKey,
+        conn: ConnectionKey,
         /// Its sequence number.
         seqid: i32,
         /// Its fields.
@@ -76,7 +76,7 @@
     /// A question whether the edge proxy is ready.
     Ping {
         /// Its connection.
-        conn: ConnKey,
+        conn: ConnectionKey,
         /// Its sequence number.
         seqid: i32,
     },
@@ -84,48 +84,48 @@
     Cancelled(u64),
 }
 
-impl Ask {
-    fn is_invoke(&self, on: ConnKey, number: i32) -> bool {
+impl ThriftEvent {
+    fn is_invoke(&self, on: ConnectionKey, number: i32) -> bool {
         matches!(self, Ask::Invoke { conn, seqid, .. } if (*conn, *seqid) == (on, number))
     }
 }
 
 /// The clients' connections.
 #[derive(Default)]
-pub struct Front {
-    sessions: BTreeMap<ConnKey, Session>,
+pub struct ThriftFront {
+    sessions: BTreeMap<ConnectionKey, Session>,
     /// Those that have more to read.
-    turns: VecDeque<ConnKey>,
+    turns: VecDeque<ConnectionKey>,
     /// Each connection ends when it falls idle.
     retired: bool,
 }
 
-impl Front {
+impl ThriftFront {
     /// Takes a client's connection in.
-    pub fn open(&mut self, now: i64, conn: ConnKey, due: &mut dyn Schedule<Due>) {
+    pub fn open(&mut self, now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
         let session = Session::new(now, conn, due);
         self.sessions.insert(conn, session);
     }
 
     /// What a connection that was just taken in has sent may have waited since then: no connection could be taken.
-    pub fn waits_since(&mut self, conn: ConnKey, since: i64) {
+    pub fn waits_since(&mut self, conn: ConnectionKey, since: i64) {
         if let Some(session) = self.sessions.get_mut(&conn) {
             session.waits_since = Some(since);
         }
     }
 
     /// All connections.
-    pub fn connections(&self) -> Vec<ConnKey> {
+    pub fn connections(&self) -> Vec<ConnectionKey> {
         self.sessions.keys().copied().collect()
     }
 
     /// Whether a whole message has come on this connection.
-    pub fn has_asked(&self, conn: ConnKey) -> bool {
+    pub fn has_asked(&self, conn: ConnectionKey) -> bool {
         self.sessions.get(&conn).is_some_and(|session| session.asked)
     }
 
     /// The next connection that has more to read than its last turn allowed.
-    pub fn turn(&mut self) -> Option<ConnKey> {
+    pub fn next_turn(&mut self) -> Option<ConnectionKey> {
         let conn = self.turns.pop_front()?;
         if let Some(session) = self.sessions.get_mut(&conn) {
             session.more = false;
@@ -134,12 +134,12 @@
     }
 
     /// How many wait for a turn.
-    pub fn turns(&self) -> usize {
+    pub fn waiting_turns(&self) -> usize {
         self.turns.len()
     }
 
     /// Whether this connection is a client's.
-    pub fn owns(&self, conn: ConnKey) -> bool {
+    pub fn owns(&self, conn: ConnectionKey) -> bool {
         self.sessions.contains_key(&conn)
     }
 
@@ -149,12 +149,12 @@
     }
 
     /// Whether a request is still open: its client may have left within the read that brought it.
-    pub fn is_open(&self, conn: ConnKey, seqid: i32) -> bool {
+    pub fn is_open(&self, conn: ConnectionKey, seqid: i32) -> bool {
         self.sessions.get(&conn).is_some_and(|session| session.open.contains_key(&seqid))
     }
 
     /// Gives an open request the number by which [`Ask::Cancelled`] names it.
-    pub fn bind(&mut self, conn: ConnKey, seqid: i32, number: u64) {
+    pub fn bind(&mut self, conn: ConnectionKey, seqid: i32, number: u64) {
         if let Some(open) = self.sessions.get_mut(&conn).and_then(|session| session.open.get_mut(&seqid)) {
             *open = Some(number);
         }
@@ -164,19 +164,19 @@
     pub fn answer(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         seqid: i32,
-        reply: Reply,
+        reply: ThriftReply,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get_mut(&conn) else { return Vec::new() };
         if session.open.remove(&seqid).is_none() {
             return Vec::new();
         }
         session.heard = now;
         let last = session.unreadable.filter(|_| session.open.is_empty());
-        let mut asks = self.say(now, conn, seqid, reply, net, due);
+        let mut asks = self.answer_unbound(now, conn, seqid, reply, net, due);
         if let Some(reason) = last {
             asks.extend(self.end(now, conn, reason, net, due));
         }
@@ -184,15 +184,15 @@
     }
 
     /// Writes an answer to what was never open: a ping, or a request too many.
-    pub fn say(
+    pub fn answer_unbound(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         seqid: i32,
-        reply: Reply,
+        reply: ThriftReply,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         match net.write(conn, codec::reply(seqid, reply)) {
             Ok(()) => Vec::new(),
             Err(reason) => self.close(now, conn, reason, net, due),
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -1,10 +1,10 @@
 //! Reading from clients: messages taken whole and by turns, and cancellations seen also where nothing else is taken.
 
-use super::codec::{self, Method, Reply, PREFIX};
+use super::codec::{self, Method, ThriftReply, PREFIX};
 use super::frames::{cancelled, next_frame};
-use super::{Ask, Front, MOST_FRAME, MOST_OPEN, MOST_UNWRITTEN, TURN};
+use super::{ThriftEvent, ThriftFront, MOST_FRAME, MOST_OPEN, MOST_UNWRITTEN, TURN};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 use tracing::warn;
 
@@ -23,17 +23,17 @@
     More,
 }
 
-impl Front {
+impl ThriftFront {
     /// A connection may be read from, or written to, or its client is known to have closed it. A client that closed has
     /// gone: what it asked for is over, also what is still unread.
     pub fn ready(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         closed: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<super::Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<super::SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get(&conn) else { return Vec::new() };
         if session.lingers.is_some() {
             self.linger(now, conn, net, due);
@@ -60,10 +60,10 @@
     fn ready_unreadable(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<super::Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<super::SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         match net.flush(conn).and_then(|()| net.ended(conn)) {
             Ok(false) => Vec::new(),
             Ok(true) => self.close(now, conn, Reason::PeerClosed, net, due),
@@ -76,11 +76,11 @@
     fn end_unreadable(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<super::Due>,
-    ) -> Vec<Ask> {
+        due: &mut dyn Schedule<super::SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get_mut(&conn) else { return Vec::new() };
         if session.open.is_empty() {
             return self.end(now, conn, reason, net, due);
@@ -91,7 +91,7 @@
         Vec::new()
     }
 
-    fn read(&mut self, now: i64, conn: ConnKey, net: &mut Net, asks: &mut Vec<Ask>) -> Result<(), Reason> {
+    fn read(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, asks: &mut Vec<ThriftEvent>) -> Result<(), Reason> {
         let mut taken = 0;
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
@@ -126,10 +126,10 @@
     fn take_frames(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         taken: &mut usize,
         net: &mut Net,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<ThriftEvent>,
     ) -> Result<TurnEnd, Reason> {
         while *taken < TURN {
             let frame = net.input(conn, next_frame).unwrap_or(Ok(None))?;
@@ -145,9 +145,9 @@
     fn read_cancellations(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         net: &mut Net,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<ThriftEvent>,
     ) -> Result<(), Reason> {
         let got = net.read(conn, MOST_SCANNED)?;
         if let Some(session) = self.sessions.get_mut(&conn) {
@@ -155,7 +155,7 @@
             let scanned = &mut session.scanned;
             let cancelled = net.input(conn, |input| cancelled(input, scanned)).unwrap_or_default();
             let over = cancelled.into_iter().filter_map(|seqid| session.open.remove(&seqid)).flatten();
-            asks.extend(over.map(Ask::Cancelled));
+            asks.extend(over.map(ThriftEvent::Cancelled));
         }
         if got.end {
             return Err(Reason::PeerClosed);
@@ -166,10 +166,10 @@
     fn take(
         &mut self,
         now: i64,
-        conn: ConnKey,
+        conn: ConnectionKey,
         frame: Bytes,
         net: &mut Net,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<ThriftEvent>,
     ) -> Result<(), Reason> {
         let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
         (session.heard, session.begun, session.asked) = (now, None, true);
@@ -180,7 +180,7 @@
         })?;
         let (seqid, name) = (call.seqid, call.name);
         let exception =
-            |kind, text: &str| codec::reply(seqid, Reply::Exception { name, kind, text: text.into() });
+            |kind, text: &str| codec::reply(seqid, ThriftReply::Exception { name, kind, text: text.into() });
         match call.method {
             // Which of two answers under one number is whose can't be told: neither gets one.
             Method::Invoke { .. } | Method::Malformed(_) if session.open.contains_key(&seqid) => {
@@ -188,14 +188,14 @@
                 return Err(Reason::DuplicateSeqid);
             }
             Method::Invoke { fields, .. } if session.open.len() >= MOST_OPEN => {
-                asks.push(Ask::Over { conn, seqid, fields });
+                asks.push(ThriftEvent::RequestOverLimit { conn, seqid, fields });
             }
             Method::Invoke { fields, body } => {
                 session.open.insert(seqid, None);
-                asks.push(Ask::Invoke { conn, seqid, fields, body, arrived });
+                asks.push(ThriftEvent::Request { conn, seqid, fields, body, arrived });
             }
             Method::Abort(target) => session.withdraw(conn, target, asks),
-            Method::Ping => asks.push(Ask::Ping { conn, seqid }),
+            Method::Ping => asks.push(ThriftEvent::Ping { conn, seqid }),
             Method::Unknown => net.write(conn, exception(UNKNOWN_METHOD, "no such method"))?,
             Method::Malformed(why) => net.write(conn, exception(PROTOCOL_ERROR, why))?,
         }
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -1,8 +1,8 @@
 //! What is kept of one client's connection.
 
-use super::{Ask, Due, LOOK, NEVER_ASKED};
-use crate::deadlines::{Handle, Schedule};
-use crate::net::{ConnKey, Net, Reason};
+use super::{ThriftEvent, SessionDeadline, LOOK, NEVER_ASKED};
+use crate::deadlines::{DeadlineHandle, Schedule};
+use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes that came together and are not used yet.
@@ -47,7 +47,7 @@
 pub(super) struct Session {
     /// The open requests, and their numbers once they are bound.
     pub open: BTreeMap<i32, Option<u64>>,
-    pub look: Option<Handle>,
+    pub look: Option<DeadlineHandle>,
     /// Bytes written, and when some were last.
     pub wrote: u64,
     pub moved: i64,
@@ -79,10 +79,10 @@
 }
 
 impl Session {
-    pub(super) fn new(now: i64, conn: ConnKey, due: &mut dyn Schedule<Due>) -> Self {
+    pub(super) fn new(now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) -> Self {
         Session {
             open: BTreeMap::new(),
-            look: Some(due.add(now + LOOK, Due(conn))),
+            look: Some(due.add(now + LOOK, SessionDeadline(conn))),
             wrote: 0,
             moved: now,
             heard: now,
@@ -107,7 +107,7 @@
     }
 
     /// Whether all that it asked is answered and no further message has begun.
-    pub(super) fn is_idle(&self, now: i64, conn: ConnKey, net: &mut Net) -> bool {
+    pub(super) fn is_idle(&self, now: i64, conn: ConnectionKey, net: &mut Net) -> bool {
         let unread = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
         let asked = self.asked || self.heard + NEVER_ASKED <= now;
         let quiet = asked && self.lingers.is_none() && !self.more && self.open.is_empty();
@@ -115,7 +115,7 @@
     }
 
     /// Reads again: what has come meanwhile has its turn.
-    pub(super) fn resume(&mut self, conn: ConnKey, turns: &mut VecDeque<ConnKey>) {
+    pub(super) fn resume(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
         self.paused = None;
         if !std::mem::replace(&mut self.more, true) {
             turns.push_back(conn);
@@ -123,9 +123,9 @@
     }
 
     /// Gives an open request up; it may have come in the same read, and then the server never sees it.
-    pub(super) fn withdraw(&mut self, conn: ConnKey, seqid: i32, asks: &mut Vec<Ask>) {
+    pub(super) fn withdraw(&mut self, conn: ConnectionKey, seqid: i32, asks: &mut Vec<ThriftEvent>) {
         match self.open.remove(&seqid) {
-            Some(Some(number)) => asks.push(Ask::Cancelled(number)),
+            Some(Some(number)) => asks.push(ThriftEvent::Cancelled(number)),
             Some(None) => asks.retain(|ask| !ask.is_invoke(conn, seqid)),
             None => {}
         }
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -22,11 +22,11 @@
 }
 
 struct Bench {
-    front: Front,
+    front: ThriftFront,
     net: Net,
-    due: Deadlines<Due>,
+    due: Deadlines<SessionDeadline>,
     client: TcpStream,
-    conn: ConnKey,
+    conn: ConnectionKey,
 }
 
 impl Bench {
@@ -35,13 +35,13 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let conn = net.adopt(0, listener.accept().expect("one").0, Role::Thrift, b"").expect("taken");
-        let (mut front, mut due) = (Front::default(), Deadlines::default());
+        let (mut front, mut due) = (ThriftFront::default(), Deadlines::default());
         front.open(0, conn, &mut due);
         Bench { front, net, due, client, conn }
     }
 
     /// What is asked once these bytes have come.
-    fn send(&mut self, now: i64, bytes: &[u8]) -> Vec<Ask> {
+    fn send(&mut self, now: i64, bytes: &[u8]) -> Vec<ThriftEvent> {
         self.client.write_all(bytes).expect("written");
         let had = |net: &mut Net, conn| net.input(conn, |input| input.len()).unwrap_or(0);
         let before = had(&mut self.net, self.conn);
@@ -86,7 +86,7 @@
         assert_eq!(bench.pass(WHOLE + LOOK), open, "with a request open: {open}");
         if open {
             let (conn, now) = (bench.conn, WHOLE + LOOK);
-            bench.front.answer(now, conn, 1, Reply::Failed, &mut bench.net, &mut bench.due);
+            bench.front.answer(now, conn, 1, ThriftReply::Failed, &mut bench.net, &mut bench.due);
             assert!(bench.pass(now + WHOLE - 2 * LOOK), "its time begins with the answer");
             assert!(!bench.pass(now + WHOLE + LOOK), "and ends");
         }
@@ -99,8 +99,8 @@
     let mut bench = Bench::new();
     assert_eq!(bench.send(0, &invoke(1)).len(), 1);
     let hand_on = |bench: &mut Bench, now, most, before_end| {
-        let all = bench.front.to_hand_on(now, most, before_end, &bench.net);
-        (all.len(), bench.front.sessions[&bench.conn].paused.is_some(), bench.front.turns())
+        let all = bench.front.connections_to_hand_over(now, most, before_end, &bench.net);
+        (all.len(), bench.front.sessions[&bench.conn].paused.is_some(), bench.front.waiting_turns())
     };
     assert_eq!(hand_on(&mut bench, 10, 0, false), (0, false, 0), "too much is open");
     assert_eq!(hand_on(&mut bench, 20, 1, false), (0, true, 0));
@@ -114,7 +114,7 @@
     assert_eq!(hand_on(&mut bench, 20 + 2 * PAUSE, 1, true), (0, true, 0), "the end is near");
     assert_eq!(hand_on(&mut bench, 20 + 4 * PAUSE, 1, true), (0, true, 0));
     for seqid in [1, 2] {
-        let reply = Reply::Pong(true);
+        let reply = ThriftReply::Pong(true);
         bench.front.answer(0, bench.conn, seqid, reply, &mut bench.net, &mut bench.due);
     }
     assert_eq!(hand_on(&mut bench, 20 + 4 * PAUSE, 1, true), (1, true, 0), "nothing is open");
@@ -126,7 +126,7 @@
     let mut bench = Bench::new();
     assert_eq!(bench.send(0, &invoke(1)).len(), 1);
     bench.front.bind(bench.conn, 1, 77);
-    bench.front.to_hand_on(10, 1, false, &bench.net);
+    bench.front.connections_to_hand_over(10, 1, false, &bench.net);
     assert!(bench.front.sessions[&bench.conn].paused.is_some());
     // A request behind it stays unread, and so does its own cancellation.
     let bytes = [invoke(2), abort(1), abort(2)].concat();
@@ -150,17 +150,17 @@
 /// A request that waits unread takes its client's patience all the same.
 #[test]
 fn a_request_that_waited_unread_says_since_when() {
-    let arrived = |asks: &[Ask]| match asks {
-        [Ask::Invoke { arrived, .. }] => *arrived,
+    let arrived = |asks: &[ThriftEvent]| match asks {
+        [ThriftEvent::Request { arrived, .. }] => *arrived,
         other => panic!("{other:?}"),
     };
     let mut bench = Bench::new();
     assert_eq!(arrived(&bench.send(5, &invoke(1))), 5);
-    bench.front.to_hand_on(10, 1, false, &bench.net);
+    bench.front.connections_to_hand_over(10, 1, false, &bench.net);
     let message = invoke(2);
     bench.send(20, &message[..9]);
     bench.send(30, &message[9..]);
-    bench.front.to_hand_on(10 + PAUSE, 1, false, &bench.net);
+    bench.front.connections_to_hand_over(10 + PAUSE, 1, false, &bench.net);
     assert_eq!(bench.front.turn(), Some(bench.conn));
     let asks = bench.front.ready(10 + PAUSE, bench.conn, false, &mut bench.net, &mut bench.due);
     assert_eq!(arrived(&asks), 20, "as its first byte came");
@@ -191,7 +191,7 @@
     let mut bench = Bench::new();
     assert_eq!(bench.send(0, &invoke(1)).len(), 1);
     bench.front.bind(bench.conn, 1, 77);
-    bench.front.to_hand_on(10, 1, false, &bench.net);
+    bench.front.connections_to_hand_over(10, 1, false, &bench.net);
     let mut long = (MOST_FRAME as u32).to_be_bytes().to_vec();
     long.resize(long.len() + MOST_FRAME, 0);
     let mut client = bench.client.try_clone().expect("a second handle");
@@ -222,7 +222,7 @@
     }
     assert_eq!(bench.front.sessions[&bench.conn].unreadable, Some(Reason::DuplicateSeqid));
     assert!(bench.front.is_open(bench.conn, 1) && !bench.front.is_open(bench.conn, 2));
-    bench.front.answer(2, bench.conn, 1, Reply::Failed, &mut bench.net, &mut bench.due);
+    bench.front.answer(2, bench.conn, 1, ThriftReply::Failed, &mut bench.net, &mut bench.due);
     assert!(bench.front.sessions[&bench.conn].lingers.is_some(), "then it ends");
 }
 
@@ -236,7 +236,7 @@
     while !ready.iter().any(|one| matches!(one, Ready::Conn { read: true, .. })) {
         bench.net.poll(None, &mut ready).expect("a poll");
     }
-    let asks = bench.front.due(IDLE, Due(bench.conn), &mut bench.net, &mut bench.due);
+    let asks = bench.front.due(IDLE, SessionDeadline(bench.conn), &mut bench.net, &mut bench.due);
     assert!(matches!(asks[..], [Ask::Invoke { .. }]), "{asks:?}");
     assert!(bench.front.owns(bench.conn));
 }
--- a/src/members.rs
+++ b/src/members.rs
@@ -1,7 +1,7 @@
 //! The servers by name: the control feed's words on one side, the decision module's numbers on the other.
 
-use crate::config::events::{Health, Host};
-use crate::config::settings::Names;
+use crate::config::events::{Health, FeedServer};
+use crate::config::settings::SiteNames;
 use crate::interface::{Endpoint, Micros, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 
 /// The servers that the list has named so far.
 #[derive(Default)]
-pub struct Members {
+pub struct ServerNames {
     ids: BTreeMap<String, ServerId>,
     names: BTreeMap<ServerId, String>,
 }
 
-impl Members {
+impl ServerNames {
     /// The name of a server.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.names.get(&server).map(String::as_str)
@@ -46,7 +46,7 @@
     }
 
     /// An entry of the list in the module's words.
-    pub fn member(&mut self, host: &Host, names: &Names) -> Endpoint {
+    pub fn endpoint(&mut self, host: &FeedServer, names: &SiteNames) -> Endpoint {
         let place = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
         };
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -2,7 +2,7 @@
 
 use super::errors::concerns_one_connection;
 use super::poll::Poller;
-use super::{fabric, Conn, ConnKey, Listener, Net, Reason, Role, Stream, CHUNK};
+use super::{fabric, Conn, ConnectionKey, Listener, Net, Reason, Role, Stream, CHUNK};
 use bytes::BytesMut;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// The process is out of descriptors or the like, or one connection after another has failed.
-    pub fn accept(&mut self, now: i64, listener: &Listener, role: Role) -> io::Result<Option<ConnKey>> {
+    pub fn accept(&mut self, now: i64, listener: &Listener, role: Role) -> io::Result<Option<ConnectionKey>> {
         let mut failed = 0;
         loop {
             match listener.accept() {
@@ -72,7 +72,7 @@
     /// # Errors
     ///
     /// The connection fails at once, or [`is_local`]: for want of a descriptor, a port or the like. Nothing was sent.
-    pub fn connect(&mut self, now: i64, peer: SocketAddr, role: Role) -> io::Result<ConnKey> {
+    pub fn connect(&mut self, now: i64, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
             match self.begin_connect(peer) {
                 Ok(stream) => return self.add(now, stream, role, peer),
@@ -89,7 +89,7 @@
         }
     }
 
-    fn add(&mut self, now: i64, stream: Stream, role: Role, peer: SocketAddr) -> io::Result<ConnKey> {
+    fn add(&mut self, now: i64, stream: Stream, role: Role, peer: SocketAddr) -> io::Result<ConnectionKey> {
         if let Stream::Tcp(stream) = &stream {
             let _ = stream.set_nodelay(true); // only slower without
         }
@@ -131,7 +131,7 @@
     /// # Errors
     ///
     /// It was refused or failed.
-    pub fn connected(&mut self, key: ConnKey) -> Result<bool, Reason> {
+    pub fn connected(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
         self.conns.get(key).map_or(Err(Reason::PeerReset), |conn| conn.stream.connected())
     }
 
@@ -146,7 +146,7 @@
         stream: std::net::TcpStream,
         role: Role,
         input: &[u8],
-    ) -> io::Result<ConnKey> {
+    ) -> io::Result<ConnectionKey> {
         stream.set_nonblocking(true)?;
         let peer = stream.peer_addr()?;
         self.adopt_stream(now, Stream::Tcp(TcpStream::from_std(stream)), role, peer, input)
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// It is gone.
-    pub fn adopt_end(&mut self, now: i64, end: fabric::End, role: Role, input: &[u8]) -> io::Result<ConnKey> {
+    pub fn adopt_virtual(&mut self, now: i64, end: fabric::VirtualStream, role: Role, input: &[u8]) -> io::Result<ConnectionKey> {
         let peer = end.peer().ok_or(io::ErrorKind::NotConnected)?;
         self.adopt_stream(now, Stream::Virtual(end), role, peer, input)
     }
@@ -169,7 +169,7 @@
         role: Role,
         peer: SocketAddr,
         input: &[u8],
-    ) -> io::Result<ConnKey> {
+    ) -> io::Result<ConnectionKey> {
         let key = self.add(now, stream, role, peer)?;
         self.held += input.len();
         if let Some(conn) = self.conns.get_mut(key) {
@@ -180,7 +180,7 @@
 
     /// Gives a connection to `to`, with what was read there and not used; if it takes it, the connection goes on without
     /// this process.
-    pub fn hand_on(&mut self, now: i64, key: ConnKey, to: impl FnOnce(&Stream, &[u8]) -> bool) -> bool {
+    pub fn hand_over(&mut self, now: i64, key: ConnectionKey, to: impl FnOnce(&Stream, &[u8]) -> bool) -> bool {
         let went = self.conns.get(key).is_some_and(|conn| to(&conn.stream, &conn.input));
         if went {
             self.close(now, key, Reason::HandedOn);
@@ -189,7 +189,7 @@
     }
 
     /// Says to the peer that nothing more is written.
-    pub fn shutdown(&mut self, key: ConnKey) {
+    pub fn shutdown(&mut self, key: ConnectionKey) {
         if let Some(conn) = self.conns.get(key) {
             match &conn.stream {
                 Stream::Tcp(stream) => drop(stream.shutdown(std::net::Shutdown::Write)), // a broken one ends by itself
@@ -200,7 +200,7 @@
 
     /// Says the end to a client and drops what it still wrote, up to a bound: closing over unread bytes would reset the
     /// connection, and with it answers that the client has not read yet.
-    fn drop_unread(&mut self, key: ConnKey) {
+    fn drop_unread(&mut self, key: ConnectionKey) {
         self.shutdown(key);
         let Some(conn) = self.conns.get_mut(key) else { return };
         let mut dropped = 0;
@@ -214,7 +214,7 @@
     }
 
     /// Ends a connection, with its log line.
-    pub fn close(&mut self, now: i64, key: ConnKey, reason: Reason) {
+    pub fn close(&mut self, now: i64, key: ConnectionKey, reason: Reason) {
         let is_client =
             self.conns.get(key).is_some_and(|conn| matches!(conn.role, Role::Thrift | Role::Signed));
         // The process that it was handed on to reads there.
--- a/src/net/fabric/endpoint.rs
+++ b/src/net/fabric/endpoint.rs
@@ -12,13 +12,13 @@
 
 /// A listener of a process.
 #[derive(Debug)]
-pub struct Port {
+pub struct VirtualListener {
     pub(super) fabric: Fabric,
     pub(super) process: u32,
     pub(super) addr: SocketAddr,
 }
 
-impl Port {
+impl VirtualListener {
     /// Its address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// `WouldBlock`: none waits; the error of one that was aborted; an error that was planned.
-    pub fn accept(&self) -> io::Result<(End, SocketAddr)> {
+    pub fn accept(&self) -> io::Result<(VirtualStream, SocketAddr)> {
         let mut state = self.fabric.state();
         let now = state.now;
         state.errors.call(now)?;
@@ -48,11 +48,11 @@
             return Err(link.error.into());
         }
         let peer = link.host.ok_or(ErrorKind::ConnectionAborted)?;
-        Ok((End::new(&self.fabric, id), peer))
+        Ok((VirtualStream::new(&self.fabric, id), peer))
     }
 }
 
-impl Drop for Port {
+impl Drop for VirtualListener {
     fn drop(&mut self) {
         let mut state = self.fabric.state();
         let process = state.processes.get_mut(&self.process);
@@ -67,13 +67,13 @@
 
 /// A process's end of a connection; it is closed as it is dropped.
 #[derive(Debug)]
-pub struct End {
+pub struct VirtualStream {
     fabric: Fabric,
     id: u64,
     passed: AtomicBool,
 }
 
-impl End {
+impl VirtualStream {
     /// Watches it under a token; what it has already is told at once.
     pub fn register(&self, token: usize) {
         let mut state = self.fabric.state();
@@ -176,18 +176,18 @@
     }
 
     /// The same connection for another process: this end no longer is one, and nothing is said to the peer.
-    pub fn pass(&self, to: u32) -> End {
+    pub fn pass(&self, to: u32) -> VirtualStream {
         self.passed.store(true, Ordering::SeqCst);
         self.fabric.adopt(self.id, to);
-        End::new(&self.fabric, self.id)
+        VirtualStream::new(&self.fabric, self.id)
     }
 
-    pub(super) fn new(fabric: &Fabric, id: u64) -> End {
-        End { fabric: fabric.clone(), id, passed: AtomicBool::new(false) }
+    pub(super) fn new(fabric: &Fabric, id: u64) -> VirtualStream {
+        VirtualStream { fabric: fabric.clone(), id, passed: AtomicBool::new(false) }
     }
 }
 
-impl Drop for End {
+impl Drop for VirtualStream {
     fn drop(&mut self) {
         if !self.passed.load(Ordering::SeqCst) {
             self.fabric.state().give_up(self.id);
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -10,7 +10,7 @@
 mod errors;
 mod state;
 
-pub use endpoint::{End, Port};
+pub use endpoint::{VirtualStream, VirtualListener};
 pub(super) use state::ReadyConn;
 
 use errors::FailedConnect;
@@ -24,7 +24,7 @@
 
 /// What an actor is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum ActorEvent {
     /// A process has connected to this host.
     Opened {
         /// The connection.
@@ -55,7 +55,7 @@
 
 /// How a host behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum HostBehaviour {
     /// Connections come up.
     Up,
     /// They are refused.
@@ -66,11 +66,11 @@
 
 /// A message between two processes of one edge proxy.
 #[derive(Debug)]
-pub enum Mail {
+pub enum ProcessMessage {
     /// How many clients' connections the other one holds.
     Clients(usize),
     /// A connection that is handed on, with what was read there and not used.
-    Connection(End, Vec<u8>),
+    Connection(VirtualStream, Vec<u8>),
 }
 
 /// The network; clones are the same one.
@@ -157,12 +157,12 @@
     }
 
     /// What actors have to be told, in order.
-    pub fn signals(&self) -> Vec<Signal> {
+    pub fn signals(&self) -> Vec<ActorEvent> {
         self.state().signals.drain(..).collect()
     }
 
     /// Says how a host behaves from now on; a host that was never named refuses.
-    pub fn set_reach(&self, host: SocketAddr, reach: Reach) {
+    pub fn set_reach(&self, host: SocketAddr, reach: HostBehaviour) {
         let mut state = self.state();
         state.note((10, host.port(), matches!(reach, Reach::Up)));
         state.reach.insert(host, reach);
@@ -176,7 +176,7 @@
     /// Until when a host is silent; a time that has passed, if it is not.
     pub fn silent_until(&self, host: SocketAddr) -> i64 {
         match self.state().reach.get(&host) {
-            Some(Reach::SilentUntil(until)) => *until,
+            Some(HostBehaviour::SilentUntil(until)) => *until,
             _ => i64::MIN,
         }
     }
@@ -190,7 +190,7 @@
         if let Some(link) = state.links.get_mut(&id) {
             link.wants = Some((to.port(), draw));
         }
-        state.reach.entry(from).or_insert(Reach::Up);
+        state.reach.entry(from).or_insert(HostBehaviour::Up);
         state.plan(at, Due::Arrives(id));
         id
     }
@@ -318,11 +318,11 @@
 
     // ---- For Net and the handover.
 
-    pub(super) fn listen(&self, process: u32, addr: SocketAddr, number: usize) -> io::Result<Port> {
+    pub(super) fn listen(&self, process: u32, addr: SocketAddr, number: usize) -> io::Result<VirtualListener> {
         let mut state = self.state();
         let Some(holder) = state.processes.get_mut(&process) else { return Err(ErrorKind::NotFound.into()) };
         holder.ports.insert(addr, (number, VecDeque::new()));
-        Ok(Port { fabric: self.clone(), process, addr })
+        Ok(VirtualListener { fabric: self.clone(), process, addr })
     }
 
     pub(super) fn ready(&self, process: u32) -> (Vec<usize>, Vec<ReadyConn>) {
@@ -332,7 +332,7 @@
         (std::mem::take(&mut process.sources).into_iter().collect(), conns.into_values().collect())
     }
 
-    pub(super) fn connect(&self, process: u32, host: SocketAddr) -> io::Result<End> {
+    pub(super) fn connect(&self, process: u32, host: SocketAddr) -> io::Result<VirtualStream> {
         let mut state = self.state();
         let now = state.now;
         state.errors.call(now)?;
@@ -343,7 +343,7 @@
             state.dial_delays.get(&host).filter(|(_, until)| now < *until).map_or(0, |(late, _)| *late);
         let at = now + 2 * state.links[&id].delay + late;
         state.plan(at, Due::Up(id));
-        Ok(End::new(self, id))
+        Ok(VirtualStream::new(self, id))
     }
 
     /// Takes the place at which the next process finds this one; gives the process that had it, if it lives.
@@ -365,7 +365,7 @@
     /// # Errors
     ///
     /// The other process has ended.
-    pub fn mail(&self, from: u32, to: u32, number: usize, mail: Mail) -> Result<(), Mail> {
+    pub fn send_message(&self, from: u32, to: u32, number: usize, mail: ProcessMessage) -> Result<(), ProcessMessage> {
         let mut state = self.state();
         let Some(process) = state.processes.get_mut(&to).filter(|process| process.alive) else {
             return Err(mail);
@@ -384,7 +384,7 @@
     }
 
     /// The messages that came from another process.
-    pub fn take_mail(&self, from: u32, to: u32) -> Vec<Mail> {
+    pub fn take_messages(&self, from: u32, to: u32) -> Vec<ProcessMessage> {
         let mut state = self.state();
         let mail = state.processes.get_mut(&to).and_then(|process| process.mail.remove(&from));
         mail.unwrap_or_default().into()
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,7 +1,7 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
 use super::errors::Errors;
-use super::{Mail, Reach, Signal};
+use super::{ProcessMessage, HostBehaviour, ActorEvent};
 use crate::spread::next;
 use rustix::io::Errno;
 use std::collections::hash_map::DefaultHasher;
@@ -103,7 +103,7 @@
     pub conns: BTreeMap<usize, ReadyConn>,
     /// By listener's address: its number, and connections that wait there.
     pub ports: BTreeMap<SocketAddr, (usize, VecDeque<u64>)>,
-    pub mail: BTreeMap<u32, VecDeque<Mail>>,
+    pub mail: BTreeMap<u32, VecDeque<ProcessMessage>>,
 }
 
 #[derive(Default)]
@@ -117,13 +117,13 @@
     pub agenda: BTreeMap<(i64, u64), Due>,
     pub links: BTreeMap<u64, Link>,
     pub next_link: u64,
-    pub reach: BTreeMap<SocketAddr, Reach>,
+    pub reach: BTreeMap<SocketAddr, HostBehaviour>,
     /// By host: how late connections to it come up, us, and until when that holds.
     pub dial_delays: BTreeMap<SocketAddr, (i64, i64)>,
     pub processes: BTreeMap<u32, Process>,
     /// Where the process that serves an address is found by the next one.
     pub places: BTreeMap<SocketAddr, u32>,
-    pub signals: VecDeque<Signal>,
+    pub signals: VecDeque<ActorEvent>,
     /// Draws the delays of connections: between these, us.
     pub delays: (i64, i64),
     pub random: u64,
@@ -156,7 +156,7 @@
     pub(super) fn silent(&self, link: u64) -> Option<i64> {
         let host = self.links.get(&link)?.host?;
         match self.reach.get(&host) {
-            Some(Reach::SilentUntil(until)) if *until > self.now => Some(*until),
+            Some(HostBehaviour::SilentUntil(until)) if *until > self.now => Some(*until),
             _ => None,
         }
     }
@@ -212,7 +212,7 @@
                 let Some(link) = self.links.get_mut(&id).filter(|link| !link.broken) else { return };
                 link.under_way = link.under_way.saturating_sub(bytes.len());
                 let wake = std::mem::take(&mut link.blocked);
-                self.signals.push_back(Signal::Bytes { link: id, bytes, sent });
+                self.signals.push_back(ActorEvent::Bytes { link: id, bytes, sent });
                 if wake {
                     self.wake(id, false, true);
                 }
@@ -226,7 +226,7 @@
             }
             Due::EndToActor(id) => {
                 self.note((4, id));
-                self.signals.push_back(Signal::Closed { link: id });
+                self.signals.push_back(ActorEvent::Closed { link: id });
             }
             Due::BreakAtProcess(id) => {
                 self.note((5, id));
@@ -241,7 +241,7 @@
                 if let Some(link) = self.links.get_mut(&id) {
                     link.broken = true;
                 }
-                self.signals.push_back(Signal::Broken { link: id });
+                self.signals.push_back(ActorEvent::Broken { link: id });
             }
             Due::Mail(process, number) => {
                 self.note((7, process, number));
@@ -256,14 +256,14 @@
         let Some(link) = self.links.get(&id).filter(|link| !link.dropped) else { return };
         let Some(host) = link.host else { return };
         let error = self.errors.late_connect(self.now, host);
-        let refused = error.is_some() || self.reach.get(&host).is_none_or(|reach| *reach == Reach::Refusing);
+        let refused = error.is_some() || self.reach.get(&host).is_none_or(|reach| *reach == HostBehaviour::Refusing);
         self.note((8, id, refused));
         if let Some(link) = self.links.get_mut(&id) {
             (link.up, link.refused) = (!refused, refused);
             link.error = error.unwrap_or(link.error);
         }
         if !refused {
-            self.signals.push_back(Signal::Opened { link: id, host });
+            self.signals.push_back(ActorEvent::Opened { link: id, host });
         }
         self.wake(id, refused, true);
     }
@@ -281,7 +281,7 @@
             if let Some(link) = self.links.get_mut(&id) {
                 link.broken = true;
             }
-            return self.signals.push_back(Signal::Broken { link: id });
+            return self.signals.push_back(ActorEvent::Broken { link: id });
         };
         if let Some(link) = self.links.get_mut(&id) {
             (link.process, link.up) = (process, true);
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -11,7 +11,7 @@
     fabric
 }
 
-fn pass(fabric: &Fabric, to: i64) -> Vec<Signal> {
+fn pass(fabric: &Fabric, to: i64) -> Vec<ActorEvent> {
     fabric.advance(to);
     fabric.happen();
     fabric.signals()
@@ -22,7 +22,7 @@
     fabric.ready(1).1.into_iter().map(|conn| (conn.token, conn.read, conn.write)).collect()
 }
 
-fn read(end: &End) -> Result<String, ErrorKind> {
+fn read(end: &VirtualStream) -> Result<String, ErrorKind> {
     let mut bytes = [0; 64];
     let read = end.read(&mut bytes).map_err(|error| error.kind())?;
     Ok(String::from_utf8_lossy(&bytes[..read]).into_owned())
@@ -31,7 +31,7 @@
 #[test]
 fn bytes_come_in_order_and_a_silent_host_holds_them_back() {
     let (fabric, there) = (fabric(), host(1));
-    fabric.set_reach(there, Reach::Up);
+    fabric.set_reach(there, HostBehaviour::Up);
     let end = fabric.connect(1, there).expect("begun");
     end.register(7);
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::NotConnected));
@@ -44,7 +44,7 @@
     assert_eq!(pass(&fabric, 3000), [Signal::Bytes { link: 1, bytes: b"ab".to_vec(), sent: 2000 }]);
     assert_eq!((conns(&fabric), read(&end)), (vec![(7, true, false)], Ok("xy".into())));
     assert_eq!(read(&end), Err(ErrorKind::WouldBlock));
-    fabric.set_reach(there, Reach::SilentUntil(50_000));
+    fabric.set_reach(there, HostBehaviour::SilentUntil(50_000));
     fabric.send(1, b"z");
     end.write(&[IoSlice::new(b"c")]).expect("written");
     assert_eq!((pass(&fabric, 49_999), read(&end)), (vec![], Err(ErrorKind::WouldBlock)));
@@ -60,7 +60,7 @@
 #[test]
 fn refusals_resets_and_windows_are_seen_as_on_a_socket() {
     let (fabric, there, nobody) = (fabric(), host(1), host(2));
-    fabric.set_reach(there, Reach::Up);
+    fabric.set_reach(there, HostBehaviour::Up);
     let (refused, end) =
         (fabric.connect(1, nobody).expect("begun"), fabric.connect(1, there).expect("begun"));
     refused.register(7);
@@ -101,7 +101,7 @@
     fabric.end_process(1);
     assert_eq!(pass(&fabric, 2000), [], "the client notices nothing");
     assert_eq!(fabric.ready(2).0, [5]);
-    let [Mail::Connection(end, unused)] = &fabric.take_mail(1, 2)[..] else { panic!("one message") };
+    let [ProcessMessage::Connection(end, unused)] = &fabric.take_messages(1, 2)[..] else { panic!("one message") };
     assert_eq!((read(end), &unused[..]), (Ok("ping".into()), &b"pi"[..]));
     // A process that dies with a connection under way to it breaks it.
     let port = fabric.listen(2, front, 0).expect("a port");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,7 +20,7 @@
 pub use reason::Reason;
 pub use role::Role;
 pub use stream::{Listener, Stream};
-pub use transfer::Got;
+pub use transfer::ReadProgress;
 
 use crate::interface::Micros;
 use crate::slots::{Key, Slots};
@@ -32,7 +32,7 @@
 use std::io;
 
 /// A connection of the table.
-pub type ConnKey = Key;
+pub type ConnectionKey = Key;
 
 /// Bytes taken from a socket at a time.
 const CHUNK: usize = 64 * 1024;
@@ -99,7 +99,7 @@
     }
 
     /// The address of a connection's peer.
-    pub fn address(&self, key: ConnKey) -> Option<std::net::IpAddr> {
+    pub fn address(&self, key: ConnectionKey) -> Option<std::net::IpAddr> {
         self.conns.get(key).map(|conn| conn.address)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Bytes that all connections' buffers hold.
-    pub fn held(&self) -> usize {
+    pub fn held_bytes(&self) -> usize {
         self.held
     }
 }
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,6 +1,6 @@
 //! Waiting for what is ready: connections, listeners and other sources.
 
-use super::{fabric, ConnKey, Net};
+use super::{fabric, ConnectionKey, Net};
 use crate::slots::Key;
 use fabric::Fabric;
 use mio::{Events, Interest, Poll, Token};
@@ -15,7 +15,7 @@
     /// A connection.
     Conn {
         /// Which.
-        key: ConnKey,
+        key: ConnectionKey,
         /// There may be bytes, or an end.
         read: bool,
         /// It may take bytes, or has come up, or failed.
@@ -27,7 +27,7 @@
 
 impl Ready {
     /// A connection that may have more to read, though no event tells of it.
-    pub fn readable(key: ConnKey) -> Self {
+    pub fn readable(key: ConnectionKey) -> Self {
         Ready::Conn { key, read: true, write: false, closed: false }
     }
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -10,7 +10,7 @@
     /// The system's.
     Tcp(TcpStream),
     /// The simulator's.
-    Virtual(fabric::End),
+    Virtual(fabric::VirtualStream),
 }
 
 impl Stream {
@@ -55,7 +55,7 @@
     /// The system's.
     Tcp(TcpListener),
     /// The simulator's.
-    Virtual(fabric::Port),
+    Virtual(fabric::VirtualListener),
 }
 
 impl Listener {
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `net` on a simulated network whose system calls fail.
 
-use super::fabric::{host, Reach, Signal};
+use super::fabric::{host, HostBehaviour, ActorEvent};
 use super::*;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
     SocketAddr::from(([127, 0, 2, 1], 40_000 + number))
 }
 
-fn pass(fabric: &Fabric, to: i64) -> Vec<Signal> {
+fn pass(fabric: &Fabric, to: i64) -> Vec<ActorEvent> {
     fabric.advance(to);
     fabric.happen();
     fabric.signals()
 }
 
 /// A connection from the process to host 1, which is up.
-fn connected(fabric: &Fabric, net: &mut Net) -> ConnKey {
-    fabric.set_reach(host(1), Reach::Up);
+fn connected(fabric: &Fabric, net: &mut Net) -> ConnectionKey {
+    fabric.set_reach(host(1), HostBehaviour::Up);
     let key = net.connect(0, host(1), Role::Upstream).expect("begun");
     pass(fabric, fabric.now() + 2000);
     assert_eq!(net.connected(key), Ok(true));
@@ -118,7 +118,7 @@
     assert_eq!(net.write(key, [text.clone(), text.clone()]), Ok(()));
     fabric.send(1, &text);
     let told = pass(&fabric, 3000).into_iter().flat_map(|signal| match signal {
-        Signal::Bytes { bytes, .. } => bytes,
+        ActorEvent::Bytes { bytes, .. } => bytes,
         _ => Vec::new(),
     });
     assert_eq!(told.collect::<Vec<u8>>(), [text.clone(), text.clone()].concat());
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,6 +1,6 @@
 //! Bytes are read from connections and written to them, through bounded buffers.
 
-use super::{ConnKey, Net, Reason, CHUNK};
+use super::{ConnectionKey, Net, Reason, CHUNK};
 use bytes::{Bytes, BytesMut};
 use std::io::{self, IoSlice};
 
@@ -9,7 +9,7 @@
 
 /// What one call of [`Net::read`] left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Got {
+pub struct ReadProgress {
     /// The buffer's limit was reached: call again once some of it is used.
     pub more: bool,
     /// The peer writes nothing more.
@@ -24,7 +24,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn read(&mut self, key: ConnKey, limit: usize) -> Result<Got, Reason> {
+    pub fn read(&mut self, key: ConnectionKey, limit: usize) -> Result<ReadProgress, Reason> {
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
         let before = conn.input.len();
         let got = loop {
@@ -45,7 +45,7 @@
         };
         let bytes = conn.input.len() - before;
         self.held += bytes;
-        got.map(|(more, end)| Got { more, end, bytes })
+        got.map(|(more, end)| ReadProgress { more, end, bytes })
     }
 
     /// Whether the peer writes nothing more; what it still wrote is dropped, a piece at a time.
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn ended(&mut self, key: ConnKey) -> Result<bool, Reason> {
+    pub fn ended(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
         loop {
             match conn.stream.read(&mut self.scratch) {
@@ -66,7 +66,7 @@
     }
 
     /// The bytes that were read and not used yet, to be used by `with`.
-    pub fn input<T>(&mut self, key: ConnKey, with: impl FnOnce(&mut BytesMut) -> T) -> Option<T> {
+    pub fn input<T>(&mut self, key: ConnectionKey, with: impl FnOnce(&mut BytesMut) -> T) -> Option<T> {
         let conn = self.conns.get_mut(key)?;
         let before = conn.input.len();
         let result = with(&mut conn.input);
@@ -78,12 +78,12 @@
     }
 
     /// Bytes that wait to be written.
-    pub fn unwritten(&self, key: ConnKey) -> usize {
+    pub fn unwritten(&self, key: ConnectionKey) -> usize {
         self.conns.get(key).map_or(0, |conn| conn.out_bytes)
     }
 
     /// Bytes that have been written so far.
-    pub fn wrote(&self, key: ConnKey) -> u64 {
+    pub fn wrote(&self, key: ConnectionKey) -> u64 {
         self.conns.get(key).map_or(0, |conn| conn.wrote)
     }
 
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn write(&mut self, key: ConnKey, parts: impl IntoIterator<Item = Bytes>) -> Result<(), Reason> {
+    pub fn write(&mut self, key: ConnectionKey, parts: impl IntoIterator<Item = Bytes>) -> Result<(), Reason> {
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
         for part in parts.into_iter().filter(|part| !part.is_empty()) {
             conn.out_bytes += part.len();
@@ -108,7 +108,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn begin(&mut self, key: ConnKey, parts: impl IntoIterator<Item = Bytes>) -> Result<bool, Reason> {
+    pub fn begin(&mut self, key: ConnectionKey, parts: impl IntoIterator<Item = Bytes>) -> Result<bool, Reason> {
         let before = self.wrote(key);
         self.write(key, parts)?;
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn flush(&mut self, key: ConnKey) -> Result<(), Reason> {
+    pub fn flush(&mut self, key: ConnectionKey) -> Result<(), Reason> {
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
         while !conn.out.is_empty() {
             let slices: Vec<IoSlice> = conn.out.iter().take(SLICES).map(|part| IoSlice::new(part)).collect();
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -1,10 +1,10 @@
 //! Clients' connections: accepted by turns, and within their budget.
 
 use super::handover::PLACE;
-use super::{Due, Server};
-use crate::deadlines::{Handle, Schedule};
+use super::{ServerDeadline, Server};
+use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::interface::{ClassId, Micros};
-use crate::net::{ConnKey, Ready, Reason, Role};
+use crate::net::{ConnectionKey, Ready, Reason, Role};
 use std::io;
 
 /// Connections taken at a turn, and the pause before the next one, us: hundreds at once wait for each other and not
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(super) struct Accepting {
     /// The one deadline for it, however many accepts failed.
-    next: Option<(Micros, Handle)>,
+    next: Option<(Micros, DeadlineHandle)>,
     /// Out of descriptors or memory: until then nothing is accepted, us.
     pub paused_until: Micros,
 }
@@ -28,10 +28,10 @@
     pub(super) fn accept_at(&mut self, at: Micros) {
         match self.accepting.next {
             Some((planned, _)) if planned <= at => return,
-            Some((_, later)) => Schedule::<Due>::remove(&mut self.due, later),
+            Some((_, later)) => Schedule::<ServerDeadline>::remove(&mut self.due, later),
             None => {}
         }
-        self.accepting.next = Some((at, self.due.add(at, Due::Accept)));
+        self.accepting.next = Some((at, self.due.add(at, ServerDeadline::Accept)));
     }
 
     /// The time to accept has come.
@@ -65,9 +65,9 @@
         }
     }
 
-    pub(super) fn take_in(&mut self, role: Role, conn: ConnKey) {
+    pub(super) fn take_in(&mut self, role: Role, conn: ConnectionKey) {
         if !self.make_room() {
-            let pause = self.core.pause(ClassId(0));
+            let pause = self.core.retry_after(ClassId(0));
             return self.refuse_connection(role, conn, pause, true);
         }
         if !self.admit(role, conn, false) {
@@ -82,7 +82,7 @@
     }
 
     /// Reads on a connection that may have waited while none could be taken: its client's patience has run since.
-    fn read_what_waited(&mut self, conn: ConnKey) {
+    fn read_what_waited(&mut self, conn: ConnectionKey) {
         if let Some(since) = self.admitting.accepts_fail_since {
             self.thrift.waits_since(conn, since);
             self.on_ready(Ready::readable(conn));
@@ -127,7 +127,7 @@
         false
     }
 
-    pub(super) fn accept_one(&mut self, role: Role) -> Option<ConnKey> {
+    pub(super) fn accept_one(&mut self, role: Role) -> Option<ConnectionKey> {
         match self.accept_raw(role) {
             Ok(Err(())) => None,
             Ok(Ok(conn)) => {
@@ -147,7 +147,7 @@
     }
 
     /// Takes the next connection of a role's listener; `Err(())` if there is no such listener.
-    pub(super) fn accept_raw(&mut self, role: Role) -> io::Result<Result<Option<ConnKey>, ()>> {
+    pub(super) fn accept_raw(&mut self, role: Role) -> io::Result<Result<Option<ConnectionKey>, ()>> {
         let listener = match role {
             Role::Thrift => self.listener.as_ref(),
             Role::Admin => self.admin.as_ref().map(|admin| &admin.listener),
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client;
-use crate::net::fabric::{host, Fabric, Signal};
+use crate::net::fabric::{host, Fabric, ActorEvent};
 use crate::server::Server;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -50,10 +50,10 @@
 }
 
 /// What clients were told, but for the feed's connections.
-fn told(fabric: &Fabric, link: u64) -> Vec<Signal> {
-    let concerns = |signal: &Signal| match signal {
-        Signal::Opened { link: of, .. } | Signal::Bytes { link: of, .. } => *of == link,
-        Signal::Closed { link: of } | Signal::Broken { link: of } => *of == link,
+fn told(fabric: &Fabric, link: u64) -> Vec<ActorEvent> {
+    let concerns = |signal: &ActorEvent| match signal {
+        ActorEvent::Opened { link: of, .. } | ActorEvent::Bytes { link: of, .. } => *of == link,
+        ActorEvent::Closed { link: of } | ActorEvent::Broken { link: of } => *of == link,
     };
     fabric.signals().into_iter().filter(concerns).collect()
 }
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -4,9 +4,9 @@
 
 use super::{Server, ACCEPT_AGAIN};
 use crate::admission::{Admission, AdmissionSettings, Refusal, Room, Verdict};
-use crate::front::thrift::codec::Reply;
+use crate::front::thrift::codec::ThriftReply;
 use crate::interface::{ClassId, Micros};
-use crate::net::{is_exhausted, ConnKey, Ready, Reason, Role};
+use crate::net::{is_exhausted, ConnectionKey, Ready, Reason, Role};
 use std::collections::BTreeMap;
 use std::io;
 use tracing::{info, warn};
@@ -22,7 +22,7 @@
     pub admission: Admission,
     /// Connections of the platform's front that were refused: each request there gets a refusal with this pause
     /// (us), and whether one has had it. A ping is answered as anywhere.
-    pub refusing: BTreeMap<ConnKey, (Micros, bool)>,
+    pub refusing: BTreeMap<ConnectionKey, (Micros, bool)>,
     /// A descriptor held to take one connection and refuse it when there are no others.
     spare: Option<std::fs::File>,
     /// Descriptors that are no connection (listeners, poll, signals, standard streams), as counted once.
@@ -84,7 +84,7 @@
     }
 
     /// Judges a connection that was just accepted; `false` if it was refused and is dealt with here.
-    pub(super) fn admit(&mut self, role: Role, conn: ConnKey, shed: bool) -> bool {
+    pub(super) fn admit(&mut self, role: Role, conn: ConnectionKey, shed: bool) -> bool {
         let Some(address) = self.net.address(conn) else { return false };
         let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
         let free = if self.admitting.admission.is_on() { self.free_descriptors() } else { None };
@@ -115,7 +115,7 @@
 
     /// Refuses each request on a new connection, with a pause (us): what its client has sent by now, and if the
     /// connection `waits` what it sends next.
-    pub(super) fn refuse_connection(&mut self, role: Role, conn: ConnKey, pause: Micros, waits: bool) {
+    pub(super) fn refuse_connection(&mut self, role: Role, conn: ConnectionKey, pause: Micros, waits: bool) {
         if role == Role::Thrift {
             self.thrift.open(self.now, conn, &mut self.due);
             self.admitting.refusing.insert(conn, (pause, false));
@@ -134,7 +134,7 @@
     }
 
     /// The refusal that a call on a refused connection gets.
-    pub(super) fn refused_call(&mut self, conn: ConnKey, class: Option<ClassId>) -> Option<Reply> {
+    pub(super) fn refused_call(&mut self, conn: ConnectionKey, class: Option<ClassId>) -> Option<ThriftReply> {
         let (pause, told) = self.admitting.refusing.get_mut(&conn)?;
         let pause = *pause;
         *told = true;
@@ -143,14 +143,14 @@
 
     /// Ends a refused connection once a request there had its refusal and all is answered: not after a ping alone,
     /// since its client is about to send a request that would cross the end.
-    pub(super) fn end_refused(&mut self, conn: ConnKey) {
+    pub(super) fn end_refused(&mut self, conn: ConnectionKey) {
         if self.admitting.refusing.get(&conn).is_some_and(|(_, told)| *told) {
             self.thrift.end_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
         }
     }
 
     /// A call of this connection was answered by the edge proxy: it is in good standing.
-    pub(super) fn in_good_standing(&mut self, conn: ConnKey) {
+    pub(super) fn in_good_standing(&mut self, conn: ConnectionKey) {
         self.admitting.admission.good(self.now, conn.number());
     }
 
--- a/src/server/figures.rs
+++ b/src/server/figures.rs
@@ -1,9 +1,9 @@
 //! The operators' calls, and the figures that they are told: read where they are kept, worded here alone.
 
 use super::Server;
-use crate::front::admin::{self, Call};
+use crate::front::admin::{self, AdminCall};
 use crate::interface::ClassId;
-use crate::net::{ConnKey, Role};
+use crate::net::{ConnectionKey, Role};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -19,20 +19,20 @@
     }
 
     /// A caller's connection may be read from: answers the call that is whole now.
-    pub(super) fn called(&mut self, conn: ConnKey) {
+    pub(super) fn called(&mut self, conn: ConnectionKey) {
         let Some(admin) = &mut self.admin else { return };
         let Some(call) = admin.front.ready(self.now, conn, &mut self.net, &mut self.due) else { return };
         let (status, body) = match call {
-            Call::Healthcheck if self.takes_clients() => (200, "ok\n".into()),
-            Call::Healthcheck if self.stopping.is_some() => (503, "stopping\n".into()),
-            Call::Healthcheck => (503, "starting\n".into()),
-            Call::Stats => (200, self.figures()),
-            Call::Federation => match self.federation.json() {
+            AdminCall::Healthcheck if self.takes_clients() => (200, "ok\n".into()),
+            AdminCall::Healthcheck if self.stopping.is_some() => (503, "stopping\n".into()),
+            AdminCall::Healthcheck => (503, "starting\n".into()),
+            AdminCall::Stats => (200, self.figures()),
+            AdminCall::Federation => match self.federation.json() {
                 Some(json) => (200, json),
                 None => (404, String::new()),
             },
         };
-        let kind = if call == Call::Federation { "application/json" } else { admin::TEXT };
+        let kind = if call == AdminCall::Federation { "application/json" } else { admin::TEXT };
         if let Some(admin) = &mut self.admin {
             admin.front.answer(self.now, conn, status, (kind, &body), &mut self.net, &mut self.due);
         }
@@ -50,7 +50,7 @@
         let mut classes: BTreeMap<&str, [u64; 4]> = BTreeMap::new();
         for (number, name) in self.names.classes.iter().enumerate() {
             let class = ClassId(number as u16);
-            let answered = self.core.answered(class);
+            let answered = self.core.answer_counts(class);
             let new = [answered.success, answered.overload, answered.error, self.upstream.written(class.0)];
             let sums = classes.entry(name).or_default();
             sums.iter_mut().zip(new).for_each(|(sum, new)| *sum += new);
@@ -68,9 +68,9 @@
         for rejections in self.core.rejections() {
             line(&format!("refused.{}", rejections.reason), rejections.count);
         }
-        let caches = self.core.caches();
+        let caches = self.core.cache_counts();
         line("dispatches", classes.values().map(|sums| sums[3]).sum());
-        line("concurrent", self.waiting.len() as u64);
+        line("concurrent", self.pending.len() as u64);
         line("targets", caches.listed as u64);
         line("targets_disabled", caches.avoided as u64);
         line("reload_success", self.reloads[0]);
--- a/src/server/handover.rs
+++ b/src/server/handover.rs
@@ -2,7 +2,7 @@
 //! in `$TMPDIR`, named after the clients' address. Each sees the other's end at once, as the end of a stream; each tells
 //! the other how many clients' connections it holds, since they share one limit; and the older hands its connections on.
 
-use crate::net::fabric::{End, Fabric, Mail};
+use crate::net::fabric::{VirtualStream, Fabric, ProcessMessage};
 use crate::net::{Net, Stream};
 use mio::net::{UnixListener, UnixStream};
 use rustix::net::{recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -31,14 +31,14 @@
 const AT_ONCE: usize = 16;
 
 /// A client's connection, and what was read there and not used.
-pub(super) type Handed = (Passed, Vec<u8>);
+pub(super) type Handed = (HandedStream, Vec<u8>);
 
 /// A connection as it is handed on.
-pub(super) enum Passed {
+pub(super) enum HandedStream {
     /// A socket.
     Stream(TcpStream),
     /// An end in the simulator.
-    End(End),
+    End(VirtualStream),
 }
 
 /// The other process's end.
@@ -99,7 +99,7 @@
             } else {
                 // A descriptor comes no later than its message's first byte.
                 let Some(fd) = self.fds.pop_front() else { return false };
-                handed.push((Passed::Stream(TcpStream::from(fd)), self.part[HEAD..HEAD + length].to_vec()));
+                handed.push((HandedStream::Stream(TcpStream::from(fd)), self.part[HEAD..HEAD + length].to_vec()));
             }
             self.part.drain(..HEAD + length);
         }
@@ -170,10 +170,10 @@
             Sibling::Socket(socket) => return socket.read(handed),
             Sibling::Virtual(peer) => peer,
         };
-        for mail in peer.fabric.take_mail(peer.ends.1, peer.ends.0) {
+        for mail in peer.fabric.take_messages(peer.ends.1, peer.ends.0) {
             match mail {
-                Mail::Clients(clients) => peer.clients = clients,
-                Mail::Connection(end, unused) => handed.push((Passed::End(end), unused)),
+                ProcessMessage::Clients(clients) => peer.clients = clients,
+                ProcessMessage::Connection(end, unused) => handed.push((HandedStream::End(end), unused)),
             }
         }
         peer.fabric.is_alive(peer.ends.1)
@@ -182,7 +182,7 @@
     fn tell(&mut self, clients: usize) -> bool {
         match self {
             Sibling::Socket(socket) => socket.send(COUNT, clients, &[], None),
-            Sibling::Virtual(peer) => peer.mail(Mail::Clients(clients)),
+            Sibling::Virtual(peer) => peer.mail(ProcessMessage::Clients(clients)),
         }
     }
 
@@ -194,7 +194,7 @@
             (Sibling::Virtual(peer), Stream::Virtual(end)) => {
                 // One that is passed on to nobody would be lost.
                 peer.fabric.is_alive(peer.ends.1)
-                    && peer.mail(Mail::Connection(end.pass(peer.ends.1), unused.to_vec()))
+                    && peer.mail(ProcessMessage::Connection(end.pass(peer.ends.1), unused.to_vec()))
             }
             _ => false,
         }
@@ -202,8 +202,8 @@
 }
 
 impl Peer {
-    fn mail(&self, mail: Mail) -> bool {
-        self.fabric.mail(self.ends.0, self.ends.1, self.there, mail).is_ok()
+    fn mail(&self, mail: ProcessMessage) -> bool {
+        self.fabric.send_message(self.ends.0, self.ends.1, self.there, mail).is_ok()
     }
 }
 
--- a/src/server/instants.rs
+++ b/src/server/instants.rs
@@ -16,7 +16,7 @@
 
 /// When a time is heard.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Heard {
+pub(super) struct Reception {
     /// By the monotonic clock, us.
     pub now: Micros,
     /// By the wall clock, us.
@@ -34,7 +34,7 @@
 }
 
 /// Converts Unix times to instants of the monotonic clock. An offset is what Unix time is ahead of that clock.
-pub(super) struct Instants {
+pub(super) struct UnixTimeConverter {
     /// The wall clock's offset at the start, us.
     initial_offset: Micros,
     /// The true offset is this at least, us; `None`: nothing was heard that says so.
@@ -44,11 +44,11 @@
     starts: BTreeMap<ServerId, Start>,
 }
 
-impl Instants {
+impl UnixTimeConverter {
     /// Nothing was heard yet; the clocks read this.
     pub fn new(now: Micros, unix: Micros) -> Self {
         let initial_offset = unix.saturating_sub(now);
-        Instants { initial_offset, least_offset: None, most_offset: None, starts: BTreeMap::new() }
+        UnixTimeConverter { initial_offset, least_offset: None, most_offset: None, starts: BTreeMap::new() }
     }
 
     /// Another machine's stamp (Unix us) is heard now: Unix time has come that far.
@@ -70,7 +70,7 @@
     }
 
     /// When a purge was made (Unix us): as far as is sure not before it was, and never later than now.
-    pub fn purge(&mut self, heard: Heard, at: Micros) -> Micros {
+    pub fn purge(&mut self, heard: Reception, at: Micros) -> Micros {
         self.witness(heard.now, at);
         match self.by_wall_clock(heard, at).filter(|_| !heard.first) {
             Some(instant) => instant,
@@ -81,7 +81,7 @@
     /// When a server started (Unix us), which is converted once for each start that is told. What is told at the start is
     /// taken at the wall clock's word: else every upgrade would have servers warm up anew. Later, a start counts as no
     /// earlier than it can have been.
-    pub fn start(&mut self, heard: Heard, server: ServerId, told: Micros) -> Micros {
+    pub fn start(&mut self, heard: Reception, server: ServerId, told: Micros) -> Micros {
         if let Some(known) = self.starts.get(&server).filter(|known| known.told == told) {
             return known.instant;
         }
@@ -101,7 +101,7 @@
 
     /// The instant by the wall clock, if it was not stepped since the start and agrees with what was heard. As long as
     /// nothing was heard that bounds it, only what has just happened is believed.
-    fn by_wall_clock(&self, heard: Heard, stamp: Micros) -> Option<Micros> {
+    fn by_wall_clock(&self, heard: Reception, stamp: Micros) -> Option<Micros> {
         let offset = heard.wall_offset();
         let instant = by_offset(heard.now, offset, stamp);
         let is_stepped = offset.abs_diff(self.initial_offset) > STEP.unsigned_abs();
@@ -113,7 +113,7 @@
     }
 
     /// The earliest instant at which something stamped so can have been, as far as is sure.
-    fn at_the_earliest(&self, heard: Heard, stamp: Micros) -> Micros {
+    fn at_the_earliest(&self, heard: Reception, stamp: Micros) -> Micros {
         // What is heard now was stamped by now.
         let own = stamp.saturating_sub(heard.now);
         let sure = self.least_offset.map_or(own, |least| least.max(own));
@@ -121,7 +121,7 @@
     }
 }
 
-impl Heard {
+impl Reception {
     fn wall_offset(self) -> Micros {
         self.unix.saturating_sub(self.now)
     }
--- a/src/server/instants/tests.rs
+++ b/src/server/instants/tests.rs
@@ -12,22 +12,22 @@
 const STEPS: [Micros; 8] = [SECOND, 2 * SECOND, 5 * SECOND, HOUR, -SECOND, -2 * SECOND, -5 * SECOND, -HOUR];
 
 /// Heard in service, with the wall clock this much ahead.
-fn heard(ahead: Micros) -> Heard {
-    Heard { now: NOW, unix: UNIX + ahead, first: false }
+fn heard(ahead: Micros) -> Reception {
+    Reception { now: NOW, unix: UNIX + ahead, first: false }
 }
 
 /// Heard at the start.
-fn first(ahead: Micros) -> Heard {
-    Heard { first: true, ..heard(ahead) }
+fn first(ahead: Micros) -> Reception {
+    Reception { first: true, ..heard(ahead) }
 }
 
 /// Those of a process that started with the wall clock this much ahead.
-fn started(ahead: Micros) -> Instants {
-    Instants::new(NOW - 9 * SECOND, UNIX + ahead - 9 * SECOND)
+fn started(ahead: Micros) -> UnixTimeConverter {
+    UnixTimeConverter::new(NOW - 9 * SECOND, UNIX + ahead - 9 * SECOND)
 }
 
 /// The same, to which a copy was told that the origin had given out 3 ms before, for a request sent 8 ms before.
-fn witnessed(ahead: Micros) -> Instants {
+fn witnessed(ahead: Micros) -> UnixTimeConverter {
     let mut instants = started(ahead);
     instants.witness_copy(NOW, (UNIX / 1000 - 3) as u64, Some(NOW - 8000));
     instants
--- a/src/server/leave.rs
+++ b/src/server/leave.rs
@@ -4,8 +4,8 @@
 //! the system accepted, each connection is told the end as it falls idle, and the process ends once all is answered
 //! and the clients have closed, or have had time to.
 
-use super::handover::{Handed, Passed};
-use super::{Due, Server};
+use super::handover::{Handed, HandedStream};
+use super::{ServerDeadline, Server};
 use crate::deadlines::Schedule;
 use crate::front::thrift::PAUSE;
 use crate::interface::Micros;
@@ -40,29 +40,29 @@
 
 impl Server {
     /// The signal to stop has come.
-    pub(super) fn stop(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         info!("stopping");
         self.stopping = Some(self.now);
         self.federation.stop();
         if self.handover.has_newer() {
-            self.leave();
+            self.stop_accepting();
         } else {
             let before_force = self.forced_end() - LEAVE_BEFORE_FORCE;
             let at = before_force.clamp(self.now + REQUESTS_COME, self.now + STOP_AFTER);
-            self.due.add(at, Due::Stop);
+            self.due.add(at, ServerDeadline::Stop);
         }
     }
 
     /// Takes no more clients. What waits in a listener's queue would be reset with it: the queue is emptied first, later
     /// if there are no descriptors for it.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn stop_accepting(&mut self) {
         for role in [Role::Thrift, Role::Signed] {
             while let Some(conn) = self.accept_one(role) {
                 self.take_in(role, conn);
             }
         }
         if self.is_exhausted() && self.now < self.forced_end() {
-            self.due.add(self.now + STOP_LOOK, Due::Stop);
+            self.due.add(self.now + STOP_LOOK, ServerDeadline::Stop);
             return;
         }
         let links = self.links.as_mut().and_then(|links| links.listener.take());
@@ -78,7 +78,7 @@
         if let Some(links) = &mut self.links {
             links.front.retire(self.now, &mut self.net, &mut self.due);
         }
-        self.due.add(self.now, Due::Stop);
+        self.due.add(self.now, ServerDeadline::Stop);
     }
 
     pub(super) fn is_leaving(&self) -> bool {
@@ -87,7 +87,7 @@
 
     /// Hands on the connections on which nothing is open, once all that was ready has been done; with nobody to take
     /// them, they end.
-    pub(super) fn fade(&mut self) {
+    pub(super) fn hand_over_or_close_idle(&mut self) {
         if !self.is_leaving() {
             return;
         }
@@ -95,10 +95,10 @@
             let begun = self.stopping.unwrap_or(self.now);
             let most = ((self.now - begun) / PAUSE_STEP) as usize;
             let before_end = self.last_answers() <= self.now + PAUSE;
-            for conn in self.thrift.to_hand_on(self.now, most, before_end, &self.net) {
+            for conn in self.thrift.connections_to_hand_over(self.now, most, before_end, &self.net) {
                 let handover = &mut self.handover;
-                if self.net.hand_on(self.now, conn, |stream, unused| handover.hand(stream, unused)) {
-                    self.thrift.handed_on(conn, &mut self.due);
+                if self.net.hand_over(self.now, conn, |stream, unused| handover.hand(stream, unused)) {
+                    self.thrift.handed_over(conn, &mut self.due);
                 }
             }
             return;
@@ -114,8 +114,8 @@
     /// Takes in a connection that the older process has handed on.
     pub(super) fn adopt(&mut self, (stream, unused): Handed) {
         let adopted = match stream {
-            Passed::Stream(stream) => self.net.adopt(self.now, stream, Role::Thrift, &unused),
-            Passed::End(end) => self.net.adopt_end(self.now, end, Role::Thrift, &unused),
+            HandedStream::Stream(stream) => self.net.adopt(self.now, stream, Role::Thrift, &unused),
+            HandedStream::End(end) => self.net.adopt_virtual(self.now, end, Role::Thrift, &unused),
         };
         match adopted {
             Ok(conn) => {
@@ -144,9 +144,9 @@
         self.forced_end() - before
     }
 
-    pub(super) fn look_for_end(&mut self) {
+    pub(super) fn check_stopped(&mut self) {
         if !self.is_leaving() {
-            return self.leave();
+            return self.stop_accepting();
         }
         if self.last_answers() <= self.now {
             self.answer_at_last();
@@ -164,7 +164,7 @@
         if over || self.forced_end() - END_BEFORE_FORCE <= self.now {
             self.stopped = true;
         } else {
-            self.due.add(self.now + STOP_LOOK, Due::Stop);
+            self.due.add(self.now + STOP_LOOK, ServerDeadline::Stop);
         }
     }
 
@@ -172,28 +172,28 @@
     /// read and answered too, and then they are told the end: some never fall idle.
     fn answer_at_last(&mut self) {
         if self.handover.has_newer() {
-            return self.core.expire(self.now, &mut self.due);
+            return self.core.time_out_all(self.now, &mut self.due);
         }
         for conn in self.thrift.connections() {
             self.on_ready(Ready::readable(conn));
         }
         for _ in 0..LAST_TURNS {
-            let Some(conn) = self.thrift.turn() else { break };
+            let Some(conn) = self.thrift.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
-            self.core.expire(self.now, &mut self.due);
+            self.core.time_out_all(self.now, &mut self.due);
             self.settle();
         }
-        self.core.expire(self.now, &mut self.due);
+        self.core.time_out_all(self.now, &mut self.due);
         self.settle();
         let asks = self.thrift.end_all(self.now, Reason::Stopping, &mut self.net, &mut self.due);
-        self.asked(asks);
+        self.on_thrift_events(asks);
     }
 
     /// Whether every request that was read has had its answer, down to the last byte.
     fn is_answered(&self) -> bool {
         let links = self.links.as_ref().map(|links| &links.front);
         self.core.unanswered() == 0
-            && self.thrift.turns() == 0
+            && self.thrift.waiting_turns() == 0
             && self.thrift.is_flushed(&self.net)
             && links.is_none_or(|links| links.is_flushed(&self.net))
     }
--- a/src/server/links.rs
+++ b/src/server/links.rs
@@ -1,26 +1,26 @@
 //! The second front, where there is one: its listener, and what its routes serve.
 
 use super::{listen, ServerError, LINKS};
-use crate::config::settings::Parsed;
-use crate::config::signed::Signed;
+use crate::config::settings::SiteSettings;
+use crate::config::signed::SignedConfig;
 use crate::config::Config;
 use crate::front::signed;
 use crate::interface::{ClassId, Micros};
 use crate::net::{Listener, Net};
 
 /// The second front, where there is one.
-pub(super) struct Links {
+pub(super) struct SignedLinks {
     pub listener: Option<Listener>,
-    pub front: signed::Front,
+    pub front: signed::SignedFront,
     /// Each route's class, and how long its answers are waited for.
     pub classes: Vec<(ClassId, Micros)>,
 }
 
-impl Links {
-    pub(super) fn start(signed: Signed, config: &Config, net: &mut Net) -> Result<Self, ServerError> {
+impl SignedLinks {
+    pub(super) fn start(signed: SignedConfig, config: &Config, net: &mut Net) -> Result<Self, ServerError> {
         let classes = route_classes(&signed, &config.settings)?;
         let listener = Some(listen(net, signed.listen, true, LINKS)?);
-        Ok(Links { listener, classes, front: signed::Front::new(signed) })
+        Ok(SignedLinks { listener, classes, front: signed::SignedFront::new(signed) })
     }
 }
 
@@ -29,8 +29,8 @@
 /// # Errors
 ///
 /// A class that is unknown, or whose requests are never kept.
-pub fn route_classes(signed: &Signed, settings: &Parsed) -> Result<Vec<(ClassId, Micros)>, ServerError> {
-    let Parsed { names, settings } = settings;
+pub fn route_classes(signed: &SignedConfig, settings: &SiteSettings) -> Result<Vec<(ClassId, Micros)>, ServerError> {
+    let SiteSettings { names, settings } = settings;
     let class = |route: &crate::config::signed::Route| {
         let id = names.class(&route.class)?;
         let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.never_kept)?;
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -1,27 +1,27 @@
 //! News of the control feed: the list of servers, and purges. Unix times in it become instants of the monotonic clock
 //! here, by [`super::instants::Instants`].
 
-use super::instants::Heard;
+use super::instants::Reception;
 use super::Server;
-use crate::config::events::{Batch, Numbered};
+use crate::config::events::{FeedBatch, FeedEvent};
 use crate::interface::{ListUpdate, Micros, ObjectId, Purge, ServerId, ServerState};
 use crate::GroupId;
 use tracing::{info, warn};
 
 impl Server {
     /// Takes in events of the control feed, in their order.
-    pub(super) fn news(&mut self, batch: Batch) {
+    pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
         // What was known at the start, or else the first list that is told.
         let first = self.feed.polls()[1] == 0 || !self.listed;
-        let heard = Heard { now: self.now, unix: self.net.unix_time(), first };
+        let heard = Reception { now: self.now, unix: self.net.unix_time(), first };
         let purges = batch.events.iter().filter_map(|event| event.purge.as_ref());
         purges.for_each(|purge| self.instants.witness(self.now, micros(purge.at)));
-        for Numbered { n, members, purge } in batch.events {
+        for FeedEvent { n, members, purge } in batch.events {
             if let Some(change) = members {
                 self.listed |= change.whole;
                 let mut entries: Vec<_> = Vec::with_capacity(change.hosts.len());
                 for host in &change.hosts {
-                    let mut member = self.members.member(host, &self.names);
+                    let mut member = self.members.endpoint(host, &self.names);
                     let server = member.server;
                     let start = |told| self.instants.start(heard, server, told);
                     member.started_at = member.started_at.map(start);
@@ -39,7 +39,7 @@
                 let kind = if change.whole { ListUpdate::Rejected } else { ListUpdate::Delta };
                 let gone: Vec<ServerId> =
                     entries.iter().filter(|m| m.state == ServerState::Removed).map(|m| m.server).collect();
-                self.core.members(self.now, kind, entries, &mut self.due);
+                self.core.update_endpoints(self.now, kind, entries, &mut self.due);
                 for server in gone {
                     self.members.forget(server);
                     self.instants.forget(server);
