--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -15,8 +15,8 @@
 mod translate;
 
 use crate::admission::AdmissionSettings;
-use crate::config::settings::Names;
-use crate::config::signed::Signed;
+use crate::config::settings::SiteNames;
+use crate::config::signed::SignedConfig;
 use crate::config::{Config, ConfigError, Files};
 use crate::core::{self, Command, Core, RequestKey};
 use crate::deadlines::Deadlines;
@@ -25,20 +25,20 @@
 use crate::front::signed;
 use crate::front::thrift;
 use crate::interface::{ClassId, Micros, CacheStatus, ServerId};
-use crate::members::Members;
+use crate::members::ServerNames;
 use crate::net::fabric::Fabric;
-use crate::net::{Clock, ConnKey, Listener, Net, Ready};
+use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::slots::Key;
-use crate::upstream::lines::Fetch;
-use crate::upstream::{self, Happening, Upstream, Wording};
+use crate::upstream::lines::WireRequest;
+use crate::upstream::{self, UpstreamEvent, Upstream, RequestEncoder};
 use crate::SettingsError;
 use bytes::Bytes;
 use federate::Tie;
 use handover::{Handover, NEWER, OLDER, PLACE};
-use instants::Instants;
+use instants::UnixTimeConverter;
 pub use links::route_classes;
-use links::Links;
-use reload::{Budget, Started};
+use links::SignedLinks;
+use reload::{ResourceBudget, ActiveConfig};
 use signal_hook::consts::signal::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,13 +70,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Core(core::Due),
-    Upstream(upstream::Due),
-    Feed(feed::Due),
-    Thrift(thrift::Due),
-    Signed(signed::Due),
-    Admin(admin::Due),
+enum ServerDeadline {
+    Core(core::CoreDeadline),
+    Upstream(upstream::ConnectionDeadline),
+    Feed(feed::FeedDeadline),
+    Thrift(thrift::SessionDeadline),
+    Signed(signed::SessionDeadline),
+    Admin(admin::CallerDeadline),
     Accept,
     Stop,
 }
@@ -90,7 +90,7 @@
         })*
     };
 }
-due_from!(Core core::Due, Upstream upstream::Due, Feed feed::Due, Thrift thrift::Due, Signed signed::Due, Admin admin::Due);
+due_from!(Core core::CoreDeadline, Upstream upstream::ConnectionDeadline, Feed feed::FeedDeadline, Thrift thrift::SessionDeadline, Signed signed::SessionDeadline, Admin admin::CallerDeadline);
 
 /// Why the edge proxy cannot start, or had to end.
 #[derive(Debug, thiserror::Error)]
@@ -131,12 +131,12 @@
 
 /// Whom a request's answer is for.
 enum Client {
-    Thrift { conn: ConnKey, seqid: i32 },
-    Signed { conn: ConnKey },
+    Thrift { conn: ConnectionKey, seqid: i32 },
+    Signed { conn: ConnectionKey },
 }
 
 /// A request that is owed an answer, and what of it the core does not know.
-struct Waiting {
+struct PendingRequest {
     client: Client,
     tags: Vec<String>,
     class: ClassId,
@@ -149,41 +149,41 @@
 /// The admin endpoint, where there is one.
 struct AdminEndpoint {
     listener: Listener,
-    front: admin::Front,
+    front: admin::AdminFront,
 }
 
 /// The edge proxy.
 pub struct Server {
     files: Files,
-    started: Started,
+    started: ActiveConfig,
     clock: Clock,
     now: Micros,
     net: Net,
-    due: Deadlines<Due>,
+    due: Deadlines<ServerDeadline>,
     core: Core,
-    members: Members,
-    instants: Instants,
+    members: ServerNames,
+    instants: UnixTimeConverter,
     upstream: Upstream,
     feed: Feed,
-    thrift: thrift::Front,
-    links: Option<Links>,
+    thrift: thrift::ThriftFront,
+    links: Option<SignedLinks>,
     admin: Option<AdminEndpoint>,
     federation: Tie,
     /// Files accepted and turned down at SIGHUP.
     reloads: [u64; 2],
     seed: u64,
-    waiting: BTreeMap<RequestKey, Waiting>,
+    pending: BTreeMap<RequestKey, PendingRequest>,
     /// The ids of these requests: servers could not tell two under one id apart.
     ids: BTreeSet<String>,
     /// Bytes of the bodies that these requests brought.
     bodies: usize,
-    names: Names,
+    names: SiteNames,
     /// None once a newer process takes the clients.
     listener: Option<Listener>,
     /// None in the simulator, which calls what they would.
     signals: Option<Signals>,
     handover: Handover,
-    budget: Budget,
+    budget: ResourceBudget,
     accepting: accept::Accepting,
     admitting: admit::Admitting,
     /// Whether the list of servers has been had.
@@ -230,7 +230,7 @@
 
     fn begin(
         files: Files,
-        (config, signed, admission): (Config, Option<Signed>, AdmissionSettings),
+        (config, signed, admission): (Config, Option<SignedConfig>, AdmissionSettings),
         mut net: Net,
         clock: Clock,
         signals: Option<Signals>,
@@ -239,31 +239,31 @@
         let now = clock.now();
         let listener = listen(&mut net, config.listen, true, LISTENER)?;
         let addr = listener.local_addr()?;
-        let links = signed.map(|signed| Links::start(signed, &config, &mut net)).transpose()?;
+        let links = signed.map(|signed| SignedLinks::start(signed, &config, &mut net)).transpose()?;
         let admin = config.admin.map(|addr| {
             let listener = listen(&mut net, addr, false, ADMIN)?;
-            Ok::<_, ServerError>(AdminEndpoint { listener, front: admin::Front::default() })
+            Ok::<_, ServerError>(AdminEndpoint { listener, front: admin::AdminFront::default() })
         });
         let admin = admin.transpose()?;
-        let started = Started::of(&config);
+        let started = ActiveConfig::of(&config);
         let names = config.settings.names;
-        let budget = Budget::of(&config.limits, 1);
-        let figures = budget.figures(&names);
+        let budget = ResourceBudget::of(&config.limits, 1);
+        let figures = budget.pool_limits(&names);
         let mut server = Server {
             files,
             started,
             core: Core::new(config.settings.settings, config.seed, now)?,
-            members: Members::default(),
-            instants: Instants::new(now, net.unix_time()),
+            members: ServerNames::default(),
+            instants: UnixTimeConverter::new(now, net.unix_time()),
             upstream: Upstream::new(figures),
             feed: Feed::new(config.feed, config.known.n),
-            thrift: thrift::Front::default(),
+            thrift: thrift::ThriftFront::default(),
             links,
             admin,
             federation: Tie::default(),
             reloads: [0; 2],
             seed: config.seed,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             ids: BTreeSet::new(),
             bodies: 0,
             due: Deadlines::default(),
@@ -282,8 +282,8 @@
             names,
             signals,
         };
-        server.share();
-        server.news(config.known);
+        server.update_process_share();
+        server.on_feed_batch(config.known);
         server.feed.start(now, &mut server.net, &mut server.due);
         info!("{} listens on {addr}", config.name);
         if let Some(listener) = server.links.as_ref().and_then(|links| links.listener.as_ref()) {
@@ -311,7 +311,7 @@
 
     /// When there is something to do even if nothing comes.
     pub fn next_due(&self) -> Option<Micros> {
-        if self.thrift.turns() + self.upstream.turns() > 0 {
+        if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
             Some(self.now)
         } else {
             self.due.next()
@@ -338,8 +338,8 @@
             self.settle();
         }
         // Each that has more to read has one turn, behind all that was ready.
-        for _ in 0..self.thrift.turns() {
-            let Some(conn) = self.thrift.turn() else { break };
+        for _ in 0..self.thrift.waiting_turns() {
+            let Some(conn) = self.thrift.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
             self.settle();
         }
@@ -350,7 +350,7 @@
         }
         // Attempts are written behind all that came in the same turn: the news of the list and what clients gave up.
         self.pump();
-        self.fade();
+        self.hand_over_or_close_idle();
         self.forget_closed();
         self.handover.tell(self.clients());
         Ok(())
@@ -365,14 +365,14 @@
     pub fn terminate(&mut self) {
         if self.stopping.is_none() {
             self.now = self.clock.now();
-            self.stop();
+            self.begin_shutdown();
             self.pump();
         }
     }
 
     /// Bytes that buffers, bodies and waiting copies hold, and requests that are open.
     pub fn load(&self) -> (usize, usize) {
-        (self.net.held() + self.core.held() + self.bodies, self.waiting.len())
+        (self.net.held_bytes() + self.core.held_bytes() + self.bodies, self.pending.len())
     }
 
     /// The end of a process that has stopped.
@@ -397,7 +397,7 @@
         }
     }
 
-    fn is_client(&self, conn: ConnKey) -> bool {
+    fn is_client(&self, conn: ConnectionKey) -> bool {
         self.thrift.owns(conn) || self.links.as_ref().is_some_and(|links| links.front.owns(conn))
     }
 
@@ -423,7 +423,7 @@
                 }
                 handed.into_iter().for_each(|handed| self.adopt(handed));
                 if others {
-                    self.share();
+                    self.update_process_share();
                     self.federation.newer(self.handover.has_newer());
                 }
                 if others && self.is_leaving() && !self.handover.has_newer() {
@@ -437,55 +437,55 @@
                     self.reload();
                 }
                 if signals.iter().any(|signal| *signal != SIGHUP) && self.stopping.is_none() {
-                    self.stop();
+                    self.begin_shutdown();
                 }
             }
             Ready::Conn { key, read, write, closed } => {
                 if self.feed.owns(key) {
-                    for batch in self.feed.ready(self.now, &mut self.net, &mut self.due) {
-                        self.news(batch);
+                    for batch in self.feed.on_ready(self.now, &mut self.net, &mut self.due) {
+                        self.on_feed_batch(batch);
                     }
                 } else if self.is_for_admin(ready) {
                     self.called(key);
                 } else if self.thrift.owns(key) {
                     let asks = self.thrift.ready(self.now, key, closed, &mut self.net, &mut self.due);
-                    self.asked(asks);
+                    self.on_thrift_events(asks);
                     self.end_refused(key);
                 } else if self.links.as_ref().is_some_and(|links| links.front.owns(key)) {
                     match self.links.as_mut().filter(|_| closed) {
                         Some(links) => links.front.closed(self.now, key, &mut self.net, &mut self.due),
                         None => self.read_links(key),
                     }
-                    self.advance(key);
+                    self.write_signed_answers(key);
                 } else {
-                    self.upstream.held_elsewhere(self.core.held() + self.bodies);
+                    self.upstream.set_bytes_held_elsewhere(self.core.held_bytes() + self.bodies);
                     self.upstream.ready(self.now, key, read, write, &mut self.net, &mut self.due);
                 }
             }
         }
     }
 
-    fn on_due(&mut self, due: Due) {
+    fn on_due(&mut self, due: ServerDeadline) {
         match due {
-            Due::Core(what) => self.core.due(self.now, what, &mut self.due),
-            Due::Upstream(what) => self.upstream.due(self.now, what, &mut self.net, &mut self.due),
-            Due::Feed(what) => self.feed.due(self.now, what, &mut self.net, &mut self.due),
-            Due::Thrift(what) => {
+            ServerDeadline::Core(what) => self.core.deadline_passed(self.now, what, &mut self.due),
+            ServerDeadline::Upstream(what) => self.upstream.due(self.now, what, &mut self.net, &mut self.due),
+            ServerDeadline::Feed(what) => self.feed.deadline_passed(self.now, what, &mut self.net, &mut self.due),
+            ServerDeadline::Thrift(what) => {
                 let asks = self.thrift.due(self.now, what, &mut self.net, &mut self.due);
-                self.asked(asks);
+                self.on_thrift_events(asks);
             }
-            Due::Signed(what) => {
+            ServerDeadline::Signed(what) => {
                 let Some(links) = &mut self.links else { return };
                 let conn = links.front.due(self.now, what, &mut self.net, &mut self.due);
-                self.advance(conn);
+                self.write_signed_answers(conn);
             }
-            Due::Admin(what) => {
+            ServerDeadline::Admin(what) => {
                 if let Some(admin) = &mut self.admin {
                     admin.front.due(self.now, what, &mut self.net, &mut self.due);
                 }
             }
-            Due::Accept => self.accept_now(),
-            Due::Stop => self.look_for_end(),
+            ServerDeadline::Accept => self.accept_now(),
+            ServerDeadline::Stop => self.check_stopped(),
         }
     }
 
@@ -508,10 +508,10 @@
 
     /// Whether there was anything to tell the core or to do for it.
     fn settle_once(&mut self) -> bool {
-        let happened = self.upstream.happened();
+        let happened = self.upstream.take_events();
         let mut busy = !happened.is_empty();
         happened.into_iter().for_each(|happening| self.on_happening(happening));
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             busy = true;
             self.carry_out(command);
         }
@@ -521,61 +521,61 @@
     fn dispatch(&mut self) {
         // The time of the writing itself: what is waited for an answer counts from here.
         self.now = self.clock.now();
-        let mut wording = AttemptWording {
+        let mut wording = AttemptEncoder {
             now: self.now,
             core: &mut self.core,
             members: &self.members,
-            waiting: &self.waiting,
+            waiting: &self.pending,
             names: &self.names,
         };
         self.upstream.dispatch(self.now, &mut self.net, &mut self.due, &mut wording);
     }
 
-    fn on_happening(&mut self, happening: Happening) {
+    fn on_happening(&mut self, happening: UpstreamEvent) {
         match happening {
-            Happening::Ended { job, ending } => {
+            UpstreamEvent::JobEnded { job, end: ending } => {
                 let end = translate::end(ending, &self.names);
                 let attempt = Key::from_number(job);
-                let asked = self.core.launched_at(attempt).filter(|_| end.note == Some(CacheStatus::FilledByOrigin));
-                self.instants.witness_copy(self.now, end.copy.born, asked);
-                self.core.ended(self.now, attempt, end, &mut self.due);
+                let asked = self.core.written_at(attempt).filter(|_| end.cache_status == Some(CacheStatus::FilledByOrigin));
+                self.instants.witness_copy(self.now, end.copy.generated_at_ms, asked);
+                self.core.attempt_ended(self.now, attempt, end, &mut self.due);
             }
-            Happening::Probed { host, ending, elapsed } => {
+            UpstreamEvent::HealthChecked { host, ending, elapsed } => {
                 let end = translate::end(ending, &self.names);
-                self.core.probed(self.now, ServerId(host), end.result, elapsed, end.load, &mut self.due);
+                self.core.health_checked(self.now, ServerId(host), end.result, elapsed, end.load_report, &mut self.due);
             }
         }
     }
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::Send { attempt, request, server } => {
-                let waiting = self.waiting.get(&request);
+            Command::SendAttempt { attempt, request, server } => {
+                let waiting = self.pending.get(&request);
                 let (id, class) = waiting.map_or_else(Default::default, |w| (w.trace.clone(), w.class.0));
                 let write = self.names.writes.get(usize::from(class)).is_some_and(|write| *write);
                 let tally = Some(class).filter(|_| self.core.is_cache(server));
                 self.upstream.queue(self.now, server.0, attempt.number(), id, write, tally);
             }
-            Command::Drop(attempt) => {
-                self.upstream.give_up(self.now, attempt.number(), &mut self.net, &mut self.due);
+            Command::AbandonAttempt(attempt) => {
+                self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.due);
             }
-            Command::Answer(request) => match self.waiting.get(&request).map(|waiting| &waiting.client) {
+            Command::AnswerRequest(request) => match self.pending.get(&request).map(|waiting| &waiting.client) {
                 Some(Client::Thrift { conn, seqid }) => {
                     let (conn, seqid) = (*conn, *seqid);
                     let Some(answer) = self.core.answer_now(self.now, request) else { return };
-                    self.over(request);
+                    self.on_answer_begun(request);
                     let reply = translate::reply(answer);
                     let asks = self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
-                    self.asked(asks);
+                    self.on_thrift_events(asks);
                 }
                 Some(Client::Signed { conn }) => {
                     let conn = *conn;
-                    self.advance(conn);
+                    self.write_signed_answers(conn);
                 }
                 None => {}
             },
-            Command::Probe(server) => self.upstream.probe(self.now, server.0),
-            Command::CloseIdle(server) => {
+            Command::HealthCheck(server) => self.upstream.health_check(self.now, server.0),
+            Command::CloseIdleConnections(server) => {
                 self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.due);
             }
             Command::Log(line) => info!("module: {line}"),
@@ -584,17 +584,17 @@
 }
 
 /// Words attempts for the servers' wire as they are written.
-struct AttemptWording<'a> {
+struct AttemptEncoder<'a> {
     now: Micros,
     core: &'a mut Core,
-    members: &'a Members,
-    waiting: &'a BTreeMap<RequestKey, Waiting>,
-    names: &'a Names,
+    members: &'a ServerNames,
+    waiting: &'a BTreeMap<RequestKey, PendingRequest>,
+    names: &'a SiteNames,
 }
 
-impl Wording<Deadlines<Due>> for AttemptWording<'_> {
-    fn fetch(&mut self, job: u64, due: &mut Deadlines<Due>) -> Option<Fetch> {
-        let order = self.core.launch(self.now, Key::from_number(job), due)?;
+impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
+    fn encode(&mut self, job: u64, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
+        let order = self.core.write_attempt(self.now, Key::from_number(job), due)?;
         let asked = self.waiting.get(&order.request)?;
         let class = self.names.classes.get(usize::from(asked.class.0))?;
         let from = order.source.and_then(|source| self.members.name(source));
@@ -605,7 +605,7 @@
     }
 
     fn not_written(&mut self, job: u64) {
-        self.core.not_launched(Key::from_number(job));
+        self.core.attempt_not_written(Key::from_number(job));
     }
 }
 
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -2,9 +2,9 @@
 //! operator's file. The rest holds until the next start.
 
 use super::{route_classes, Server, ServerError};
-use crate::config::settings::{Names, Parsed};
-use crate::config::{Config, ConfigError, Limits};
-use crate::upstream::Figures;
+use crate::config::settings::{SiteNames, SiteSettings};
+use crate::config::{Config, ConfigError, ProcessLimits};
+use crate::upstream::PoolLimits;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tracing::{info, warn};
@@ -23,7 +23,7 @@
 const SLOW: usize = 240_000;
 
 /// What the limits leave for whom.
-pub(super) struct Budget {
+pub(super) struct ResourceBudget {
     /// Connections of clients, those that have not asked yet included.
     pub clients: usize,
     /// Connections to servers.
@@ -34,17 +34,17 @@
     pub answers: usize,
 }
 
-impl Budget {
+impl ResourceBudget {
     /// What the limits leave to one of so many processes that serve as one edge proxy. Clients' connections are counted
     /// together, since nobody says which process gets them; the rest is divided.
-    pub fn of(limits: &Limits, processes: usize) -> Self {
+    pub fn of(limits: &ProcessLimits, processes: usize) -> Self {
         let memory = limits.memory_mb as f64 * 1e6 / processes as f64;
         let sockets = limits.sockets.saturating_sub(OTHER_SOCKETS * processes);
         let usual = limits.sockets.div_ceil(3).min(sockets / 2 + 1);
         let clients = usual + (sockets - usual) / NEWCOMERS;
         let servers = sockets.saturating_sub(clients) / processes;
         let requests = [FULL, FULL_FOR_ALL].map(|part| (memory * part) as usize);
-        Budget { clients, servers, requests, answers: (memory * NO_ROOM) as usize }
+        ResourceBudget { clients, servers, requests, answers: (memory * NO_ROOM) as usize }
     }
 
     /// Whether a new request is refused, with so many bytes held in all and so many that wait for its client.
@@ -53,27 +53,27 @@
     }
 
     /// What connections to servers go by.
-    pub fn figures(&self, names: &Names) -> Figures {
-        Figures {
+    pub fn pool_limits(&self, names: &SiteNames) -> PoolLimits {
+        PoolLimits {
             connect_timeout: names.connect_timeout,
-            idle: names.conn_idle,
-            streams: names.streams_per_conn,
-            most: self.servers,
-            bytes: self.answers,
+            idle_timeout: names.conn_idle,
+            max_jobs_per_connection: names.streams_per_conn,
+            max_connections: self.servers,
+            max_buffered_bytes: self.answers,
         }
     }
 }
 
 /// The configuration that holds, as far as a new one is compared with it.
-pub(super) struct Started {
+pub(super) struct ActiveConfig {
     name: String,
     listen: SocketAddr,
     keys: BTreeSet<String>,
-    limits: Limits,
-    settings: Parsed,
+    limits: ProcessLimits,
+    settings: SiteSettings,
 }
 
-impl Started {
+impl ActiveConfig {
     /// Whether refusals may tell clients when to come back.
     pub fn retry_after(&self) -> bool {
         self.settings.settings.limits.retry_after
@@ -81,7 +81,7 @@
 
     pub fn of(config: &Config) -> Self {
         let (name, keys, settings) = (config.name.clone(), config.keys.clone(), config.settings.clone());
-        Started { name, listen: config.listen, keys, limits: config.limits, settings }
+        ActiveConfig { name, listen: config.listen, keys, limits: config.limits, settings }
     }
 }
 
@@ -99,12 +99,12 @@
     }
 
     /// Keeps to this process's share of the limits.
-    pub(super) fn share(&mut self) {
+    pub(super) fn update_process_share(&mut self) {
         let (processes, place) = self.handover.processes();
-        self.budget = Budget::of(&self.started.limits, processes);
-        self.upstream.set_figures(self.budget.figures(&self.names));
+        self.budget = ResourceBudget::of(&self.started.limits, processes);
+        self.upstream.set_limits(self.budget.pool_limits(&self.names));
         self.upstream.trim(self.now, &mut self.net, &mut self.due);
-        self.core.share(processes as u32, place as u32);
+        self.core.set_process_share(processes as u32, place as u32);
     }
 
     /// All that can fail comes first, so that nothing is taken over in part.
@@ -126,8 +126,8 @@
         self.admitting.reconfigure(admission);
         self.federation.reload(federation);
         self.names = settings.names.clone();
-        self.started = Started { name, listen, keys, limits, settings };
-        self.share();
+        self.started = ActiveConfig { name, listen, keys, limits, settings };
+        self.update_process_share();
         if let (Some(links), Some((classes, signed))) = (&mut self.links, routes) {
             links.classes = classes;
             links.front.reload(signed);
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -1,12 +1,12 @@
 //! Translation between the wires' messages and the core's requests, attempts and outcomes.
 
-use crate::config::settings::Names;
-use crate::core::{Copy, End, Final, Order};
+use crate::config::settings::SiteNames;
+use crate::core::{CachedCopy, AttemptEnd, FinalAnswer, OutgoingAttempt};
 use crate::front::signed::http;
-use crate::front::thrift::codec::Reply;
+use crate::front::thrift::codec::ThriftReply;
 use crate::interface::{AttemptResult, ClassId, GroupId, Micros, CacheStatus, ObjectId};
-use crate::upstream::lines::{self, Answer, Fetch};
-use crate::upstream::Ending;
+use crate::upstream::lines::{self, WireAnswer, WireRequest};
+use crate::upstream::JobEnd;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 
 /// The fields of a client's request, read.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Form {
+pub struct RequestFields {
     /// The class.
     pub class: ClassId,
     /// The object.
@@ -39,12 +39,12 @@
 }
 
 /// The class that a request names, whatever else is wrong with it.
-pub fn class(fields: &BTreeMap<String, String>, names: &Names) -> Option<ClassId> {
+pub fn class(fields: &BTreeMap<String, String>, names: &SiteNames) -> Option<ClassId> {
     names.class(fields.get("route")?)
 }
 
 /// Reads a request's fields; unknown ones are ignored.
-pub fn form(fields: &BTreeMap<String, String>, names: &Names) -> Result<Form, String> {
+pub fn form(fields: &BTreeMap<String, String>, names: &SiteNames) -> Result<RequestFields, String> {
     let field = |name: &str| fields.get(name).map(String::as_str);
     let needed = |name: &str| field(name).ok_or_else(|| format!("{name} is missing"));
     fn number<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, String> {
@@ -75,7 +75,7 @@
     if idempotency_key.as_ref().is_some_and(|key| !lines::is_plain(key)) {
         return Err("nonce is no plain word".into());
     }
-    Ok(Form {
+    Ok(RequestFields {
         class: ClassId(class as u16),
         object: ObjectId(object),
         part: field("slice").map_or(Ok(0), |value| number("slice", value))?,
@@ -90,44 +90,44 @@
 
 /// An attempt as the line protocol words it.
 pub fn fetch(
-    order: &Order,
+    order: &OutgoingAttempt,
     class: &str,
     from: Option<&str>,
     item: &str,
     seen: Option<String>,
     idempotency_key: Option<String>,
     body: &Bytes,
-) -> Fetch {
+) -> WireRequest {
     // Whole milliseconds: an age never rounds up, and never to 0, which would mean any age.
     let oldest = if order.max_age > 0 { (order.max_age / 1000).max(1) } else { 0 };
-    Fetch {
+    WireRequest {
         class: class.to_owned(),
         item: item.to_owned(),
-        chunk: order.part,
-        limit: (order.limit / 1000).max(1),
-        from: from.map(str::to_owned),
-        rank: order.rank,
-        oldest,
-        share: order.join,
-        peek: order.only_held,
-        pass: order.no_parent_copy,
-        swr: order.renew,
-        seen,
+        part: order.part,
+        timeout_ms: (order.timeout / 1000).max(1),
+        fill_source: from.map(str::to_owned),
+        cache_rank: order.cache_rank,
+        max_age_ms: oldest,
+        join_fill: order.join_fill,
+        only_if_cached: order.only_if_cached,
+        bypass_parent_cache: order.bypass_parent_cache,
+        stale_while_revalidate: order.stale_while_revalidate,
+        client_etag: seen,
         idempotency_key,
         body: body.clone(),
     }
 }
 
 /// What an attempt's ending on the wire proves.
-pub fn end(ending: Ending, names: &Names) -> End {
+pub fn end(ending: JobEnd, names: &SiteNames) -> AttemptEnd {
     let answer = match ending {
-        Ending::NotConnected => return End::bare(AttemptResult::ConnectFailed),
-        Ending::Unsent => return End::bare(AttemptResult::NotSent),
-        Ending::Reset => return End::bare(AttemptResult::Reset),
-        Ending::Answer(answer) => answer,
+        JobEnd::NotConnected => return AttemptEnd::without_details(AttemptResult::ConnectFailed),
+        JobEnd::NotSent => return AttemptEnd::without_details(AttemptResult::NotSent),
+        JobEnd::Reset => return AttemptEnd::without_details(AttemptResult::Reset),
+        JobEnd::Answer(answer) => answer,
     };
-    let result = match answer.word.as_str() {
-        "200" | "304" if answer.dropped => AttemptResult::Error,
+    let result = match answer.status.as_str() {
+        "200" | "304" if answer.body_dropped => AttemptResult::Error,
         "200" | "304" | "alive" | "status" => AttemptResult::Ok,
         "404" => AttemptResult::Miss,
         "503" => AttemptResult::Full,
@@ -153,50 +153,50 @@
     // A copy that is called current sends no bytes, and its time says nothing of the object's size.
     let sending = answer.body.len() as f64 / names.flow_bytes_per_s.max(1.0) * 1_000_000.0;
     let sending = if names.flow_bytes_per_s > 0.0 { sending as Micros } else { 0 };
-    let load = answer.load(&names.report);
-    End { result, note, waited: (waited * 1000.0) as Micros, sending, load, copy: copy(answer) }
+    let load = answer.load_report(&names.report);
+    AttemptEnd { result, cache_status: note, fill_wait: (waited * 1000.0) as Micros, transfer_time: sending, load_report: load, copy: copy(answer) }
 }
 
-fn copy(answer: Answer) -> Copy {
-    Copy {
-        same: answer.word == "304",
-        tag: answer.field("ver").unwrap_or_default().to_owned(),
-        born: answer.field("born").and_then(|ms| ms.parse().ok()).unwrap_or(0),
-        bytes: answer.body,
+fn copy(answer: WireAnswer) -> CachedCopy {
+    CachedCopy {
+        not_modified: answer.status == "304",
+        etag: answer.field("ver").unwrap_or_default().to_owned(),
+        generated_at_ms: answer.field("born").and_then(|ms| ms.parse().ok()).unwrap_or(0),
+        body: answer.body,
     }
 }
 
 /// A final answer as the platform's clients get it.
-pub fn reply(answer: Final) -> Reply {
+pub fn reply(answer: FinalAnswer) -> ThriftReply {
     match answer {
-        Final::Served(copy) => {
-            let fields = if copy.same { vec![("current", "1".to_owned())] } else { Vec::new() };
-            Reply::Answer { body: copy.bytes, fields }
+        FinalAnswer::Served(copy) => {
+            let fields = if copy.not_modified { vec![("current", "1".to_owned())] } else { Vec::new() };
+            ThriftReply::Answer { body: copy.body, fields }
         }
-        Final::Refused { pause, .. } => Reply::Refused { pause: pause / 1000 },
-        Final::Failed { .. } | Final::Denied => Reply::Failed,
+        FinalAnswer::Rejected { retry_after: pause, .. } => ThriftReply::Rejected { pause: pause / 1000 },
+        FinalAnswer::Failed { .. } | FinalAnswer::Denied => ThriftReply::Failed,
     }
 }
 
 /// A final answer as the second front's clients get it, at a Unix time in microseconds.
-pub fn answer(answer: Final, tags: &[String], now: Micros) -> http::Answer {
-    use http::Answer;
+pub fn answer(answer: FinalAnswer, tags: &[String], now: Micros) -> http::HttpAnswer {
+    use http::HttpAnswer;
     match answer {
-        Final::Served(copy) => {
-            let tag = Some(copy.tag).filter(|tag| !tag.is_empty());
-            let held = copy.same || tag.as_ref().is_some_and(|tag| tags.contains(tag));
-            let born = Micros::try_from(copy.born).ok().filter(|born| *born > 0);
+        FinalAnswer::Served(copy) => {
+            let tag = Some(copy.etag).filter(|tag| !tag.is_empty());
+            let held = copy.not_modified || tag.as_ref().is_some_and(|tag| tags.contains(tag));
+            let born = Micros::try_from(copy.generated_at_ms).ok().filter(|born| *born > 0);
             let age = born.map(|born| (now / 1000 - born).max(0) / 1000);
-            Answer { body: copy.bytes, tag, age, ..Answer::bare(if held { 304 } else { 200 }) }
+            HttpAnswer { body: copy.body, tag, age, ..HttpAnswer::bare(if held { 304 } else { 200 }) }
         }
-        Final::Refused { late: true, .. } | Final::Failed { late: true } => Answer::bare(504),
-        Final::Refused { pause, .. } => {
+        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => HttpAnswer::bare(504),
+        FinalAnswer::Rejected { retry_after: pause, .. } => {
             // Whole seconds, rounded up: a client that keeps to them is never early.
             let seconds = (pause + 999_999) / 1_000_000;
-            Answer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..Answer::bare(503) }
+            HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
         }
-        Final::Failed { late: false } => Answer::bare(502),
-        Final::Denied => Answer::bare(403),
+        FinalAnswer::Failed { late: false } => HttpAnswer::bare(502),
+        FinalAnswer::Denied => HttpAnswer::bare(403),
     }
 }
 
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -1,12 +1,12 @@
 //! Tables of what one part's words mean in another's.
 
 use super::*;
-use crate::core::Copy;
+use crate::core::CachedCopy;
 use crate::interface::RejectionReason;
 
-fn names() -> Names {
+fn names() -> SiteNames {
     let classes = vec!["replay".into(), "piece".into()];
-    Names { classes, retired: vec![false; 2], deadlines: vec![6_000_000, 3_000_000], ..Names::default() }
+    SiteNames { classes, retired: vec![false; 2], deadlines: vec![6_000_000, 3_000_000], ..SiteNames::default() }
 }
 
 fn fields(changes: &[(&str, Option<&str>)]) -> BTreeMap<String, String> {
@@ -72,12 +72,12 @@
     use AttemptResult::*;
     let answer = |word: &str, dropped| {
         let fields = vec![("tell".into(), "cut_off".into()), ("waited".into(), "12.5".into())];
-        Ending::Answer(Answer { id: "1".into(), word: word.into(), fields, body: Bytes::new(), dropped })
+        JobEnd::Answer(WireAnswer { id: "1".into(), status: word.into(), fields, body: Bytes::new(), body_dropped: dropped })
     };
     for (ending, result) in [
-        (Ending::NotConnected, ConnectFailed),
-        (Ending::Unsent, NotSent),
-        (Ending::Reset, Reset),
+        (JobEnd::NotConnected, ConnectFailed),
+        (JobEnd::NotSent, NotSent),
+        (JobEnd::Reset, Reset),
         (answer("200", false), Ok),
         (answer("304", false), Ok),
         (answer("200", true), Error),
@@ -96,19 +96,19 @@
 
 #[test]
 fn each_final_answer_has_its_status() {
-    let copy = |same| Copy { bytes: Bytes::from_static(b"x"), tag: "a".into(), born: 1000, same };
+    let copy = |same| CachedCopy { body: Bytes::from_static(b"x"), etag: "a".into(), generated_at_ms: 1000, not_modified: same };
     let now = 3_500_000;
     for (given, tags, status, retry_after) in [
-        (Final::Served(copy(false)), &["b"][..], 200, None),
-        (Final::Served(copy(false)), &["b", "a"], 304, None),
-        (Final::Served(copy(true)), &["a"], 304, None),
-        (Final::Refused { pause: 250_000, late: false, why: RejectionReason::Full }, &[], 503, Some(1)),
-        (Final::Refused { pause: 1_000_001, late: false, why: RejectionReason::Full }, &[], 503, Some(2)),
-        (Final::Refused { pause: 0, late: false, why: RejectionReason::Full }, &[], 503, None),
-        (Final::Refused { pause: 250_000, late: true, why: RejectionReason::DeadlineExceeded }, &[], 504, None),
-        (Final::Failed { late: true }, &[], 504, None),
-        (Final::Failed { late: false }, &[], 502, None),
-        (Final::Denied, &["a"], 403, None),
+        (FinalAnswer::Served(copy(false)), &["b"][..], 200, None),
+        (FinalAnswer::Served(copy(false)), &["b", "a"], 304, None),
+        (FinalAnswer::Served(copy(true)), &["a"], 304, None),
+        (FinalAnswer::Rejected { retry_after: 250_000, timed_out: false, reason: RejectionReason::Full }, &[], 503, Some(1)),
+        (FinalAnswer::Rejected { retry_after: 1_000_001, timed_out: false, reason: RejectionReason::Full }, &[], 503, Some(2)),
+        (FinalAnswer::Rejected { retry_after: 0, timed_out: false, reason: RejectionReason::Full }, &[], 503, None),
+        (FinalAnswer::Rejected { retry_after: 250_000, timed_out: true, reason: RejectionReason::DeadlineExceeded }, &[], 504, None),
+        (FinalAnswer::Failed { late: true }, &[], 504, None),
+        (FinalAnswer::Failed { late: false }, &[], 502, None),
+        (FinalAnswer::Denied, &["a"], 403, None),
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
         let served = matches!(given, Final::Served(_));
--- a/src/sim/world/faults.rs
+++ b/src/sim/world/faults.rs
@@ -10,7 +10,7 @@
             What::Silent { host, ms } => {
                 if !self.fleet.hosts[host].dead {
                     let until = self.now + ms * 1000;
-                    self.fabric.set_reach(address(host as u16), Reach::SilentUntil(until));
+                    self.fabric.set_reach(address(host as u16), HostBehaviour::SilentUntil(until));
                 }
             }
             What::Killed { host, ms } => {
@@ -41,7 +41,7 @@
             What::PurgeGroup => self.purge(None),
             What::FeedSilent { ms } => {
                 let until = self.now + ms * 1000;
-                self.fabric.set_reach(address(FEED), Reach::SilentUntil(until));
+                self.fabric.set_reach(address(FEED), HostBehaviour::SilentUntil(until));
                 self.cut_feed(until + HEARD_AGAIN);
             }
             What::FeedReset => {
@@ -185,7 +185,7 @@
         self.break_links(host);
         self.fleet.hosts[host].copies.clear();
         self.fleet.hosts[host].dead = true;
-        self.fabric.set_reach(address(host as u16), Reach::Refusing);
+        self.fabric.set_reach(address(host as u16), HostBehaviour::Refusing);
     }
 
     pub(super) fn back(&mut self, host: usize) {
@@ -196,7 +196,7 @@
         (one.dead, one.born) = (false, Some(self.now));
         one.sends.clear();
         one.entry["born_ms"] = (self.now / 1000).into();
-        self.fabric.set_reach(address(host as u16), Reach::Up);
+        self.fabric.set_reach(address(host as u16), HostBehaviour::Up);
         if one.entry["health"] == "up" && one.tier != Tier::Origin {
             self.tell_health(host, "up");
         }
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -7,31 +7,31 @@
     pub(super) fn deliver(&mut self) {
         for signal in self.fabric.signals() {
             let link = match &signal {
-                Signal::Opened { link, .. } | Signal::Bytes { link, .. } => *link,
-                Signal::Closed { link } | Signal::Broken { link } => *link,
+                ActorEvent::Opened { link, .. } | ActorEvent::Bytes { link, .. } => *link,
+                ActorEvent::Closed { link } | ActorEvent::Broken { link } => *link,
             };
             if let Some(client) = self.clients.iter().position(|client| client.link == Some(link)) {
                 match signal {
-                    Signal::Bytes { bytes, .. } => self.client_got(client, &bytes),
-                    Signal::Closed { .. } => {
+                    ActorEvent::Bytes { bytes, .. } => self.client_got(client, &bytes),
+                    ActorEvent::Closed { .. } => {
                         self.fabric.close(link);
                         self.client_lost(client, link);
                     }
-                    Signal::Broken { .. } => self.client_lost(client, link),
-                    Signal::Opened { .. } => {}
+                    ActorEvent::Broken { .. } => self.client_lost(client, link),
+                    ActorEvent::Opened { .. } => {}
                 }
                 continue;
             }
             match signal {
-                Signal::Opened { host, .. } if host == address(FEED) => {
+                ActorEvent::Opened { host, .. } if host == address(FEED) => {
                     self.feed.links.insert(link, Vec::new());
                 }
-                Signal::Opened { host, .. } => {
+                ActorEvent::Opened { host, .. } => {
                     if let Some(number) = self.numbers.get(&host) {
                         self.fleet.hosts[*number].links.insert(link, (Vec::new(), self.now));
                     }
                 }
-                Signal::Bytes { bytes, sent, .. } => {
+                ActorEvent::Bytes { bytes, sent, .. } => {
                     if self.feed.links.contains_key(&link) {
                         self.feed_got(link, &bytes);
                     } else if let Some(host) =
@@ -40,7 +40,7 @@
                         self.host_got(host, link, &bytes, sent);
                     }
                 }
-                Signal::Closed { .. } | Signal::Broken { .. } => {
+                ActorEvent::Closed { .. } | ActorEvent::Broken { .. } => {
                     self.feed.links.remove(&link);
                     self.feed.polls.remove(&link);
                     for host in &mut self.fleet.hosts {
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -61,12 +61,12 @@
                 n if n < plan.caches + plan.parents => Tier::Parent,
                 _ => Tier::Origin,
             };
-            world.fabric.set_reach(address(n as u16), Reach::Up);
+            world.fabric.set_reach(address(n as u16), HostBehaviour::Up);
             world.numbers.insert(address(n as u16), n);
             let name = entry["host"].as_str().unwrap_or_default().to_owned();
             world.fleet.hosts.push(Host { link: links[n], ..Host::new(&name, tier, entry) });
         }
-        world.fabric.set_reach(address(FEED), Reach::Up);
+        world.fabric.set_reach(address(FEED), HostBehaviour::Up);
         world.feed.events.push(first);
         world.draw_calls();
         world.start();
--- a/src/upstream/answers.rs
+++ b/src/upstream/answers.rs
@@ -1,6 +1,6 @@
 //! Answers as they come from servers: read in pieces, and taken whole.
 
-use super::lines::{Answer, LONGEST_LINE, MOST_BYTES};
+use super::lines::{WireAnswer, LONGEST_LINE, MOST_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The words that an answer may have.
@@ -19,7 +19,7 @@
 /// An answer's line, and how many bytes follow it.
 #[derive(Debug)]
 struct Head {
-    answer: Answer,
+    answer: WireAnswer,
     length: usize,
 }
 
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Something that is no answer.
-    pub fn next(&mut self, input: &mut BytesMut, room: usize) -> Result<Option<Answer>, MalformedAnswer> {
+    pub fn next(&mut self, input: &mut BytesMut, room: usize) -> Result<Option<WireAnswer>, MalformedAnswer> {
         loop {
             if self.skip > 0 {
                 return Ok(self.skip_bytes(input));
@@ -68,7 +68,7 @@
     fn begin(&mut self, mut head: Head, input: &mut BytesMut, room: usize) {
         if head.length > room {
             self.skip = head.length + LINE_END.len();
-            head.answer.dropped = true;
+            head.answer.body_dropped = true;
         } else {
             input.reserve((head.length + LINE_END.len()).saturating_sub(input.len()));
         }
@@ -76,7 +76,7 @@
     }
 
     /// Lets bytes of an answer go that there is no room for; the answer without them once they are through.
-    fn skip_bytes(&mut self, input: &mut BytesMut) -> Option<Answer> {
+    fn skip_bytes(&mut self, input: &mut BytesMut) -> Option<WireAnswer> {
         let part = self.skip.min(input.len());
         input.advance(part);
         self.skip -= part;
@@ -87,7 +87,7 @@
     }
 
     /// Takes an answer's bytes, if they are all there.
-    fn take_bytes(&mut self, input: &mut BytesMut) -> Result<Option<Answer>, MalformedAnswer> {
+    fn take_bytes(&mut self, input: &mut BytesMut) -> Result<Option<WireAnswer>, MalformedAnswer> {
         let Some(Head { length, .. }) = self.head else { return Ok(None) };
         if input.len() < length + LINE_END.len() {
             return Ok(None);
@@ -102,7 +102,7 @@
         if input.split_to(LINE_END.len())[..] != LINE_END[..] {
             return Err(MalformedAnswer);
         }
-        Ok(self.head.take().map(|head| Answer { body, ..head.answer }))
+        Ok(self.head.take().map(|head| WireAnswer { body, ..head.answer }))
     }
 }
 
@@ -140,6 +140,6 @@
         list => list.split(',').map(pair).collect::<Option<_>>().ok_or(MalformedAnswer)?,
     };
     let (id, word) = (id.to_owned(), word.to_owned());
-    let answer = Answer { id, word, fields, body: Bytes::new(), dropped: false };
+    let answer = WireAnswer { id, status: word, fields, body: Bytes::new(), body_dropped: false };
     Ok(Head { answer, length })
 }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -2,9 +2,9 @@
 
 use super::answers::Reader;
 use super::pool::{Connection, Host, Job};
-use super::{Due, Ending, Upstream};
+use super::{ConnectionDeadline, JobEnd, Upstream};
 use crate::deadlines::Schedule;
-use crate::net::{is_local, ConnKey, Net, Reason, Role};
+use crate::net::{is_local, ConnectionKey, Net, Reason, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// After a connection did not come up no further one is opened beside others for this long, us: a server that
@@ -21,13 +21,13 @@
 
 impl Upstream {
     /// Closes idle connections while there are more than may be held.
-    pub fn trim(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
-        let over = net.count(Role::Upstream).saturating_sub(self.figures.most);
+    pub fn trim(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+        let over = net.count(Role::Upstream).saturating_sub(self.limits.max_connections);
         (0..over).for_each(|_| self.drop_idlest(now, net, due));
     }
 
     /// Closes a server's idle connections.
-    pub fn close_idle(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn close_idle(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let connections = self.hosts.get(&host).map(Host::connections).unwrap_or_default();
         for connection in connections {
             if self.connections.get(&connection).is_some_and(|l| l.up && l.open.is_empty()) {
@@ -42,28 +42,28 @@
         host: u32,
         lane: usize,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) -> bool {
-        if net.count(Role::Upstream) >= self.figures.most {
+        if net.count(Role::Upstream) >= self.limits.max_connections {
             self.drop_idlest(now, net, due);
         }
         let Some(known) = self.hosts.get_mut(&host) else { return false };
-        let room = net.count(Role::Upstream) < self.figures.most;
+        let room = net.count(Role::Upstream) < self.limits.max_connections;
         let connected = room.then(|| net.connect(now, known.addr, Role::Upstream));
         let key = match connected {
             Some(Ok(key)) => key,
             Some(Err(error)) if !is_local(&error) => {
-                self.connect_failed(now, host, lane, Ending::NotConnected);
+                self.connect_failed(now, host, lane, JobEnd::NotConnected);
                 return false;
             }
             // For want of a descriptor or the like here: that says nothing of the server.
             Some(Err(_)) | None => {
-                self.connect_failed(now, host, lane, Ending::Unsent);
+                self.connect_failed(now, host, lane, JobEnd::NotSent);
                 return false;
             }
         };
         known.lanes[lane].connections.push(key);
-        let connect_deadline = Some(due.add(now + self.figures.connect_timeout, Due::Connect(key)));
+        let connect_deadline = Some(due.add(now + self.limits.connect_timeout, ConnectionDeadline::Connect(key)));
         let connection = Connection {
             host,
             lane,
@@ -89,7 +89,7 @@
     }
 
     /// Closes the connection that has been idle longest, if one is.
-    pub(super) fn drop_idlest(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub(super) fn drop_idlest(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let idle =
             self.connections.iter().filter(|(_, connection)| connection.up && connection.open.is_empty());
         let idlest = idle.min_by_key(|(key, connection)| (connection.idle_since, **key)).map(|(key, _)| *key);
@@ -99,10 +99,10 @@
     }
 
     /// A connection failed to come up: what is queued ends unless another may still take it.
-    pub(super) fn connect_failed(&mut self, now: i64, host: u32, lane: usize, ending: Ending) {
+    pub(super) fn connect_failed(&mut self, now: i64, host: u32, lane: usize, ending: JobEnd) {
         let Some(known) = self.hosts.get_mut(&host).map(|known| &mut known.lanes[lane]) else { return };
         known.backoff_until = now + DIAL_BACKOFF;
-        let hope = |key: &ConnKey| {
+        let hope = |key: &ConnectionKey| {
             self.connections
                 .get(key)
                 .is_some_and(|connection| if connection.up { !connection.silent(now) } else { true })
@@ -115,7 +115,7 @@
     }
 
     /// Looks after a connection on which nothing waits any more.
-    pub(super) fn settle(&mut self, now: i64, key: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub(super) fn settle(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let Some(connection) =
             self.connections.get_mut(&key).filter(|connection| connection.open.is_empty() && connection.up)
         else {
@@ -136,9 +136,9 @@
             let idle = if connection.lane == 1 {
                 UNUSED_WRITE_IDLE
             } else {
-                (self.figures.idle as f64 * IDLE_PART) as i64
+                (self.limits.idle_timeout as f64 * IDLE_PART) as i64
             };
-            connection.idle_deadline = Some(due.add(now + idle, Due::Idle(key)));
+            connection.idle_deadline = Some(due.add(now + idle, ConnectionDeadline::Idle(key)));
         }
     }
 
@@ -148,7 +148,7 @@
         host: u32,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let connections = self.hosts.get(&host).map(Host::connections).unwrap_or_default();
         connections
@@ -159,10 +159,10 @@
     pub(super) fn drop_connection(
         &mut self,
         now: i64,
-        key: ConnKey,
+        key: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let Some(connection) = self.connections.remove(&key) else { return };
         connection
@@ -173,7 +173,7 @@
             .for_each(|handle| due.remove(handle));
         net.close(now, key, reason);
         if reason == Reason::PeerClosed && connection.up && connection.open.is_empty() {
-            self.figures.idle = self.figures.idle.min((now - connection.idle_since).max(LEAST_IDLE));
+            self.limits.idle_timeout = self.limits.idle_timeout.min((now - connection.idle_since).max(LEAST_IDLE));
         }
         let mut again = false;
         if let Some(host) = self.hosts.get_mut(&connection.host) {
@@ -192,11 +192,11 @@
         open.sort_by_key(|job| match job {
             Job::Fetch(number) | Job::Probe(number) => *number,
         });
-        open.into_iter().for_each(|job| self.end(now, job, Ending::Reset));
+        open.into_iter().for_each(|job| self.end(now, job, JobEnd::Reset));
         if again {
             self.connect(now, connection.host, connection.lane, net, due);
         } else if !connection.up {
-            self.connect_failed(now, connection.host, connection.lane, Ending::NotConnected);
+            self.connect_failed(now, connection.host, connection.lane, JobEnd::NotConnected);
         }
     }
 }
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -3,8 +3,8 @@
 use crate::deadlines::Deadlines;
 use crate::net::fabric::{host, Fabric};
 use crate::net::Net;
-use crate::upstream::lines::Fetch;
-use crate::upstream::{Due, Ending, Figures, Happening, Upstream, Wording};
+use crate::upstream::lines::WireRequest;
+use crate::upstream::{ConnectionDeadline, JobEnd, PoolLimits, UpstreamEvent, Upstream, RequestEncoder};
 use rustix::io::Errno;
 
 const SERVER: u32 = 1;
@@ -13,8 +13,8 @@
 /// Words no job: none is to be written here.
 struct Unworded;
 
-impl Wording<Deadlines<Due>> for Unworded {
-    fn fetch(&mut self, _: u64, _: &mut Deadlines<Due>) -> Option<Fetch> {
+impl RequestEncoder<Deadlines<ConnectionDeadline>> for Unworded {
+    fn encode(&mut self, _: u64, _: &mut Deadlines<ConnectionDeadline>) -> Option<WireRequest> {
         None
     }
 
@@ -22,18 +22,18 @@
 }
 
 /// How a job ends whose connection fails at once with an error.
-fn ending(error: Errno) -> Ending {
+fn ending(error: Errno) -> JobEnd {
     let fabric = Fabric::new(0, 1, (1000, 1000));
     fabric.start_process(1);
     fabric.fail_connects(host(1), error, true, 100_000);
-    let (mut net, mut due) = (Net::on(&fabric, 1), Deadlines::<Due>::default());
-    let figures = Figures { connect_timeout: 300_000, idle: 1_000_000, streams: 8, most: 8, bytes: 1 << 20 };
+    let (mut net, mut due) = (Net::on(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
+    let figures = PoolLimits { connect_timeout: 300_000, idle_timeout: 1_000_000, max_jobs_per_connection: 8, max_connections: 8, max_buffered_bytes: 1 << 20 };
     let mut upstream = Upstream::new(figures);
     upstream.set_host(0, SERVER, host(1), None, &mut net, &mut due);
     upstream.queue(0, SERVER, JOB, "id".into(), false, None);
     upstream.dispatch(0, &mut net, &mut due, &mut Unworded);
-    match upstream.happened().pop() {
-        Some(Happening::Ended { job: JOB, ending }) => ending,
+    match upstream.take_events().pop() {
+        Some(UpstreamEvent::JobEnded { job: JOB, end: ending }) => ending,
         other => panic!("{error}: {other:?}"),
     }
 }
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -1,15 +1,15 @@
 //! The queues of jobs, and their writing: each job is worded when a connection takes its bytes, never before.
 
 use super::pool::{Connection, Host, Job, JobRecord, Lane};
-use super::{lines, Due, Ending, Upstream, MOST_CONNECTIONS, PROVEN, SPREAD};
+use super::{lines, ConnectionDeadline, JobEnd, Upstream, MOST_CONNECTIONS, PROVEN, SPREAD};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 
 /// Where the text of jobs comes from.
-pub trait Wording<S> {
+pub trait RequestEncoder<S> {
     /// A job's text at the very moment of its writing; `None` if it is not to be written any more.
-    fn fetch(&mut self, job: u64, due: &mut S) -> Option<lines::Fetch>;
+    fn encode(&mut self, job: u64, due: &mut S) -> Option<lines::WireRequest>;
 
     /// The job that was worded last did not leave: it never ran, and is worded anew for its next writing.
     fn not_written(&mut self, job: u64);
@@ -18,7 +18,7 @@
 /// What is to be done about the first job of a queue.
 enum Step {
     /// Write it on this connection; whether a further connection is opened beside it.
-    Write { key: ConnKey, more: bool },
+    Write { key: ConnectionKey, more: bool },
     /// Open a connection; whether yet another is wanted.
     Connect { more: bool },
     /// End it: no connection can take it.
@@ -53,7 +53,7 @@
     }
 
     /// Queues a probe.
-    pub fn probe(&mut self, now: i64, host: u32) {
+    pub fn health_check(&mut self, now: i64, host: u32) {
         self.probes += 1;
         self.probed.insert(self.probes, now);
         self.enqueue(now, host, Job::Probe(self.probes), format!("p{}", self.probes), 0, None);
@@ -63,17 +63,17 @@
         self.jobs.insert(job, JobRecord { host, lane, id, connection: None, written: now, tally });
         match self.hosts.get_mut(&host).filter(|known| !known.gone) {
             Some(known) => known.lanes[lane].queue.push_back(job),
-            None => self.end(now, job, Ending::NotConnected),
+            None => self.end(now, job, JobEnd::NotConnected),
         }
     }
 
     /// Writes what is queued, as far as connections take it.
-    pub fn dispatch<S: Schedule<Due>>(
+    pub fn dispatch<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: i64,
         net: &mut Net,
         due: &mut S,
-        wording: &mut impl Wording<S>,
+        wording: &mut impl RequestEncoder<S>,
     ) {
         let queued = |host: &Host, lane: usize| !host.lanes[lane].queue.is_empty();
         let hosts = self.hosts.iter().flat_map(|(id, host)| [(*id, 0, host), (*id, 1, host)]);
@@ -85,14 +85,14 @@
     }
 
     /// Does what can be done about the first job of a queue; whether to look again.
-    fn dispatch_one<S: Schedule<Due>>(
+    fn dispatch_one<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: i64,
         host: u32,
         lane: usize,
         net: &mut Net,
         due: &mut S,
-        wording: &mut impl Wording<S>,
+        wording: &mut impl RequestEncoder<S>,
     ) -> bool {
         let Some(known) = self.lane_mut(host, lane) else { return false };
         let Some(job) = known.queue.front().copied() else { return false };
@@ -105,7 +105,7 @@
             Step::Connect { more } => self.connect(now, host, lane, net, due) && more,
             Step::Unsent => {
                 self.take_first(host, lane);
-                self.end(now, job, Ending::Unsent);
+                self.end(now, job, JobEnd::NotSent);
                 true
             }
             Step::Write { key, more } => {
@@ -145,7 +145,7 @@
         let connections =
             || known.connections.iter().filter_map(|key| Some((*key, self.connections.get(key)?)));
         let full = known.connections.len() >= MOST_CONNECTIONS[lane];
-        let streams = self.figures.streams;
+        let streams = self.limits.max_jobs_per_connection;
         let fits = |connection: &Connection| {
             connection.up
                 && !connection.blocked
@@ -158,7 +158,7 @@
         let sound = |connection: &Connection| fits(connection) && (full || !connection.silent(now));
         // Only where all written bytes have left: what is written now leaves now, and nothing queues behind
         // bytes that a drain or a purge could overtake.
-        let free = |(key, connection): &(ConnKey, &Connection)| sound(connection) && net.unwritten(*key) == 0;
+        let free = |(key, connection): &(ConnectionKey, &Connection)| sound(connection) && net.unwritten(*key) == 0;
         let best = connections()
             .filter(free)
             .min_by_key(|(_, connection)| (connection.silent(now), connection.open.len()));
@@ -181,20 +181,20 @@
     }
 
     /// Words a job and writes it; what does not leave with its whole line goes back to the head of its queue.
-    fn write_job<S: Schedule<Due>>(
+    fn write_job<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: i64,
-        key: ConnKey,
+        key: ConnectionKey,
         job: Job,
         net: &mut Net,
         due: &mut S,
-        wording: &mut impl Wording<S>,
+        wording: &mut impl RequestEncoder<S>,
     ) {
         let Some(JobRecord { host, lane, id, tally, .. }) = self.jobs.get(&job) else { return };
         let (host, lane, id, tally) = (*host, *lane, id.clone(), *tally);
         let parts = match job {
             Job::Probe(_) => vec![lines::stats(&id)],
-            Job::Fetch(number) => match wording.fetch(number, due) {
+            Job::Fetch(number) => match wording.encode(number, due) {
                 Some(fetch) => vec![lines::fetch_head(&id, &fetch), fetch.body, "\r\n".into()],
                 None => {
                     self.jobs.remove(&job);
@@ -234,7 +234,7 @@
     }
 
     /// Counts the job that was written last once all of it has left.
-    pub(super) fn tally(&mut self, key: ConnKey, net: &Net) {
+    pub(super) fn tally(&mut self, key: ConnectionKey, net: &Net) {
         let Some(connection) = self.connections.get_mut(&key).filter(|_| net.unwritten(key) == 0) else {
             return;
         };
@@ -248,7 +248,7 @@
 
 /// Writes a job whose first part is its line. What says how long its answer is waited for must leave now or not at
 /// all: kept for later, it would promise more time than its client has left, or be sent for one that has gone.
-fn write_line(key: ConnKey, parts: Vec<Bytes>, net: &mut Net) -> Written {
+fn write_line(key: ConnectionKey, parts: Vec<Bytes>, net: &mut Net) -> Written {
     let (before, line) = (net.wrote(key), parts.first().map_or(0, Bytes::len) as u64);
     let begun = net.begin(key, parts);
     let has_left = net.wrote(key) - before >= line;
--- a/src/upstream/lines.rs
+++ b/src/upstream/lines.rs
@@ -12,31 +12,31 @@
 
 /// A request as it is written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fetch {
+pub struct WireRequest {
     /// The class's name.
     pub class: String,
     /// The object, as the client named it.
     pub item: String,
     /// The part.
-    pub chunk: u32,
+    pub part: u32,
     /// How long the answer is waited for, in milliseconds.
-    pub limit: i64,
+    pub timeout_ms: i64,
     /// The id of the source of a fill.
-    pub from: Option<String>,
+    pub fill_source: Option<String>,
     /// The rank at which the copy is kept.
-    pub rank: u8,
+    pub cache_rank: u8,
     /// The oldest copy that will do, in milliseconds; 0: not said.
-    pub oldest: i64,
+    pub max_age_ms: i64,
     /// Join a fill that is under way.
-    pub share: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
-    pub peek: bool,
+    pub only_if_cached: bool,
     /// The parent keeps no copy.
-    pub pass: bool,
+    pub bypass_parent_cache: bool,
     /// Renew an ageing copy behind.
-    pub swr: bool,
+    pub stale_while_revalidate: bool,
     /// The tag of the client's copy; passed on only if it is one word that can't be mistaken.
-    pub seen: Option<String>,
+    pub client_etag: Option<String>,
     /// The idempotency key, a plain word.
     pub idempotency_key: Option<String>,
     /// What the client sent along.
@@ -44,22 +44,22 @@
 }
 
 /// The bytes of a request before its body.
-pub fn fetch_head(id: &str, fetch: &Fetch) -> Bytes {
-    let Fetch { class, item, chunk, limit, .. } = fetch;
+pub fn fetch_head(id: &str, fetch: &WireRequest) -> Bytes {
+    let WireRequest { class, item, part: chunk, timeout_ms: limit, .. } = fetch;
     let mut line = format!("fetch {id} cls={class},item={item},chunk={chunk},limit={limit}");
     let mut field = |name: &str, value: &dyn std::fmt::Display| {
         let _ = write!(line, ",{name}={value}"); // a string takes all
     };
-    if let Some(from) = &fetch.from {
+    if let Some(from) = &fetch.fill_source {
         field("from", from);
     }
-    if fetch.rank > 0 {
-        field("rank", &fetch.rank);
+    if fetch.cache_rank > 0 {
+        field("rank", &fetch.cache_rank);
     }
-    if fetch.oldest > 0 {
-        field("oldest", &fetch.oldest);
+    if fetch.max_age_ms > 0 {
+        field("oldest", &fetch.max_age_ms);
     }
-    let words = [(fetch.share, "share"), (fetch.peek, "peek"), (fetch.pass, "pass"), (fetch.swr, "swr")];
+    let words = [(fetch.join_fill, "share"), (fetch.only_if_cached, "peek"), (fetch.bypass_parent_cache, "pass"), (fetch.stale_while_revalidate, "swr")];
     let mode: Vec<&str> = words.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
     if !mode.is_empty() {
         field("mode", &mode.join("+"));
@@ -67,7 +67,7 @@
     if let Some(key) = fetch.idempotency_key.as_ref().filter(|key| is_plain(key)) {
         field("nonce", key);
     }
-    if let Some(seen) = fetch.seen.as_ref().filter(|seen| is_plain(seen)) {
+    if let Some(seen) = fetch.client_etag.as_ref().filter(|seen| is_plain(seen)) {
         field("seen", seen);
     }
     let _ = write!(line, " {}\r\n", fetch.body.len());
@@ -92,27 +92,27 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct WireAnswer {
     /// The id of what it answers.
     pub id: String,
     /// Its word: `200`, `alive` and the like.
-    pub word: String,
+    pub status: String,
     /// Its fields.
     pub fields: Vec<(String, String)>,
     /// Its bytes.
     pub body: Bytes,
     /// Its bytes were let go for want of memory.
-    pub dropped: bool,
+    pub body_dropped: bool,
 }
 
-impl Answer {
+impl WireAnswer {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
     /// The load report, in the order of the names.
-    pub fn load(&self, names: &[String]) -> Vec<f32> {
+    pub fn load_report(&self, names: &[String]) -> Vec<f32> {
         let pairs: Vec<(&str, f32)> = self
             .field("meter")
             .unwrap_or_default()
--- a/src/upstream/lines/tests.rs
+++ b/src/upstream/lines/tests.rs
@@ -4,7 +4,7 @@
 use crate::upstream::answers::{MalformedAnswer, Reader};
 use bytes::BytesMut;
 
-fn read(bytes: &[u8], step: usize, room: usize) -> Result<Vec<Answer>, MalformedAnswer> {
+fn read(bytes: &[u8], step: usize, room: usize) -> Result<Vec<WireAnswer>, MalformedAnswer> {
     let (mut reader, mut input, mut all) = (Reader::default(), BytesMut::new(), Vec::new());
     for part in bytes.chunks(step) {
         input.extend_from_slice(part);
@@ -56,23 +56,23 @@
 
 #[test]
 fn a_request_names_only_what_is_said() {
-    let plain = Fetch { class: "piece".into(), item: "7f".into(), limit: 900, ..Fetch::default() };
-    let head = |fetch: &Fetch| String::from_utf8(fetch_head("5", fetch).to_vec()).expect("text");
+    let plain = WireRequest { class: "piece".into(), item: "7f".into(), timeout_ms: 900, ..WireRequest::default() };
+    let head = |fetch: &WireRequest| String::from_utf8(fetch_head("5", fetch).to_vec()).expect("text");
     assert_eq!(head(&plain), "fetch 5 cls=piece,item=7f,chunk=0,limit=900 0\r\n");
-    let full = Fetch {
-        chunk: 3,
-        from: Some("s-1".into()),
-        rank: 2,
-        oldest: 40,
-        share: true,
-        swr: true,
-        seen: Some("t4".into()),
+    let full = WireRequest {
+        part: 3,
+        fill_source: Some("s-1".into()),
+        cache_rank: 2,
+        max_age_ms: 40,
+        join_fill: true,
+        stale_while_revalidate: true,
+        client_etag: Some("t4".into()),
         idempotency_key: Some("k7".into()),
         body: Bytes::from_static(b"xyz"),
         ..plain.clone()
     };
     let fields = "chunk=3,limit=900,from=s-1,rank=2,oldest=40,mode=share+swr,nonce=k7,seen=t4";
     assert_eq!(head(&full), format!("fetch 5 cls=piece,item=7f,{fields} 3\r\n"));
-    let hostile = Fetch { seen: Some("a,from=s-9 0\r\n".into()), ..plain.clone() };
+    let hostile = WireRequest { client_etag: Some("a,from=s-9 0\r\n".into()), ..plain.clone() };
     assert_eq!(head(&hostile), head(&plain), "a tag never adds words to the line");
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -9,9 +9,9 @@
 mod reading;
 
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
-pub use dispatch::Wording;
-use lines::Answer;
+use crate::net::{ConnectionKey, Net, Reason};
+pub use dispatch::RequestEncoder;
+use lines::WireAnswer;
 use pool::{Connection, Host, Job, JobRecord};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -52,46 +52,46 @@
 
 /// What falls due for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum ConnectionDeadline {
     /// It has not come up in time.
-    Connect(ConnKey),
+    Connect(ConnectionKey),
     /// It has been idle for too long.
-    Idle(ConnKey),
+    Idle(ConnectionKey),
     /// Nothing more of an answer came.
-    Stopped(ConnKey),
+    Stopped(ConnectionKey),
     /// It has stood for a while.
     Proven,
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ending {
+pub enum JobEnd {
     /// It was answered.
-    Answer(Answer),
+    Answer(WireAnswer),
     /// No connection came up; it never left.
     NotConnected,
     /// It can't be sent beside what is open, which says nothing of its server.
-    Unsent,
+    NotSent,
     /// The connection broke after it may have left.
     Reset,
 }
 
 /// What the connections have to tell.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum UpstreamEvent {
     /// A job has ended.
-    Ended {
+    JobEnded {
         /// The job.
         job: u64,
         /// How.
-        ending: Ending,
+        end: JobEnd,
     },
     /// A probe has ended.
-    Probed {
+    HealthChecked {
         /// The server.
         host: u32,
         /// How.
-        ending: Ending,
+        ending: JobEnd,
         /// Time since it was asked for.
         elapsed: i64,
     },
@@ -99,52 +99,52 @@
 
 /// The figures that the settings give.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct PoolLimits {
     /// A connection that is not up by then has failed, us.
     pub connect_timeout: i64,
     /// The servers close idle connections after this, us.
-    pub idle: i64,
+    pub idle_timeout: i64,
     /// Jobs that one connection carries.
-    pub streams: usize,
+    pub max_jobs_per_connection: usize,
     /// Connections in all.
-    pub most: usize,
+    pub max_connections: usize,
     /// Bytes that all buffers may hold.
-    pub bytes: usize,
+    pub max_buffered_bytes: usize,
 }
 
 /// The pool.
 pub struct Upstream {
-    figures: Figures,
+    limits: PoolLimits,
     hosts: BTreeMap<u32, Host>,
-    connections: BTreeMap<ConnKey, Connection>,
+    connections: BTreeMap<ConnectionKey, Connection>,
     /// Where a job is.
     jobs: BTreeMap<Job, JobRecord>,
     probes: u64,
     probed: BTreeMap<u64, i64>,
-    happened: Vec<Happening>,
+    events: Vec<UpstreamEvent>,
     elsewhere: usize,
     /// Jobs written whole, by tally.
     written: Vec<u64>,
     /// Connections that have more to read.
-    turns: VecDeque<ConnKey>,
+    turns: VecDeque<ConnectionKey>,
 }
 
 impl Upstream {
     /// Tells how many bytes of the budget are held by others than connections.
-    pub fn held_elsewhere(&mut self, bytes: usize) {
+    pub fn set_bytes_held_elsewhere(&mut self, bytes: usize) {
         self.elsewhere = bytes;
     }
 
     /// An empty pool.
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(figures: PoolLimits) -> Self {
         Upstream {
-            figures,
+            limits: figures,
             hosts: BTreeMap::new(),
             connections: BTreeMap::new(),
             jobs: BTreeMap::new(),
             probes: 0,
             probed: BTreeMap::new(),
-            happened: Vec::new(),
+            events: Vec::new(),
             elsewhere: 0,
             written: Vec::new(),
             turns: VecDeque::new(),
@@ -152,14 +152,14 @@
     }
 
     /// Sets the figures that hold from now on. A shorter idle time that a server was seen to keep stays.
-    pub fn set_figures(&mut self, figures: Figures) {
-        let idle = figures.idle.min(self.figures.idle);
-        self.figures = Figures { idle, ..figures };
+    pub fn set_limits(&mut self, figures: PoolLimits) {
+        let idle = figures.idle_timeout.min(self.limits.idle_timeout);
+        self.limits = PoolLimits { idle_timeout: idle, ..figures };
     }
 
     /// What has happened since the last call.
-    pub fn happened(&mut self) -> Vec<Happening> {
-        std::mem::take(&mut self.happened)
+    pub fn take_events(&mut self) -> Vec<UpstreamEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Names a server's address. Where the address was another server's, or the server started anew, the
@@ -171,14 +171,14 @@
         addr: SocketAddr,
         since: Option<i64>,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let others: Vec<u32> =
             self.hosts.iter().filter(|(id, h)| **id != host && h.addr == addr).map(|(id, _)| *id).collect();
         for other in others {
             self.close_connections(now, other, Reason::Replaced, net, due);
             if let Some(mut old) = self.hosts.remove(&other) {
-                old.take_queue().into_iter().for_each(|job| self.end(now, job, Ending::NotConnected));
+                old.take_queue().into_iter().for_each(|job| self.end(now, job, JobEnd::NotConnected));
             }
         }
         let moved = self.hosts.get(&host).is_some_and(|known| known.addr != addr || known.since != since);
@@ -191,14 +191,14 @@
     }
 
     /// A server is gone: nothing is queued for it any more, and its connections are closed once they are idle.
-    pub fn remove_host(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn remove_host(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let Some(known) = self.hosts.get_mut(&host) else { return };
         known.gone = true;
         let (queue, connections) = (known.take_queue(), known.connections());
         if connections.is_empty() {
             self.hosts.remove(&host);
         }
-        queue.into_iter().for_each(|job| self.end(now, job, Ending::NotConnected));
+        queue.into_iter().for_each(|job| self.end(now, job, JobEnd::NotConnected));
         for connection in connections {
             if self.connections.get(&connection).is_some_and(|l| l.open.is_empty()) {
                 self.drop_connection(now, connection, Reason::Replaced, net, due);
@@ -207,7 +207,7 @@
     }
 
     /// Gives a job up: it is not written, or its server is told to stop; nothing is heard of it any more.
-    pub fn give_up(&mut self, now: i64, job: u64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn abandon(&mut self, now: i64, job: u64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let id = Job::Fetch(job);
         let Some(JobRecord { host, lane, id: name, connection, written, .. }) = self.jobs.remove(&id) else {
             return;
@@ -233,19 +233,19 @@
     }
 
     /// Closes everything.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         for key in self.connections.keys().copied().collect::<Vec<_>>() {
             self.drop_connection(now, key, Reason::Stopping, net, due);
         }
     }
 
-    fn end(&mut self, now: i64, job: Job, ending: Ending) {
+    fn end(&mut self, now: i64, job: Job, ending: JobEnd) {
         let Some(JobRecord { host, .. }) = self.jobs.remove(&job) else { return };
-        self.happened.push(match job {
-            Job::Fetch(job) => Happening::Ended { job, ending },
+        self.events.push(match job {
+            Job::Fetch(job) => UpstreamEvent::JobEnded { job, end: ending },
             Job::Probe(number) => {
                 let asked = self.probed.remove(&number).unwrap_or(now);
-                Happening::Probed { host, ending, elapsed: now - asked }
+                UpstreamEvent::HealthChecked { host, ending, elapsed: now - asked }
             }
         });
     }
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -2,8 +2,8 @@
 
 use super::answers::Reader;
 use super::{ANSWERED, MOST_UNANSWERED, PROVEN, SECOND_ANSWER, SILENT};
-use crate::deadlines::Handle;
-use crate::net::ConnKey;
+use crate::deadlines::DeadlineHandle;
+use crate::net::ConnectionKey;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     pub host: u32,
     pub lane: usize,
     pub id: String,
-    pub connection: Option<ConnKey>,
+    pub connection: Option<ConnectionKey>,
     pub written: i64,
     pub tally: Option<u16>,
 }
@@ -34,14 +34,14 @@
 /// Reads and writes each have connections of their own.
 #[derive(Default)]
 pub(super) struct Lane {
-    pub connections: Vec<ConnKey>,
+    pub connections: Vec<ConnectionKey>,
     pub queue: VecDeque<Job>,
     pub backoff_until: i64,
     pub dial_retries: u32,
 }
 
 impl Host {
-    pub(super) fn connections(&self) -> Vec<ConnKey> {
+    pub(super) fn connections(&self) -> Vec<ConnectionKey> {
         self.lanes.iter().flat_map(|lane| lane.connections.iter().copied()).collect()
     }
 
@@ -76,10 +76,10 @@
     pub since: i64,
     pub used: bool,
     pub idle_since: i64,
-    pub connect_deadline: Option<Handle>,
-    pub idle_deadline: Option<Handle>,
+    pub connect_deadline: Option<DeadlineHandle>,
+    pub idle_deadline: Option<DeadlineHandle>,
     /// Hung while an answer has come in part.
-    pub answer_deadline: Option<Handle>,
+    pub answer_deadline: Option<DeadlineHandle>,
     /// When that answer began.
     pub answer_since: Option<i64>,
     /// The tally of the job whose bytes are not all written yet.
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,20 +1,20 @@
 //! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
 
 use super::answers::MalformedAnswer;
-use super::{Due, Ending, Upstream, INPUT, LONGEST_ANSWER, PROVEN, READS_IN_A_TURN, STOPPED};
+use super::{ConnectionDeadline, JobEnd, Upstream, INPUT, LONGEST_ANSWER, PROVEN, READS_IN_A_TURN, STOPPED};
 use crate::deadlines::Schedule;
-use crate::net::{ConnKey, Net, Reason};
+use crate::net::{ConnectionKey, Net, Reason};
 
 impl Upstream {
     /// A connection may be read from, or written to.
     pub fn ready(
         &mut self,
         now: i64,
-        key: ConnKey,
+        key: ConnectionKey,
         read: bool,
         write: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         if let Err(reason) = self.advance(now, key, read, write, net, due) {
             self.drop_connection(now, key, reason, net, due);
@@ -24,11 +24,11 @@
     fn advance(
         &mut self,
         now: i64,
-        key: ConnKey,
+        key: ConnectionKey,
         read: bool,
         write: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<Due>,
+        due: &mut dyn Schedule<ConnectionDeadline>,
     ) -> Result<(), Reason> {
         let Some(connection) = self.connections.get(&key) else { return Ok(()) };
         if !connection.up {
@@ -53,12 +53,12 @@
     }
 
     /// A connection has come up.
-    fn come_up(&mut self, now: i64, key: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    fn come_up(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.up = true;
         (connection.since, connection.idle_since) = (now, now);
         if connection.lane == 1 {
-            due.add(now + PROVEN, Due::Proven);
+            due.add(now + PROVEN, ConnectionDeadline::Proven);
         }
         connection.connect_deadline.take().into_iter().for_each(|handle| due.remove(handle));
         if let Some(host) = self.hosts.get_mut(&connection.host) {
@@ -68,7 +68,7 @@
     }
 
     /// Sets the deadline of an answer that has come in part: its next bytes, and its end, have their times.
-    fn watch_answer(&mut self, now: i64, key: ConnKey, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    fn watch_answer(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let in_part =
             connection.reader.is_midway() || net.input(key, |input| !input.is_empty()).unwrap_or(false);
@@ -79,11 +79,11 @@
         }
         let since = *connection.answer_since.get_or_insert(now);
         let until = (now + STOPPED).min(since + LONGEST_ANSWER);
-        connection.answer_deadline = Some(due.add(until, Due::Stopped(key)));
+        connection.answer_deadline = Some(due.add(until, ConnectionDeadline::Stopped(key)));
     }
 
     /// Takes in what has come. A server that sends without end gets its next turn behind all others.
-    pub(super) fn read(&mut self, now: i64, key: ConnKey, net: &mut Net) -> Result<(), Reason> {
+    pub(super) fn read(&mut self, now: i64, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         for _ in 0..READS_IN_A_TURN {
             let wanted = self.connections.get(&key).map_or(0, |connection| connection.reader.wanted());
             let got = net.read(key, wanted + INPUT);
@@ -104,8 +104,8 @@
     }
 
     /// Ends the jobs whose answers have come whole.
-    fn take_answers(&mut self, now: i64, key: ConnKey, net: &mut Net) -> Result<(), Reason> {
-        let room = self.figures.bytes.saturating_sub(net.held() + self.elsewhere);
+    fn take_answers(&mut self, now: i64, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
+        let room = self.limits.max_buffered_bytes.saturating_sub(net.held_bytes() + self.elsewhere);
         let Some(connection) = self.connections.get_mut(&key) else { return Ok(()) };
         let mut answers = Vec::new();
         let read = net.input(key, |input| {
@@ -120,7 +120,7 @@
         for answer in answers {
             // An id that is not open was given up: its answer came late.
             match self.connections.get_mut(&key).and_then(|connection| connection.answered(now, &answer.id)) {
-                Some(job) => self.end(now, job, Ending::Answer(answer)),
+                Some(job) => self.end(now, job, JobEnd::Answer(answer)),
                 None => drop(answer),
             }
         }
@@ -131,7 +131,7 @@
     }
 
     /// The next connection that has more to read than its last turn allowed.
-    pub fn turn(&mut self) -> Option<ConnKey> {
+    pub fn turn(&mut self) -> Option<ConnectionKey> {
         self.turns.pop_front()
     }
 
@@ -141,22 +141,22 @@
     }
 
     /// A connection's deadline has fallen.
-    pub fn due(&mut self, now: i64, what: Due, net: &mut Net, due: &mut dyn Schedule<Due>) {
+    pub fn due(&mut self, now: i64, what: ConnectionDeadline, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         match what {
-            Due::Connect(key) => {
+            ConnectionDeadline::Connect(key) => {
                 if let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.up) {
                     connection.connect_deadline = None;
                     self.drop_connection(now, key, Reason::ConnectTimeout, net, due);
                 }
             }
-            Due::Proven => {} // what waits for it is written by the next dispatch
-            Due::Stopped(key) => {
+            ConnectionDeadline::Proven => {} // what waits for it is written by the next dispatch
+            ConnectionDeadline::Stopped(key) => {
                 if let Some(connection) = self.connections.get_mut(&key) {
                     connection.answer_deadline = None;
                     self.drop_connection(now, key, Reason::Stalled, net, due);
                 }
             }
-            Due::Idle(key) => {
+            ConnectionDeadline::Idle(key) => {
                 if let Some(connection) =
                     self.connections.get_mut(&key).filter(|connection| connection.open.is_empty())
                 {
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,8 +1,8 @@
 use super::connections::DIAL_RETRIES;
-use super::lines::Fetch;
+use super::lines::WireRequest;
 use super::*;
 use crate::deadlines::Deadlines;
-use crate::net::fabric::{host, Fabric, Reach, Signal};
+use crate::net::fabric::{host, Fabric, HostBehaviour, ActorEvent};
 
 /// Bytes that may be on the way on a connection of the simulated network.
 const WINDOW: usize = 256 * 1024;
@@ -10,7 +10,7 @@
 struct Pool {
     upstream: Upstream,
     net: Net,
-    due: Deadlines<Due>,
+    due: Deadlines<ConnectionDeadline>,
     _listener: std::net::TcpListener,
 }
 
@@ -21,7 +21,7 @@
 
 fn pool_of(write: bool) -> Pool {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let figures = Figures { connect_timeout: 400_000, idle: 1, streams: 100, most: 9, bytes: 1000 };
+    let figures = PoolLimits { connect_timeout: 400_000, idle_timeout: 1, max_jobs_per_connection: 100, max_connections: 9, max_buffered_bytes: 1000 };
     let (upstream, net) = (Upstream::new(figures), Net::new().expect("a poll"));
     let mut pool = Pool { upstream, net, due: Deadlines::default(), _listener: listener };
     let addr = pool._listener.local_addr().expect("an address");
@@ -36,7 +36,7 @@
         self.upstream.dispatch(0, &mut self.net, &mut self.due, &mut Notes::default());
     }
 
-    fn connection(&self) -> ConnKey {
+    fn connection(&self) -> ConnectionKey {
         *self.upstream.connections.keys().next().expect("a connection")
     }
 }
@@ -90,7 +90,7 @@
             pool.dispatch();
         }
         for job in 0..u64::from(MOST_UNANSWERED) {
-            pool.upstream.give_up(waited, 7 + job, &mut pool.net, &mut pool.due);
+            pool.upstream.abandon(waited, 7 + job, &mut pool.net, &mut pool.due);
         }
         assert_eq!(!pool.upstream.connections.contains_key(&key), silent, "after {waited} us");
     }
@@ -143,7 +143,7 @@
     let key = pool.connection();
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
     (connection.up, connection.idle_since) = (true, 0);
-    pool.upstream.figures.idle = 15_000_000;
+    pool.upstream.limits.idle_timeout = 15_000_000;
     pool.upstream.drop_connection(820_000, key, Reason::PeerClosed, &mut pool.net, &mut pool.due);
     assert_eq!(pool.upstream.figures.idle, 820_000);
 }
@@ -196,7 +196,7 @@
 fn without_a_descriptor_the_idlest_connection_goes_or_the_job_is_unsent() {
     let mut pool = pool();
     let key = pool.connection();
-    pool.upstream.figures.most = 1;
+    pool.upstream.limits.max_connections = 1;
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = other.local_addr().expect("an address");
     pool.upstream.set_host(0, 2, addr, None, &mut pool.net, &mut pool.due);
@@ -210,7 +210,7 @@
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
     connection.up = true;
     connection.open.clear();
-    pool.upstream.give_up(0, 7, &mut pool.net, &mut pool.due);
+    pool.upstream.abandon(0, 7, &mut pool.net, &mut pool.due);
     pool.upstream.queue(0, 2, 9, "c".into(), false, None);
     pool.dispatch();
     assert!(pool.upstream.happened().is_empty() && !pool.upstream.connections.contains_key(&key));
@@ -221,7 +221,7 @@
     upstream: Upstream,
     net: Net,
     fabric: Fabric,
-    due: Deadlines<Due>,
+    due: Deadlines<ConnectionDeadline>,
     now: i64,
 }
 
@@ -233,10 +233,10 @@
     not_written: Vec<u64>,
 }
 
-impl Wording<Deadlines<Due>> for Notes {
-    fn fetch(&mut self, job: u64, _: &mut Deadlines<Due>) -> Option<Fetch> {
+impl RequestEncoder<Deadlines<ConnectionDeadline>> for Notes {
+    fn encode(&mut self, job: u64, _: &mut Deadlines<ConnectionDeadline>) -> Option<WireRequest> {
         self.worded.push(job);
-        Some(Fetch { body: vec![b'x'; self.body].into(), ..Fetch::default() })
+        Some(WireRequest { body: vec![b'x'; self.body].into(), ..WireRequest::default() })
     }
 
     fn not_written(&mut self, job: u64) {
@@ -251,9 +251,9 @@
     fn new() -> Self {
         let fabric = Fabric::new(0, 1, (1000, 1000));
         fabric.start_process(1);
-        fabric.set_reach(host(1), Reach::Up);
+        fabric.set_reach(host(1), HostBehaviour::Up);
         let figures =
-            Figures { connect_timeout: 400_000, idle: 1_000_000, streams: 100, most: 9, bytes: 1 << 20 };
+            PoolLimits { connect_timeout: 400_000, idle_timeout: 1_000_000, max_jobs_per_connection: 100, max_connections: 9, max_buffered_bytes: 1 << 20 };
         let (upstream, net) = (Upstream::new(figures), Net::on(&fabric, 1));
         let mut pool = Simulated { upstream, net, fabric, due: Deadlines::default(), now: 0 };
         pool.upstream.set_host(0, 1, host(1), None, &mut pool.net, &mut pool.due);
@@ -282,7 +282,7 @@
             }
         }
         let bytes = self.fabric.signals().into_iter().filter_map(|signal| match signal {
-            Signal::Bytes { bytes, .. } => Some(String::from_utf8(bytes).expect("text")),
+            ActorEvent::Bytes { bytes, .. } => Some(String::from_utf8(bytes).expect("text")),
             _ => None,
         });
         bytes.collect()
@@ -291,7 +291,7 @@
     /// Writes a job that leaves room for so many bytes on the way to the server.
     fn fill(&mut self, room: usize) {
         let line =
-            lines::fetch_head("a7", &Fetch { body: vec![0; 100_000].into(), ..Fetch::default() }).len();
+            lines::fetch_head("a7", &WireRequest { body: vec![0; 100_000].into(), ..WireRequest::default() }).len();
         let body = WINDOW - room - line - 2;
         assert!((100_000..1_000_000).contains(&body), "its length has six digits");
         self.queue(7, &mut Notes { body, ..Notes::default() });
@@ -311,7 +311,7 @@
         assert_eq!((&notes.worded[..], &notes.not_written[..]), (&[8][..], &[8][..]));
         assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "it waits in the queue");
         if gives_up {
-            pool.upstream.give_up(2500, 8, &mut pool.net, &mut pool.due);
+            pool.upstream.abandon(2500, 8, &mut pool.net, &mut pool.due);
         }
         assert!(!pool.pass(3000).contains("fetch a8"));
         pool.dispatch(&mut notes);
@@ -378,7 +378,7 @@
         while let Some(what) = pool.due.pop(at) {
             pool.upstream.due(at, what, &mut pool.net, &mut pool.due);
         }
-        let happened = pool.upstream.happened();
+        let happened = pool.upstream.take_events();
         if !happened.is_empty() {
             break happened;
         }
