--- a/src/bin/dahliatrack-wirehost/codec.rs
+++ b/src/bin/dahliatrack-wirehost/codec.rs
@@ -257,7 +257,18 @@
         let (size_kb, group, part) = (self.f32()?.into(), GroupId(self.f32()? as u32), self.f32()? as u32);
         let options = self.u8()?;
         let (repeat, write) = (options & 2 != 0, options & 4 != 0);
-        Ok(Request { id, class, tenant, object, part, group, client_timeout: patience, size_kb, is_retry: repeat, is_write: write })
+        Ok(Request {
+            id,
+            class,
+            tenant,
+            object,
+            part,
+            group,
+            client_timeout: patience,
+            size_kb,
+            is_retry: repeat,
+            is_write: write,
+        })
     }
 }
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -109,8 +109,8 @@
             }
             names.classes.push(name.clone());
             names.retired.push(false);
-            names.writes.push(class.effect != Idempotency::Always);
-            names.deadlines.push(class.deadline);
+            names.writes.push(class.idempotency != Idempotency::Always);
+            names.deadlines.push(class.client_deadline);
             classes.push(class.clone());
         }
         let place = old.settings.clone();
@@ -121,7 +121,7 @@
             zone: place.zone,
             routers_by_zone: place.routers_by_zone,
             hub_by_zone: place.hub_by_zone,
-            zone_link_kb_per_s: place.link_kb_per_s,
+            zone_link_kb_per_s: place.zone_link_kb_per_s,
             parent_kind: place.parent_kind,
             origin_kind: place.origin_kind,
             ..new.clone()
@@ -233,7 +233,11 @@
             idempotency: word(
                 "effect",
                 &grade.effect,
-                &[("pure", Idempotency::Always), ("token", Idempotency::WithKey), ("side_effect", Idempotency::Never)],
+                &[
+                    ("pure", Idempotency::Always),
+                    ("token", Idempotency::WithKey),
+                    ("side_effect", Idempotency::Never),
+                ],
             )?,
             dedup_scope: word(
                 "dedup_scope",
@@ -250,8 +254,8 @@
     let names = SiteNames {
         classes: wire.grades.iter().map(|grade| grade.name.clone()).collect(),
         retired: vec![false; classes.len()],
-        writes: classes.iter().map(|class| class.effect != Idempotency::Always).collect(),
-        deadlines: classes.iter().map(|class| class.deadline).collect(),
+        writes: classes.iter().map(|class| class.idempotency != Idempotency::Always).collect(),
+        deadlines: classes.iter().map(|class| class.client_deadline).collect(),
         kinds: wire.skus.clone(),
         zones: wire.failure_domains.clone(),
         report: wire.report.names.clone(),
@@ -278,12 +282,20 @@
         sibling_sources: word(
             "lateral",
             &domain.lateral,
-            &[("silent", SiblingSources::None), ("location", SiblingSources::SameLocation), ("any", SiblingSources::Any)],
+            &[
+                ("silent", SiblingSources::None),
+                ("location", SiblingSources::SameLocation),
+                ("any", SiblingSources::Any),
+            ],
         )?,
         cache_status_detail: word(
             "tells",
             &domain.tells,
-            &[("all", CacheStatusDetail::All), ("hit", CacheStatusDetail::Hit), ("silent", CacheStatusDetail::None)],
+            &[
+                ("all", CacheStatusDetail::All),
+                ("hit", CacheStatusDetail::Hit),
+                ("silent", CacheStatusDetail::None),
+            ],
         )?,
         polls_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
         limits: SiteLimits {
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -6,8 +6,11 @@
     let text = include_str!("example.json");
     let mut parsed = parse(text.as_bytes()).expect("usable");
     let like = parsed.settings.classes[0].clone();
-    let class =
-        |(_, deadline, effect): &(_, _, _)| Class { client_deadline: *deadline, idempotency: *effect, ..like.clone() };
+    let class = |(_, deadline, effect): &(_, _, _)| Class {
+        client_deadline: *deadline,
+        idempotency: *effect,
+        ..like.clone()
+    };
     parsed.settings.classes = classes.iter().map(class).collect();
     parsed.names.classes = classes.iter().map(|(name, ..)| (*name).to_owned()).collect();
     parsed.names.deadlines = classes.iter().map(|(_, deadline, _)| *deadline).collect();
@@ -31,11 +34,11 @@
     use Idempotency::{Always, Never};
     let first = parsed(&[("a", 5, Always), ("b", 6, Always)]);
     let steps = [
-        (vec![("b", 6, Safe), ("a", 5, Safe)], (vec![Some(0), Some(1), None], 2)),
-        (vec![("a", 5, Unsafe), ("b", 6, Safe)], (vec![Some(2), Some(1), None], 3)),
-        (vec![("c", 6, Safe)], (vec![None, None, Some(3)], 4)),
-        (vec![("a", 5, Safe), ("c", 6, Safe)], (vec![Some(4), None, Some(3)], 5)),
-        (vec![("a", 5, Safe), ("c", 7, Safe)], (vec![Some(4), None, Some(5)], 6)),
+        (vec![("b", 6, Always), ("a", 5, Always)], (vec![Some(0), Some(1), None], 2)),
+        (vec![("a", 5, Never), ("b", 6, Always)], (vec![Some(2), Some(1), None], 3)),
+        (vec![("c", 6, Always)], (vec![None, None, Some(3)], 4)),
+        (vec![("a", 5, Always), ("c", 6, Always)], (vec![Some(4), None, Some(3)], 5)),
+        (vec![("a", 5, Always), ("c", 7, Always)], (vec![Some(4), None, Some(5)], 6)),
     ];
     let mut now = first;
     for (classes, wanted) in steps {
@@ -43,7 +46,7 @@
         assert_eq!((numbers(&next), moved), (wanted, false), "{classes:?}");
         now = next;
     }
-    assert_eq!(now.settings.classes[0].effect, Safe, "open requests go on by the old record");
+    assert_eq!(now.settings.classes[0].idempotency, Always, "open requests go on by the old record");
     let mut moved = parsed(&[("a", 5, Always)]);
     (moved.settings.zone, moved.settings.limits.max_attempts) = (ZoneId(0), 1);
     let (next, moved) = moved.following(&now).expect("usable");
--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -2,9 +2,9 @@
 
 use super::clock::Clock;
 use super::version::PollNumber;
-use crate::config::events::Batch;
+use crate::config::events::FeedBatch;
 use crate::deadlines::Deadlines;
-use crate::feed::{Due, Feed};
+use crate::feed::{Feed, FeedDeadline};
 use crate::net::{Net, Ready};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct FeedUpdate {
     /// The events, if there were any.
-    pub batches: Vec<Batch>,
+    pub batches: Vec<FeedBatch>,
     /// The newest poll that had been answered by then.
     pub answered_poll: PollNumber,
 }
@@ -79,7 +79,7 @@
 struct Poller {
     clock: Clock,
     net: Net,
-    deadlines: Deadlines<Due>,
+    deadlines: Deadlines<FeedDeadline>,
     feed: Feed,
     answered_poll: u64,
     polls_begun: PollCounter,
@@ -110,22 +110,22 @@
     }
 
     /// Handles ready connections and due deadlines; returns the feed's events.
-    fn handle(&mut self, ready: &mut Vec<Ready>) -> Vec<Batch> {
+    fn handle(&mut self, ready: &mut Vec<Ready>) -> Vec<FeedBatch> {
         let now = self.clock.now();
         let mut batches = Vec::new();
         for event in ready.drain(..) {
             if matches!(event, Ready::Conn { key, .. } if self.feed.owns(key)) {
-                batches.extend(self.feed.ready(now, &mut self.net, &mut self.deadlines));
+                batches.extend(self.feed.on_ready(now, &mut self.net, &mut self.deadlines));
             }
         }
         while let Some(due) = self.deadlines.pop(now) {
-            self.feed.due(now, due, &mut self.net, &mut self.deadlines);
+            self.feed.deadline_passed(now, due, &mut self.net, &mut self.deadlines);
         }
         batches
     }
 
     /// Sends an update if a poll was answered; an error if nobody receives it.
-    fn report(&mut self, batches: Vec<Batch>) -> Result<(), ReceiverGone> {
+    fn report(&mut self, batches: Vec<FeedBatch>) -> Result<(), ReceiverGone> {
         let [begun, answered] = self.feed.polls();
         self.polls_begun.set(begun);
         if answered <= self.answered_poll && batches.is_empty() {
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -4,7 +4,7 @@
 use super::registry::{Server, ServerRegistry};
 use super::site::Site;
 use crate::control::resource::{Endpoint, PriorityLevel};
-use crate::interface::{Endpoint, Micros, ServerId, ZoneId};
+use crate::interface::{self, Micros, ServerId, ZoneId};
 use std::collections::BTreeMap;
 
 /// Weights are whole numbers; a full-pace answer counts as this many.
@@ -59,7 +59,7 @@
 }
 
 /// At which priority a server fills misses; `None`: it fills none.
-fn fill_level(site: &Site, hub: Option<ZoneId>, member: &Endpoint) -> Option<usize> {
+fn fill_level(site: &Site, hub: Option<ZoneId>, member: &interface::Endpoint) -> Option<usize> {
     if member.kind == site.settings.origin_kind {
         Some(2)
     } else if Some(member.kind) != site.settings.parent_kind {
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -4,8 +4,8 @@
 use crate::config::settings::SiteNames;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
-    Action, AttemptResult, Class, ClassId, Event, FillAttempt, GroupId, Micros, CacheStatus, ObjectId, AttemptOutcome, Request,
-    RequestId, ServerId, Settings,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Micros,
+    ObjectId, Request, RequestId, ServerId, Settings,
 };
 use crate::Router;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
         let text = unknown("class", name, names.classes.iter().map(String::as_str));
         return Err(HotError::UnknownClass { at, text });
     };
-    if settings.classes[usize::from(class.0)].never_kept {
+    if settings.classes[usize::from(class.0)].uncached {
         return Err(HotError::NeverCached { at, class: name.clone() });
     }
     Ok(class)
@@ -91,13 +91,13 @@
     classes: &[Class],
     next_request: &mut u64,
 ) -> Option<Placement> {
-    let patience = classes[usize::from(hot.class.0)].deadline;
+    let patience = classes[usize::from(hot.class.0)].client_deadline;
     let mut placement = Placement::default();
     for query in 0..QUERIES {
         let request = request(RequestId(*next_request), hot, patience);
         *next_request += 1;
         let Some(get) = answer(router, now, request) else { continue };
-        placement.rank = placement.rank.max(get.rank);
+        placement.rank = placement.rank.max(get.cache_rank);
         if query >= SETTLED_AFTER {
             let source = Some(get.source).filter(|source| *source != get.server);
             placement.caches.insert(get.server, source);
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -3,7 +3,7 @@
 use crate::config::events::{self, Health};
 use crate::config::settings::SiteNames;
 use crate::control::clock::Moment;
-use crate::interface::{ListUpdate, Endpoint, Micros, ServerId, ServerState};
+use crate::interface::{Endpoint, ListUpdate, Micros, ServerId, ServerState};
 use crate::members::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -49,7 +49,12 @@
 
 impl ServerRegistry {
     /// Applies a change of the list, complete or of some entries.
-    pub(super) fn apply(&mut self, moment: Moment, change: &events::ListChange, names: &SiteNames) -> ListChange {
+    pub(super) fn apply(
+        &mut self,
+        moment: Moment,
+        change: &events::ListChange,
+        names: &SiteNames,
+    ) -> ListChange {
         let ready_before = self.ready();
         let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
         let entries: Vec<Endpoint> = stated.iter().map(|server| server.member).collect();
@@ -84,7 +89,7 @@
     /// since the decision module takes another start for a restart.
     fn start_of(&self, moment: Moment, server: ServerId, born_unix: Micros) -> Micros {
         let known = self.servers.get(&server).filter(|known| known.born_unix == Some(born_unix));
-        let known_start = known.and_then(|known| known.member.up_since);
+        let known_start = known.and_then(|known| known.member.started_at);
         known_start.unwrap_or_else(|| moment.monotonic_of(born_unix))
     }
 
@@ -95,7 +100,7 @@
 
     /// Whether any server has started after a monotonic time, us.
     pub(super) fn any_started_after(&self, time: Micros) -> bool {
-        let mut starts = self.servers.values().filter_map(|server| server.member.up_since);
+        let mut starts = self.servers.values().filter_map(|server| server.member.started_at);
         starts.any(|start| start > time)
     }
 
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -12,7 +12,7 @@
 use super::snapshot::Snapshot;
 use super::version::{Epoch, PollNumber};
 use super::wire;
-use crate::config::events::Batch;
+use crate::config::events::FeedBatch;
 use crate::config::located::Doc;
 use crate::config::Config;
 use crate::interface::Micros;
@@ -59,7 +59,7 @@
     }
 
     fn take(&mut self, event: Value) -> Urgency {
-        let batch: Batch = serde_json::from_value(json!({"n": 2, "events": [event]})).expect("a batch");
+        let batch: FeedBatch = serde_json::from_value(json!({"n": 2, "events": [event]})).expect("a batch");
         let urgency = self.model.apply(self.moment(), &batch);
         urgency.max(self.model.tick(self.now))
     }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,9 +1,12 @@
 //! Attempts: begun as the decision module says, written if that still holds at their writing, and ended once each.
 
-use super::{Attempt, AttemptKey, Command, Core, CoreDeadline, AttemptEnd, FinalAnswer, OutgoingAttempt, RequestKey};
+use super::{
+    Attempt, AttemptEnd, AttemptKey, Command, Core, CoreDeadline, FinalAnswer, OutgoingAttempt, RequestKey,
+};
 use crate::deadlines::Schedule;
 use crate::interface::{
-    AttemptResult, Idempotency, Event, FillAttempt, Micros, AttemptOutcome, Purge, RequestId, ServerId, ServerState,
+    AttemptOutcome, AttemptResult, Event, FillAttempt, Idempotency, Micros, Purge, RequestId, ServerId,
+    ServerState,
 };
 use crate::slots::Key;
 use tracing::debug;
@@ -20,22 +23,37 @@
 
 impl Core {
     /// Begins an attempt: it is queued for its server, or ends at once if it comes too late.
-    pub(super) fn begin_attempt(&mut self, now: Micros, new: NewAttempt, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn begin_attempt(
+        &mut self,
+        now: Micros,
+        new: NewAttempt,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         let request_key = Key::from_number(new.request.0);
         let Some(request) = self.requests.get_mut(request_key) else { return };
-        let number = request.sent;
-        request.sent = number.saturating_add(1);
+        let number = request.attempts_sent;
+        request.attempts_sent = number.saturating_add(1);
         let deadline = request.deadline();
         let until = if new.timeout == 0 { deadline } else { (now + new.timeout).min(deadline) };
-        let is_moot = !request.is_open() || u32::from(number) >= request.most || until <= now;
+        let is_moot = !request.is_open() || u32::from(number) >= request.max_attempts || until <= now;
         let NewAttempt { request: id, server, fill: get, .. } = new;
-        let purge = [Purge::Object(request.ask.object), Purge::Group(request.ask.group)];
-        let attempt =
-            Attempt { request: id, number, server, fill: get, purge_scopes: purge, started_at: now, deadline: until, timeout_deadline: None, written_at: None };
+        let purge =
+            [Purge::Object(request.client_request.object), Purge::Group(request.client_request.group)];
+        let attempt = Attempt {
+            request: id,
+            number,
+            server,
+            fill: get,
+            purge_scopes: purge,
+            started_at: now,
+            deadline: until,
+            timeout_deadline: None,
+            written_at: None,
+        };
         let key = self.attempts.insert(attempt);
         let handle = due.add(until, CoreDeadline::AttemptTimeout(key));
         if let Some(attempt) = self.attempts.get_mut(key) {
-            attempt.due = Some(handle);
+            attempt.timeout_deadline = Some(handle);
         }
         if is_moot {
             self.end_attempt(now, key, AttemptEnd::without_details(AttemptResult::NotSent), due);
@@ -46,7 +64,12 @@
 
     /// An attempt's bytes are about to be written: the last word on whether, and on what. `None`: it is not
     /// to be written; if it had not ended before, it ends as never sent.
-    pub fn write_attempt(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<CoreDeadline>) -> Option<OutgoingAttempt> {
+    pub fn write_attempt(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) -> Option<OutgoingAttempt> {
         let attempt = self.attempts.get(key)?;
         let is_wanted = self.requests.get(Key::from_number(attempt.request.0)).is_some_and(|r| r.is_open());
         let may_go = is_wanted && self.servers_are_ready(attempt) && self.may_repeat(now, key, attempt);
@@ -58,27 +81,27 @@
         let max_age = self.max_age(now, attempt);
         let source = attempt.source();
         let attempt = self.attempts.get_mut(key)?;
-        attempt.launched = Some(now);
+        attempt.written_at = Some(now);
         let request = Key::from_number(attempt.request.0);
-        let get = attempt.get.as_ref();
+        let get = attempt.fill.as_ref();
         Some(OutgoingAttempt {
             request,
-            part: self.requests.get(request)?.ask.part,
+            part: self.requests.get(request)?.client_request.part,
             fill_source: source,
-            cache_rank: get.map_or(0, |get| get.rank),
+            cache_rank: get.map_or(0, |get| get.cache_rank),
             max_age,
-            join_fill: get.is_some_and(|get| get.join),
-            only_if_cached: get.is_some_and(|get| get.only_held),
-            bypass_parent_cache: get.is_some_and(|get| get.no_parent_copy),
-            stale_while_revalidate: get.is_some_and(|get| get.renew),
-            timeout: attempt.until - now,
+            join_fill: get.is_some_and(|get| get.join_fill),
+            only_if_cached: get.is_some_and(|get| get.only_if_cached),
+            bypass_parent_cache: get.is_some_and(|get| get.bypass_parent_cache),
+            stale_while_revalidate: get.is_some_and(|get| get.stale_while_revalidate),
+            timeout: attempt.deadline - now,
         })
     }
 
     /// The attempt that was launched last has not left after all: not a whole line of it is out, so it has not run.
     pub fn attempt_not_written(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get_mut(key) {
-            attempt.launched = None;
+            attempt.written_at = None;
         }
     }
 
@@ -108,18 +131,24 @@
         let Some(request) = self.requests.get(Key::from_number(attempt.request.0)) else { return false };
         let others = self.attempts.iter().filter(|(other, _)| *other != key);
         let others = others.filter(|(_, other)| other.request == attempt.request);
-        let first = others.filter_map(|(_, other)| other.launched).chain(request.may_have_run).min();
-        let class = self.settings.classes.get(usize::from(request.ask.class.0));
+        let first = others.filter_map(|(_, other)| other.written_at).chain(request.first_possible_run).min();
+        let class = self.settings.classes.get(usize::from(request.client_request.class.0));
         let (Some(first), Some(class)) = (first, class) else { return true };
-        match class.effect {
+        match class.idempotency {
             Idempotency::Always => true,
             Idempotency::Never => false,
-            Idempotency::WithKey => now < first + class.window,
+            Idempotency::WithKey => now < first + class.dedup_window,
         }
     }
 
     /// An attempt has ended; what comes late for one that was given up is ignored.
-    pub fn attempt_ended(&mut self, now: Micros, key: AttemptKey, end: AttemptEnd, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        end: AttemptEnd,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         if self.attempts.get(key).is_some() {
             self.end_attempt(now, key, end, due);
             self.run_router(now, due);
@@ -127,7 +156,12 @@
     }
 
     /// Ends an attempt whose time is over. Unsent by then, it never ran: no connection came up in time.
-    pub(super) fn time_out_attempt(&mut self, now: Micros, key: AttemptKey, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn time_out_attempt(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         let launched = self.is_written(key);
         let result = if launched { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         self.abandon_attempt(now, key, result, due);
@@ -164,11 +198,11 @@
 
     /// When an attempt's bytes may have left, if they may have.
     pub fn written_at(&self, key: AttemptKey) -> Option<Micros> {
-        self.attempts.get(key)?.launched
+        self.attempts.get(key)?.written_at
     }
 
     fn is_written(&self, key: AttemptKey) -> bool {
-        self.attempts.get(key).is_some_and(|attempt| attempt.launched.is_some())
+        self.attempts.get(key).is_some_and(|attempt| attempt.written_at.is_some())
     }
 
     pub(super) fn attempts_of(&self, key: RequestKey) -> Vec<AttemptKey> {
@@ -177,12 +211,19 @@
     }
 
     /// Ends an attempt and tells the module; the first copy answers the request.
-    fn end_attempt(&mut self, now: Micros, key: AttemptKey, mut end: AttemptEnd, due: &mut dyn Schedule<CoreDeadline>) {
+    fn end_attempt(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        mut end: AttemptEnd,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         let Some(attempt) = self.attempts.remove(key) else { return };
-        attempt.due.into_iter().for_each(|handle| due.remove(handle));
+        attempt.timeout_deadline.into_iter().for_each(|handle| due.remove(handle));
         let request_key = Key::from_number(attempt.request.0);
         if let Some(request) = self.requests.get_mut(request_key).filter(|_| !end.result.never_ran()) {
-            request.may_have_run = request.may_have_run.into_iter().chain(attempt.launched).min();
+            request.first_possible_run =
+                request.first_possible_run.into_iter().chain(attempt.written_at).min();
         }
         if end.result == AttemptResult::Ok {
             self.choose_answer(request_key, FinalAnswer::Served(std::mem::take(&mut end.copy)));
@@ -220,6 +261,13 @@
 fn log_outcome(request: RequestKey, attempt: &Attempt, outcome: &AttemptOutcome) {
     let (server, number) = (attempt.server.0, attempt.number);
     let source = attempt.fill.as_ref().map(|get| get.source.0);
-    let AttemptOutcome { result, cache_status: note, elapsed: us, fill_wait: waited, transfer_time: sending, .. } = outcome;
+    let AttemptOutcome {
+        result,
+        cache_status: note,
+        elapsed: us,
+        fill_wait: waited,
+        transfer_time: sending,
+        ..
+    } = outcome;
     debug!("{request} attempt {number} at {server} from {source:?}: {result:?} {note:?} us={us} waited={waited} sending={sending}");
 }
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -4,7 +4,8 @@
 use super::{Command, Core, CoreDeadline, FinalAnswer};
 use crate::deadlines::Schedule;
 use crate::interface::{
-    Action, AttemptResult, Event, ListUpdate, Endpoint, Micros, Purge, RequestId, ServerId, ServerState, RejectionReason,
+    Action, AttemptResult, Endpoint, Event, ListUpdate, Micros, Purge, RejectionReason, RequestId, ServerId,
+    ServerState,
 };
 use crate::slots::Key;
 
@@ -31,7 +32,7 @@
         entries: Vec<Endpoint>,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Rejected) {
             self.server_states.clear();
         }
         self.server_states.extend(entries.iter().map(|member| (member.server, member.state)));
@@ -82,7 +83,9 @@
                 let (request, server, timeout) = (get.request, get.server, get.timeout);
                 self.begin_attempt(now, NewAttempt { request, server, timeout, fill: Some(get) }, due);
             }
-            Action::Reject { request, retry_after, reason: why } => self.reject(now, request, retry_after, why),
+            Action::Reject { request, retry_after, reason: why } => {
+                self.reject(now, request, retry_after, why)
+            }
             Action::Fail(request) => {
                 let late = self.is_timed_out(now, request);
                 self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
@@ -92,7 +95,9 @@
                 due.add(now + after.max(0), CoreDeadline::RouterTimer(token));
             }
             Action::HealthCheck(server) => self.commands.push_back(Command::HealthCheck(server)),
-            Action::CloseIdleConnections(server) => self.commands.push_back(Command::CloseIdleConnections(server)),
+            Action::CloseIdleConnections(server) => {
+                self.commands.push_back(Command::CloseIdleConnections(server))
+            }
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
             // No platform of ours has messages between proxies or a list that must be asked for.
             Action::SendToPeer { .. } | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,9 @@
 //! What passes between the core and those around it: requests, answers, ends of attempts, and what is to be done.
 
 use super::{AttemptKey, RequestKey};
-use crate::interface::{AttemptResult, ClassId, GroupId, Micros, CacheStatus, ObjectId, ServerId, RejectionReason};
+use crate::interface::{
+    AttemptResult, CacheStatus, ClassId, GroupId, Micros, ObjectId, RejectionReason, ServerId,
+};
 use bytes::Bytes;
 
 /// A request as a front hands it in.
@@ -128,7 +130,14 @@
 impl AttemptEnd {
     /// An ending about which nothing more is known.
     pub fn without_details(result: AttemptResult) -> Self {
-        AttemptEnd { result, cache_status: None, fill_wait: 0, transfer_time: 0, load_report: Vec::new(), copy: CachedCopy::default() }
+        AttemptEnd {
+            result,
+            cache_status: None,
+            fill_wait: 0,
+            transfer_time: 0,
+            load_report: Vec::new(),
+            copy: CachedCopy::default(),
+        }
     }
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,11 +7,15 @@
 mod messages;
 mod requests;
 
-pub use messages::{AnswerCounts, ClientRequest, CacheCounts, Command, CachedCopy, AttemptEnd, FinalAnswer, OutgoingAttempt, RejectionCount};
+pub use messages::{
+    AnswerCounts, AttemptEnd, CacheCounts, CachedCopy, ClientRequest, Command, FinalAnswer, OutgoingAttempt,
+    RejectionCount,
+};
 
 use crate::deadlines::DeadlineHandle;
 use crate::interface::{
-    Action, ClassId, Event, FillAttempt, Micros, Purge, RequestId, ServerId, ServerState, Settings, RejectionReason,
+    Action, ClassId, Event, FillAttempt, Micros, Purge, RejectionReason, RequestId, ServerId, ServerState,
+    Settings,
 };
 use crate::slots::{Key, Slots};
 use crate::{Router, SettingsError};
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,14 +1,22 @@
 //! Requests: taken in, answered once each, and forgotten as their answer begins or their client leaves.
 
-use super::{AnswerCounts, ClientRequest, Command, Core, CoreDeadline, FinalAnswer, RejectionCount, OpenRequest, RequestKey, AnswerState};
+use super::{
+    AnswerCounts, AnswerState, ClientRequest, Command, Core, CoreDeadline, FinalAnswer, OpenRequest,
+    RejectionCount, RequestKey,
+};
 use crate::deadlines::Schedule;
-use crate::interface::{AttemptResult, ClassId, Event, Micros, RequestId, RejectionReason};
+use crate::interface::{AttemptResult, ClassId, Event, Micros, RejectionReason, RequestId};
 use crate::slots::Key;
 use tracing::debug;
 
 impl Core {
     /// Takes a request in; it is owed one [`Command::Answer`], unless it is given up.
-    pub fn submit(&mut self, now: Micros, ask: ClientRequest, due: &mut dyn Schedule<CoreDeadline>) -> RequestKey {
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        ask: ClientRequest,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) -> RequestKey {
         let (deadline, expires) = (now + ask.timeout.max(0), ask.authorized_until);
         let key = self.requests.insert(OpenRequest {
             client_request: ask.clone(),
@@ -23,7 +31,7 @@
         let patience = due.add(deadline, CoreDeadline::ClientTimeout(key));
         let expiry = expires.map(|at| due.add(at, CoreDeadline::AuthorizationExpiry(key)));
         if let Some(request) = self.requests.get_mut(key) {
-            (request.patience, request.expiry) = (Some(patience), expiry);
+            (request.timeout_deadline, request.authorization_deadline) = (Some(patience), expiry);
         }
         let event = self.request_event(RequestId(key.number()), &ask);
         self.events.push_back(event);
@@ -44,7 +52,7 @@
             client_timeout: ask.timeout,
             size_kb: 0.0,
             is_retry: false,
-            is_write: class.is_some_and(|class| class.never_kept),
+            is_write: class.is_some_and(|class| class.uncached),
         })
     }
 
@@ -63,7 +71,9 @@
         let request = self.requests.get(key)?;
         match &request.state {
             AnswerState::Pending => None,
-            AnswerState::Chosen(_) if request.ask.expires.is_some_and(|at| at <= now) => Some(FinalAnswer::Denied),
+            AnswerState::Chosen(_) if request.client_request.authorized_until.is_some_and(|at| at <= now) => {
+                Some(FinalAnswer::Denied)
+            }
             AnswerState::Chosen(answer) => Some(answer.clone()),
         }
     }
@@ -73,7 +83,7 @@
     pub fn answer_begun(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
         let Some(answer) = self.answer_now(now, key) else { return };
         if let Some(request) = self.remove_request(key, due) {
-            self.count_answer(request.ask.class, &answer);
+            self.count_answer(request.client_request.class, &answer);
         }
     }
 
@@ -91,7 +101,9 @@
 
     /// The rejections by reason.
     pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
-        RejectionReason::ALL.iter().map(|(why, reason)| RejectionCount { reason, count: self.rejection_counts[*why as usize] })
+        RejectionReason::ALL
+            .iter()
+            .map(|(why, reason)| RejectionCount { reason, count: self.rejection_counts[*why as usize] })
     }
 
     /// The final answers to requests of this class.
@@ -113,7 +125,12 @@
 
     /// The client's time is over: what is out for the request has timed out, and if the module then still
     /// says nothing, the request has failed. Nothing stays without an answer.
-    pub(super) fn on_client_timeout(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn on_client_timeout(
+        &mut self,
+        now: Micros,
+        key: RequestKey,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         self.run_router(now, due);
         if !self.is_open(key) {
             return;
@@ -129,7 +146,12 @@
     }
 
     /// The client's right to an answer has ended before the answer began: whatever was chosen is denied.
-    pub(super) fn on_authorization_expiry(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn on_authorization_expiry(
+        &mut self,
+        now: Micros,
+        key: RequestKey,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) {
         let Some(request) = self.requests.get_mut(key) else { return };
         let was_open = request.is_open();
         let old = std::mem::replace(&mut request.state, AnswerState::Chosen(FinalAnswer::Denied));
@@ -150,9 +172,17 @@
         self.run_router(now, due);
     }
 
-    fn remove_request(&mut self, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) -> Option<OpenRequest> {
+    fn remove_request(
+        &mut self,
+        key: RequestKey,
+        due: &mut dyn Schedule<CoreDeadline>,
+    ) -> Option<OpenRequest> {
         let request = self.requests.remove(key)?;
-        request.patience.into_iter().chain(request.expiry).for_each(|handle| due.remove(handle));
+        request
+            .timeout_deadline
+            .into_iter()
+            .chain(request.authorization_deadline)
+            .for_each(|handle| due.remove(handle));
         self.held_bytes -= request.state.bytes();
         Some(request)
     }
@@ -160,7 +190,7 @@
     /// Settles a request's answer, if it has none yet.
     pub(super) fn choose_answer(&mut self, key: RequestKey, answer: FinalAnswer) {
         let Some(request) = self.requests.get_mut(key).filter(|request| request.is_open()) else { return };
-        let (class, name) = (request.ask.class.0, answer.name());
+        let (class, name) = (request.client_request.class.0, answer.name());
         match &answer {
             FinalAnswer::Rejected { reason: why, .. } => debug!("{key} class {class} answer {name} {why:?}"),
             _ => debug!("{key} class {class} answer {name}"),
@@ -176,14 +206,14 @@
 
     pub(super) fn is_timed_out(&self, now: Micros, request: RequestId) -> bool {
         let request = self.requests.get(Key::from_number(request.0));
-        request.is_some_and(|request| request.arrived + request.ask.patience <= now)
+        request.is_some_and(|request| request.arrived + request.client_request.timeout <= now)
     }
 }
 
 impl OpenRequest {
     /// Whether it has no answer yet.
     pub(super) fn is_open(&self) -> bool {
-        matches!(self.state, State::Open)
+        matches!(self.state, AnswerState::Pending)
     }
 
     /// When the client stops waiting.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -47,7 +47,7 @@
             zone_link_kb_per_s: vec![0.0; 2],
             transfer_kb_per_s: 1000.0,
             weights_state_links: true,
-            classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed)],
+            classes: vec![class(Idempotency::Always), class(Idempotency::Never), class(Idempotency::WithKey)],
             parent_kind: Some(1),
             origin_kind: 2,
             direct_to_source: false,
@@ -129,13 +129,18 @@
         let request = self.ask(0, class, expires);
         let (words, attempts) = self.commands();
         assert_eq!(words, ["send"]);
-        assert!(self.core.launch(0, attempts[0], &mut self.due).is_some());
+        assert!(self.core.write_attempt(0, attempts[0], &mut self.due).is_some());
         (request, attempts[0])
     }
 
     fn end(&mut self, now: Micros, attempt: AttemptKey, result: AttemptResult) {
         let copy = CachedCopy { body: Bytes::from_static(b"bytes"), ..CachedCopy::default() };
-        self.core.attempt_ended(now, attempt, AttemptEnd { copy, ..AttemptEnd::without_details(result) }, &mut self.due);
+        self.core.attempt_ended(
+            now,
+            attempt,
+            AttemptEnd { copy, ..AttemptEnd::without_details(result) },
+            &mut self.due,
+        );
     }
 
     /// Begins a second attempt beside the first.
@@ -160,7 +165,9 @@
     bench.end(90 * MS, attempt, AttemptResult::Ok);
     bench.end(91 * MS, attempt, AttemptResult::Ok);
     assert_eq!(bench.commands().0, ["answer"]);
-    assert!(matches!(bench.take(92 * MS, request), Some(Final::Served(copy)) if &copy.bytes[..] == b"bytes"));
+    assert!(
+        matches!(bench.take(92 * MS, request), Some(FinalAnswer::Served(copy)) if &copy.body[..] == b"bytes")
+    );
     assert_eq!(bench.take(93 * MS, request), None);
     bench.pass(10 * SECOND);
     assert_eq!(bench.commands().0, Vec::<&str>::new(), "its deadlines are gone with it");
@@ -175,7 +182,11 @@
     assert_eq!(bench.commands().0, ["answer"]);
     assert_eq!(
         bench.take(0, request),
-        Some(Final::Refused { pause: 250 * MS, late: false, why: Why::NoServer })
+        Some(FinalAnswer::Rejected {
+            retry_after: 250 * MS,
+            timed_out: false,
+            reason: RejectionReason::NoServer
+        })
     );
 }
 
@@ -183,9 +194,25 @@
 fn when_patience_ends_each_request_has_its_answer() {
     // A write that never left surely did not run and is refused; one that may have run has failed.
     for (class, leaves, wanted) in [
-        (0, true, FinalAnswer::Rejected { retry_after: 250 * MS, timed_out: true, reason: RejectionReason::DeadlineExceeded }),
+        (
+            0,
+            true,
+            FinalAnswer::Rejected {
+                retry_after: 250 * MS,
+                timed_out: true,
+                reason: RejectionReason::DeadlineExceeded,
+            },
+        ),
         (1, true, FinalAnswer::Failed { late: true }),
-        (1, false, FinalAnswer::Rejected { retry_after: 250 * MS, timed_out: true, reason: RejectionReason::DeadlineExceeded }),
+        (
+            1,
+            false,
+            FinalAnswer::Rejected {
+                retry_after: 250 * MS,
+                timed_out: true,
+                reason: RejectionReason::DeadlineExceeded,
+            },
+        ),
     ] {
         let mut bench = Bench::new();
         let request = bench.ask(0, class, None);
@@ -217,7 +244,7 @@
         let (words, _) = bench.commands();
         assert_eq!(words, [if again { "send" } else { "answer" }], "{result:?}");
         if !again {
-            assert_eq!(bench.take(9 * MS, request), Some(Final::Failed { late: false }));
+            assert_eq!(bench.take(9 * MS, request), Some(FinalAnswer::Failed { late: false }));
         }
     }
 }
@@ -252,7 +279,7 @@
     assert_eq!(bench.commands().0, ["answer", "drop"]);
     bench.end(41 * MS, attempt, AttemptResult::Ok);
     assert_eq!(bench.commands().0, Vec::<&str>::new());
-    assert_eq!(bench.take(41 * MS, request), Some(Final::Denied));
+    assert_eq!(bench.take(41 * MS, request), Some(FinalAnswer::Denied));
 }
 
 #[test]
@@ -261,12 +288,12 @@
         let mut bench = Bench::new();
         let (request, attempt) = bench.launched(0, Some(40 * MS));
         bench.end(39 * MS, attempt, AttemptResult::Ok);
-        assert_eq!(bench.core.held(), 5);
+        assert_eq!(bench.core.held_bytes(), 5);
         if falls {
             bench.pass(40 * MS);
         } // else the answer is asked for before the deadline is looked at
-        assert_eq!(bench.take(40 * MS, request), Some(Final::Denied));
-        assert_eq!(bench.core.held(), 0, "its bytes are let go");
+        assert_eq!(bench.take(40 * MS, request), Some(FinalAnswer::Denied));
+        assert_eq!(bench.core.held_bytes(), 0, "its bytes are let go");
     }
 }
 
@@ -282,10 +309,10 @@
         let order = bench.core.write_attempt(2 * MS, attempts[0], &mut bench.due);
         let (words, next) = bench.commands();
         match order {
-            Some(order) => assert_ne!(order.source, Some(drained)),
+            Some(order) => assert_ne!(order.fill_source, Some(drained)),
             None => {
                 assert_eq!(words, ["send"], "it is placed anew");
-                assert!(bench.core.launch(2 * MS, next[0], &mut bench.due).is_some());
+                assert!(bench.core.write_attempt(2 * MS, next[0], &mut bench.due).is_some());
             }
         }
     }
@@ -317,7 +344,10 @@
     let (words, _) = bench.commands();
     assert_eq!(words.iter().filter(|word| **word == "answer").count(), 2, "{words:?}");
     for request in [read, write] {
-        assert!(matches!(bench.take(100 * MS, request), Some(Final::Failed { .. } | Final::Refused { .. })));
+        assert!(matches!(
+            bench.take(100 * MS, request),
+            Some(FinalAnswer::Failed { .. } | FinalAnswer::Rejected { .. })
+        ));
     }
     assert_eq!(bench.core.unanswered(), 0);
 }
@@ -336,7 +366,7 @@
         if !written {
             assert_eq!(bench.commands().0, ["answer"]);
             assert!(
-                matches!(bench.take(dialled, request), Some(Final::Refused { .. })),
+                matches!(bench.take(dialled, request), Some(FinalAnswer::Rejected { .. })),
                 "all share what they know"
             );
         }
@@ -350,7 +380,7 @@
     let (_, first) = bench.launched(2, None);
     bench.end(100 * MS, first, AttemptResult::Full);
     let (_, repeats) = bench.commands();
-    assert!(bench.core.launch(2 * SECOND, repeats[0], &mut bench.due).is_some());
+    assert!(bench.core.write_attempt(2 * SECOND, repeats[0], &mut bench.due).is_some());
 }
 
 /// A write whose connection does not come up is tried elsewhere once it is called off: it never ran.
@@ -385,7 +415,7 @@
         let (_, next) = bench.commands();
         assert_eq!(next.len(), 1, "hedged {hedged}");
         bench.core.cancel(10 * MS, request, &mut bench.due);
-        assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_none());
+        assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_none());
         bench.pass(10 * SECOND);
         assert!(!bench.commands().0.contains(&"send"), "nor is anything tried for it later");
     }
@@ -403,9 +433,10 @@
             bench.end(9 * MS, attempts[0], AttemptResult::Error);
             attempts = bench.commands().1;
         }
-        let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").until;
-        let order = bench.core.write_attempt(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
-        assert_eq!(order.limit, 7 * MS, "retried {retried}");
+        let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").deadline;
+        let order =
+            bench.core.write_attempt(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
+        assert_eq!(order.timeout, 7 * MS, "retried {retried}");
         assert!(deadline <= 3 * SECOND);
     }
 }
@@ -419,8 +450,8 @@
     let (_, next) = bench.commands();
     bench.end(10 * MS, first, AttemptResult::Ok);
     assert!(bench.commands().0.contains(&"answer"), "at once");
-    assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_none(), "nothing more is written");
-    assert!(matches!(bench.take(12 * MS, request), Some(Final::Served(_))));
+    assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_none(), "nothing more is written");
+    assert!(matches!(bench.take(12 * MS, request), Some(FinalAnswer::Served(_))));
 
     let mut bench = Bench::new();
     let (request, first) = bench.launched(0, None);
@@ -428,9 +459,9 @@
     let (_, next) = bench.commands();
     bench.end(10 * MS, first, AttemptResult::Error);
     assert!(!bench.core.is_answered(request));
-    assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_some(), "the other one goes on");
+    assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_some(), "the other one goes on");
     bench.end(20 * MS, next[0], AttemptResult::Ok);
-    assert!(matches!(bench.take(21 * MS, request), Some(Final::Served(_))));
+    assert!(matches!(bench.take(21 * MS, request), Some(FinalAnswer::Served(_))));
 }
 
 /// A connection may take no byte of what is worded for it: a write has not run then, and may be worded anew.
@@ -442,13 +473,15 @@
         bench.core.attempt_not_written(attempt);
         if written {
             let order = bench.core.write_attempt(500 * MS, attempt, &mut bench.due);
-            assert_eq!(order.map(|order| order.limit), Some(2500 * MS));
+            assert_eq!(order.map(|order| order.timeout), Some(2500 * MS));
         }
         bench.pass(3 * SECOND);
         let answer = bench.take(3 * SECOND, request);
         match written {
-            true => assert_eq!(answer, Some(Final::Failed { late: true })),
-            false => assert!(matches!(answer, Some(Final::Refused { late: true, .. })), "{answer:?}"),
+            true => assert_eq!(answer, Some(FinalAnswer::Failed { late: true })),
+            false => {
+                assert!(matches!(answer, Some(FinalAnswer::Rejected { timed_out: true, .. })), "{answer:?}")
+            }
         }
     }
 }
@@ -466,5 +499,8 @@
     bench.core.update_endpoints(MS, ListUpdate::Delta, gone, &mut bench.due);
     bench.end(2 * MS, attempt, AttemptResult::Reset);
     assert!(bench.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
-    assert!(matches!(bench.take(2 * MS, request), Some(Final::Refused { .. } | Final::Failed { .. })));
+    assert!(matches!(
+        bench.take(2 * MS, request),
+        Some(FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. })
+    ));
 }
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -6,7 +6,7 @@
 use super::site::Site;
 use super::world::{Next, World};
 use crate::interface::{
-    Class, ClassId, Event, GroupId, ListUpdate, Endpoint, Micros, ObjectId, Request, RequestId, ServerId,
+    Class, ClassId, Endpoint, Event, GroupId, ListUpdate, Micros, ObjectId, Request, RequestId, ServerId,
     ServerState, ZoneId,
 };
 use crate::{Router, SettingsError};
@@ -46,7 +46,7 @@
         servers.entry(*server).and_modify(change);
     };
     for server in &scenario.cold {
-        change(server, &|member| member.up_since = Some(site.now));
+        change(server, &|member| member.started_at = Some(site.now));
     }
     for (server, weight) in &scenario.reweighted {
         change(server, &|member| member.weight = *weight);
@@ -155,7 +155,10 @@
         let objects: Vec<ObjectId> = before.into_iter().chain(self.phase()).collect();
         let mut world = World::new(site, objects.clone(), judged_from);
         let entries = site.servers.values().copied().collect();
-        world.plan(self.start, Next::Event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries }));
+        world.plan(
+            self.start,
+            Next::Event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries }),
+        );
         world.plan(self.change, Next::Change);
         for (number, object) in objects.into_iter().enumerate() {
             let (since, nth) = match number.checked_sub(judged_from) {
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -2,7 +2,7 @@
 //! can fill from, a list that contradicts itself.
 
 use super::site::Site;
-use crate::interface::{Class, Idempotency, Endpoint, ServerState, ZoneId};
+use crate::interface::{Class, Endpoint, Idempotency, ServerState, ZoneId};
 use serde::Serialize;
 
 /// A finding names at most so many servers.
@@ -145,7 +145,7 @@
 /// The classes that are filled, in words.
 fn kept_classes(site: &Site) -> String {
     let classes = site.classes.iter().zip(&site.settings.classes);
-    let kept = classes.filter(|(_, class)| !class.never_kept);
+    let kept = classes.filter(|(_, class)| !class.uncached);
     let kept: Vec<&str> = kept.map(|(name, _)| name.as_str()).collect();
     format!("{} {}", if kept.len() == 1 { "class" } else { "classes" }, kept.join(", "))
 }
--- a/src/expect/rules.rs
+++ b/src/expect/rules.rs
@@ -176,7 +176,7 @@
         if self.is_in(set, attempt.server) {
             return true;
         }
-        let never_cached = self.site.settings.classes[usize::from(self.class.0)].never_kept;
+        let never_cached = self.site.settings.classes[usize::from(self.class.0)].uncached;
         let is_upstream = |server: ServerId| self.member_is(server, |site, member| !site.is_cache(member));
         let is_carried = never_cached
             && attempt.rank == 0
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -1,6 +1,6 @@
 //! A site as its configuration and the control feed's known events describe it, and selectors of its servers.
 
-use crate::config::events::{FeedBatch, Health, FeedServer};
+use crate::config::events::{FeedBatch, FeedServer, Health};
 use crate::config::located::unknown;
 use crate::config::settings::SiteNames;
 use crate::config::Config;
@@ -107,7 +107,7 @@
                 addresses.clear();
             }
             for host in &change.hosts {
-                let member = members.member(host, names);
+                let member = members.endpoint(host, names);
                 self.names.insert(member.server, host.host.clone());
                 if host.health == Health::Removed {
                     self.servers.remove(&member.server);
@@ -287,7 +287,8 @@
 
     /// The servers that any of the selectors names.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
-        let named = |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
+        let named =
+            |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
         self.servers.values().filter(named).map(|member| member.server).collect()
     }
 }
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -4,7 +4,8 @@
 use super::expectation::{Answer, Scenario};
 use super::site::Site;
 use crate::interface::{
-    Action, AttemptResult, Class, Event, FillAttempt, Endpoint, Micros, CacheStatus, ObjectId, AttemptOutcome, RequestId, ServerId,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Micros,
+    ObjectId, RequestId, ServerId,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -11,7 +11,7 @@
 use super::state::AdmissionError;
 use super::wire::{self, Frame, WireError};
 use super::MemberId;
-use crate::net::{ConnKey, Listener, Net, Ready, Reason};
+use crate::net::{ConnectionKey, Listener, Net, Ready, Reason};
 use inbound::Inbound;
 use outbound::Peer;
 use rand_chacha::ChaCha8Rng;
@@ -81,7 +81,7 @@
     }
 
     /// Sends a frame; `false`: it does not fit.
-    fn send(&mut self, net: &mut Net, connection: ConnKey, frame: &Frame) -> Result<bool, Reason> {
+    fn send(&mut self, net: &mut Net, connection: ConnectionKey, frame: &Frame) -> Result<bool, Reason> {
         if net.unwritten(connection) >= MAX_QUEUE {
             return Ok(false);
         }
@@ -95,7 +95,12 @@
     }
 
     /// Takes the next frame that has been received, if it is complete.
-    fn receive(&mut self, net: &mut Net, connection: ConnKey, now: i64) -> Result<Option<Frame>, WireError> {
+    fn receive(
+        &mut self,
+        net: &mut Net,
+        connection: ConnectionKey,
+        now: i64,
+    ) -> Result<Option<Frame>, WireError> {
         let frame = take(net, connection, Some(&mut self.receiving))?;
         if frame.is_some() {
             self.heard_at = now;
@@ -107,7 +112,7 @@
 /// Takes the next message that a connection has received, if it is complete.
 fn take<T: DeserializeOwned>(
     net: &mut Net,
-    connection: ConnKey,
+    connection: ConnectionKey,
     seal: Option<&mut Seal>,
 ) -> Result<Option<T>, WireError> {
     net.input(connection, |input| wire::decode(input, seal)).unwrap_or(Ok(None))
@@ -143,8 +148,8 @@
     listener: Option<Listener>,
     peers: BTreeMap<MemberId, Peer>,
     /// The connections that this member dialled, and to whom.
-    dialled: BTreeMap<ConnKey, MemberId>,
-    inbound: BTreeMap<ConnKey, Inbound>,
+    dialled: BTreeMap<ConnectionKey, MemberId>,
+    inbound: BTreeMap<ConnectionKey, Inbound>,
     random: ChaCha8Rng,
     /// Messages that were not sent.
     pub dropped: u64,
@@ -195,7 +200,7 @@
         if let Some(listener) = self.listener.take() {
             self.net.unlisten(listener);
         }
-        let open: Vec<ConnKey> = self.dialled.keys().chain(self.inbound.keys()).copied().collect();
+        let open: Vec<ConnectionKey> = self.dialled.keys().chain(self.inbound.keys()).copied().collect();
         open.into_iter().for_each(|connection| self.net.close(now, connection, Reason::Stopping));
         self.dialled.clear();
         self.inbound.clear();
@@ -234,7 +239,7 @@
     }
 
     /// Writes what waits; `false`: the connection is not up yet.
-    fn flush(&mut self, connection: ConnKey, dialled: bool) -> Result<bool, Reason> {
+    fn flush(&mut self, connection: ConnectionKey, dialled: bool) -> Result<bool, Reason> {
         let up = !dialled || self.net.connected(connection)?;
         self.net.flush(connection)?;
         Ok(up)
@@ -244,7 +249,7 @@
     fn read(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         peer: Option<MemberId>,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
@@ -269,7 +274,7 @@
     }
 
     /// Ends a connection, which this member dialled to `peer` or accepted.
-    fn end(&mut self, now: i64, connection: ConnKey, peer: Option<MemberId>, reason: Reason) {
+    fn end(&mut self, now: i64, connection: ConnectionKey, peer: Option<MemberId>, reason: Reason) {
         match peer {
             Some(id) => self.lost(now, id, reason),
             None => self.close_inbound(now, connection, reason),
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -5,7 +5,7 @@
 use crate::federation::state::AdmissionError;
 use crate::federation::wire::{self, Frame, WireError};
 use crate::federation::MemberId;
-use crate::net::{ConnKey, Reason, Role};
+use crate::net::{ConnectionKey, Reason, Role};
 use rand::Rng;
 use tracing::warn;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    fn challenge(&mut self, now: i64, connection: ConnKey) {
+    fn challenge(&mut self, now: i64, connection: ConnectionKey) {
         let unauthenticated = |one: &&Inbound| matches!(one, Inbound::Challenged { .. });
         if self.inbound.values().filter(unauthenticated).count() >= MAX_UNAUTHENTICATED {
             return self.reject(now, connection, Rejection::TooMany);
@@ -102,14 +102,14 @@
     }
 
     /// Closes a connection with one line in the log.
-    fn reject(&mut self, now: i64, connection: ConnKey, rejection: Rejection) {
+    fn reject(&mut self, now: i64, connection: ConnectionKey, rejection: Rejection) {
         let peer = self.net.address(connection).map(|address| address.to_string()).unwrap_or_default();
         warn!(%peer, why = %rejection, "federation: a connection is refused");
         self.refused += 1;
         self.close_inbound(now, connection, rejection.reason());
     }
 
-    pub(super) fn close_inbound(&mut self, now: i64, connection: ConnKey, reason: Reason) {
+    pub(super) fn close_inbound(&mut self, now: i64, connection: ConnectionKey, reason: Reason) {
         self.inbound.remove(&connection);
         self.net.close(now, connection, reason);
     }
@@ -122,7 +122,7 @@
             }
             _ => None,
         };
-        let overdue: Vec<(ConnKey, Reason)> =
+        let overdue: Vec<(ConnectionKey, Reason)> =
             self.inbound.iter().filter_map(|(connection, one)| Some((*connection, overdue(one)?))).collect();
         overdue.into_iter().for_each(|(connection, reason)| self.close_inbound(now, connection, reason));
     }
@@ -145,7 +145,7 @@
     pub(super) fn receive_inbound(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
     ) -> bool {
@@ -164,7 +164,7 @@
     fn take_inbound(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
     ) -> Result<Step, End> {
@@ -191,7 +191,7 @@
     fn authenticate(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         challenge: &Challenge,
         admits: Admits<'_>,
     ) -> Result<Step, End> {
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -5,7 +5,7 @@
 use crate::federation::hello::{Challenge, Hello, Welcome};
 use crate::federation::wire::{self, Frame};
 use crate::federation::MemberId;
-use crate::net::{ConnKey, Reason, Role};
+use crate::net::{ConnectionKey, Reason, Role};
 use rand::Rng;
 use std::collections::BTreeMap;
 use tracing::info;
@@ -18,15 +18,15 @@
     /// There is none until then.
     Waiting { until: i64 },
     /// It was dialled then, and the peer's challenge is awaited.
-    Dialled { connection: ConnKey, since: i64 },
+    Dialled { connection: ConnectionKey, since: i64 },
     /// The challenge was answered, and the peer's welcome is awaited.
-    Greeted { connection: ConnKey, since: i64, challenge: Challenge, hello: Hello },
+    Greeted { connection: ConnectionKey, since: i64, challenge: Challenge, hello: Hello },
     /// It is in use.
-    Established { connection: ConnKey, session: Session, pinged_at: i64 },
+    Established { connection: ConnectionKey, session: Session, pinged_at: i64 },
 }
 
 impl Outbound {
-    fn connection(&self) -> Option<ConnKey> {
+    fn connection(&self) -> Option<ConnectionKey> {
         match self {
             Outbound::Waiting { .. } => None,
             Outbound::Dialled { connection, .. }
@@ -128,7 +128,7 @@
     pub(super) fn receive_from_peer(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         id: MemberId,
         received: &mut Vec<(MemberId, Frame)>,
     ) -> bool {
@@ -148,7 +148,7 @@
     fn take_from_peer(
         &mut self,
         now: i64,
-        connection: ConnKey,
+        connection: ConnectionKey,
         id: MemberId,
         received: &mut Vec<(MemberId, Frame)>,
     ) -> Result<Step, Reason> {
@@ -172,7 +172,12 @@
     }
 
     /// Answers the challenge with which a peer begins.
-    fn answer_challenge(&mut self, connection: ConnKey, id: MemberId, since: i64) -> Result<Step, Reason> {
+    fn answer_challenge(
+        &mut self,
+        connection: ConnectionKey,
+        id: MemberId,
+        since: i64,
+    ) -> Result<Step, Reason> {
         let challenge: Option<Challenge> =
             take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
         let Some(challenge) = challenge else { return Ok(Step::Incomplete) };
@@ -186,7 +191,7 @@
     }
 
     /// Takes the welcome with which a peer proves who it is.
-    fn take_welcome(&mut self, now: i64, connection: ConnKey, id: MemberId) -> Result<Step, Reason> {
+    fn take_welcome(&mut self, now: i64, connection: ConnectionKey, id: MemberId) -> Result<Step, Reason> {
         let welcome: Option<Welcome> =
             take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
         let Some(welcome) = welcome else { return Ok(Step::Incomplete) };
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -96,7 +96,13 @@
 
     /// Goes on at another address with the events after the last one that was had: the old connection ends at
     /// once, whatever it would still have told, since the new address tells it under the same numbers.
-    pub fn move_to(&mut self, now: i64, addr: SocketAddr, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
+    pub fn move_to(
+        &mut self,
+        now: i64,
+        addr: SocketAddr,
+        net: &mut Net,
+        due: &mut dyn Schedule<FeedDeadline>,
+    ) {
         if addr == self.addr {
             return;
         }
@@ -138,7 +144,12 @@
     }
 
     /// The connection may be read from, or written to; gives the events that are new.
-    pub fn on_ready(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) -> Vec<FeedBatch> {
+    pub fn on_ready(
+        &mut self,
+        now: i64,
+        net: &mut Net,
+        due: &mut dyn Schedule<FeedDeadline>,
+    ) -> Vec<FeedBatch> {
         let mut news = Vec::new();
         let Some(key) = self.conn else { return news };
         if !self.up {
@@ -214,7 +225,13 @@
     }
 
     /// A deadline of the feed has fallen.
-    pub fn deadline_passed(&mut self, now: i64, what: FeedDeadline, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
+    pub fn deadline_passed(
+        &mut self,
+        now: i64,
+        what: FeedDeadline,
+        net: &mut Net,
+        due: &mut dyn Schedule<FeedDeadline>,
+    ) {
         self.deadline = None;
         match what {
             FeedDeadline::Retry => self.start(now, net, due),
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -42,7 +42,10 @@
         }
         feed.deadline_passed(at, what, &mut net, &mut due);
     }
-    assert!(last == Some(Due::Retry) && now + CONNECT < WAIT_MS * 1000 + TOLD_AFTER, "{last:?} at {now}");
+    assert!(
+        last == Some(FeedDeadline::Retry) && now + CONNECT < WAIT_MS * 1000 + TOLD_AFTER,
+        "{last:?} at {now}"
+    );
 }
 
 #[test]
@@ -57,7 +60,7 @@
     feed.move_to(2, next, &mut net, &mut due);
     assert!(feed.conn != old && feed.conn.is_some());
     assert_eq!((feed.addr, feed.last, net.count(Role::Feed)), (next, 7, 1));
-    assert_eq!(due.0, Some((2 + CONNECT, Due::Overdue)));
+    assert_eq!(due.0, Some((2 + CONNECT, FeedDeadline::Overdue)));
 }
 
 /// A feed whose connections come up late was given up each time, and never heard.
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -47,14 +47,21 @@
 
 impl AdminFront {
     /// Takes a caller's connection in, in the place of another where there are too many.
-    pub fn open(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
+    pub fn open(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<CallerDeadline>,
+    ) {
         if self.sessions.len() >= CALLERS {
             let least = self.sessions.iter().min_by_key(|(conn, s)| (!s.answered, s.heard, **conn));
             if let Some(least) = least.map(|(conn, _)| *conn) {
                 self.close(now, least, Reason::Evicted, net, due);
             }
         }
-        let session = Session { due: due.add(now + WHOLE, CallerDeadline(conn)), heard: now, answered: false };
+        let session =
+            Session { due: due.add(now + WHOLE, CallerDeadline(conn)), heard: now, answered: false };
         self.sessions.insert(conn, session);
     }
 
@@ -131,7 +138,13 @@
     }
 
     /// A caller's time is over: half a call gets its answer, what was answered is closed.
-    pub fn due(&mut self, now: i64, what: CallerDeadline, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
+    pub fn due(
+        &mut self,
+        now: i64,
+        what: CallerDeadline,
+        net: &mut Net,
+        due: &mut dyn Schedule<CallerDeadline>,
+    ) {
         let CallerDeadline(conn) = what;
         let Some(session) = self.sessions.get(&conn) else { return };
         let said_nothing = net.input(conn, |input| input.is_empty()).unwrap_or(true);
@@ -142,7 +155,14 @@
         }
     }
 
-    fn close(&mut self, now: i64, conn: ConnectionKey, reason: Reason, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
+    fn close(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        reason: Reason,
+        net: &mut Net,
+        due: &mut dyn Schedule<CallerDeadline>,
+    ) {
         let Some(session) = self.sessions.remove(&conn) else { return };
         due.remove(session.due);
         net.close(now, conn, reason);
--- a/src/front/signed/ending.rs
+++ b/src/front/signed/ending.rs
@@ -7,7 +7,13 @@
 
 impl SignedFront {
     /// A deadline of a connection has fallen; it may have an answer to write.
-    pub fn due(&mut self, now: i64, what: SessionDeadline, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> ConnectionKey {
+    pub fn due(
+        &mut self,
+        now: i64,
+        what: SessionDeadline,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> ConnectionKey {
         let (SessionDeadline::Look(conn) | SessionDeadline::Head(conn)) = what;
         let Some(session) = self.sessions.get_mut(&conn) else { return conn };
         if let SessionDeadline::Head(_) = what {
@@ -29,7 +35,8 @@
         let stalled = net.unwritten(conn) > 0 && wrote == session.seen;
         let idle = session.turns.is_empty() && session.heard + self.config.idle_timeout <= now;
         session.seen = wrote;
-        session.look = Some(due.add(now + STALLED.min(self.config.idle_timeout), SessionDeadline::Look(conn)));
+        session.look =
+            Some(due.add(now + STALLED.min(self.config.idle_timeout), SessionDeadline::Look(conn)));
         match (stalled, idle) {
             (true, _) => self.close(now, conn, Reason::Stalled, net, due),
             (false, true) => self.close(now, conn, Reason::Idle, net, due),
@@ -39,7 +46,13 @@
     }
 
     /// Says the end on a connection all of whose answers have left and which is to end with them.
-    pub fn finish(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn finish(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) {
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         if session.last && !session.lingers && session.turns.is_empty() && net.unwritten(conn) == 0 {
             session.lingers = true;
@@ -50,7 +63,13 @@
     }
 
     /// A client has closed its connection: it has gone, whatever of it is still unread.
-    pub fn closed(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn closed(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) {
         let lingers = self.sessions.get(&conn).is_some_and(|session| session.lingers);
         let reason = if lingers { Reason::Done } else { Reason::PeerClosed };
         self.close(now, conn, reason, net, due);
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -55,8 +55,12 @@
     let text = |given: HttpAnswer, only_head, keep| {
         String::from_utf8(answer(&given, only_head, keep, 0).concat()).expect("text")
     };
-    let served =
-        HttpAnswer { body: Bytes::from_static(b"hi"), tag: Some("t".into()), age: Some(3), ..HttpAnswer::bare(200) };
+    let served = HttpAnswer {
+        body: Bytes::from_static(b"hi"),
+        tag: Some("t".into()),
+        age: Some(3),
+        ..HttpAnswer::bare(200)
+    };
     let date = "Date: Thu, 01 Jan 1970 00:00:00 GMT\r\n";
     let kind = "Content-Type: application/octet-stream\r\nContent-Length: 2\r\n";
     let head = format!("HTTP/1.1 200 OK\r\n{date}{kind}ETag: \"t\"\r\nAge: 3\r\n\r\n");
@@ -69,5 +73,5 @@
     );
     assert_eq!(text(refused, false, false), wanted);
     let wanted = format!("HTTP/1.1 405 Method Not Allowed\r\n{date}{none}Allow: GET, HEAD\r\n\r\n");
-    assert_eq!(text(Answer::bare(405), false, true), wanted);
+    assert_eq!(text(HttpAnswer::bare(405), false, true), wanted);
 }
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -94,7 +94,13 @@
 impl SignedFront {
     /// A front by the operator's file.
     pub fn new(config: SignedConfig) -> Self {
-        SignedFront { gate: Gate::new(&config), config, sessions: HashMap::new(), gone: Vec::new(), retired: false }
+        SignedFront {
+            gate: Gate::new(&config),
+            config,
+            sessions: HashMap::new(),
+            gone: Vec::new(),
+            retired: false,
+        }
     }
 
     /// Takes over an operator's file that was read again, but for where it listens. What was let in stays.
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,9 +1,9 @@
 //! Reading from clients: heads taken whole, and let in by their credentials.
 
 use super::gate::Denial;
-use super::http::{self, HttpAnswer, RequestHead, HeadError};
+use super::http::{self, HeadError, HttpAnswer, RequestHead};
 use super::route::{self, RequestTarget};
-use super::{SignedEvent, SessionDeadline, SignedFront, State, Turn, MOST_OPEN};
+use super::{SessionDeadline, SignedEvent, SignedFront, State, Turn, MOST_OPEN};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net, Reason};
 use tracing::info;
@@ -26,7 +26,13 @@
 
 impl SignedFront {
     /// A connection may be read from, or written to.
-    pub fn ready(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Vec<SignedEvent> {
+    pub fn ready(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<SignedEvent> {
         let mut asks = Vec::new();
         if let Err(reason) = net.flush(conn).and_then(|()| self.read(now, conn, net, due, &mut asks)) {
             self.close(now, conn, reason, net, due);
@@ -102,7 +108,14 @@
     }
 
     /// The turn of a request that was read.
-    fn turn(&self, now: Now, conn: ConnectionKey, number: u64, head: RequestHead, asks: &mut Vec<SignedEvent>) -> Turn {
+    fn turn(
+        &self,
+        now: Now,
+        conn: ConnectionKey,
+        number: u64,
+        head: RequestHead,
+        asks: &mut Vec<SignedEvent>,
+    ) -> Turn {
         let (only_head, keep) = (head.only_head, head.keep && !self.retired);
         let state = match self.admit(head, now) {
             Err(answer) => State::Said(answer),
--- a/src/front/thrift/ending.rs
+++ b/src/front/thrift/ending.rs
@@ -1,6 +1,6 @@
 //! The ends of clients' connections: looked for by time, told to the client, and awaited from it.
 
-use super::{ThriftEvent, SessionDeadline, ThriftFront, IDLE, LINGER, LOOK, STALLED, WHOLE};
+use super::{SessionDeadline, ThriftEvent, ThriftFront, IDLE, LINGER, LOOK, STALLED, WHOLE};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::BTreeMap;
@@ -18,7 +18,13 @@
 
 impl ThriftFront {
     /// A look at a connection has fallen due.
-    pub fn due(&mut self, now: i64, what: SessionDeadline, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Vec<ThriftEvent> {
+    pub fn due(
+        &mut self,
+        now: i64,
+        what: SessionDeadline,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Vec<ThriftEvent> {
         let SessionDeadline(conn) = what;
         match self.look(now, conn, net, due) {
             Look::Fine => Vec::new(),
@@ -36,7 +42,13 @@
         }
     }
 
-    fn look(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) -> Look {
+    fn look(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) -> Look {
         let Some(session) = self.sessions.get_mut(&conn) else { return Look::Fine };
         session.look = Some(due.add(now + LOOK, SessionDeadline(conn)));
         let (wrote, unwritten) = (net.wrote(conn), net.unwritten(conn) > 0);
--- a/src/front/thrift/handing_on.rs
+++ b/src/front/thrift/handing_on.rs
@@ -11,7 +11,13 @@
     }
 
     /// Takes in a connection that another process had: its client may have asked there already.
-    pub fn adopt(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn adopt(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<SessionDeadline>,
+    ) {
         self.open(now, conn, due);
         if let Some(session) = self.sessions.get_mut(&conn) {
             (session.asked, session.begun) = (true, None);
@@ -23,7 +29,13 @@
 
     /// The connections that can be handed on: nothing is open there. Where no more than `most` requests are open,
     /// nothing is read for [`PAUSE`], and then for as long what waits is; all of them pause before the end.
-    pub fn connections_to_hand_over(&mut self, now: i64, most: usize, before_end: bool, net: &Net) -> Vec<ConnectionKey> {
+    pub fn connections_to_hand_over(
+        &mut self,
+        now: i64,
+        most: usize,
+        before_end: bool,
+        net: &Net,
+    ) -> Vec<ConnectionKey> {
         let mut all: Vec<ConnectionKey> = Vec::new();
         for (conn, session) in self.sessions.iter_mut().filter(|(_, session)| session.lingers.is_none()) {
             match session.paused {
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -86,7 +86,7 @@
 
 impl ThriftEvent {
     fn is_invoke(&self, on: ConnectionKey, number: i32) -> bool {
-        matches!(self, Ask::Invoke { conn, seqid, .. } if (*conn, *seqid) == (on, number))
+        matches!(self, ThriftEvent::Request { conn, seqid, .. } if (*conn, *seqid) == (on, number))
     }
 }
 
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -91,7 +91,13 @@
         Vec::new()
     }
 
-    fn read(&mut self, now: i64, conn: ConnectionKey, net: &mut Net, asks: &mut Vec<ThriftEvent>) -> Result<(), Reason> {
+    fn read(
+        &mut self,
+        now: i64,
+        conn: ConnectionKey,
+        net: &mut Net,
+        asks: &mut Vec<ThriftEvent>,
+    ) -> Result<(), Reason> {
         let mut taken = 0;
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -1,6 +1,6 @@
 //! What is kept of one client's connection.
 
-use super::{ThriftEvent, SessionDeadline, LOOK, NEVER_ASKED};
+use super::{SessionDeadline, ThriftEvent, LOOK, NEVER_ASKED};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -108,7 +108,7 @@
     assert_eq!(bench.front.ready(30, bench.conn, false, &mut bench.net, &mut bench.due), []);
     assert_eq!(hand_on(&mut bench, 20 + PAUSE, 1, false), (0, false, 1), "what waits has its turn");
     assert_eq!(hand_on(&mut bench, 20 + 2 * PAUSE - 1, 1, false), (0, false, 1));
-    assert_eq!(bench.front.turn(), Some(bench.conn));
+    assert_eq!(bench.front.next_turn(), Some(bench.conn));
     assert_eq!(bench.send(20 + PAUSE, &[]).len(), 1);
     assert_eq!(hand_on(&mut bench, 20 + 2 * PAUSE, 1, false), (0, false, 0), "two are open now");
     assert_eq!(hand_on(&mut bench, 20 + 2 * PAUSE, 1, true), (0, true, 0), "the end is near");
@@ -130,7 +130,7 @@
     assert!(bench.front.sessions[&bench.conn].paused.is_some());
     // A request behind it stays unread, and so does its own cancellation.
     let bytes = [invoke(2), abort(1), abort(2)].concat();
-    assert_eq!(bench.send(20, &bytes), [Ask::Cancelled(77)]);
+    assert_eq!(bench.send(20, &bytes), [ThriftEvent::Cancelled(77)]);
     assert_eq!(bench.net.input(bench.conn, |input| input.len()), Some(bytes.len()));
     assert!(!bench.front.is_open(bench.conn, 1));
 }
@@ -143,7 +143,7 @@
     bench.front.bind(bench.conn, 1, 77);
     bench.client.write_all(&invoke(2)).expect("written");
     let asks = bench.front.ready(1, bench.conn, true, &mut bench.net, &mut bench.due);
-    assert_eq!(asks, [Ask::Cancelled(77)]);
+    assert_eq!(asks, [ThriftEvent::Cancelled(77)]);
     assert!(!bench.front.owns(bench.conn));
 }
 
@@ -161,7 +161,7 @@
     bench.send(20, &message[..9]);
     bench.send(30, &message[9..]);
     bench.front.connections_to_hand_over(10 + PAUSE, 1, false, &bench.net);
-    assert_eq!(bench.front.turn(), Some(bench.conn));
+    assert_eq!(bench.front.next_turn(), Some(bench.conn));
     let asks = bench.front.ready(10 + PAUSE, bench.conn, false, &mut bench.net, &mut bench.due);
     assert_eq!(arrived(&asks), 20, "as its first byte came");
     assert_eq!(arrived(&bench.send(20 + PAUSE, &invoke(3))), 20 + PAUSE, "and what comes later is new");
@@ -173,8 +173,8 @@
     let mut bench = Bench::new();
     bench.front.waits_since(bench.conn, -70);
     let asks = bench.send(30, &[invoke(1), invoke(2)].concat());
-    assert!(asks.iter().all(|ask| matches!(ask, Ask::Invoke { arrived: -70, .. })), "{asks:?}");
-    assert!(matches!(bench.send(40, &invoke(3))[..], [Ask::Invoke { arrived: 40, .. }]));
+    assert!(asks.iter().all(|ask| matches!(ask, ThriftEvent::Request { arrived: -70, .. })), "{asks:?}");
+    assert!(matches!(bench.send(40, &invoke(3))[..], [ThriftEvent::Request { arrived: 40, .. }]));
 
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let _client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
@@ -182,7 +182,7 @@
     let conn = bench.net.adopt(50, stream, Role::Thrift, &invoke(4)).expect("taken");
     bench.front.adopt(50, conn, &mut bench.net, &mut bench.due);
     let asks = bench.front.ready(50, conn, false, &mut bench.net, &mut bench.due);
-    assert!(matches!(asks[..], [Ask::Invoke { arrived, .. }] if arrived == 50 - PAUSE), "{asks:?}");
+    assert!(matches!(asks[..], [ThriftEvent::Request { arrived, .. }] if arrived == 50 - PAUSE), "{asks:?}");
 }
 
 /// Behind more unread bytes than a message has, a cancellation was not seen.
@@ -205,7 +205,7 @@
         }
         std::thread::yield_now();
     }
-    assert_eq!(asks, [Ask::Cancelled(77)]);
+    assert_eq!(asks, [ThriftEvent::Cancelled(77)]);
     writer.join().expect("written");
 }
 
@@ -237,6 +237,6 @@
         bench.net.poll(None, &mut ready).expect("a poll");
     }
     let asks = bench.front.due(IDLE, SessionDeadline(bench.conn), &mut bench.net, &mut bench.due);
-    assert!(matches!(asks[..], [Ask::Invoke { .. }]), "{asks:?}");
+    assert!(matches!(asks[..], [ThriftEvent::Request { .. }]), "{asks:?}");
     assert!(bench.front.owns(bench.conn));
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -365,7 +365,7 @@
 impl AttemptResult {
     /// Whether the ending proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::Moot | Self::Miss)
+        matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent | Self::Miss)
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,9 +36,9 @@
 mod validate;
 
 pub use interface::{
-    Action, AttemptResult, Class, ClassId, DedupScope, Idempotency, Event, FillAttempt, GroupId, SiteLimits, ListUpdate, Endpoint,
-    Micros, CacheStatus, CacheStatusDetail, ObjectId, AttemptOutcome, Purge, Request, RequestId, ProtectionRules, ServerId, ServerState,
-    Settings, SiblingSources, RejectionReason, ZoneId,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Class, ClassId, DedupScope,
+    Endpoint, Event, FillAttempt, GroupId, Idempotency, ListUpdate, Micros, ObjectId, ProtectionRules, Purge,
+    RejectionReason, Request, RequestId, ServerId, ServerState, Settings, SiblingSources, SiteLimits, ZoneId,
 };
 pub use policy::Router;
 pub use validate::SettingsError;
--- a/src/members.rs
+++ b/src/members.rs
@@ -1,6 +1,6 @@
 //! The servers by name: the control feed's words on one side, the decision module's numbers on the other.
 
-use crate::config::events::{Health, FeedServer};
+use crate::config::events::{FeedServer, Health};
 use crate::config::settings::SiteNames;
 use crate::interface::{Endpoint, Micros, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -157,7 +157,13 @@
     /// # Errors
     ///
     /// It is gone.
-    pub fn adopt_virtual(&mut self, now: i64, end: fabric::VirtualStream, role: Role, input: &[u8]) -> io::Result<ConnectionKey> {
+    pub fn adopt_virtual(
+        &mut self,
+        now: i64,
+        end: fabric::VirtualStream,
+        role: Role,
+        input: &[u8],
+    ) -> io::Result<ConnectionKey> {
         let peer = end.peer().ok_or(io::ErrorKind::NotConnected)?;
         self.adopt_stream(now, Stream::Virtual(end), role, peer, input)
     }
@@ -180,7 +186,12 @@
 
     /// Gives a connection to `to`, with what was read there and not used; if it takes it, the connection goes on without
     /// this process.
-    pub fn hand_over(&mut self, now: i64, key: ConnectionKey, to: impl FnOnce(&Stream, &[u8]) -> bool) -> bool {
+    pub fn hand_over(
+        &mut self,
+        now: i64,
+        key: ConnectionKey,
+        to: impl FnOnce(&Stream, &[u8]) -> bool,
+    ) -> bool {
         let went = self.conns.get(key).is_some_and(|conn| to(&conn.stream, &conn.input));
         if went {
             self.close(now, key, Reason::HandedOn);
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -10,7 +10,7 @@
 mod errors;
 mod state;
 
-pub use endpoint::{VirtualStream, VirtualListener};
+pub use endpoint::{VirtualListener, VirtualStream};
 pub(super) use state::ReadyConn;
 
 use errors::FailedConnect;
@@ -164,7 +164,7 @@
     /// Says how a host behaves from now on; a host that was never named refuses.
     pub fn set_reach(&self, host: SocketAddr, reach: HostBehaviour) {
         let mut state = self.state();
-        state.note((10, host.port(), matches!(reach, Reach::Up)));
+        state.note((10, host.port(), matches!(reach, HostBehaviour::Up)));
         state.reach.insert(host, reach);
     }
 
@@ -318,7 +318,12 @@
 
     // ---- For Net and the handover.
 
-    pub(super) fn listen(&self, process: u32, addr: SocketAddr, number: usize) -> io::Result<VirtualListener> {
+    pub(super) fn listen(
+        &self,
+        process: u32,
+        addr: SocketAddr,
+        number: usize,
+    ) -> io::Result<VirtualListener> {
         let mut state = self.state();
         let Some(holder) = state.processes.get_mut(&process) else { return Err(ErrorKind::NotFound.into()) };
         holder.ports.insert(addr, (number, VecDeque::new()));
@@ -365,7 +370,13 @@
     /// # Errors
     ///
     /// The other process has ended.
-    pub fn send_message(&self, from: u32, to: u32, number: usize, mail: ProcessMessage) -> Result<(), ProcessMessage> {
+    pub fn send_message(
+        &self,
+        from: u32,
+        to: u32,
+        number: usize,
+        mail: ProcessMessage,
+    ) -> Result<(), ProcessMessage> {
         let mut state = self.state();
         let Some(process) = state.processes.get_mut(&to).filter(|process| process.alive) else {
             return Err(mail);
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,7 +1,7 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
 use super::errors::Errors;
-use super::{ProcessMessage, HostBehaviour, ActorEvent};
+use super::{ActorEvent, HostBehaviour, ProcessMessage};
 use crate::spread::next;
 use rustix::io::Errno;
 use std::collections::hash_map::DefaultHasher;
@@ -256,7 +256,8 @@
         let Some(link) = self.links.get(&id).filter(|link| !link.dropped) else { return };
         let Some(host) = link.host else { return };
         let error = self.errors.late_connect(self.now, host);
-        let refused = error.is_some() || self.reach.get(&host).is_none_or(|reach| *reach == HostBehaviour::Refusing);
+        let refused =
+            error.is_some() || self.reach.get(&host).is_none_or(|reach| *reach == HostBehaviour::Refusing);
         self.note((8, id, refused));
         if let Some(link) = self.links.get_mut(&id) {
             (link.up, link.refused) = (!refused, refused);
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -36,25 +36,25 @@
     end.register(7);
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::NotConnected));
     assert_eq!(pass(&fabric, 1999), []);
-    assert_eq!(pass(&fabric, 2000), [Signal::Opened { link: 1, host: there }]);
+    assert_eq!(pass(&fabric, 2000), [ActorEvent::Opened { link: 1, host: there }]);
     assert_eq!((conns(&fabric), end.connected()), (vec![(7, false, true)], Ok(true)));
     end.write(&[IoSlice::new(b"a"), IoSlice::new(b"b")]).expect("written");
     fabric.send(1, b"x");
     fabric.send(1, b"y");
-    assert_eq!(pass(&fabric, 3000), [Signal::Bytes { link: 1, bytes: b"ab".to_vec(), sent: 2000 }]);
+    assert_eq!(pass(&fabric, 3000), [ActorEvent::Bytes { link: 1, bytes: b"ab".to_vec(), sent: 2000 }]);
     assert_eq!((conns(&fabric), read(&end)), (vec![(7, true, false)], Ok("xy".into())));
     assert_eq!(read(&end), Err(ErrorKind::WouldBlock));
     fabric.set_reach(there, HostBehaviour::SilentUntil(50_000));
     fabric.send(1, b"z");
     end.write(&[IoSlice::new(b"c")]).expect("written");
     assert_eq!((pass(&fabric, 49_999), read(&end)), (vec![], Err(ErrorKind::WouldBlock)));
-    assert_eq!(pass(&fabric, 52_000), [Signal::Bytes { link: 1, bytes: b"c".to_vec(), sent: 3000 }]);
+    assert_eq!(pass(&fabric, 52_000), [ActorEvent::Bytes { link: 1, bytes: b"c".to_vec(), sent: 3000 }]);
     assert_eq!(read(&end), Ok("z".into()));
     fabric.close(1);
     pass(&fabric, 60_000);
     assert_eq!(read(&end), Ok(String::new()));
     drop(end);
-    assert_eq!(pass(&fabric, 70_000), [Signal::Closed { link: 1 }]);
+    assert_eq!(pass(&fabric, 70_000), [ActorEvent::Closed { link: 1 }]);
 }
 
 #[test]
@@ -95,13 +95,15 @@
     pass(&fabric, 1000);
     assert_eq!(fabric.ready(1).0, [0]);
     let (end, _) = port.accept().expect("one waits");
-    assert!(fabric.mail(1, 2, 5, Mail::Connection(end.pass(2), b"pi".to_vec())).is_ok());
+    assert!(fabric.send_message(1, 2, 5, ProcessMessage::Connection(end.pass(2), b"pi".to_vec())).is_ok());
     drop(end);
     drop(port);
     fabric.end_process(1);
     assert_eq!(pass(&fabric, 2000), [], "the client notices nothing");
     assert_eq!(fabric.ready(2).0, [5]);
-    let [ProcessMessage::Connection(end, unused)] = &fabric.take_messages(1, 2)[..] else { panic!("one message") };
+    let [ProcessMessage::Connection(end, unused)] = &fabric.take_messages(1, 2)[..] else {
+        panic!("one message")
+    };
     assert_eq!((read(end), &unused[..]), (Ok("ping".into()), &b"pi"[..]));
     // A process that dies with a connection under way to it breaks it.
     let port = fabric.listen(2, front, 0).expect("a port");
@@ -109,8 +111,8 @@
     pass(&fabric, 3000);
     let (end, _) = port.accept().expect("one waits");
     fabric.start_process(3);
-    assert!(fabric.mail(2, 3, 5, Mail::Connection(end.pass(3), Vec::new())).is_ok());
+    assert!(fabric.send_message(2, 3, 5, ProcessMessage::Connection(end.pass(3), Vec::new())).is_ok());
     fabric.end_process(3);
-    assert_eq!(pass(&fabric, 5000), [Signal::Broken { link: other }]);
-    assert!(fabric.mail(2, 3, 5, Mail::Clients(1)).is_err());
+    assert_eq!(pass(&fabric, 5000), [ActorEvent::Broken { link: other }]);
+    assert!(fabric.send_message(2, 3, 5, ProcessMessage::Clients(1)).is_err());
 }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `net` on a simulated network whose system calls fail.
 
-use super::fabric::{host, HostBehaviour, ActorEvent};
+use super::fabric::{host, ActorEvent, HostBehaviour};
 use super::*;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -85,8 +85,8 @@
     assert_eq!(net.write(key, [Bytes::from_static(b"ping")]), Ok(()));
     fabric.send(2, b"pong");
     let told = pass(&fabric, 4000);
-    assert!(matches!(&told[..], [Signal::Bytes { bytes, .. }] if bytes == b"ping"), "{told:?}");
-    assert_eq!(net.read(key, 100), Ok(Got { more: false, end: false, bytes: 4 }));
+    assert!(matches!(&told[..], [ActorEvent::Bytes { bytes, .. }] if bytes == b"ping"), "{told:?}");
+    assert_eq!(net.read(key, 100), Ok(ReadProgress { more: false, end: false, bytes: 4 }));
 }
 
 /// A client's last bytes are dropped before its connection is closed, or it would be reset.
@@ -105,7 +105,7 @@
         fabric.send(link, b"nor this");
         pass(&fabric, 2000);
         net.close(2000, key, Reason::Done);
-        assert_eq!(pass(&fabric, 3000), [Signal::Closed { link }]);
+        assert_eq!(pass(&fabric, 3000), [ActorEvent::Closed { link }]);
     }
 }
 
@@ -122,7 +122,7 @@
         _ => Vec::new(),
     });
     assert_eq!(told.collect::<Vec<u8>>(), [text.clone(), text.clone()].concat());
-    assert_eq!(net.read(key, 100), Ok(Got { more: false, end: false, bytes: 10 }));
+    assert_eq!(net.read(key, 100), Ok(ReadProgress { more: false, end: false, bytes: 10 }));
     assert_eq!(net.input(key, |input| input.split().freeze()), Some(text));
 }
 
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -92,7 +92,11 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn write(&mut self, key: ConnectionKey, parts: impl IntoIterator<Item = Bytes>) -> Result<(), Reason> {
+    pub fn write(
+        &mut self,
+        key: ConnectionKey,
+        parts: impl IntoIterator<Item = Bytes>,
+    ) -> Result<(), Reason> {
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
         for part in parts.into_iter().filter(|part| !part.is_empty()) {
             conn.out_bytes += part.len();
@@ -108,7 +112,11 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn begin(&mut self, key: ConnectionKey, parts: impl IntoIterator<Item = Bytes>) -> Result<bool, Reason> {
+    pub fn begin(
+        &mut self,
+        key: ConnectionKey,
+        parts: impl IntoIterator<Item = Bytes>,
+    ) -> Result<bool, Reason> {
         let before = self.wrote(key);
         self.write(key, parts)?;
         let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -1,6 +1,8 @@
 //! Open requests and their attempts.
 
-use crate::interface::{AttemptResult, SiteLimits, Micros, CacheStatus, CacheStatusDetail, AttemptOutcome, Request, ServerId};
+use crate::interface::{
+    AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Micros, Request, ServerId, SiteLimits,
+};
 
 /// How an attempt failed whose fault may be its cache's or its source's.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -105,7 +107,8 @@
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
         attempt.unattributed = unattributed;
-        let by_source = outcome.cache_status.is_some_and(|note| note as u8 >= CacheStatus::SourceRejected as u8);
+        let by_source =
+            outcome.cache_status.is_some_and(|note| note as u8 >= CacheStatus::SourceRejected as u8);
         let called_off = attempt.rescued && outcome.result == AttemptResult::Cancelled;
         attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
         // What broke once is asked for where it was, since the copy is there; what breaks again is not.
@@ -122,7 +125,11 @@
 }
 
 /// How an attempt failed as a fill, where the site's answers do not tell which of its two servers failed.
-fn unattributed_failure(notes: CacheStatusDetail, outcome: &AttemptOutcome, attempt: &Attempt) -> Option<Failure> {
+fn unattributed_failure(
+    notes: CacheStatusDetail,
+    outcome: &AttemptOutcome,
+    attempt: &Attempt,
+) -> Option<Failure> {
     if notes == CacheStatusDetail::All || outcome.cache_status.is_some() || !attempt.is_fill() {
         return None;
     }
--- a/src/policy/class_times.rs
+++ b/src/policy/class_times.rs
@@ -23,7 +23,12 @@
     /// The times of a class before any sample.
     pub fn untried(class: &Class) -> Self {
         let part = if class.uncached { UNCACHED_SENDING_PART } else { 1.0 };
-        ClassTimes { sending: class.latency_objective as f64 * part, samples: 0.0, whole: 0.0, deviation: 0.0 }
+        ClassTimes {
+            sending: class.latency_objective as f64 * part,
+            samples: 0.0,
+            whole: 0.0,
+            deviation: 0.0,
+        }
     }
 
     /// Takes in a sending time: the plain mean of the first ones, which say more than a guess.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -160,7 +160,8 @@
     /// Until when a request is worth trying for: not long past its objective, where the size is told.
     fn worth_until(&self, open: &OpenRequest) -> Micros {
         let class = self.class(&open.request);
-        let objective = class.latency_objective as f64 + class.objective_stretch * self.sending_time(&open.request);
+        let objective =
+            class.latency_objective as f64 + class.objective_stretch * self.sending_time(&open.request);
         let is_size_told = open.request.size_kb > 0.0;
         let longest =
             if is_size_told { (objective * LONGEST_PART_OF_OBJECTIVE) as Micros } else { Micros::MAX };
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -17,7 +17,7 @@
             ListUpdate::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
             _ => {}
         }
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Rejected) {
             for server in self.servers.values_mut() {
                 server.member.state = ServerState::Removed;
             }
@@ -32,7 +32,7 @@
     /// Takes in one entry of the list.
     fn update_member(&mut self, now: Micros, member: Endpoint) {
         let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
-        if server.member.up_since != member.started_at {
+        if server.member.started_at != member.started_at {
             server.on_restart();
         }
         server.member = member;
@@ -58,7 +58,8 @@
 
     /// The caches of the list, and how many of them get nothing now, or probes only.
     pub fn targets(&self) -> (usize, usize) {
-        let is_listed = |s: &&Server| s.member.state != ServerState::Removed && self.is_cache(s.member.server);
+        let is_listed =
+            |s: &&Server| s.member.state != ServerState::Removed && self.is_cache(s.member.server);
         let caches: Vec<&Server> = self.servers.values().filter(is_listed).collect();
         let is_out = |s: &&&Server| s.ejected || s.member.state != ServerState::Ready;
         (caches.len(), caches.iter().filter(is_out).count())
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -8,9 +8,15 @@
 
 impl Router {
     /// The final answer to a request that nothing more is tried for: at once, with the time to come back.
-    pub(super) fn give_up(&mut self, now: Micros, id: RequestId, why: RejectionReason, out: &mut Vec<Action>) {
+    pub(super) fn give_up(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        why: RejectionReason,
+        out: &mut Vec<Action>,
+    ) {
         let Some(open) = self.open.get(&id).filter(|open| !open.finished) else { return };
-        if open.has_attempt_in_flight() && open.arrived + open.request.patience > now {
+        if open.has_attempt_in_flight() && open.arrived + open.request.client_timeout > now {
             return; // it may still be answered
         }
         let retry_after = self.advice(open.request.class);
@@ -23,7 +29,8 @@
 
     /// How long a client of the class should stay away that is rejected; 0: no advice.
     pub fn advice(&self, class: ClassId) -> Micros {
-        let target = self.settings.classes.get(usize::from(class.0)).map_or(0, |class| class.target);
+        let target =
+            self.settings.classes.get(usize::from(class.0)).map_or(0, |class| class.latency_objective);
         let limits = &self.settings.limits;
         let advice = (target as f64 * RETRY_AFTER_PART) as Micros;
         advice.min(if limits.retry_after { limits.max_retry_after } else { 0 })
@@ -39,8 +46,8 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         if !open.finished {
             open.finished = true;
-            let may_cancel = open.limits.cancel && !open.streaming;
-            let is_cancelled_already = |a: &Attempt| a.rescued && !open.limits.parallel;
+            let may_cancel = open.limits.cancellation && !open.streaming;
+            let is_cancelled_already = |a: &Attempt| a.rescued && !open.limits.parallel_attempts;
             let is_to_cancel = |a: &Attempt| may_cancel && a.in_flight && !is_cancelled_already(a);
             for (number, _) in open.attempts.iter().enumerate().filter(|(_, a)| is_to_cancel(a)) {
                 out.push(Action::Cancel { request: id, attempt: number as u8 });
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -44,7 +44,8 @@
         let class = self.class(&open.request);
         let sending = self.sending_time(&open.request).max(1.0);
         let part = OBJECTIVE_PART * if self.is_known(&open.request) { 1.0 } else { UNKNOWN_OBJECT_PART };
-        (part * (class.latency_objective as f64 + class.objective_stretch * sending) / sending).clamp(1.0, MOST_LOAD)
+        (part * (class.latency_objective as f64 + class.objective_stretch * sending) / sending)
+            .clamp(1.0, MOST_LOAD)
     }
 
     /// What each server kept in mind, listed or gone with attempts still in flight, can be trusted with by
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -24,7 +24,8 @@
     fn new(router: &Router, outcome: &AttemptOutcome, request: &Request) -> Self {
         let class = router.class(request);
         let is_sending_told = outcome.transfer_time > 0 && !class.uncached;
-        let sending = if is_sending_told { outcome.transfer_time as f64 } else { router.sending_time(request) };
+        let sending =
+            if is_sending_told { outcome.transfer_time as f64 } else { router.sending_time(request) };
         let slack = class.latency_objective as f64 / 4.0;
         let own = (outcome.elapsed - outcome.fill_wait).max(0) as f64;
         let deviation = ((own + slack) / (sending + slack)).ln();
@@ -34,7 +35,13 @@
 
 impl Router {
     /// Takes in what the end of an attempt tells.
-    pub(super) fn measure(&mut self, now: Micros, outcome: &AttemptOutcome, request: &Request, attempt: &Attempt) {
+    pub(super) fn measure(
+        &mut self,
+        now: Micros,
+        outcome: &AttemptOutcome,
+        request: &Request,
+        attempt: &Attempt,
+    ) {
         let measured = Measured::new(self, outcome, request);
         let is_served = outcome.result == AttemptResult::Ok;
         if is_served {
@@ -74,8 +81,8 @@
             CacheStatusDetail::Hit => outcome.cache_status == Some(CacheStatus::Filled),
             CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
-        let is_late =
-            measured.is_sending_told && outcome.elapsed as f64 > target + class.objective_stretch * measured.sending;
+        let is_late = measured.is_sending_told
+            && outcome.elapsed as f64 > target + class.objective_stretch * measured.sending;
         let is_slow_fill = is_late || outcome.fill_wait as f64 > SLOW_FIRST_BYTE * target;
         let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
         let is_error = outcome.result == Error && (is_mute || !attempt.errored);
@@ -98,7 +105,13 @@
     }
 
     /// Takes in what an outcome tells of the cache.
-    fn measure_cache(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, measured: &Measured) {
+    fn measure_cache(
+        &mut self,
+        now: Micros,
+        outcome: &AttemptOutcome,
+        attempt: &Attempt,
+        measured: &Measured,
+    ) {
         use AttemptResult::{ConnectFailed, Error, Full, Miss, Ok, Reset};
         let Some(cache) = self.servers.get_mut(&attempt.server) else { return };
         if outcome.result == Ok || (attempt.blamed && !matches!(outcome.result, Error | Reset)) {
@@ -116,11 +129,20 @@
     }
 
     /// Takes in what an outcome tells of the source of a fill.
-    fn measure_source(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, measured: &Measured) {
+    fn measure_source(
+        &mut self,
+        now: Micros,
+        outcome: &AttemptOutcome,
+        attempt: &Attempt,
+        measured: &Measured,
+    ) {
         use AttemptResult::{Cancelled, Error, Full, Miss, Ok, Timeout};
         let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
         let Some(source) = self.servers.get_mut(&attempt.source) else { return };
-        let is_source_fault = matches!(outcome.note, Some(Note::SourceLost | Note::SourceRefused));
+        let is_source_fault = matches!(
+            outcome.cache_status,
+            Some(CacheStatus::SourceUnreachable | CacheStatus::SourceRejected)
+        );
         if is_filled(outcome) || (is_mute && outcome.result == Ok) {
             let elapsed = outcome.elapsed as f64;
             let first_byte =
@@ -137,5 +159,5 @@
 
 /// Whether an answer is noted as filled.
 fn is_filled(outcome: &AttemptOutcome) -> bool {
-    matches!(outcome.note, Some(Note::Filled | Note::FilledByOrigin))
+    matches!(outcome.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -127,12 +127,16 @@
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { update: kind, endpoints: entries } => self.on_members(now, kind, entries, out),
+            Event::EndpointList { update: kind, endpoints: entries } => {
+                self.on_members(now, kind, entries, out)
+            }
             Event::Request(request) => self.on_request(now, request, out),
             Event::FirstByte { request, .. } => self.on_first_byte(request),
             Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, out),
             Event::RequestCancelled(id) => self.finish(id, out),
-            Event::Timer(WATCH_AGAIN) if self.settings.polls_discovery => out.push(Action::WatchEndpoints(true)),
+            Event::Timer(WATCH_AGAIN) if self.settings.polls_discovery => {
+                out.push(Action::WatchEndpoints(true))
+            }
             Event::Timer(_) => self.on_tick(now, out),
             Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
             Event::Purged { purge: what, age } => self.on_purged(now, what, age),
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -36,7 +36,13 @@
     }
 
     /// Ends, holds or retries the request of an attempt that has ended.
-    fn continue_request(&mut self, now: Micros, outcome: &AttemptOutcome, attempt: &Attempt, out: &mut Vec<Action>) {
+    fn continue_request(
+        &mut self,
+        now: Micros,
+        outcome: &AttemptOutcome,
+        attempt: &Attempt,
+        out: &mut Vec<Action>,
+    ) {
         let id = outcome.request;
         let open = &self.open[&id];
         let is_miss = outcome.result == AttemptResult::Miss;
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -37,7 +37,10 @@
         let patience = self.least_objective();
         let survey = self.survey(now, patience);
         let waited_too_long = self.take_expired_waiters(now);
-        survey.expired.into_iter().for_each(|id| self.give_up(now, id, RejectionReason::DeadlineExceeded, out));
+        survey
+            .expired
+            .into_iter()
+            .for_each(|id| self.give_up(now, id, RejectionReason::DeadlineExceeded, out));
         waited_too_long.into_iter().for_each(|id| self.give_up(now, id, RejectionReason::FetchLimit, out));
         // A source is silent by what it was to fill at several caches; what waits there is no cache's fault.
         let (caches, sources): (Vec<_>, Vec<_>) =
@@ -51,14 +54,14 @@
     /// The least latency objective of the classes in use.
     fn least_objective(&self) -> Micros {
         let classes = self.settings.classes.iter().filter(|class| !class.retired);
-        classes.map(|class| class.target).min().unwrap_or(SECOND)
+        classes.map(|class| class.latency_objective).min().unwrap_or(SECOND)
     }
 
     /// Looks over the attempts in flight.
     fn survey(&self, now: Micros, patience: Micros) -> Survey {
         let mut survey = Survey::default();
         for (id, open) in self.open.iter().filter(|(_, open)| !open.finished && !open.streaming) {
-            if open.arrived + open.request.patience <= now {
+            if open.arrived + open.request.client_timeout <= now {
                 survey.expired.push(*id);
             }
             let usual = self.times(open.request.class).usual_limit();
@@ -148,9 +151,9 @@
     fn rescue(&mut self, now: Micros, overdue: AttemptRef, is_cache_at_fault: bool, out: &mut Vec<Action>) {
         let AttemptRef { request, number } = overdue;
         let Some(open) = self.open.get_mut(&request).filter(|open| !open.finished) else { return };
-        let parallel = open.limits.parallel;
+        let parallel = open.limits.parallel_attempts;
         let attempt = &mut open.attempts[number];
-        if attempt.rescued || !(parallel || open.limits.cancel) || !self.retries.has_retry() {
+        if attempt.rescued || !(parallel || open.limits.cancellation) || !self.retries.has_retry() {
             return;
         }
         attempt.rescued = true;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -30,8 +30,12 @@
             return None;
         }
         let rules = &self.settings.protection;
-        let multiple = if self.is_parent(server) { rules.parent_overload_multiple } else { rules.overload_multiple };
-        Some(BUDGET_MARGIN * multiple * warmth * self.link(server) * rules.overload_window as f64 / SECOND as f64)
+        let multiple =
+            if self.is_parent(server) { rules.parent_overload_multiple } else { rules.overload_multiple };
+        Some(
+            BUDGET_MARGIN * multiple * warmth * self.link(server) * rules.overload_window as f64
+                / SECOND as f64,
+        )
     }
 
     /// Whether this router's share of a warming server's budget is spent. Where the share is under one
@@ -47,7 +51,7 @@
         let number = self.settings.ordinal * processes + self.sharing.place;
         let share = budget / f64::from(sharers);
         let span = self.settings.protection.overload_window.max(1);
-        let age = now - server.member.up_since.unwrap_or(now);
+        let age = now - server.member.started_at.unwrap_or(now);
         let turns = (work / share.max(LEAST_SHARE)).ceil() as u32;
         let turns = Micros::from(turns.next_power_of_two().min(sharers)); // so that all routers hold it alike
         let since = if turns > 1 { now - age % span - 1 } else { now - span };
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: accepted by turns, and within their budget.
 
 use super::handover::PLACE;
-use super::{ServerDeadline, Server};
+use super::{Server, ServerDeadline};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::interface::{ClassId, Micros};
 use crate::net::{ConnectionKey, Ready, Reason, Role};
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client;
-use crate::net::fabric::{host, Fabric, ActorEvent};
+use crate::net::fabric::{host, ActorEvent, Fabric};
 use crate::server::Server;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -108,5 +108,5 @@
     assert_eq!((rig.clients(), told(&rig.fabric, link)), (0, vec![]));
     rig.pass(START + 1_600_000);
     let told = told(&rig.fabric, link);
-    assert!(matches!(&told[..], [Signal::Bytes { .. }, ..]), "{told:?}");
+    assert!(matches!(&told[..], [ActorEvent::Bytes { .. }, ..]), "{told:?}");
 }
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -134,7 +134,11 @@
     }
 
     /// The refusal that a call on a refused connection gets.
-    pub(super) fn refused_call(&mut self, conn: ConnectionKey, class: Option<ClassId>) -> Option<ThriftReply> {
+    pub(super) fn refused_call(
+        &mut self,
+        conn: ConnectionKey,
+        class: Option<ClassId>,
+    ) -> Option<ThriftReply> {
         let (pause, told) = self.admitting.refusing.get_mut(&conn)?;
         let pause = *pause;
         *told = true;
--- a/src/server/federate.rs
+++ b/src/server/federate.rs
@@ -3,10 +3,10 @@
 //! nothing here.
 
 #[cfg(feature = "federation")]
-pub(super) use on::Tie;
+pub(super) use on::FederationHandle;
 
 #[cfg(not(feature = "federation"))]
-pub(super) use off::Tie;
+pub(super) use off::FederationHandle;
 
 #[cfg(feature = "federation")]
 mod on {
@@ -17,24 +17,24 @@
 
     /// The edge proxy's member, where it is one.
     #[derive(Default)]
-    pub(crate) struct Tie(Option<Handle>);
+    pub(crate) struct FederationHandle(Option<Handle>);
 
     /// A file that can be taken over.
-    pub(crate) struct Checked(Option<FederationSettings>);
+    pub(crate) struct CheckedSettings(Option<FederationSettings>);
 
-    impl Tie {
+    impl FederationHandle {
         /// Reads the file, if there is one.
-        pub fn read(files: &Files) -> Result<Checked, ConfigError> {
-            files.federation.as_deref().map(FederationSettings::read).transpose().map(Checked)
+        pub fn read(files: &Files) -> Result<CheckedSettings, ConfigError> {
+            files.federation.as_deref().map(FederationSettings::read).transpose().map(CheckedSettings)
         }
 
         /// Starts the member.
-        pub fn start(Checked(settings): Checked, seed: u64) -> io::Result<Self> {
-            settings.map(|settings| Handle::start(settings, seed)).transpose().map(Tie)
+        pub fn start(CheckedSettings(settings): CheckedSettings, seed: u64) -> io::Result<Self> {
+            settings.map(|settings| Handle::start(settings, seed)).transpose().map(FederationHandle)
         }
 
         /// Whether a new file can be taken over in service.
-        pub fn check(&self, files: &Files) -> Result<Checked, ConfigError> {
+        pub fn check(&self, files: &Files) -> Result<CheckedSettings, ConfigError> {
             let checked = Self::read(files)?;
             if let (Some(handle), Some(settings), Some(path)) = (&self.0, &checked.0, &files.federation) {
                 let fixed = |setting| ConfigError::form(path, setting);
@@ -43,7 +43,7 @@
             Ok(checked)
         }
 
-        pub fn reload(&mut self, checked: Checked) {
+        pub fn reload(&mut self, checked: CheckedSettings) {
             if let (Some(handle), Some(settings)) = (&mut self.0, checked.0) {
                 handle.reload(settings);
             }
@@ -103,25 +103,25 @@
 
     /// Nothing.
     #[derive(Default)]
-    pub(crate) struct Tie(());
+    pub(crate) struct FederationHandle(());
 
     /// No file.
-    pub(crate) struct Checked(());
+    pub(crate) struct CheckedSettings(());
 
-    impl Tie {
-        pub fn read(_: &Files) -> Result<Checked, ConfigError> {
-            Ok(Checked(()))
+    impl FederationHandle {
+        pub fn read(_: &Files) -> Result<CheckedSettings, ConfigError> {
+            Ok(CheckedSettings(()))
         }
 
-        pub fn start(_: Checked, _: u64) -> std::io::Result<Self> {
-            Ok(Tie(()))
+        pub fn start(_: CheckedSettings, _: u64) -> std::io::Result<Self> {
+            Ok(FederationHandle(()))
         }
 
-        pub fn check(&self, _: &Files) -> Result<Checked, ConfigError> {
-            Ok(Checked(()))
+        pub fn check(&self, _: &Files) -> Result<CheckedSettings, ConfigError> {
+            Ok(CheckedSettings(()))
         }
 
-        pub fn reload(&mut self, _: Checked) {}
+        pub fn reload(&mut self, _: CheckedSettings) {}
 
         pub fn newer(&mut self, _: bool) {}
 
--- a/src/server/handover.rs
+++ b/src/server/handover.rs
@@ -2,7 +2,7 @@
 //! in `$TMPDIR`, named after the clients' address. Each sees the other's end at once, as the end of a stream; each tells
 //! the other how many clients' connections it holds, since they share one limit; and the older hands its connections on.
 
-use crate::net::fabric::{VirtualStream, Fabric, ProcessMessage};
+use crate::net::fabric::{Fabric, ProcessMessage, VirtualStream};
 use crate::net::{Net, Stream};
 use mio::net::{UnixListener, UnixStream};
 use rustix::net::{recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -99,7 +99,10 @@
             } else {
                 // A descriptor comes no later than its message's first byte.
                 let Some(fd) = self.fds.pop_front() else { return false };
-                handed.push((HandedStream::Stream(TcpStream::from(fd)), self.part[HEAD..HEAD + length].to_vec()));
+                handed.push((
+                    HandedStream::Stream(TcpStream::from(fd)),
+                    self.part[HEAD..HEAD + length].to_vec(),
+                ));
             }
             self.part.drain(..HEAD + length);
         }
--- a/src/server/instants/tests.rs
+++ b/src/server/instants/tests.rs
@@ -105,5 +105,5 @@
     instants.witness_copy(NOW, u64::MAX, Some(NOW));
     assert_eq!(instants.purge(heard(0), Micros::MAX), NOW);
     assert!(instants.purge(heard(0), Micros::MIN) <= NOW);
-    assert!(instants.start(Heard { unix: 0, ..heard(0) }, SERVER, Micros::MAX) <= NOW);
+    assert!(instants.start(Reception { unix: 0, ..heard(0) }, SERVER, Micros::MAX) <= NOW);
 }
--- a/src/server/leave.rs
+++ b/src/server/leave.rs
@@ -5,7 +5,7 @@
 //! and the clients have closed, or have had time to.
 
 use super::handover::{Handed, HandedStream};
-use super::{ServerDeadline, Server};
+use super::{Server, ServerDeadline};
 use crate::deadlines::Schedule;
 use crate::front::thrift::PAUSE;
 use crate::interface::Micros;
--- a/src/server/links.rs
+++ b/src/server/links.rs
@@ -29,12 +29,15 @@
 /// # Errors
 ///
 /// A class that is unknown, or whose requests are never kept.
-pub fn route_classes(signed: &SignedConfig, settings: &SiteSettings) -> Result<Vec<(ClassId, Micros)>, ServerError> {
+pub fn route_classes(
+    signed: &SignedConfig,
+    settings: &SiteSettings,
+) -> Result<Vec<(ClassId, Micros)>, ServerError> {
     let SiteSettings { names, settings } = settings;
     let class = |route: &crate::config::signed::Route| {
         let id = names.class(&route.class)?;
-        let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.never_kept)?;
-        let patience = route.patience_ms.map_or(class.deadline, |ms| ms as Micros * 1000);
+        let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.uncached)?;
+        let patience = route.patience_ms.map_or(class.client_deadline, |ms| ms as Micros * 1000);
         Some((id, patience))
     };
     let found = signed.routes.iter().map(|route| {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -24,21 +24,21 @@
 use crate::front::admin;
 use crate::front::signed;
 use crate::front::thrift;
-use crate::interface::{ClassId, Micros, CacheStatus, ServerId};
+use crate::interface::{CacheStatus, ClassId, Micros, ServerId};
 use crate::members::ServerNames;
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::slots::Key;
 use crate::upstream::lines::WireRequest;
-use crate::upstream::{self, UpstreamEvent, Upstream, RequestEncoder};
+use crate::upstream::{self, RequestEncoder, Upstream, UpstreamEvent};
 use crate::SettingsError;
 use bytes::Bytes;
-use federate::Tie;
+use federate::FederationHandle;
 use handover::{Handover, NEWER, OLDER, PLACE};
 use instants::UnixTimeConverter;
 pub use links::route_classes;
 use links::SignedLinks;
-use reload::{ResourceBudget, ActiveConfig};
+use reload::{ActiveConfig, ResourceBudget};
 use signal_hook::consts::signal::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,9 +83,9 @@
 
 macro_rules! due_from {
     ($($part:ident $of:ty),*) => {
-        $(impl From<$of> for Due {
+        $(impl From<$of> for ServerDeadline {
             fn from(due: $of) -> Self {
-                Due::$part(due)
+                ServerDeadline::$part(due)
             }
         })*
     };
@@ -168,7 +168,7 @@
     thrift: thrift::ThriftFront,
     links: Option<SignedLinks>,
     admin: Option<AdminEndpoint>,
-    federation: Tie,
+    federation: FederationHandle,
     /// Files accepted and turned down at SIGHUP.
     reloads: [u64; 2],
     seed: u64,
@@ -207,11 +207,11 @@
         net.watch(&mut signals, SIGNALS)?;
         let admission = files.admission()?;
         let (config, signed) = files.read()?;
-        let federation = Tie::read(&files)?;
+        let federation = FederationHandle::read(&files)?;
         let (seed, handover) = (config.seed, Handover::begin);
         let read = (config, signed, admission);
         let mut server = Self::begin(files, read, net, Clock::default(), Some(signals), handover)?;
-        server.federation = Tie::start(federation, seed)?;
+        server.federation = FederationHandle::start(federation, seed)?;
         Ok(server)
     }
 
@@ -260,7 +260,7 @@
             thrift: thrift::ThriftFront::default(),
             links,
             admin,
-            federation: Tie::default(),
+            federation: FederationHandle::default(),
             reloads: [0; 2],
             seed: config.seed,
             pending: BTreeMap::new(),
@@ -469,7 +469,9 @@
         match due {
             ServerDeadline::Core(what) => self.core.deadline_passed(self.now, what, &mut self.due),
             ServerDeadline::Upstream(what) => self.upstream.due(self.now, what, &mut self.net, &mut self.due),
-            ServerDeadline::Feed(what) => self.feed.deadline_passed(self.now, what, &mut self.net, &mut self.due),
+            ServerDeadline::Feed(what) => {
+                self.feed.deadline_passed(self.now, what, &mut self.net, &mut self.due)
+            }
             ServerDeadline::Thrift(what) => {
                 let asks = self.thrift.due(self.now, what, &mut self.net, &mut self.due);
                 self.on_thrift_events(asks);
@@ -536,13 +538,23 @@
             UpstreamEvent::JobEnded { job, end: ending } => {
                 let end = translate::end(ending, &self.names);
                 let attempt = Key::from_number(job);
-                let asked = self.core.written_at(attempt).filter(|_| end.cache_status == Some(CacheStatus::FilledByOrigin));
+                let asked = self
+                    .core
+                    .written_at(attempt)
+                    .filter(|_| end.cache_status == Some(CacheStatus::FilledByOrigin));
                 self.instants.witness_copy(self.now, end.copy.generated_at_ms, asked);
                 self.core.attempt_ended(self.now, attempt, end, &mut self.due);
             }
             UpstreamEvent::HealthChecked { host, ending, elapsed } => {
                 let end = translate::end(ending, &self.names);
-                self.core.health_checked(self.now, ServerId(host), end.result, elapsed, end.load_report, &mut self.due);
+                self.core.health_checked(
+                    self.now,
+                    ServerId(host),
+                    end.result,
+                    elapsed,
+                    end.load_report,
+                    &mut self.due,
+                );
             }
         }
     }
@@ -559,21 +571,24 @@
             Command::AbandonAttempt(attempt) => {
                 self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.due);
             }
-            Command::AnswerRequest(request) => match self.pending.get(&request).map(|waiting| &waiting.client) {
-                Some(Client::Thrift { conn, seqid }) => {
-                    let (conn, seqid) = (*conn, *seqid);
-                    let Some(answer) = self.core.answer_now(self.now, request) else { return };
-                    self.on_answer_begun(request);
-                    let reply = translate::reply(answer);
-                    let asks = self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
-                    self.on_thrift_events(asks);
-                }
-                Some(Client::Signed { conn }) => {
-                    let conn = *conn;
-                    self.write_signed_answers(conn);
+            Command::AnswerRequest(request) => {
+                match self.pending.get(&request).map(|waiting| &waiting.client) {
+                    Some(Client::Thrift { conn, seqid }) => {
+                        let (conn, seqid) = (*conn, *seqid);
+                        let Some(answer) = self.core.answer_now(self.now, request) else { return };
+                        self.on_answer_begun(request);
+                        let reply = translate::reply(answer);
+                        let asks =
+                            self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
+                        self.on_thrift_events(asks);
+                    }
+                    Some(Client::Signed { conn }) => {
+                        let conn = *conn;
+                        self.write_signed_answers(conn);
+                    }
+                    None => {}
                 }
-                None => {}
-            },
+            }
             Command::HealthCheck(server) => self.upstream.health_check(self.now, server.0),
             Command::CloseIdleConnections(server) => {
                 self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.due);
@@ -597,7 +612,7 @@
         let order = self.core.write_attempt(self.now, Key::from_number(job), due)?;
         let asked = self.waiting.get(&order.request)?;
         let class = self.names.classes.get(usize::from(asked.class.0))?;
-        let from = order.source.and_then(|source| self.members.name(source));
+        let from = order.fill_source.and_then(|source| self.members.name(source));
         // One tag can be passed on; several are looked through when the answer is there.
         let seen = if let [tag] = &asked.tags[..] { Some(tag.clone()) } else { None };
         let key = asked.idempotency_key.clone();
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -1,7 +1,7 @@
 //! Requests between the fronts and the core: taken in, refused where there is no room, answered and given up.
 
 use super::translate::{self, RequestFields};
-use super::{Client, Server, PendingRequest};
+use super::{Client, PendingRequest, Server};
 use crate::core::{ClientRequest, FinalAnswer, RequestKey};
 use crate::front::signed::{self, route::RequestTarget};
 use crate::front::thrift::{self, codec::ThriftReply};
@@ -41,7 +41,7 @@
         }
         if let Some(links) = &mut self.links {
             links.front.finish(now, conn, &mut self.net, &mut self.due);
-            let gone = links.front.gone();
+            let gone = links.front.take_cancelled();
             gone.into_iter().for_each(|number| self.on_request_cancelled(number));
         }
     }
@@ -87,7 +87,11 @@
         };
         let Some((class, patience)) = links.classes.get(route).copied() else { return };
         if full {
-            let refused = FinalAnswer::Rejected { retry_after: self.core.retry_after(class), timed_out: false, reason: RejectionReason::Full };
+            let refused = FinalAnswer::Rejected {
+                retry_after: self.core.retry_after(class),
+                timed_out: false,
+                reason: RejectionReason::Full,
+            };
             self.core.count_answer(class, &refused);
             return links.front.say(conn, number, translate::answer(refused, &[], self.net.unix_time()));
         }
@@ -98,7 +102,10 @@
         // The servers know a request by an id that no other edge proxy's requests have.
         let trace = format!("{:016x}", self.seed ^ request.number().rotate_left(32));
         let (client, item, body) = (Client::Signed { conn }, format!("{:016x}", object.0), Bytes::new());
-        self.add_pending(request, PendingRequest { client, tags, class, trace, item, idempotency_key: None, body });
+        self.add_pending(
+            request,
+            PendingRequest { client, tags, class, trace, item, idempotency_key: None, body },
+        );
     }
 
     pub(super) fn on_thrift_events(&mut self, asks: Vec<thrift::ThriftEvent>) {
@@ -119,7 +126,8 @@
                         let class = translate::class(&fields, &self.names);
                         // The client's patience has run since it asked.
                         let waited = self.now - arrived;
-                        let form = form.map(|form| RequestFields { patience: form.patience - waited, ..form });
+                        let form =
+                            form.map(|form| RequestFields { patience: form.patience - waited, ..form });
                         self.invoke(conn, seqid, class, form, body);
                     }
                 }
@@ -152,7 +160,8 @@
 
     /// A refusal with this pause (us), counted for its class.
     pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Micros) -> ThriftReply {
-        let refused = FinalAnswer::Rejected { retry_after: pause, timed_out: false, reason: RejectionReason::Full };
+        let refused =
+            FinalAnswer::Rejected { retry_after: pause, timed_out: false, reason: RejectionReason::Full };
         class.into_iter().for_each(|class| self.core.count_answer(class, &refused));
         translate::reply(refused)
     }
@@ -167,7 +176,9 @@
     ) {
         let refused = match form {
             Err(text) => {
-                class.into_iter().for_each(|class| self.core.count_answer(class, &FinalAnswer::Failed { late: false }));
+                class
+                    .into_iter()
+                    .for_each(|class| self.core.count_answer(class, &FinalAnswer::Failed { late: false }));
                 Err(ThriftReply::Exception { name: "invoke".into(), kind: 7, text })
             }
             Ok(_) if self.is_full(conn) => Err(self.refuse(class)),
@@ -181,8 +192,17 @@
             }
         };
         self.in_good_standing(conn);
-        let translate::RequestFields { class, object, part, group, patience, trace, item, seen, idempotency_key } =
-            form;
+        let translate::RequestFields {
+            class,
+            object,
+            part,
+            group,
+            patience,
+            trace,
+            item,
+            seen,
+            idempotency_key,
+        } = form;
         let patience = (patience - WAY).max(1);
         let ask = ClientRequest { class, object, part, group, timeout: patience, authorized_until: None };
         let request = self.core.submit(self.now, ask, &mut self.due);
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -1,10 +1,10 @@
 //! Translation between the wires' messages and the core's requests, attempts and outcomes.
 
 use crate::config::settings::SiteNames;
-use crate::core::{CachedCopy, AttemptEnd, FinalAnswer, OutgoingAttempt};
+use crate::core::{AttemptEnd, CachedCopy, FinalAnswer, OutgoingAttempt};
 use crate::front::signed::http;
 use crate::front::thrift::codec::ThriftReply;
-use crate::interface::{AttemptResult, ClassId, GroupId, Micros, CacheStatus, ObjectId};
+use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, Micros, ObjectId};
 use crate::upstream::lines::{self, WireAnswer, WireRequest};
 use crate::upstream::JobEnd;
 use bytes::Bytes;
@@ -154,7 +154,14 @@
     let sending = answer.body.len() as f64 / names.flow_bytes_per_s.max(1.0) * 1_000_000.0;
     let sending = if names.flow_bytes_per_s > 0.0 { sending as Micros } else { 0 };
     let load = answer.load_report(&names.report);
-    AttemptEnd { result, cache_status: note, fill_wait: (waited * 1000.0) as Micros, transfer_time: sending, load_report: load, copy: copy(answer) }
+    AttemptEnd {
+        result,
+        cache_status: note,
+        fill_wait: (waited * 1000.0) as Micros,
+        transfer_time: sending,
+        load_report: load,
+        copy: copy(answer),
+    }
 }
 
 fn copy(answer: WireAnswer) -> CachedCopy {
@@ -189,7 +196,9 @@
             let age = born.map(|born| (now / 1000 - born).max(0) / 1000);
             HttpAnswer { body: copy.body, tag, age, ..HttpAnswer::bare(if held { 304 } else { 200 }) }
         }
-        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => HttpAnswer::bare(504),
+        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => {
+            HttpAnswer::bare(504)
+        }
         FinalAnswer::Rejected { retry_after: pause, .. } => {
             // Whole seconds, rounded up: a client that keeps to them is never early.
             let seconds = (pause + 999_999) / 1_000_000;
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -6,7 +6,12 @@
 
 fn names() -> SiteNames {
     let classes = vec!["replay".into(), "piece".into()];
-    SiteNames { classes, retired: vec![false; 2], deadlines: vec![6_000_000, 3_000_000], ..SiteNames::default() }
+    SiteNames {
+        classes,
+        retired: vec![false; 2],
+        deadlines: vec![6_000_000, 3_000_000],
+        ..SiteNames::default()
+    }
 }
 
 fn fields(changes: &[(&str, Option<&str>)]) -> BTreeMap<String, String> {
@@ -72,7 +77,13 @@
     use AttemptResult::*;
     let answer = |word: &str, dropped| {
         let fields = vec![("tell".into(), "cut_off".into()), ("waited".into(), "12.5".into())];
-        JobEnd::Answer(WireAnswer { id: "1".into(), status: word.into(), fields, body: Bytes::new(), body_dropped: dropped })
+        JobEnd::Answer(WireAnswer {
+            id: "1".into(),
+            status: word.into(),
+            fields,
+            body: Bytes::new(),
+            body_dropped: dropped,
+        })
     };
     for (ending, result) in [
         (JobEnd::NotConnected, ConnectFailed),
@@ -87,31 +98,63 @@
         (answer("500", false), Error),
         (answer("whatever", false), Error),
     ] {
-        let told = matches!(ending, Ending::Answer(_));
+        let told = matches!(ending, JobEnd::Answer(_));
         let end = end(ending, &names());
         assert_eq!(end.result, result);
-        assert_eq!((end.note, end.waited), if told { (Some(Note::SourceLost), 12_500) } else { (None, 0) });
+        assert_eq!(
+            (end.cache_status, end.fill_wait),
+            if told { (Some(CacheStatus::SourceUnreachable), 12_500) } else { (None, 0) }
+        );
     }
 }
 
 #[test]
 fn each_final_answer_has_its_status() {
-    let copy = |same| CachedCopy { body: Bytes::from_static(b"x"), etag: "a".into(), generated_at_ms: 1000, not_modified: same };
+    let copy = |same| CachedCopy {
+        body: Bytes::from_static(b"x"),
+        etag: "a".into(),
+        generated_at_ms: 1000,
+        not_modified: same,
+    };
     let now = 3_500_000;
     for (given, tags, status, retry_after) in [
         (FinalAnswer::Served(copy(false)), &["b"][..], 200, None),
         (FinalAnswer::Served(copy(false)), &["b", "a"], 304, None),
         (FinalAnswer::Served(copy(true)), &["a"], 304, None),
-        (FinalAnswer::Rejected { retry_after: 250_000, timed_out: false, reason: RejectionReason::Full }, &[], 503, Some(1)),
-        (FinalAnswer::Rejected { retry_after: 1_000_001, timed_out: false, reason: RejectionReason::Full }, &[], 503, Some(2)),
-        (FinalAnswer::Rejected { retry_after: 0, timed_out: false, reason: RejectionReason::Full }, &[], 503, None),
-        (FinalAnswer::Rejected { retry_after: 250_000, timed_out: true, reason: RejectionReason::DeadlineExceeded }, &[], 504, None),
+        (
+            FinalAnswer::Rejected { retry_after: 250_000, timed_out: false, reason: RejectionReason::Full },
+            &[],
+            503,
+            Some(1),
+        ),
+        (
+            FinalAnswer::Rejected { retry_after: 1_000_001, timed_out: false, reason: RejectionReason::Full },
+            &[],
+            503,
+            Some(2),
+        ),
+        (
+            FinalAnswer::Rejected { retry_after: 0, timed_out: false, reason: RejectionReason::Full },
+            &[],
+            503,
+            None,
+        ),
+        (
+            FinalAnswer::Rejected {
+                retry_after: 250_000,
+                timed_out: true,
+                reason: RejectionReason::DeadlineExceeded,
+            },
+            &[],
+            504,
+            None,
+        ),
         (FinalAnswer::Failed { late: true }, &[], 504, None),
         (FinalAnswer::Failed { late: false }, &[], 502, None),
         (FinalAnswer::Denied, &["a"], 403, None),
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
-        let served = matches!(given, Final::Served(_));
+        let served = matches!(given, FinalAnswer::Served(_));
         let said = answer(given.clone(), &tags, now);
         assert_eq!((said.status, said.retry_after), (status, retry_after), "{given:?}");
         assert_eq!(said.age, served.then_some(2), "{given:?}");
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -21,7 +21,7 @@
 use crate::lab::feed::number;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client::{self, Answered};
-use crate::net::fabric::{host as address, Fabric, HostBehaviour, ActorEvent};
+use crate::net::fabric::{host as address, ActorEvent, Fabric, HostBehaviour};
 use crate::net::Ready;
 use crate::server::{Server, SIBLINGS};
 use rand::{Rng, SeedableRng};
--- a/src/upstream/answers.rs
+++ b/src/upstream/answers.rs
@@ -57,7 +57,7 @@
             }
             let Some(head) = next_head(input)? else { return Ok(None) };
             // A copy of no bytes is believed once the line's end behind it is there: its length may not fit.
-            if head.length == 0 && head.answer.word != "200" {
+            if head.length == 0 && head.answer.status != "200" {
                 return Ok(Some(head.answer));
             }
             self.begin(head, input, room);
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -27,7 +27,13 @@
     }
 
     /// Closes a server's idle connections.
-    pub fn close_idle(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn close_idle(
+        &mut self,
+        now: i64,
+        host: u32,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let connections = self.hosts.get(&host).map(Host::connections).unwrap_or_default();
         for connection in connections {
             if self.connections.get(&connection).is_some_and(|l| l.up && l.open.is_empty()) {
@@ -63,7 +69,8 @@
             }
         };
         known.lanes[lane].connections.push(key);
-        let connect_deadline = Some(due.add(now + self.limits.connect_timeout, ConnectionDeadline::Connect(key)));
+        let connect_deadline =
+            Some(due.add(now + self.limits.connect_timeout, ConnectionDeadline::Connect(key)));
         let connection = Connection {
             host,
             lane,
@@ -89,7 +96,12 @@
     }
 
     /// Closes the connection that has been idle longest, if one is.
-    pub(super) fn drop_idlest(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub(super) fn drop_idlest(
+        &mut self,
+        now: i64,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let idle =
             self.connections.iter().filter(|(_, connection)| connection.up && connection.open.is_empty());
         let idlest = idle.min_by_key(|(key, connection)| (connection.idle_since, **key)).map(|(key, _)| *key);
@@ -115,7 +127,13 @@
     }
 
     /// Looks after a connection on which nothing waits any more.
-    pub(super) fn settle(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub(super) fn settle(
+        &mut self,
+        now: i64,
+        key: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let Some(connection) =
             self.connections.get_mut(&key).filter(|connection| connection.open.is_empty() && connection.up)
         else {
@@ -173,7 +191,8 @@
             .for_each(|handle| due.remove(handle));
         net.close(now, key, reason);
         if reason == Reason::PeerClosed && connection.up && connection.open.is_empty() {
-            self.limits.idle_timeout = self.limits.idle_timeout.min((now - connection.idle_since).max(LEAST_IDLE));
+            self.limits.idle_timeout =
+                self.limits.idle_timeout.min((now - connection.idle_since).max(LEAST_IDLE));
         }
         let mut again = false;
         if let Some(host) = self.hosts.get_mut(&connection.host) {
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -4,7 +4,7 @@
 use crate::net::fabric::{host, Fabric};
 use crate::net::Net;
 use crate::upstream::lines::WireRequest;
-use crate::upstream::{ConnectionDeadline, JobEnd, PoolLimits, UpstreamEvent, Upstream, RequestEncoder};
+use crate::upstream::{ConnectionDeadline, JobEnd, PoolLimits, RequestEncoder, Upstream, UpstreamEvent};
 use rustix::io::Errno;
 
 const SERVER: u32 = 1;
@@ -27,7 +27,13 @@
     fabric.start_process(1);
     fabric.fail_connects(host(1), error, true, 100_000);
     let (mut net, mut due) = (Net::on(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
-    let figures = PoolLimits { connect_timeout: 300_000, idle_timeout: 1_000_000, max_jobs_per_connection: 8, max_connections: 8, max_buffered_bytes: 1 << 20 };
+    let figures = PoolLimits {
+        connect_timeout: 300_000,
+        idle_timeout: 1_000_000,
+        max_jobs_per_connection: 8,
+        max_connections: 8,
+        max_buffered_bytes: 1 << 20,
+    };
     let mut upstream = Upstream::new(figures);
     upstream.set_host(0, SERVER, host(1), None, &mut net, &mut due);
     upstream.queue(0, SERVER, JOB, "id".into(), false, None);
@@ -41,9 +47,9 @@
 #[test]
 fn a_connect_that_fails_at_once_never_ran_and_blames_the_server_only_if_it_is_not_reached() {
     for error in [Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        assert_eq!(ending(error), Ending::NotConnected, "{error}");
+        assert_eq!(ending(error), JobEnd::NotConnected, "{error}");
     }
     for error in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::AGAIN] {
-        assert_eq!(ending(error), Ending::Unsent, "{error}");
+        assert_eq!(ending(error), JobEnd::NotSent, "{error}");
     }
 }
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -158,7 +158,8 @@
         let sound = |connection: &Connection| fits(connection) && (full || !connection.silent(now));
         // Only where all written bytes have left: what is written now leaves now, and nothing queues behind
         // bytes that a drain or a purge could overtake.
-        let free = |(key, connection): &(ConnectionKey, &Connection)| sound(connection) && net.unwritten(*key) == 0;
+        let free =
+            |(key, connection): &(ConnectionKey, &Connection)| sound(connection) && net.unwritten(*key) == 0;
         let best = connections()
             .filter(free)
             .min_by_key(|(_, connection)| (connection.silent(now), connection.open.len()));
--- a/src/upstream/lines.rs
+++ b/src/upstream/lines.rs
@@ -59,7 +59,12 @@
     if fetch.max_age_ms > 0 {
         field("oldest", &fetch.max_age_ms);
     }
-    let words = [(fetch.join_fill, "share"), (fetch.only_if_cached, "peek"), (fetch.bypass_parent_cache, "pass"), (fetch.stale_while_revalidate, "swr")];
+    let words = [
+        (fetch.join_fill, "share"),
+        (fetch.only_if_cached, "peek"),
+        (fetch.bypass_parent_cache, "pass"),
+        (fetch.stale_while_revalidate, "swr"),
+    ];
     let mode: Vec<&str> = words.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
     if !mode.is_empty() {
         field("mode", &mode.join("+"));
--- a/src/upstream/lines/tests.rs
+++ b/src/upstream/lines/tests.rs
@@ -21,10 +21,10 @@
             p1 alive\r\n9 304 ver=q 0\r\n";
     for step in 1..text.len() {
         let all = read(text, step, 100).expect("answers");
-        let words: Vec<&str> = all.iter().map(|a| a.word.as_str()).collect();
+        let words: Vec<&str> = all.iter().map(|a| a.status.as_str()).collect();
         assert_eq!(words, ["200", "404", "alive", "304"], "in steps of {step}");
         assert_eq!((&all[0].body[..], all[0].field("ver")), (&b"ab\r\n"[..], Some("a1")));
-        assert_eq!(all[0].load(&["rif".into(), "x0".into()]), [7.0, 0.5]);
+        assert_eq!(all[0].load_report(&["rif".into(), "x0".into()]), [7.0, 0.5]);
         assert_eq!((all[1].field("tell"), &all[2].id[..]), (Some("not_there"), "p1"));
     }
 }
@@ -32,7 +32,7 @@
 #[test]
 fn what_has_no_room_is_let_go_and_the_next_answer_is_read() {
     let all = read(b"1 200 - 6\r\nabcdef\r\n2 503 - 0\r\n", 3, 5).expect("answers");
-    assert_eq!((all[0].dropped, all[0].body.len(), &all[1].word[..]), (true, 0, "503"));
+    assert_eq!((all[0].body_dropped, all[0].body.len(), &all[1].status[..]), (true, 0, "503"));
 }
 
 #[test]
@@ -56,7 +56,8 @@
 
 #[test]
 fn a_request_names_only_what_is_said() {
-    let plain = WireRequest { class: "piece".into(), item: "7f".into(), timeout_ms: 900, ..WireRequest::default() };
+    let plain =
+        WireRequest { class: "piece".into(), item: "7f".into(), timeout_ms: 900, ..WireRequest::default() };
     let head = |fetch: &WireRequest| String::from_utf8(fetch_head("5", fetch).to_vec()).expect("text");
     assert_eq!(head(&plain), "fetch 5 cls=piece,item=7f,chunk=0,limit=900 0\r\n");
     let full = WireRequest {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -191,7 +191,13 @@
     }
 
     /// A server is gone: nothing is queued for it any more, and its connections are closed once they are idle.
-    pub fn remove_host(&mut self, now: i64, host: u32, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn remove_host(
+        &mut self,
+        now: i64,
+        host: u32,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let Some(known) = self.hosts.get_mut(&host) else { return };
         known.gone = true;
         let (queue, connections) = (known.take_queue(), known.connections());
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -53,7 +53,13 @@
     }
 
     /// A connection has come up.
-    fn come_up(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    fn come_up(
+        &mut self,
+        now: i64,
+        key: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.up = true;
         (connection.since, connection.idle_since) = (now, now);
@@ -68,7 +74,13 @@
     }
 
     /// Sets the deadline of an answer that has come in part: its next bytes, and its end, have their times.
-    fn watch_answer(&mut self, now: i64, key: ConnectionKey, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    fn watch_answer(
+        &mut self,
+        now: i64,
+        key: ConnectionKey,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let in_part =
             connection.reader.is_midway() || net.input(key, |input| !input.is_empty()).unwrap_or(false);
@@ -141,7 +153,13 @@
     }
 
     /// A connection's deadline has fallen.
-    pub fn due(&mut self, now: i64, what: ConnectionDeadline, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn due(
+        &mut self,
+        now: i64,
+        what: ConnectionDeadline,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         match what {
             ConnectionDeadline::Connect(key) => {
                 if let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.up) {
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -2,7 +2,7 @@
 use super::lines::WireRequest;
 use super::*;
 use crate::deadlines::Deadlines;
-use crate::net::fabric::{host, Fabric, HostBehaviour, ActorEvent};
+use crate::net::fabric::{host, ActorEvent, Fabric, HostBehaviour};
 
 /// Bytes that may be on the way on a connection of the simulated network.
 const WINDOW: usize = 256 * 1024;
@@ -21,7 +21,13 @@
 
 fn pool_of(write: bool) -> Pool {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let figures = PoolLimits { connect_timeout: 400_000, idle_timeout: 1, max_jobs_per_connection: 100, max_connections: 9, max_buffered_bytes: 1000 };
+    let figures = PoolLimits {
+        connect_timeout: 400_000,
+        idle_timeout: 1,
+        max_jobs_per_connection: 100,
+        max_connections: 9,
+        max_buffered_bytes: 1000,
+    };
     let (upstream, net) = (Upstream::new(figures), Net::new().expect("a poll"));
     let mut pool = Pool { upstream, net, due: Deadlines::default(), _listener: listener };
     let addr = pool._listener.local_addr().expect("an address");
@@ -48,11 +54,11 @@
     for _ in 0..DIAL_RETRIES {
         let old = pool.connection();
         pool.upstream.drop_connection(0, old, Reason::PeerReset, &mut pool.net, &mut pool.due);
-        assert!(pool.connection() != old && pool.upstream.happened().is_empty());
+        assert!(pool.connection() != old && pool.upstream.take_events().is_empty());
     }
     let last = pool.connection();
     pool.upstream.drop_connection(0, last, Reason::PeerReset, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.happened(), [Happening::Ended { job: 7, ending: Ending::NotConnected }]);
+    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
 }
 
 /// A write that met a connection that had broken unseen would have failed as one that may have run.
@@ -63,7 +69,7 @@
     pool.upstream.connections.get_mut(&old).expect("it is there").up = true;
     pool.net.close(0, old, Reason::PeerReset); // as a write finds one that broke
     pool.dispatch();
-    assert!(pool.upstream.happened().is_empty() && pool.connection() != old);
+    assert!(pool.upstream.take_events().is_empty() && pool.connection() != old);
     assert!(pool.upstream.jobs[&Job::Fetch(7)].connection.is_none());
 }
 
@@ -72,7 +78,7 @@
 fn a_server_that_is_gone_is_forgotten() {
     let mut pool = pool();
     pool.upstream.remove_host(0, 1, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.happened(), [Happening::Ended { job: 7, ending: Ending::NotConnected }]);
+    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
     assert!(pool.upstream.hosts.is_empty() && pool.upstream.connections.is_empty());
 }
 
@@ -109,9 +115,9 @@
         pool.dispatch();
     }
     let due = pool.due.pop(STOPPED).expect("a deadline");
-    assert_eq!(due, Due::Stopped(key));
+    assert_eq!(due, ConnectionDeadline::Stopped(key));
     pool.upstream.due(STOPPED, due, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.happened(), [Happening::Ended { job: 7, ending: Ending::Reset }]);
+    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
 }
 
 /// A write on a connection that is reset while new, or that its server gives up as idle at that moment, may have run
@@ -145,7 +151,7 @@
     (connection.up, connection.idle_since) = (true, 0);
     pool.upstream.limits.idle_timeout = 15_000_000;
     pool.upstream.drop_connection(820_000, key, Reason::PeerClosed, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.figures.idle, 820_000);
+    assert_eq!(pool.upstream.limits.idle_timeout, 820_000);
 }
 
 /// A repeat on the connection of its first answer could take a second answer to that one for its own.
@@ -164,7 +170,7 @@
     until(&mut pool, |connection| !connection.open.is_empty());
     std::io::Write::write_all(&mut peer, b"a 503 - 0\r\n").expect("written");
     until(&mut pool, |connection| !connection.answered.is_empty());
-    assert_eq!(pool.upstream.happened().len(), 1);
+    assert_eq!(pool.upstream.take_events().len(), 1);
     pool.upstream.queue(0, 1, 8, "a".into(), false, None);
     pool.dispatch();
     assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "not on this connection");
@@ -184,7 +190,7 @@
     // The end is there, and its event has not been looked at.
     while pool.net.ended(first) == Ok(false) {}
     pool.upstream.dispatch(PROVEN, &mut pool.net, &mut pool.due, &mut Notes::default());
-    assert!(pool.upstream.happened().is_empty(), "it has not failed");
+    assert!(pool.upstream.take_events().is_empty(), "it has not failed");
     assert!(
         !pool.upstream.connections.contains_key(&first)
             && pool.upstream.jobs[&Job::Fetch(7)].connection.is_none()
@@ -203,8 +209,8 @@
     pool.upstream.queue(0, 2, 8, "b".into(), false, None);
     pool.dispatch();
     assert_eq!(
-        pool.upstream.happened(),
-        [Happening::Ended { job: 8, ending: Ending::Unsent }],
+        pool.upstream.take_events(),
+        [UpstreamEvent::JobEnded { job: 8, end: JobEnd::NotSent }],
         "none is idle"
     );
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
@@ -213,7 +219,7 @@
     pool.upstream.abandon(0, 7, &mut pool.net, &mut pool.due);
     pool.upstream.queue(0, 2, 9, "c".into(), false, None);
     pool.dispatch();
-    assert!(pool.upstream.happened().is_empty() && !pool.upstream.connections.contains_key(&key));
+    assert!(pool.upstream.take_events().is_empty() && !pool.upstream.connections.contains_key(&key));
 }
 
 /// A pool in a simulated network, with one connection that is up to one server.
@@ -252,8 +258,13 @@
         let fabric = Fabric::new(0, 1, (1000, 1000));
         fabric.start_process(1);
         fabric.set_reach(host(1), HostBehaviour::Up);
-        let figures =
-            PoolLimits { connect_timeout: 400_000, idle_timeout: 1_000_000, max_jobs_per_connection: 100, max_connections: 9, max_buffered_bytes: 1 << 20 };
+        let figures = PoolLimits {
+            connect_timeout: 400_000,
+            idle_timeout: 1_000_000,
+            max_jobs_per_connection: 100,
+            max_connections: 9,
+            max_buffered_bytes: 1 << 20,
+        };
         let (upstream, net) = (Upstream::new(figures), Net::on(&fabric, 1));
         let mut pool = Simulated { upstream, net, fabric, due: Deadlines::default(), now: 0 };
         pool.upstream.set_host(0, 1, host(1), None, &mut pool.net, &mut pool.due);
@@ -291,7 +302,8 @@
     /// Writes a job that leaves room for so many bytes on the way to the server.
     fn fill(&mut self, room: usize) {
         let line =
-            lines::fetch_head("a7", &WireRequest { body: vec![0; 100_000].into(), ..WireRequest::default() }).len();
+            lines::fetch_head("a7", &WireRequest { body: vec![0; 100_000].into(), ..WireRequest::default() })
+                .len();
         let body = WINDOW - room - line - 2;
         assert!((100_000..1_000_000).contains(&body), "its length has six digits");
         self.queue(7, &mut Notes { body, ..Notes::default() });
@@ -331,8 +343,8 @@
     assert_eq!(notes.not_written, [8]);
     assert!(!pool.upstream.connections.contains_key(&first));
     assert_eq!(
-        pool.upstream.happened(),
-        [Happening::Ended { job: 7, ending: Ending::Reset }],
+        pool.upstream.take_events(),
+        [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }],
         "only what was open there has ended"
     );
     pool.pass(10_000);
@@ -359,7 +371,7 @@
     assert!(turns >= 10, "{turns} turns");
     pool.fabric.send(Simulated::LINK, b"a7 503 - 0\r\n");
     pool.pass(9000);
-    assert_eq!(pool.upstream.happened().len(), 1, "and its answers count");
+    assert_eq!(pool.upstream.take_events().len(), 1, "and its answers count");
 }
 
 /// An answer of which something comes now and then would hold all that is open behind it.
@@ -386,6 +398,6 @@
         pool.fabric.send(Simulated::LINK, b"x");
         pool.pass(at + 1000);
     };
-    assert_eq!(ended, [Happening::Ended { job: 7, ending: Ending::Reset }]);
+    assert_eq!(ended, [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
     assert!(at >= since + LONGEST_ANSWER, "and not before");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -92,7 +92,12 @@
             cancel: random.random_range(0..3) > 0,
             retry_after: random.random_range(0..2) == 0,
             max_attempts: random.random_range(2..7),
-            notes: [CacheStatusDetail::All, CacheStatusDetail::All, CacheStatusDetail::Hit, CacheStatusDetail::None][random.random_range(0..4)],
+            notes: [
+                CacheStatusDetail::All,
+                CacheStatusDetail::All,
+                CacheStatusDetail::Hit,
+                CacheStatusDetail::None,
+            ][random.random_range(0..4)],
             new,
             rate: rate.min(3000.0),
         }
@@ -230,7 +235,10 @@
         let caches = (1..=site.caches as u32).map(|n| member(n, 0, 0));
         let entries: Vec<Endpoint> = caches.chain([member(99, 1, 1)]).collect();
         for router in 0..site.routers {
-            play.event(router, Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries.clone() });
+            play.event(
+                router,
+                Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries.clone() },
+            );
         }
         play
     }
@@ -339,8 +347,18 @@
         if finished || self.plain {
             self.answered(request, finished);
         }
-        let outcome =
-            AttemptOutcome { request, attempt, server, result, cache_status: note, elapsed, fill_wait: waited, transfer_time: sending, finished, load_report: load };
+        let outcome = AttemptOutcome {
+            request,
+            attempt,
+            server,
+            result,
+            cache_status: note,
+            elapsed,
+            fill_wait: waited,
+            transfer_time: sending,
+            finished,
+            load_report: load,
+        };
         self.event(router, Event::AttemptEnded(outcome));
     }
 
--- a/tests/logic/cold.rs
+++ b/tests/logic/cold.rs
@@ -86,7 +86,7 @@
         list.retain(|m| m.kind != CACHE || m.server == ServerId(1));
         let mut bench = Bench::new(settings(), list.clone());
         bench.now = SECOND;
-        list[0].up_since = Some(SECOND);
+        list[0].started_at = Some(SECOND);
         bench.list(ListUpdate::Delta, vec![list[0]]);
         bench.router.share(processes, 0);
         let large = |id| Event::Request(Request { size_kb: 1000.0, ..request(id, id) });
--- a/tests/logic/directory.rs
+++ b/tests/logic/directory.rs
@@ -10,7 +10,7 @@
     let first = bench.get(7);
     assert_ne!(first.server, home);
     assert_eq!(first.source, home);
-    assert!(first.rank > 0);
+    assert!(first.cache_rank > 0);
     assert_eq!(bench.get(7).server, home, "one at a time is started");
     bench.end(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let second = bench.get(7);
--- a/tests/logic/effects.rs
+++ b/tests/logic/effects.rs
@@ -17,13 +17,13 @@
     assert_eq!(error(|s| s.zone = ZoneId(3)), zone("zone", 3));
     assert_eq!(error(|s| s.hub_by_zone[0] = ZoneId(9)), zone("hub_by_zone", 9));
     let figure = |name| Some(SettingsError::Figure { name });
-    assert_eq!(error(|s| s.pace_kb_per_s = f64::NAN), figure("pace_kb_per_s"));
-    assert_eq!(error(|s| s.classes[0].stretch = -1.0), figure("stretch"));
-    assert_eq!(error(|s| s.rules.cold_share = f64::INFINITY), figure("cold_share"));
+    assert_eq!(error(|s| s.transfer_kb_per_s = f64::NAN), figure("pace_kb_per_s"));
+    assert_eq!(error(|s| s.classes[0].objective_stretch = -1.0), figure("stretch"));
+    assert_eq!(error(|s| s.protection.initial_share = f64::INFINITY), figure("cold_share"));
     let span = |name| Some(SettingsError::Span { name });
-    assert_eq!(error(|s| s.classes[0].target = 0), span("target"));
-    assert_eq!(error(|s| s.rules.fall_span = 0), span("fall_span"));
-    assert_eq!(error(|s| s.rules.purge_settles = -1), span("purge_settles"));
+    assert_eq!(error(|s| s.classes[0].latency_objective = 0), span("target"));
+    assert_eq!(error(|s| s.protection.overload_window = 0), span("fall_span"));
+    assert_eq!(error(|s| s.protection.purge_settled_after = -1), span("purge_settles"));
 }
 
 #[test]
@@ -34,11 +34,11 @@
     bench.popular(7);
     let first = bench.get(7);
     let told = bench.end(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
-    assert!(!told.iter().any(|a| matches!(a, Action::Tell { .. })), "{told:?}");
+    assert!(!told.iter().any(|a| matches!(a, Action::SendToPeer { .. })), "{told:?}");
     let mut about_a_stranger = 7u64.to_le_bytes().to_vec();
     about_a_stranger.extend(77u32.to_le_bytes());
     for bytes in [vec![], vec![1, 2, 3], about_a_stranger, vec![255; 256]] {
-        assert!(bench.event(Event::Peer { from: 900, bytes }).is_empty());
+        assert!(bench.event(Event::PeerMessage { from: 900, bytes }).is_empty());
     }
     let after = bench.get(7).server;
     assert!((1..=3).contains(&after.0), "{after:?} is a cache of the location");
@@ -104,12 +104,12 @@
 #[test]
 fn a_purge_bounds_ageing_copies_too() {
     let mut ageing = settings();
-    (ageing.classes[0].fresh, ageing.classes[0].grace) = (5 * SECOND, 20 * SECOND);
+    (ageing.classes[0].fresh_for, ageing.classes[0].stale_for) = (5 * SECOND, 20 * SECOND);
     let mut bench = Bench::new(ageing, fleet());
     assert_eq!(bench.served(7).max_age, 5 * SECOND);
     bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 90 * MS });
     let get = bench.served(7);
-    assert!(get.renew);
+    assert!(get.stale_while_revalidate);
     assert_eq!(get.max_age, 90 * MS);
 }
 
@@ -120,7 +120,7 @@
     bench.served(7);
     let drained = [Endpoint { state: ServerState::Draining, ..member(home.0, CACHE, 0) }];
     bench.list(ListUpdate::Delta, drained.to_vec());
-    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Draining, ..member(11, PARENT, 1) }]);
+    bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..member(11, PARENT, 1) }]);
     for object in 1..50 {
         let get = bench.served(object);
         assert!(get.server != home && get.source != home && get.source.0 != 11, "{get:?}");
@@ -158,7 +158,7 @@
         (AttemptResult::Timeout, false),
     ] {
         let mut careful = settings();
-        careful.classes[0].effect = Idempotency::Never;
+        careful.classes[0].idempotency = Idempotency::Never;
         let mut bench = Bench::new(careful, fleet());
         let get = bench.get(7);
         let actions = bench.end(&get, 0, result, None);
@@ -171,7 +171,7 @@
 #[test]
 fn a_keyed_request_is_repeated_within_its_group_and_window_only() {
     let mut keyed = settings();
-    (keyed.classes[0].effect, keyed.classes[0].scope) = (Idempotency::WithKey, DedupScope::Cell);
+    (keyed.classes[0].idempotency, keyed.classes[0].dedup_scope) = (Idempotency::WithKey, DedupScope::Cell);
     let mut cells = fleet();
     cells.iter_mut().for_each(|m| m.cell = m.server.0 as u16);
     let mut bench = Bench::new(keyed.clone(), cells.clone());
@@ -185,7 +185,7 @@
         [Action::Fail(get.request)],
         "the window has passed, and a refusal would invite a repeat"
     );
-    keyed.classes[0].scope = DedupScope::All;
+    keyed.classes[0].dedup_scope = DedupScope::All;
     let mut bench = Bench::new(keyed, cells);
     let get = bench.get(7);
     bench.now += SECOND;
@@ -219,7 +219,7 @@
     bench.event(Event::RequestCancelled(get.request));
     bench.end(&get, 0, AttemptResult::Cancelled, None);
     assert!(bench.end(&get, 0, AttemptResult::Error, None).is_empty());
-    assert!(bench.event(Event::Gone(RequestId(12345))).is_empty());
+    assert!(bench.event(Event::RequestCancelled(RequestId(12345))).is_empty());
 }
 
 #[test]
@@ -228,11 +228,11 @@
     asked.polls_discovery = true;
     let mut bench = Bench::new(asked, fleet());
     let cached = bench.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: vec![] });
-    assert_eq!(cached, [Action::Watch(true)]);
+    assert_eq!(cached, [Action::WatchEndpoints(true)]);
     let failed = bench.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] });
     let [Action::Timer { token, after }] = failed[..] else { panic!("{failed:?}") };
     assert!(after > 0, "the discovery service is not called again at once");
-    assert_eq!(bench.event(Event::Timer(token)), [Action::Watch(true)]);
+    assert_eq!(bench.event(Event::Timer(token)), [Action::WatchEndpoints(true)]);
 }
 
 #[test]
@@ -272,7 +272,7 @@
 #[test]
 fn a_write_at_the_very_start_is_not_held_for_a_crowd() {
     let mut told = settings();
-    (told.classes[0].never_kept, told.classes[0].stretch) = (true, 0.0);
+    (told.classes[0].uncached, told.classes[0].objective_stretch) = (true, 0.0);
     let mut list = fleet();
     list.iter_mut().for_each(|member| member.weight = 2.0);
     let mut bench = Bench::new(told, list);
--- a/tests/logic/fetches.rs
+++ b/tests/logic/fetches.rs
@@ -20,13 +20,13 @@
         if !get.only_if_cached {
             let actions = bench.end(&get, 0, AttemptResult::Full, Some(CacheStatus::OriginFailed));
             if let Some(next) = get_of(&actions) {
-                assert!(next.only_held, "a request asks the failing origin once");
+                assert!(next.only_if_cached, "a request asks the failing origin once");
                 bench.end(&next, 1, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
             }
         }
     }
     let gets: Vec<FillAttempt> = (100..200).map(|object| bench.get(object)).collect();
-    let looks = gets.iter().filter(|get| get.only_held && get.source.0 > 10).count();
+    let looks = gets.iter().filter(|get| get.only_if_cached && get.source.0 > 10).count();
     assert!(looks > 50, "{looks} of 100 look at a parent");
 }
 
@@ -64,10 +64,10 @@
 #[test]
 fn old_copies_do_while_no_fetch_may_go_out() {
     let mut ageing = settings();
-    (ageing.classes[0].fresh, ageing.classes[0].grace) = (5 * SECOND, 20 * SECOND);
+    (ageing.classes[0].fresh_for, ageing.classes[0].stale_for) = (5 * SECOND, 20 * SECOND);
     let (mut bench, out) = slowed(ageing);
     let held = bench.get(300);
-    assert_eq!((held.max_age, held.only_held), (25 * SECOND, true));
+    assert_eq!((held.max_age, held.only_if_cached), (25 * SECOND, true));
     bench.end(&out[0], 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     assert_eq!(bench.get(301).max_age, 5 * SECOND);
 }
@@ -76,17 +76,17 @@
 fn what_is_not_held_waits_for_a_fetch_to_end_and_is_refused_well_before_its_time() {
     let (mut bench, out) = slowed(settings());
     let waiting: Vec<FillAttempt> = (300..303).map(|object| bench.get(object)).collect();
-    assert!(waiting.iter().all(|get| get.only_held), "what is held is still served");
+    assert!(waiting.iter().all(|get| get.only_if_cached), "what is held is still served");
     for get in &waiting {
-        assert_eq!(bench.end(get, 0, AttemptResult::Miss, Some(Note::SourceLacks)), [], "it waits");
+        assert_eq!(bench.end(get, 0, AttemptResult::Miss, Some(CacheStatus::SourceMiss)), [], "it waits");
     }
     let sent = bench.end(&out[0], 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let sent = get_of(&sent).expect("the newest goes out in its place");
-    assert_eq!((sent.request, sent.only_held), (waiting[2].request, false));
+    assert_eq!((sent.request, sent.only_if_cached), (waiting[2].request, false));
     bench.now += 301 * MS; // half of the target
     let actions = bench.event(Event::Timer(0));
     for get in &waiting[..2] {
-        let refused = |a: &Action| matches!(a, Action::Refuse { request, .. } if *request == get.request);
+        let refused = |a: &Action| matches!(a, Action::Reject { request, .. } if *request == get.request);
         assert_eq!(actions.iter().filter(|a| refused(a)).count(), 1, "{actions:?}");
     }
 }
--- a/tests/logic/golden.rs
+++ b/tests/logic/golden.rs
@@ -103,7 +103,8 @@
                 "timer"
             }
             Action::Reject { reason: why, .. } => {
-                let (_, name) = RejectionReason::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
+                let (_, name) =
+                    RejectionReason::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
                 *self.counts.entry(name).or_default() += 1;
                 "refuse"
             }
@@ -124,7 +125,15 @@
         let write = self.draw(20) == 0;
         let patience = (200 + self.draw(5000) as Micros) * MS;
         let group = GroupId((skewed % 7) as u32);
-        let made = Request { class, size_kb, part, is_write: write, client_timeout: patience, group, ..request(id, skewed) };
+        let made = Request {
+            class,
+            size_kb,
+            part,
+            is_write: write,
+            client_timeout: patience,
+            group,
+            ..request(id, skewed)
+        };
         self.event(Event::Request(made));
     }
 
@@ -140,11 +149,17 @@
             let notes = scenario.settings.cache_status_detail;
             let told = match (notes, note) {
                 (CacheStatusDetail::All, note) => note,
-                (CacheStatusDetail::Hit, Some(CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale)) => note,
+                (
+                    CacheStatusDetail::Hit,
+                    Some(
+                        CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale,
+                    ),
+                ) => note,
                 _ => None,
             };
             let elapsed = self.now - sent;
-            let waited = if notes == CacheStatusDetail::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
+            let waited =
+                if notes == CacheStatusDetail::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
             let sending = if self.draw(2) == 0 { elapsed / 3 } else { 0 };
             self.event(Event::AttemptEnded(AttemptOutcome {
                 request: get.request,
@@ -285,12 +300,18 @@
     let keyed = Class { idempotency: Idempotency::WithKey, uncached: true, ..class.clone() };
     let classes = vec![
         class.clone(),
-        Class { fresh: 2 * SECOND, grace: 3 * SECOND, target: 300 * MS, stretch: 1.0, ..class.clone() },
-        Class { never_kept: true, ..class.clone() },
-        Class { effect: Effect::Unsafe, never_kept: true, ..class.clone() },
-        Class { scope: DedupScope::All, ..keyed.clone() },
-        Class { scope: DedupScope::Zone, ..keyed.clone() },
-        Class { scope: DedupScope::Cell, window: 100 * MS, ..keyed },
+        Class {
+            fresh_for: 2 * SECOND,
+            stale_for: 3 * SECOND,
+            latency_objective: 300 * MS,
+            objective_stretch: 1.0,
+            ..class.clone()
+        },
+        Class { uncached: true, ..class.clone() },
+        Class { idempotency: Idempotency::Never, uncached: true, ..class.clone() },
+        Class { dedup_scope: DedupScope::All, ..keyed.clone() },
+        Class { dedup_scope: DedupScope::Zone, ..keyed.clone() },
+        Class { dedup_scope: DedupScope::Cell, dedup_window: 100 * MS, ..keyed },
     ];
     Settings { classes, ..usual }
 }
@@ -307,14 +328,23 @@
         pause,
     };
     let many = Settings { routers: 20, ordinal: 4, routers_by_zone: vec![8, 0, 12], ..usual.clone() };
-    let mute = Settings { cache_status_detail: CacheStatusDetail::None, weights_state_links: false, ..usual.clone() };
-    let asked = Settings { polls_discovery: true, direct_to_source: true, limits: no_cancel, ..usual.clone() };
+    let mute = Settings {
+        cache_status_detail: CacheStatusDetail::None,
+        weights_state_links: false,
+        ..usual.clone()
+    };
+    let asked =
+        Settings { polls_discovery: true, direct_to_source: true, limits: no_cancel, ..usual.clone() };
     vec![
         scenario("notes-all", usual.clone(), 60, 5 * MS),
         scenario("notes-all-busy", usual.clone(), 20, MS),
         scenario(
             "notes-hit-parallel",
-            Settings { notes: Notes::Hit, limits: parallel.clone(), ..usual.clone() },
+            Settings {
+                cache_status_detail: CacheStatusDetail::Hit,
+                limits: parallel.clone(),
+                ..usual.clone()
+            },
             80,
             4 * MS,
         ),
@@ -323,7 +353,12 @@
         Scenario { hopeless_every: 40, ..scenario("errors-everywhere", usual.clone(), 5, 5 * MS) },
         scenario("many-routers", many, 60, 4 * MS),
         scenario("asked-direct-no-cancel", asked, 100, 5 * MS),
-        scenario("no-siblings", Settings { siblings: Siblings::None, joins: false, ..usual }, 300, 6 * MS),
+        scenario(
+            "no-siblings",
+            Settings { sibling_sources: SiblingSources::None, join_fills: false, ..usual },
+            300,
+            6 * MS,
+        ),
     ]
 }
 
--- a/tests/logic/health.rs
+++ b/tests/logic/health.rs
@@ -7,7 +7,7 @@
 fn only_the_objects_of_a_lost_home_move() {
     let mut bench = Bench::new(settings(), fleet());
     let before: Vec<ServerId> = (1..60).map(|object| bench.served(object).server).collect();
-    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Gone, ..member(2, CACHE, 0) }]);
+    bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..member(2, CACHE, 0) }]);
     for (object, home) in (1..60).zip(before) {
         let now = bench.served(object).server;
         assert!(now == home || home.0 == 2, "object {object} left {home:?} for {now:?}");
@@ -50,7 +50,7 @@
         assert_ne!(get_of(&again).expect("sent elsewhere").server, home);
     }
     assert_ne!(bench.get(7).server, home);
-    let refusals = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refusals = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert_eq!(refusals, 0);
 }
 
@@ -86,7 +86,7 @@
     let servers: Vec<u32> = (200..240).map(|object| bench.served(object).server.0).collect();
     assert!((1..=3).all(|id| servers.contains(&id)), "no cache was blamed: {servers:?}");
     let again = get_of(&bench.end(&waiting[0], 0, AttemptResult::Cancelled, None)).expect("sent again");
-    assert_eq!((again.server, again.source.0, again.join), (waiting[0].server, 12, false));
+    assert_eq!((again.server, again.source.0, again.join_fill), (waiting[0].server, 12, false));
 }
 
 #[test]
@@ -109,7 +109,7 @@
 fn a_slow_origin_is_asked_for_less_and_a_quick_one_for_more_again() {
     let at_once = |bench: &mut Bench| {
         let gets: Vec<FillAttempt> =
-            (1000..1100).map(|object| bench.get(object)).take_while(|get| !get.only_held).collect();
+            (1000..1100).map(|object| bench.get(object)).take_while(|get| !get.only_if_cached).collect();
         gets.iter().for_each(|get| drop(bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Filled))));
         gets.len()
     };
@@ -119,7 +119,7 @@
         for object in 1..100 {
             bench.now += 50 * MS;
             let gets: Vec<FillAttempt> = (0..9).map(|i| bench.get(2000 + 10 * object + i)).collect();
-            for get in gets.iter().filter(|get| !get.only_held) {
+            for get in gets.iter().filter(|get| !get.only_if_cached) {
                 bench.event(Event::AttemptEnded(AttemptOutcome {
                     request: get.request,
                     attempt: 0,
@@ -133,7 +133,7 @@
                     load_report: vec![],
                 }));
             }
-            for get in gets.iter().filter(|get| get.only_held) {
+            for get in gets.iter().filter(|get| get.only_if_cached) {
                 bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
             }
         }
@@ -179,7 +179,8 @@
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.served(7).server;
     let open: Vec<FillAttempt> = (300..340).map(|object| bench.get(object)).collect();
-    let (lost, others): (Vec<FillAttempt>, Vec<FillAttempt>) = open.into_iter().partition(|get| get.server == home);
+    let (lost, others): (Vec<FillAttempt>, Vec<FillAttempt>) =
+        open.into_iter().partition(|get| get.server == home);
     assert!(lost.len() > 4);
     let again: Vec<FillAttempt> = lost
         .iter()
@@ -222,7 +223,7 @@
     }
     let homes: std::collections::BTreeSet<ServerId> = (100..200).map(|o| bench.served(o).server).collect();
     assert_eq!(homes.len(), 3);
-    assert!((200..300).all(|object| !bench.served(object).only_held), "and fills go on");
+    assert!((200..300).all(|object| !bench.served(object).only_if_cached), "and fills go on");
 }
 
 /// With its share of the objects small while it is left, a cache waited for its trial for many seconds.
@@ -243,7 +244,7 @@
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     let home = fleet().into_iter().find(|m| m.server == get.server).expect("it is listed");
-    bench.list(ListUpdate::Delta, vec![Member { state: ServerState::Gone, ..home }]);
+    bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..home }]);
     bench.pass(2 * SECOND);
     assert_eq!(bench.router.capacities(0).len(), fleet().len(), "its attempt is still out");
     bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
@@ -261,8 +262,18 @@
         let (request, server) = (get.request, get.server);
         let (result, note, load) = (AttemptResult::Ok, Some(CacheStatus::Filled), vec![]);
         let (waited, sending, finished) = (SECOND, 100 * MS, true);
-        let outcome =
-            AttemptOutcome { request, attempt: 0, server, result, cache_status: note, elapsed, fill_wait: waited, transfer_time: sending, finished, load_report: load };
+        let outcome = AttemptOutcome {
+            request,
+            attempt: 0,
+            server,
+            result,
+            cache_status: note,
+            elapsed,
+            fill_wait: waited,
+            transfer_time: sending,
+            finished,
+            load_report: load,
+        };
         bench.event(Event::AttemptEnded(outcome));
     };
     for object in 0..60 {
--- a/tests/logic/homes.rs
+++ b/tests/logic/homes.rs
@@ -33,11 +33,11 @@
 #[test]
 fn classes_never_kept_pass_their_home_with_rank_0() {
     let mut never = settings();
-    never.classes[0].never_kept = true;
+    never.classes[0].uncached = true;
     let mut bench = Bench::new(never, fleet());
     for _ in 0..10 {
         let get = bench.served(7);
-        assert_eq!(get.rank, 0);
+        assert_eq!(get.cache_rank, 0);
         assert!([11, 12].contains(&get.source.0));
     }
 }
@@ -97,7 +97,7 @@
     // Its answers are all filled; when none of them counted, its first guess, a whole target, stayed for
     // good, and writes of a few milliseconds were refused at any cache that had work for its link.
     let mut told = settings();
-    told.classes[0].never_kept = true;
+    told.classes[0].uncached = true;
     let mut list = fleet();
     list.iter_mut().for_each(|member| member.weight = 2.0);
     let mut bench = Bench::new(told, list);
@@ -148,12 +148,13 @@
                 let object = bench.next + 1000;
                 let (id, actions) = bench.open(object, 0.0);
                 asked += 1;
-                let crowd = |a: &Action| matches!(a, Action::Refuse { why: Why::Crowd, request, .. } if *request == id);
+                let crowd = |a: &Action| matches!(a, Action::Reject { reason: RejectionReason::Overloaded, request, .. } if *request == id);
                 refused += usize::from(actions.iter().any(crowd));
                 self.out.extend(get_of(&actions).map(|get| (bench.now, get)));
             }
             let there = |server| self.out.iter().filter(|(_, get)| get.server == server).count() as f64;
-            let takes = |get: &FillAttempt| (SENDING as f64 * (there(get.server) / self.bears).max(1.0)) as Micros;
+            let takes =
+                |get: &FillAttempt| (SENDING as f64 * (there(get.server) / self.bears).max(1.0)) as Micros;
             let over = |(sent, get): &(Micros, FillAttempt)| sent + takes(get) <= bench.now;
             let (ended, out): (Vec<_>, Vec<_>) = self.out.iter().cloned().partition(over);
             self.out = out;
--- a/tests/logic/sources.rs
+++ b/tests/logic/sources.rs
@@ -11,7 +11,8 @@
 fn silent_failures() -> Settings {
     let mut settings = settings();
     settings.cache_status_detail = CacheStatusDetail::Hit;
-    let unsafe_class = Class { idempotency: Idempotency::Never, uncached: true, ..settings.classes[0].clone() };
+    let unsafe_class =
+        Class { idempotency: Idempotency::Never, uncached: true, ..settings.classes[0].clone() };
     settings.classes.push(unsafe_class);
     settings
 }
--- a/tests/logic/support.rs
+++ b/tests/logic/support.rs
@@ -19,16 +19,16 @@
         transfer_kb_per_s: 1000.0,
         weights_state_links: true,
         classes: vec![Class {
-            target: 600 * MS,
-            stretch: 2.0,
-            deadline: 5 * SECOND,
-            worth: 1.0,
-            effect: Effect::Safe,
-            scope: DedupScope::All,
-            window: SECOND,
-            fresh: 0,
-            grace: 0,
-            never_kept: false,
+            latency_objective: 600 * MS,
+            objective_stretch: 2.0,
+            client_deadline: 5 * SECOND,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Always,
+            dedup_scope: DedupScope::All,
+            dedup_window: SECOND,
+            fresh_for: 0,
+            stale_for: 0,
+            uncached: false,
             retired: false,
         }],
         parent_kind: Some(PARENT),
@@ -138,7 +138,13 @@
         get_of(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub fn end(&mut self, get: &FillAttempt, attempt: u8, result: AttemptResult, note: Option<CacheStatus>) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        get: &FillAttempt,
+        attempt: u8,
+        result: AttemptResult,
+        note: Option<CacheStatus>,
+    ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptOutcome {
             request: get.request,
             attempt,
@@ -203,7 +209,8 @@
         let get = bench.get(object);
         bench.end(&get, 0, AttemptResult::Error, Some(CacheStatus::OriginFailed));
     }
-    let out: Vec<FillAttempt> = (100..200).map(|object| bench.get(object)).take_while(|get| !get.only_held).collect();
+    let out: Vec<FillAttempt> =
+        (100..200).map(|object| bench.get(object)).take_while(|get| !get.only_if_cached).collect();
     assert!((1..10).contains(&out.len()), "{} fetches may be out", out.len());
     (bench, out)
 }
