--- a/src/bin/dahliatrack-wirehost/codec.rs
+++ b/src/bin/dahliatrack-wirehost/codec.rs
@@ -126,7 +126,7 @@
         Ok(match self.u16()? {
             0 => AttemptResult::Error,
             1 => AttemptResult::Ok,
-            2 => AttemptResult::Full,
+            2 => AttemptResult::Rejected,
             3 => AttemptResult::Timeout,
             4 => AttemptResult::ConnectFailed,
             5 => AttemptResult::Reset,
@@ -202,7 +202,7 @@
                 server: self.server()?,
                 result: self.result()?,
                 elapsed: self.time()?,
-                load: self.load()?,
+                load_report: self.load()?,
             },
             7 => self.members()?,
             8 => return Ok((instance, Incoming::Killed)),
@@ -223,7 +223,7 @@
             0 => ListUpdate::Cached,
             1 => ListUpdate::Failed,
             2 => ListUpdate::Delta,
-            3 => ListUpdate::Rejected,
+            3 => ListUpdate::Full,
             other => return Err(format!("unknown list kind {other}")),
         };
         let _version = self.u64()?;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,9 @@
 //! The settings message: JSON in the wire's words, turned into [`Settings`].
 
-use crate::interface::*;
+use crate::interface::{
+    CacheStatusDetail, Class, ClassId, DedupScope, Idempotency, Micros, ProtectionRules, Settings,
+    SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -113,19 +116,13 @@
             names.deadlines.push(class.client_deadline);
             classes.push(class.clone());
         }
-        let place = old.settings.clone();
-        let settings = Settings {
-            classes,
-            routers: place.routers,
-            ordinal: place.ordinal,
-            zone: place.zone,
-            routers_by_zone: place.routers_by_zone,
-            hub_by_zone: place.hub_by_zone,
-            zone_link_kb_per_s: place.zone_link_kb_per_s,
-            parent_kind: place.parent_kind,
-            origin_kind: place.origin_kind,
-            ..new.clone()
+        let place = &old.settings.topology;
+        let topology = Topology {
+            transfer_kb_per_s: new.topology.transfer_kb_per_s,
+            weights_state_links: new.topology.weights_state_links,
+            ..place.clone()
         };
+        let settings = Settings { classes, topology, ..new.clone() };
         let moved = Settings { classes: new.classes.clone(), ..settings.clone() } != new;
         let moved = moved || names.kinds != told.kinds || names.zones != told.zones;
         Ok((SiteSettings { settings, names }, moved))
@@ -265,7 +262,7 @@
         most_held: limits.most_held,
         flow_bytes_per_s: 0.0,
     };
-    let settings = Settings {
+    let topology = Topology {
         routers: wire.balancers,
         ordinal: wire.ordinal,
         zone: ZoneId(wire.my_zone),
@@ -274,9 +271,17 @@
         zone_link_kb_per_s: domain.pipe_kb_per_s.clone(),
         transfer_kb_per_s: domain.pace_kb_per_s,
         weights_state_links: wire.weights != "silent",
-        classes,
         parent_kind: u16::try_from(domain.second_tier_kind).ok(),
         origin_kind: domain.root_kind,
+    };
+    let limits = SiteLimits {
+        max_attempts: limits.max_attempts,
+        parallel_attempts: limits.parallel_tries,
+        cancellation: limits.cancel,
+        health_checks: limits.may_probe,
+        peer_messages: limits.peer_messages,
+        retry_after: limits.retry_after,
+        max_retry_after: micros(limits.max_retry_after),
         direct_to_source: domain.straight,
         join_fills: domain.collapses,
         sibling_sources: word(
@@ -292,34 +297,30 @@
             "tells",
             &domain.tells,
             &[
-                ("all", CacheStatusDetail::All),
-                ("hit", CacheStatusDetail::Hit),
+                ("all", CacheStatusDetail::Full),
+                ("hit", CacheStatusDetail::Served),
                 ("silent", CacheStatusDetail::None),
             ],
         )?,
         polls_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
-        limits: SiteLimits {
-            max_attempts: limits.max_attempts,
-            parallel_attempts: limits.parallel_tries,
-            cancellation: limits.cancel,
-            health_checks: limits.may_probe,
-            peer_messages: limits.peer_messages,
-            retry_after: limits.retry_after,
-            max_retry_after: micros(limits.max_retry_after),
-        },
-        protection: ProtectionRules {
+    };
+    let protection = ProtectionRules {
+        cache_slow_start: SlowStartRules {
             initial_share: rules.cold_share,
             full_after: micros(rules.warm_after),
             overload_multiple: rules.fall_multiple,
-            overload_window: micros(rules.overload_for),
-            parent_initial_share: domain.parent_floor,
-            parent_full_after: micros(domain.parent_cold),
-            parent_overload_multiple: domain.upper_fall_multiple,
-            purge_grace: micros(domain.purge_grace),
-            purge_settled_after: micros(domain.purge_settles),
-            max_list_age: micros(rules.ask_within),
         },
+        parent_slow_start: SlowStartRules {
+            initial_share: domain.parent_floor,
+            full_after: micros(domain.parent_cold),
+            overload_multiple: domain.upper_fall_multiple,
+        },
+        overload_window: micros(rules.overload_for),
+        purge_grace: micros(domain.purge_grace),
+        purge_settled_after: micros(domain.purge_settles),
+        max_list_age: micros(rules.ask_within),
     };
+    let settings = Settings { topology, classes, limits, protection };
     Ok(SiteSettings { settings, names })
 }
 
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -48,7 +48,10 @@
     }
     assert_eq!(now.settings.classes[0].idempotency, Always, "open requests go on by the old record");
     let mut moved = parsed(&[("a", 5, Always)]);
-    (moved.settings.zone, moved.settings.limits.max_attempts) = (ZoneId(0), 1);
+    (moved.settings.topology.zone, moved.settings.limits.max_attempts) = (ZoneId(0), 1);
     let (next, moved) = moved.following(&now).expect("usable");
-    assert_eq!((next.settings.zone, next.settings.limits.max_attempts, moved), (now.settings.zone, 1, true));
+    assert_eq!(
+        (next.settings.topology.zone, next.settings.limits.max_attempts, moved),
+        (now.settings.topology.zone, 1, true)
+    );
 }
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -45,7 +45,7 @@
 
     /// Who fills the point's misses, by priority without gaps: the parents of its hub, other parents, the origin.
     pub(super) fn fill_levels(&self, site: &Site, registry: &ServerRegistry) -> Vec<PriorityLevel> {
-        let hub = site.settings.hub_by_zone.get(usize::from(self.zone.0)).copied();
+        let hub = site.settings.topology.hub_by_zone.get(usize::from(self.zone.0)).copied();
         let mut levels = vec![PriorityLevel::new(); FILL_LEVELS];
         for (_, server) in registry.all_usable() {
             if let Some(level) = fill_level(site, hub, &server.member) {
@@ -60,9 +60,9 @@
 
 /// At which priority a server fills misses; `None`: it fills none.
 fn fill_level(site: &Site, hub: Option<ZoneId>, member: &interface::Endpoint) -> Option<usize> {
-    if member.kind == site.settings.origin_kind {
+    if member.kind == site.settings.topology.origin_kind {
         Some(2)
-    } else if Some(member.kind) != site.settings.parent_kind {
+    } else if Some(member.kind) != site.settings.topology.parent_kind {
         None
     } else if Some(member.zone) == hub {
         Some(0)
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -174,7 +174,7 @@
             return false;
         }
         let rules = &self.site.settings.protection;
-        let warm_after = rules.full_after.max(rules.parent_full_after);
+        let warm_after = rules.cache_slow_start.full_after.max(rules.parent_slow_start.full_after);
         let warming_up = self.registry.any_started_after(now - warm_after);
         self.warm_up_at = warming_up.then_some(now + WARM_UP_STEP);
         true
@@ -207,7 +207,7 @@
 /// The points: the zones that have routers.
 fn points(settings: &Settings, seed: u64, now: Micros) -> Result<Vec<Point>, SettingsError> {
     let mut points = Vec::new();
-    for (zone, routers) in settings.routers_by_zone.iter().enumerate() {
+    for (zone, routers) in settings.topology.routers_by_zone.iter().enumerate() {
         if *routers > 0 {
             points.push(Point::new(ZoneId(zone as u16), settings, seed, now)?);
         }
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -7,7 +7,7 @@
 use crate::control::resource::{Content, PerType, Resource, ResourceType};
 use crate::control::snapshot::{PointSnapshot, ResourceSet};
 use crate::control::version::Sequence;
-use crate::interface::{Class, Event, Micros, Purge, ServerId, Settings, ZoneId};
+use crate::interface::{Class, Event, Micros, Purge, ServerId, Settings, Topology, ZoneId};
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,7 +34,8 @@
         seed: u64,
         now: Micros,
     ) -> Result<Self, SettingsError> {
-        let router = Router::new(Settings { zone, ..settings.clone() }, seed, now)?;
+        let topology = Topology { zone, ..settings.topology.clone() };
+        let router = Router::new(Settings { topology, ..settings.clone() }, seed, now)?;
         Ok(Point {
             zone,
             router,
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -73,7 +73,7 @@
             self.members.forget(entry.server);
         }
         let lost_ready = !ready_before.is_subset(&self.ready());
-        let kind = if change.whole { ListUpdate::Rejected } else { ListUpdate::Delta };
+        let kind = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
         ListChange { kind, entries, lost_ready }
     }
 
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -17,10 +17,10 @@
         server: ServerId,
         result: AttemptResult,
         elapsed: Micros,
-        load: Vec<f32>,
+        load_report: Vec<f32>,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        self.events.push_back(Event::HealthChecked { server, result, elapsed, load });
+        self.events.push_back(Event::HealthChecked { server, result, elapsed, load_report });
         self.run_router(now, due);
     }
 
@@ -32,7 +32,7 @@
         entries: Vec<Endpoint>,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        if matches!(kind, ListUpdate::Cached | ListUpdate::Rejected) {
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
             self.server_states.clear();
         }
         self.server_states.extend(entries.iter().map(|member| (member.server, member.state)));
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -86,8 +86,8 @@
     held_bytes: usize,
     /// By class; a request that its client abandons before its answer begins is in none.
     answer_counts: Vec<AnswerCounts>,
-    /// Refusals by what stood in the way, in the order of [`Why::ALL`].
-    rejection_counts: [u64; RejectionReason::ALL.len()],
+    /// Refusals by what stood in the way, in the order of [`RejectionReason::ALL`].
+    rejection_counts: [u64; RejectionReason::COUNT],
 }
 
 impl Core {
@@ -109,7 +109,7 @@
             commands: VecDeque::new(),
             held_bytes: 0,
             answer_counts: Vec::new(),
-            rejection_counts: [0; RejectionReason::ALL.len()],
+            rejection_counts: [0; RejectionReason::COUNT],
         })
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -94,16 +94,18 @@
             self.answer_counts.resize(class + 1, AnswerCounts::default());
         }
         self.answer_counts[class].count(answer);
-        if let FinalAnswer::Rejected { reason: why, .. } = answer {
-            self.rejection_counts[*why as usize] += 1;
+        if let FinalAnswer::Rejected { reason, .. } = answer {
+            self.rejection_counts[*reason as usize] += 1;
         }
     }
 
     /// The rejections by reason.
     pub fn rejections(&self) -> impl Iterator<Item = RejectionCount> + '_ {
-        RejectionReason::ALL
-            .iter()
-            .map(|(why, reason)| RejectionCount { reason, count: self.rejection_counts[*why as usize] })
+        let count = |reason: RejectionReason| RejectionCount {
+            reason: reason.metric_name(),
+            count: self.rejection_counts[reason as usize],
+        };
+        RejectionReason::ALL.into_iter().map(count)
     }
 
     /// The final answers to requests of this class.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -2,7 +2,11 @@
 
 use super::*;
 use crate::deadlines::Deadlines;
-use crate::interface::*;
+use crate::interface::{
+    Action, AttemptResult, CacheStatusDetail, Class, ClassId, DedupScope, Endpoint, GroupId, Idempotency,
+    ListUpdate, Micros, ObjectId, ProtectionRules, Purge, RejectionReason, RequestId, ServerId, ServerState,
+    Settings, SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
+};
 use bytes::Bytes;
 
 const MS: Micros = 1000;
@@ -36,52 +40,61 @@
     Endpoint { server, started_at: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
 }
 
+fn settings() -> Settings {
+    let topology = Topology {
+        routers: 1,
+        ordinal: 0,
+        zone: ZoneId(0),
+        routers_by_zone: vec![1, 0],
+        hub_by_zone: vec![ZoneId(1); 2],
+        zone_link_kb_per_s: vec![0.0; 2],
+        transfer_kb_per_s: 1000.0,
+        weights_state_links: true,
+        parent_kind: Some(1),
+        origin_kind: 2,
+    };
+    let limits = SiteLimits {
+        max_attempts: 6,
+        parallel_attempts: true,
+        cancellation: true,
+        health_checks: true,
+        peer_messages: false,
+        retry_after: true,
+        max_retry_after: 2 * SECOND,
+        direct_to_source: false,
+        join_fills: false,
+        sibling_sources: SiblingSources::SameLocation,
+        cache_status_detail: CacheStatusDetail::Full,
+        polls_discovery: false,
+    };
+    let protection = ProtectionRules {
+        cache_slow_start: SlowStartRules {
+            initial_share: 0.2,
+            full_after: 10 * SECOND,
+            overload_multiple: 4.0,
+        },
+        parent_slow_start: SlowStartRules {
+            initial_share: 0.1,
+            full_after: 10 * SECOND,
+            overload_multiple: 2.0,
+        },
+        overload_window: SECOND,
+        purge_grace: 500 * MS,
+        purge_settled_after: 6 * SECOND,
+        max_list_age: 0,
+    };
+    let classes = vec![class(Idempotency::Always), class(Idempotency::Never), class(Idempotency::WithKey)];
+    Settings { topology, classes, limits, protection }
+}
+
 impl Bench {
     fn new() -> Self {
-        let settings = Settings {
-            routers: 1,
-            ordinal: 0,
-            zone: ZoneId(0),
-            routers_by_zone: vec![1, 0],
-            hub_by_zone: vec![ZoneId(1); 2],
-            zone_link_kb_per_s: vec![0.0; 2],
-            transfer_kb_per_s: 1000.0,
-            weights_state_links: true,
-            classes: vec![class(Idempotency::Always), class(Idempotency::Never), class(Idempotency::WithKey)],
-            parent_kind: Some(1),
-            origin_kind: 2,
-            direct_to_source: false,
-            join_fills: false,
-            sibling_sources: SiblingSources::SameLocation,
-            cache_status_detail: CacheStatusDetail::All,
-            polls_discovery: false,
-            limits: SiteLimits {
-                max_attempts: 6,
-                parallel_attempts: true,
-                cancellation: true,
-                health_checks: true,
-                peer_messages: false,
-                retry_after: true,
-                max_retry_after: 2 * SECOND,
-            },
-            protection: ProtectionRules {
-                initial_share: 0.2,
-                full_after: 10 * SECOND,
-                overload_multiple: 4.0,
-                overload_window: SECOND,
-                parent_initial_share: 0.1,
-                parent_full_after: 10 * SECOND,
-                parent_overload_multiple: 2.0,
-                purge_grace: 500 * MS,
-                purge_settled_after: 6 * SECOND,
-                max_list_age: 0,
-            },
-        };
+        let settings = settings();
         let mut bench =
             Bench { core: Core::new(settings, 1, 0).expect("settings"), due: Deadlines::default() };
         let mut list = vec![member(PARENT, 1, 1, ServerState::Ready)];
         list.extend(CACHES.map(|cache| member(cache, 0, 0, ServerState::Ready)));
-        bench.core.update_endpoints(0, ListUpdate::Rejected, list, &mut bench.due);
+        bench.core.update_endpoints(0, ListUpdate::Full, list, &mut bench.due);
         bench
     }
 
@@ -235,7 +248,7 @@
         (AttemptResult::Reset, false),
         (AttemptResult::Error, false),
         (AttemptResult::ConnectFailed, true),
-        (AttemptResult::Full, true),
+        (AttemptResult::Rejected, true),
         (AttemptResult::Miss, true),
     ] {
         let mut bench = Bench::new();
@@ -378,7 +391,7 @@
 fn what_never_ran_opens_no_window() {
     let mut bench = Bench::new();
     let (_, first) = bench.launched(2, None);
-    bench.end(100 * MS, first, AttemptResult::Full);
+    bench.end(100 * MS, first, AttemptResult::Rejected);
     let (_, repeats) = bench.commands();
     assert!(bench.core.write_attempt(2 * SECOND, repeats[0], &mut bench.due).is_some());
 }
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -90,7 +90,7 @@
 /// Settings with which no router can start.
 pub fn explore(site: &Site, scenario: &Scenario, asked: Asked<'_>) -> Result<Trace, SettingsError> {
     let mut settings = site.settings.clone();
-    settings.zone = asked.point;
+    settings.topology.zone = asked.point;
     let class = settings.classes[usize::from(asked.class.0)].clone();
     let plan = Plan::new(site, asked);
     let mut router = Router::new(settings, asked.seed, plan.start)?;
@@ -157,7 +157,7 @@
         let entries = site.servers.values().copied().collect();
         world.plan(
             self.start,
-            Next::Event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries }),
+            Next::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
         );
         world.plan(self.change, Next::Change);
         for (number, object) in objects.into_iter().enumerate() {
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -76,7 +76,7 @@
             let text = "own-cache and own-hub depend on the point: name the zone";
             return Err(self.doc.error(at, text));
         }
-        let selected = self.site.selected(&selectors, self.site.settings.zone);
+        let selected = self.site.selected(&selectors, self.site.settings.topology.zone);
         let servers: Vec<ServerId> = selected.into_iter().collect();
         self.words.push(format!("{key} {}", some_names(self.site, &servers)));
         Ok(servers)
@@ -114,7 +114,7 @@
         let mut scenarios = Vec::new();
         for (key, list) in EACH_KEYS {
             for selector in read_selectors(self.doc, &mut self.reader, self.site, key)? {
-                for server in self.site.selected(&[selector], self.site.settings.zone) {
+                for server in self.site.selected(&[selector], self.site.settings.topology.zone) {
                     let mut scenario = self.base.clone();
                     list(&mut scenario).push(server);
                     let word = format!("{} {}", key.trim_start_matches("each_"), self.site.name(server));
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -84,7 +84,7 @@
     }
     let states = states(site, &caches);
     let text = format!("point {} has no ready table cache{states}", site.zone_name(point));
-    Some(if site.settings.direct_to_source {
+    Some(if site.settings.limits.direct_to_source {
         warning("point-direct", format!("{text}: parents are asked past them"))
     } else {
         error("point-unserved", format!("{text}: all its requests are refused"))
@@ -109,8 +109,8 @@
 }
 
 fn missing_hubs(site: &Site) -> Option<Finding> {
-    let zones = site.settings.routers_by_zone.len();
-    let hubs = site.settings.hub_by_zone.len();
+    let zones = site.settings.topology.routers_by_zone.len();
+    let hubs = site.settings.topology.hub_by_zone.len();
     (hubs < zones).then(|| error("hub-missing", format!("{hubs} zones have a hub, of {zones}")))
 }
 
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -91,7 +91,7 @@
             oddities: Vec::new(),
             now: 0,
         };
-        let zones = site.settings.routers_by_zone.len().max(site.zones.len());
+        let zones = site.settings.topology.routers_by_zone.len().max(site.zones.len());
         site.zones.extend((site.zones.len()..zones).map(|zone| zone.to_string()));
         site.apply(&config.known, &parsed.names);
         site
@@ -177,12 +177,12 @@
 
     /// Whether a server is a parent, which stands at a hub.
     pub fn is_parent(&self, member: &Endpoint) -> bool {
-        Some(member.kind) == self.settings.parent_kind
+        Some(member.kind) == self.settings.topology.parent_kind
     }
 
     /// Whether a server is the origin.
     pub fn is_origin(&self, member: &Endpoint) -> bool {
-        member.kind == self.settings.origin_kind
+        member.kind == self.settings.topology.origin_kind
     }
 
     /// Whether a server is a table cache.
@@ -192,13 +192,13 @@
 
     /// The points: zones that have edge proxies.
     pub fn points(&self) -> Vec<ZoneId> {
-        let zones = self.settings.routers_by_zone.iter().enumerate();
+        let zones = self.settings.topology.routers_by_zone.iter().enumerate();
         zones.filter(|(_, routers)| **routers > 0).map(|(zone, _)| ZoneId(zone as u16)).collect()
     }
 
     /// The hub of a point.
     pub fn hub(&self, point: ZoneId) -> Option<ZoneId> {
-        self.settings.hub_by_zone.get(usize::from(point.0)).copied()
+        self.settings.topology.hub_by_zone.get(usize::from(point.0)).copied()
     }
 
     /// The ready table caches of a point among these servers.
@@ -251,7 +251,7 @@
             }
             Some(_) => Selector::Server(self.server(text)?),
         };
-        let point = self.settings.zone;
+        let point = self.settings.topology.zone;
         if self.servers.values().any(|member| self.selects(&selector, member, point)) {
             return Ok(selector);
         }
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -70,7 +70,7 @@
         self.sessions.contains_key(&conn)
     }
 
-    /// A connection may be read from, or written to; gives the call that is whole now, which [`Front::answer`] ends.
+    /// A connection may be read from, or written to; gives the call that is whole now, which [`AdminFront::answer`] ends.
     pub fn ready(
         &mut self,
         now: i64,
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -109,7 +109,7 @@
         self.config = config;
     }
 
-    /// Requests that are over for their clients since the last call, by the numbers that [`Front::bind`]
+    /// Requests that are over for their clients since the last call, by the numbers that [`SignedFront::bind`]
     /// gave: nothing is owed to them.
     pub fn take_cancelled(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.gone)
@@ -169,7 +169,7 @@
         self.sessions.get(&conn).is_some_and(|session| session.turns.iter().any(|t| t.number == number))
     }
 
-    /// Gives an open request the number by which [`Front::gone`] and [`Front::next`] name it.
+    /// Gives an open request the number by which [`SignedFront::take_cancelled`] and [`SignedFront::next`] name it.
     pub fn bind(&mut self, conn: ConnectionKey, number: u64, bound: u64) {
         let turns = self.sessions.get_mut(&conn).map(|session| &mut session.turns);
         if let Some(turn) = turns.and_then(|turns| turns.iter_mut().find(|turn| turn.number == number)) {
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -64,7 +64,7 @@
         /// When its first byte came: it may have waited unread since.
         arrived: i64,
     },
-    /// A request beyond the most that may be open; [`Front::say`] answers it.
+    /// A request beyond the most that may be open; [`ThriftFront::answer_unbound`] answers it.
     RequestOverLimit {
         /// Its connection.
         conn: ConnectionKey,
@@ -80,7 +80,7 @@
         /// Its sequence number.
         seqid: i32,
     },
-    /// A request is over for its client: nothing is owed. The number is what [`Front::bind`] gave.
+    /// A request is over for its client: nothing is owed. The number is what [`ThriftFront::bind`] gave.
     Cancelled(u64),
 }
 
@@ -153,7 +153,7 @@
         self.sessions.get(&conn).is_some_and(|session| session.open.contains_key(&seqid))
     }
 
-    /// Gives an open request the number by which [`Ask::Cancelled`] names it.
+    /// Gives an open request the number by which [`ThriftEvent::Cancelled`] names it.
     pub fn bind(&mut self, conn: ConnectionKey, seqid: i32, number: u64) {
         if let Some(open) = self.sessions.get_mut(&conn).and_then(|session| session.open.get_mut(&seqid)) {
             *open = Some(number);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -37,8 +37,9 @@
 
 pub use interface::{
     Action, AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Class, ClassId, DedupScope,
-    Endpoint, Event, FillAttempt, GroupId, Idempotency, ListUpdate, Micros, ObjectId, ProtectionRules, Purge,
-    RejectionReason, Request, RequestId, ServerId, ServerState, Settings, SiblingSources, SiteLimits, ZoneId,
+    Endpoint, Event, FillAttempt, GroupId, Idempotency, Instant, ListUpdate, Micros, ObjectId,
+    ProtectionRules, Purge, RejectionReason, Request, RequestId, ServerId, ServerState, Settings,
+    SiblingSources, SiteLimits, SlowStartRules, Span, Topology, ZoneId,
 };
 pub use policy::Router;
 pub use validate::SettingsError;
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -107,8 +107,7 @@
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
         attempt.unattributed = unattributed;
-        let by_source =
-            outcome.cache_status.is_some_and(|note| note as u8 >= CacheStatus::SourceRejected as u8);
+        let by_source = outcome.cache_status.is_some_and(CacheStatus::is_fill_failure);
         let called_off = attempt.rescued && outcome.result == AttemptResult::Cancelled;
         attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
         // What broke once is asked for where it was, since the copy is there; what breaks again is not.
@@ -130,12 +129,12 @@
     outcome: &AttemptOutcome,
     attempt: &Attempt,
 ) -> Option<Failure> {
-    if notes == CacheStatusDetail::All || outcome.cache_status.is_some() || !attempt.is_fill() {
+    if notes == CacheStatusDetail::Full || outcome.cache_status.is_some() || !attempt.is_fill() {
         return None;
     }
     match outcome.result {
         AttemptResult::Error => Some(Failure::Errored),
-        AttemptResult::Full => Some(Failure::Rejected),
+        AttemptResult::Rejected => Some(Failure::Rejected),
         _ => None,
     }
 }
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -1,7 +1,7 @@
 //! Attribution of failures: whether the cache or its source is at fault, told by the attempt that is served.
 
 use super::{attempt::Attempt, Router};
-use crate::interface::*;
+use crate::interface::{Micros, RequestId, ServerId};
 
 impl Router {
     /// Books the failed attempts of a request, once another is served. An error is the cache's own where
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -5,7 +5,7 @@
     popularity::{least_distributed, object_key},
     Router,
 };
-use crate::interface::*;
+use crate::interface::{Micros, Request, ServerId, SiblingSources};
 
 impl Router {
     /// The delegate that a popular object's request goes to, or another cache at which one is started.
@@ -19,7 +19,7 @@
         let entry = self.directory.get(object_key(&open.request))?;
         let (home, others) = order.split_first()?;
         let is_home_full = || self.is_warm_up_budget_spent(now, *home, open.request.class);
-        if self.settings.sibling_sources == SiblingSources::None || is_home_full() {
+        if self.settings.limits.sibling_sources == SiblingSources::None || is_home_full() {
             return None;
         }
         let is_usable = |s: &ServerId| {
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -7,7 +7,7 @@
     timing::{PROBE_INTERVAL, SECOND},
     Router,
 };
-use crate::interface::*;
+use crate::interface::{Action, ClassId, FillAttempt, Micros, RejectionReason, Request, RequestId, ServerId};
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
@@ -107,7 +107,7 @@
             source: route.source.unwrap_or(route.server),
             cache_rank: if self.is_uncached(request) { 0 } else { count.min(REPEATED_RANK) as u8 },
             max_age: self.max_age(now, open),
-            join_fill: self.settings.join_fills && !rescued_there,
+            join_fill: self.settings.limits.join_fills && !rescued_there,
             only_if_cached: route.only_held && route.source.is_some(),
             bypass_parent_cache: false,
             stale_while_revalidate: self.class(request).fresh_for > 0,
--- a/src/policy/effects.rs
+++ b/src/policy/effects.rs
@@ -4,7 +4,7 @@
     attempt::{OpenRequest, PossibleRun},
     Router,
 };
-use crate::interface::*;
+use crate::interface::{DedupScope, Idempotency, Micros, ServerId};
 
 impl Router {
     /// Whether another attempt keeps the rule on effects.
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: its changes, and what each server is used for.
 
 use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_AGAIN};
-use crate::interface::*;
+use crate::interface::{Action, Endpoint, ListUpdate, Micros, ServerId, ServerState};
 
 impl Router {
     /// Takes in news of the endpoint list.
@@ -13,11 +13,13 @@
         out: &mut Vec<Action>,
     ) {
         match kind {
-            ListUpdate::Cached if self.settings.polls_discovery => out.push(Action::WatchEndpoints(true)),
+            ListUpdate::Cached if self.settings.limits.polls_discovery => {
+                out.push(Action::WatchEndpoints(true))
+            }
             ListUpdate::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
             _ => {}
         }
-        if matches!(kind, ListUpdate::Cached | ListUpdate::Rejected) {
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
             for server in self.servers.values_mut() {
                 server.member.state = ServerState::Removed;
             }
@@ -40,8 +42,9 @@
 
     /// Brings the lists of ready servers by their use up to date.
     fn update_tiers(&mut self) {
-        let is_own = |s: &Server| self.is_cache(s.member.server) && s.member.zone == self.settings.zone;
-        let is_origin = |s: &Server| s.member.kind == self.settings.origin_kind;
+        let is_own =
+            |s: &Server| self.is_cache(s.member.server) && s.member.zone == self.settings.topology.zone;
+        let is_origin = |s: &Server| s.member.kind == self.settings.topology.origin_kind;
         let caches = self.ready_servers(is_own);
         let parents = self.ready_servers(|server| self.is_parent(server));
         let origin = self.ready_servers(is_origin).first().copied();
@@ -67,12 +70,14 @@
 
     /// Whether a server is a parent.
     pub(super) fn is_parent(&self, server: &Server) -> bool {
-        Some(server.member.kind) == self.settings.parent_kind
+        Some(server.member.kind) == self.settings.topology.parent_kind
     }
 
     /// Whether a server is a cache: no parent, and not the origin.
     pub fn is_cache(&self, server: ServerId) -> bool {
         let kind = self.servers.get(&server).map(|server| server.member.kind);
-        kind.is_some() && kind != self.settings.parent_kind && kind != Some(self.settings.origin_kind)
+        kind.is_some()
+            && kind != self.settings.topology.parent_kind
+            && kind != Some(self.settings.topology.origin_kind)
     }
 }
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -8,7 +8,7 @@
     timing::SECOND,
     Router,
 };
-use crate::interface::*;
+use crate::interface::{CacheStatusDetail, Micros, ServerId};
 
 /// A source's first byte drifts back to the usual over this long without news: then it is tried again.
 const FIRST_BYTE_MEMORY: Micros = 5 * SECOND;
@@ -40,7 +40,7 @@
         };
         let mut parents = self.eligible_parents(now, open);
         parents.sort_by(|a, b| score(a).total_cmp(&score(b)));
-        let hub = self.settings.hub_by_zone.get(usize::from(self.settings.zone.0));
+        let hub = self.settings.topology.hub_by_zone.get(usize::from(self.settings.topology.zone.0));
         // A farther hub costs more bytes on links.
         parents.sort_by_key(|server| Some(&server.member.zone) != hub);
         parents
@@ -58,7 +58,7 @@
             |s: &&Server| (!s.ejected || s.ejected_until <= now) && !has_failed(s) && self.is_sure(s, open);
         let good: Vec<&Server> = parents.iter().copied().filter(is_good).collect();
         // Without notes a slow origin looks like silent parents, and must not get more.
-        if good.is_empty() && self.settings.cache_status_detail == CacheStatusDetail::None {
+        if good.is_empty() && self.settings.limits.cache_status_detail == CacheStatusDetail::None {
             parents
         } else {
             good
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -1,7 +1,7 @@
 //! The end of a request: its final answer, and the cancelling of what is still in flight.
 
 use super::{attempt::Attempt, Router};
-use crate::interface::*;
+use crate::interface::{Action, ClassId, Micros, RejectionReason, RequestId};
 
 /// Wait advised to a rejected client, as a part of its class's objective.
 const RETRY_AFTER_PART: f64 = 0.5;
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,7 +1,7 @@
 //! How old a copy may be that is served: fresh times and purges.
 
 use super::{attempt::OpenRequest, Router};
-use crate::interface::*;
+use crate::interface::{Micros, Purge};
 
 impl Router {
     /// Takes in a purge.
--- a/src/policy/home.rs
+++ b/src/policy/home.rs
@@ -7,7 +7,7 @@
     server::{Server, UNSURE_ERROR_RATE},
     Router,
 };
-use crate::interface::*;
+use crate::interface::{Idempotency, Micros, RejectionReason, Request, ServerId};
 
 impl Router {
     /// The ready caches of the own location, the object's home first (rendezvous hash by size).
@@ -53,7 +53,7 @@
 
     /// A parent or the origin, where requests may go there and no cache is ready.
     fn parent_past_caches(&self, now: Micros, open: &OpenRequest) -> Option<ServerId> {
-        if !self.settings.direct_to_source || !self.caches.is_empty() {
+        if !self.settings.limits.direct_to_source || !self.caches.is_empty() {
             return None;
         }
         self.fill_source(now, open)
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -6,7 +6,7 @@
     timing::{SECOND, SMOOTHING},
     Router,
 };
-use crate::interface::*;
+use crate::interface::{AttemptOutcome, Micros, ServerId};
 use std::collections::BTreeMap;
 
 /// Part of its objective that a request may be predicted to fill at a cache that has work already.
@@ -23,7 +23,7 @@
     pub(super) fn is_overloaded(&self, now: Micros, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return true };
         let attempts = self.attempts_at(now, to);
-        let is_capacity_known = self.settings.weights_state_links || self.measured_link.is_some();
+        let is_capacity_known = self.settings.topology.weights_state_links || self.measured_link.is_some();
         let load = (attempts + 1.0) / self.capacity(now, to, self.median_deviation());
         attempts >= 1.0 && is_capacity_known && load > self.most_load(open)
     }
@@ -89,8 +89,8 @@
 
     /// Routers that may send to a server: those of its location, or all for what stands at a hub.
     pub(super) fn routers_sharing(&self, is_cache: bool) -> u32 {
-        let of_location = self.settings.routers_by_zone[usize::from(self.settings.zone.0)];
-        let routers = if is_cache { of_location } else { self.settings.routers };
+        let of_location = self.settings.topology.routers_by_zone[usize::from(self.settings.topology.zone.0)];
+        let routers = if is_cache { of_location } else { self.settings.topology.routers };
         routers.max(1)
     }
 }
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt tells of the class, the cache, the source and the origin.
 
 use super::{attempt::Attempt, fetch_limit::FetchSpeed, Router};
-use crate::interface::*;
+use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Micros, Request};
 
 /// A fetch is slow whose first byte takes this part of its class's objective, or that is late as a whole.
 const SLOW_FIRST_BYTE: f64 = 0.8;
@@ -47,7 +47,7 @@
         if is_served {
             self.times_mut(request.class).observe_answer(outcome.elapsed as f64);
         }
-        if is_served && !self.settings.weights_state_links {
+        if is_served && !self.settings.topology.weights_state_links {
             self.measure_link(now, outcome, measured.sending, measured.slack);
         }
         if attempt.is_fill() && !attempt.only_held {
@@ -70,21 +70,21 @@
         attempt: &Attempt,
         measured: &Measured,
     ) -> FetchSpeed {
-        use AttemptResult::{Cancelled, Error, Full, Ok, Timeout};
+        use AttemptResult::{Cancelled, Error, Ok, Rejected, Timeout};
         let class = self.class(request);
         let target = class.latency_objective as f64;
         let is_lost =
-            matches!(outcome.result, Full | Timeout) || (outcome.result == Cancelled && attempt.rescued);
+            matches!(outcome.result, Rejected | Timeout) || (outcome.result == Cancelled && attempt.rescued);
         // Where notes say less, any fill may be one from the origin.
-        let is_from_origin = match self.settings.cache_status_detail {
-            CacheStatusDetail::All => outcome.cache_status == Some(CacheStatus::FilledByOrigin),
-            CacheStatusDetail::Hit => outcome.cache_status == Some(CacheStatus::Filled),
+        let is_from_origin = match self.settings.limits.cache_status_detail {
+            CacheStatusDetail::Full => outcome.cache_status == Some(CacheStatus::FilledByOrigin),
+            CacheStatusDetail::Served => outcome.cache_status == Some(CacheStatus::Filled),
             CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
         let is_late = measured.is_sending_told
             && outcome.elapsed as f64 > target + class.objective_stretch * measured.sending;
         let is_slow_fill = is_late || outcome.fill_wait as f64 > SLOW_FIRST_BYTE * target;
-        let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
+        let is_mute = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
         let is_error = outcome.result == Error && (is_mute || !attempt.errored);
         if is_lost || (is_from_origin && is_slow_fill) || is_error {
             FetchSpeed::Slow
@@ -112,13 +112,13 @@
         attempt: &Attempt,
         measured: &Measured,
     ) {
-        use AttemptResult::{ConnectFailed, Error, Full, Miss, Ok, Reset};
+        use AttemptResult::{ConnectFailed, Error, Miss, Ok, Rejected, Reset};
         let Some(cache) = self.servers.get_mut(&attempt.server) else { return };
         if outcome.result == Ok || (attempt.blamed && !matches!(outcome.result, Error | Reset)) {
             cache.count_success();
         }
         match outcome.result {
-            Ok | Miss | Full => cache.on_response(now, measured.deviation),
+            Ok | Miss | Rejected => cache.on_response(now, measured.deviation),
             ConnectFailed => cache.eject(now),
             Reset => cache.on_reset(now),
             _ => {}
@@ -136,8 +136,8 @@
         attempt: &Attempt,
         measured: &Measured,
     ) {
-        use AttemptResult::{Cancelled, Error, Full, Miss, Ok, Timeout};
-        let is_mute = self.settings.cache_status_detail == CacheStatusDetail::None;
+        use AttemptResult::{Cancelled, Error, Miss, Ok, Rejected, Timeout};
+        let is_mute = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
         let Some(source) = self.servers.get_mut(&attempt.source) else { return };
         let is_source_fault = matches!(
             outcome.cache_status,
@@ -150,7 +150,7 @@
             source.on_fill(now, first_byte);
         } else if matches!(outcome.result, Timeout | Cancelled) {
             source.on_lost_fill(now, outcome.elapsed as f64);
-        } else if is_source_fault && matches!(outcome.result, Error | Full | Miss) {
+        } else if is_source_fault && matches!(outcome.result, Error | Rejected | Miss) {
             source.count_error();
             source.eject_as_source(now);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -40,7 +40,10 @@
 mod timing;
 mod upkeep;
 
-use crate::{interface::*, SettingsError};
+use crate::interface::{
+    Action, Class, ClassId, Event, Micros, Purge, Request, RequestId, ServerId, Settings,
+};
+use crate::SettingsError;
 use attempt::OpenRequest;
 use class_times::ClassTimes;
 use fetch_limit::FetchLimit;
@@ -134,7 +137,7 @@
             Event::FirstByte { request, .. } => self.on_first_byte(request),
             Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, out),
             Event::RequestCancelled(id) => self.finish(id, out),
-            Event::Timer(WATCH_AGAIN) if self.settings.polls_discovery => {
+            Event::Timer(WATCH_AGAIN) if self.settings.limits.polls_discovery => {
                 out.push(Action::WatchEndpoints(true))
             }
             Event::Timer(_) => self.on_tick(now, out),
@@ -172,8 +175,8 @@
 
     /// A request's own sending time at full pace, us; where sizes are not told, its class's mean.
     fn sending_time(&self, request: &Request) -> f64 {
-        if request.size_kb > 0.0 && self.settings.transfer_kb_per_s > 0.0 {
-            return request.size_kb / self.settings.transfer_kb_per_s * SECOND as f64;
+        if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
+            return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND as f64;
         }
         self.times(request.class).sending
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -5,7 +5,7 @@
     timing::TICK,
     Router,
 };
-use crate::interface::*;
+use crate::interface::{Action, AttemptOutcome, AttemptResult, Micros, RejectionReason};
 
 /// A request that so many caches have answered with an error is itself at fault, as likely as not.
 const MOST_ERRORS: usize = 3;
@@ -15,7 +15,7 @@
 impl Router {
     /// Takes in how an attempt ended.
     pub(super) fn on_outcome(&mut self, now: Micros, outcome: AttemptOutcome, out: &mut Vec<Action>) {
-        let notes = self.settings.cache_status_detail;
+        let notes = self.settings.limits.cache_status_detail;
         let Some(open) = self.open.get_mut(&outcome.request) else { return };
         let request = open.request.clone();
         let Some(attempt) = open.end_attempt(&outcome, notes) else { return };
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -2,7 +2,7 @@
 //! moved.
 
 use super::{attempt::Attempt, timing::SECOND, Router};
-use crate::interface::*;
+use crate::interface::{Action, CacheStatusDetail, Micros, RejectionReason, RequestId, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Overdue attempts that must be in flight at once for a server to be silent: one may just be large.
@@ -103,7 +103,7 @@
     ) {
         let is_cache = self.is_cache(server);
         let overdue = if is_cache { self.overdue_at_cache(overdue) } else { self.overdue_at_source(overdue) };
-        let is_mute_source = self.settings.cache_status_detail == CacheStatusDetail::None && !is_cache;
+        let is_mute_source = self.settings.limits.cache_status_detail == CacheStatusDetail::None && !is_cache;
         let Some(to) = self.servers.get_mut(&server) else { return };
         let is_unheard = match is_mute_source {
             true => 2 * overdue.len() > in_flight,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: what a server that is warming up surely bears, and the budget that all routers share of it.
 
 use super::{server::Server, timing::SECOND, Router};
-use crate::interface::*;
+use crate::interface::{ClassId, Micros, ServerId, SlowStartRules};
 
 /// Part of the warm-up budget that is used: true sizes lie below the registered ones at times.
 const BUDGET_MARGIN: f64 = 0.5;
@@ -11,31 +11,31 @@
 impl Router {
     /// The part of its capacity that a server surely has by now.
     pub(super) fn warmth(&self, now: Micros, server: &Server) -> f64 {
-        let rules = &self.settings.protection;
-        let (initial, warm_after) = if self.is_parent(server) {
-            (rules.parent_initial_share, rules.parent_full_after)
+        let SlowStartRules { initial_share, full_after, .. } = self.slow_start_rules(server);
+        let Some(started_at) = server.member.started_at else { return 1.0 };
+        let part = (now - started_at).max(0) as f64 / full_after.max(1) as f64;
+        (initial_share + (1.0 - initial_share) * part).min(1.0)
+    }
+
+    /// How a server of this kind warms up.
+    fn slow_start_rules(&self, server: &Server) -> SlowStartRules {
+        if self.is_parent(server) {
+            self.settings.protection.parent_slow_start
         } else {
-            (rules.initial_share, rules.full_after)
-        };
-        let Some(up_since) = server.member.started_at else { return 1.0 };
-        let part = (now - up_since).max(0) as f64 / warm_after.max(1) as f64;
-        (initial + (1.0 - initial) * part).min(1.0)
+            self.settings.protection.cache_slow_start
+        }
     }
 
     /// What all routers may send a server that is warming up within one span, in seconds of sending; warm:
     /// `None`.
     fn warm_up_budget(&self, now: Micros, server: &Server) -> Option<f64> {
         let warmth = self.warmth(now, server);
-        if warmth >= 1.0 || server.member.kind == self.settings.origin_kind {
+        if warmth >= 1.0 || server.member.kind == self.settings.topology.origin_kind {
             return None;
         }
-        let rules = &self.settings.protection;
-        let multiple =
-            if self.is_parent(server) { rules.parent_overload_multiple } else { rules.overload_multiple };
-        Some(
-            BUDGET_MARGIN * multiple * warmth * self.link(server) * rules.overload_window as f64
-                / SECOND as f64,
-        )
+        let multiple = self.slow_start_rules(server).overload_multiple;
+        let window = self.settings.protection.overload_window;
+        Some(BUDGET_MARGIN * multiple * warmth * self.link(server) * window as f64 / SECOND as f64)
     }
 
     /// Whether this router's share of a warming server's budget is spent. Where the share is under one
@@ -48,7 +48,7 @@
         let work = self.times(class).sending / SECOND as f64;
         let processes = self.sharing.processes;
         let sharers = self.routers_sharing(self.is_cache(server.member.server)) * processes;
-        let number = self.settings.ordinal * processes + self.sharing.place;
+        let number = self.settings.topology.ordinal * processes + self.sharing.place;
         let share = budget / f64::from(sharers);
         let span = self.settings.protection.overload_window.max(1);
         let age = now - server.member.started_at.unwrap_or(now);
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -1,7 +1,7 @@
 //! Upkeep: the popular directory is brought up to date, and what has had its time is forgotten.
 
 use super::{timing::UPKEEP_INTERVAL, Router};
-use crate::interface::*;
+use crate::interface::{Micros, ServerState};
 
 impl Router {
     /// Brings the directory up to date and forgets what has had its time, once in each interval.
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -1,5 +1,5 @@
 //! News of the control feed: the list of servers, and purges. Unix times in it become instants of the monotonic clock
-//! here, by [`super::instants::Instants`].
+//! here, by [`super::instants::UnixTimeConverter`].
 
 use super::instants::Reception;
 use super::Server;
@@ -36,7 +36,7 @@
                     info!("event {n}: {} is {:?}", host.host, host.health);
                     entries.push(member);
                 }
-                let kind = if change.whole { ListUpdate::Rejected } else { ListUpdate::Delta };
+                let kind = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
                 let gone: Vec<ServerId> =
                     entries.iter().filter(|m| m.state == ServerState::Removed).map(|m| m.server).collect();
                 self.core.update_endpoints(self.now, kind, entries, &mut self.due);
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -90,7 +90,7 @@
             let refused = FinalAnswer::Rejected {
                 retry_after: self.core.retry_after(class),
                 timed_out: false,
-                reason: RejectionReason::Full,
+                reason: RejectionReason::ProxyFull,
             };
             self.core.count_answer(class, &refused);
             return links.front.say(conn, number, translate::answer(refused, &[], self.net.unix_time()));
@@ -160,8 +160,11 @@
 
     /// A refusal with this pause (us), counted for its class.
     pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Micros) -> ThriftReply {
-        let refused =
-            FinalAnswer::Rejected { retry_after: pause, timed_out: false, reason: RejectionReason::Full };
+        let refused = FinalAnswer::Rejected {
+            retry_after: pause,
+            timed_out: false,
+            reason: RejectionReason::ProxyFull,
+        };
         class.into_iter().for_each(|class| self.core.count_answer(class, &refused));
         translate::reply(refused)
     }
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -130,7 +130,7 @@
         "200" | "304" if answer.body_dropped => AttemptResult::Error,
         "200" | "304" | "alive" | "status" => AttemptResult::Ok,
         "404" => AttemptResult::Miss,
-        "503" => AttemptResult::Full,
+        "503" => AttemptResult::Rejected,
         "504" => AttemptResult::NotSent,
         _ => AttemptResult::Error, // 500, dead, and any word not known here: it may have run
     };
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -51,27 +51,30 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if self.ordinal >= self.routers {
-            return Err(SettingsError::Ordinal { ordinal: self.ordinal, routers: self.routers });
+        if self.topology.ordinal >= self.topology.routers {
+            return Err(SettingsError::Ordinal {
+                ordinal: self.topology.ordinal,
+                routers: self.topology.routers,
+            });
         }
-        let zones = self.routers_by_zone.len();
+        let zones = self.topology.routers_by_zone.len();
         let zone = |name, zone: u16| match usize::from(zone) < zones {
             true => Ok(()),
             false => Err(SettingsError::Zone { name, zone, zones }),
         };
-        zone("zone", self.zone.0)?;
-        self.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0))?;
-        figure("pace_kb_per_s", self.transfer_kb_per_s)?;
-        self.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link))?;
+        zone("zone", self.topology.zone.0)?;
+        self.topology.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0))?;
+        figure("pace_kb_per_s", self.topology.transfer_kb_per_s)?;
+        self.topology.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link))?;
         self.classes.iter().try_for_each(Class::check)?;
         let rules = &self.protection;
-        figure("cold_share", rules.initial_share)?;
-        figure("fall_multiple", rules.overload_multiple)?;
-        figure("parent_cold_share", rules.parent_initial_share)?;
-        figure("parent_fall_multiple", rules.parent_overload_multiple)?;
+        figure("cold_share", rules.cache_slow_start.initial_share)?;
+        figure("fall_multiple", rules.cache_slow_start.overload_multiple)?;
+        figure("parent_cold_share", rules.parent_slow_start.initial_share)?;
+        figure("parent_fall_multiple", rules.parent_slow_start.overload_multiple)?;
         span("fall_span", rules.overload_window, 1)?;
-        span("warm_after", rules.full_after, 0)?;
-        span("parent_warm_after", rules.parent_full_after, 0)?;
+        span("warm_after", rules.cache_slow_start.full_after, 0)?;
+        span("parent_warm_after", rules.parent_slow_start.full_after, 0)?;
         span("purge_grace", rules.purge_grace, 0)?;
         span("purge_settles", rules.purge_settled_after, 0)?;
         span("ask_within", rules.max_list_age, 0)?;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -59,7 +59,7 @@
             cancel: true,
             retry_after: true,
             max_attempts: 6,
-            notes: CacheStatusDetail::All,
+            notes: CacheStatusDetail::Full,
             new,
             rate,
         }
@@ -93,9 +93,9 @@
             retry_after: random.random_range(0..2) == 0,
             max_attempts: random.random_range(2..7),
             notes: [
-                CacheStatusDetail::All,
-                CacheStatusDetail::All,
-                CacheStatusDetail::Hit,
+                CacheStatusDetail::Full,
+                CacheStatusDetail::Full,
+                CacheStatusDetail::Served,
                 CacheStatusDetail::None,
             ][random.random_range(0..4)],
             new,
@@ -121,7 +121,7 @@
             uncached: false,
             retired: false,
         };
-        Settings {
+        let topology = Topology {
             routers: self.routers as u32,
             ordinal: ordinal as u32,
             zone: ZoneId(0),
@@ -130,39 +130,50 @@
             zone_link_kb_per_s: vec![0.0; 2],
             transfer_kb_per_s: 4000.0,
             weights_state_links: self.weighed,
-            classes: (0..self.sending.len()).map(class).collect(),
             parent_kind: None,
             origin_kind: 1,
+        };
+        let classes = (0..self.sending.len()).map(class).collect();
+        Settings { topology, classes, limits: self.limits(), protection: protection() }
+    }
+
+    fn limits(&self) -> SiteLimits {
+        SiteLimits {
+            max_attempts: self.max_attempts,
+            parallel_attempts: self.parallel,
+            cancellation: self.cancel,
+            health_checks: false,
+            peer_messages: false,
+            retry_after: self.retry_after,
+            max_retry_after: SECOND,
             direct_to_source: self.direct,
             join_fills: false,
             sibling_sources: SiblingSources::SameLocation,
             cache_status_detail: self.notes,
             polls_discovery: false,
-            limits: SiteLimits {
-                max_attempts: self.max_attempts,
-                parallel_attempts: self.parallel,
-                cancellation: self.cancel,
-                health_checks: false,
-                peer_messages: false,
-                retry_after: self.retry_after,
-                max_retry_after: SECOND,
-            },
-            protection: ProtectionRules {
-                initial_share: 0.2,
-                full_after: 15 * SECOND,
-                overload_multiple: 4.0,
-                overload_window: SECOND,
-                parent_initial_share: 0.1,
-                parent_full_after: 20 * SECOND,
-                parent_overload_multiple: 2.0,
-                purge_grace: 500 * MS,
-                purge_settled_after: 6 * SECOND,
-                max_list_age: 0,
-            },
         }
     }
 }
 
+fn protection() -> ProtectionRules {
+    ProtectionRules {
+        cache_slow_start: SlowStartRules {
+            initial_share: 0.2,
+            full_after: 15 * SECOND,
+            overload_multiple: 4.0,
+        },
+        parent_slow_start: SlowStartRules {
+            initial_share: 0.1,
+            full_after: 20 * SECOND,
+            overload_multiple: 2.0,
+        },
+        overload_window: SECOND,
+        purge_grace: 500 * MS,
+        purge_settled_after: 6 * SECOND,
+        max_list_age: 0,
+    }
+}
+
 /// An attempt's transfer. One whose request has left runs on at the origin.
 struct Transfer {
     router: usize,
@@ -235,10 +246,7 @@
         let caches = (1..=site.caches as u32).map(|n| member(n, 0, 0));
         let entries: Vec<Endpoint> = caches.chain([member(99, 1, 1)]).collect();
         for router in 0..site.routers {
-            play.event(
-                router,
-                Event::EndpointList { update: ListUpdate::Rejected, endpoints: entries.clone() },
-            );
+            play.event(router, Event::EndpointList { update: ListUpdate::Full, endpoints: entries.clone() });
         }
         play
     }
@@ -334,14 +342,16 @@
         (sent, waited, sending): (Micros, Micros, Micros),
     ) {
         let note = match self.site.notes {
-            CacheStatusDetail::All => note,
-            CacheStatusDetail::Hit if note == Some(CacheStatus::FilledByOrigin) => Some(CacheStatus::Filled),
-            CacheStatusDetail::Hit => note.filter(|note| *note == CacheStatus::Hit),
+            CacheStatusDetail::Full => note,
+            CacheStatusDetail::Served if note == Some(CacheStatus::FilledByOrigin) => {
+                Some(CacheStatus::Filled)
+            }
+            CacheStatusDetail::Served => note.filter(|note| *note == CacheStatus::Hit),
             CacheStatusDetail::None => None,
         };
         let finished = result == AttemptResult::Ok;
         let elapsed = self.now - sent;
-        let waited = if self.site.notes == CacheStatusDetail::All { waited } else { 0 };
+        let waited = if self.site.notes == CacheStatusDetail::Full { waited } else { 0 };
         let sending = if self.site.told { sending } else { 0 };
         let load = Vec::new();
         if finished || self.plain {
--- a/tests/logic/cold.rs
+++ b/tests/logic/cold.rs
@@ -5,13 +5,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// The settings of the router with this number.
+fn with_ordinal(settings: &Settings, ordinal: u32) -> Settings {
+    let topology = Topology { ordinal, ..settings.topology.clone() };
+    Settings { topology, ..settings.clone() }
+}
+
 /// Plays routers that share a cold server for ten seconds; what reached it, by time in ms.
 fn sent_cold(routers: u32, list: &[Endpoint], cold: u32, source: bool) -> Vec<i64> {
     let mut told = settings();
-    told.routers = routers;
-    told.routers_by_zone = vec![routers, 0, 0];
+    told.topology.routers = routers;
+    told.topology.routers_by_zone = vec![routers, 0, 0];
     let mut all: Vec<Bench> =
-        (0..routers).map(|ordinal| Bench::new(Settings { ordinal, ..told.clone() }, list.to_vec())).collect();
+        (0..routers).map(|ordinal| Bench::new(with_ordinal(&told, ordinal), list.to_vec())).collect();
     let mut sent = Vec::new();
     for step in 0..40 {
         for (ordinal, bench) in all.iter_mut().enumerate() {
@@ -117,12 +123,10 @@
     /// The times of what reaches the server, in order.
     fn sends(&self, seed: u64) -> Vec<Micros> {
         let count = if self.undivided { 1 } else { self.routers };
-        let told = |ordinal| Settings {
-            routers: count,
-            ordinal: if self.undivided { 0 } else { ordinal },
-            routers_by_zone: vec![count, 0, 0],
-            ..settings()
-        };
+        let mut fleet_settings = settings();
+        fleet_settings.topology.routers = count;
+        fleet_settings.topology.routers_by_zone = vec![count, 0, 0];
+        let told = |ordinal| with_ordinal(&fleet_settings, if self.undivided { 0 } else { ordinal });
         let cold = Endpoint { started_at: Some(self.starts), ..self.server };
         let mut list = fleet();
         list.retain(|known| known.server != cold.server && known.kind != cold.kind);
@@ -160,10 +164,12 @@
     /// By how many calls a span goes over N + 2 x root of N + 2 at most, N being what the rules allow in it.
     fn excess(&self, seed: u64) -> f64 {
         let rules = settings().protection;
-        let (share, warm, multiple) = match self.server.kind {
-            PARENT => (rules.parent_initial_share, rules.parent_full_after, rules.parent_overload_multiple),
-            _ => (rules.initial_share, rules.full_after, rules.overload_multiple),
+        let slow_start = match self.server.kind {
+            PARENT => rules.parent_slow_start,
+            _ => rules.cache_slow_start,
         };
+        let SlowStartRules { initial_share: share, full_after: warm, overload_multiple: multiple } =
+            slow_start;
         let sends = self.sends(seed);
         assert!(!sends.is_empty(), "it is used while it is cold");
         let over = |from: &Micros| {
--- a/tests/logic/directory.rs
+++ b/tests/logic/directory.rs
@@ -64,7 +64,7 @@
     let home = bench.popular(7);
     let delegate = bench.get(7);
     assert_ne!(delegate.server, home);
-    bench.end(&delegate, 0, AttemptResult::Full, Some(CacheStatus::NoFillSlot));
+    bench.end(&delegate, 0, AttemptResult::Rejected, Some(CacheStatus::NoFillSlot));
     bench.now += SECOND - 1;
     assert_eq!(bench.served(7).server, home);
     bench.now += 1;
--- a/tests/logic/effects.rs
+++ b/tests/logic/effects.rs
@@ -12,14 +12,14 @@
     };
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(error(|s| s.ordinal = 2), Some(SettingsError::Ordinal { ordinal: 2, routers: 2 }));
+    assert_eq!(error(|s| s.topology.ordinal = 2), Some(SettingsError::Ordinal { ordinal: 2, routers: 2 }));
     let zone = |name, zone| Some(SettingsError::Zone { name, zone, zones: 3 });
-    assert_eq!(error(|s| s.zone = ZoneId(3)), zone("zone", 3));
-    assert_eq!(error(|s| s.hub_by_zone[0] = ZoneId(9)), zone("hub_by_zone", 9));
+    assert_eq!(error(|s| s.topology.zone = ZoneId(3)), zone("zone", 3));
+    assert_eq!(error(|s| s.topology.hub_by_zone[0] = ZoneId(9)), zone("hub_by_zone", 9));
     let figure = |name| Some(SettingsError::Figure { name });
-    assert_eq!(error(|s| s.transfer_kb_per_s = f64::NAN), figure("pace_kb_per_s"));
+    assert_eq!(error(|s| s.topology.transfer_kb_per_s = f64::NAN), figure("pace_kb_per_s"));
     assert_eq!(error(|s| s.classes[0].objective_stretch = -1.0), figure("stretch"));
-    assert_eq!(error(|s| s.protection.initial_share = f64::INFINITY), figure("cold_share"));
+    assert_eq!(error(|s| s.protection.cache_slow_start.initial_share = f64::INFINITY), figure("cold_share"));
     let span = |name| Some(SettingsError::Span { name });
     assert_eq!(error(|s| s.classes[0].latency_objective = 0), span("target"));
     assert_eq!(error(|s| s.protection.overload_window = 0), span("fall_span"));
@@ -127,7 +127,7 @@
     }
     let mut rest = fleet();
     rest.retain(|m| m.server.0 != 3);
-    bench.list(ListUpdate::Rejected, rest);
+    bench.list(ListUpdate::Full, rest);
     assert!((50..90).all(|object| bench.served(object).server.0 != 3), "absent from a full list: gone");
 }
 
@@ -152,7 +152,7 @@
     for (result, repeats) in [
         (AttemptResult::Miss, true),
         (AttemptResult::ConnectFailed, true),
-        (AttemptResult::Full, true),
+        (AttemptResult::Rejected, true),
         (AttemptResult::Error, false),
         (AttemptResult::Reset, false),
         (AttemptResult::Timeout, false),
@@ -225,7 +225,7 @@
 #[test]
 fn asked_discovery_is_subscribed_to_and_again_after_a_failure() {
     let mut asked = settings();
-    asked.polls_discovery = true;
+    asked.limits.polls_discovery = true;
     let mut bench = Bench::new(asked, fleet());
     let cached = bench.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: vec![] });
     assert_eq!(cached, [Action::WatchEndpoints(true)]);
@@ -261,7 +261,7 @@
     for object in 0..1000 {
         bench.now += 10 * MS;
         let get = bench.get(object);
-        let again = get_of(&bench.end(&get, 0, AttemptResult::Full, Some(CacheStatus::NoFillSlot)));
+        let again = get_of(&bench.end(&get, 0, AttemptResult::Rejected, Some(CacheStatus::NoFillSlot)));
         further += usize::from(again.is_some());
         again.map(|again| bench.end(&again, 1, AttemptResult::Ok, Some(CacheStatus::Filled)));
     }
--- a/tests/logic/fetches.rs
+++ b/tests/logic/fetches.rs
@@ -8,7 +8,7 @@
     let source = |seed: u64| {
         let mut router = Router::new(settings(), seed, 0).expect("usable");
         let mut out = Vec::new();
-        router.handle(0, Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() }, &mut out);
+        router.handle(0, Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() }, &mut out);
         router.handle(0, Event::Request(request(1, 7)), &mut out);
         get_of(&out).expect("an attempt").source
     };
@@ -18,7 +18,7 @@
         bench.now += 100 * MS;
         let get = bench.get(object);
         if !get.only_if_cached {
-            let actions = bench.end(&get, 0, AttemptResult::Full, Some(CacheStatus::OriginFailed));
+            let actions = bench.end(&get, 0, AttemptResult::Rejected, Some(CacheStatus::OriginFailed));
             if let Some(next) = get_of(&actions) {
                 assert!(next.only_if_cached, "a request asks the failing origin once");
                 bench.end(&next, 1, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
--- a/tests/logic/golden.rs
+++ b/tests/logic/golden.rs
@@ -68,7 +68,7 @@
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
-            self.digest.update(format!("{} {action:?}\n", self.now));
+            self.digest.update(format!("{} {}\n", self.now, recorded(&action)));
             self.take(action);
         }
     }
@@ -102,10 +102,8 @@
                 self.due_ticks.push((self.now + after, token));
                 "timer"
             }
-            Action::Reject { reason: why, .. } => {
-                let (_, name) =
-                    RejectionReason::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
-                *self.counts.entry(name).or_default() += 1;
+            Action::Reject { reason, .. } => {
+                *self.counts.entry(reason.metric_name()).or_default() += 1;
                 "refuse"
             }
             Action::Fail(_) => "fail",
@@ -146,11 +144,11 @@
                 true => (AttemptResult::Cancelled, None),
                 false => self.ending(&get, scenario),
             };
-            let notes = scenario.settings.cache_status_detail;
+            let notes = scenario.settings.limits.cache_status_detail;
             let told = match (notes, note) {
-                (CacheStatusDetail::All, note) => note,
+                (CacheStatusDetail::Full, note) => note,
                 (
-                    CacheStatusDetail::Hit,
+                    CacheStatusDetail::Served,
                     Some(
                         CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale,
                     ),
@@ -159,7 +157,7 @@
             };
             let elapsed = self.now - sent;
             let waited =
-                if notes == CacheStatusDetail::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
+                if notes == CacheStatusDetail::Full { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
             let sending = if self.draw(2) == 0 { elapsed / 3 } else { 0 };
             self.event(Event::AttemptEnded(AttemptOutcome {
                 request: get.request,
@@ -189,8 +187,8 @@
                 0 | 1 => (AttemptResult::Error, None),
                 2 => (AttemptResult::Error, Some(CacheStatus::SourceUnreachable)),
                 3 => (AttemptResult::Error, Some(CacheStatus::OriginFailed)),
-                4 => (AttemptResult::Full, Some(CacheStatus::SourceRejected)),
-                5 => (AttemptResult::Full, Some(CacheStatus::NoFillSlot)),
+                4 => (AttemptResult::Rejected, Some(CacheStatus::SourceRejected)),
+                5 => (AttemptResult::Rejected, Some(CacheStatus::NoFillSlot)),
                 6 => (AttemptResult::Timeout, None),
                 7 => (AttemptResult::Reset, None),
                 8 => (AttemptResult::ConnectFailed, None),
@@ -218,7 +216,7 @@
         let weight = 20.0 + self.draw(100) as f64;
         let entry = Endpoint { started_at: up_since, state, weight, ..member(id, kind, zone) };
         match self.draw(4) {
-            0 => self.event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() }),
+            0 => self.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() }),
             1 => self.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] }),
             2 => self.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: fleet() }),
             _ => self.event(Event::EndpointList { update: ListUpdate::Delta, endpoints: vec![entry] }),
@@ -242,11 +240,59 @@
     }
 }
 
+/// An action as the digests have it: its text does not follow the names in the code, so that renaming keeps the digests.
+fn recorded(action: &Action) -> String {
+    match action {
+        Action::SendCacheOnly { request, server, timeout } => {
+            format!("Send {{ request: {request:?}, server: {server:?}, timeout: {timeout} }}")
+        }
+        Action::SendWithFill(attempt) => recorded_fill(attempt),
+        Action::Reject { request, retry_after, reason } => {
+            let why = recorded_reason(*reason);
+            format!("Refuse {{ request: {request:?}, retry_after: {retry_after}, why: {why} }}")
+        }
+        Action::Fail(request) => format!("Fail({request:?})"),
+        Action::Cancel { request, attempt } => {
+            format!("Cancel {{ request: {request:?}, attempt: {attempt} }}")
+        }
+        Action::Timer { token, after } => format!("Timer {{ token: {token}, after: {after} }}"),
+        Action::HealthCheck(server) => format!("Probe({server:?})"),
+        Action::CloseIdleConnections(server) => format!("CloseIdle({server:?})"),
+        Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to:?}, bytes: {bytes:?} }}"),
+        Action::Log(line) => format!("Log({line:?})"),
+        Action::WatchEndpoints(on) => format!("Watch({on})"),
+        Action::PollEndpoints => "Fetch".into(),
+    }
+}
+
+fn recorded_fill(attempt: &FillAttempt) -> String {
+    let FillAttempt { request, server, timeout, source, cache_rank, max_age, .. } = attempt;
+    let FillAttempt { join_fill, only_if_cached, bypass_parent_cache, stale_while_revalidate, .. } = attempt;
+    format!(
+        "Get(Get {{ request: {request:?}, server: {server:?}, timeout: {timeout}, source: {source:?}, \
+         rank: {cache_rank}, max_age: {max_age}, join: {join_fill}, only_held: {only_if_cached}, \
+         no_parent_copy: {bypass_parent_cache}, renew: {stale_while_revalidate} }})"
+    )
+}
+
+fn recorded_reason(reason: RejectionReason) -> &'static str {
+    match reason {
+        RejectionReason::NoServer => "NoServer",
+        RejectionReason::Overloaded => "Crowd",
+        RejectionReason::SlowStart => "Cold",
+        RejectionReason::FetchLimit => "Fetches",
+        RejectionReason::RetryBudget => "Retries",
+        RejectionReason::AttemptsExhausted => "Attempts",
+        RejectionReason::DeadlineExceeded => "Late",
+        RejectionReason::ProxyFull => "Full",
+    }
+}
+
 /// Plays one scenario; gives the counts of its actions and their digest.
 fn play(scenario: &Scenario, seed: u64) -> String {
     let classes = scenario.settings.classes.len() as u64;
     let mut stream = Stream::new(scenario.settings.clone(), seed);
-    stream.event(Event::EndpointList { update: ListUpdate::Rejected, endpoints: fleet() });
+    stream.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() });
     for step in 0..STEPS {
         stream.now += 1 + stream.draw(2 * scenario.pause as u64) as Micros;
         stream.tick();
@@ -318,8 +364,6 @@
 
 fn scenarios() -> Vec<Scenario> {
     let usual = all_classes();
-    let parallel = SiteLimits { parallel_attempts: true, ..usual.limits.clone() };
-    let no_cancel = SiteLimits { cancellation: false, retry_after: false, ..usual.limits.clone() };
     let scenario = |name, settings, failures, pause| Scenario {
         name,
         settings,
@@ -327,38 +371,36 @@
         hopeless_every: u64::MAX,
         pause,
     };
-    let many = Settings { routers: 20, ordinal: 4, routers_by_zone: vec![8, 0, 12], ..usual.clone() };
-    let mute = Settings {
-        cache_status_detail: CacheStatusDetail::None,
-        weights_state_links: false,
-        ..usual.clone()
-    };
-    let asked =
-        Settings { polls_discovery: true, direct_to_source: true, limits: no_cancel, ..usual.clone() };
+    let mut many = usual.clone();
+    many.topology.routers = 20;
+    many.topology.ordinal = 4;
+    many.topology.routers_by_zone = vec![8, 0, 12];
+    let mut mute = usual.clone();
+    mute.limits.cache_status_detail = CacheStatusDetail::None;
+    mute.topology.weights_state_links = false;
+    let mut mute_parallel = mute.clone();
+    mute_parallel.limits.parallel_attempts = true;
+    let mut served_parallel = usual.clone();
+    served_parallel.limits.cache_status_detail = CacheStatusDetail::Served;
+    served_parallel.limits.parallel_attempts = true;
+    let mut asked = usual.clone();
+    asked.limits.polls_discovery = true;
+    asked.limits.direct_to_source = true;
+    asked.limits.cancellation = false;
+    asked.limits.retry_after = false;
+    let mut no_siblings = usual.clone();
+    no_siblings.limits.sibling_sources = SiblingSources::None;
+    no_siblings.limits.join_fills = false;
     vec![
         scenario("notes-all", usual.clone(), 60, 5 * MS),
         scenario("notes-all-busy", usual.clone(), 20, MS),
-        scenario(
-            "notes-hit-parallel",
-            Settings {
-                cache_status_detail: CacheStatusDetail::Hit,
-                limits: parallel.clone(),
-                ..usual.clone()
-            },
-            80,
-            4 * MS,
-        ),
-        scenario("notes-none-unweighed", mute.clone(), 60, 3 * MS),
-        scenario("notes-none-parallel", Settings { limits: parallel, ..mute }, 150, 3 * MS),
+        scenario("notes-hit-parallel", served_parallel, 80, 4 * MS),
+        scenario("notes-none-unweighed", mute, 60, 3 * MS),
+        scenario("notes-none-parallel", mute_parallel, 150, 3 * MS),
         Scenario { hopeless_every: 40, ..scenario("errors-everywhere", usual.clone(), 5, 5 * MS) },
         scenario("many-routers", many, 60, 4 * MS),
         scenario("asked-direct-no-cancel", asked, 100, 5 * MS),
-        scenario(
-            "no-siblings",
-            Settings { sibling_sources: SiblingSources::None, join_fills: false, ..usual },
-            300,
-            6 * MS,
-        ),
+        scenario("no-siblings", no_siblings, 300, 6 * MS),
     ]
 }
 
--- a/tests/logic/homes.rs
+++ b/tests/logic/homes.rs
@@ -18,7 +18,7 @@
 #[test]
 fn with_many_routers_one_attempt_out_is_no_crowd() {
     let mut told = settings();
-    (told.routers, told.routers_by_zone) = (240, vec![8, 0, 232]);
+    (told.topology.routers, told.topology.routers_by_zone) = (240, vec![8, 0, 232]);
     let small = |server| Endpoint { weight: 4.0, ..member(server, CACHE, 0) };
     let mut bench = Bench::new(told, vec![small(1), member(11, PARENT, 1), member(21, ORIGIN, 1)]);
     bench.get(1);
@@ -58,7 +58,7 @@
     let wait = refused(&bench.ask(7).1).expect("refused");
     assert!(wait > 0 && wait <= 200 * MS);
     let mut direct = settings();
-    direct.direct_to_source = true;
+    direct.limits.direct_to_source = true;
     let get = Bench::new(direct, vec![member(11, PARENT, 1)]).get(7);
     assert_eq!(get.server.0, 11, "straight to the parent where that is allowed");
 }
@@ -184,7 +184,9 @@
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
     let fleet = || fleet().into_iter().map(one).collect::<Vec<_>>();
     let played = |weighed, bears, each| {
-        let mut bench = Bench::new(Settings { weights_state_links: weighed, ..settings() }, fleet());
+        let mut settings = settings();
+        settings.topology.weights_state_links = weighed;
+        let mut bench = Bench::new(settings, fleet());
         let mut links = Links { bears, out: Vec::new() };
         links.play(&mut bench, 5 * SECOND, 4);
         links.play(&mut bench, 5 * SECOND, each)
--- a/tests/logic/sources.rs
+++ b/tests/logic/sources.rs
@@ -10,7 +10,7 @@
 /// A site whose answers tell only how a served request came about, with a second class that must not run twice.
 fn silent_failures() -> Settings {
     let mut settings = settings();
-    settings.cache_status_detail = CacheStatusDetail::Hit;
+    settings.limits.cache_status_detail = CacheStatusDetail::Served;
     let unsafe_class =
         Class { idempotency: Idempotency::Never, uncached: true, ..settings.classes[0].clone() };
     settings.classes.push(unsafe_class);
@@ -60,7 +60,7 @@
 #[test]
 fn a_parent_that_rejects_every_fill_is_ejected_and_no_cache_is() {
     let mut bench = Bench::new(silent_failures(), fleet());
-    let rejects = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Full);
+    let rejects = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Rejected);
     let (served, failed) = play(&mut bench, 1..400, rejects);
     assert_eq!(served, 399);
     assert!(failed <= 16, "{failed} fills were asked of the parent that rejects them");
--- a/tests/logic/support.rs
+++ b/tests/logic/support.rs
@@ -8,8 +8,26 @@
 pub const PARENT: u16 = 1;
 pub const ORIGIN: u16 = 2;
 
+/// Two routers in zones 0 and 2, with the hub between them, and one class of idempotent requests.
 pub fn settings() -> Settings {
-    Settings {
+    let class = Class {
+        latency_objective: 600 * MS,
+        objective_stretch: 2.0,
+        client_deadline: 5 * SECOND,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Always,
+        dedup_scope: DedupScope::All,
+        dedup_window: SECOND,
+        fresh_for: 0,
+        stale_for: 0,
+        uncached: false,
+        retired: false,
+    };
+    Settings { topology: topology(), classes: vec![class], limits: limits(), protection: protection() }
+}
+
+fn topology() -> Topology {
+    Topology {
         routers: 2,
         ordinal: 0,
         zone: ZoneId(0),
@@ -18,47 +36,44 @@
         zone_link_kb_per_s: vec![0.0; 3],
         transfer_kb_per_s: 1000.0,
         weights_state_links: true,
-        classes: vec![Class {
-            latency_objective: 600 * MS,
-            objective_stretch: 2.0,
-            client_deadline: 5 * SECOND,
-            priority_weight: 1.0,
-            idempotency: Idempotency::Always,
-            dedup_scope: DedupScope::All,
-            dedup_window: SECOND,
-            fresh_for: 0,
-            stale_for: 0,
-            uncached: false,
-            retired: false,
-        }],
         parent_kind: Some(PARENT),
         origin_kind: ORIGIN,
+    }
+}
+
+fn limits() -> SiteLimits {
+    SiteLimits {
+        max_attempts: 8,
+        parallel_attempts: false,
+        cancellation: true,
+        health_checks: true,
+        peer_messages: false,
+        retry_after: true,
+        max_retry_after: 200 * MS,
         direct_to_source: false,
         join_fills: true,
         sibling_sources: SiblingSources::SameLocation,
-        cache_status_detail: CacheStatusDetail::All,
+        cache_status_detail: CacheStatusDetail::Full,
         polls_discovery: false,
-        limits: SiteLimits {
-            max_attempts: 8,
-            parallel_attempts: false,
-            cancellation: true,
-            health_checks: true,
-            peer_messages: false,
-            retry_after: true,
-            max_retry_after: 200 * MS,
-        },
-        protection: ProtectionRules {
+    }
+}
+
+fn protection() -> ProtectionRules {
+    ProtectionRules {
+        cache_slow_start: SlowStartRules {
             initial_share: 0.25,
             full_after: 10 * SECOND,
             overload_multiple: 2.0,
-            overload_window: SECOND,
-            parent_initial_share: 0.1,
-            parent_full_after: 10 * SECOND,
-            parent_overload_multiple: 2.0,
-            purge_grace: 300 * MS,
-            purge_settled_after: 6 * SECOND,
-            max_list_age: 10 * SECOND,
         },
+        parent_slow_start: SlowStartRules {
+            initial_share: 0.1,
+            full_after: 10 * SECOND,
+            overload_multiple: 2.0,
+        },
+        overload_window: SECOND,
+        purge_grace: 300 * MS,
+        purge_settled_after: 6 * SECOND,
+        max_list_age: 10 * SECOND,
     }
 }
 
@@ -106,7 +121,7 @@
 impl Bench {
     pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
         let mut bench = Bench { router: Router::new(settings, 1, 0).expect("usable"), now: 0, next: 0 };
-        bench.list(ListUpdate::Rejected, members);
+        bench.list(ListUpdate::Full, members);
         bench
     }
 
@@ -203,7 +218,8 @@
 /// A bench whose fetches have failed for a while: few may be out, and so many are.
 pub fn slowed(settings: Settings) -> (Bench, Vec<FillAttempt>) {
     // The least of all routers together is one: here there is one.
-    let mut bench = Bench::new(Settings { routers: 1, ..settings }, fleet());
+    let topology = Topology { routers: 1, ..settings.topology };
+    let mut bench = Bench::new(Settings { topology, ..settings }, fleet());
     for object in 1..80 {
         bench.now += 100 * MS;
         let get = bench.get(object);
