--- /dev/null
+++ b/tests/policy/main.rs
@@ -0,0 +1,11 @@
+//! The decision module by its public interface, without the bench.
+
+mod fetch_limit;
+mod fill_sources;
+mod golden;
+mod home_cache;
+mod idempotency;
+mod popular_directory;
+mod server_health;
+mod slow_start;
+mod support;
