--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -4,7 +4,7 @@
 use crate::config::settings::SiteNames;
 use crate::control::clock::Moment;
 use crate::interface::{Endpoint, ListUpdate, Micros, ServerId, ServerState};
-use crate::members::ServerNames;
+use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -5,7 +5,7 @@
 use crate::config::settings::SiteNames;
 use crate::config::Config;
 use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
-use crate::members::ServerNames;
+use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,10 +24,11 @@
 pub mod front;
 pub mod interface;
 pub mod lab;
-pub mod members;
+
 pub mod net;
 pub mod policy;
 pub mod server;
+pub mod server_names;
 pub mod sim;
 pub mod slots;
 pub mod spread;
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -25,7 +25,7 @@
 use crate::front::signed;
 use crate::front::thrift;
 use crate::interface::{CacheStatus, ClassId, Micros, ServerId};
-use crate::members::ServerNames;
+use crate::server_names::ServerNames;
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::slots::Key;
