--- a/src/admission/bucket.rs
+++ b/src/admission/bucket.rs
@@ -1,6 +1,7 @@
 //! A token bucket (RFC 2697's single-rate form, one bucket): `rate` tokens a second up to `burst`, one token a
 //! new connection. Time is passed in, in microseconds.
 
+use crate::interface::{Instant, Span};
 use super::Micros;
 
 /// One bucket's level at a moment.
@@ -9,7 +10,7 @@
     /// Tokens held at `at`, at most the burst.
     tokens: f64,
     /// When `tokens` was counted, us.
-    at: Micros,
+    at: Instant,
 }
 
 /// What a bucket fills by: tokens a second, and the most it holds.
@@ -30,18 +31,18 @@
 
 impl TokenBucket {
     /// A full bucket at `now`.
-    pub fn full(rate: Rate, now: Micros) -> Self {
+    pub fn full(rate: Rate, now: Instant) -> Self {
         TokenBucket { tokens: rate.burst, at: now }
     }
 
-    fn fill(&mut self, rate: Rate, now: Micros) {
+    fn fill(&mut self, rate: Rate, now: Instant) {
         let gained = (now - self.at).max(0) as f64 * rate.per_s / 1e6;
         self.tokens = (self.tokens + gained).min(rate.burst);
         self.at = self.at.max(now);
     }
 
     /// Takes a token if there is one.
-    pub fn take(&mut self, rate: Rate, now: Micros) -> bool {
+    pub fn take(&mut self, rate: Rate, now: Instant) -> bool {
         self.fill(rate, now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -52,16 +53,16 @@
     }
 
     /// How long until a token can be taken, us; 0 if one can now.
-    pub fn wait(&mut self, rate: Rate, now: Micros) -> Micros {
+    pub fn wait(&mut self, rate: Rate, now: Instant) -> Span {
         self.fill(rate, now);
         if self.tokens >= 1.0 || !rate.is_on() {
             return 0;
         }
-        ((1.0 - self.tokens) * 1e6 / rate.per_s).ceil() as Micros
+        ((1.0 - self.tokens) * 1e6 / rate.per_s).ceil() as Span
     }
 
     /// Whether the bucket is full at `now`: it then carries nothing that a new one would not, and may be forgotten.
-    pub fn is_full(&mut self, rate: Rate, now: Micros) -> bool {
+    pub fn is_full(&mut self, rate: Rate, now: Instant) -> bool {
         self.fill(rate, now);
         self.tokens >= rate.burst
     }
--- a/src/admission/exhaust.rs
+++ b/src/admission/exhaust.rs
@@ -2,12 +2,13 @@
 //! pause of accepts, one log line at each episode's start and end, and the count of connections taken with the spare
 //! descriptor and refused. No I/O: the caller says what happened, at what time.
 
+use crate::interface::{Instant, Span};
 use super::Micros;
 
 /// An episode that lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Episode {
-    since: Micros,
+    since: Instant,
     /// Accepts that failed in it.
     tries: u32,
     /// Connections taken with the spare descriptor and refused in it.
@@ -18,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     /// When to try accepting again, us.
-    pub until: Micros,
+    pub until: Instant,
     /// Whether this began an episode: the one moment to log.
     pub began: bool,
 }
@@ -27,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
     /// How long it lasted, us.
-    pub lasted: Micros,
+    pub lasted: Span,
     /// Accepts that failed in it.
     pub tries: u32,
     /// Connections refused with the spare descriptor in it.
@@ -38,8 +39,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exhaustion {
     episode: Option<Episode>,
-    first: Micros,
-    most: Micros,
+    first: Span,
+    most: Span,
     /// Episodes so far.
     pub episodes: u64,
     /// Connections refused with the spare so far.
@@ -48,12 +49,12 @@
 
 impl Exhaustion {
     /// No episode yet; pauses from `first` doubling to `most`, us.
-    pub fn new(first: Micros, most: Micros) -> Self {
+    pub fn new(first: Span, most: Span) -> Self {
         Exhaustion { episode: None, first: first.max(1), most: most.max(first), episodes: 0, shed: 0 }
     }
 
     /// Takes new bounds; an episode under way goes on with them.
-    pub fn set_bounds(&mut self, first: Micros, most: Micros) {
+    pub fn set_bounds(&mut self, first: Span, most: Span) {
         (self.first, self.most) = (first.max(1), most.max(first));
     }
 
@@ -63,7 +64,7 @@
     }
 
     /// An accept failed for want of descriptors at `now`.
-    pub fn failed(&mut self, now: Micros) -> Backoff {
+    pub fn failed(&mut self, now: Instant) -> Backoff {
         let began = self.episode.is_none();
         if began {
             self.episodes += 1;
@@ -83,7 +84,7 @@
     }
 
     /// An accept went through, or found nobody waiting: an episode is over.
-    pub fn accepted(&mut self, now: Micros) -> Option<Ended> {
+    pub fn accepted(&mut self, now: Instant) -> Option<Ended> {
         let episode = self.episode.take()?;
         Some(Ended { lasted: now - episode.since, tries: episode.tries, shed: episode.shed })
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -22,7 +22,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 /// Microseconds, on the caller's clock.
-pub type Micros = i64;
+pub type Span = i64;
 
 /// Why a connection is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -66,7 +66,7 @@
         /// Why.
         why: Refusal,
         /// How long to stay away, us.
-        pause: Micros,
+        pause: Span,
     },
 }
 
@@ -128,7 +128,7 @@
     /// Admission by checked settings.
     pub fn new(settings: AdmissionSettings) -> Self {
         let exhaustion =
-            Exhaustion::new(settings.backoff_ms as Micros * 1000, settings.most_backoff_ms as Micros * 1000);
+            Exhaustion::new(settings.backoff_ms as Span * 1000, settings.most_backoff_ms as Span * 1000);
         Admission {
             rates: Recent::new(settings.tracked_capacity),
             prefix_rates: Recent::new(settings.tracked_capacity),
@@ -152,7 +152,7 @@
         }
         self.known.set_capacity(settings.known_capacity);
         self.exhaustion
-            .set_bounds(settings.backoff_ms as Micros * 1000, settings.most_backoff_ms as Micros * 1000);
+            .set_bounds(settings.backoff_ms as Span * 1000, settings.most_backoff_ms as Span * 1000);
         self.settings = settings;
     }
 
@@ -196,13 +196,13 @@
     }
 
     /// Whether an address was in good standing within the window.
-    pub fn is_known(&mut self, now: Micros, address: IpAddr) -> bool {
+    pub fn is_known(&mut self, now: Instant, address: IpAddr) -> bool {
         self.known.expire(now - self.settings.known_window());
         self.known.get(&canonical(address)).is_some()
     }
 
     /// Decides on a new connection, numbered `conn` by the caller, from `address`, at `now`.
-    pub fn admit(&mut self, now: Micros, conn: u64, address: IpAddr, room: Room) -> Verdict {
+    pub fn admit(&mut self, now: Instant, conn: u64, address: IpAddr, room: Room) -> Verdict {
         let address = canonical(address);
         let prefix = self.prefix(address);
         let verdict = if self.settings.enabled { self.judge(now, address, prefix, room) } else { Ok(()) };
@@ -214,7 +214,7 @@
             }
             Err((why, wait)) => {
                 self.counts.refused[why as usize] += 1;
-                let most = self.settings.most_pause_ms as Micros * 1000;
+                let most = self.settings.most_pause_ms as Span * 1000;
                 let pause = (self.settings.pause_ms as Micros * 1000).max(wait).min(most);
                 Verdict::Refuse { why, pause }
             }
@@ -223,11 +223,11 @@
 
     fn judge(
         &mut self,
-        now: Micros,
+        now: Instant,
         address: IpAddr,
         prefix: IpAddr,
         room: Room,
-    ) -> Result<(), (Refusal, Micros)> {
+    ) -> Result<(), (Refusal, Span)> {
         let settings = &self.settings;
         if room.free.is_some_and(|free| free <= settings.reserve_upstream) {
             return Err((Refusal::Descriptors, 0));
@@ -272,7 +272,7 @@
     }
 
     /// A connection's call was answered by the edge proxy: it is in good standing from now on, and its address known.
-    pub fn good(&mut self, now: Micros, conn: u64) {
+    pub fn good(&mut self, now: Instant, conn: u64) {
         let Some(entry) = self.conns.get_mut(&conn) else { return };
         self.known.touch(now, entry.address, || ());
         if std::mem::replace(&mut entry.good, true) {
@@ -288,7 +288,7 @@
     }
 
     /// Takes in a connection that another process of this edge proxy had: it was in good standing there.
-    pub fn adopted(&mut self, now: Micros, conn: u64, address: IpAddr) {
+    pub fn adopted(&mut self, now: Instant, conn: u64, address: IpAddr) {
         let address = canonical(address);
         self.insert(conn, address, self.prefix(address));
         self.good(now, conn);
--- a/src/admission/recent.rs
+++ b/src/admission/recent.rs
@@ -2,6 +2,7 @@
 //! when a new one comes to a full table. Order is kept in a queue that is compacted lazily, so that a flood of new
 //! addresses costs O(1) amortised a call and never grows the table past its capacity.
 
+use crate::interface::{Instant, Span};
 use super::Micros;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -9,9 +10,9 @@
 /// Entries by key, each with the time it was last touched.
 #[derive(Debug)]
 pub struct Recent<K, V> {
-    entries: HashMap<K, (Micros, V)>,
+    entries: HashMap<K, (Span, V)>,
     /// Keys in the order in which they were touched; a key may stand here more than once, only its last place counts.
-    order: VecDeque<(Micros, K)>,
+    order: VecDeque<(Span, K)>,
     capacity: usize,
 }
 
@@ -43,7 +44,7 @@
     }
 
     /// An entry and when it was last touched.
-    pub fn get(&self, key: &K) -> Option<(Micros, &V)> {
+    pub fn get(&self, key: &K) -> Option<(Span, &V)> {
         self.entries.get(key).map(|(at, value)| (*at, value))
     }
 
@@ -53,7 +54,7 @@
     }
 
     /// The entry of `key`, made by `make` if there is none, touched at `now`. A full table first drops the oldest.
-    pub fn touch(&mut self, now: Micros, key: K, make: impl FnOnce() -> V) -> &mut V {
+    pub fn touch(&mut self, now: Instant, key: K, make: impl FnOnce() -> V) -> &mut V {
         if !self.entries.contains_key(&key) && self.entries.len() >= self.capacity {
             self.pop_oldest();
         }
@@ -67,7 +68,7 @@
     }
 
     /// Drops the entries last touched before `before`.
-    pub fn expire(&mut self, before: Micros) {
+    pub fn expire(&mut self, before: Span) {
         while let Some(&(at, key)) = self.order.front() {
             if at >= before {
                 break;
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -13,6 +13,7 @@
 //! }
 //! ```
 
+use crate::interface::{Span};
 use super::bucket::Rate;
 use super::Micros;
 use serde::Deserialize;
@@ -194,7 +195,7 @@
     }
 
     /// The known window, us.
-    pub fn known_window(&self) -> Micros {
-        self.known_window_s as Micros * 1_000_000
+    pub fn known_window(&self) -> Span {
+        self.known_window_s as Span * 1_000_000
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,6 +1,7 @@
+use crate::interface::{Instant, Span};
 use super::*;
 
-const S: Micros = 1_000_000;
+const S: Span = Span::from_secs(1);
 
 fn ip(text: &str) -> IpAddr {
     text.parse().expect("an address")
@@ -15,7 +16,7 @@
 }
 
 /// The codes of what a run of connections from addresses got.
-fn run(admission: &mut Admission, now: Micros, first: u64, from: &[&str]) -> Vec<&'static str> {
+fn run(admission: &mut Admission, now: Instant, first: u64, from: &[&str]) -> Vec<&'static str> {
     let verdicts = from.iter().enumerate().map(|(i, address)| {
         match admission.admit(now, first + i as u64, ip(address), room(admission.open())) {
             Verdict::Admit => "admit",
@@ -95,7 +96,7 @@
     admission.good(0, 0);
     // Every connection of the flood asks once, so every cap grows with it: only the known rate holds it.
     let admitted = (1..=100u64).filter(|conn| {
-        let now = S + *conn as Micros * 1000; // a second later, 1,000 a second for 0.1 s
+        let now = S + *conn as Span * 1000; // a second later, 1,000 a second for 0.1 s
         let admitted = admission.admit(now, *conn, ip("10.4.0.1"), room(0)) == Verdict::Admit;
         if admitted {
             admission.good(now, *conn);
@@ -197,7 +198,7 @@
     let mut exhaustion = Exhaustion::new(10_000, 1_000_000);
     let pauses: Vec<_> = (0..10).map(|i| exhaustion.failed(i * 100)).collect();
     assert!(pauses[0].began && pauses[1..].iter().all(|b| !b.began), "one log line an episode");
-    let waits: Vec<_> = pauses.iter().enumerate().map(|(i, b)| b.until - i as Micros * 100).collect();
+    let waits: Vec<_> = pauses.iter().enumerate().map(|(i, b)| b.until - i as Span * 100).collect();
     assert_eq!(waits[..4], [10_000, 20_000, 40_000, 80_000]);
     assert_eq!(waits[9], 1_000_000);
     exhaustion.shed();
--- a/src/bin/dahliatrack-wirehost/codec.rs
+++ b/src/bin/dahliatrack-wirehost/codec.rs
@@ -29,7 +29,7 @@
 }
 
 /// A batch header: the clock, the bytes of the frame and its records.
-pub fn header(bytes: &[u8; BATCH_HEADER]) -> Result<(Micros, usize, u32), String> {
+pub fn header(bytes: &[u8; BATCH_HEADER]) -> Result<(Span, usize, u32), String> {
     let mut reader = Reader { bytes, at: 0 };
     let clock = reader.time()?;
     let (length, count) = (reader.u32()? as usize, reader.u32()?);
@@ -101,7 +101,7 @@
         self.array().map(f64::from_le_bytes)
     }
 
-    fn time(&mut self) -> Result<Micros, String> {
+    fn time(&mut self) -> Result<Span, String> {
         let ms = self.f64()?;
         if ms.is_nan() || ms.abs() > LONGEST {
             return Err(format!("the time {ms} is no time"));
@@ -361,7 +361,7 @@
         self
     }
 
-    fn time(&mut self, value: Micros) -> &mut Self {
+    fn time(&mut self, value: Span) -> &mut Self {
         self.0.extend((value as f64 / 1000.0).to_le_bytes());
         self
     }
--- a/src/bin/dahliatrack-wirehost/main.rs
+++ b/src/bin/dahliatrack-wirehost/main.rs
@@ -56,7 +56,7 @@
 /// Passes one event to its instance; `Err` is bad input.
 fn step(
     routers: &mut BTreeMap<u32, Router>,
-    now: Micros,
+    now: Instant,
     instance: u32,
     incoming: Incoming,
     reply: &mut Reply,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,9 +1,6 @@
 //! The settings message: JSON in the wire's words, turned into [`Settings`].
 
-use crate::interface::{
-    CacheStatusDetail, Class, ClassId, DedupScope, Idempotency, Micros, ProtectionRules, Settings,
-    SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
-};
+use crate::interface::{CacheStatusDetail, Class, ClassId, DedupScope, Idempotency, ProtectionRules, Settings, SiblingSources, SiteLimits, SlowStartRules, Span, Topology, ZoneId};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -42,7 +39,7 @@
     /// Which of them are writes: what may not run twice at will.
     pub writes: Vec<bool>,
     /// How long a client of each waits at the longest.
-    pub deadlines: Vec<Micros>,
+    pub deadlines: Vec<Span>,
     /// The names of the kinds of machine.
     pub kinds: Vec<String>,
     /// The names of the zones.
@@ -50,9 +47,9 @@
     /// The names of the values in a load report.
     pub report: Vec<String>,
     /// Idle connections are closed by the servers after this.
-    pub conn_idle: Micros,
+    pub conn_idle: Span,
     /// A connection that is not up by then has failed.
-    pub connect_timeout: Micros,
+    pub connect_timeout: Span,
     /// Attempts that one connection carries.
     pub streams_per_conn: usize,
     /// Requests that may be open.
@@ -325,8 +322,8 @@
 }
 
 /// Milliseconds of the wire as microseconds.
-pub fn micros(ms: f64) -> Micros {
-    (ms * 1000.0).round() as Micros
+pub fn micros(ms: f64) -> Span {
+    (ms * 1000.0).round() as Span
 }
 
 fn word<T: Copy>(key: &str, value: &str, words: &[(&str, T)]) -> Result<T, String> {
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -1,8 +1,9 @@
 //! Tests of `settings`.
 
+use crate::interface::{Span};
 use super::*;
 
-fn parsed(classes: &[(&str, Micros, Idempotency)]) -> SiteSettings {
+fn parsed(classes: &[(&str, Span, Idempotency)]) -> SiteSettings {
     let text = include_str!("example.json");
     let mut parsed = parse(text.as_bytes()).expect("usable");
     let like = parsed.settings.classes[0].clone();
--- a/src/control/clock.rs
+++ b/src/control/clock.rs
@@ -5,7 +5,7 @@
 //! integer microseconds; the zero of that time line has no meaning, here it is the Unix epoch as the wall clock had
 //! it when the clock was made.
 
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use crate::net::unix_micros;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -18,7 +18,7 @@
 pub struct Clock {
     started: Instant,
     /// The monotonic time of `started`, us.
-    origin: Micros,
+    origin: Span,
     wall: WallClock,
 }
 
@@ -26,20 +26,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
     /// Monotonic time, us: the only one for spans.
-    pub now: Micros,
+    pub now: Instant,
     /// The wall clock's Unix time, us: only to convert Unix times that others state.
-    pub unix: Micros,
+    pub unix: Span,
 }
 
 impl Moment {
     /// The monotonic time, us, of a Unix time, us, that was stated by another machine: as long ago as the wall clock
     /// says at this moment. A time in the future counts as this moment.
-    pub fn monotonic_of(&self, unix: Micros) -> Micros {
+    pub fn monotonic_of(&self, unix: Span) -> Span {
         self.now - self.age_of(unix)
     }
 
     /// How long ago a Unix time was, us; 0 for one in the future.
-    pub fn age_of(&self, unix: Micros) -> Micros {
+    pub fn age_of(&self, unix: Span) -> Span {
         (self.unix - unix).max(0)
     }
 }
@@ -57,8 +57,8 @@
     }
 
     /// Monotonic time, us.
-    pub fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+    pub fn now(&self) -> Span {
+        self.origin + self.started.elapsed().as_micros() as Span
     }
 
     /// The present moment on both time lines.
@@ -67,7 +67,7 @@
     }
 
     /// The instant of a monotonic time, us; times before the clock was made are that instant.
-    pub fn instant_at(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Instant) -> Instant {
         let since_start = (at - self.origin).max(0) as u64;
         self.started + Duration::from_micros(since_start)
     }
--- a/src/control/clock/tests.rs
+++ b/src/control/clock/tests.rs
@@ -1,12 +1,13 @@
 //! Tests of `clock`.
 
+use crate::interface::{Span};
 use super::*;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::UNIX_EPOCH;
 
-const HOUR: Micros = 3_600_000_000;
+const HOUR: Span = Span::from_secs(3_600);
 /// Far longer than this test takes, far shorter than the steps.
-const SLACK: Micros = 60_000_000;
+const SLACK: Span = Span::from_secs(60);
 
 #[test]
 fn steps_of_the_wall_clock_neither_stop_nor_move_the_monotonic_time() {
--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -1,5 +1,6 @@
 //! Watches the control feed: the edge proxy's own long polls, in a thread with an event loop of its own.
 
+use crate::interface::{Span};
 use super::clock::Clock;
 use super::version::PollNumber;
 use crate::config::events::FeedBatch;
@@ -14,7 +15,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
 /// How long the thread waits at most before it checks whether the updates still have a receiver, us.
-const RECEIVER_CHECK: i64 = 500_000;
+const RECEIVER_CHECK: Span = Span::from_millis(500);
 
 /// What one round of the event loop had from the feed.
 #[derive(Debug)]
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -4,7 +4,7 @@
 use super::registry::{Server, ServerRegistry};
 use super::site::Site;
 use crate::control::resource::{Endpoint, PriorityLevel};
-use crate::interface::{self, Micros, ServerId, ZoneId};
+use crate::interface::{self, Instant, ServerId, ZoneId};
 use std::collections::BTreeMap;
 
 /// Weights are whole numbers; a full-pace answer counts as this many.
@@ -19,7 +19,7 @@
     /// The point's caches, each weighted by the capacity that its router gives it.
     pub(super) fn cache_endpoints(
         &mut self,
-        now: Micros,
+        now: Instant,
         site: &Site,
         registry: &ServerRegistry,
     ) -> PriorityLevel {
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -3,10 +3,7 @@
 use crate::config::located::{unknown, Place};
 use crate::config::settings::SiteNames;
 use crate::control::settings::{ControlSettings, HotClass};
-use crate::interface::{
-    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Micros,
-    ObjectId, Request, RequestId, ServerId, Settings,
-};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Instant, ObjectId, Request, RequestId, ServerId, Settings, Span};
 use crate::Router;
 use std::collections::BTreeMap;
 
@@ -15,7 +12,7 @@
 /// The first queries go to the home and start delegates; the ones from here on show where it settled.
 const SETTLED_AFTER: usize = QUERIES / 2;
 /// How long a query takes, as it is reported to the router, us.
-const QUERY_TIME: Micros = 5_000;
+const QUERY_TIME: Span = Span::from_millis(5);
 
 /// Why a class cannot have hot objects.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -86,7 +83,7 @@
 /// Asks a router where it sends an object's requests now; `None`: nowhere. Each query takes the next request number.
 pub(super) fn placement(
     router: &mut Router,
-    now: Micros,
+    now: Instant,
     hot: HotObject,
     classes: &[Class],
     next_request: &mut u64,
@@ -107,7 +104,7 @@
 }
 
 /// A request for a hot object as a client would send it.
-fn request(id: RequestId, hot: HotObject, patience: Micros) -> Request {
+fn request(id: RequestId, hot: HotObject, patience: Span) -> Request {
     Request {
         id,
         class: hot.class,
@@ -123,7 +120,7 @@
 }
 
 /// Passes a request to a router, and that it was answered; returns what the router decided.
-fn answer(router: &mut Router, now: Micros, request: Request) -> Option<FillAttempt> {
+fn answer(router: &mut Router, now: Instant, request: Request) -> Option<FillAttempt> {
     let id = request.id;
     let mut actions = Vec::new();
     router.handle(now, Event::Request(request), &mut actions);
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -21,7 +21,7 @@
 use super::version::{Epoch, PollNumber, Sequence};
 use crate::config::events::{self, FeedBatch};
 use crate::config::settings::SiteSettings;
-use crate::interface::{GroupId, Micros, ObjectId, Purge, Settings, ZoneId};
+use crate::interface::{GroupId, Instant, ObjectId, Purge, Settings, Span, ZoneId};
 use crate::SettingsError;
 pub use hot::HotError;
 use hot::{hot_objects, HotObject};
@@ -34,7 +34,7 @@
 use std::time::Duration;
 
 /// How often the weights of caches that are warming up are computed anew, us.
-const WARM_UP_STEP: Micros = 1_000_000;
+const WARM_UP_STEP: Span = Span::from_secs(1);
 
 /// Why there is no model.
 #[derive(Debug, thiserror::Error)]
@@ -57,10 +57,10 @@
     epoch: Epoch,
     sequence: Sequence,
     /// How often the routers are asked for hot objects, us.
-    refresh: Micros,
-    refresh_at: Micros,
+    refresh: Span,
+    refresh_at: Instant,
     /// When the weights of caches that are warming up are due.
-    warm_up_at: Option<Micros>,
+    warm_up_at: Option<Instant>,
     next_request: u64,
 }
 
@@ -76,7 +76,7 @@
         control: &ControlSettings,
         encode: Encode,
         epoch: Epoch,
-        now: Micros,
+        now: Instant,
     ) -> Result<Self, ModelError> {
         let SiteSettings { settings, names } = parsed;
         let hot = hot_objects(&settings, &names, control)?;
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// Hot objects of a class that can have none; nothing changes then.
-    pub fn set_hot(&mut self, now: Micros, control: &ControlSettings) -> Result<(), ModelError> {
+    pub fn set_hot(&mut self, now: Instant, control: &ControlSettings) -> Result<(), ModelError> {
         self.hot = hot_objects(&self.site.settings, &self.site.names, control)?;
         self.refresh = micros(control.refresh);
         self.refresh_at = now;
@@ -141,7 +141,7 @@
 
     fn apply_purge(&mut self, moment: Moment, event: &events::FeedPurge) -> Urgency {
         let Some(purge) = purged(event) else { return Urgency::None };
-        let made_at = (event.at * 1000.0) as Micros;
+        let made_at = (event.at * 1000.0) as Span;
         self.purges.record(moment, purge, made_at);
         for point in &mut self.points {
             point.apply_purge(moment.now, purge, moment.age_of(made_at));
@@ -150,7 +150,7 @@
     }
 
     /// When [`Self::tick`] is due next.
-    pub fn due(&self) -> Micros {
+    pub fn due(&self) -> Span {
         let refresh_at = if self.hot.is_empty() { Micros::MAX } else { self.refresh_at };
         let warm_up_at = self.warm_up_at.unwrap_or(Micros::MAX);
         refresh_at.min(warm_up_at).min(self.purges.due())
@@ -158,7 +158,7 @@
 
     /// Applies what time brings: caches warm up, hot objects' delegates end, purges are no longer announced. Returns
     /// how soon what has changed has to be published.
-    pub fn tick(&mut self, now: Micros) -> Urgency {
+    pub fn tick(&mut self, now: Instant) -> Urgency {
         let warmed_up = self.tick_warm_up(now);
         let refreshed = self.tick_hot(now);
         let expired = self.purges.expire(now);
@@ -169,7 +169,7 @@
         }
     }
 
-    fn tick_warm_up(&mut self, now: Micros) -> bool {
+    fn tick_warm_up(&mut self, now: Instant) -> bool {
         if self.warm_up_at.is_none_or(|at| at > now) {
             return false;
         }
@@ -180,7 +180,7 @@
         true
     }
 
-    fn tick_hot(&mut self, now: Micros) -> bool {
+    fn tick_hot(&mut self, now: Instant) -> bool {
         if self.hot.is_empty() || self.refresh_at > now {
             return false;
         }
@@ -193,7 +193,7 @@
 
     /// The snapshot of all points now, with the newest poll of the feed that was answered. Versions grow only where
     /// content differs.
-    pub fn snapshot(&mut self, now: Micros, answered_poll: PollNumber) -> Snapshot {
+    pub fn snapshot(&mut self, now: Instant, answered_poll: PollNumber) -> Snapshot {
         for point in &mut self.points {
             let contents = point.contents(now, &self.site, &self.registry, &self.hot, &self.purges);
             self.sequence = point.publish(contents, self.sequence, self.site.encode);
@@ -205,7 +205,7 @@
 }
 
 /// The points: the zones that have routers.
-fn points(settings: &Settings, seed: u64, now: Micros) -> Result<Vec<Point>, SettingsError> {
+fn points(settings: &Settings, seed: u64, now: Instant) -> Result<Vec<Point>, SettingsError> {
     let mut points = Vec::new();
     for (zone, routers) in settings.topology.routers_by_zone.iter().enumerate() {
         if *routers > 0 {
@@ -222,6 +222,6 @@
     object.or_else(|| event.group.map(|group| Purge::Group(GroupId(group))))
 }
 
-fn micros(duration: Duration) -> Micros {
-    duration.as_micros() as Micros
+fn micros(duration: Duration) -> Span {
+    duration.as_micros() as Span
 }
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -7,7 +7,7 @@
 use crate::control::resource::{Content, PerType, Resource, ResourceType};
 use crate::control::snapshot::{PointSnapshot, ResourceSet};
 use crate::control::version::Sequence;
-use crate::interface::{Class, Event, Micros, Purge, ServerId, Settings, Topology, ZoneId};
+use crate::interface::{Class, Event, Instant, Purge, ServerId, Settings, Span, Topology, ZoneId};
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
         zone: ZoneId,
         settings: &Settings,
         seed: u64,
-        now: Micros,
+        now: Instant,
     ) -> Result<Self, SettingsError> {
         let topology = Topology { zone, ..settings.topology.clone() };
         let router = Router::new(Settings { topology, ..settings.clone() }, seed, now)?;
@@ -46,20 +46,20 @@
     }
 
     /// Passes a change of the endpoint list to the router.
-    pub(super) fn apply_members(&mut self, now: Micros, change: &ListChange) {
+    pub(super) fn apply_members(&mut self, now: Instant, change: &ListChange) {
         let event = Event::EndpointList { update: change.kind, endpoints: change.entries.clone() };
         self.router.handle(now, event, &mut Vec::new());
     }
 
     /// Passes a purge to the router; `age` is how long ago it was made, us.
-    pub(super) fn apply_purge(&mut self, now: Micros, purge: Purge, age: Micros) {
+    pub(super) fn apply_purge(&mut self, now: Instant, purge: Purge, age: Span) {
         self.router.handle(now, Event::Purged { purge, age }, &mut Vec::new());
     }
 
     /// Asks the router again where it sends the hot objects' requests.
     pub(super) fn refresh_hot(
         &mut self,
-        now: Micros,
+        now: Instant,
         hot: &[HotObject],
         classes: &[Class],
         next_request: &mut u64,
@@ -76,7 +76,7 @@
     /// The contents of all resources now.
     pub(super) fn contents(
         &mut self,
-        now: Micros,
+        now: Instant,
         site: &Site,
         registry: &ServerRegistry,
         hot: &[HotObject],
--- a/src/control/model/purges.rs
+++ b/src/control/model/purges.rs
@@ -1,33 +1,33 @@
 //! The purges that are announced to clients.
 
 use crate::control::clock::Moment;
-use crate::interface::{Micros, Purge};
+use crate::interface::{Instant, Purge, Span};
 use std::collections::BTreeMap;
 
 /// A purge that is announced.
 #[derive(Clone, Copy, Debug)]
 struct AnnouncedPurge {
     /// When it was made, Unix us: copies must be newer.
-    made_at: Micros,
+    made_at: Instant,
     /// Until when it is announced, monotonic us.
-    expires_at: Micros,
+    expires_at: Instant,
 }
 
 /// The announced purges, the newest of each object and group.
 #[derive(Debug)]
 pub(super) struct PurgeLog {
     /// How long after it was made a purge is announced, us.
-    announced_for: Micros,
+    announced_for: Span,
     purges: BTreeMap<Purge, AnnouncedPurge>,
 }
 
 impl PurgeLog {
-    pub(super) fn new(announced_for: Micros) -> Self {
+    pub(super) fn new(announced_for: Span) -> Self {
         PurgeLog { announced_for, purges: BTreeMap::new() }
     }
 
     /// Records a purge that was made at a Unix time, us.
-    pub(super) fn record(&mut self, moment: Moment, purge: Purge, made_at: Micros) {
+    pub(super) fn record(&mut self, moment: Moment, purge: Purge, made_at: Instant) {
         let expires_at = moment.monotonic_of(made_at) + self.announced_for;
         let newest = self.purges.entry(purge).or_insert(AnnouncedPurge { made_at, expires_at });
         newest.made_at = newest.made_at.max(made_at);
@@ -35,13 +35,13 @@
     }
 
     /// When the next purge expires, monotonic us.
-    pub(super) fn due(&self) -> Micros {
+    pub(super) fn due(&self) -> Span {
         let times = self.purges.values().map(|purge| purge.expires_at);
         times.min().unwrap_or(Micros::MAX)
     }
 
     /// Removes what has expired; returns whether anything had.
-    pub(super) fn expire(&mut self, now: Micros) -> bool {
+    pub(super) fn expire(&mut self, now: Instant) -> bool {
         let before = self.purges.len();
         self.purges.retain(|_, purge| purge.expires_at > now);
         self.purges.len() < before
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -3,7 +3,7 @@
 use crate::config::events::{self, Health};
 use crate::config::settings::SiteNames;
 use crate::control::clock::Moment;
-use crate::interface::{Endpoint, ListUpdate, Micros, ServerId, ServerState};
+use crate::interface::{Endpoint, ListUpdate, ServerId, ServerState, Span};
 use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     /// Its address, if the list states one.
     pub(super) addr: Option<SocketAddr>,
     /// Its start as the list states it, Unix us.
-    born_unix: Option<Micros>,
+    born_unix: Option<Span>,
 }
 
 impl Server {
@@ -87,7 +87,7 @@
 
     /// A server's start on the monotonic clock, us. A start that the list states again keeps its first conversion,
     /// since the decision module takes another start for a restart.
-    fn start_of(&self, moment: Moment, server: ServerId, born_unix: Micros) -> Micros {
+    fn start_of(&self, moment: Moment, server: ServerId, born_unix: Span) -> Span {
         let known = self.servers.get(&server).filter(|known| known.born_unix == Some(born_unix));
         let known_start = known.and_then(|known| known.member.started_at);
         known_start.unwrap_or_else(|| moment.monotonic_of(born_unix))
@@ -99,7 +99,7 @@
     }
 
     /// Whether any server has started after a monotonic time, us.
-    pub(super) fn any_started_after(&self, time: Micros) -> bool {
+    pub(super) fn any_started_after(&self, time: Span) -> bool {
         let mut starts = self.servers.values().filter_map(|server| server.member.started_at);
         starts.any(|start| start > time)
     }
--- a/src/control/resource.rs
+++ b/src/control/resource.rs
@@ -1,7 +1,7 @@
 //! The resources that clients subscribe to, independent of their wire form.
 
 use super::version::Sequence;
-use crate::interface::{Micros, ObjectId, Purge};
+use crate::interface::{Instant, ObjectId, Purge, Span};
 use std::net::SocketAddr;
 
 /// The types of resources, in the order in which they are sent: what is referred to comes before what refers to it.
@@ -97,9 +97,9 @@
     /// Copies must be newer than this Unix millisecond; 0: any will do that the class's fresh time allows.
     pub newer_than_ms: i64,
     /// Within this a request is answered or has failed, us.
-    pub deadline: Micros,
+    pub deadline: Instant,
     /// For how long a copy is fresh, us; 0: until it is purged.
-    pub fresh: Micros,
+    pub fresh: Span,
     /// Whether the class is idempotent: whether an attempt that may have run may be retried. One that certainly has
     /// not run always may be.
     pub idempotent: bool,
@@ -115,7 +115,7 @@
         /// Whether an object's hash picks the endpoint (caches) or the load does (fill sources).
         hashed: bool,
         /// The longest that a connection may take to come up, us.
-        connect_timeout: Micros,
+        connect_timeout: Span,
     },
     /// Its endpoints by priority, the most wanted first.
     Endpoints(Vec<PriorityLevel>),
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -15,13 +15,13 @@
 use crate::config::events::FeedBatch;
 use crate::config::located::Doc;
 use crate::config::Config;
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use crate::lab::site::{config, Shape};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-const SECOND: Micros = 1_000_000;
-const START: Micros = 1_000_000 * SECOND;
+const SECOND: Span = Span::from_secs(1);
+const START: Span = 1_000_000 * SECOND;
 /// The run of all models here.
 const EPOCH: Epoch = Epoch(0xe);
 /// No poll of the feed is waited for.
@@ -36,9 +36,9 @@
 struct Fixture {
     model: Model,
     hosts: Vec<Value>,
-    now: Micros,
+    now: Instant,
     /// How far the wall clock was stepped, us.
-    wall_step: Micros,
+    wall_step: Span,
 }
 
 impl Fixture {
--- a/src/control/tests/model.rs
+++ b/src/control/tests/model.rs
@@ -4,7 +4,7 @@
 use crate::control::debounce::Urgency;
 use crate::control::resource::{Content, Holder, ResourceType, Route};
 use crate::control::snapshot::Snapshot;
-use crate::interface::{Micros, ObjectId, Purge};
+use crate::interface::{ObjectId, Purge, Span};
 use serde_json::{json, Value};
 
 #[test]
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_step_of_the_wall_clock_neither_ends_a_purge_nor_restarts_or_warms_a_cache() {
-    const HOUR: Micros = 3600 * SECOND;
+    const HOUR: Span = 3600 * SECOND;
     for step in [HOUR, -HOUR] {
         let mut fixture = Fixture::new();
         let cache = fixture.cache(2);
--- a/src/control/tests/session.rs
+++ b/src/control/tests/session.rs
@@ -4,7 +4,7 @@
 use crate::control::resource::ResourceType;
 use crate::control::session::{ClientRequest, RequestEffect, ServerResponse, Session, Variant};
 use crate::control::version::{Epoch, Nonce, PollNumber, Sequence, Version};
-use crate::interface::Micros;
+use crate::interface::Span;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -251,7 +251,7 @@
                     fixture.health(&cache, health);
                 }
                 1 => {
-                    fixture.now += pick(3_000_000) as Micros;
+                    fixture.now += pick(3_000_000) as Span;
                     fixture.model.tick(fixture.now);
                 }
                 2 | 3 => {
--- a/src/control/wire/cluster.rs
+++ b/src/control/wire/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::common::{duration, server_metadata, SERVER};
 use crate::control::resource::{Endpoint, PriorityLevel};
-use crate::interface::Micros;
+use crate::interface::Span;
 use envoy_types::pb::envoy::config::cluster::v3::cluster::lb_subset_config::{
     LbSubsetFallbackPolicy, LbSubsetSelector,
 };
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 
 /// A cluster whose endpoints are had by EDS. `hashed`: by ring hash, else by least request.
-pub(super) fn cluster(name: &str, hashed: bool, connect_timeout: Micros) -> Cluster {
+pub(super) fn cluster(name: &str, hashed: bool, connect_timeout: Span) -> Cluster {
     let ads = ConfigSource {
         resource_api_version: ApiVersion::V3.into(),
         config_source_specifier: Some(ConfigSourceSpecifier::Ads(AggregatedConfigSource {})),
--- a/src/control/wire/common.rs
+++ b/src/control/wire/common.rs
@@ -1,7 +1,7 @@
 //! What several messages share: header names, type URLs, times, the metadata that names a server.
 
 use crate::control::resource::ResourceType;
-use crate::interface::Micros;
+use crate::interface::Span;
 use envoy_types::pb::envoy::config::core::v3::Metadata;
 use envoy_types::pb::google::protobuf::value::Kind as ValueKind;
 use envoy_types::pb::google::protobuf::{Duration, Struct, Value};
@@ -39,7 +39,7 @@
 }
 
 /// Microseconds as protobuf has them.
-pub(super) fn duration(time: Micros) -> Duration {
+pub(super) fn duration(time: Span) -> Duration {
     Duration { seconds: time / 1_000_000, nanos: (time % 1_000_000 * 1000) as i32 }
 }
 
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -4,10 +4,7 @@
     Attempt, AttemptEnd, AttemptKey, Command, Core, CoreDeadline, FinalAnswer, OutgoingAttempt, RequestKey,
 };
 use crate::deadlines::Schedule;
-use crate::interface::{
-    AttemptOutcome, AttemptResult, Event, FillAttempt, Idempotency, Micros, Purge, RequestId, ServerId,
-    ServerState,
-};
+use crate::interface::{AttemptOutcome, AttemptResult, Event, FillAttempt, Idempotency, Instant, Purge, RequestId, ServerId, ServerState, Span};
 use crate::slots::Key;
 use tracing::debug;
 
@@ -16,7 +13,7 @@
     pub request: RequestId,
     pub server: ServerId,
     /// Its time-out; 0: until the client stops waiting.
-    pub timeout: Micros,
+    pub timeout: Span,
     /// How it may be filled; `None`: not at all.
     pub fill: Option<FillAttempt>,
 }
@@ -25,7 +22,7 @@
     /// Begins an attempt: it is queued for its server, or ends at once if it comes too late.
     pub(super) fn begin_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         new: NewAttempt,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -66,7 +63,7 @@
     /// to be written; if it had not ended before, it ends as never sent.
     pub fn write_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) -> Option<OutgoingAttempt> {
@@ -113,7 +110,7 @@
     }
 
     /// The oldest copy that will do for an attempt, after the purges that came in since it was decided on; 0: any.
-    fn max_age(&self, now: Micros, attempt: &Attempt) -> Micros {
+    fn max_age(&self, now: Instant, attempt: &Attempt) -> Span {
         let purged = attempt.purge_scopes.iter().filter_map(|what| self.purge_times.get(what)).max();
         let asked = attempt.fill.as_ref().map_or(0, |get| get.max_age);
         let Some(purged) = purged else { return asked };
@@ -127,7 +124,7 @@
 
     /// Whether an attempt may be written by its class's effect, beside what was written for its request before: it may
     /// have waited for a connection since it was decided on, and repeats of a keyed request have a window.
-    fn may_repeat(&self, now: Micros, key: AttemptKey, attempt: &Attempt) -> bool {
+    fn may_repeat(&self, now: Instant, key: AttemptKey, attempt: &Attempt) -> bool {
         let Some(request) = self.requests.get(Key::from_number(attempt.request.0)) else { return false };
         let others = self.attempts.iter().filter(|(other, _)| *other != key);
         let others = others.filter(|(_, other)| other.request == attempt.request);
@@ -144,7 +141,7 @@
     /// An attempt has ended; what comes late for one that was given up is ignored.
     pub fn attempt_ended(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         end: AttemptEnd,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -158,7 +155,7 @@
     /// Ends an attempt whose time is over. Unsent by then, it never ran: no connection came up in time.
     pub(super) fn time_out_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -171,7 +168,7 @@
     /// request may go elsewhere.
     pub(super) fn cancel_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         request: RequestId,
         number: u8,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -187,7 +184,7 @@
     /// Ends an attempt that is given up from here, as `result`.
     pub(super) fn abandon_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         result: AttemptResult,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -197,7 +194,7 @@
     }
 
     /// When an attempt's bytes may have left, if they may have.
-    pub fn written_at(&self, key: AttemptKey) -> Option<Micros> {
+    pub fn written_at(&self, key: AttemptKey) -> Option<Span> {
         self.attempts.get(key)?.written_at
     }
 
@@ -213,7 +210,7 @@
     /// Ends an attempt and tells the module; the first copy answers the request.
     fn end_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         mut end: AttemptEnd,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -242,7 +239,7 @@
     }
 
     /// How it ended, as the decision module is told.
-    fn outcome(&self, now: Micros, end: AttemptEnd, finished: bool) -> AttemptOutcome {
+    fn outcome(&self, now: Instant, end: AttemptEnd, finished: bool) -> AttemptOutcome {
         AttemptOutcome {
             request: self.request,
             attempt: self.number,
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -3,20 +3,17 @@
 use super::attempts::NewAttempt;
 use super::{Command, Core, CoreDeadline, FinalAnswer};
 use crate::deadlines::Schedule;
-use crate::interface::{
-    Action, AttemptResult, Endpoint, Event, ListUpdate, Micros, Purge, RejectionReason, RequestId, ServerId,
-    ServerState,
-};
+use crate::interface::{Action, AttemptResult, Endpoint, Event, Instant, ListUpdate, Purge, RejectionReason, RequestId, ServerId, ServerState, Span};
 use crate::slots::Key;
 
 impl Core {
     /// A probe was answered.
     pub fn health_checked(
         &mut self,
-        now: Micros,
+        now: Instant,
         server: ServerId,
         result: AttemptResult,
-        elapsed: Micros,
+        elapsed: Span,
         load_report: Vec<f32>,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -27,7 +24,7 @@
     /// News of the list of servers.
     pub fn update_endpoints(
         &mut self,
-        now: Micros,
+        now: Instant,
         kind: ListUpdate,
         entries: Vec<Endpoint>,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -42,7 +39,7 @@
     }
 
     /// A purge, and the time at which it was made.
-    pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn purge(&mut self, now: Instant, what: Purge, at: Instant, due: &mut dyn Schedule<CoreDeadline>) {
         let kept = 2 * self.settings.protection.purge_settled_after;
         self.purge_times.retain(|_, at| *at + kept > now);
         let newest = self.purge_times.entry(what).or_insert(at);
@@ -52,7 +49,7 @@
     }
 
     /// A deadline of the core has fallen.
-    pub fn deadline_passed(&mut self, now: Micros, what: CoreDeadline, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn deadline_passed(&mut self, now: Instant, what: CoreDeadline, due: &mut dyn Schedule<CoreDeadline>) {
         match what {
             CoreDeadline::RouterTimer(token) => self.events.push_back(Event::Timer(token)),
             CoreDeadline::AttemptTimeout(key) => self.time_out_attempt(now, key, due),
@@ -63,7 +60,7 @@
     }
 
     /// Feeds the module what has happened until it wants nothing more.
-    pub(super) fn run_router(&mut self, now: Micros, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn run_router(&mut self, now: Instant, due: &mut dyn Schedule<CoreDeadline>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, event, &mut actions);
@@ -74,7 +71,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<CoreDeadline>) {
+    pub(super) fn carry_out(&mut self, now: Instant, action: Action, due: &mut dyn Schedule<CoreDeadline>) {
         match action {
             Action::SendCacheOnly { request, server, timeout } => {
                 self.begin_attempt(now, NewAttempt { request, server, timeout, fill: None }, due);
@@ -104,7 +101,7 @@
         }
     }
 
-    fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: RejectionReason) {
+    fn reject(&mut self, now: Instant, request: RequestId, retry_after: Span, why: RejectionReason) {
         let late = self.is_timed_out(now, request);
         let answer = FinalAnswer::Rejected { retry_after: retry_after.max(0), timed_out: late, reason: why };
         self.choose_answer(Key::from_number(request.0), answer);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,9 +1,7 @@
 //! What passes between the core and those around it: requests, answers, ends of attempts, and what is to be done.
 
 use super::{AttemptKey, RequestKey};
-use crate::interface::{
-    AttemptResult, CacheStatus, ClassId, GroupId, Micros, ObjectId, RejectionReason, ServerId,
-};
+use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, Instant, ObjectId, RejectionReason, ServerId, Span};
 use bytes::Bytes;
 
 /// A request as a front hands it in.
@@ -18,9 +16,9 @@
     /// The object's group.
     pub group: GroupId,
     /// How long the client waits from now.
-    pub timeout: Micros,
+    pub timeout: Span,
     /// From when on it may get no answer but 'denied', unless one has begun.
-    pub authorized_until: Option<Micros>,
+    pub authorized_until: Option<Instant>,
 }
 
 /// A copy of an object as a server gave it out.
@@ -44,7 +42,7 @@
     /// Refused: trying again is harmless, after the pause.
     Rejected {
         /// How long the client should stay away.
-        retry_after: Micros,
+        retry_after: Span,
         /// Whether its time was over.
         timed_out: bool,
         /// What stood in its way.
@@ -118,9 +116,9 @@
     /// How the answer came about.
     pub cache_status: Option<CacheStatus>,
     /// How long the fill waited for its first byte.
-    pub fill_wait: Micros,
+    pub fill_wait: Span,
     /// How long the answer's bytes take at full pace; 0: not known.
-    pub transfer_time: Micros,
+    pub transfer_time: Span,
     /// The load report.
     pub load_report: Vec<f32>,
     /// The copy, with [`AttemptResult::Ok`].
@@ -153,7 +151,7 @@
     /// The rank of the copy.
     pub cache_rank: u8,
     /// The oldest copy that will do; 0: the class's fresh time.
-    pub max_age: Micros,
+    pub max_age: Span,
     /// Join a fill that is under way.
     pub join_fill: bool,
     /// The source gives only what it holds.
@@ -163,7 +161,7 @@
     /// Serve an ageing copy and fetch it anew behind.
     pub stale_while_revalidate: bool,
     /// How long the answer is waited for.
-    pub timeout: Micros,
+    pub timeout: Span,
 }
 
 /// What the core wants done.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -13,10 +13,7 @@
 };
 
 use crate::deadlines::DeadlineHandle;
-use crate::interface::{
-    Action, ClassId, Event, FillAttempt, Micros, Purge, RejectionReason, RequestId, ServerId, ServerState,
-    Settings,
-};
+use crate::interface::{Action, ClassId, Event, FillAttempt, Instant, Purge, RejectionReason, RequestId, ServerId, ServerState, Settings, Span};
 use crate::slots::{Key, Slots};
 use crate::{Router, SettingsError};
 use std::collections::{BTreeMap, VecDeque};
@@ -47,13 +44,13 @@
 
 struct OpenRequest {
     client_request: ClientRequest,
-    arrived: Micros,
+    arrived: Instant,
     state: AnswerState,
     attempts_sent: u8,
     /// Attempts that it may have, by the settings that held when it came.
     max_attempts: u32,
     /// When the first of its ended attempts that may have run was written.
-    first_possible_run: Option<Micros>,
+    first_possible_run: Option<Instant>,
     timeout_deadline: Option<DeadlineHandle>,
     authorization_deadline: Option<DeadlineHandle>,
 }
@@ -64,11 +61,11 @@
     server: ServerId,
     fill: Option<FillAttempt>,
     purge_scopes: [Purge; 2],
-    started_at: Micros,
-    deadline: Micros,
+    started_at: Instant,
+    deadline: Instant,
     timeout_deadline: Option<DeadlineHandle>,
     /// When its bytes may have left.
-    written_at: Option<Micros>,
+    written_at: Option<Instant>,
 }
 
 /// The requests and attempts of one edge proxy, around its decision module.
@@ -78,7 +75,7 @@
     requests: Slots<OpenRequest>,
     attempts: Slots<Attempt>,
     server_states: BTreeMap<ServerId, ServerState>,
-    purge_times: BTreeMap<Purge, Micros>,
+    purge_times: BTreeMap<Purge, Span>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
@@ -96,7 +93,7 @@
     /// # Errors
     ///
     /// Settings that the module cannot use.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         Ok(Core {
             router: Router::new(settings.clone(), seed, now)?,
             settings,
@@ -152,7 +149,7 @@
     }
 
     /// The advice on staying away that the module gives a class's clients.
-    pub fn retry_after(&self, class: ClassId) -> Micros {
+    pub fn retry_after(&self, class: ClassId) -> Span {
         self.router.advice(class)
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -5,7 +5,7 @@
     RejectionCount, RequestKey,
 };
 use crate::deadlines::Schedule;
-use crate::interface::{AttemptResult, ClassId, Event, Micros, RejectionReason, RequestId};
+use crate::interface::{AttemptResult, ClassId, Event, Instant, RejectionReason, RequestId, Span};
 use crate::slots::Key;
 use tracing::debug;
 
@@ -13,7 +13,7 @@
     /// Takes a request in; it is owed one [`Command::Answer`], unless it is given up.
     pub fn submit(
         &mut self,
-        now: Micros,
+        now: Instant,
         ask: ClientRequest,
         due: &mut dyn Schedule<CoreDeadline>,
     ) -> RequestKey {
@@ -57,7 +57,7 @@
     }
 
     /// The client has left or cancelled the request: no answer is owed, and what is out for it is called off.
-    pub fn cancel(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn cancel(&mut self, now: Instant, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
         let Some(request) = self.requests.get(key) else { return };
         if request.is_open() {
             self.abandon_request(now, key, due);
@@ -67,7 +67,7 @@
 
     /// A request's final answer as it would be given out now, if it is known. A right to it that has ended
     /// by now turns any answer into a denial, also one whose deadline has not been looked at yet.
-    pub fn answer_now(&self, now: Micros, key: RequestKey) -> Option<FinalAnswer> {
+    pub fn answer_now(&self, now: Instant, key: RequestKey) -> Option<FinalAnswer> {
         let request = self.requests.get(key)?;
         match &request.state {
             AnswerState::Pending => None,
@@ -80,7 +80,7 @@
 
     /// The answer has begun, as [`Core::answer_now`] told it at this time: the request is over, and nothing changes its
     /// answer any more.
-    pub fn answer_begun(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn answer_begun(&mut self, now: Instant, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
         let Some(answer) = self.answer_now(now, key) else { return };
         if let Some(request) = self.remove_request(key, due) {
             self.count_answer(request.client_request.class, &answer);
@@ -119,7 +119,7 @@
     }
 
     /// Ends the time of all requests: each that is open gets its final answer now.
-    pub fn time_out_all(&mut self, now: Micros, due: &mut dyn Schedule<CoreDeadline>) {
+    pub fn time_out_all(&mut self, now: Instant, due: &mut dyn Schedule<CoreDeadline>) {
         for key in self.requests.iter().map(|(key, _)| key).collect::<Vec<_>>() {
             self.on_client_timeout(now, key, due);
         }
@@ -129,7 +129,7 @@
     /// says nothing, the request has failed. Nothing stays without an answer.
     pub(super) fn on_client_timeout(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: RequestKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -150,7 +150,7 @@
     /// The client's right to an answer has ended before the answer began: whatever was chosen is denied.
     pub(super) fn on_authorization_expiry(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: RequestKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -165,7 +165,7 @@
     }
 
     /// Tells the module that nothing more is owed, and calls off what is out.
-    fn abandon_request(&mut self, now: Micros, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
+    fn abandon_request(&mut self, now: Instant, key: RequestKey, due: &mut dyn Schedule<CoreDeadline>) {
         self.events.push_back(Event::RequestCancelled(RequestId(key.number())));
         self.run_router(now, due);
         for attempt in self.attempts_of(key) {
@@ -206,7 +206,7 @@
         self.requests.get(key).is_some_and(OpenRequest::is_open)
     }
 
-    pub(super) fn is_timed_out(&self, now: Micros, request: RequestId) -> bool {
+    pub(super) fn is_timed_out(&self, now: Instant, request: RequestId) -> bool {
         let request = self.requests.get(Key::from_number(request.0));
         request.is_some_and(|request| request.arrived + request.client_request.timeout <= now)
     }
@@ -219,7 +219,7 @@
     }
 
     /// When the client stops waiting.
-    pub(super) fn deadline(&self) -> Micros {
+    pub(super) fn deadline(&self) -> Span {
         self.arrived + self.client_request.timeout.max(0)
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -2,15 +2,11 @@
 
 use super::*;
 use crate::deadlines::Deadlines;
-use crate::interface::{
-    Action, AttemptResult, CacheStatusDetail, Class, ClassId, DedupScope, Endpoint, GroupId, Idempotency,
-    ListUpdate, Micros, ObjectId, ProtectionRules, Purge, RejectionReason, RequestId, ServerId, ServerState,
-    Settings, SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
-};
+use crate::interface::{Action, AttemptResult, CacheStatusDetail, Class, ClassId, DedupScope, Endpoint, GroupId, Idempotency, Instant, ListUpdate, ObjectId, ProtectionRules, Purge, RejectionReason, RequestId, ServerId, ServerState, Settings, SiblingSources, SiteLimits, SlowStartRules, Span, Topology, ZoneId};
 use bytes::Bytes;
 
-const MS: Micros = 1000;
-const SECOND: Micros = 1000 * MS;
+const MS: Span = Span::from_millis(1);
+const SECOND: Span = 1000 * MS;
 const CACHES: [ServerId; 2] = [ServerId(1), ServerId(2)];
 const PARENT: ServerId = ServerId(8);
 
@@ -98,7 +94,7 @@
         bench
     }
 
-    fn ask(&mut self, now: Micros, class: u16, expires: Option<Micros>) -> RequestKey {
+    fn ask(&mut self, now: Instant, class: u16, expires: Option<Span>) -> RequestKey {
         let ask = ClientRequest {
             class: ClassId(class),
             object: ObjectId(7),
@@ -111,7 +107,7 @@
     }
 
     /// Lets the deadlines up to a time fall.
-    fn pass(&mut self, until: Micros) {
+    fn pass(&mut self, until: Instant) {
         while let Some(at) = self.due.next().filter(|at| *at <= until) {
             while let Some(what) = self.due.pop(at) {
                 self.core.deadline_passed(at, what, &mut self.due);
@@ -138,7 +134,7 @@
     }
 
     /// Submits a request and gives its one attempt, launched.
-    fn launched(&mut self, class: u16, expires: Option<Micros>) -> (RequestKey, AttemptKey) {
+    fn launched(&mut self, class: u16, expires: Option<Span>) -> (RequestKey, AttemptKey) {
         let request = self.ask(0, class, expires);
         let (words, attempts) = self.commands();
         assert_eq!(words, ["send"]);
@@ -146,7 +142,7 @@
         (request, attempts[0])
     }
 
-    fn end(&mut self, now: Micros, attempt: AttemptKey, result: AttemptResult) {
+    fn end(&mut self, now: Instant, attempt: AttemptKey, result: AttemptResult) {
         let copy = CachedCopy { body: Bytes::from_static(b"bytes"), ..CachedCopy::default() };
         self.core.attempt_ended(
             now,
@@ -157,14 +153,14 @@
     }
 
     /// Begins a second attempt beside the first.
-    fn hedge(&mut self, now: Micros, request: RequestKey) {
+    fn hedge(&mut self, now: Instant, request: RequestKey) {
         let request = RequestId(request.number());
         let hedge = Action::SendCacheOnly { request, server: CACHES[1], timeout: 0 };
         self.core.carry_out(now, hedge, &mut self.due);
         self.core.run_router(now, &mut self.due);
     }
 
-    fn take(&mut self, now: Micros, request: RequestKey) -> Option<FinalAnswer> {
+    fn take(&mut self, now: Instant, request: RequestKey) -> Option<FinalAnswer> {
         let answer = self.core.answer_now(now, request);
         self.core.answer_begun(now, request, &mut self.due);
         answer
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,16 +1,16 @@
 //! All deadlines of the program, in one ordered structure.
 
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use std::collections::BTreeMap;
 
 /// Names one deadline, to take it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DeadlineHandle(Micros, u64);
+pub struct DeadlineHandle(Span, u64);
 
 /// Where a part of the program hangs its own kind of deadline, without knowing of the others' kinds.
 pub trait Schedule<T> {
     /// Hangs a deadline.
-    fn add(&mut self, at: Micros, what: T) -> DeadlineHandle;
+    fn add(&mut self, at: Instant, what: T) -> DeadlineHandle;
     /// Takes a deadline back, if it is not over.
     fn remove(&mut self, handle: DeadlineHandle);
 }
@@ -29,19 +29,19 @@
 
 impl<D> Deadlines<D> {
     /// When the next one falls.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next(&self) -> Option<Span> {
         self.due.first_key_value().map(|(handle, _)| handle.0)
     }
 
     /// Takes the next one that has fallen by now.
-    pub fn pop(&mut self, now: Micros) -> Option<D> {
+    pub fn pop(&mut self, now: Instant) -> Option<D> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 }
 
 impl<T, D: From<T>> Schedule<T> for Deadlines<D> {
-    fn add(&mut self, at: Micros, what: T) -> DeadlineHandle {
+    fn add(&mut self, at: Instant, what: T) -> DeadlineHandle {
         self.count += 1;
         let handle = DeadlineHandle(at, self.count);
         self.due.insert(handle, what.into());
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -5,17 +5,14 @@
 use super::expectation::Scenario;
 use super::site::Site;
 use super::world::{Next, World};
-use crate::interface::{
-    Class, ClassId, Endpoint, Event, GroupId, ListUpdate, Micros, ObjectId, Request, RequestId, ServerId,
-    ServerState, ZoneId,
-};
+use crate::interface::{Class, ClassId, Endpoint, Event, GroupId, ListUpdate, ObjectId, Request, RequestId, ServerId, ServerState, Span, ZoneId};
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 
 /// The time between two requests, us: none crowds, and what was asked for has come.
-const REQUEST_INTERVAL: Micros = 100_000;
+const REQUEST_INTERVAL: Span = Span::from_millis(100);
 /// An exploration goes on for this long after the last request, us.
-const AFTERWARDS: Micros = 30_000_000;
+const AFTERWARDS: Span = Span::from_secs(30);
 /// Asked for first, so that the module has seen how long an answer of the class takes by itself. Without that it would
 /// take whichever cache has answered least for the slowest one.
 const PRIMER: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
@@ -123,15 +120,15 @@
 struct Plan<'a> {
     asked: Asked<'a>,
     /// When the router starts.
-    start: Micros,
+    start: Span,
     /// When the scenario's change comes: at the site's `now`, so that a cold start is one of this moment.
-    change: Micros,
-    end: Micros,
+    change: Span,
+    end: Span,
 }
 
 impl<'a> Plan<'a> {
     fn new(site: &Site, asked: Asked<'a>) -> Self {
-        let phase = (asked.objects.len() * asked.repeats) as Micros * REQUEST_INTERVAL;
+        let phase = (asked.objects.len() * asked.repeats) as Span * REQUEST_INTERVAL;
         let change = site.now;
         Plan {
             asked,
@@ -165,7 +162,7 @@
                 None => (self.start, number),
                 Some(nth) => (self.change, nth),
             };
-            let at = since + (nth as Micros + 1) * REQUEST_INTERVAL;
+            let at = since + (nth as Span + 1) * REQUEST_INTERVAL;
             let request = self.request(RequestId(number as u64), object, class);
             world.plan(at, Next::Event(Event::Request(request)));
         }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -4,13 +4,13 @@
 use crate::config::located::unknown;
 use crate::config::settings::SiteNames;
 use crate::config::Config;
-use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
+use crate::interface::{ClassId, Endpoint, Instant, ServerId, ServerState, Settings, Span, ZoneId};
 use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// How long after the last late start the site is looked at: every server is warm by then.
-const SETTLED: Micros = 3_600_000_000;
+const SETTLED: Span = Span::from_secs(3_600);
 
 /// A configuration's settings with the servers of its list.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// What was odd in the list: a zone or kind that the settings do not name, an address that comes twice.
     pub oddities: Vec<String>,
     /// The moment at which the site is looked at, us of the Unix clock.
-    pub now: Micros,
+    pub now: Instant,
 }
 
 /// The listed addresses, with the last server that has each.
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -3,18 +3,15 @@
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Scenario};
 use super::site::Site;
-use crate::interface::{
-    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Micros,
-    ObjectId, RequestId, ServerId,
-};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Instant, ObjectId, RequestId, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// An attempt's answer comes after this, us.
-const ANSWER_TIME: Micros = 5_000;
+const ANSWER_TIME: Span = Span::from_millis(5);
 /// A fill's first byte comes after this, us.
-const FILL_TIME: Micros = 10_000;
+const FILL_TIME: Span = Span::from_millis(10);
 /// How long a connection that does not come up is tried, us, as the platform's `connect_timeout`.
-const CONNECT_TIMEOUT: Micros = 400_000;
+const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 
 /// What is due.
 pub(super) enum Next {
@@ -25,7 +22,7 @@
 }
 
 /// When something is due; at one time in the order in which it was planned.
-type Slot = (Micros, u64);
+type Slot = (Span, u64);
 
 /// An attempt: its request, and its number from 0.
 type AttemptKey = (usize, u8);
@@ -34,15 +31,15 @@
 #[derive(Clone, Copy)]
 struct Ending {
     /// How long after its start, us.
-    after: Micros,
+    after: Span,
     result: AttemptResult,
     note: Option<CacheStatus>,
     /// How long it waited for the source of its fill, us.
-    waited: Micros,
+    waited: Span,
 }
 
 impl Ending {
-    fn of(after: Micros, result: AttemptResult, note: Option<CacheStatus>) -> Self {
+    fn of(after: Span, result: AttemptResult, note: Option<CacheStatus>) -> Self {
         Ending { after, result, note, waited: 0 }
     }
 
@@ -52,12 +49,12 @@
     }
 
     /// It was filled, from the origin or from a copy.
-    fn filled(note: CacheStatus, waited: Micros) -> Self {
+    fn filled(note: CacheStatus, waited: Span) -> Self {
         Ending { waited, ..Ending::of(ANSWER_TIME + waited, AttemptResult::Ok, Some(note)) }
     }
 
     /// The same, cut off by the attempt's time-out; 0: there is none.
-    fn within(self, timeout: Micros) -> Self {
+    fn within(self, timeout: Span) -> Self {
         if timeout == 0 || self.after < timeout {
             return self;
         }
@@ -104,7 +101,7 @@
     }
 
     /// Plans what is due at a time.
-    pub(super) fn plan(&mut self, at: Micros, next: Next) -> Slot {
+    pub(super) fn plan(&mut self, at: Instant, next: Next) -> Slot {
         self.planned += 1;
         let slot = (at, self.planned);
         self.due.insert(slot, next);
@@ -112,7 +109,7 @@
     }
 
     /// Takes what is due next, if it is by `end`.
-    pub(super) fn next_until(&mut self, end: Micros) -> Option<(Micros, Next)> {
+    pub(super) fn next_until(&mut self, end: Span) -> Option<(Span, Next)> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
         let ((now, _), next) = first.remove_entry();
         if let Next::Event(Event::AttemptEnded(outcome)) = &next {
@@ -128,7 +125,7 @@
     }
 
     /// Carries out an action of the router.
-    pub(super) fn act(&mut self, now: Micros, action: Action, class: &Class) {
+    pub(super) fn act(&mut self, now: Instant, action: Action, class: &Class) {
         match action {
             Action::SendWithFill(get) => self.start_attempt(now, &get, class),
             Action::SendCacheOnly { request, server, timeout } => {
@@ -150,7 +147,7 @@
     }
 
     /// Records an attempt, and plans how it ends.
-    fn start_attempt(&mut self, now: Micros, get: &FillAttempt, class: &Class) {
+    fn start_attempt(&mut self, now: Instant, get: &FillAttempt, class: &Class) {
         let request = get.request.0 as usize;
         let attempt = self.attempts[request];
         self.attempts[request] += 1;
@@ -188,7 +185,7 @@
     }
 
     /// Ends an open attempt as cancelled.
-    fn cancel(&mut self, now: Micros, key: AttemptKey) {
+    fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
         let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
         let (ends_at, _) = slot;
@@ -243,7 +240,7 @@
 }
 
 /// A request that is sent on to a server as it is: no fill, no copy.
-fn sent(request: RequestId, server: ServerId, timeout: Micros) -> FillAttempt {
+fn sent(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
         server,
--- a/src/federation/duties.rs
+++ b/src/federation/duties.rs
@@ -5,6 +5,7 @@
 //!
 //! No I/O: time is passed in, microseconds of a clock that only goes forward while the process runs.
 
+use crate::interface::{Instant};
 use super::state::{Command, Lease, State};
 use super::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +48,7 @@
     /// The fencing token.
     pub token: u64,
     /// Until when it may be acted under, on this member's clock.
-    pub until: i64,
+    pub until: Instant,
 }
 
 /// A duty that this member stands for.
@@ -55,7 +56,7 @@
 struct Candidacy {
     /// When each request that is not answered was made.
     requested: BTreeMap<u64, i64>,
-    next_request_at: i64,
+    next_request_at: Instant,
     held: Option<Held>,
 }
 
@@ -93,7 +94,7 @@
     }
 
     /// The commands that are to be proposed now: requests for free duties, renewals of leases that are held.
-    pub fn due(&mut self, now: i64, state: &State) -> Vec<Command> {
+    pub fn due(&mut self, now: Instant, state: &State) -> Vec<Command> {
         self.observe(state);
         let (id, terms) = (self.id, self.terms);
         let mut out = Vec::new();
@@ -139,7 +140,7 @@
     }
 
     /// The token under which a duty may be acted on now; to be asked before *each* act.
-    pub fn token(&self, now: i64, duty: &str) -> Option<u64> {
+    pub fn token(&self, now: Instant, duty: &str) -> Option<u64> {
         let held = self.candidacies.get(duty)?.held?;
         (now < held.until).then_some(held.token)
     }
@@ -159,9 +160,9 @@
     token: u64,
     request: u64,
     /// When this token and request were seen first.
-    since: i64,
+    since: Instant,
     /// When its end was proposed last.
-    expiry_proposed_at: Option<i64>,
+    expiry_proposed_at: Option<Instant>,
 }
 
 /// The leader's side: which leases have run out.
@@ -179,7 +180,7 @@
     }
 
     /// What is to be proposed now. A new leader counts every lease from now on, since it cannot know when it began.
-    pub fn due(&mut self, now: i64, state: &State, leads: bool) -> Vec<Command> {
+    pub fn due(&mut self, now: Instant, state: &State, leads: bool) -> Vec<Command> {
         if !leads {
             self.observed.clear();
             return Vec::new();
@@ -190,7 +191,7 @@
     }
 
     /// The end of a lease that ran out, if it is to be proposed now.
-    fn expire(&mut self, now: i64, duty: &str, lease: &Lease) -> Option<Command> {
+    fn expire(&mut self, now: Instant, duty: &str, lease: &Lease) -> Option<Command> {
         let Lease { token, request, .. } = *lease;
         let new = Observed { token, request, since: now, expiry_proposed_at: None };
         let observed = self.observed.entry(duty.to_owned()).or_insert(new);
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -6,6 +6,7 @@
 mod inbound;
 mod outbound;
 
+use crate::interface::{Instant, Span};
 use super::hello::{Challenge, Hello, Key, Nonce, Seal};
 use super::settings::FederationSettings;
 use super::state::AdmissionError;
@@ -28,9 +29,9 @@
 /// Bytes that are read from one connection at a time.
 const INPUT: usize = wire::MAX_MESSAGE + 64;
 /// How long the handshake of a connection may take, us.
-const HANDSHAKE_TIMEOUT: i64 = 1_000_000;
+const HANDSHAKE_TIMEOUT: Span = Span::from_secs(1);
 /// A connection on which nothing was heard for this part of the time until it is given up is pinged.
-const PINGS_PER_SILENCE: i64 = 4;
+const PINGS_PER_SILENCE: Span = Span::from_micros(4);
 
 /// Who this member is to the others.
 #[derive(Clone, Debug)]
@@ -71,11 +72,11 @@
     /// Verifies what is received.
     receiving: Seal,
     /// When something was received last.
-    heard_at: i64,
+    heard_at: Instant,
 }
 
 impl Session {
-    fn new(key: &Key, challenge: &Challenge, hello: &Hello, dialled: bool, now: i64) -> Self {
+    fn new(key: &Key, challenge: &Challenge, hello: &Hello, dialled: bool, now: Instant) -> Self {
         let [sending, receiving] = [dialled, !dialled].map(|way| key.seal(challenge, hello, way));
         Session { sending, receiving, heard_at: now }
     }
@@ -99,7 +100,7 @@
         &mut self,
         net: &mut Net,
         connection: ConnectionKey,
-        now: i64,
+        now: Instant,
     ) -> Result<Option<Frame>, WireError> {
         let frame = take(net, connection, Some(&mut self.receiving))?;
         if frame.is_some() {
@@ -196,7 +197,7 @@
     }
 
     /// Closes all connections and the listener.
-    pub fn close(&mut self, now: i64) {
+    pub fn close(&mut self, now: Instant) {
         if let Some(listener) = self.listener.take() {
             self.net.unlisten(listener);
         }
@@ -208,7 +209,7 @@
     }
 
     /// Sends a frame to a member, if it is connected and its queue has room; else it is dialled.
-    pub fn send(&mut self, now: i64, to: MemberId, frame: &Frame) -> bool {
+    pub fn send(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let sent = if self.peers.contains_key(&to) {
             self.send_to_peer(now, to, frame)
         } else {
@@ -221,7 +222,7 @@
     /// A connection is ready; what members sent is appended to `received`.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         ready: Ready,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
@@ -248,7 +249,7 @@
     /// Reads a connection until it has no more.
     fn read(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         peer: Option<MemberId>,
         admits: Admits<'_>,
@@ -274,7 +275,7 @@
     }
 
     /// Ends a connection, which this member dialled to `peer` or accepted.
-    fn end(&mut self, now: i64, connection: ConnectionKey, peer: Option<MemberId>, reason: Reason) {
+    fn end(&mut self, now: Instant, connection: ConnectionKey, peer: Option<MemberId>, reason: Reason) {
         match peer {
             Some(id) => self.lost(now, id, reason),
             None => self.close_inbound(now, connection, reason),
@@ -282,7 +283,7 @@
     }
 
     /// Time has passed: gives up silent connections, pings quiet ones, and dials peers.
-    pub fn tick(&mut self, now: i64) {
+    pub fn tick(&mut self, now: Instant) {
         self.close_silent_inbound(now);
         self.tick_peers(now);
     }
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -1,5 +1,6 @@
 //! The connections that other members dial: each is challenged, and accepted once it has proved who it is.
 
+use crate::interface::{Instant};
 use super::{take, Admits, Links, Session, Step, HANDSHAKE_TIMEOUT};
 use crate::federation::hello::{Challenge, Hello};
 use crate::federation::state::AdmissionError;
@@ -15,7 +16,7 @@
 /// A connection that this member accepted.
 pub(super) enum Inbound {
     /// It was challenged then, and has not answered yet.
-    Challenged { challenge: Challenge, since: i64 },
+    Challenged { challenge: Challenge, since: Instant },
     /// It is in use by this member.
     Established { from: MemberId, session: Session },
 }
@@ -74,7 +75,7 @@
 
 impl Links {
     /// Accepts the connections that wait, and challenges each.
-    pub fn accept(&mut self, now: i64) {
+    pub fn accept(&mut self, now: Instant) {
         loop {
             let Some(listener) = &self.listener else { return };
             match self.net.accept(now, listener, Role::Federation) {
@@ -88,7 +89,7 @@
         }
     }
 
-    fn challenge(&mut self, now: i64, connection: ConnectionKey) {
+    fn challenge(&mut self, now: Instant, connection: ConnectionKey) {
         let unauthenticated = |one: &&Inbound| matches!(one, Inbound::Challenged { .. });
         if self.inbound.values().filter(unauthenticated).count() >= MAX_UNAUTHENTICATED {
             return self.reject(now, connection, Rejection::TooMany);
@@ -102,19 +103,19 @@
     }
 
     /// Closes a connection with one line in the log.
-    fn reject(&mut self, now: i64, connection: ConnectionKey, rejection: Rejection) {
+    fn reject(&mut self, now: Instant, connection: ConnectionKey, rejection: Rejection) {
         let peer = self.net.address(connection).map(|address| address.to_string()).unwrap_or_default();
         warn!(%peer, why = %rejection, "federation: a connection is refused");
         self.refused += 1;
         self.close_inbound(now, connection, rejection.reason());
     }
 
-    pub(super) fn close_inbound(&mut self, now: i64, connection: ConnectionKey, reason: Reason) {
+    pub(super) fn close_inbound(&mut self, now: Instant, connection: ConnectionKey, reason: Reason) {
         self.inbound.remove(&connection);
         self.net.close(now, connection, reason);
     }
 
-    pub(super) fn close_silent_inbound(&mut self, now: i64) {
+    pub(super) fn close_silent_inbound(&mut self, now: Instant) {
         let overdue = |one: &Inbound| match one {
             Inbound::Challenged { since, .. } if now - since > HANDSHAKE_TIMEOUT => Some(Reason::HeadTimeout),
             Inbound::Established { session, .. } if now - session.heard_at > self.silent => {
@@ -128,7 +129,7 @@
     }
 
     /// Sends to a member that the own file does not list (any more), on the connection that it dialled.
-    pub(super) fn send_back(&mut self, now: i64, to: MemberId, frame: &Frame) -> bool {
+    pub(super) fn send_back(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let dialled = self.inbound.iter_mut().find_map(|(connection, one)| match one {
             Inbound::Established { from, session } if *from == to => Some((*connection, session)),
             _ => None,
@@ -144,7 +145,7 @@
     /// Takes what has come on an accepted connection; `false`: that is over.
     pub(super) fn receive_inbound(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
@@ -163,7 +164,7 @@
 
     fn take_inbound(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         admits: Admits<'_>,
         received: &mut Vec<(MemberId, Frame)>,
@@ -190,7 +191,7 @@
     /// Takes the answer to a challenge, and welcomes the member that proves who it is and may be here.
     fn authenticate(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         challenge: &Challenge,
         admits: Admits<'_>,
@@ -209,7 +210,7 @@
     /// Whether the member that dialled is who it says, and may be here.
     fn verify(
         &self,
-        now: i64,
+        now: Instant,
         challenge: &Challenge,
         hello: &Hello,
         admits: Admits<'_>,
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -1,5 +1,6 @@
 //! The connections that this member dials: one to each peer, dialled again after a pause.
 
+use crate::interface::{Instant};
 use super::{take, Links, PeerAddress, Session, Step, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE};
 use crate::federation::backoff::Backoff;
 use crate::federation::hello::{Challenge, Hello, Welcome};
@@ -16,13 +17,13 @@
 /// The connection to a peer.
 enum Outbound {
     /// There is none until then.
-    Waiting { until: i64 },
+    Waiting { until: Instant },
     /// It was dialled then, and the peer's challenge is awaited.
-    Dialled { connection: ConnectionKey, since: i64 },
+    Dialled { connection: ConnectionKey, since: Instant },
     /// The challenge was answered, and the peer's welcome is awaited.
-    Greeted { connection: ConnectionKey, since: i64, challenge: Challenge, hello: Hello },
+    Greeted { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
     /// It is in use.
-    Established { connection: ConnectionKey, session: Session, pinged_at: i64 },
+    Established { connection: ConnectionKey, session: Session, pinged_at: Instant },
 }
 
 impl Outbound {
@@ -44,20 +45,20 @@
 }
 
 impl Peer {
-    fn new(now: i64, at: PeerAddress) -> Self {
+    fn new(now: Instant, at: PeerAddress) -> Self {
         let backoff = Backoff::new(REDIAL_PAUSES[0], REDIAL_PAUSES[1]);
         Peer { at, backoff, outbound: Outbound::Waiting { until: now } }
     }
 
     /// Its connection is closed; it may be dialled again then.
-    pub fn wait_until(&mut self, until: i64) {
+    pub fn wait_until(&mut self, until: Instant) {
         self.outbound = Outbound::Waiting { until };
     }
 }
 
 impl Links {
     /// The peers from now on.
-    pub fn set_peers(&mut self, now: i64, wanted: &BTreeMap<MemberId, PeerAddress>) {
+    pub fn set_peers(&mut self, now: Instant, wanted: &BTreeMap<MemberId, PeerAddress>) {
         let stays =
             |id: &MemberId, peer: &Peer| wanted.get(id).is_some_and(|at| at.address == peer.at.address);
         let gone: Vec<MemberId> =
@@ -78,7 +79,7 @@
         self.peers.get(&id).is_some_and(|peer| matches!(peer.outbound, Outbound::Established { .. }))
     }
 
-    pub(super) fn send_to_peer(&mut self, now: i64, to: MemberId, frame: &Frame) -> bool {
+    pub(super) fn send_to_peer(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let Some(peer) = self.peers.get_mut(&to) else { return false };
         match &mut peer.outbound {
             Outbound::Established { connection, session, .. } => {
@@ -96,7 +97,7 @@
         }
     }
 
-    fn dial(&mut self, now: i64, to: MemberId) {
+    fn dial(&mut self, now: Instant, to: MemberId) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         match self.net.connect(now, peer.at.address, Role::Federation) {
             Ok(connection) => {
@@ -111,7 +112,7 @@
     }
 
     /// The connection to a peer is over.
-    pub(super) fn lost(&mut self, now: i64, to: MemberId, reason: Reason) {
+    pub(super) fn lost(&mut self, now: Instant, to: MemberId, reason: Reason) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         let until = now + peer.backoff.pause(&mut self.random);
         let before = std::mem::replace(&mut peer.outbound, Outbound::Waiting { until });
@@ -127,7 +128,7 @@
     /// Takes what a peer has sent on the connection to it; `false`: that is over.
     pub(super) fn receive_from_peer(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         id: MemberId,
         received: &mut Vec<(MemberId, Frame)>,
@@ -147,7 +148,7 @@
 
     fn take_from_peer(
         &mut self,
-        now: i64,
+        now: Instant,
         connection: ConnectionKey,
         id: MemberId,
         received: &mut Vec<(MemberId, Frame)>,
@@ -176,7 +177,7 @@
         &mut self,
         connection: ConnectionKey,
         id: MemberId,
-        since: i64,
+        since: Instant,
     ) -> Result<Step, Reason> {
         let challenge: Option<Challenge> =
             take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
@@ -191,7 +192,7 @@
     }
 
     /// Takes the welcome with which a peer proves who it is.
-    fn take_welcome(&mut self, now: i64, connection: ConnectionKey, id: MemberId) -> Result<Step, Reason> {
+    fn take_welcome(&mut self, now: Instant, connection: ConnectionKey, id: MemberId) -> Result<Step, Reason> {
         let welcome: Option<Welcome> =
             take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
         let Some(welcome) = welcome else { return Ok(Step::Incomplete) };
@@ -208,12 +209,12 @@
         Ok(Step::Taken)
     }
 
-    pub(super) fn tick_peers(&mut self, now: i64) {
+    pub(super) fn tick_peers(&mut self, now: Instant) {
         let ids: Vec<MemberId> = self.peers.keys().copied().collect();
         ids.into_iter().for_each(|id| self.tick_peer(now, id));
     }
 
-    fn tick_peer(&mut self, now: i64, id: MemberId) {
+    fn tick_peer(&mut self, now: Instant, id: MemberId) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         match &mut peer.outbound {
             Outbound::Waiting { until } => {
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -13,6 +13,7 @@
 
 pub use handle::Handle;
 
+use crate::interface::{Instant, Span};
 use super::links::{Identity, Links, PeerAddress, LISTENER};
 use super::log::Saved;
 use super::settings::{FederationSettings, ListedMember};
@@ -39,9 +40,9 @@
 /// The poll's token of the edge proxy's instructions.
 const WAKE: usize = 1;
 /// How long a leader that stops waits for another to lead, us.
-const HAND_OVER_TIMEOUT: i64 = 200_000;
+const HAND_OVER_TIMEOUT: Span = Span::from_millis(200);
 /// How often the view is published, us.
-const PUBLISH_EVERY: i64 = 50_000;
+const PUBLISH_EVERY: Span = Span::from_millis(50);
 /// Why a member that is paused takes no part, as operators are told.
 const PAUSED: &str = "a newer process has the store";
 
@@ -54,7 +55,7 @@
     /// The member takes part.
     Running(Box<Participant>),
     /// It failed, and is started anew then.
-    Halted { until: i64 },
+    Halted { until: Instant },
     /// A newer process has the store.
     Paused,
 }
@@ -63,7 +64,7 @@
 #[derive(Clone, Copy)]
 struct Leaving {
     /// It waits for another leader no longer than that.
-    until: i64,
+    until: Instant,
     /// The thread ends then.
     ends: bool,
 }
@@ -184,7 +185,7 @@
         }
     }
 
-    fn resume(&mut self, now: i64) {
+    fn resume(&mut self, now: Instant) {
         if self.leaving.is_some_and(|leaving| !leaving.ends) {
             self.leaving = None;
         }
@@ -193,14 +194,14 @@
         }
     }
 
-    fn reload(&mut self, now: i64, settings: FederationSettings) {
+    fn reload(&mut self, now: Instant, settings: FederationSettings) {
         info!(revision = settings.revision, "federation: a new file");
         self.membership = Membership::new(settings);
         self.introduce(now);
     }
 
     /// Tells the connections who this member is and whom it knows; one that takes no part does so once it does.
-    fn introduce(&mut self, now: i64) {
+    fn introduce(&mut self, now: Instant) {
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
         let identity = Identity::of(settings, participant.identity(), participant.incarnation());
@@ -209,7 +210,7 @@
     }
 
     /// Takes what connections have for this member.
-    fn receive(&mut self, now: i64, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
+    fn receive(&mut self, now: Instant, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
         let mut received = Vec::new();
         for one in ready.drain(..) {
             match (one, &self.phase) {
@@ -227,7 +228,7 @@
     }
 
     /// Opens the store and the listener, and takes part.
-    fn start(&mut self, now: i64) {
+    fn start(&mut self, now: Instant) {
         match self.try_start(now) {
             Ok((participant, address)) => {
                 self.phase = Phase::Running(Box::new(participant));
@@ -243,7 +244,7 @@
         }
     }
 
-    fn try_start(&mut self, now: i64) -> Result<(Participant, SocketAddr), HaltReason> {
+    fn try_start(&mut self, now: Instant) -> Result<(Participant, SocketAddr), HaltReason> {
         let settings = &self.membership.settings;
         let opened = (self.open_store)(settings)
             .map_err(|source| HaltReason::Store { path: settings.store.clone(), source })?;
@@ -277,7 +278,7 @@
     }
 
     /// Handles what was received and what is due by the clock.
-    fn advance(&mut self, now: i64, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
+    fn advance(&mut self, now: Instant, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
         let Phase::Running(participant) = &mut self.phase else { return Ok(()) };
         for (from, frame) in received {
             participant.receive(from, frame);
@@ -300,7 +301,7 @@
     }
 
     /// Begins to pause, or to end.
-    fn hand_over(&mut self, now: i64, ends: bool) {
+    fn hand_over(&mut self, now: Instant, ends: bool) {
         let ends = ends || self.leaving.is_some_and(|leaving| leaving.ends);
         if let Phase::Running(participant) = &mut self.phase {
             participant.hand_over(now, &mut self.links);
@@ -309,7 +310,7 @@
     }
 
     /// Pauses or ends a member that has handed over; `true`: the thread ends now.
-    fn leave(&mut self, now: i64) -> bool {
+    fn leave(&mut self, now: Instant) -> bool {
         let Some(leaving) = self.leaving else { return false };
         let leads = matches!(&self.phase, Phase::Running(participant) if participant.is_leader());
         if leads && now < leaving.until {
@@ -321,7 +322,7 @@
         leaving.ends
     }
 
-    fn pause(&mut self, now: i64) {
+    fn pause(&mut self, now: Instant) {
         self.leaving = None;
         self.phase = Phase::Paused;
         self.links.close(now);
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -1,6 +1,7 @@
 //! Why a member takes no part, and when it tries again: an outage begins with a failure and ends once the member has run for
 //! a while without another, so that a disk that takes the first write and fails the second one is one outage.
 
+use crate::interface::{Instant, Span};
 use crate::federation::backoff::Backoff;
 use crate::federation::node::NodeError;
 use crate::federation::store::StoreError;
@@ -12,7 +13,7 @@
 /// The first and the longest pause before another attempt, us.
 const RETRY_PAUSES: [i64; 2] = [50_000, 2_000_000];
 /// An outage is over when the member has run for so long, us.
-const RECOVERED_AFTER: i64 = 5_000_000;
+const RECOVERED_AFTER: Span = Span::from_secs(5);
 
 /// Why a member takes no part.
 #[derive(Debug, thiserror::Error)]
@@ -66,18 +67,18 @@
 
 #[derive(Debug)]
 struct Lasting {
-    since: i64,
+    since: Instant,
     failures: u32,
     /// The kinds of failure that were reported.
     reported: Vec<Kind>,
     /// Since when the member runs again.
-    running_since: Option<i64>,
+    running_since: Option<Instant>,
 }
 
 /// What follows from a failure.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Failure {
-    pub retry_at: i64,
+    pub retry_at: Instant,
     /// It is the first of its kind in this outage: the log is to have a line.
     pub report: bool,
 }
@@ -96,7 +97,7 @@
     }
 
     /// The member failed, or could not be started.
-    pub fn failed(&mut self, now: i64, reason: &HaltReason, random: &mut impl Rng) -> Failure {
+    pub fn failed(&mut self, now: Instant, reason: &HaltReason, random: &mut impl Rng) -> Failure {
         let new = || Lasting { since: now, failures: 0, reported: Vec::new(), running_since: None };
         let lasting = self.lasting.get_or_insert_with(new);
         lasting.failures += 1;
@@ -110,7 +111,7 @@
     }
 
     /// The member runs.
-    pub fn started(&mut self, now: i64) {
+    pub fn started(&mut self, now: Instant) {
         if let Some(lasting) = &mut self.lasting {
             lasting.running_since = Some(now);
         }
@@ -122,7 +123,7 @@
     }
 
     /// The outage, if it is over now.
-    pub fn recovered(&mut self, now: i64) -> Option<Recovery> {
+    pub fn recovered(&mut self, now: Instant) -> Option<Recovery> {
         let lasting = self.lasting.as_ref()?;
         let running_since = lasting.running_since.filter(|since| now - since >= RECOVERED_AFTER)?;
         let recovery = Recovery { lasted: running_since - lasting.since, failures: lasting.failures };
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -1,5 +1,6 @@
 //! A member that takes part: its consensus node, its open store and its leases, and what they do with messages and time.
 
+use crate::interface::{Instant, Span};
 use super::outage::HaltReason;
 use crate::federation::duties::{Grantor, Holder};
 use crate::federation::hello::Hello;
@@ -19,7 +20,7 @@
 use tracing::{info, warn};
 
 /// How often a member whose store is not enrolled yet asks for that, us.
-const ENROL_EVERY: i64 = 200_000;
+const ENROL_EVERY: Span = Span::from_millis(200);
 /// The duty of proposing what all sites are to hold in common; voters stand for it.
 const PUBLISH_DUTY: &str = "publish";
 
@@ -76,7 +77,7 @@
     pub fn new(
         settings: &FederationSettings,
         (store, saved): (Store, Saved),
-        now: i64,
+        now: Instant,
         random: &mut impl Rng,
     ) -> Result<Self, HaltReason> {
         let node = Node::new(settings.id, saved, settings.tuning, random.random())?;
@@ -131,7 +132,7 @@
     /// Does what is due by the clock: elections and heartbeats, changes of the members, leases, enrolment.
     pub fn tick(
         &mut self,
-        now: i64,
+        now: Instant,
         membership: &Membership,
         links: &mut Links,
         leaving: bool,
@@ -156,7 +157,7 @@
     }
 
     /// Stands for duties where this member votes, and ends leases that ran out where it leads.
-    fn renew_leases(&mut self, now: i64, links: &mut Links) {
+    fn renew_leases(&mut self, now: Instant, links: &mut Links) {
         let (state, leads) = (self.node.state().0, self.node.is_leader());
         let votes = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
         let duties = votes.then(|| PUBLISH_DUTY.to_owned()).into_iter().collect();
@@ -167,7 +168,7 @@
     }
 
     /// Asks for this member's store to be enrolled, where none is.
-    fn enrol(&mut self, now: i64, links: &mut Links) -> Result<(), HaltReason> {
+    fn enrol(&mut self, now: Instant, links: &mut Links) -> Result<(), HaltReason> {
         let (id, incarnation) = (self.node.id(), self.incarnation());
         let Some(own) = self.node.state().0.members.get(&id) else { return Ok(()) };
         match own.incarnation {
@@ -179,7 +180,7 @@
     }
 
     /// Proposes a command here, or has the leader propose it.
-    fn propose(&mut self, now: i64, links: &mut Links, command: Command) {
+    fn propose(&mut self, now: Instant, links: &mut Links, command: Command) {
         let leader = self.node.leadership().leader;
         if leader == self.node.id() {
             self.node.propose(&command);
@@ -189,7 +190,7 @@
     }
 
     /// Stores what must be stored, then sends what may be sent.
-    pub fn drive(&mut self, now: i64, links: &mut Links, counters: &mut Counters) -> Result<(), HaltReason> {
+    pub fn drive(&mut self, now: Instant, links: &mut Links, counters: &mut Counters) -> Result<(), HaltReason> {
         let mut storage = TimedStore { store: &mut self.store, slowest_us: &mut counters.slowest_save_us };
         let messages = self.node.drive(&mut storage)?;
         messages.into_iter().for_each(|message| self.send(now, links, message));
@@ -199,7 +200,7 @@
         Ok(())
     }
 
-    fn send(&mut self, now: i64, links: &mut Links, message: MessageRecord) {
+    fn send(&mut self, now: Instant, links: &mut Links, message: MessageRecord) {
         let (to, snapshot) = (message.to, message.kind == MessageKind::Snapshot);
         let sent = links.send(now, to, &Frame::Raft(message));
         if snapshot {
@@ -231,7 +232,7 @@
     }
 
     /// Releases the duties and hands over the lead, if this member has it.
-    pub fn hand_over(&mut self, now: i64, links: &mut Links) {
+    pub fn hand_over(&mut self, now: Instant, links: &mut Links) {
         // Duties first: what was proposed before the lead goes is still in the log.
         for command in self.holder.stand_for(&BTreeSet::new()) {
             self.propose(now, links, command);
@@ -240,7 +241,7 @@
     }
 
     /// The federation as this member sees it.
-    pub fn view(&self, now: i64, settings: &FederationSettings, links: &Links) -> View {
+    pub fn view(&self, now: Instant, settings: &FederationSettings, links: &Links) -> View {
         let (state, applied) = self.node.state();
         let (last, committed) = self.node.log_extent();
         let Leadership { leader, term } = self.node.leadership();
@@ -278,7 +279,7 @@
         self.node.state().0.members.iter().map(view).collect()
     }
 
-    fn duty_views(&self, now: i64) -> Vec<DutyView> {
+    fn duty_views(&self, now: Instant) -> Vec<DutyView> {
         let view = |(duty, lease): (&String, &Lease)| DutyView {
             duty: duty.clone(),
             holder: lease.holder,
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -2,6 +2,7 @@
 
 mod http;
 
+use crate::interface::{Instant, Span};
 use crate::config::events::FeedBatch;
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::net::{ConnectionKey, Net, Reason, Role};
@@ -12,15 +13,15 @@
 /// stays open is found out only once the wait that was asked for is over.
 const WAIT_MS: i64 = 1000;
 /// How much later than that an answer may come, us.
-const SLACK: i64 = 700_000;
+const SLACK: Span = Span::from_millis(700);
 /// How long a connection may take to come up, us: at first, and at most once some took longer.
-const CONNECT: i64 = 400_000;
-const CONNECT_MOST: i64 = 1_600_000;
+const CONNECT: Span = Span::from_millis(400);
+const CONNECT_MOST: Span = Span::from_millis(1_600);
 /// The first and the longest pause before the next try, us.
 const PAUSES: [i64; 2] = [30_000, 500_000];
 /// What the feed would have told counts as told this long after a break, or after the end of the wait, us:
 /// a poll that broke or stopped and the connection after it fit into that.
-const TOLD_AFTER: i64 = 2_000_000;
+const TOLD_AFTER: Span = Span::from_secs(2);
 const _: () = assert!(SLACK + CONNECT + PAUSES[0] < TOLD_AFTER && CONNECT + 2 * PAUSES[1] < TOLD_AFTER);
 /// Bytes of answers that are taken in at a time; a longer answer is no answer.
 const INPUT: usize = 1 << 22;
@@ -84,7 +85,7 @@
     }
 
     /// Connects.
-    pub fn start(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
+    pub fn start(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         match net.connect(now, self.addr, Role::Feed) {
             Ok(key) => {
                 (self.conn, self.up) = (Some(key), false);
@@ -98,7 +99,7 @@
     /// once, whatever it would still have told, since the new address tells it under the same numbers.
     pub fn move_to(
         &mut self,
-        now: i64,
+        now: Instant,
         addr: SocketAddr,
         net: &mut Net,
         due: &mut dyn Schedule<FeedDeadline>,
@@ -113,24 +114,24 @@
         self.start(now, net, due);
     }
 
-    fn expect(&mut self, at: i64, what: FeedDeadline, due: &mut dyn Schedule<FeedDeadline>) {
+    fn expect(&mut self, at: Instant, what: FeedDeadline, due: &mut dyn Schedule<FeedDeadline>) {
         self.deadline.take().into_iter().for_each(|handle| due.remove(handle));
         self.deadline = Some(due.add(at, what));
     }
 
-    fn again(&mut self, now: i64, due: &mut dyn Schedule<FeedDeadline>) {
+    fn again(&mut self, now: Instant, due: &mut dyn Schedule<FeedDeadline>) {
         self.expect(now + self.pause, FeedDeadline::Retry, due);
         self.pause = (2 * self.pause).min(PAUSES[1]);
     }
 
-    fn broke(&mut self, now: i64, reason: Reason, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
+    fn broke(&mut self, now: Instant, reason: Reason, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         if let Some(key) = self.conn.take() {
             net.close(now, key, reason);
         }
         self.again(now, due);
     }
 
-    fn ask(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
+    fn ask(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<FeedDeadline>) {
         let Some(key) = self.conn else { return };
         let (last, addr, wait) = (self.last, self.addr, self.wait);
         let head = format!("GET /v1/events?SUB={last}&wait={wait} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
@@ -146,7 +147,7 @@
     /// The connection may be read from, or written to; gives the events that are new.
     pub fn on_ready(
         &mut self,
-        now: i64,
+        now: Instant,
         net: &mut Net,
         due: &mut dyn Schedule<FeedDeadline>,
     ) -> Vec<FeedBatch> {
@@ -227,7 +228,7 @@
     /// A deadline of the feed has fallen.
     pub fn deadline_passed(
         &mut self,
-        now: i64,
+        now: Instant,
         what: FeedDeadline,
         net: &mut Net,
         due: &mut dyn Schedule<FeedDeadline>,
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of `feed`.
 
+use crate::interface::{Instant};
 use super::*;
 
 /// Keeps the one deadline that the feed has.
@@ -7,7 +8,7 @@
 struct Last(Option<(i64, FeedDeadline)>);
 
 impl Schedule<FeedDeadline> for Last {
-    fn add(&mut self, at: i64, what: FeedDeadline) -> DeadlineHandle {
+    fn add(&mut self, at: Instant, what: FeedDeadline) -> DeadlineHandle {
         self.0 = Some((at, what));
         let mut some = crate::deadlines::Deadlines::<FeedDeadline>::default();
         some.add(at, what)
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -1,6 +1,7 @@
 //! The admin endpoint: HTTP/1.1, one call per connection. Its callers hold a few descriptors of their own, so that
 //! neither clients nor callers that sit on a connection keep an answer from the next.
 
+use crate::interface::{Instant, Span};
 use super::http::{self, HeadError};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::net::{ConnectionKey, Net, Reason};
@@ -12,9 +13,9 @@
 /// Callers at a time; for one more, the one that has been silent longest has to go.
 pub const CALLERS: usize = 8;
 /// A call must be whole this long after its caller connected, us.
-const WHOLE: i64 = 6_000_000;
+const WHOLE: Span = Span::from_secs(6);
 /// How long a caller may take to close after its answer, us.
-const LINGER: i64 = 1_000_000;
+const LINGER: Span = Span::from_secs(1);
 
 /// What falls due: a caller's time is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +34,7 @@
 
 struct Session {
     due: DeadlineHandle,
-    heard: i64,
+    heard: Instant,
     /// It has its answer and is to close: closing first, with its bytes unread, would reset the connection and could
     /// take the answer away from it.
     answered: bool,
@@ -49,7 +50,7 @@
     /// Takes a caller's connection in, in the place of another where there are too many.
     pub fn open(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<CallerDeadline>,
@@ -73,7 +74,7 @@
     /// A connection may be read from, or written to; gives the call that is whole now, which [`AdminFront::answer`] ends.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<CallerDeadline>,
@@ -108,7 +109,7 @@
     /// Answers a connection's one call.
     pub fn answer(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         status: u16,
         (kind, body): (&str, &str),
@@ -140,7 +141,7 @@
     /// A caller's time is over: half a call gets its answer, what was answered is closed.
     pub fn due(
         &mut self,
-        now: i64,
+        now: Instant,
         what: CallerDeadline,
         net: &mut Net,
         due: &mut dyn Schedule<CallerDeadline>,
@@ -157,7 +158,7 @@
 
     fn close(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
@@ -169,7 +170,7 @@
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
+    pub fn stop(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.close(now, conn, Reason::Stopping, net, due);
         }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -61,7 +61,7 @@
 }
 
 /// The first lines of an answer, at a Unix time in microseconds.
-pub fn start(status: u16, now: i64) -> String {
+pub fn start(status: u16, now: Instant) -> String {
     let reason = match status {
         200 => "OK",
         304 => "Not Modified",
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -1,5 +1,6 @@
 //! The answers of a connection, in the order of its requests.
 
+use crate::interface::{Instant};
 use super::http::{self, HttpAnswer};
 use super::{SessionDeadline, SignedFront, State};
 use crate::deadlines::Schedule;
@@ -18,7 +19,7 @@
     /// whose last answer has not left entirely has none. Answers of the front itself are written here.
     pub fn next(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -41,7 +42,7 @@
     /// Begins the answer whose turn it is; whether a byte of it has left, and with it the turn is over.
     pub fn begin(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         answer: HttpAnswer,
         net: &mut Net,
@@ -69,7 +70,7 @@
     /// its end, lingering for the client to close so that the answer is not taken away by a reset.
     pub fn refuse_all(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         seconds: i64,
         net: &mut Net,
--- a/src/front/signed/ending.rs
+++ b/src/front/signed/ending.rs
@@ -1,5 +1,6 @@
 //! The ends of connections: looked for by time, told to the client, and awaited from it.
 
+use crate::interface::{Instant};
 use super::http::HttpAnswer;
 use super::{SessionDeadline, SignedFront, State, Turn, LINGER, STALLED};
 use crate::deadlines::Schedule;
@@ -9,7 +10,7 @@
     /// A deadline of a connection has fallen; it may have an answer to write.
     pub fn due(
         &mut self,
-        now: i64,
+        now: Instant,
         what: SessionDeadline,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -48,7 +49,7 @@
     /// Says the end on a connection all of whose answers have left and which is to end with them.
     pub fn finish(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -65,7 +66,7 @@
     /// A client has closed its connection: it has gone, whatever of it is still unread.
     pub fn closed(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -78,7 +79,7 @@
     /// Closes a connection; what was open there is over for its client.
     pub fn close(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
@@ -95,7 +96,7 @@
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn stop(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.close(now, conn, Reason::Stopping, net, due);
         }
--- a/src/front/signed/gate/mod.rs
+++ b/src/front/signed/gate/mod.rs
@@ -3,6 +3,7 @@
 mod token;
 mod url;
 
+use crate::interface::{Instant};
 use super::uri::{Malformed, Uri};
 use crate::config::signed::{Key, SignedConfig};
 
@@ -93,7 +94,7 @@
     /// # Errors
     ///
     /// It is not to be let in.
-    pub fn check(&self, uri: &Uri, cookie: Option<&str>, now: i64) -> Result<i64, Denial> {
+    pub fn check(&self, uri: &Uri, cookie: Option<&str>, now: Instant) -> Result<i64, Denial> {
         let signed =
             [URL_PREFIX, EXPIRES, KEY_NAME, SIGNATURE].iter().any(|name| uri.parameter(name).is_some());
         let package = uri.parameter(PACKAGE);
@@ -131,7 +132,7 @@
     (seconds * 1e6) as i64
 }
 
-fn alive(seconds: f64, now: i64) -> Result<i64, Denial> {
+fn alive(seconds: f64, now: Instant) -> Result<i64, Denial> {
     let end = micros(seconds);
     if now >= end {
         return Err(Denial::Expired);
--- a/src/front/signed/gate/token.rs
+++ b/src/front/signed/gate/token.rs
@@ -1,5 +1,6 @@
 //! Tokens: signed claims that open one URI, or all below one.
 
+use crate::interface::{Instant};
 use super::{alive, fresh, micros, table, Binding, Denial, Gate, Grant, SignError};
 use crate::config::signed::{Algorithm, Key, Secret};
 use crate::front::signed::uri::Uri;
@@ -58,7 +59,7 @@
 }
 
 impl Gate {
-    pub(super) fn check_token(&self, token: &str, uri: &Uri, now: i64) -> Result<i64, Denial> {
+    pub(super) fn check_token(&self, token: &str, uri: &Uri, now: Instant) -> Result<i64, Denial> {
         let head = token.split('.').next().unwrap_or_default();
         let head = URL_SAFE_NO_PAD.decode(head).ok().and_then(|head| serde_json::from_slice(&head).ok());
         let head: Map<String, Value> = head.ok_or(Denial::Forged("token"))?;
@@ -88,7 +89,7 @@
     }
 
     /// Checks what a genuine token says; gives the Unix microsecond from when on it opens nothing.
-    fn check_claims(&self, claims: &Claims, key: &Key, uri: &Uri, now: i64) -> Result<i64, Denial> {
+    fn check_claims(&self, claims: &Claims, key: &Key, uri: &Uri, now: Instant) -> Result<i64, Denial> {
         claims.check_understood()?;
         if !was_issued_by(key, claims.text("iss")?) {
             return Err(Denial::Forged("issuer"));
--- a/src/front/signed/gate/url.rs
+++ b/src/front/signed/gate/url.rs
@@ -1,5 +1,6 @@
 //! Signed URLs: a MAC over the URL, or over a prefix of it.
 
+use crate::interface::{Instant};
 use super::{alive, fresh, table, Denial, Gate, SignError, EXPIRES, KEY_NAME, SIGNATURE, URL_PREFIX};
 use crate::config::signed::{Algorithm, Key, Secret, BASE64};
 use crate::front::signed::uri::Uri;
@@ -9,7 +10,7 @@
 use sha2::Sha256;
 
 impl Gate {
-    pub(super) fn check_url(&self, uri: &Uri, now: i64) -> Result<i64, Denial> {
+    pub(super) fn check_url(&self, uri: &Uri, now: Instant) -> Result<i64, Denial> {
         // What follows the signature is not covered by it, so nothing may.
         let names: Vec<&str> = uri.query.iter().rev().take(3).map(|p| p.name.as_str()).collect();
         if names != [SIGNATURE, KEY_NAME, EXPIRES] {
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -1,5 +1,6 @@
 //! Heads of HTTP/1.1 requests as a server reads them, and its answers.
 
+use crate::interface::{Instant};
 use super::gate::PACKAGE;
 use super::uri::{Malformed, Uri};
 use crate::front::http;
@@ -81,7 +82,7 @@
 }
 
 /// An answer's bytes, at a Unix time in microseconds.
-pub fn answer(answer: &HttpAnswer, only_head: bool, keep: bool, now: i64) -> [Bytes; 2] {
+pub fn answer(answer: &HttpAnswer, only_head: bool, keep: bool, now: Instant) -> [Bytes; 2] {
     let mut head = http::start(answer.status, now);
     let mut line = |name: &str, value: &dyn std::fmt::Display| http::line(&mut head, name, value);
     match answer.status {
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -9,6 +9,7 @@
 pub mod route;
 pub mod uri;
 
+use crate::interface::{Instant, Span};
 use crate::config::signed::{Route, SignedConfig};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::net::{ConnectionKey, Net};
@@ -19,9 +20,9 @@
 /// Requests that may be open on one connection; more are read once these are answered.
 const MOST_OPEN: usize = 16;
 /// A client that takes none of its answer's bytes for this long is closed, us.
-const STALLED: i64 = 10_000_000;
+const STALLED: Span = Span::from_secs(10);
 /// How long a client may take to close after its last answer, us.
-const LINGER: i64 = 2_000_000;
+const LINGER: Span = Span::from_secs(2);
 
 /// What falls due for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +72,7 @@
     look: Option<DeadlineHandle>,
     /// Bytes written at the last look.
     seen: u64,
-    heard: i64,
+    heard: Instant,
     /// Nothing more is read, and the connection ends once all is answered.
     last: bool,
     /// All is said, and the client is to close: closing first, with its bytes unread, would reset the
@@ -121,7 +122,7 @@
     }
 
     /// Takes a client's connection in.
-    pub fn open(&mut self, now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn open(&mut self, now: Instant, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
         let look = Some(due.add(now + STALLED.min(self.config.idle_timeout), SessionDeadline::Look(conn)));
         let head = Some(due.add(now + self.config.head_timeout, SessionDeadline::Head(conn)));
         let (turns, heard) = (VecDeque::new(), now);
@@ -132,7 +133,7 @@
     }
 
     /// From now on each connection ends with the answers that are open there: another process takes the clients.
-    pub fn retire(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn retire(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         self.retired = true;
         for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
             let unread = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,5 +1,6 @@
 //! Reading from clients: heads taken whole, and let in by their credentials.
 
+use crate::interface::{Instant};
 use super::gate::Denial;
 use super::http::{self, HeadError, HttpAnswer, RequestHead};
 use super::route::{self, RequestTarget};
@@ -28,7 +29,7 @@
     /// A connection may be read from, or written to.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -42,7 +43,7 @@
 
     fn read(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -80,7 +81,7 @@
     /// Takes the whole heads of what has come.
     fn take_heads(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
--- a/src/front/thrift/ending.rs
+++ b/src/front/thrift/ending.rs
@@ -1,5 +1,6 @@
 //! The ends of clients' connections: looked for by time, told to the client, and awaited from it.
 
+use crate::interface::{Instant};
 use super::{SessionDeadline, ThriftEvent, ThriftFront, IDLE, LINGER, LOOK, STALLED, WHOLE};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net, Reason};
@@ -20,7 +21,7 @@
     /// A look at a connection has fallen due.
     pub fn due(
         &mut self,
-        now: i64,
+        now: Instant,
         what: SessionDeadline,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -44,7 +45,7 @@
 
     fn look(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -79,7 +80,7 @@
     /// the client has closed, or soon.
     pub(super) fn end(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
@@ -101,7 +102,7 @@
     /// Says the end on every connection that was not told it yet.
     pub fn end_all(
         &mut self,
-        now: i64,
+        now: Instant,
         reason: Reason,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -115,7 +116,7 @@
     /// what still comes is dropped unread until its client closes.
     pub(super) fn linger(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -143,7 +144,7 @@
     /// Closes a connection; what was open there is over for its client.
     pub fn close(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
@@ -156,7 +157,7 @@
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn stop(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<SessionDeadline>) {
         for conn in self.connections() {
             self.close(now, conn, Reason::Stopping, net, due);
         }
--- a/src/front/thrift/handing_on.rs
+++ b/src/front/thrift/handing_on.rs
@@ -1,5 +1,6 @@
 //! Connections that are handed on to a newer process, or end as they fall idle where there is none.
 
+use crate::interface::{Instant};
 use super::{SessionDeadline, ThriftFront, PAUSE};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net, Reason};
@@ -13,7 +14,7 @@
     /// Takes in a connection that another process had: its client may have asked there already.
     pub fn adopt(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -31,7 +32,7 @@
     /// nothing is read for [`PAUSE`], and then for as long what waits is; all of them pause before the end.
     pub fn connections_to_hand_over(
         &mut self,
-        now: i64,
+        now: Instant,
         most: usize,
         before_end: bool,
         net: &Net,
@@ -70,7 +71,7 @@
 
     /// A connection that has fallen idle, where they are to end then. One whose client has just connected is none: it
     /// is about to ask.
-    pub fn idle_connection(&self, now: i64, net: &mut Net) -> Option<ConnectionKey> {
+    pub fn idle_connection(&self, now: Instant, net: &mut Net) -> Option<ConnectionKey> {
         let mut all = self.sessions.iter().filter(|_| self.retired);
         all.find(|(conn, session)| session.is_idle(now, **conn, net)).map(|(conn, _)| *conn)
     }
@@ -78,7 +79,7 @@
     /// Ends a connection that is still idle.
     pub fn end_if_idle(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -8,6 +8,7 @@
 mod reading;
 mod session;
 
+use crate::interface::{Instant, Span};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net};
 use bytes::Bytes;
@@ -26,23 +27,23 @@
 /// Messages taken from one connection at a turn: a client at full speed takes its turns like all others.
 const TURN: usize = 8;
 /// How often a connection is looked at, us.
-const LOOK: i64 = 400_000;
+const LOOK: Span = Span::from_millis(400);
 /// A client that takes none of its answer's bytes for this long is closed, us.
-const STALLED: i64 = 10_000_000;
+const STALLED: Span = Span::from_secs(10);
 /// A message must be whole this long after it began, and a first one after its client connected, us: clients are
 /// owed an end within 3 s.
-const WHOLE: i64 = 2_000_000;
+const WHOLE: Span = Span::from_secs(2);
 /// A connection on which nothing is open for this long is closed, us. Clients close theirs after 4 s; some that ask
 /// once never would.
-const IDLE: i64 = 6_000_000;
+const IDLE: Span = Span::from_secs(6);
 /// Before a connection is handed on nothing is read there for this long at most, us: most answers come within it, and
 /// what waits unread has time left.
-pub const PAUSE: i64 = 300_000;
+pub const PAUSE: Span = Span::from_millis(300);
 /// How long a client may take to close after it was told the end, us.
-const LINGER: i64 = 1_000_000;
+const LINGER: Span = Span::from_secs(1);
 /// A connection that never asked and has been quiet for this long is idle, too, where all are to end, us: a first
 /// request follows its connection sooner.
-const NEVER_ASKED: i64 = 200_000;
+const NEVER_ASKED: Span = Span::from_millis(200);
 
 /// What falls due for a connection: a look whether it stands still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,7 +63,7 @@
         /// Its body.
         body: Bytes,
         /// When its first byte came: it may have waited unread since.
-        arrived: i64,
+        arrived: Instant,
     },
     /// A request beyond the most that may be open; [`ThriftFront::answer_unbound`] answers it.
     RequestOverLimit {
@@ -102,13 +103,13 @@
 
 impl ThriftFront {
     /// Takes a client's connection in.
-    pub fn open(&mut self, now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
+    pub fn open(&mut self, now: Instant, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) {
         let session = Session::new(now, conn, due);
         self.sessions.insert(conn, session);
     }
 
     /// What a connection that was just taken in has sent may have waited since then: no connection could be taken.
-    pub fn waits_since(&mut self, conn: ConnectionKey, since: i64) {
+    pub fn waits_since(&mut self, conn: ConnectionKey, since: Instant) {
         if let Some(session) = self.sessions.get_mut(&conn) {
             session.waits_since = Some(since);
         }
@@ -163,7 +164,7 @@
     /// Writes a request's one answer; none if it is not open any more.
     pub fn answer(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         seqid: i32,
         reply: ThriftReply,
@@ -186,7 +187,7 @@
     /// Writes an answer to what was never open: a ping, or a request too many.
     pub fn answer_unbound(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         seqid: i32,
         reply: ThriftReply,
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -1,5 +1,6 @@
 //! Reading from clients: messages taken whole and by turns, and cancellations seen also where nothing else is taken.
 
+use crate::interface::{Instant};
 use super::codec::{self, Method, ThriftReply, PREFIX};
 use super::frames::{cancelled, next_frame};
 use super::{ThriftEvent, ThriftFront, MOST_FRAME, MOST_OPEN, MOST_UNWRITTEN, TURN};
@@ -28,7 +29,7 @@
     /// gone: what it asked for is over, also what is still unread.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         closed: bool,
         net: &mut Net,
@@ -59,7 +60,7 @@
     /// The same where nothing can be read any more: only answers are written.
     fn ready_unreadable(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<super::SessionDeadline>,
@@ -75,7 +76,7 @@
     /// asked there before.
     fn end_unreadable(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
@@ -93,7 +94,7 @@
 
     fn read(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         asks: &mut Vec<ThriftEvent>,
@@ -131,7 +132,7 @@
     /// Takes whole messages, up to a turn's number.
     fn take_frames(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         taken: &mut usize,
         net: &mut Net,
@@ -150,7 +151,7 @@
     /// cancelled there, and is over at once. The bytes stay for when they have their turn.
     fn read_cancellations(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         asks: &mut Vec<ThriftEvent>,
@@ -171,7 +172,7 @@
 
     fn take(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         frame: Bytes,
         net: &mut Net,
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -1,5 +1,6 @@
 //! What is kept of one client's connection.
 
+use crate::interface::{Instant};
 use super::{SessionDeadline, ThriftEvent, LOOK, NEVER_ASKED};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::net::{ConnectionKey, Net, Reason};
@@ -8,7 +9,7 @@
 /// Bytes that came together and are not used yet.
 struct Arrival {
     bytes: usize,
-    at: i64,
+    at: Instant,
 }
 
 /// When the unused bytes of a connection came, the oldest first: a request may wait unread while its client's
@@ -18,7 +19,7 @@
 
 impl Arrivals {
     /// Bytes have come.
-    pub(super) fn add(&mut self, bytes: usize, at: i64) {
+    pub(super) fn add(&mut self, bytes: usize, at: Instant) {
         match self.0.back_mut() {
             Some(last) if last.at == at => last.bytes += bytes,
             _ if bytes > 0 => self.0.push_back(Arrival { bytes, at }),
@@ -50,22 +51,22 @@
     pub look: Option<DeadlineHandle>,
     /// Bytes written, and when some were last.
     pub wrote: u64,
-    pub moved: i64,
+    pub moved: Instant,
     /// When a message came or was answered last.
-    pub heard: i64,
+    pub heard: Instant,
     /// Since when a message is awaited that has begun, or a first one.
-    pub begun: Option<i64>,
+    pub begun: Option<Instant>,
     /// It has sent a whole message.
     pub asked: bool,
     /// There may be more to read than its turn allowed.
     pub more: bool,
     /// Since when nothing more is read: it is to be handed on once what is open is answered...
-    pub paused: Option<i64>,
+    pub paused: Option<Instant>,
     /// ... but not before this: it had its pause.
-    pub rested: i64,
+    pub rested: Instant,
     /// All is said, and the client is to close: closing first, with its bytes unread, would reset the connection
     /// and could take the last answers away from it.
-    pub lingers: Option<i64>,
+    pub lingers: Option<Instant>,
     /// The write side is shut down: no answer waits to be written any more.
     pub shut_down: bool,
     /// What came can't be read on from here: the connection ends for this once what is open there is answered.
@@ -75,11 +76,11 @@
     /// When the bytes came that are not used yet.
     pub arrivals: Arrivals,
     /// What the next read brings may wait since then.
-    pub waits_since: Option<i64>,
+    pub waits_since: Option<Instant>,
 }
 
 impl Session {
-    pub(super) fn new(now: i64, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) -> Self {
+    pub(super) fn new(now: Instant, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) -> Self {
         Session {
             open: BTreeMap::new(),
             look: Some(due.add(now + LOOK, SessionDeadline(conn))),
@@ -101,13 +102,13 @@
     }
 
     /// Notes bytes that were just read.
-    pub(super) fn arrived(&mut self, now: i64, bytes: usize) {
+    pub(super) fn arrived(&mut self, now: Instant, bytes: usize) {
         let at = self.waits_since.take().unwrap_or(now);
         self.arrivals.add(bytes, at);
     }
 
     /// Whether all that it asked is answered and no further message has begun.
-    pub(super) fn is_idle(&self, now: i64, conn: ConnectionKey, net: &mut Net) -> bool {
+    pub(super) fn is_idle(&self, now: Instant, conn: ConnectionKey, net: &mut Net) -> bool {
         let unread = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
         let asked = self.asked || self.heard + NEVER_ASKED <= now;
         let quiet = asked && self.lingers.is_none() && !self.more && self.open.is_empty();
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -1,5 +1,6 @@
 //! Messages that come in pieces, and the times of a connection.
 
+use crate::interface::{Instant};
 use super::*;
 use crate::deadlines::Deadlines;
 use crate::net::{Ready, Reason, Role};
@@ -41,7 +42,7 @@
     }
 
     /// What is asked once these bytes have come.
-    fn send(&mut self, now: i64, bytes: &[u8]) -> Vec<ThriftEvent> {
+    fn send(&mut self, now: Instant, bytes: &[u8]) -> Vec<ThriftEvent> {
         self.client.write_all(bytes).expect("written");
         let had = |net: &mut Net, conn| net.input(conn, |input| input.len()).unwrap_or(0);
         let before = had(&mut self.net, self.conn);
@@ -54,7 +55,7 @@
     }
 
     /// Lets the looks up to a time fall; whether the connection is still open.
-    fn pass(&mut self, until: i64) -> bool {
+    fn pass(&mut self, until: Instant) -> bool {
         while let Some(at) = self.due.next().filter(|at| *at <= until) {
             while let Some(what) = self.due.pop(at) {
                 self.front.due(at, what, &mut self.net, &mut self.due);
--- a/src/lab/caches.rs
+++ b/src/lab/caches.rs
@@ -1,6 +1,7 @@
 //! Stand-in table caches, parents and the origin on real sockets of this machine, with scripted faults: the same hosts
 //! as in the simulator ([`crate::sim::hosts`]), each behind a listener of its own.
 
+use crate::interface::{Instant, Span};
 use super::feed::StandInFeed;
 use crate::net::unix_micros;
 use crate::sim::faults::{Fault, What};
@@ -16,7 +17,7 @@
 use std::time::{Duration, SystemTime};
 
 /// A source that is not there is given up after this, us.
-const SOURCE_LOST: i64 = 300_000;
+const SOURCE_LOST: Span = Span::from_millis(300);
 
 /// What is due.
 enum Due {
@@ -115,7 +116,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn plan(&self, state: &mut State, at: i64, due: Due) {
+    fn plan(&self, state: &mut State, at: Instant, due: Due) {
         state.next += 1;
         state.due.insert((at, state.next), due);
         self.state.1.notify_one();
@@ -250,7 +251,7 @@
         }
     }
 
-    fn fault(&self, state: &mut State, now: i64, what: What) {
+    fn fault(&self, state: &mut State, now: Instant, what: What) {
         let close = |state: &mut State, host: usize| {
             state.links.retain(|_, (number, stream)| {
                 let other = *number != host;
@@ -287,7 +288,7 @@
 }
 
 /// How long a host takes for one request, us.
-fn service(state: &mut State, number: usize, now: i64) -> i64 {
+fn service(state: &mut State, number: usize, now: Instant) -> i64 {
     let usual = state.random.random_range(2_000..=12_000);
     let (times, until) = state.fleet.hosts[number].slow;
     if until > now {
--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -3,7 +3,7 @@
 use super::log::{ClientEvent, FeedChange, FeedEvent, LogEntry, View};
 use crate::control::resource::ResourceType;
 use crate::control::version::{Epoch, Sequence, Version};
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A rule that a client's log breaks.
@@ -16,7 +16,7 @@
         /// The server.
         server: String,
         /// How long after the feed's event, us.
-        after: Micros,
+        after: Span,
     },
     /// It did not know of a purge within the deadline.
     MissedPurge {
@@ -55,11 +55,11 @@
 /// A server that left, as far as the feed says.
 struct Departure<'a> {
     server: &'a str,
-    left_at: Micros,
+    left_at: Instant,
     /// Until when clients may still have it, us.
-    deadline: Micros,
+    deadline: Instant,
     /// When it may be used again; [`Micros::MAX`]: never.
-    returned_at: Micros,
+    returned_at: Instant,
 }
 
 /// The log of one client, in the order of time.
@@ -70,7 +70,7 @@
 
 /// For each departure of a server and each client that had it: how long after the feed's event the client accepted a
 /// view without it, us. The measurement behind the deadline.
-pub fn drain_delays(log: &[LogEntry], events: &[FeedEvent]) -> Vec<Micros> {
+pub fn drain_delays(log: &[LogEntry], events: &[FeedEvent]) -> Vec<Span> {
     let clients = by_client(log);
     let mut delays = Vec::new();
     for event in events {
@@ -81,7 +81,7 @@
 }
 
 /// Holds logs against the feed's events. `bound` is how long after an event a client may still have the old view, us.
-pub fn check(log: &[LogEntry], events: &[FeedEvent], bound: Micros) -> Vec<Breach> {
+pub fn check(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
     for client in by_client(log) {
         client.check_versions(&mut breaches);
@@ -103,7 +103,7 @@
 }
 
 /// When a server that left at some time may be used again.
-fn returned_at(events: &[FeedEvent], server: &str, left_at: Micros) -> Micros {
+fn returned_at(events: &[FeedEvent], server: &str, left_at: Instant) -> Span {
     let returns = events.iter().filter(|event| event.at > left_at);
     let returns = returns
         .filter(|event| matches!(&event.change, FeedChange::ServerReturned(returned) if returned == server));
@@ -121,7 +121,7 @@
 
 impl<'a> ClientLog<'a> {
     /// The views of a type that the client accepted, and when.
-    fn accepted(&self, resource_type: ResourceType) -> impl Iterator<Item = (Micros, &'a View)> + '_ {
+    fn accepted(&self, resource_type: ResourceType) -> impl Iterator<Item = (Span, &'a View)> + '_ {
         self.entries.iter().filter_map(move |entry| match &entry.event {
             ClientEvent::Received(view) if view.resource_type == resource_type && view.accepted => {
                 Some((entry.at, view))
@@ -131,13 +131,13 @@
     }
 
     /// The view of a type that is in force at some time.
-    fn in_force(&self, resource_type: ResourceType, at: Micros) -> Option<&'a View> {
+    fn in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
         let earlier = self.accepted(resource_type).take_while(|(accepted_at, _)| *accepted_at <= at);
         earlier.last().map(|(_, view)| view)
     }
 
     /// Whether the client was connected from one time to another without a break.
-    fn was_connected(&self, from: Micros, to: Micros) -> bool {
+    fn was_connected(&self, from: Span, to: Span) -> bool {
         let mut connected = false;
         for entry in &self.entries {
             match entry.event {
@@ -152,7 +152,7 @@
 
     /// How long after a server left the client accepted endpoints without it; `None`: it did not have it, or never
     /// accepted such.
-    fn drain_delay(&self, server: &str, left_at: Micros) -> Option<Micros> {
+    fn drain_delay(&self, server: &str, left_at: Instant) -> Option<Span> {
         let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < left_at).last();
         before.filter(|(_, view)| view.servers.contains(server))?;
         let mut after = self.accepted(ResourceType::Endpoints).filter(|(at, _)| *at >= left_at);
@@ -171,7 +171,7 @@
     }
 
     /// How long after a server left the client still had it, or got it anew, between the deadline and its return.
-    fn kept_for(&self, resource_type: ResourceType, departure: &Departure<'_>) -> Option<Micros> {
+    fn kept_for(&self, resource_type: ResourceType, departure: &Departure<'_>) -> Option<Span> {
         let late = departure.deadline..departure.returned_at;
         let names = |view: &View| view.servers.contains(departure.server);
         let mut views = self.accepted(resource_type);
@@ -187,7 +187,7 @@
         Some(until - departure.left_at)
     }
 
-    fn check_purge(&self, what: &str, at_ms: i64, stated_at: Micros, deadline: Micros) -> Option<Breach> {
+    fn check_purge(&self, what: &str, at_ms: i64, stated_at: Instant, deadline: Instant) -> Option<Breach> {
         let routes = self.in_force(ResourceType::Routes, deadline)?;
         let knows = routes.newer_than_ms.get(what).is_some_and(|newer_than| *newer_than > at_ms);
         if knows || !self.was_connected(stated_at, deadline) {
--- a/src/lab/views/log.rs
+++ b/src/lab/views/log.rs
@@ -1,7 +1,7 @@
 //! The logs of xDS clients: what each received, and when; and what the control feed stated meanwhile.
 
 use crate::control::resource::ResourceType;
-use crate::interface::Micros;
+use crate::interface::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A line of a client's log.
@@ -10,7 +10,7 @@
     /// The client's name; one that reconnects keeps it.
     pub client: String,
     /// When, us, on the clock of all logs.
-    pub at: Micros,
+    pub at: Instant,
     /// What happened.
     pub event: ClientEvent,
 }
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedEvent {
     /// When, us, on the clock of all logs.
-    pub at: Micros,
+    pub at: Instant,
     /// What changed.
     pub change: FeedChange,
 }
--- a/src/lab/views/tests.rs
+++ b/src/lab/views/tests.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 use crate::control::resource::ResourceType;
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use ResourceType::{Endpoints, Routes};
 
-const BOUND: Micros = 1000;
+const BOUND: Span = Span::from_millis(1);
 
-fn line(at: Micros, event: ClientEvent) -> LogEntry {
+fn line(at: Instant, event: ClientEvent) -> LogEntry {
     LogEntry { client: "a".into(), at, event }
 }
 
-fn received(at: Micros, view: View) -> LogEntry {
+fn received(at: Instant, view: View) -> LogEntry {
     line(at, ClientEvent::Received(view))
 }
 
@@ -24,11 +24,11 @@
     View { accepted: false, ..view }
 }
 
-fn left(at: Micros) -> FeedEvent {
+fn left(at: Instant) -> FeedEvent {
     FeedEvent { at, change: FeedChange::ServerLeft("s".into()) }
 }
 
-fn stale(after: Micros) -> Breach {
+fn stale(after: Span) -> Breach {
     Breach::StaleServer { client: "a".into(), server: "s".into(), after }
 }
 
--- a/src/lab/xds/measure.rs
+++ b/src/lab/xds/measure.rs
@@ -8,7 +8,7 @@
 use crate::control::resource::ResourceType;
 use crate::control::service::{ControlError, Running};
 use crate::control::session::Variant;
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use crate::lab::feed::StandInFeed;
 use crate::lab::site::Shape;
 use crate::lab::views::{check, Breach, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// How long after a drain a client may still have the cache, us: the platform's bound.
-const DRAIN_BOUND: Micros = 1_000_000;
+const DRAIN_BOUND: Span = Span::from_secs(1);
 /// The class of table caches in a made-up site's list.
 const CACHE_CLASS: &str = "std";
 /// The longest time that is recorded, us.
@@ -266,7 +266,7 @@
     }
 
     /// States a server's new health over the feed; returns when.
-    fn set_health(&mut self, feed: &StandInFeed, host: &Value, health: &str, change: FeedChange) -> Micros {
+    fn set_health(&mut self, feed: &StandInFeed, host: &Value, health: &str, change: FeedChange) -> Span {
         let at = log_time();
         feed.tell_health(host, health);
         self.feed_events.push(FeedEvent { at, change });
@@ -274,7 +274,7 @@
     }
 
     /// The next entry of any client's log; `None`: none came within `wait` after `since`.
-    async fn next_entry(&mut self, since: Micros, wait: Duration) -> Option<LogEntry> {
+    async fn next_entry(&mut self, since: Instant, wait: Duration) -> Option<LogEntry> {
         let waited = Duration::from_micros((log_time() - since).max(0) as u64);
         let rest = wait.saturating_sub(waited);
         tokio::time::timeout(rest, self.entries.recv()).await.ok().flatten()
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -2,12 +2,12 @@
 //! the [`WallClock`] may be stepped at any time and is read only where a page states Unix time.
 
 use super::fabric::Fabric;
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// What the monotonic clock reads at the start of a process, us. The figure means nothing, but it is no Unix time, and
 /// a time of 0 is long ago for every span.
-const FIRST: Micros = 1 << 49;
+const FIRST: Span = 1 << 49;
 
 /// The monotonic clock: it runs on whatever happens to the wall clock, and each process has a zero of its own.
 pub struct Clock {
@@ -29,7 +29,7 @@
     }
 
     /// The time now, us.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Span {
         match &self.fabric {
             Some(fabric) => fabric.process_time(),
             None => {
@@ -53,7 +53,7 @@
     }
 
     /// Unix time, us.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Span {
         match &self.fabric {
             Some(fabric) => fabric.wall_time(),
             None => unix_micros(SystemTime::now()),
@@ -62,8 +62,8 @@
 }
 
 /// A system time as Unix time, us; one before 1970 counts as 0.
-pub fn unix_micros(time: SystemTime) -> Micros {
-    time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
+pub fn unix_micros(time: SystemTime) -> Span {
+    time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Span)
 }
 
 #[cfg(test)]
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,5 +1,6 @@
 //! Connections are opened, taken in, handed on and closed.
 
+use crate::interface::{Instant};
 use super::errors::concerns_one_connection;
 use super::poll::Poller;
 use super::{fabric, Conn, ConnectionKey, Listener, Net, Reason, Role, Stream, CHUNK};
@@ -54,7 +55,7 @@
     /// # Errors
     ///
     /// The process is out of descriptors or the like, or one connection after another has failed.
-    pub fn accept(&mut self, now: i64, listener: &Listener, role: Role) -> io::Result<Option<ConnectionKey>> {
+    pub fn accept(&mut self, now: Instant, listener: &Listener, role: Role) -> io::Result<Option<ConnectionKey>> {
         let mut failed = 0;
         loop {
             match listener.accept() {
@@ -72,7 +73,7 @@
     /// # Errors
     ///
     /// The connection fails at once, or [`is_local`]: for want of a descriptor, a port or the like. Nothing was sent.
-    pub fn connect(&mut self, now: i64, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
+    pub fn connect(&mut self, now: Instant, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
             match self.begin_connect(peer) {
                 Ok(stream) => return self.add(now, stream, role, peer),
@@ -89,7 +90,7 @@
         }
     }
 
-    fn add(&mut self, now: i64, stream: Stream, role: Role, peer: SocketAddr) -> io::Result<ConnectionKey> {
+    fn add(&mut self, now: Instant, stream: Stream, role: Role, peer: SocketAddr) -> io::Result<ConnectionKey> {
         if let Stream::Tcp(stream) = &stream {
             let _ = stream.set_nodelay(true); // only slower without
         }
@@ -142,7 +143,7 @@
     /// It is broken, or can't be watched.
     pub fn adopt(
         &mut self,
-        now: i64,
+        now: Instant,
         stream: std::net::TcpStream,
         role: Role,
         input: &[u8],
@@ -159,7 +160,7 @@
     /// It is gone.
     pub fn adopt_virtual(
         &mut self,
-        now: i64,
+        now: Instant,
         end: fabric::VirtualStream,
         role: Role,
         input: &[u8],
@@ -170,7 +171,7 @@
 
     fn adopt_stream(
         &mut self,
-        now: i64,
+        now: Instant,
         stream: Stream,
         role: Role,
         peer: SocketAddr,
@@ -188,7 +189,7 @@
     /// this process.
     pub fn hand_over(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         to: impl FnOnce(&Stream, &[u8]) -> bool,
     ) -> bool {
@@ -225,7 +226,7 @@
     }
 
     /// Ends a connection, with its log line.
-    pub fn close(&mut self, now: i64, key: ConnectionKey, reason: Reason) {
+    pub fn close(&mut self, now: Instant, key: ConnectionKey, reason: Reason) {
         let is_client =
             self.conns.get(key).is_some_and(|conn| matches!(conn.role, Role::Thrift | Role::Signed));
         // The process that it was handed on to reads there.
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -39,7 +39,7 @@
         /// What came.
         bytes: Vec<u8>,
         /// When it was written, us: what a silent host holds back comes late.
-        sent: i64,
+        sent: Instant,
     },
     /// The process writes nothing more.
     Closed {
@@ -85,7 +85,7 @@
 
 impl Fabric {
     /// A network at this time, us, whose connections have delays between these, drawn from a seed.
-    pub fn new(now: i64, seed: u64, delays: (i64, i64)) -> Self {
+    pub fn new(now: Instant, seed: u64, delays: (i64, i64)) -> Self {
         Fabric(Arc::new(Mutex::new(State { now, random: seed, delays, ..State::default() })))
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Lets the connections to a host that are begun before a time come up late, us.
-    pub fn delay_dials(&self, host: SocketAddr, late: i64, until: i64) {
+    pub fn delay_dials(&self, host: SocketAddr, late: i64, until: Instant) {
         self.state().dial_delays.insert(host, (late, until));
     }
 
@@ -235,22 +235,22 @@
     }
 
     /// Until a time processes get no descriptor for a connection: accepting and connecting fail with this error.
-    pub fn exhaust(&self, error: Errno, until: i64) {
+    pub fn exhaust(&self, error: Errno, until: Instant) {
         self.state().errors.exhausted = Some((error, until));
     }
 
     /// Until a time connecting to a host fails with this error, at once or as the connection would have come up.
-    pub fn fail_connects(&self, host: SocketAddr, error: Errno, at_once: bool, until: i64) {
+    pub fn fail_connects(&self, host: SocketAddr, error: Errno, at_once: bool, until: Instant) {
         self.state().errors.connects.insert(host, FailedConnect { error, at_once, until });
     }
 
     /// Until a time reads and writes of the processes take so many bytes at most.
-    pub fn shorten(&self, most: usize, until: i64) {
+    pub fn shorten(&self, most: usize, until: Instant) {
         self.state().errors.short = Some((most.max(1), until));
     }
 
     /// Until a time every other call of the processes is interrupted by a signal.
-    pub fn interrupt(&self, until: i64) {
+    pub fn interrupt(&self, until: Instant) {
         self.state().errors.interrupted_until = until;
     }
 
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,5 +1,6 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
+use crate::interface::{Instant, Span};
 use super::errors::Errors;
 use super::{ActorEvent, HostBehaviour, ProcessMessage};
 use crate::spread::next;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// Data of a held connection is tried again this long after its host is back, us.
-const RESEND: i64 = 1_000;
+const RESEND: Span = Span::from_millis(1);
 
 pub(super) enum Due {
     /// A process's connection comes up, or is refused.
@@ -108,7 +109,7 @@
 
 #[derive(Default)]
 pub(super) struct State {
-    pub now: i64,
+    pub now: Instant,
     /// The processes' wall clock is ahead by so much, us.
     pub wall_offset: i64,
     /// With deadlines on the wall clock, a planted bug: the latest time that it has told, us.
@@ -134,7 +135,7 @@
 }
 
 impl State {
-    pub(super) fn plan(&mut self, at: i64, due: Due) {
+    pub(super) fn plan(&mut self, at: Instant, due: Due) {
         self.count += 1;
         self.agenda.insert((at.max(self.now), self.count), due);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,7 +22,7 @@
 pub use stream::{Listener, Stream};
 pub use transfer::ReadProgress;
 
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use crate::slots::{Key, Slots};
 use bytes::{Bytes, BytesMut};
 use fabric::Fabric;
@@ -42,7 +42,7 @@
     role: Role,
     peer: String,
     address: std::net::IpAddr,
-    opened: i64,
+    opened: Instant,
     input: BytesMut,
     out: VecDeque<Bytes>,
     out_bytes: usize,
@@ -84,7 +84,7 @@
     }
 
     /// Unix time, us, for what is stated in Unix time; see [`WallClock`].
-    pub fn unix_time(&self) -> Micros {
+    pub fn unix_time(&self) -> Span {
         self.wall.now()
     }
 
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -1,8 +1,6 @@
 //! Open requests and their attempts.
 
-use crate::interface::{
-    AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Micros, Request, ServerId, SiteLimits,
-};
+use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, ServerId, SiteLimits, Span};
 
 /// How an attempt failed whose fault may be its cache's or its source's.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -17,7 +15,7 @@
     pub server: ServerId,
     /// Who supplies a miss; the server itself: nobody.
     pub source: ServerId,
-    pub sent: Micros,
+    pub sent: Instant,
     /// Sent by the popular directory, with the home as its source.
     pub delegate: bool,
     /// Asks only for what the cache or its source holds: fills are held back.
@@ -59,7 +57,7 @@
 /// The first attempt of a request that may have run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PossibleRun {
-    pub sent: Micros,
+    pub sent: Instant,
     pub server: ServerId,
 }
 
@@ -68,7 +66,7 @@
     pub request: Request,
     /// The limits that held when it came.
     pub limits: SiteLimits,
-    pub arrived: Micros,
+    pub arrived: Instant,
     pub attempts: Vec<Attempt>,
     pub finished: bool,
     pub streaming: bool,
@@ -77,7 +75,7 @@
 
 impl OpenRequest {
     /// A request that has just arrived.
-    pub fn new(now: Micros, request: Request, limits: SiteLimits) -> Self {
+    pub fn new(now: Instant, request: Request, limits: SiteLimits) -> Self {
         OpenRequest {
             request,
             limits,
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -5,13 +5,13 @@
     popularity::{least_distributed, object_key},
     Router,
 };
-use crate::interface::{Micros, Request, ServerId, SiblingSources};
+use crate::interface::{Instant, Request, ServerId, SiblingSources};
 
 impl Router {
     /// The delegate that a popular object's request goes to, or another cache at which one is started.
     pub(super) fn delegate(
         &self,
-        now: Micros,
+        now: Instant,
         open: &OpenRequest,
         order: &[ServerId],
         random: u64,
@@ -38,7 +38,7 @@
     }
 
     /// Books how a delegate's attempt ended.
-    pub(super) fn on_delegate_ended(&mut self, now: Micros, request: &Request, attempt: &Attempt, ok: bool) {
+    pub(super) fn on_delegate_ended(&mut self, now: Instant, request: &Request, attempt: &Attempt, ok: bool) {
         if let Some(entry) = self.directory.get_mut(object_key(request)) {
             entry.on_delegate_ended(now, attempt.server, ok);
         }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -7,7 +7,7 @@
     timing::{PROBE_INTERVAL, SECOND},
     Router,
 };
-use crate::interface::{Action, ClassId, FillAttempt, Micros, RejectionReason, Request, RequestId, ServerId};
+use crate::interface::{Action, ClassId, FillAttempt, Instant, RejectionReason, Request, RequestId, ServerId, Span};
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
 
 impl Router {
     /// Takes in a client's request and sends its first attempt.
-    pub(super) fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
+    pub(super) fn on_request(&mut self, now: Instant, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         if usize::from(request.class.0) >= self.settings.classes.len() {
             return out.push(Action::Fail(id));
@@ -47,7 +47,7 @@
     }
 
     /// Sends a request's next attempt, or answers it if there is nowhere to send it.
-    pub(super) fn dispatch(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, now: Instant, id: RequestId, out: &mut Vec<Action>) {
         let random = self.random.next_u64();
         let Some(open) = self.open.get(&id).filter(|open| !open.finished) else { return };
         match self.route(now, open, random) {
@@ -61,7 +61,7 @@
     }
 
     /// Where a request's next attempt goes, or what stands in its way.
-    fn route(&self, now: Micros, open: &OpenRequest, random: u64) -> Result<Route, RejectionReason> {
+    fn route(&self, now: Instant, open: &OpenRequest, random: u64) -> Result<Route, RejectionReason> {
         if open.attempts.len() >= open.limits.max_attempts as usize {
             return Err(RejectionReason::AttemptsExhausted);
         }
@@ -82,7 +82,7 @@
     }
 
     /// An attempt at a server that is no delegate: its source, and whether fills are held back.
-    fn route_to(&self, now: Micros, open: &OpenRequest, server: ServerId) -> Route {
+    fn route_to(&self, now: Instant, open: &OpenRequest, server: ServerId) -> Route {
         let source = if self.is_cache(server) { self.fill_source(now, open) } else { None };
         let origin_failed = open.attempts.iter().any(|attempt| attempt.origin_failed);
         let over_limit = open.attempts.is_empty()
@@ -96,7 +96,7 @@
     }
 
     /// The attempt as it is sent.
-    fn get(&self, now: Micros, open: &OpenRequest, route: &Route) -> FillAttempt {
+    fn get(&self, now: Instant, open: &OpenRequest, route: &Route) -> FillAttempt {
         let request = &open.request;
         let count = self.directory.count_of(object_key(request));
         let rescued_there = open.attempts.iter().any(|a| a.server == route.server && a.rescued);
@@ -120,7 +120,7 @@
     }
 
     /// Books an attempt that is sent.
-    fn record_attempt(&mut self, now: Micros, get: &FillAttempt, route: &Route) {
+    fn record_attempt(&mut self, now: Instant, get: &FillAttempt, route: &Route) {
         let (server, source) = (get.server, get.source);
         let attempt = Attempt {
             server,
@@ -150,7 +150,7 @@
     }
 
     /// Books the mean work of a class against the servers that do it.
-    fn record_sent_work(&mut self, now: Micros, class: ClassId, servers: BTreeSet<ServerId>) {
+    fn record_sent_work(&mut self, now: Instant, class: ClassId, servers: BTreeSet<ServerId>) {
         let work = self.times(class).sending / SECOND as f64;
         for server in servers {
             self.servers.entry(server).and_modify(|s| s.recent_work.push_back(SentWork { at: now, work }));
@@ -158,13 +158,13 @@
     }
 
     /// Until when a request is worth trying for: not long past its objective, where the size is told.
-    fn worth_until(&self, open: &OpenRequest) -> Micros {
+    fn worth_until(&self, open: &OpenRequest) -> Span {
         let class = self.class(&open.request);
         let objective =
             class.latency_objective as f64 + class.objective_stretch * self.sending_time(&open.request);
         let is_size_told = open.request.size_kb > 0.0;
         let longest =
-            if is_size_told { (objective * LONGEST_PART_OF_OBJECTIVE) as Micros } else { Micros::MAX };
+            if is_size_told { (objective * LONGEST_PART_OF_OBJECTIVE) as Span } else { Micros::MAX };
         open.arrived + longest.min(open.request.client_timeout)
     }
 }
--- a/src/policy/effects.rs
+++ b/src/policy/effects.rs
@@ -4,11 +4,11 @@
     attempt::{OpenRequest, PossibleRun},
     Router,
 };
-use crate::interface::{DedupScope, Idempotency, Micros, ServerId};
+use crate::interface::{DedupScope, Idempotency, Instant, ServerId};
 
 impl Router {
     /// Whether another attempt keeps the rule on effects.
-    pub(super) fn may_send(&self, now: Micros, open: &OpenRequest, server: ServerId) -> bool {
+    pub(super) fn may_send(&self, now: Instant, open: &OpenRequest, server: ServerId) -> bool {
         let class = self.class(&open.request);
         let in_flight = open.attempts.iter().find(|attempt| attempt.in_flight);
         if in_flight.is_some() && (!open.limits.parallel_attempts || open.streaming) {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,13 +1,13 @@
 //! The endpoint list: its changes, and what each server is used for.
 
 use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_AGAIN};
-use crate::interface::{Action, Endpoint, ListUpdate, Micros, ServerId, ServerState};
+use crate::interface::{Action, Endpoint, Instant, ListUpdate, ServerId, ServerState};
 
 impl Router {
     /// Takes in news of the endpoint list.
     pub(super) fn on_members(
         &mut self,
-        now: Micros,
+        now: Instant,
         kind: ListUpdate,
         entries: Vec<Endpoint>,
         out: &mut Vec<Action>,
@@ -32,7 +32,7 @@
     }
 
     /// Takes in one entry of the list.
-    fn update_member(&mut self, now: Micros, member: Endpoint) {
+    fn update_member(&mut self, now: Instant, member: Endpoint) {
         let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
         if server.member.started_at != member.started_at {
             server.on_restart();
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -1,8 +1,9 @@
 //! The limit of concurrent fetches that reach the origin, and the queue of requests that wait for one.
 
+use crate::interface::{Instant, Span};
 use super::timing::SECOND;
 use crate::{
-    interface::{Micros, RequestId},
+    interface::{Span, RequestId},
     spread::mix,
 };
 
@@ -19,7 +20,7 @@
 /// few fetches count as much as many.
 struct Step {
     rate: f64,
-    longest: Micros,
+    longest: Span,
 }
 
 /// What the end of a fetch tells about the origin.
@@ -37,14 +38,14 @@
 pub struct FetchLimit {
     pub in_flight: usize,
     limit: f64,
-    observed_at: Micros,
+    observed_at: Instant,
     /// The requests that wait for a fetch to end.
     pub queue: Vec<RequestId>,
 }
 
 impl FetchLimit {
     /// The limit before any fetch.
-    pub fn new(now: Micros) -> Self {
+    pub fn new(now: Instant) -> Self {
         FetchLimit { in_flight: 0, limit: INITIAL_LIMIT, observed_at: now, queue: Vec::new() }
     }
 
@@ -66,7 +67,7 @@
     }
 
     /// Moves the limit by the end of a fetch; it stays at least at `least`.
-    pub fn observe(&mut self, now: Micros, speed: FetchSpeed, least: f64) {
+    pub fn observe(&mut self, now: Instant, speed: FetchSpeed, least: f64) {
         let in_flight = self.in_flight as f64;
         let slow = speed == FetchSpeed::Slow;
         // A limit that was not used says nothing: it falls from what was in flight (RFC 7661).
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -8,10 +8,10 @@
     timing::SECOND,
     Router,
 };
-use crate::interface::{CacheStatusDetail, Micros, ServerId};
+use crate::interface::{CacheStatusDetail, Instant, ServerId, Span};
 
 /// A source's first byte drifts back to the usual over this long without news: then it is tried again.
-const FIRST_BYTE_MEMORY: Micros = 5 * SECOND;
+const FIRST_BYTE_MEMORY: Span = 5 * SECOND;
 /// The first of an object's two parents is left for the second while its wait is this many times as long.
 const CLEARLY_SOONER: f64 = 2.0;
 /// The usual first byte, as a part of a class's latency objective.
@@ -20,7 +20,7 @@
 impl Router {
     /// Where a miss is filled from: two parents by the object's hash, those of the hub first, and of them the
     /// first unless the other is clearly sooner. All routers draw the same two: not every parent fetches it.
-    pub(super) fn fill_source(&self, now: Micros, open: &OpenRequest) -> Option<ServerId> {
+    pub(super) fn fill_source(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
         let usual = self.class(&open.request).latency_objective as f64 / USUAL_FIRST_BYTE_DIVISOR;
         let first_byte = |server: &Server| expected_first_byte(now, server, usual);
         match self.parents_in_order(now, open)[..] {
@@ -33,7 +33,7 @@
     }
 
     /// The parents that may fill a request, those of the hub first, by the object's hash.
-    fn parents_in_order(&self, now: Micros, open: &OpenRequest) -> Vec<&Server> {
+    fn parents_in_order(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let object = object_key(&open.request);
         let score = |server: &Server| {
             rendezvous(object, server.member.server, server.member.weight * self.warmth(now, server))
@@ -47,7 +47,7 @@
     }
 
     /// The parents in their warm-up budgets that are neither ejected nor have failed the request.
-    fn eligible_parents(&self, now: Micros, open: &OpenRequest) -> Vec<&Server> {
+    fn eligible_parents(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let class = open.request.class;
         let in_budget = self.parents.iter().filter(|s| !self.is_warm_up_budget_spent(now, **s, class));
         let parents: Vec<&Server> = in_budget.map(|server| &self.servers[server]).collect();
@@ -67,7 +67,7 @@
 }
 
 /// The first byte that is expected of a source by now.
-fn expected_first_byte(now: Micros, server: &Server, usual: f64) -> f64 {
+fn expected_first_byte(now: Instant, server: &Server, usual: f64) -> f64 {
     let known = (-((now - server.first_byte_at) as f64) / FIRST_BYTE_MEMORY as f64).exp();
     usual + (server.first_byte.unwrap_or(usual) - usual) * known
 }
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -1,7 +1,7 @@
 //! The end of a request: its final answer, and the cancelling of what is still in flight.
 
 use super::{attempt::Attempt, Router};
-use crate::interface::{Action, ClassId, Micros, RejectionReason, RequestId};
+use crate::interface::{Action, ClassId, Instant, RejectionReason, RequestId, Span};
 
 /// Wait advised to a rejected client, as a part of its class's objective.
 const RETRY_AFTER_PART: f64 = 0.5;
@@ -10,7 +10,7 @@
     /// The final answer to a request that nothing more is tried for: at once, with the time to come back.
     pub(super) fn give_up(
         &mut self,
-        now: Micros,
+        now: Instant,
         id: RequestId,
         why: RejectionReason,
         out: &mut Vec<Action>,
@@ -28,11 +28,11 @@
     }
 
     /// How long a client of the class should stay away that is rejected; 0: no advice.
-    pub fn advice(&self, class: ClassId) -> Micros {
+    pub fn advice(&self, class: ClassId) -> Span {
         let target =
             self.settings.classes.get(usize::from(class.0)).map_or(0, |class| class.latency_objective);
         let limits = &self.settings.limits;
-        let advice = (target as f64 * RETRY_AFTER_PART) as Micros;
+        let advice = (target as f64 * RETRY_AFTER_PART) as Span;
         advice.min(if limits.retry_after { limits.max_retry_after } else { 0 })
     }
 
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,17 +1,17 @@
 //! How old a copy may be that is served: fresh times and purges.
 
 use super::{attempt::OpenRequest, Router};
-use crate::interface::{Micros, Purge};
+use crate::interface::{Instant, Purge, Span};
 
 impl Router {
     /// Takes in a purge.
-    pub(super) fn on_purged(&mut self, now: Micros, what: Purge, age: Micros) {
+    pub(super) fn on_purged(&mut self, now: Instant, what: Purge, age: Span) {
         let purged = now - age;
         self.purges.entry(what).and_modify(|at| *at = purged.max(*at)).or_insert(purged);
     }
 
     /// The oldest copy that will do: fresh, or past it on a retry, and newer than any purge.
-    pub(super) fn max_age(&self, now: Micros, open: &OpenRequest) -> Micros {
+    pub(super) fn max_age(&self, now: Instant, open: &OpenRequest) -> Span {
         let class = self.class(&open.request);
         let may_fetch = open.attempts.is_empty() && self.fetches.admits(open.request.id);
         let grace = if may_fetch { 0 } else { class.stale_for };
@@ -24,7 +24,7 @@
     }
 
     /// Forgets the purges that all servers have followed.
-    pub(super) fn forget_settled_purges(&mut self, now: Micros) {
+    pub(super) fn forget_settled_purges(&mut self, now: Instant) {
         let settles = self.settings.protection.purge_settled_after;
         self.purges.retain(|_, at| *at + 2 * settles > now);
     }
--- a/src/policy/home.rs
+++ b/src/policy/home.rs
@@ -7,11 +7,11 @@
     server::{Server, UNSURE_ERROR_RATE},
     Router,
 };
-use crate::interface::{Idempotency, Micros, RejectionReason, Request, ServerId};
+use crate::interface::{Idempotency, Instant, RejectionReason, Request, ServerId};
 
 impl Router {
     /// The ready caches of the own location, the object's home first (rendezvous hash by size).
-    pub(super) fn hash_order(&self, now: Micros, object: ObjectKey) -> Vec<ServerId> {
+    pub(super) fn hash_order(&self, now: Instant, object: ObjectKey) -> Vec<ServerId> {
         let median = self.median_deviation();
         // One that is due for its probe gets it by its whole share, or it would wait for long.
         let reference = |s: &Server| if s.is_probe_due(now) { f64::INFINITY } else { median };
@@ -25,7 +25,7 @@
     /// ready; else what stands in the way.
     pub(super) fn home_or_parent(
         &self,
-        now: Micros,
+        now: Instant,
         open: &OpenRequest,
         order: &[ServerId],
     ) -> Result<ServerId, RejectionReason> {
@@ -45,14 +45,14 @@
     }
 
     /// The first usable cache, of those that are least to blame for the request's earlier attempts.
-    fn home(&self, now: Micros, open: &OpenRequest, order: &[ServerId]) -> Option<ServerId> {
+    fn home(&self, now: Instant, open: &OpenRequest, order: &[ServerId]) -> Option<ServerId> {
         let times_blamed = |s: &ServerId| open.attempts.iter().filter(|a| a.server == *s && a.blamed).count();
         let blame = |s: &ServerId| (times_blamed(s), !self.is_sure(&self.servers[s], open));
         order.iter().copied().filter(|server| self.is_usable(now, *server, open)).min_by_key(blame)
     }
 
     /// A parent or the origin, where requests may go there and no cache is ready.
-    fn parent_past_caches(&self, now: Micros, open: &OpenRequest) -> Option<ServerId> {
+    fn parent_past_caches(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
         if !self.settings.limits.direct_to_source || !self.caches.is_empty() {
             return None;
         }
@@ -61,7 +61,7 @@
     }
 
     /// Whether a cache may be sent a request: not ejected (or due for a probe) and in its warm-up budget.
-    pub(super) fn is_usable(&self, now: Micros, server: ServerId, open: &OpenRequest) -> bool {
+    pub(super) fn is_usable(&self, now: Instant, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return false };
         // A write is no probe: where it fails it may have run, and is lost.
         let may_probe = self.class(&open.request).idempotency == Idempotency::Always && to.is_probe_due(now);
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -6,7 +6,7 @@
     timing::{SECOND, SMOOTHING},
     Router,
 };
-use crate::interface::{AttemptOutcome, Micros, ServerId};
+use crate::interface::{AttemptOutcome, Instant, ServerId, Span};
 use std::collections::BTreeMap;
 
 /// Part of its objective that a request may be predicted to fill at a cache that has work already.
@@ -14,13 +14,13 @@
 /// Part of that for an object that this router has not seen of late: it likely needs a fill.
 const UNKNOWN_OBJECT_PART: f64 = 0.7;
 /// Own attempts in flight are smoothed over this long for each further router of the location: it sees fewer.
-const MEMORY_PER_ROUTER: Micros = SECOND / 4;
+const MEMORY_PER_ROUTER: Span = SECOND / 4;
 /// Most own and assumed attempts at a cache, over its link: past it even small requests wait too long.
 const MOST_LOAD: f64 = 6.0;
 
 impl Router {
     /// Whether a request is predicted to be late at a cache for what is there already.
-    pub(super) fn is_overloaded(&self, now: Micros, server: ServerId, open: &OpenRequest) -> bool {
+    pub(super) fn is_overloaded(&self, now: Instant, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return true };
         let attempts = self.attempts_at(now, to);
         let is_capacity_known = self.settings.topology.weights_state_links || self.measured_link.is_some();
@@ -29,13 +29,13 @@
     }
 
     /// Attempts at a server: the own ones, and those that the other routers are taken to have there.
-    pub(super) fn attempts_at(&self, now: Micros, to: &Server) -> f64 {
+    pub(super) fn attempts_at(&self, now: Instant, to: &Server) -> f64 {
         let other_routers = self.routers_sharing(self.is_cache(to.member.server)) - 1;
         f64::from(to.in_flight) + f64::from(other_routers) * to.smoothed_in_flight(now, self.load_memory())
     }
 
     /// How long own attempts in flight are smoothed over.
-    pub(super) fn load_memory(&self) -> Micros {
+    pub(super) fn load_memory(&self) -> Span {
         MEMORY_PER_ROUTER * Micros::from(self.routers_sharing(true) - 1)
     }
 
@@ -50,14 +50,14 @@
 
     /// What each server kept in mind, listed or gone with attempts still in flight, can be trusted with by
     /// now.
-    pub fn capacities(&self, now: Micros) -> BTreeMap<ServerId, f64> {
+    pub fn capacities(&self, now: Instant) -> BTreeMap<ServerId, f64> {
         let median = self.median_deviation();
         self.servers.iter().map(|(id, server)| (*id, self.capacity(now, server, median))).collect()
     }
 
     /// What a cache can be trusted with: its link, less what warming up and a latency deviation beyond chance
     /// take of it.
-    pub(super) fn capacity(&self, now: Micros, server: &Server, median_deviation: f64) -> f64 {
+    pub(super) fn capacity(&self, now: Instant, server: &Server, median_deviation: f64) -> f64 {
         let excess = server.latency_deviation - median_deviation;
         let excess = if excess > LEAST_DEVIATION { excess } else { 0.0 };
         self.link(server) * self.warmth(now, server) * (-excess).exp()
@@ -71,7 +71,7 @@
 
     /// Takes in an answer: as many as are there, each at its part of full pace, are what the link carries
     /// (Little's law).
-    pub(super) fn measure_link(&mut self, now: Micros, outcome: &AttemptOutcome, sending: f64, slack: f64) {
+    pub(super) fn measure_link(&mut self, now: Instant, outcome: &AttemptOutcome, sending: f64, slack: f64) {
         let Some(server) = self.servers.get(&outcome.server) else { return };
         let per_weight = (self.attempts_at(now, server) + 1.0) / server.member.weight.max(0.01);
         let elapsed = outcome.elapsed.max(1) as f64;
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt tells of the class, the cache, the source and the origin.
 
 use super::{attempt::Attempt, fetch_limit::FetchSpeed, Router};
-use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Micros, Request};
+use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request};
 
 /// A fetch is slow whose first byte takes this part of its class's objective, or that is late as a whole.
 const SLOW_FIRST_BYTE: f64 = 0.8;
@@ -37,7 +37,7 @@
     /// Takes in what the end of an attempt tells.
     pub(super) fn measure(
         &mut self,
-        now: Micros,
+        now: Instant,
         outcome: &AttemptOutcome,
         request: &Request,
         attempt: &Attempt,
@@ -107,7 +107,7 @@
     /// Takes in what an outcome tells of the cache.
     fn measure_cache(
         &mut self,
-        now: Micros,
+        now: Instant,
         outcome: &AttemptOutcome,
         attempt: &Attempt,
         measured: &Measured,
@@ -131,7 +131,7 @@
     /// Takes in what an outcome tells of the source of a fill.
     fn measure_source(
         &mut self,
-        now: Micros,
+        now: Instant,
         outcome: &AttemptOutcome,
         attempt: &Attempt,
         measured: &Measured,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -40,9 +40,7 @@
 mod timing;
 mod upkeep;
 
-use crate::interface::{
-    Action, Class, ClassId, Event, Micros, Purge, Request, RequestId, ServerId, Settings,
-};
+use crate::interface::{Action, Class, ClassId, Event, Instant, Purge, Request, RequestId, ServerId, Settings, Span};
 use crate::SettingsError;
 use attempt::OpenRequest;
 use class_times::ClassTimes;
@@ -77,21 +75,21 @@
     origin: Option<ServerId>,
     open: BTreeMap<RequestId, OpenRequest>,
     directory: PopularDirectory,
-    upkeep_at: Micros,
+    upkeep_at: Instant,
     ticking: bool,
     /// By class.
     times: Vec<ClassTimes>,
     /// Full-pace answers that the caches' links were seen to bear for each weight, where no weight tells it.
     measured_link: Option<f64>,
     /// When what was purged last.
-    purges: BTreeMap<Purge, Micros>,
+    purges: BTreeMap<Purge, Span>,
     retries: RetryBudget,
     fetches: FetchLimit,
 }
 
 impl Router {
     /// A router that knows nothing yet but its settings; an error where they cannot be used.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Router {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -128,7 +126,7 @@
     }
 
     /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update: kind, endpoints: entries } => {
                 self.on_members(now, kind, entries, out)
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -5,7 +5,7 @@
     timing::TICK,
     Router,
 };
-use crate::interface::{Action, AttemptOutcome, AttemptResult, Micros, RejectionReason};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, Instant, RejectionReason, Span};
 
 /// A request that so many caches have answered with an error is itself at fault, as likely as not.
 const MOST_ERRORS: usize = 3;
@@ -14,7 +14,7 @@
 
 impl Router {
     /// Takes in how an attempt ended.
-    pub(super) fn on_outcome(&mut self, now: Micros, outcome: AttemptOutcome, out: &mut Vec<Action>) {
+    pub(super) fn on_outcome(&mut self, now: Instant, outcome: AttemptOutcome, out: &mut Vec<Action>) {
         let notes = self.settings.limits.cache_status_detail;
         let Some(open) = self.open.get_mut(&outcome.request) else { return };
         let request = open.request.clone();
@@ -38,7 +38,7 @@
     /// Ends, holds or retries the request of an attempt that has ended.
     fn continue_request(
         &mut self,
-        now: Micros,
+        now: Instant,
         outcome: &AttemptOutcome,
         attempt: &Attempt,
         out: &mut Vec<Action>,
@@ -72,8 +72,8 @@
     }
 
     /// Whether a request may wait for a fetch: until well before its time, which a tick may miss by a little.
-    pub(super) fn may_wait(&self, now: Micros, open: &OpenRequest) -> bool {
-        let wait = (FETCH_WAIT * self.class(&open.request).latency_objective as f64) as Micros;
+    pub(super) fn may_wait(&self, now: Instant, open: &OpenRequest) -> bool {
+        let wait = (FETCH_WAIT * self.class(&open.request).latency_objective as f64) as Span;
         now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK)
     }
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -2,7 +2,7 @@
 //! moved.
 
 use super::{attempt::Attempt, timing::SECOND, Router};
-use crate::interface::{Action, CacheStatusDetail, Micros, RejectionReason, RequestId, ServerId};
+use crate::interface::{Action, CacheStatusDetail, Instant, RejectionReason, RequestId, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Overdue attempts that must be in flight at once for a server to be silent: one may just be large.
@@ -31,7 +31,7 @@
 
 impl Router {
     /// Looks over what is in flight: silent servers are ejected, and what waits there is sent elsewhere.
-    pub(super) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.ticking = false;
         self.upkeep(now);
         let patience = self.least_objective();
@@ -52,13 +52,13 @@
     }
 
     /// The least latency objective of the classes in use.
-    fn least_objective(&self) -> Micros {
+    fn least_objective(&self) -> Span {
         let classes = self.settings.classes.iter().filter(|class| !class.retired);
         classes.map(|class| class.latency_objective).min().unwrap_or(SECOND)
     }
 
     /// Looks over the attempts in flight.
-    fn survey(&self, now: Micros, patience: Micros) -> Survey {
+    fn survey(&self, now: Instant, patience: Span) -> Survey {
         let mut survey = Survey::default();
         for (id, open) in self.open.iter().filter(|(_, open)| !open.finished && !open.streaming) {
             if open.arrived + open.request.client_timeout <= now {
@@ -66,7 +66,7 @@
             }
             let usual = self.times(open.request.class).usual_limit();
             let sending = self.sending_time(&open.request);
-            let allowed = (patience as f64 + SENDING_TIMES * sending).max(usual) as Micros;
+            let allowed = (patience as f64 + SENDING_TIMES * sending).max(usual) as Span;
             for (number, attempt) in open.attempts.iter().enumerate().filter(|(_, a)| a.in_flight) {
                 *survey.in_flight.entry(attempt.source).or_default() += 1;
                 if attempt.sent + allowed > now {
@@ -83,7 +83,7 @@
     }
 
     /// Takes the requests out of the fetch queue that may wait no longer.
-    fn take_expired_waiters(&mut self, now: Micros) -> Vec<RequestId> {
+    fn take_expired_waiters(&mut self, now: Instant) -> Vec<RequestId> {
         let queue = std::mem::take(&mut self.fetches.queue);
         let still_open = queue.into_iter().filter(|id| self.open.contains_key(id));
         let (waiting, expired): (_, Vec<_>) = still_open.partition(|id| self.may_wait(now, &self.open[id]));
@@ -94,11 +94,11 @@
     /// Ejects a server if it is silent, and rescues its overdue attempts.
     fn check_silence(
         &mut self,
-        now: Micros,
+        now: Instant,
         server: ServerId,
         overdue: Vec<AttemptRef>,
         in_flight: usize,
-        patience: Micros,
+        patience: Span,
         out: &mut Vec<Action>,
     ) {
         let is_cache = self.is_cache(server);
@@ -148,7 +148,7 @@
     }
 
     /// Sends an overdue attempt's request elsewhere: hedged where two may be in flight, else in its place.
-    fn rescue(&mut self, now: Micros, overdue: AttemptRef, is_cache_at_fault: bool, out: &mut Vec<Action>) {
+    fn rescue(&mut self, now: Instant, overdue: AttemptRef, is_cache_at_fault: bool, out: &mut Vec<Action>) {
         let AttemptRef { request, number } = overdue;
         let Some(open) = self.open.get_mut(&request).filter(|open| !open.finished) else { return };
         let parallel = open.limits.parallel_attempts;
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,8 +1,9 @@
 //! The popular directory: counts of recent requests by object, and the delegates of popular objects.
 
+use crate::interface::{Instant, Span};
 use super::timing::{PROBE_INTERVAL, SECOND};
 use crate::{
-    interface::{Micros, Request, ServerId},
+    interface::{Span, Request, ServerId},
     spread::mix,
 };
 use std::collections::BTreeMap;
@@ -10,7 +11,7 @@
 /// Objects that the directory counts; some tens of seconds of one router's requests fit.
 const MOST_OBJECTS: usize = 4096;
 /// Counts are halved this often (design page).
-const HALVING_INTERVAL: Micros = 10 * SECOND;
+const HALVING_INTERVAL: Span = 10 * SECOND;
 /// One counted object in this many is popular (design page: the top 1%).
 const POPULAR_PART: usize = 100;
 /// Fewer own requests than this make no object popular, however few objects are counted.
@@ -18,7 +19,7 @@
 /// Delegates that a router starts for one object (design page).
 const MOST_DELEGATES: usize = 2;
 /// A delegate expires after this (design page).
-const DELEGATE_LIFETIME: Micros = 30 * SECOND;
+const DELEGATE_LIFETIME: Span = 30 * SECOND;
 
 /// What a cache stores as one unit: an object, or one part of it.
 pub type ObjectKey = u64;
@@ -33,7 +34,7 @@
     pub server: ServerId,
     /// Requests sent to it.
     distributed: u32,
-    expires: Micros,
+    expires: Span,
 }
 
 /// A counted object.
@@ -41,18 +42,18 @@
 pub struct PopularObject {
     pub count: u32,
     /// No delegate is started until then: one is under way, or failed, and an overloaded home fills none.
-    rest_until: Micros,
+    rest_until: Instant,
     pub delegates: Vec<Delegate>,
 }
 
 impl PopularObject {
     /// The delegates that have not expired.
-    pub fn live_delegates(&self, now: Micros) -> Vec<&Delegate> {
+    pub fn live_delegates(&self, now: Instant) -> Vec<&Delegate> {
         self.delegates.iter().filter(|delegate| delegate.expires > now).collect()
     }
 
     /// Counts a request that is sent to a delegate, or to a cache that is to become one.
-    pub fn on_delegated(&mut self, now: Micros, server: ServerId) {
+    pub fn on_delegated(&mut self, now: Instant, server: ServerId) {
         match self.delegates.iter_mut().find(|delegate| delegate.server == server) {
             Some(known) => known.distributed += 1,
             None => self.rest_until = now + PROBE_INTERVAL, // one is started at a time
@@ -60,7 +61,7 @@
     }
 
     /// Takes in how a delegate's attempt ended: served, it stays or becomes one; else it no longer is.
-    pub fn on_delegate_ended(&mut self, now: Micros, server: ServerId, served: bool) {
+    pub fn on_delegate_ended(&mut self, now: Instant, server: ServerId, served: bool) {
         if !served {
             self.delegates.retain(|delegate| delegate.server != server);
             self.rest_until = now + PROBE_INTERVAL;
@@ -83,12 +84,12 @@
 pub struct PopularDirectory {
     objects: BTreeMap<ObjectKey, PopularObject>,
     threshold: u32,
-    halve_at: Micros,
+    halve_at: Instant,
 }
 
 impl PopularDirectory {
     /// An empty directory.
-    pub fn new(now: Micros) -> Self {
+    pub fn new(now: Instant) -> Self {
         let objects = BTreeMap::new();
         PopularDirectory { objects, threshold: LEAST_THRESHOLD, halve_at: now + HALVING_INTERVAL }
     }
@@ -118,7 +119,7 @@
     }
 
     /// Whether another delegate may be started for an object.
-    pub fn wants_delegate(&self, now: Micros, entry: &PopularObject) -> bool {
+    pub fn wants_delegate(&self, now: Instant, entry: &PopularObject) -> bool {
         let live = entry.live_delegates(now).len();
         entry.rest_until <= now && entry.count > self.threshold && live < MOST_DELEGATES
     }
@@ -131,7 +132,7 @@
     }
 
     /// Halves the counts when that is due, sets the threshold, and drops expired delegates.
-    pub fn upkeep(&mut self, now: Micros) {
+    pub fn upkeep(&mut self, now: Instant) {
         if now >= self.halve_at {
             self.halve_at = now + HALVING_INTERVAL;
             self.objects.values_mut().for_each(|entry| entry.count /= 2);
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -4,7 +4,7 @@
     attempt::Failure,
     timing::{smooth, PROBE_INTERVAL, SMOOTHING},
 };
-use crate::interface::{Endpoint, Micros};
+use crate::interface::{Endpoint, Instant, Span};
 use std::collections::VecDeque;
 
 /// Latency deviation beyond the median cache's that chance does not explain.
@@ -24,7 +24,7 @@
 
 /// Work that was sent to a server.
 pub struct SentWork {
-    pub at: Micros,
+    pub at: Instant,
     /// Sending time, s.
     pub work: f64,
 }
@@ -37,28 +37,28 @@
     pub in_flight: u32,
     /// Own attempts in flight, smoothed over time: with many routers a count of one tells little.
     smoothed_in_flight: f64,
-    smoothed_at: Micros,
+    smoothed_at: Instant,
     /// Smoothed latency deviation of answers: natural log of a time over the time it should take.
     pub latency_deviation: f64,
     /// Smoothed part of errors of its own.
     pub error_rate: f64,
     /// When a connection to it broke last.
-    connection_broke_at: Micros,
+    connection_broke_at: Instant,
     /// Smoothed first byte as a source of fills.
     pub first_byte: Option<f64>,
     /// When it last filled something or failed to.
-    pub first_byte_at: Micros,
-    pub last_heard: Micros,
+    pub first_byte_at: Instant,
+    pub last_heard: Span,
     /// Failed outright or silent: only probes until then.
     pub ejected: bool,
-    pub ejected_until: Micros,
+    pub ejected_until: Instant,
     /// Work sent of late: a server that is warming up has a budget of it.
     pub recent_work: VecDeque<SentWork>,
 }
 
 impl Server {
     /// A server that has just been listed.
-    pub fn new(member: Endpoint, now: Micros) -> Self {
+    pub fn new(member: Endpoint, now: Instant) -> Self {
         Server {
             member,
             smoothed_at: now,
@@ -79,13 +79,13 @@
     }
 
     /// Own attempts in flight by now, smoothed over `memory`.
-    pub fn smoothed_in_flight(&self, now: Micros, memory: Micros) -> f64 {
+    pub fn smoothed_in_flight(&self, now: Instant, memory: Span) -> f64 {
         let past = (-((now - self.smoothed_at) as f64) / memory.max(1) as f64).exp();
         f64::from(self.in_flight) + (self.smoothed_in_flight - f64::from(self.in_flight)) * past
     }
 
     /// Counts an attempt that is sent to it.
-    pub fn on_attempt_sent(&mut self, now: Micros, memory: Micros) {
+    pub fn on_attempt_sent(&mut self, now: Instant, memory: Span) {
         self.update_smoothed_in_flight(now, memory);
         if self.in_flight == 0 {
             self.last_heard = now;
@@ -94,31 +94,31 @@
     }
 
     /// Counts an attempt that has ended there.
-    pub fn on_attempt_ended(&mut self, now: Micros, memory: Micros) {
+    pub fn on_attempt_ended(&mut self, now: Instant, memory: Span) {
         self.update_smoothed_in_flight(now, memory);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Brings the smoothed number up to date before the number changes.
-    fn update_smoothed_in_flight(&mut self, now: Micros, memory: Micros) {
+    fn update_smoothed_in_flight(&mut self, now: Instant, memory: Span) {
         self.smoothed_in_flight = self.smoothed_in_flight(now, memory);
         self.smoothed_at = now;
     }
 
     /// Ejects it until a probe succeeds: it failed outright or is silent.
-    pub fn eject(&mut self, now: Micros) {
+    pub fn eject(&mut self, now: Instant) {
         self.latency_deviation = MOST_DEVIATION;
         self.eject_as_source(now);
     }
 
     /// Ejects it for what it did as a source, which says nothing of its latency.
-    pub fn eject_as_source(&mut self, now: Micros) {
+    pub fn eject_as_source(&mut self, now: Instant) {
         self.ejected = true;
         self.ejected_until = now + PROBE_INTERVAL;
     }
 
     /// Takes in an error of its own.
-    pub fn on_error(&mut self, now: Micros) {
+    pub fn on_error(&mut self, now: Instant) {
         self.count_error();
         if self.error_rate > EJECTING_ERROR_RATE {
             self.eject(now);
@@ -127,7 +127,7 @@
 
     /// Takes in a failed fill from it. An error ejects it for a while; rejections only do where few fills
     /// succeed, since a cache without a place for a fill rejects in the same words.
-    pub fn on_failed_fill(&mut self, now: Micros, failure: Failure) {
+    pub fn on_failed_fill(&mut self, now: Instant, failure: Failure) {
         self.count_error();
         if failure == Failure::Errored || self.error_rate > EJECTING_ERROR_RATE {
             self.eject_as_source(now);
@@ -136,7 +136,7 @@
 
     /// Takes in a broken connection. One answer that can't be read ends all that is open on its connection:
     /// it counts once.
-    pub fn on_reset(&mut self, now: Micros) {
+    pub fn on_reset(&mut self, now: Instant) {
         if self.connection_broke_at != now {
             self.connection_broke_at = now;
             self.on_error(now);
@@ -145,7 +145,7 @@
 
     /// Takes in that it answered, in whatever way: a probe it had ends its ejection, unless it errs too
     /// often.
-    pub fn on_response(&mut self, now: Micros, deviation: f64) {
+    pub fn on_response(&mut self, now: Instant, deviation: f64) {
         if self.ejected {
             self.latency_deviation = self.latency_deviation.min(deviation.max(LEAST_DEVIATION));
         }
@@ -162,7 +162,7 @@
     }
 
     /// Takes in the first byte of a fill that it supplied.
-    pub fn on_fill(&mut self, now: Micros, first_byte: f64) {
+    pub fn on_fill(&mut self, now: Instant, first_byte: f64) {
         smooth(self.first_byte.get_or_insert(first_byte), SMOOTHING, first_byte);
         self.count_success();
         self.first_byte_at = now;
@@ -171,7 +171,7 @@
     }
 
     /// Takes in a fill of which nothing came: that says more than an answer, and all of its time was waiting.
-    pub fn on_lost_fill(&mut self, now: Micros, waited: f64) {
+    pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
         self.first_byte_at = now;
@@ -188,7 +188,7 @@
     }
 
     /// Whether it is ejected and due for a probe.
-    pub fn is_probe_due(&self, now: Micros) -> bool {
+    pub fn is_probe_due(&self, now: Instant) -> bool {
         self.ejected && self.ejected_until <= now && self.in_flight == 0
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: what a server that is warming up surely bears, and the budget that all routers share of it.
 
 use super::{server::Server, timing::SECOND, Router};
-use crate::interface::{ClassId, Micros, ServerId, SlowStartRules};
+use crate::interface::{ClassId, Instant, ServerId, SlowStartRules};
 
 /// Part of the warm-up budget that is used: true sizes lie below the registered ones at times.
 const BUDGET_MARGIN: f64 = 0.5;
@@ -10,7 +10,7 @@
 
 impl Router {
     /// The part of its capacity that a server surely has by now.
-    pub(super) fn warmth(&self, now: Micros, server: &Server) -> f64 {
+    pub(super) fn warmth(&self, now: Instant, server: &Server) -> f64 {
         let SlowStartRules { initial_share, full_after, .. } = self.slow_start_rules(server);
         let Some(started_at) = server.member.started_at else { return 1.0 };
         let part = (now - started_at).max(0) as f64 / full_after.max(1) as f64;
@@ -28,7 +28,7 @@
 
     /// What all routers may send a server that is warming up within one span, in seconds of sending; warm:
     /// `None`.
-    fn warm_up_budget(&self, now: Micros, server: &Server) -> Option<f64> {
+    fn warm_up_budget(&self, now: Instant, server: &Server) -> Option<f64> {
         let warmth = self.warmth(now, server);
         if warmth >= 1.0 || server.member.kind == self.settings.topology.origin_kind {
             return None;
@@ -42,7 +42,7 @@
     /// send, the routers take turns of one send each: in every span since the server's start those whose
     /// number is due. Two spans' turns may meet in one window, which the margin covers, as it does clocks a
     /// span apart.
-    pub(super) fn is_warm_up_budget_spent(&self, now: Micros, server: ServerId, class: ClassId) -> bool {
+    pub(super) fn is_warm_up_budget_spent(&self, now: Instant, server: ServerId, class: ClassId) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
         let Some(budget) = self.warm_up_budget(now, server) else { return false };
         let work = self.times(class).sending / SECOND as f64;
--- a/src/policy/timing.rs
+++ b/src/policy/timing.rs
@@ -1,15 +1,15 @@
 //! Spans of time that several decisions share, and the smoothing of measured values.
 
-use crate::interface::Micros;
+use crate::interface::Span;
 
 /// One second.
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: Span = Span::from_secs(1);
 /// How often outstanding attempts are looked over: well under any latency objective.
-pub const TICK: Micros = 20_000;
+pub const TICK: Span = Span::from_millis(20);
 /// An ejected server gets one probing request each time this has passed.
-pub const PROBE_INTERVAL: Micros = SECOND;
+pub const PROBE_INTERVAL: Span = SECOND;
 /// How often the popular directory's threshold and old purges are brought up to date.
-pub const UPKEEP_INTERVAL: Micros = SECOND;
+pub const UPKEEP_INTERVAL: Span = SECOND;
 /// Weight of a new sample in smoothed times and latency deviations.
 pub const SMOOTHING: f64 = 0.1;
 
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -1,11 +1,11 @@
 //! Upkeep: the popular directory is brought up to date, and what has had its time is forgotten.
 
 use super::{timing::UPKEEP_INTERVAL, Router};
-use crate::interface::{Micros, ServerState};
+use crate::interface::{Instant, ServerState};
 
 impl Router {
     /// Brings the directory up to date and forgets what has had its time, once in each interval.
-    pub(super) fn upkeep(&mut self, now: Micros) {
+    pub(super) fn upkeep(&mut self, now: Instant) {
         if now < self.upkeep_at {
             return;
         }
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -3,14 +3,14 @@
 use super::handover::PLACE;
 use super::{Server, ServerDeadline};
 use crate::deadlines::{DeadlineHandle, Schedule};
-use crate::interface::{ClassId, Micros};
+use crate::interface::{ClassId, Instant, Span};
 use crate::net::{ConnectionKey, Ready, Reason, Role};
 use std::io;
 
 /// Connections taken at a turn, and the pause before the next one, us: hundreds at once wait for each other and not
 /// the others for them.
 const ACCEPTS: usize = 32;
-const ACCEPT_NEXT: Micros = 1_000;
+const ACCEPT_NEXT: Span = Span::from_millis(1);
 /// Connections that are looked at for one that can be ended for a new one.
 const EVICTION_TRIES: usize = 32;
 
@@ -18,14 +18,14 @@
 #[derive(Default)]
 pub(super) struct Accepting {
     /// The one deadline for it, however many accepts failed.
-    next: Option<(Micros, DeadlineHandle)>,
+    next: Option<(Span, DeadlineHandle)>,
     /// Out of descriptors or memory: until then nothing is accepted, us.
-    pub paused_until: Micros,
+    pub paused_until: Instant,
 }
 
 impl Server {
     /// Accepts at a time, or sooner if that is planned already.
-    pub(super) fn accept_at(&mut self, at: Micros) {
+    pub(super) fn accept_at(&mut self, at: Instant) {
         match self.accepting.next {
             Some((planned, _)) if planned <= at => return,
             Some((_, later)) => Schedule::<ServerDeadline>::remove(&mut self.due, later),
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of `accept`, on a simulated network whose system calls fail.
 
+use crate::interface::{Instant};
 use crate::config::Config;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client;
@@ -31,7 +32,7 @@
     }
 
     /// Lets everything happen until a time, and the process have its turns.
-    fn pass(&mut self, until: i64) {
+    fn pass(&mut self, until: Instant) {
         let mut ready = Vec::new();
         loop {
             let next = self.fabric.next().into_iter().chain(self.server.next_due()).min();
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -5,7 +5,7 @@
 use super::{Server, ACCEPT_AGAIN};
 use crate::admission::{Admission, AdmissionSettings, Refusal, Room, Verdict};
 use crate::front::thrift::codec::ThriftReply;
-use crate::interface::{ClassId, Micros};
+use crate::interface::{ClassId, Instant, Span};
 use crate::net::{is_exhausted, ConnectionKey, Ready, Reason, Role};
 use std::collections::BTreeMap;
 use std::io;
@@ -15,22 +15,22 @@
 use super::reload::OTHER_SOCKETS;
 
 /// At most one line a refusal is logged this often, us; the others are counted in it and in `/stats`.
-const REFUSALS_LOGGED: Micros = 1_000_000;
+const REFUSALS_LOGGED: Span = Span::from_secs(1);
 
 /// What the server holds for admission.
 pub(super) struct Admitting {
     pub admission: Admission,
     /// Connections of the platform's front that were refused: each request there gets a refusal with this pause
     /// (us), and whether one has had it. A ping is answered as anywhere.
-    pub refusing: BTreeMap<ConnectionKey, (Micros, bool)>,
+    pub refusing: BTreeMap<ConnectionKey, (Span, bool)>,
     /// A descriptor held to take one connection and refuse it when there are no others.
     spare: Option<std::fs::File>,
     /// Descriptors that are no connection (listeners, poll, signals, standard streams), as counted once.
     others: Option<usize>,
     /// Since when connections of the platform's front may wait in the system's queue, as none could be taken.
-    pub accepts_fail_since: Option<Micros>,
+    pub accepts_fail_since: Option<Instant>,
     /// When a refusal was last logged, and how many were not since: a flood makes one line a second, not one a try.
-    logged: (Micros, u64),
+    logged: (Span, u64),
 }
 
 impl Admitting {
@@ -115,7 +115,7 @@
 
     /// Refuses each request on a new connection, with a pause (us): what its client has sent by now, and if the
     /// connection `waits` what it sends next.
-    pub(super) fn refuse_connection(&mut self, role: Role, conn: ConnectionKey, pause: Micros, waits: bool) {
+    pub(super) fn refuse_connection(&mut self, role: Role, conn: ConnectionKey, pause: Span, waits: bool) {
         if role == Role::Thrift {
             self.thrift.open(self.now, conn, &mut self.due);
             self.admitting.refusing.insert(conn, (pause, false));
