--- a/src/server/instants/tests.rs
+++ b/src/server/instants/tests.rs
@@ -1,33 +1,34 @@
 //! Tests of `instants`.
 
+use crate::interface::{Span};
 use super::*;
 
-const SECOND: Micros = 1_000_000;
-const HOUR: Micros = 3600 * SECOND;
+const SECOND: Span = Span::from_secs(1);
+const HOUR: Span = 3600 * SECOND;
 /// The true Unix time at the monotonic clock's second 100_000.
-const NOW: Micros = 100_000 * SECOND;
-const UNIX: Micros = 1_700_000_000 * SECOND;
+const NOW: Span = 100_000 * SECOND;
+const UNIX: Span = 1_700_000_000 * SECOND;
 const SERVER: ServerId = ServerId(7);
 /// Steps of the wall clock.
-const STEPS: [Micros; 8] = [SECOND, 2 * SECOND, 5 * SECOND, HOUR, -SECOND, -2 * SECOND, -5 * SECOND, -HOUR];
+const STEPS: [Span; 8] = [SECOND, 2 * SECOND, 5 * SECOND, HOUR, -SECOND, -2 * SECOND, -5 * SECOND, -HOUR];
 
 /// Heard in service, with the wall clock this much ahead.
-fn heard(ahead: Micros) -> Reception {
+fn heard(ahead: Span) -> Reception {
     Reception { now: NOW, unix: UNIX + ahead, first: false }
 }
 
 /// Heard at the start.
-fn first(ahead: Micros) -> Reception {
+fn first(ahead: Span) -> Reception {
     Reception { first: true, ..heard(ahead) }
 }
 
 /// Those of a process that started with the wall clock this much ahead.
-fn started(ahead: Micros) -> UnixTimeConverter {
+fn started(ahead: Span) -> UnixTimeConverter {
     UnixTimeConverter::new(NOW - 9 * SECOND, UNIX + ahead - 9 * SECOND)
 }
 
 /// The same, to which a copy was told that the origin had given out 3 ms before, for a request sent 8 ms before.
-fn witnessed(ahead: Micros) -> UnixTimeConverter {
+fn witnessed(ahead: Span) -> UnixTimeConverter {
     let mut instants = started(ahead);
     instants.witness_copy(NOW, (UNIX / 1000 - 3) as u64, Some(NOW - 8000));
     instants
--- a/src/server/links.rs
+++ b/src/server/links.rs
@@ -5,7 +5,7 @@
 use crate::config::signed::SignedConfig;
 use crate::config::Config;
 use crate::front::signed;
-use crate::interface::{ClassId, Micros};
+use crate::interface::{ClassId, Span};
 use crate::net::{Listener, Net};
 
 /// The second front, where there is one.
@@ -13,7 +13,7 @@
     pub listener: Option<Listener>,
     pub front: signed::SignedFront,
     /// Each route's class, and how long its answers are waited for.
-    pub classes: Vec<(ClassId, Micros)>,
+    pub classes: Vec<(ClassId, Span)>,
 }
 
 impl SignedLinks {
@@ -32,12 +32,12 @@
 pub fn route_classes(
     signed: &SignedConfig,
     settings: &SiteSettings,
-) -> Result<Vec<(ClassId, Micros)>, ServerError> {
+) -> Result<Vec<(ClassId, Span)>, ServerError> {
     let SiteSettings { names, settings } = settings;
     let class = |route: &crate::config::signed::Route| {
         let id = names.class(&route.class)?;
         let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.uncached)?;
-        let patience = route.patience_ms.map_or(class.client_deadline, |ms| ms as Micros * 1000);
+        let patience = route.patience_ms.map_or(class.client_deadline, |ms| ms as Span * 1000);
         Some((id, patience))
     };
     let found = signed.routes.iter().map(|route| {
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -4,7 +4,7 @@
 use super::instants::Reception;
 use super::Server;
 use crate::config::events::{FeedBatch, FeedEvent};
-use crate::interface::{ListUpdate, Micros, ObjectId, Purge, ServerId, ServerState};
+use crate::interface::{ListUpdate, ObjectId, Purge, ServerId, ServerState, Span};
 use crate::GroupId;
 use tracing::{info, warn};
 
@@ -63,6 +63,6 @@
 }
 
 /// Unix milliseconds as microseconds.
-fn micros(ms: f64) -> Micros {
-    (ms * 1000.0) as Micros
+fn micros(ms: f64) -> Span {
+    (ms * 1000.0) as Span
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -24,7 +24,7 @@
 use crate::front::admin;
 use crate::front::signed;
 use crate::front::thrift;
-use crate::interface::{CacheStatus, ClassId, Micros, ServerId};
+use crate::interface::{CacheStatus, ClassId, Instant, ServerId, Span};
 use crate::server_names::ServerNames;
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
@@ -58,7 +58,7 @@
 pub const SIBLINGS: [usize; 2] = [OLDER, NEWER];
 
 /// The pause before connections are taken again when descriptors ran out, us.
-const ACCEPT_AGAIN: Micros = 50_000;
+const ACCEPT_AGAIN: Span = Span::from_millis(50);
 
 /// Whose turn is first where several are ready at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -157,7 +157,7 @@
     files: Files,
     started: ActiveConfig,
     clock: Clock,
-    now: Micros,
+    now: Instant,
     net: Net,
     due: Deadlines<ServerDeadline>,
     core: Core,
@@ -188,9 +188,9 @@
     admitting: admit::Admitting,
     /// Whether the list of servers has been had.
     listed: bool,
-    stopping: Option<Micros>,
+    stopping: Option<Instant>,
     /// While no more clients are taken: since when all is answered.
-    answered_since: Option<Micros>,
+    answered_since: Option<Instant>,
     stopped: bool,
 }
 
@@ -310,7 +310,7 @@
     }
 
     /// When there is something to do even if nothing comes.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Span> {
         if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
             Some(self.now)
         } else {
@@ -600,7 +600,7 @@
 
 /// Words attempts for the servers' wire as they are written.
 struct AttemptEncoder<'a> {
-    now: Micros,
+    now: Instant,
     core: &'a mut Core,
     members: &'a ServerNames,
     waiting: &'a BTreeMap<RequestKey, PendingRequest>,
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -5,14 +5,14 @@
 use crate::core::{ClientRequest, FinalAnswer, RequestKey};
 use crate::front::signed::{self, route::RequestTarget};
 use crate::front::thrift::{self, codec::ThriftReply};
-use crate::interface::{ClassId, Micros, ObjectId, RejectionReason};
+use crate::interface::{ClassId, ObjectId, RejectionReason, Span};
 use crate::net::ConnectionKey;
 use crate::slots::Key;
 use crate::GroupId;
 use bytes::Bytes;
 
 /// A client counts its patience from its send; the request has been under way for about this long, us.
-const WAY: Micros = 12_000;
+const WAY: Span = Span::from_millis(12);
 
 impl Server {
     /// A request's answer has begun.
@@ -159,7 +159,7 @@
     }
 
     /// A refusal with this pause (us), counted for its class.
-    pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Micros) -> ThriftReply {
+    pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Span) -> ThriftReply {
         let refused = FinalAnswer::Rejected {
             retry_after: pause,
             timed_out: false,
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -4,14 +4,14 @@
 use crate::core::{AttemptEnd, CachedCopy, FinalAnswer, OutgoingAttempt};
 use crate::front::signed::http;
 use crate::front::thrift::codec::ThriftReply;
-use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, Micros, ObjectId};
+use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, Span};
 use crate::upstream::lines::{self, WireAnswer, WireRequest};
 use crate::upstream::JobEnd;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
 /// The longest patience that is taken at its word, in longest waits of the class.
-const MOST_PATIENCE: Micros = 2;
+const MOST_PATIENCE: Span = Span::from_micros(2);
 /// The groups of objects.
 const GROUPS: u32 = 256;
 
@@ -27,7 +27,7 @@
     /// Its group.
     pub group: GroupId,
     /// How long the client waits from its send.
-    pub patience: Micros,
+    pub patience: Span,
     /// The request's id on every wire.
     pub trace: String,
     /// The object as the client named it.
@@ -60,7 +60,7 @@
         Ok::<_, String>((value, number.ok_or_else(|| format!("{name} is not 16 hex digits"))?))
     };
     let ((trace, _), (item, object)) = (hex("trace")?, hex("entity")?);
-    let patience: Micros = number("patience", needed("patience")?)?;
+    let patience: Span = number("patience", needed("patience")?)?;
     let patience = patience.checked_mul(1000).unwrap_or(0);
     let most = names.deadlines.get(class).map_or(0, |deadline| MOST_PATIENCE * deadline);
     if !(1..=most).contains(&patience) {
@@ -152,12 +152,12 @@
     let waited = answer.field("waited").and_then(|ms| ms.parse::<f64>().ok()).unwrap_or(0.0);
     // A copy that is called current sends no bytes, and its time says nothing of the object's size.
     let sending = answer.body.len() as f64 / names.flow_bytes_per_s.max(1.0) * 1_000_000.0;
-    let sending = if names.flow_bytes_per_s > 0.0 { sending as Micros } else { 0 };
+    let sending = if names.flow_bytes_per_s > 0.0 { sending as Span } else { 0 };
     let load = answer.load_report(&names.report);
     AttemptEnd {
         result,
         cache_status: note,
-        fill_wait: (waited * 1000.0) as Micros,
+        fill_wait: (waited * 1000.0) as Span,
         transfer_time: sending,
         load_report: load,
         copy: copy(answer),
@@ -186,7 +186,7 @@
 }
 
 /// A final answer as the second front's clients get it, at a Unix time in microseconds.
-pub fn answer(answer: FinalAnswer, tags: &[String], now: Micros) -> http::HttpAnswer {
+pub fn answer(answer: FinalAnswer, tags: &[String], now: Instant) -> http::HttpAnswer {
     use http::HttpAnswer;
     match answer {
         FinalAnswer::Served(copy) => {
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -2,7 +2,7 @@
 
 use crate::config::events::{FeedServer, Health};
 use crate::config::settings::SiteNames;
-use crate::interface::{Endpoint, Micros, ServerId, ServerState, ZoneId};
+use crate::interface::{Endpoint, ServerId, ServerState, Span, ZoneId};
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
@@ -52,7 +52,7 @@
         };
         Endpoint {
             server: self.id(&host.host),
-            started_at: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Micros),
+            started_at: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Span),
             weight: host.share,
             kind: place(&names.kinds, &host.class),
             cell: host.block,
--- a/src/sim/federation.rs
+++ b/src/sim/federation.rs
@@ -11,6 +11,7 @@
 
 pub use search::{search, Summary};
 
+use crate::interface::{Span};
 use super::rules::Breach;
 use crate::federation::duties::LeaseTerms;
 use crate::federation::node::{founding, Tuning};
@@ -26,9 +27,9 @@
 const MS: i64 = 1000;
 const TICK: i64 = 50 * MS;
 /// Faults come until then, us...
-const FAULTS: i64 = 20_000 * MS;
+const FAULTS: Span = 20_000 * MS;
 /// ... and all is well again from then on, with this much time to find together.
-const QUIET: i64 = 12_000 * MS;
+const QUIET: Span = 12_000 * MS;
 const TUNING: Tuning = Tuning { election_ticks: 10, heartbeat_ticks: 2, compact_after: 12 };
 /// Clocks run this much too fast or slow at most.
 const DRIFT: f64 = 0.05;
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,5 +1,6 @@
 //! The members of a run, the events between them, and the observer who checks what they do.
 
+use crate::interface::{Instant};
 use super::disk::Disk;
 use super::{Planted, DRIFT, DUTIES, FAULTS, MS, QUIET, TERMS, TICK, TUNING};
 use crate::federation::duties::{Grantor, Holder};
@@ -38,7 +39,7 @@
 
 impl Member {
     /// Its own clock at a time of the world's.
-    pub fn clock(&self, now: i64) -> i64 {
+    pub fn clock(&self, now: Instant) -> i64 {
         self.began + (now as f64 * (1.0 + self.drift)) as i64
     }
 }
@@ -60,7 +61,7 @@
 }
 
 pub(super) struct World {
-    pub now: i64,
+    pub now: Instant,
     pub count: u64,
     pub agenda: BTreeMap<(i64, u64), Event>,
     pub members: BTreeMap<MemberId, Member>,
@@ -87,7 +88,7 @@
 }
 
 impl World {
-    pub(super) fn plan(&mut self, at: i64, event: Event) {
+    pub(super) fn plan(&mut self, at: Instant, event: Event) {
         self.count += 1;
         self.agenda.insert((at.max(self.now), self.count), event);
     }
--- a/src/sim/hosts.rs
+++ b/src/sim/hosts.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether it holds a copy that will do.
-    pub fn holds(&self, fetch: &Fetch, now: i64) -> Option<i64> {
+    pub fn holds(&self, fetch: &Fetch, now: Instant) -> Option<i64> {
         let born = *self.copies.get(&fetch.item)?;
         (fetch.oldest == 0 || now - born <= fetch.oldest).then_some(born)
     }
@@ -175,7 +175,7 @@
         &mut self,
         number: usize,
         fetch: &Fetch,
-        now: i64,
+        now: Instant,
         is_there: &dyn Fn(&Fleet, usize) -> bool,
     ) -> (&'static str, String, Vec<u8>) {
         let (word, fields, body) = self.detailed_outcome(number, fetch, now, is_there);
@@ -188,7 +188,7 @@
         &mut self,
         number: usize,
         fetch: &Fetch,
-        now: i64,
+        now: Instant,
         is_there: &dyn Fn(&Fleet, usize) -> bool,
     ) -> (&'static str, String, Vec<u8>) {
         let bare = |word, tell: &str| (word, format!("tell={tell},waited=0"), Vec::new());
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -5,16 +5,16 @@
 use std::collections::BTreeMap;
 
 /// A drain, removal or purge takes effect within this long after it was told, us (protocol page, with its slack).
-const DRAIN: i64 = 1_050_000;
+const DRAIN: Span = Span::from_millis(1_050);
 /// An answer counts until this long after the request's time, us.
-const LATE: i64 = 550_000;
+const LATE: Span = Span::from_millis(550);
 /// What is under way may be seen so much later than it was sent, us.
-pub const WAY: i64 = 45_000;
+pub const WAY: Span = Span::from_millis(45);
 
 /// No attempt begins for a client that left longer ago than this, us.
-const LEFT: i64 = 100_000;
+const LEFT: Span = Span::from_millis(100);
 /// Time limits are this much longer on sockets, us (protocol page).
-const SLACK: i64 = 50_000;
+const SLACK: Span = Span::from_millis(50);
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -22,7 +22,7 @@
     /// The rule's word.
     pub rule: &'static str,
     /// When, us from the start.
-    pub at: i64,
+    pub at: Instant,
     /// What happened.
     pub text: String,
 }
@@ -66,12 +66,12 @@
     }
 
     /// A client has cancelled a request or closed its connection.
-    pub fn client_left(&mut self, now: i64, trace: &str) {
+    pub fn client_left(&mut self, now: Instant, trace: &str) {
         self.clients_left.entry(trace.to_owned()).or_insert(now);
     }
 
     /// Books a breach; each rule's first one is enough.
-    pub fn broken(&mut self, now: i64, rule: &'static str, text: String) {
+    pub fn broken(&mut self, now: Instant, rule: &'static str, text: String) {
         if self.breaches.iter().all(|breach| breach.rule != rule) {
             self.breaches.push(Breach { rule, at: now - self.start, text });
         }
@@ -83,7 +83,7 @@
     }
 
     /// The feed was cut off from `since` on: what it told from then on counts as told at `told` at the earliest.
-    pub fn feed_cut(&mut self, since: i64, told: i64) {
+    pub fn feed_cut(&mut self, since: Instant, told: i64) {
         for deadline in self.gone.values_mut().filter(|deadline| **deadline >= since + DRAIN) {
             *deadline = (*deadline).max(told + DRAIN);
         }
@@ -98,15 +98,15 @@
     }
 
     /// An object was purged at a time; no older copy may be served to what comes `grace` after it was told.
-    pub fn purged(&mut self, object: &str, at: i64, told: i64, grace: i64) {
+    pub fn purged(&mut self, object: &str, at: Instant, told: i64, grace: i64) {
         self.purges.entry(object.to_owned()).or_default().push((at, told + grace));
     }
 
     /// A request has come whole to a host; its first byte was written at `sent`, which is what drains count from.
     pub fn fetched(
         &mut self,
-        now: i64,
-        sent: i64,
+        now: Instant,
+        sent: Instant,
         (host, name): (usize, &str),
         link: u64,
         trace: &str,
@@ -154,7 +154,7 @@
     }
 
     /// A client was served: by a copy of this time, for a request sent at that time.
-    pub fn served(&mut self, now: i64, object: &str, born: i64, sent: i64) {
+    pub fn served(&mut self, now: Instant, object: &str, born: i64, sent: Instant) {
         let older = |(at, holds): &&(i64, i64)| born < *at && sent > *holds + WAY;
         if let Some((at, _)) = self.purges.get(object).and_then(|purges| purges.iter().find(older)) {
             let by = (at - born) / 1000;
@@ -163,7 +163,7 @@
     }
 
     /// A request got its answer, or its client waits no longer: it was sent at one time with a patience, us.
-    pub fn answered(&mut self, now: i64, what: &str, sent: i64, patience: i64) {
+    pub fn answered(&mut self, now: Instant, what: &str, sent: Instant, patience: i64) {
         let late = now - sent - patience;
         if late > LATE + WAY {
             self.broken(now, "late", format!("{what} is answered {} ms after its time", late / 1000));
--- a/src/sim/world/events.rs
+++ b/src/sim/world/events.rs
@@ -1,5 +1,6 @@
 //! What is to happen at a time, besides what the network and the processes do by themselves.
 
+use crate::interface::{Instant};
 use super::*;
 
 /// A scheduled event.
@@ -22,7 +23,7 @@
 }
 
 impl World<'_> {
-    pub(super) fn schedule(&mut self, at: i64, what: Event) {
+    pub(super) fn schedule(&mut self, at: Instant, what: Event) {
         self.count += 1;
         self.agenda.insert((at, self.count), what);
     }
--- a/src/sim/world/faults.rs
+++ b/src/sim/world/faults.rs
@@ -1,5 +1,6 @@
 //! Faults as they happen.
 
+use crate::interface::{Instant};
 use super::*;
 use crate::sim::system_error::SystemError;
 
@@ -122,7 +123,7 @@
 
     /// No process gets a descriptor until then: what connects meanwhile is accepted afterwards, and a feed that is cut
     /// off is heard again later.
-    fn exhaust(&mut self, error: SystemError, until: i64) {
+    fn exhaust(&mut self, error: SystemError, until: Instant) {
         self.fabric.exhaust(error.errno(), until);
         let since = if self.exhausted.1 < self.now { self.now } else { self.exhausted.0 };
         self.exhausted = (since, until);
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -1,5 +1,6 @@
 //! The control feed: its events and the polls that wait for them.
 
+use crate::interface::{Instant};
 use super::*;
 
 impl World<'_> {
@@ -43,7 +44,7 @@
         self.tell(json!({"members": {"seq": 0, "whole": false, "hosts": [entry]}}))
     }
 
-    pub(super) fn cut_feed(&mut self, until: i64) {
+    pub(super) fn cut_feed(&mut self, until: Instant) {
         // Without descriptors it is not connected to again.
         let connected = if self.now < self.exhausted.1 { self.exhausted.1 + HEARD_AGAIN } else { until };
         let until = until.max(connected);
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,12 +1,13 @@
 //! The caches, parents and the origin: what they are sent and answer.
 
+use crate::interface::{Instant, Span};
 use super::*;
 
 /// A second answer comes this long after the first, us.
-const SECOND_ANSWER: i64 = 8_000;
+const SECOND_ANSWER: Span = Span::from_millis(8);
 
 impl World<'_> {
-    pub(super) fn host_got(&mut self, number: usize, link: u64, bytes: &[u8], sent: i64) {
+    pub(super) fn host_got(&mut self, number: usize, link: u64, bytes: &[u8], sent: Instant) {
         let host = &mut self.fleet.hosts[number];
         let Some((input, began)) = host.links.get_mut(&link).filter(|_| !host.dead) else { return };
         // What is left of the piece before began with it.
@@ -26,7 +27,7 @@
         }
     }
 
-    pub(super) fn fetched(&mut self, number: usize, link: u64, fetch: Fetch, sent: i64) {
+    pub(super) fn fetched(&mut self, number: usize, link: u64, fetch: Fetch, sent: Instant) {
         let is_result = fetch.class == "result";
         let name = self.fleet.hosts[number].name.clone();
         self.rules.fetched(self.now, sent, (number, &name), link, &fetch.id, is_result);
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -13,6 +13,7 @@
 use events::Event;
 use network::is_there;
 
+use crate::interface::{Instant, Span};
 use super::customers::{Customer, WINDOW_MS};
 use super::faults::{Fault, Plan, What};
 use super::hosts::{answer, lines, Fetch, Fleet, Host, Line, Tier};
@@ -32,7 +33,7 @@
 use std::net::SocketAddr;
 
 /// The Unix time at which runs start, us.
-const START: i64 = 1_700_000_000_000_000;
+const START: Span = Span::from_secs(1_700_000_000);
 /// Delays of connections, one way, us.
 const DELAYS: (i64, i64) = (1_000, 20_000);
 /// The numbers of the clients' front, and of the control feed, beside those of the hosts.
@@ -41,19 +42,19 @@
 /// The group of all objects.
 const GROUP: u32 = 17;
 /// A source that is not there is given up after this, us.
-const SOURCE_LOST: i64 = 300_000;
+const SOURCE_LOST: Span = Span::from_millis(300);
 /// A killed process is started anew after this, us.
-const RESTART: i64 = 200_000;
+const RESTART: Span = Span::from_millis(200);
 /// A newer process is given this long before the older one is told to stop, us.
-const OVERLAP: i64 = 300_000;
+const OVERLAP: Span = Span::from_millis(300);
 /// A feed that was cut off is heard again this long after it is back, us.
-const HEARD_AGAIN: i64 = 2_200_000;
+const HEARD_AGAIN: Span = Span::from_millis(2_200);
 /// Requests that come later than this after SIGTERM may find nobody, us.
-const TAKEN_AFTER_TERM: i64 = 700_000;
+const TAKEN_AFTER_TERM: Span = Span::from_millis(700);
 /// A process has ended by then after SIGTERM, us.
-const ENDED: i64 = 31_000_000;
+const ENDED: Span = Span::from_secs(31);
 /// Connections that wait as descriptors come back are accepted by then, us.
-const ACCEPTED_AGAIN: i64 = 60_000;
+const ACCEPTED_AGAIN: Span = Span::from_millis(60);
 /// Steps of a run at most: more means that something goes in a circle.
 const MOST_STEPS: usize = 1_000_000;
 
@@ -104,9 +105,9 @@
 
 struct Open {
     call: usize,
-    written: i64,
+    written: Instant,
     /// When it counts as sent: once it can be accepted.
-    sent: i64,
+    sent: Instant,
     resent: bool,
 }
 
@@ -118,7 +119,7 @@
     open: BTreeMap<i32, Open>,
     aborted: BTreeSet<i32>,
     /// When it connected, us.
-    dialled: i64,
+    dialled: Instant,
     /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
     accepted_by: i64,
 }
@@ -130,7 +131,7 @@
     /// Polls that wait, by connection: the last event had, and until when.
     polls: BTreeMap<u64, (usize, i64)>,
     /// What is told before then counts as told then.
-    cut_until: i64,
+    cut_until: Instant,
 }
 
 /// A run under way.
@@ -139,7 +140,7 @@
     sabotage: Option<Sabotage>,
     seed: u64,
     fabric: Fabric,
-    now: i64,
+    now: Instant,
     /// For service times; calls were drawn before.
     random: ChaCha8Rng,
     agenda: BTreeMap<(i64, u64), Event>,
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -1,5 +1,6 @@
 //! What comes on the network, told to clients, hosts and the feed.
 
+use crate::interface::{Instant};
 use super::*;
 
 impl World<'_> {
@@ -55,6 +56,6 @@
 }
 
 /// Whether a host's process is there and not cut off.
-pub(super) fn is_there(fabric: &Fabric, now: i64, fleet: &Fleet, number: usize) -> bool {
+pub(super) fn is_there(fabric: &Fabric, now: Instant, fleet: &Fleet, number: usize) -> bool {
     !fleet.hosts[number].dead && fabric.silent_until(address(number as u16)) <= now
 }
--- a/src/trace/counts.rs
+++ b/src/trace/counts.rs
@@ -1,6 +1,6 @@
 //! What became of a trace's rows.
 
-use crate::interface::Micros;
+use crate::interface::Span;
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -31,7 +31,7 @@
     /// Rows that came too late for that and were moved to the time reached.
     pub moved: u64,
     /// By how much at the most, us.
-    pub max_moved: Micros,
+    pub max_moved: Span,
 }
 
 impl Counts {
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -4,7 +4,7 @@
 mod formats;
 
 use crate::config::located::{unknown, Doc, DocError, Located, Place, Reader};
-use crate::interface::Micros;
+use crate::interface::Span;
 use crate::spread::mix;
 use formats::{Format, FORMATS};
 use hcl_edit::structure::Block;
@@ -95,9 +95,9 @@
     /// Only rows that have this value.
     pub only: Option<OnlyRule>,
     /// Rows are put in order over this span, us.
-    pub reorder: Micros,
+    pub reorder: Span,
     /// The test's length, us.
-    pub window: Micros,
+    pub window: Span,
     /// Slices of a longer trace.
     pub slices: usize,
     /// The seed of their places.
@@ -282,9 +282,9 @@
     }
 
     /// A span in whole seconds, us.
-    fn read_seconds(&mut self, key: &str, default: u64, least: u64) -> Result<Micros, DocError> {
+    fn read_seconds(&mut self, key: &str, default: u64, least: u64) -> Result<Span, DocError> {
         let seconds = self.reader.whole(key, least, MAX_SECONDS)?;
-        Ok(seconds.map_or(default, |seconds| seconds.value) as Micros * 1_000_000)
+        Ok(seconds.map_or(default, |seconds| seconds.value) as Span * 1_000_000)
     }
 
     fn read_classes(&mut self) -> Result<Vec<ClassRule>, DocError> {
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -8,7 +8,7 @@
 pub mod sample;
 
 use crate::config::located::{Doc, DocError};
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use counts::Counts;
 use map::TraceMap;
 use reorder::Reorder;
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Played {
     /// From the start of the test, us.
-    pub at: Micros,
+    pub at: Instant,
     /// The class, by its place in the map.
     pub class: usize,
     /// The object.
@@ -67,7 +67,7 @@
     /// The requests, in order.
     pub requests: Vec<Played>,
     /// How long the test is, us.
-    pub length: Micros,
+    pub length: Span,
     /// Slices that it is made of.
     pub slices: usize,
     /// What became of the rows.
@@ -116,12 +116,12 @@
 /// The first and the last time of a trace, us.
 #[derive(Clone, Copy)]
 struct Span {
-    first: Micros,
-    last: Micros,
+    first: Span,
+    last: Span,
 }
 
 impl Span {
-    fn including(span: Option<Span>, at: Micros) -> Span {
+    fn including(span: Option<Span>, at: Instant) -> Span {
         let Span { first, last } = span.unwrap_or(Span { first: at, last: at });
         Span { first: first.min(at), last: last.max(at) }
     }
@@ -153,7 +153,7 @@
     fn sample(&self, slices: &Slices, counts: &mut Counts) -> Result<Vec<Played>, csv::Error> {
         let mut window = Reorder::new(self.map.reorder, MAX_HELD_ROWS);
         let mut requests = Vec::new();
-        let mut play = |at: Micros, row: Row| {
+        let mut play = |at: Instant, row: Row| {
             let played = slices.played(at);
             requests.extend(played.map(|at| Played { at, class: row.class, object: row.object }));
         };
--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -1,20 +1,20 @@
 //! Puts rows in the order of time over a bounded span: what comes later than that is not dropped, but moved to the
 //! time that has been reached, and counted.
 
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 /// A row that is held back.
 struct HeldRow<T> {
-    at: Micros,
+    at: Instant,
     /// Its place in the file, which decides between equal times.
     place: u64,
     row: T,
 }
 
 impl<T> HeldRow<T> {
-    fn key(&self) -> (Micros, u64) {
+    fn key(&self) -> (Span, u64) {
         (self.at, self.place)
     }
 }
@@ -41,33 +41,33 @@
 
 /// The window. Memory: the rows of one span, bounded by the most that it holds.
 pub struct Reorder<T> {
-    span: Micros,
+    span: Span,
     max_held: usize,
     held: BinaryHeap<Reverse<HeldRow<T>>>,
     /// Rows so far.
     count: u64,
     /// The latest time so far.
-    newest: Micros,
+    newest: Span,
     /// The time of the last row given out: nothing goes before it.
-    reached: Micros,
+    reached: Span,
     /// Rows that came before one with a smaller time and were put in order.
     pub reordered: u64,
     /// Rows that came too late for that and were moved to the time reached.
     pub moved: u64,
     /// By how much at the most, us.
-    pub max_moved: Micros,
+    pub max_moved: Span,
 }
 
 impl<T> Reorder<T> {
     /// Orders over a span, us, and holds so many rows at the most.
-    pub fn new(span: Micros, max_held: usize) -> Self {
+    pub fn new(span: Span, max_held: usize) -> Self {
         Reorder {
             span,
             max_held: max_held.max(1),
             held: BinaryHeap::new(),
             count: 0,
-            newest: Micros::MIN,
-            reached: Micros::MIN,
+            newest: Span::MIN,
+            reached: Span::MIN,
             reordered: 0,
             moved: 0,
             max_moved: 0,
@@ -75,7 +75,7 @@
     }
 
     /// Takes a row.
-    pub fn push(&mut self, at: Micros, row: T) {
+    pub fn push(&mut self, at: Instant, row: T) {
         if at < self.reached {
             self.moved += 1;
             self.max_moved = self.max_moved.max(self.reached - at);
@@ -88,7 +88,7 @@
     }
 
     /// A row that surely is next, if there is one: the window has passed it, or holds too many.
-    pub fn ready(&mut self) -> Option<(Micros, T)> {
+    pub fn ready(&mut self) -> Option<(Span, T)> {
         let Reverse(first) = self.held.peek()?;
         let passed = first.at <= self.newest.saturating_sub(self.span);
         if passed || self.held.len() > self.max_held {
@@ -99,7 +99,7 @@
     }
 
     /// The rest, in order, once the file is over.
-    pub fn pop(&mut self) -> Option<(Micros, T)> {
+    pub fn pop(&mut self) -> Option<(Span, T)> {
         let Reverse(HeldRow { at, row, .. }) = self.held.pop()?;
         self.reached = at;
         Some((at, row))
--- a/src/trace/rows.rs
+++ b/src/trace/rows.rs
@@ -2,7 +2,7 @@
 
 use super::counts::Counts;
 use super::map::TraceMap;
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use crate::spread::mix;
 use csv::StringRecord;
 use std::fs::File;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Row {
     /// Its time in the trace, us.
-    pub(super) at: Micros,
+    pub(super) at: Instant,
     /// The class, by its place in the map.
     pub(super) class: usize,
     pub(super) object: u64,
@@ -152,10 +152,10 @@
         }
     }
 
-    fn time(&self) -> Result<Micros, FieldError> {
+    fn time(&self) -> Result<Span, FieldError> {
         let time = self.micros(self.map.time.column)?;
         let minus = self.map.time.minus.map_or(Ok(0.0), |column| self.micros(column))?;
-        Ok((time - minus) as Micros)
+        Ok((time - minus) as Span)
     }
 
     /// The object that the map's columns name.
--- a/src/trace/sample.rs
+++ b/src/trace/sample.rs
@@ -3,7 +3,7 @@
 //! slice every row is kept with its distances, so the rate, its bursts and what is asked for again and again stay; a
 //! thinned or sped-up trace would keep none of them.
 
-use crate::interface::Micros;
+use crate::interface::{Instant, Span};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -15,18 +15,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slices {
     /// Begin in the trace, us; each is `length` long and is played right behind the one before.
-    starts: Vec<Micros>,
-    length: Micros,
+    starts: Vec<Span>,
+    length: Span,
 }
 
 impl Slices {
     /// Slices of a trace from `first` to `last`, us, for a test of `window`; a trace that fits is taken whole.
-    pub fn new(first: Micros, last: Micros, window: Micros, slices: usize, seed: u64) -> Self {
+    pub fn new(first: Span, last: Span, window: Span, slices: usize, seed: u64) -> Self {
         let span = (last - first + 1).max(1);
         if span <= window {
             return Slices { starts: vec![first], length: span };
         }
-        let slices = slices.clamp(1, window.max(1) as usize) as Micros;
+        let slices = slices.clamp(1, window.max(1) as usize) as Span;
         let length = (window / slices).max(1);
         let stratum = span / slices;
         let spare = (stratum - length).max(0);
@@ -36,15 +36,15 @@
     }
 
     /// When a row of this time is played, us from the start; `None`: it is not.
-    pub fn played(&self, at: Micros) -> Option<Micros> {
+    pub fn played(&self, at: Instant) -> Option<Span> {
         let slice = self.starts.partition_point(|start| *start <= at).checked_sub(1)?;
         let within = at - self.starts[slice];
-        (within < self.length).then(|| slice as Micros * self.length + within)
+        (within < self.length).then(|| slice as Span * self.length + within)
     }
 
     /// How long all of them are played, us.
-    pub fn length(&self) -> Micros {
-        self.starts.len() as Micros * self.length
+    pub fn length(&self) -> Span {
+        self.starts.len() as Span * self.length
     }
 
     /// How many there are.
@@ -59,11 +59,11 @@
     /// Rows of the trace by class.
     pub all: BTreeMap<String, u64>,
     /// Its length, us.
-    pub span: Micros,
+    pub span: Span,
     /// Rows taken by class.
     pub taken: BTreeMap<String, u64>,
     /// What they are played in, us.
-    pub played: Micros,
+    pub played: Span,
 }
 
 /// The rate of a trace against that of its sample.
@@ -109,7 +109,7 @@
 }
 
 /// Rows a second, of a count in a span, us.
-fn rate(count: u64, span: Micros) -> f64 {
+fn rate(count: u64, span: Span) -> f64 {
     let seconds = span.max(1) as f64 / 1e6;
     count as f64 / seconds
 }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,5 +1,6 @@
 //! Connections of the pool: opened, settled when idle, and closed with what was open there.
 
+use crate::interface::{Instant, Span};
 use super::answers::Reader;
 use super::pool::{Connection, Host, Job};
 use super::{ConnectionDeadline, JobEnd, Upstream};
@@ -9,19 +10,19 @@
 
 /// After a connection did not come up no further one is opened beside others for this long, us: a server that
 /// takes no more of them is not pressed.
-const DIAL_BACKOFF: i64 = 1_000_000;
+const DIAL_BACKOFF: Span = Span::from_secs(1);
 /// A connection that is reset before it is up proves nothing of its server: it is tried anew this often.
 pub(super) const DIAL_RETRIES: u32 = 2;
 /// A connection for a write that is not needed any more is closed after this long, us.
-const UNUSED_WRITE_IDLE: i64 = 250_000;
+const UNUSED_WRITE_IDLE: Span = Span::from_millis(250);
 /// The shortest idle time of servers that is believed, us; some close sooner than the settings say.
-const LEAST_IDLE: i64 = 300_000;
+const LEAST_IDLE: Span = Span::from_millis(300);
 /// The part of the servers' idle time after which an idle connection is closed from here: before the peer.
 const IDLE_PART: f64 = 0.6;
 
 impl Upstream {
     /// Closes idle connections while there are more than may be held.
-    pub fn trim(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn trim(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let over = net.count(Role::Upstream).saturating_sub(self.limits.max_connections);
         (0..over).for_each(|_| self.drop_idlest(now, net, due));
     }
@@ -29,7 +30,7 @@
     /// Closes a server's idle connections.
     pub fn close_idle(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
@@ -44,7 +45,7 @@
 
     pub(super) fn connect(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         lane: usize,
         net: &mut Net,
@@ -98,7 +99,7 @@
     /// Closes the connection that has been idle longest, if one is.
     pub(super) fn drop_idlest(
         &mut self,
-        now: i64,
+        now: Instant,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
@@ -111,7 +112,7 @@
     }
 
     /// A connection failed to come up: what is queued ends unless another may still take it.
-    pub(super) fn connect_failed(&mut self, now: i64, host: u32, lane: usize, ending: JobEnd) {
+    pub(super) fn connect_failed(&mut self, now: Instant, host: u32, lane: usize, ending: JobEnd) {
         let Some(known) = self.hosts.get_mut(&host).map(|known| &mut known.lanes[lane]) else { return };
         known.backoff_until = now + DIAL_BACKOFF;
         let hope = |key: &ConnectionKey| {
@@ -129,7 +130,7 @@
     /// Looks after a connection on which nothing waits any more.
     pub(super) fn settle(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
@@ -162,7 +163,7 @@
 
     pub(super) fn close_connections(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         reason: Reason,
         net: &mut Net,
@@ -176,7 +177,7 @@
 
     pub(super) fn drop_connection(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         reason: Reason,
         net: &mut Net,
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -1,5 +1,6 @@
 //! The queues of jobs, and their writing: each job is worded when a connection takes its bytes, never before.
 
+use crate::interface::{Instant};
 use super::pool::{Connection, Host, Job, JobRecord, Lane};
 use super::{lines, ConnectionDeadline, JobEnd, Upstream, MOST_CONNECTIONS, PROVEN, SPREAD};
 use crate::deadlines::Schedule;
@@ -43,7 +44,7 @@
     /// Queues a job for a server under its id on the wire; [`Upstream::dispatch`] writes it. A write shares no
     /// connection with reads.
     /// With a tally, its writing counts under that number.
-    pub fn queue(&mut self, now: i64, host: u32, job: u64, id: String, write: bool, tally: Option<u16>) {
+    pub fn queue(&mut self, now: Instant, host: u32, job: u64, id: String, write: bool, tally: Option<u16>) {
         self.enqueue(now, host, Job::Fetch(job), id, usize::from(write), tally);
     }
 
@@ -53,13 +54,13 @@
     }
 
     /// Queues a probe.
-    pub fn health_check(&mut self, now: i64, host: u32) {
+    pub fn health_check(&mut self, now: Instant, host: u32) {
         self.probes += 1;
         self.probed.insert(self.probes, now);
         self.enqueue(now, host, Job::Probe(self.probes), format!("p{}", self.probes), 0, None);
     }
 
-    fn enqueue(&mut self, now: i64, host: u32, job: Job, id: String, lane: usize, tally: Option<u16>) {
+    fn enqueue(&mut self, now: Instant, host: u32, job: Job, id: String, lane: usize, tally: Option<u16>) {
         self.jobs.insert(job, JobRecord { host, lane, id, connection: None, written: now, tally });
         match self.hosts.get_mut(&host).filter(|known| !known.gone) {
             Some(known) => known.lanes[lane].queue.push_back(job),
@@ -70,7 +71,7 @@
     /// Writes what is queued, as far as connections take it.
     pub fn dispatch<S: Schedule<ConnectionDeadline>>(
         &mut self,
-        now: i64,
+        now: Instant,
         net: &mut Net,
         due: &mut S,
         wording: &mut impl RequestEncoder<S>,
@@ -87,7 +88,7 @@
     /// Does what can be done about the first job of a queue; whether to look again.
     fn dispatch_one<S: Schedule<ConnectionDeadline>>(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         lane: usize,
         net: &mut Net,
@@ -137,7 +138,7 @@
     }
 
     /// Chooses a connection for the first job of a queue.
-    fn step(&self, now: i64, host: u32, lane: usize, job: Job, net: &Net) -> Step {
+    fn step(&self, now: Instant, host: u32, lane: usize, job: Job, net: &Net) -> Step {
         let known = self.hosts.get(&host).map(|known| &known.lanes[lane]);
         let (Some(known), Some(JobRecord { id, .. })) = (known, self.jobs.get(&job)) else {
             return Step::Wait;
@@ -184,7 +185,7 @@
     /// Words a job and writes it; what does not leave with its whole line goes back to the head of its queue.
     fn write_job<S: Schedule<ConnectionDeadline>>(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         job: Job,
         net: &mut Net,
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -8,6 +8,7 @@
 mod pool;
 mod reading;
 
+use crate::interface::{Instant, Span};
 use crate::deadlines::Schedule;
 use crate::net::{ConnectionKey, Net, Reason};
 pub use dispatch::RequestEncoder;
@@ -23,15 +24,15 @@
 /// A connection on which this many jobs in a row were given up unanswered is not to be trusted, if each had waited
 /// this long, us: clients that leave at once by the hundred say nothing of a server.
 const MOST_UNANSWERED: u32 = 3;
-const UNANSWERED_AFTER: i64 = 300_000;
+const UNANSWERED_AFTER: Span = Span::from_millis(300);
 /// A connection on which jobs wait and nothing was heard for this long is silent, us.
-const SILENT: i64 = 1_200_000;
+const SILENT: Span = Span::from_millis(1_200);
 /// An answer that has begun and of which nothing more comes for this long has stopped short, us: its connection is
 /// of no use, and what else is open there would wait for nothing.
-const STOPPED: i64 = 600_000;
+const STOPPED: Span = Span::from_millis(600);
 /// An answer that is not whole this long after it began never will be, us: no client waits for longer, and what else is
 /// open on its connection would wait behind it.
-const LONGEST_ANSWER: i64 = 3_000_000;
+const LONGEST_ANSWER: Span = Span::from_secs(3);
 /// Reads of one connection at a turn: a server that sends without end takes its turns like all others.
 const READS_IN_A_TURN: usize = 4;
 /// Connections to one server by lane, silent ones included.
@@ -43,12 +44,12 @@
 const MOST_CANCELLED: usize = 4096;
 /// A second answer comes within this long of the first, if one does, us: a repeat takes another connection until then,
 /// and not for longer, since connections are scarce.
-const SECOND_ANSWER: i64 = 50_000;
+const SECOND_ANSWER: Span = Span::from_millis(50);
 /// Ids answered that a connection remembers at most.
 const ANSWERED: usize = 64;
 /// A write goes by a connection of its own that has stood this long, us: on one that is reset while new, or that its
 /// server gives up at the moment of its next use, it may have run and has failed.
-const PROVEN: i64 = 3_000;
+const PROVEN: Span = Span::from_millis(3);
 
 /// What falls due for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -166,10 +167,10 @@
     /// old connections lead to a process that is no more and are closed.
     pub fn set_host(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         addr: SocketAddr,
-        since: Option<i64>,
+        since: Option<Instant>,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
     ) {
@@ -193,7 +194,7 @@
     /// A server is gone: nothing is queued for it any more, and its connections are closed once they are idle.
     pub fn remove_host(
         &mut self,
-        now: i64,
+        now: Instant,
         host: u32,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
@@ -213,7 +214,7 @@
     }
 
     /// Gives a job up: it is not written, or its server is told to stop; nothing is heard of it any more.
-    pub fn abandon(&mut self, now: i64, job: u64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn abandon(&mut self, now: Instant, job: u64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         let id = Job::Fetch(job);
         let Some(JobRecord { host, lane, id: name, connection, written, .. }) = self.jobs.remove(&id) else {
             return;
@@ -239,13 +240,13 @@
     }
 
     /// Closes everything.
-    pub fn stop(&mut self, now: i64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn stop(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
         for key in self.connections.keys().copied().collect::<Vec<_>>() {
             self.drop_connection(now, key, Reason::Stopping, net, due);
         }
     }
 
-    fn end(&mut self, now: i64, job: Job, ending: JobEnd) {
+    fn end(&mut self, now: Instant, job: Job, ending: JobEnd) {
         let Some(JobRecord { host, .. }) = self.jobs.remove(&job) else { return };
         self.events.push(match job {
             Job::Fetch(job) => UpstreamEvent::JobEnded { job, end: ending },
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,5 +1,6 @@
 //! The pool's records: servers, their connections, and the jobs that wait or are open there.
 
+use crate::interface::{Instant};
 use super::answers::Reader;
 use super::{ANSWERED, MOST_UNANSWERED, PROVEN, SECOND_ANSWER, SILENT};
 use crate::deadlines::DeadlineHandle;
@@ -19,14 +20,14 @@
     pub lane: usize,
     pub id: String,
     pub connection: Option<ConnectionKey>,
-    pub written: i64,
+    pub written: Instant,
     pub tally: Option<u16>,
 }
 
 pub(super) struct Host {
     pub addr: SocketAddr,
     /// Its last start, as the list tells it.
-    pub since: Option<i64>,
+    pub since: Option<Instant>,
     pub lanes: [Lane; 2],
     pub gone: bool,
 }
@@ -36,7 +37,7 @@
 pub(super) struct Lane {
     pub connections: Vec<ConnectionKey>,
     pub queue: VecDeque<Job>,
-    pub backoff_until: i64,
+    pub backoff_until: Instant,
     pub dial_retries: u32,
 }
 
@@ -52,7 +53,7 @@
 
 /// An id that was answered on a connection, and when.
 pub(super) struct Answered {
-    pub at: i64,
+    pub at: Instant,
     pub id: String,
 }
 
@@ -70,31 +71,31 @@
     pub answered: VecDeque<Answered>,
     pub reader: Reader,
     /// Since when something waits there with nothing heard.
-    pub waiting: Option<i64>,
+    pub waiting: Option<Instant>,
     pub unanswered: u32,
     /// When it came up, whether it has had a job, and since when nothing is open there.
-    pub since: i64,
+    pub since: Instant,
     pub used: bool,
-    pub idle_since: i64,
+    pub idle_since: Instant,
     pub connect_deadline: Option<DeadlineHandle>,
     pub idle_deadline: Option<DeadlineHandle>,
     /// Hung while an answer has come in part.
     pub answer_deadline: Option<DeadlineHandle>,
     /// When that answer began.
-    pub answer_since: Option<i64>,
+    pub answer_since: Option<Instant>,
     /// The tally of the job whose bytes are not all written yet.
     pub tally: Option<u16>,
 }
 
 impl Connection {
-    pub(super) fn takes(&self, now: i64, id: &str) -> bool {
+    pub(super) fn takes(&self, now: Instant, id: &str) -> bool {
         let known = self.open.contains_key(id) || self.cancelled.contains(id);
         let may_repeat = |answered: &Answered| answered.id == id && now < answered.at + SECOND_ANSWER;
         !known && !self.answered.iter().any(may_repeat)
     }
 
     /// Takes the job that an id is open for, which was answered.
-    pub(super) fn answered(&mut self, now: i64, id: &str) -> Option<Job> {
+    pub(super) fn answered(&mut self, now: Instant, id: &str) -> Option<Job> {
         let job = self.open.remove(id)?;
         let is_over = |first: &Answered| first.at + SECOND_ANSWER <= now;
         while self.answered.len() == ANSWERED || self.answered.front().is_some_and(is_over) {
@@ -105,11 +106,11 @@
     }
 
     /// Whether a write may go there.
-    pub(super) fn is_sure(&self, now: i64) -> bool {
+    pub(super) fn is_sure(&self, now: Instant) -> bool {
         self.since + PROVEN <= now && !self.used
     }
 
-    pub(super) fn silent(&self, now: i64) -> bool {
+    pub(super) fn silent(&self, now: Instant) -> bool {
         self.unanswered >= MOST_UNANSWERED || self.waiting.is_some_and(|since| now - since > SILENT)
     }
 }
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,5 +1,6 @@
 //! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
 
+use crate::interface::{Instant};
 use super::answers::MalformedAnswer;
 use super::{ConnectionDeadline, JobEnd, Upstream, INPUT, LONGEST_ANSWER, PROVEN, READS_IN_A_TURN, STOPPED};
 use crate::deadlines::Schedule;
@@ -9,7 +10,7 @@
     /// A connection may be read from, or written to.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         read: bool,
         write: bool,
@@ -23,7 +24,7 @@
 
     fn advance(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         read: bool,
         write: bool,
@@ -55,7 +56,7 @@
     /// A connection has come up.
     fn come_up(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
@@ -76,7 +77,7 @@
     /// Sets the deadline of an answer that has come in part: its next bytes, and its end, have their times.
     fn watch_answer(
         &mut self,
-        now: i64,
+        now: Instant,
         key: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
@@ -95,7 +96,7 @@
     }
 
     /// Takes in what has come. A server that sends without end gets its next turn behind all others.
-    pub(super) fn read(&mut self, now: i64, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
+    pub(super) fn read(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         for _ in 0..READS_IN_A_TURN {
             let wanted = self.connections.get(&key).map_or(0, |connection| connection.reader.wanted());
             let got = net.read(key, wanted + INPUT);
@@ -116,7 +117,7 @@
     }
 
     /// Ends the jobs whose answers have come whole.
-    fn take_answers(&mut self, now: i64, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
+    fn take_answers(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         let room = self.limits.max_buffered_bytes.saturating_sub(net.held_bytes() + self.elsewhere);
         let Some(connection) = self.connections.get_mut(&key) else { return Ok(()) };
         let mut answers = Vec::new();
@@ -155,7 +156,7 @@
     /// A connection's deadline has fallen.
     pub fn due(
         &mut self,
-        now: i64,
+        now: Instant,
         what: ConnectionDeadline,
         net: &mut Net,
         due: &mut dyn Schedule<ConnectionDeadline>,
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,3 +1,4 @@
+use crate::interface::{Instant};
 use super::connections::DIAL_RETRIES;
 use super::lines::WireRequest;
 use super::*;
@@ -127,7 +128,7 @@
     let mut pool = pool_of(true);
     let first = pool.connection();
     pool.upstream.connections.get_mut(&first).expect("it is there").up = true;
-    let mut at = |now: i64, job: u64| {
+    let mut at = |now: Instant, job: u64| {
         if job > 7 {
             pool.upstream.queue(now, 1, job, format!("a{job}"), true, None);
         }
@@ -228,7 +229,7 @@
     net: Net,
     fabric: Fabric,
     due: Deadlines<ConnectionDeadline>,
-    now: i64,
+    now: Instant,
 }
 
 /// Words jobs, and notes what it was asked.
