--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -31,4 +31,4 @@
 pub use settings::{
     CacheStatusDetail, ProtectionRules, Settings, SiblingSources, SiteLimits, SlowStartRules, Topology,
 };
-pub use time::{Instant, Micros, Span, UnixTime};
+pub use time::{Instant, Span, UnixTime};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,7 +40,7 @@
     Action, AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Class, ClassId, DedupScope,
     Endpoint, Event, FillAttempt, GroupId, Idempotency, Instant, ListUpdate, Span, ObjectId,
     ProtectionRules, Purge, RejectionReason, Request, RequestId, ServerId, ServerState, Settings,
-    SiblingSources, SiteLimits, SlowStartRules, Span, Topology, ZoneId,
+    SiblingSources, SiteLimits, SlowStartRules, Span, Topology, UnixTime, ZoneId,
 };
 pub use policy::Router;
 pub use validate::SettingsError;
