--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,7 +14,7 @@
 mod stream;
 mod transfer;
 
-pub use clock::{unix_micros, Clock, WallClock};
+pub use clock::{unix_time, Clock, WallClock};
 pub use errors::{is_exhausted, is_local};
 pub use poll::Ready;
 pub use reason::Reason;
@@ -22,7 +22,7 @@
 pub use stream::{Listener, Stream};
 pub use transfer::ReadProgress;
 
-use crate::interface::{Instant, Span};
+use crate::interface::{Instant, UnixTime};
 use crate::slots::{Key, Slots};
 use bytes::{Bytes, BytesMut};
 use fabric::Fabric;
@@ -83,8 +83,8 @@
         Net { poller, wall, conns, count: [0; 6], scratch, held: 0, closed }
     }
 
-    /// Unix time, us, for what is stated in Unix time; see [`WallClock`].
-    pub fn unix_time(&self) -> Span {
+    /// Unix time, for what is stated in Unix time; see [`WallClock`].
+    pub fn unix_time(&self) -> UnixTime {
         self.wall.now()
     }
 
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -2,14 +2,20 @@
 
 use super::fabric::{host, ActorEvent, HostBehaviour};
 use super::*;
+use crate::interface::Span;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 
 const FRONT: u16 = 5;
+const MS: Span = Span::from_millis(1);
+
+fn at(span: Span) -> Instant {
+    Instant::ZERO + span
+}
 
 /// A network in which process 1 listens, with its table of connections.
 fn listening() -> (Fabric, Net, Listener) {
-    let fabric = Fabric::new(0, 1, (1000, 1000));
+    let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
     fabric.start_process(1);
     let mut net = Net::on(&fabric, 1);
     let listener = net.listen(host(FRONT), true, 0).expect("a listener");
@@ -20,7 +26,7 @@
     SocketAddr::from(([127, 0, 2, 1], 40_000 + number))
 }
 
-fn pass(fabric: &Fabric, to: i64) -> Vec<ActorEvent> {
+fn pass(fabric: &Fabric, to: Instant) -> Vec<ActorEvent> {
     fabric.advance(to);
     fabric.happen();
     fabric.signals()
@@ -29,8 +35,8 @@
 /// A connection from the process to host 1, which is up.
 fn connected(fabric: &Fabric, net: &mut Net) -> ConnectionKey {
     fabric.set_reach(host(1), HostBehaviour::Up);
-    let key = net.connect(0, host(1), Role::Upstream).expect("begun");
-    pass(fabric, fabric.now() + 2000);
+    let key = net.connect(Instant::ZERO, host(1), Role::Upstream).expect("begun");
+    pass(fabric, fabric.now() + 2 * MS);
     assert_eq!(net.connected(key), Ok(true));
     key
 }
@@ -41,10 +47,10 @@
         let (fabric, mut net, listener) = listening();
         (0..10).for_each(|number| fabric.dial_aborted(client(number), host(FRONT), error));
         fabric.dial(client(99), host(FRONT));
-        pass(&fabric, 1000);
-        let accepted = net.accept(1000, &listener, Role::Thrift);
+        pass(&fabric, at(MS));
+        let accepted = net.accept(at(MS), &listener, Role::Thrift);
         assert!(matches!(accepted, Ok(Some(_))), "{error}: {accepted:?}");
-        assert!(matches!(net.accept(1000, &listener, Role::Thrift), Ok(None)));
+        assert!(matches!(net.accept(at(MS), &listener, Role::Thrift), Ok(None)));
     }
 }
 
@@ -52,8 +58,8 @@
 fn accepts_that_fail_without_end_are_given_up_for_now() {
     let (fabric, mut net, listener) = listening();
     (0..500).for_each(|number| fabric.dial_aborted(client(number), host(FRONT), Errno::PROTO));
-    pass(&fabric, 1000);
-    assert!(net.accept(1000, &listener, Role::Thrift).is_err());
+    pass(&fabric, at(MS));
+    assert!(net.accept(at(MS), &listener, Role::Thrift).is_err());
 }
 
 #[test]
@@ -61,14 +67,14 @@
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let (fabric, mut net, listener) = listening();
         fabric.dial(client(1), host(FRONT));
-        fabric.exhaust(error, 5000);
-        pass(&fabric, 1000);
-        let failed = net.accept(1000, &listener, Role::Thrift).expect_err("exhausted");
+        fabric.exhaust(error, at(5 * MS));
+        pass(&fabric, at(MS));
+        let failed = net.accept(at(MS), &listener, Role::Thrift).expect_err("exhausted");
         assert!(is_exhausted(&failed), "{failed}");
-        let failed = net.connect(1000, host(1), Role::Upstream).expect_err("exhausted");
+        let failed = net.connect(at(MS), host(1), Role::Upstream).expect_err("exhausted");
         assert!(is_local(&failed), "{failed}");
-        pass(&fabric, 5000);
-        assert!(matches!(net.accept(5000, &listener, Role::Thrift), Ok(Some(_))));
+        pass(&fabric, at(5 * MS));
+        assert!(matches!(net.accept(at(5 * MS), &listener, Role::Thrift), Ok(Some(_))));
     }
 }
 
@@ -76,15 +82,15 @@
 fn interrupted_calls_are_repeated() {
     let (fabric, mut net, listener) = listening();
     fabric.dial(client(1), host(FRONT));
-    pass(&fabric, 1000);
-    fabric.interrupt(100_000);
-    let accepted = net.accept(1000, &listener, Role::Thrift).expect("repeated").expect("one waits");
+    pass(&fabric, at(MS));
+    fabric.interrupt(at(100 * MS));
+    let accepted = net.accept(at(MS), &listener, Role::Thrift).expect("repeated").expect("one waits");
     assert_eq!(net.ended(accepted), Ok(false));
     assert_eq!(net.ended(accepted), Ok(false));
     let key = connected(&fabric, &mut net);
     assert_eq!(net.write(key, [Bytes::from_static(b"ping")]), Ok(()));
     fabric.send(2, b"pong");
-    let told = pass(&fabric, 4000);
+    let told = pass(&fabric, at(4 * MS));
     assert!(matches!(&told[..], [ActorEvent::Bytes { bytes, .. }] if bytes == b"ping"), "{told:?}");
     assert_eq!(net.read(key, 100), Ok(ReadProgress { more: false, end: false, bytes: 4 }));
 }
@@ -96,16 +102,16 @@
         let (fabric, mut net, listener) = listening();
         let link = fabric.dial(client(1), host(FRONT));
         fabric.send(link, b"never read");
-        pass(&fabric, 1000);
-        let key = net.accept(1000, &listener, Role::Thrift).expect("accepted").expect("one waits");
-        fabric.interrupt(100_000);
+        pass(&fabric, at(MS));
+        let key = net.accept(at(MS), &listener, Role::Thrift).expect("accepted").expect("one waits");
+        fabric.interrupt(at(100 * MS));
         for _ in 0..calls {
             assert_eq!(net.ended(key), Ok(false));
         }
         fabric.send(link, b"nor this");
-        pass(&fabric, 2000);
-        net.close(2000, key, Reason::Done);
-        assert_eq!(pass(&fabric, 3000), [ActorEvent::Closed { link }]);
+        pass(&fabric, at(2 * MS));
+        net.close(at(2 * MS), key, Reason::Done);
+        assert_eq!(pass(&fabric, at(3 * MS)), [ActorEvent::Closed { link }]);
     }
 }
 
@@ -113,11 +119,11 @@
 fn short_reads_and_writes_lose_nothing() {
     let (fabric, mut net, _listener) = listening();
     let key = connected(&fabric, &mut net);
-    fabric.shorten(3, 100_000);
+    fabric.shorten(3, at(100 * MS));
     let text = Bytes::from_static(b"0123456789");
     assert_eq!(net.write(key, [text.clone(), text.clone()]), Ok(()));
     fabric.send(1, &text);
-    let told = pass(&fabric, 3000).into_iter().flat_map(|signal| match signal {
+    let told = pass(&fabric, at(3 * MS)).into_iter().flat_map(|signal| match signal {
         ActorEvent::Bytes { bytes, .. } => bytes,
         _ => Vec::new(),
     });
@@ -132,13 +138,13 @@
         let (fabric, mut net, _listener) = listening();
         let key = connected(&fabric, &mut net);
         fabric.fail(1, error);
-        pass(&fabric, 3000);
+        pass(&fabric, at(3 * MS));
         assert_eq!(net.read(key, 100), Err(Reason::PeerReset), "{error}");
         assert_eq!(net.write(key, [Bytes::from_static(b"x")]), Err(Reason::PeerReset), "{error}");
         // One that never came up, by the same errors.
-        fabric.fail_connects(host(1), error, false, 100_000);
-        let key = net.connect(3000, host(1), Role::Upstream).expect("begun");
-        pass(&fabric, 5000);
+        fabric.fail_connects(host(1), error, false, at(100 * MS));
+        let key = net.connect(at(3 * MS), host(1), Role::Upstream).expect("begun");
+        pass(&fabric, at(5 * MS));
         assert_eq!(net.connected(key), Err(Reason::ConnectRefused), "{error}");
     }
 }
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -1,6 +1,8 @@
 //! Open requests and their attempts.
 
-use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, ServerId, SiteLimits, Span};
+use crate::interface::{
+    AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, ServerId, SiteLimits,
+};
 
 /// How an attempt failed whose fault may be its cache's or its source's.
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/src/policy/class_times.rs
+++ b/src/policy/class_times.rs
@@ -24,7 +24,7 @@
     pub fn untried(class: &Class) -> Self {
         let part = if class.uncached { UNCACHED_SENDING_PART } else { 1.0 };
         ClassTimes {
-            sending: class.latency_objective as f64 * part,
+            sending: class.latency_objective.as_micros_f64() * part,
             samples: 0.0,
             whole: 0.0,
             deviation: 0.0,
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -7,7 +7,9 @@
     timing::{PROBE_INTERVAL, SECOND},
     Router,
 };
-use crate::interface::{Action, ClassId, FillAttempt, Instant, RejectionReason, Request, RequestId, ServerId, Span};
+use crate::interface::{
+    Action, ClassId, FillAttempt, Instant, RejectionReason, Request, RequestId, ServerId, Span,
+};
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
@@ -110,7 +112,7 @@
             join_fill: self.settings.limits.join_fills && !rescued_there,
             only_if_cached: route.only_held && route.source.is_some(),
             bypass_parent_cache: false,
-            stale_while_revalidate: self.class(request).fresh_for > 0,
+            stale_while_revalidate: self.class(request).fresh_for > Span::ZERO,
         }
     }
 
@@ -151,20 +153,23 @@
 
     /// Books the mean work of a class against the servers that do it.
     fn record_sent_work(&mut self, now: Instant, class: ClassId, servers: BTreeSet<ServerId>) {
-        let work = self.times(class).sending / SECOND as f64;
+        let work = self.times(class).sending / SECOND.as_micros_f64();
         for server in servers {
             self.servers.entry(server).and_modify(|s| s.recent_work.push_back(SentWork { at: now, work }));
         }
     }
 
     /// Until when a request is worth trying for: not long past its objective, where the size is told.
-    fn worth_until(&self, open: &OpenRequest) -> Span {
+    fn worth_until(&self, open: &OpenRequest) -> Instant {
         let class = self.class(&open.request);
-        let objective =
-            class.latency_objective as f64 + class.objective_stretch * self.sending_time(&open.request);
+        let objective = class.latency_objective.as_micros_f64()
+            + class.objective_stretch * self.sending_time(&open.request);
         let is_size_told = open.request.size_kb > 0.0;
-        let longest =
-            if is_size_told { (objective * LONGEST_PART_OF_OBJECTIVE) as Span } else { Micros::MAX };
+        let longest = if is_size_told {
+            Span::from_micros_f64(objective * LONGEST_PART_OF_OBJECTIVE)
+        } else {
+            Span::MAX
+        };
         open.arrived + longest.min(open.request.client_timeout)
     }
 }
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -1,9 +1,8 @@
 //! The limit of concurrent fetches that reach the origin, and the queue of requests that wait for one.
 
-use crate::interface::{Instant, Span};
 use super::timing::SECOND;
 use crate::{
-    interface::{Span, RequestId},
+    interface::{Instant, RequestId, Span},
     spread::mix,
 };
 
@@ -12,7 +11,7 @@
 /// Own fetches that may be in flight at most. More only wait for each other at the origin.
 const MOST_LIMIT: f64 = 256.0;
 /// How the limit changes with slow or failed fetches.
-const DECREASE: Step = Step { rate: -3.0, longest: SECOND / 5 };
+const DECREASE: Step = Step { rate: -3.0, longest: Span::from_millis(200) };
 /// How it changes with others, up to its first value or while it binds.
 const INCREASE: Step = Step { rate: 1.0, longest: SECOND };
 
@@ -75,8 +74,8 @@
         let may_rise = speed == FetchSpeed::Fast && used < INITIAL_LIMIT.max(in_flight + 2.0);
         if slow || may_rise {
             let step = if slow { DECREASE } else { INCREASE };
-            let elapsed = (now - self.observed_at).min(step.longest) as f64;
-            let factor = (step.rate * elapsed / SECOND as f64).exp();
+            let elapsed = (now - self.observed_at).min(step.longest).as_micros_f64();
+            let factor = (step.rate * elapsed / SECOND.as_micros_f64()).exp();
             self.limit = (used * factor).clamp(least, MOST_LIMIT);
         }
         self.observed_at = now;
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -5,13 +5,12 @@
     popularity::object_key,
     rendezvous::rendezvous,
     server::Server,
-    timing::SECOND,
     Router,
 };
 use crate::interface::{CacheStatusDetail, Instant, ServerId, Span};
 
 /// A source's first byte drifts back to the usual over this long without news: then it is tried again.
-const FIRST_BYTE_MEMORY: Span = 5 * SECOND;
+const FIRST_BYTE_MEMORY: Span = Span::from_secs(5);
 /// The first of an object's two parents is left for the second while its wait is this many times as long.
 const CLEARLY_SOONER: f64 = 2.0;
 /// The usual first byte, as a part of a class's latency objective.
@@ -21,7 +20,7 @@
     /// Where a miss is filled from: two parents by the object's hash, those of the hub first, and of them the
     /// first unless the other is clearly sooner. All routers draw the same two: not every parent fetches it.
     pub(super) fn fill_source(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
-        let usual = self.class(&open.request).latency_objective as f64 / USUAL_FIRST_BYTE_DIVISOR;
+        let usual = self.class(&open.request).latency_objective.as_micros_f64() / USUAL_FIRST_BYTE_DIVISOR;
         let first_byte = |server: &Server| expected_first_byte(now, server, usual);
         match self.parents_in_order(now, open)[..] {
             [] => self.origin,
@@ -68,6 +67,6 @@
 
 /// The first byte that is expected of a source by now.
 fn expected_first_byte(now: Instant, server: &Server, usual: f64) -> f64 {
-    let known = (-((now - server.first_byte_at) as f64) / FIRST_BYTE_MEMORY as f64).exp();
+    let known = (-(now - server.first_byte_at).ratio(FIRST_BYTE_MEMORY)).exp();
     usual + (server.first_byte.unwrap_or(usual) - usual) * known
 }
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -29,11 +29,11 @@
 
     /// How long a client of the class should stay away that is rejected; 0: no advice.
     pub fn advice(&self, class: ClassId) -> Span {
-        let target =
-            self.settings.classes.get(usize::from(class.0)).map_or(0, |class| class.latency_objective);
+        let class = self.settings.classes.get(usize::from(class.0));
+        let target = class.map_or(Span::ZERO, |class| class.latency_objective);
         let limits = &self.settings.limits;
-        let advice = (target as f64 * RETRY_AFTER_PART) as Span;
-        advice.min(if limits.retry_after { limits.max_retry_after } else { 0 })
+        let advice = Span::from_micros_f64(target.as_micros_f64() * RETRY_AFTER_PART);
+        advice.min(if limits.retry_after { limits.max_retry_after } else { Span::ZERO })
     }
 
     /// Takes in that a streamed answer has started.
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,6 +1,6 @@
 //! How old a copy may be that is served: fresh times and purges.
 
-use super::{attempt::OpenRequest, Router};
+use super::{attempt::OpenRequest, timing::MICROSECOND, Router};
 use crate::interface::{Instant, Purge, Span};
 
 impl Router {
@@ -14,13 +14,13 @@
     pub(super) fn max_age(&self, now: Instant, open: &OpenRequest) -> Span {
         let class = self.class(&open.request);
         let may_fetch = open.attempts.is_empty() && self.fetches.admits(open.request.id);
-        let grace = if may_fetch { 0 } else { class.stale_for };
-        let fresh = if class.fresh_for > 0 { class.fresh_for + grace } else { 0 };
+        let grace = if may_fetch { Span::ZERO } else { class.stale_for };
+        let fresh = if class.fresh_for > Span::ZERO { class.fresh_for + grace } else { Span::ZERO };
         let object = self.purges.get(&Purge::Object(open.request.object));
         let group = self.purges.get(&Purge::Group(open.request.group));
-        let Some(purged) = object.max(group) else { return fresh };
-        let bound = (now - purged).max(1); // 0 would mean any age
-        bound.min(if fresh > 0 { fresh } else { bound })
+        let Some(&purged) = object.max(group) else { return fresh };
+        let bound = (now - purged).max(MICROSECOND); // 0 would mean any age
+        bound.min(if fresh > Span::ZERO { fresh } else { bound })
     }
 
     /// Forgets the purges that all servers have followed.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -3,7 +3,7 @@
 use super::{
     attempt::OpenRequest,
     server::{Server, LEAST_DEVIATION},
-    timing::{SECOND, SMOOTHING},
+    timing::{MICROSECOND, SMOOTHING},
     Router,
 };
 use crate::interface::{AttemptOutcome, Instant, ServerId, Span};
@@ -14,7 +14,7 @@
 /// Part of that for an object that this router has not seen of late: it likely needs a fill.
 const UNKNOWN_OBJECT_PART: f64 = 0.7;
 /// Own attempts in flight are smoothed over this long for each further router of the location: it sees fewer.
-const MEMORY_PER_ROUTER: Span = SECOND / 4;
+const MEMORY_PER_ROUTER: Span = Span::from_millis(250);
 /// Most own and assumed attempts at a cache, over its link: past it even small requests wait too long.
 const MOST_LOAD: f64 = 6.0;
 
@@ -36,7 +36,7 @@
 
     /// How long own attempts in flight are smoothed over.
     pub(super) fn load_memory(&self) -> Span {
-        MEMORY_PER_ROUTER * Micros::from(self.routers_sharing(true) - 1)
+        MEMORY_PER_ROUTER * i64::from(self.routers_sharing(true) - 1)
     }
 
     /// The load at a server that a request is predicted to bear: its time grows with it, its objective not.
@@ -44,7 +44,7 @@
         let class = self.class(&open.request);
         let sending = self.sending_time(&open.request).max(1.0);
         let part = OBJECTIVE_PART * if self.is_known(&open.request) { 1.0 } else { UNKNOWN_OBJECT_PART };
-        (part * (class.latency_objective as f64 + class.objective_stretch * sending) / sending)
+        (part * (class.latency_objective.as_micros_f64() + class.objective_stretch * sending) / sending)
             .clamp(1.0, MOST_LOAD)
     }
 
@@ -74,7 +74,7 @@
     pub(super) fn measure_link(&mut self, now: Instant, outcome: &AttemptOutcome, sending: f64, slack: f64) {
         let Some(server) = self.servers.get(&outcome.server) else { return };
         let per_weight = (self.attempts_at(now, server) + 1.0) / server.member.weight.max(0.01);
-        let elapsed = outcome.elapsed.max(1) as f64;
+        let elapsed = outcome.elapsed.max(MICROSECOND).as_micros_f64();
         let link = self.measured_link.get_or_insert(per_weight * sending / elapsed);
         *link += SMOOTHING * (per_weight * sending - *link * elapsed) / elapsed.max(4.0 * slack);
     }
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,7 +1,9 @@
 //! What the end of an attempt tells of the class, the cache, the source and the origin.
 
 use super::{attempt::Attempt, fetch_limit::FetchSpeed, Router};
-use crate::interface::{AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request};
+use crate::interface::{
+    AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, Span,
+};
 
 /// A fetch is slow whose first byte takes this part of its class's objective, or that is late as a whole.
 const SLOW_FIRST_BYTE: f64 = 0.8;
@@ -23,11 +25,14 @@
 impl Measured {
     fn new(router: &Router, outcome: &AttemptOutcome, request: &Request) -> Self {
         let class = router.class(request);
-        let is_sending_told = outcome.transfer_time > 0 && !class.uncached;
-        let sending =
-            if is_sending_told { outcome.transfer_time as f64 } else { router.sending_time(request) };
-        let slack = class.latency_objective as f64 / 4.0;
-        let own = (outcome.elapsed - outcome.fill_wait).max(0) as f64;
+        let is_sending_told = outcome.transfer_time > Span::ZERO && !class.uncached;
+        let sending = if is_sending_told {
+            outcome.transfer_time.as_micros_f64()
+        } else {
+            router.sending_time(request)
+        };
+        let slack = class.latency_objective.as_micros_f64() / 4.0;
+        let own = (outcome.elapsed - outcome.fill_wait).max(Span::ZERO).as_micros_f64();
         let deviation = ((own + slack) / (sending + slack)).ln();
         Measured { is_sending_told, sending, slack, own, deviation }
     }
@@ -45,7 +50,7 @@
         let measured = Measured::new(self, outcome, request);
         let is_served = outcome.result == AttemptResult::Ok;
         if is_served {
-            self.times_mut(request.class).observe_answer(outcome.elapsed as f64);
+            self.times_mut(request.class).observe_answer(outcome.elapsed.as_micros_f64());
         }
         if is_served && !self.settings.topology.weights_state_links {
             self.measure_link(now, outcome, measured.sending, measured.slack);
@@ -72,7 +77,7 @@
     ) -> FetchSpeed {
         use AttemptResult::{Cancelled, Error, Ok, Rejected, Timeout};
         let class = self.class(request);
-        let target = class.latency_objective as f64;
+        let target = class.latency_objective.as_micros_f64();
         let is_lost =
             matches!(outcome.result, Rejected | Timeout) || (outcome.result == Cancelled && attempt.rescued);
         // Where notes say less, any fill may be one from the origin.
@@ -82,8 +87,8 @@
             CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
         let is_late = measured.is_sending_told
-            && outcome.elapsed as f64 > target + class.objective_stretch * measured.sending;
-        let is_slow_fill = is_late || outcome.fill_wait as f64 > SLOW_FIRST_BYTE * target;
+            && outcome.elapsed.as_micros_f64() > target + class.objective_stretch * measured.sending;
+        let is_slow_fill = is_late || outcome.fill_wait.as_micros_f64() > SLOW_FIRST_BYTE * target;
         let is_mute = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
         let is_error = outcome.result == Error && (is_mute || !attempt.errored);
         if is_lost || (is_from_origin && is_slow_fill) || is_error {
@@ -144,12 +149,15 @@
             Some(CacheStatus::SourceUnreachable | CacheStatus::SourceRejected)
         );
         if is_filled(outcome) || (is_mute && outcome.result == Ok) {
-            let elapsed = outcome.elapsed as f64;
-            let first_byte =
-                if is_mute { (elapsed - measured.sending).max(0.0) } else { outcome.fill_wait as f64 };
+            let elapsed = outcome.elapsed.as_micros_f64();
+            let first_byte = if is_mute {
+                (elapsed - measured.sending).max(0.0)
+            } else {
+                outcome.fill_wait.as_micros_f64()
+            };
             source.on_fill(now, first_byte);
         } else if matches!(outcome.result, Timeout | Cancelled) {
-            source.on_lost_fill(now, outcome.elapsed as f64);
+            source.on_lost_fill(now, outcome.elapsed.as_micros_f64());
         } else if is_source_fault && matches!(outcome.result, Error | Rejected | Miss) {
             source.count_error();
             source.eject_as_source(now);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -40,7 +40,9 @@
 mod timing;
 mod upkeep;
 
-use crate::interface::{Action, Class, ClassId, Event, Instant, Purge, Request, RequestId, ServerId, Settings, Span};
+use crate::interface::{
+    Action, Class, ClassId, Event, Instant, Purge, Request, RequestId, ServerId, Settings,
+};
 use crate::SettingsError;
 use attempt::OpenRequest;
 use class_times::ClassTimes;
@@ -82,7 +84,7 @@
     /// Full-pace answers that the caches' links were seen to bear for each weight, where no weight tells it.
     measured_link: Option<f64>,
     /// When what was purged last.
-    purges: BTreeMap<Purge, Span>,
+    purges: BTreeMap<Purge, Instant>,
     retries: RetryBudget,
     fetches: FetchLimit,
 }
@@ -174,7 +176,7 @@
     /// A request's own sending time at full pace, us; where sizes are not told, its class's mean.
     fn sending_time(&self, request: &Request) -> f64 {
         if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
-            return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND as f64;
+            return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND.as_micros_f64();
         }
         self.times(request.class).sending
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -73,7 +73,8 @@
 
     /// Whether a request may wait for a fetch: until well before its time, which a tick may miss by a little.
     pub(super) fn may_wait(&self, now: Instant, open: &OpenRequest) -> bool {
-        let wait = (FETCH_WAIT * self.class(&open.request).latency_objective as f64) as Span;
+        let wait =
+            Span::from_micros_f64(FETCH_WAIT * self.class(&open.request).latency_objective.as_micros_f64());
         now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK)
     }
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -66,7 +66,8 @@
             }
             let usual = self.times(open.request.class).usual_limit();
             let sending = self.sending_time(&open.request);
-            let allowed = (patience as f64 + SENDING_TIMES * sending).max(usual) as Span;
+            let allowed =
+                Span::from_micros_f64((patience.as_micros_f64() + SENDING_TIMES * sending).max(usual));
             for (number, attempt) in open.attempts.iter().enumerate().filter(|(_, a)| a.in_flight) {
                 *survey.in_flight.entry(attempt.source).or_default() += 1;
                 if attempt.sent + allowed > now {
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,9 +1,8 @@
 //! The popular directory: counts of recent requests by object, and the delegates of popular objects.
 
-use crate::interface::{Instant, Span};
-use super::timing::{PROBE_INTERVAL, SECOND};
+use super::timing::PROBE_INTERVAL;
 use crate::{
-    interface::{Span, Request, ServerId},
+    interface::{Instant, Request, ServerId, Span},
     spread::mix,
 };
 use std::collections::BTreeMap;
@@ -11,7 +10,7 @@
 /// Objects that the directory counts; some tens of seconds of one router's requests fit.
 const MOST_OBJECTS: usize = 4096;
 /// Counts are halved this often (design page).
-const HALVING_INTERVAL: Span = 10 * SECOND;
+const HALVING_INTERVAL: Span = Span::from_secs(10);
 /// One counted object in this many is popular (design page: the top 1%).
 const POPULAR_PART: usize = 100;
 /// Fewer own requests than this make no object popular, however few objects are counted.
@@ -19,7 +18,7 @@
 /// Delegates that a router starts for one object (design page).
 const MOST_DELEGATES: usize = 2;
 /// A delegate expires after this (design page).
-const DELEGATE_LIFETIME: Span = 30 * SECOND;
+const DELEGATE_LIFETIME: Span = Span::from_secs(30);
 
 /// What a cache stores as one unit: an object, or one part of it.
 pub type ObjectKey = u64;
@@ -34,7 +33,7 @@
     pub server: ServerId,
     /// Requests sent to it.
     distributed: u32,
-    expires: Span,
+    expires: Instant,
 }
 
 /// A counted object.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -2,7 +2,7 @@
 
 use super::{
     attempt::Failure,
-    timing::{smooth, PROBE_INTERVAL, SMOOTHING},
+    timing::{smooth, MICROSECOND, PROBE_INTERVAL, SMOOTHING},
 };
 use crate::interface::{Endpoint, Instant, Span};
 use std::collections::VecDeque;
@@ -48,7 +48,7 @@
     pub first_byte: Option<f64>,
     /// When it last filled something or failed to.
     pub first_byte_at: Instant,
-    pub last_heard: Span,
+    pub last_heard: Instant,
     /// Failed outright or silent: only probes until then.
     pub ejected: bool,
     pub ejected_until: Instant,
@@ -65,7 +65,7 @@
             first_byte_at: now,
             last_heard: now,
             ejected_until: now,
-            connection_broke_at: now - 1,
+            connection_broke_at: now - MICROSECOND,
             ..Server::default()
         }
     }
@@ -80,7 +80,7 @@
 
     /// Own attempts in flight by now, smoothed over `memory`.
     pub fn smoothed_in_flight(&self, now: Instant, memory: Span) -> f64 {
-        let past = (-((now - self.smoothed_at) as f64) / memory.max(1) as f64).exp();
+        let past = (-(now - self.smoothed_at).ratio(memory.max(MICROSECOND))).exp();
         f64::from(self.in_flight) + (self.smoothed_in_flight - f64::from(self.in_flight)) * past
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,6 +1,10 @@
 //! Slow start: what a server that is warming up surely bears, and the budget that all routers share of it.
 
-use super::{server::Server, timing::SECOND, Router};
+use super::{
+    server::Server,
+    timing::{MICROSECOND, SECOND},
+    Router,
+};
 use crate::interface::{ClassId, Instant, ServerId, SlowStartRules};
 
 /// Part of the warm-up budget that is used: true sizes lie below the registered ones at times.
@@ -13,7 +17,7 @@
     pub(super) fn warmth(&self, now: Instant, server: &Server) -> f64 {
         let SlowStartRules { initial_share, full_after, .. } = self.slow_start_rules(server);
         let Some(started_at) = server.member.started_at else { return 1.0 };
-        let part = (now - started_at).max(0) as f64 / full_after.max(1) as f64;
+        let part = now.saturating_since(started_at).ratio(full_after.max(MICROSECOND));
         (initial_share + (1.0 - initial_share) * part).min(1.0)
     }
 
@@ -35,7 +39,10 @@
         }
         let multiple = self.slow_start_rules(server).overload_multiple;
         let window = self.settings.protection.overload_window;
-        Some(BUDGET_MARGIN * multiple * warmth * self.link(server) * window as f64 / SECOND as f64)
+        Some(
+            BUDGET_MARGIN * multiple * warmth * self.link(server) * window.as_micros_f64()
+                / SECOND.as_micros_f64(),
+        )
     }
 
     /// Whether this router's share of a warming server's budget is spent. Where the share is under one
@@ -45,21 +52,21 @@
     pub(super) fn is_warm_up_budget_spent(&self, now: Instant, server: ServerId, class: ClassId) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
         let Some(budget) = self.warm_up_budget(now, server) else { return false };
-        let work = self.times(class).sending / SECOND as f64;
+        let work = self.times(class).sending / SECOND.as_micros_f64();
         let processes = self.sharing.processes;
         let sharers = self.routers_sharing(self.is_cache(server.member.server)) * processes;
         let number = self.settings.topology.ordinal * processes + self.sharing.place;
         let share = budget / f64::from(sharers);
-        let span = self.settings.protection.overload_window.max(1);
+        let span = self.settings.protection.overload_window.max(MICROSECOND);
         let age = now - server.member.started_at.unwrap_or(now);
         let turns = (work / share.max(LEAST_SHARE)).ceil() as u32;
-        let turns = Micros::from(turns.next_power_of_two().min(sharers)); // so that all routers hold it alike
-        let since = if turns > 1 { now - age % span - 1 } else { now - span };
+        let turns = i64::from(turns.next_power_of_two().min(sharers)); // so that all routers hold it alike
+        let since = if turns > 1 { now - age % span - MICROSECOND } else { now - span };
         let sent: f64 = server.recent_work.iter().filter(|sent| sent.at > since).map(|sent| sent.work).sum();
         match turns {
             0 | 1 => sent + work > share,
             _ if work > budget => true,
-            _ => sent > 0.0 || (age / span + Micros::from(number)) % turns != 0,
+            _ => sent > 0.0 || (age / span + i64::from(number)) % turns != 0,
         }
     }
 }
--- a/src/policy/timing.rs
+++ b/src/policy/timing.rs
@@ -2,6 +2,8 @@
 
 use crate::interface::Span;
 
+/// The least span that is not zero.
+pub const MICROSECOND: Span = Span::from_micros(1);
 /// One second.
 pub const SECOND: Span = Span::from_secs(1);
 /// How often outstanding attempts are looked over: well under any latency objective.
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -7,7 +7,7 @@
 use crate::net::{ConnectionKey, Ready, Reason, Role};
 use std::io;
 
-/// Connections taken at a turn, and the pause before the next one, us: hundreds at once wait for each other and not
+/// Connections taken at a turn, and the pause before the next one: hundreds at once wait for each other and not
 /// the others for them.
 const ACCEPTS: usize = 32;
 const ACCEPT_NEXT: Span = Span::from_millis(1);
@@ -18,8 +18,8 @@
 #[derive(Default)]
 pub(super) struct Accepting {
     /// The one deadline for it, however many accepts failed.
-    next: Option<(Span, DeadlineHandle)>,
-    /// Out of descriptors or memory: until then nothing is accepted, us.
+    next: Option<(Instant, DeadlineHandle)>,
+    /// Out of descriptors or memory: until then nothing is accepted.
     pub paused_until: Instant,
 }
 
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `accept`, on a simulated network whose system calls fail.
 
-use crate::interface::{Instant};
 use crate::config::Config;
+use crate::interface::{Instant, Span};
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client;
 use crate::net::fabric::{host, ActorEvent, Fabric};
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 
 const FRONT: u16 = 1000;
-const START: i64 = 1_000_000;
+const MS: Span = Span::from_millis(1);
+const START: Instant = Instant::from_micros(1_000_000);
 const CLIENTS: u16 = 20;
 
 struct Rig {
@@ -21,7 +22,7 @@
 
 impl Rig {
     fn new() -> Self {
-        let fabric = Fabric::new(START, 1, (1000, 1000));
+        let fabric = Fabric::new(START, 1, (MS, MS));
         fabric.start_process(1);
         let shape = Shape { points: 1, proxies: 1, caches: 1, hubs: 1, parents: 0, seed: 1 };
         let mut text = config(&shape, &host(900).to_string(), |n| host(n as u16).to_string());
@@ -69,7 +70,7 @@
         let mut rig = Rig::new();
         rig.fabric.dial_aborted(client(1), host(FRONT), error);
         rig.fabric.dial(client(2), host(FRONT));
-        rig.pass(START + 1000);
+        rig.pass(START + MS);
         assert_eq!(rig.clients(), 1, "{error}");
     }
 }
@@ -79,18 +80,18 @@
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let mut rig = Rig::new();
         // What the process does in a second in which nobody comes.
-        rig.pass(START + 1_000_000);
+        rig.pass(START + 1000 * MS);
         let idle = rig.turns;
-        rig.fabric.exhaust(error, START + 2_000_000);
+        rig.fabric.exhaust(error, START + 2000 * MS);
         for number in 0..CLIENTS {
-            rig.pass(START + 1_000_000 + i64::from(number) * 2_300);
+            rig.pass(START + 1000 * MS + i64::from(number) * Span::from_micros(2_300));
             rig.fabric.dial(client(number), host(FRONT));
         }
-        rig.pass(START + 1_999_000);
+        rig.pass(START + 1999 * MS);
         assert_eq!(rig.clients(), 0, "{error}");
         let (pauses, arrivals) = (20, usize::from(CLIENTS));
         assert!(rig.turns <= 2 * idle + pauses + 2 * arrivals, "{error}: {} turns, idle {idle}", rig.turns);
-        rig.pass(START + 2_060_000);
+        rig.pass(START + 2060 * MS);
         assert_eq!(rig.clients(), usize::from(CLIENTS), "{error}");
     }
 }
@@ -98,16 +99,16 @@
 #[test]
 fn a_process_that_stops_without_descriptors_answers_who_waits() {
     let mut rig = Rig::new();
-    rig.pass(START + 100_000);
-    rig.fabric.exhaust(Errno::MFILE, START + 1_500_000);
+    rig.pass(START + 100 * MS);
+    rig.fabric.exhaust(Errno::MFILE, START + 1500 * MS);
     let link = rig.fabric.dial(client(1), host(FRONT));
     rig.fabric.send(link, &thrift_client::ping(1));
-    rig.pass(START + 200_000);
+    rig.pass(START + 200 * MS);
     rig.server.terminate();
     // The listener would be closed 0.8 s after the signal.
-    rig.pass(START + 1_400_000);
+    rig.pass(START + 1400 * MS);
     assert_eq!((rig.clients(), told(&rig.fabric, link)), (0, vec![]));
-    rig.pass(START + 1_600_000);
+    rig.pass(START + 1600 * MS);
     let told = told(&rig.fabric, link);
     assert!(matches!(&told[..], [ActorEvent::Bytes { .. }, ..]), "{told:?}");
 }
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -14,14 +14,17 @@
 /// Descriptors besides connections, as the budget counts them.
 use super::reload::OTHER_SOCKETS;
 
-/// At most one line a refusal is logged this often, us; the others are counted in it and in `/stats`.
+/// At most one line a refusal is logged this often; the others are counted in it and in `/stats`.
 const REFUSALS_LOGGED: Span = Span::from_secs(1);
 
+/// Before any instant of the clock.
+const LONG_AGO: Instant = Instant::from_micros(i64::MIN / 2);
+
 /// What the server holds for admission.
 pub(super) struct Admitting {
     pub admission: Admission,
-    /// Connections of the platform's front that were refused: each request there gets a refusal with this pause
-    /// (us), and whether one has had it. A ping is answered as anywhere.
+    /// Connections of the platform's front that were refused: each request there gets a refusal with this pause,
+    /// and whether one has had it. A ping is answered as anywhere.
     pub refusing: BTreeMap<ConnectionKey, (Span, bool)>,
     /// A descriptor held to take one connection and refuse it when there are no others.
     spare: Option<std::fs::File>,
@@ -30,7 +33,7 @@
     /// Since when connections of the platform's front may wait in the system's queue, as none could be taken.
     pub accepts_fail_since: Option<Instant>,
     /// When a refusal was last logged, and how many were not since: a flood makes one line a second, not one a try.
-    logged: (Span, u64),
+    logged: (Instant, u64),
 }
 
 impl Admitting {
@@ -41,7 +44,7 @@
             spare: None,
             others: None,
             accepts_fail_since: None,
-            logged: (Micros::MIN / 2, 0),
+            logged: (LONG_AGO, 0),
         };
         admitting.keep_spare();
         admitting
@@ -89,14 +92,14 @@
         let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
         let free = if self.admitting.admission.is_on() { self.free_descriptors() } else { None };
         let verdict = if shed {
-            let pause = self.admitting.admission.settings().pause_ms as Micros * 1000;
+            let pause = self.admitting.admission.settings().pause();
             Verdict::Refuse { why: Refusal::Descriptors, pause }
         } else {
             let room = Room { clients, budget: self.budget.clients, free };
             self.admitting.admission.admit(self.now, conn.number(), address, room)
         };
         let Verdict::Refuse { why, pause } = verdict else { return true };
-        let pause = if self.started.retry_after() { pause } else { 0 };
+        let pause = if self.started.retry_after() { pause } else { Span::ZERO };
         let (last, quiet) = &mut self.admitting.logged;
         if self.now - *last >= REFUSALS_LOGGED {
             let more = std::mem::take(quiet);
@@ -113,7 +116,7 @@
         false
     }
 
-    /// Refuses each request on a new connection, with a pause (us): what its client has sent by now, and if the
+    /// Refuses each request on a new connection, with a pause: what its client has sent by now, and if the
     /// connection `waits` what it sends next.
     pub(super) fn refuse_connection(&mut self, role: Role, conn: ConnectionKey, pause: Span, waits: bool) {
         if role == Role::Thrift {
@@ -125,7 +128,7 @@
             }
         } else if let Some(links) = &mut self.links {
             links.front.open(self.now, conn, &mut self.due);
-            let seconds = (pause + 999_999) / 1_000_000;
+            let seconds = pause.as_secs_rounded_up();
             links.front.refuse_all(self.now, conn, seconds, &mut self.net, &mut self.due);
             if !waits {
                 links.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
@@ -203,7 +206,7 @@
     /// An accept went through or found nobody: an episode of exhaustion is over.
     pub(super) fn accept_worked(&mut self) {
         if let Some(ended) = self.admitting.admission.exhaustion.accepted(self.now) {
-            let (ms, tries, shed) = (ended.lasted / 1000, ended.tries, ended.shed);
+            let (ms, tries, shed) = (ended.lasted.as_millis(), ended.tries, ended.shed);
             info!(
                 "descriptors: episode over after {ms} ms, {tries} accepts failed, {shed} connections refused"
             );
--- a/src/server/instants/tests.rs
+++ b/src/server/instants/tests.rs
@@ -1,16 +1,25 @@
 //! Tests of `instants`.
 
-use crate::interface::{Span};
 use super::*;
 
+const MS: Span = Span::from_millis(1);
 const SECOND: Span = Span::from_secs(1);
-const HOUR: Span = 3600 * SECOND;
+const HOUR: Span = Span::from_secs(3600);
 /// The true Unix time at the monotonic clock's second 100_000.
-const NOW: Span = 100_000 * SECOND;
-const UNIX: Span = 1_700_000_000 * SECOND;
+const NOW: Instant = Instant::from_micros(100_000_000_000);
+const UNIX: UnixTime = UnixTime::from_secs(1_700_000_000);
 const SERVER: ServerId = ServerId(7);
 /// Steps of the wall clock.
-const STEPS: [Span; 8] = [SECOND, 2 * SECOND, 5 * SECOND, HOUR, -SECOND, -2 * SECOND, -5 * SECOND, -HOUR];
+const STEPS: [Span; 8] = [
+    SECOND,
+    Span::from_secs(2),
+    Span::from_secs(5),
+    HOUR,
+    Span::from_secs(-1),
+    Span::from_secs(-2),
+    Span::from_secs(-5),
+    Span::from_secs(-3600),
+];
 
 /// Heard in service, with the wall clock this much ahead.
 fn heard(ahead: Span) -> Reception {
@@ -30,30 +39,34 @@
 /// The same, to which a copy was told that the origin had given out 3 ms before, for a request sent 8 ms before.
 fn witnessed(ahead: Span) -> UnixTimeConverter {
     let mut instants = started(ahead);
-    instants.witness_copy(NOW, (UNIX / 1000 - 3) as u64, Some(NOW - 8000));
+    instants.witness_copy(NOW, (UNIX.as_millis() - 3) as u64, Some(NOW - 8 * MS));
     instants
 }
 
 #[test]
 fn on_a_steady_clock_times_are_exact() {
-    for mut instants in [started(0), witnessed(0)] {
-        assert_eq!(instants.purge(heard(0), UNIX - 2 * SECOND), NOW - 2 * SECOND);
-        assert_eq!(instants.start(heard(0), SERVER, UNIX - 2 * SECOND), NOW - 2 * SECOND);
+    for mut instants in [started(Span::ZERO), witnessed(Span::ZERO)] {
+        assert_eq!(instants.purge(heard(Span::ZERO), UNIX - 2 * SECOND), NOW - 2 * SECOND);
+        assert_eq!(instants.start(heard(Span::ZERO), SERVER, UNIX - 2 * SECOND), NOW - 2 * SECOND);
     }
-    assert_eq!(witnessed(0).purge(heard(0), UNIX - 900 * SECOND), NOW - 900 * SECOND);
+    assert_eq!(witnessed(Span::ZERO).purge(heard(Span::ZERO), UNIX - 900 * SECOND), NOW - 900 * SECOND);
 }
 
 #[test]
 fn a_purge_never_counts_as_older_than_it_is_if_the_clock_is_stepped_in_service() {
     for step in STEPS {
-        for mut instants in [started(0), witnessed(0)] {
+        for mut instants in [started(Span::ZERO), witnessed(Span::ZERO)] {
             let made = instants.purge(heard(step), UNIX - 2 * SECOND);
-            assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step}: {made}");
-            assert_eq!(instants.purge(heard(step), UNIX + 9 * HOUR), NOW, "step {step}: one to come is now");
+            assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
+            assert_eq!(
+                instants.purge(heard(step), UNIX + 9 * HOUR),
+                NOW,
+                "step {step:?}: one to come is now"
+            );
         }
-        let made = witnessed(0).purge(heard(step), UNIX - 2 * SECOND);
-        let sure = if step > 0 { NOW - 2 * SECOND + 3000 } else { made };
-        assert_eq!(made, sure, "step {step}: no later than what was heard says");
+        let made = witnessed(Span::ZERO).purge(heard(step), UNIX - 2 * SECOND);
+        let sure = if step > Span::ZERO { NOW - 2 * SECOND + 3 * MS } else { made };
+        assert_eq!(made, sure, "step {step:?}: no later than what was heard says");
     }
 }
 
@@ -61,12 +74,12 @@
 fn a_purge_never_counts_as_older_than_it_is_if_the_clock_was_stepped_before_the_start() {
     for step in STEPS {
         let made = witnessed(step).purge(heard(step), UNIX - 2 * SECOND);
-        assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step}: {made}");
+        assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
         // As long as nothing was heard that bounds it, by a step that makes it look long ago.
         let made = started(step).purge(heard(step), UNIX);
-        assert!(made == NOW || (0..=TOLD_WITHIN).contains(&step), "step {step}: {made}");
+        assert!(made == NOW || (Span::ZERO..=TOLD_WITHIN).contains(&step), "step {step:?}: {made:?}");
         // Known at the start: whatever the clock reads.
-        assert_eq!(started(step).purge(first(step), UNIX - 2 * SECOND), NOW, "step {step}");
+        assert_eq!(started(step).purge(first(step), UNIX - 2 * SECOND), NOW, "step {step:?}");
     }
 }
 
@@ -81,30 +94,31 @@
 #[test]
 fn a_start_is_converted_once_and_one_that_is_told_in_service_is_no_older_than_sure() {
     // At the start: at the clock's word, whatever it is.
-    let mut instants = started(0);
-    assert_eq!(instants.start(first(0), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
+    let mut instants = started(Span::ZERO);
+    assert_eq!(instants.start(first(Span::ZERO), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
     // Told again, after a step: the same instant.
     assert_eq!(instants.start(heard(HOUR), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
     // A start to come counts as now.
-    assert_eq!(started(0).start(first(-HOUR), SERVER, UNIX), NOW);
+    assert_eq!(started(Span::ZERO).start(first(-HOUR), SERVER, UNIX), NOW);
     // A new start, which a stepped clock makes look long ago, with and without a bound.
-    for before in [0, HOUR] {
+    for before in [Span::ZERO, HOUR] {
         let mut instants = started(before);
         assert_eq!(instants.start(heard(HOUR), SERVER, UNIX - SECOND), NOW);
         // A server that came back is heard of anew.
         instants.forget(SERVER);
         assert_eq!(instants.start(heard(HOUR), SERVER, UNIX - SECOND), NOW);
-        let sure = NOW - SECOND + 3000;
+        let sure = NOW - SECOND + 3 * MS;
         assert_eq!(witnessed(before).start(heard(HOUR), SERVER, UNIX - SECOND), sure);
     }
 }
 
 #[test]
 fn stamps_that_make_no_sense_are_harmless() {
-    let mut instants = started(0);
+    let [earliest, latest] = [i64::MIN, i64::MAX].map(UnixTime::from_micros);
+    let mut instants = started(Span::ZERO);
     instants.witness_copy(NOW, 0, Some(NOW));
     instants.witness_copy(NOW, u64::MAX, Some(NOW));
-    assert_eq!(instants.purge(heard(0), Micros::MAX), NOW);
-    assert!(instants.purge(heard(0), Micros::MIN) <= NOW);
-    assert!(instants.start(Reception { unix: 0, ..heard(0) }, SERVER, Micros::MAX) <= NOW);
+    assert_eq!(instants.purge(heard(Span::ZERO), latest), NOW);
+    assert!(instants.purge(heard(Span::ZERO), earliest) <= NOW);
+    assert!(instants.start(Reception { unix: UnixTime::EPOCH, ..heard(Span::ZERO) }, SERVER, latest) <= NOW);
 }
--- a/src/server/leave.rs
+++ b/src/server/leave.rs
@@ -8,33 +8,33 @@
 use super::{Server, ServerDeadline};
 use crate::deadlines::Schedule;
 use crate::front::thrift::PAUSE;
-use crate::interface::Span;
+use crate::interface::{Instant, Span};
 use crate::net::{Ready, Reason, Role};
 use tracing::{info, warn};
 
-/// After the signal to stop, clients and requests are taken for this long, us...
+/// After the signal to stop, clients and requests are taken for this long...
 const STOP_AFTER: Span = Span::from_millis(800);
 /// ... and where the end by force is near, at least for this long: so long new requests may come...
 const REQUESTS_COME: Span = Span::from_millis(600);
 /// ... and until this long before the end by force.
 const LEAVE_BEFORE_FORCE: Span = Span::from_millis(300);
-/// The end by force may come after the longest deadline, counted as this where it is longer, us...
+/// The end by force may come after the longest deadline, counted as this where it is longer...
 const LONGEST: Span = Span::from_secs(3);
 /// ... and so much more.
 const FORCE_AFTER_DEADLINE: Span = Span::from_millis(700);
-/// What is open then gets its answer so long before it, us: with a newer process, connections are still handed on.
+/// What is open then gets its answer so long before it: with a newer process, connections are still handed on.
 const ANSWER_BEFORE_FORCE: Span = Span::from_millis(250);
 const HAND_ON_BEFORE_FORCE: Span = Span::from_millis(300);
-/// The process has ended so long before it, us.
+/// The process has ended so long before it.
 const END_BEFORE_FORCE: Span = Span::from_millis(150);
-/// Once all is answered, clients that were told the end have this long to close, us: closing first could reset a
+/// Once all is answered, clients that were told the end have this long to close: closing first could reset a
 /// connection whose last answer is not read yet.
 const CLOSING: Span = Span::from_millis(500);
-/// How often the end is looked for then, us.
+/// How often the end is looked for then.
 const STOP_LOOK: Span = Span::from_millis(20);
 /// Turns that clients' unread requests have at the last; each takes some of one connection's.
 const LAST_TURNS: usize = 4096;
-/// Each time this has passed, us, one request more may be open on a connection on which reading stops, so that it can
+/// Each time this has passed, one request more may be open on a connection on which reading stops, so that it can
 /// be handed on: the fewer there are, the less do requests wait there for the last answer.
 const PAUSE_STEP: Span = Span::from_millis(400);
 
@@ -133,13 +133,13 @@
     }
 
     /// When the process may be ended by force.
-    fn forced_end(&self) -> Span {
-        let longest = self.names.deadlines.iter().copied().max().unwrap_or(0).min(LONGEST);
+    fn forced_end(&self) -> Instant {
+        let longest = self.names.deadlines.iter().copied().max().unwrap_or(Span::ZERO).min(LONGEST);
         self.stopping.unwrap_or(self.now) + longest + FORCE_AFTER_DEADLINE
     }
 
     /// When what is open gets its answer, since the end by force is near.
-    fn last_answers(&self) -> Span {
+    fn last_answers(&self) -> Instant {
         let before = if self.handover.has_newer() { HAND_ON_BEFORE_FORCE } else { ANSWER_BEFORE_FORCE };
         self.forced_end() - before
     }
--- a/src/server/links.rs
+++ b/src/server/links.rs
@@ -37,7 +37,7 @@
     let class = |route: &crate::config::signed::Route| {
         let id = names.class(&route.class)?;
         let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.uncached)?;
-        let patience = route.patience_ms.map_or(class.client_deadline, |ms| ms as Span * 1000);
+        let patience = route.patience_ms.map_or(class.client_deadline, |ms| Span::from_millis(ms as i64));
         Some((id, patience))
     };
     let found = signed.routes.iter().map(|route| {
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -4,7 +4,7 @@
 use super::instants::Reception;
 use super::Server;
 use crate::config::events::{FeedBatch, FeedEvent};
-use crate::interface::{ListUpdate, ObjectId, Purge, ServerId, ServerState, Span};
+use crate::interface::{ListUpdate, ObjectId, Purge, ServerId, ServerState, UnixTime};
 use crate::GroupId;
 use tracing::{info, warn};
 
@@ -15,7 +15,7 @@
         let first = self.feed.polls()[1] == 0 || !self.listed;
         let heard = Reception { now: self.now, unix: self.net.unix_time(), first };
         let purges = batch.events.iter().filter_map(|event| event.purge.as_ref());
-        purges.for_each(|purge| self.instants.witness(self.now, micros(purge.at)));
+        purges.for_each(|purge| self.instants.witness(self.now, unix_time(purge.at)));
         for FeedEvent { n, members, purge } in batch.events {
             if let Some(change) = members {
                 self.listed |= change.whole;
@@ -23,8 +23,8 @@
                 for host in &change.hosts {
                     let mut member = self.members.endpoint(host, &self.names);
                     let server = member.server;
-                    let start = |told| self.instants.start(heard, server, told);
-                    member.started_at = member.started_at.map(start);
+                    let told = (host.born_ms > 0.0).then_some(unix_time(host.born_ms));
+                    member.started_at = told.map(|told| self.instants.start(heard, server, told));
                     let id = server.0;
                     match host.dial.filter(|_| member.state != ServerState::Removed) {
                         Some(addr) => {
@@ -55,14 +55,14 @@
                         continue;
                     }
                 };
-                let at = self.instants.purge(heard, micros(purge.at));
+                let at = self.instants.purge(heard, unix_time(purge.at));
                 self.core.purge(self.now, what, at, &mut self.due);
             }
         }
     }
 }
 
-/// Unix milliseconds as microseconds.
-fn micros(ms: f64) -> Span {
-    (ms * 1000.0) as Span
+/// The Unix time of a millisecond with a fraction.
+fn unix_time(ms: f64) -> UnixTime {
+    UnixTime::from_micros((ms * 1000.0) as i64)
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -25,9 +25,9 @@
 use crate::front::signed;
 use crate::front::thrift;
 use crate::interface::{CacheStatus, ClassId, Instant, ServerId, Span};
-use crate::server_names::ServerNames;
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
+use crate::server_names::ServerNames;
 use crate::slots::Key;
 use crate::upstream::lines::WireRequest;
 use crate::upstream::{self, RequestEncoder, Upstream, UpstreamEvent};
@@ -45,7 +45,6 @@
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::time::Duration;
 use tracing::info;
 
 /// The numbers under which the loop watches what is no connection.
@@ -57,7 +56,7 @@
 /// The numbers under which the processes of one edge proxy watch each other: the older one, the newer one.
 pub const SIBLINGS: [usize; 2] = [OLDER, NEWER];
 
-/// The pause before connections are taken again when descriptors ran out, us.
+/// The pause before connections are taken again when descriptors ran out.
 const ACCEPT_AGAIN: Span = Span::from_millis(50);
 
 /// Whose turn is first where several are ready at once.
@@ -310,7 +309,7 @@
     }
 
     /// When there is something to do even if nothing comes.
-    pub fn next_due(&self) -> Option<Span> {
+    pub fn next_due(&self) -> Option<Instant> {
         if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
             Some(self.now)
         } else {
@@ -325,7 +324,7 @@
     /// The poll broke.
     pub fn turn(&mut self, ready: &mut Vec<Ready>) -> Result<(), ServerError> {
         self.now = self.clock.now();
-        let wait = self.next_due().map(|at| Duration::from_micros((at - self.now).max(0) as u64));
+        let wait = self.next_due().map(|at| (at - self.now).to_std());
         self.net.poll(wait, ready)?;
         self.now = self.clock.now();
         ready.sort_by_key(|one| self.precedence(*one));
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -11,8 +11,10 @@
 use crate::GroupId;
 use bytes::Bytes;
 
-/// A client counts its patience from its send; the request has been under way for about this long, us.
+/// A client counts its patience from its send; the request has been under way for about this long.
 const WAY: Span = Span::from_millis(12);
+/// The least patience that the core is told of.
+const LEAST_PATIENCE: Span = Span::from_micros(1);
 
 impl Server {
     /// A request's answer has begun.
@@ -158,7 +160,7 @@
         self.refusal(class, pause)
     }
 
-    /// A refusal with this pause (us), counted for its class.
+    /// A refusal with this pause, counted for its class.
     pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Span) -> ThriftReply {
         let refused = FinalAnswer::Rejected {
             retry_after: pause,
@@ -206,7 +208,7 @@
             seen,
             idempotency_key,
         } = form;
-        let patience = (patience - WAY).max(1);
+        let patience = (patience - WAY).max(LEAST_PATIENCE);
         let ask = ClientRequest { class, object, part, group, timeout: patience, authorized_until: None };
         let request = self.core.submit(self.now, ask, &mut self.due);
         self.thrift.bind(conn, seqid, request.number());
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -4,14 +4,14 @@
 use crate::core::{AttemptEnd, CachedCopy, FinalAnswer, OutgoingAttempt};
 use crate::front::signed::http;
 use crate::front::thrift::codec::ThriftReply;
-use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, Span};
+use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, Span, UnixTime};
 use crate::upstream::lines::{self, WireAnswer, WireRequest};
 use crate::upstream::JobEnd;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
 /// The longest patience that is taken at its word, in longest waits of the class.
-const MOST_PATIENCE: Span = Span::from_micros(2);
+const MOST_PATIENCE: i64 = 2;
 /// The groups of objects.
 const GROUPS: u32 = 256;
 
@@ -60,10 +60,10 @@
         Ok::<_, String>((value, number.ok_or_else(|| format!("{name} is not 16 hex digits"))?))
     };
     let ((trace, _), (item, object)) = (hex("trace")?, hex("entity")?);
-    let patience: Span = number("patience", needed("patience")?)?;
-    let patience = patience.checked_mul(1000).unwrap_or(0);
-    let most = names.deadlines.get(class).map_or(0, |deadline| MOST_PATIENCE * deadline);
-    if !(1..=most).contains(&patience) {
+    let patience_ms: i64 = number("patience", needed("patience")?)?;
+    let patience = Span::from_micros(patience_ms.checked_mul(1000).unwrap_or(0));
+    let most = names.deadlines.get(class).map_or(Span::ZERO, |deadline| MOST_PATIENCE * *deadline);
+    if !(Span::from_micros(1)..=most).contains(&patience) {
         return Err("patience is no number of its range".into());
     }
     let group = field("set").map_or(Ok(0), |value| number("set", value))?;
@@ -99,15 +99,15 @@
     body: &Bytes,
 ) -> WireRequest {
     // Whole milliseconds: an age never rounds up, and never to 0, which would mean any age.
-    let oldest = if order.max_age > 0 { (order.max_age / 1000).max(1) } else { 0 };
+    let oldest_ms = if order.max_age > Span::ZERO { order.max_age.as_millis().max(1) } else { 0 };
     WireRequest {
         class: class.to_owned(),
         item: item.to_owned(),
         part: order.part,
-        timeout_ms: (order.timeout / 1000).max(1),
+        timeout_ms: order.timeout.as_millis().max(1),
         fill_source: from.map(str::to_owned),
         cache_rank: order.cache_rank,
-        max_age_ms: oldest,
+        max_age_ms: oldest_ms,
         join_fill: order.join_fill,
         only_if_cached: order.only_if_cached,
         bypass_parent_cache: order.bypass_parent_cache,
@@ -152,12 +152,12 @@
     let waited = answer.field("waited").and_then(|ms| ms.parse::<f64>().ok()).unwrap_or(0.0);
     // A copy that is called current sends no bytes, and its time says nothing of the object's size.
     let sending = answer.body.len() as f64 / names.flow_bytes_per_s.max(1.0) * 1_000_000.0;
-    let sending = if names.flow_bytes_per_s > 0.0 { sending as Span } else { 0 };
+    let sending = if names.flow_bytes_per_s > 0.0 { Span::from_micros_f64(sending) } else { Span::ZERO };
     let load = answer.load_report(&names.report);
     AttemptEnd {
         result,
         cache_status: note,
-        fill_wait: (waited * 1000.0) as Span,
+        fill_wait: Span::from_micros_f64(waited * 1000.0),
         transfer_time: sending,
         load_report: load,
         copy: copy(answer),
@@ -180,20 +180,22 @@
             let fields = if copy.not_modified { vec![("current", "1".to_owned())] } else { Vec::new() };
             ThriftReply::Answer { body: copy.body, fields }
         }
-        FinalAnswer::Rejected { retry_after: pause, .. } => ThriftReply::Rejected { pause: pause / 1000 },
+        FinalAnswer::Rejected { retry_after: pause, .. } => {
+            ThriftReply::Rejected { pause: pause.as_millis() }
+        }
         FinalAnswer::Failed { .. } | FinalAnswer::Denied => ThriftReply::Failed,
     }
 }
 
-/// A final answer as the second front's clients get it, at a Unix time in microseconds.
-pub fn answer(answer: FinalAnswer, tags: &[String], now: Instant) -> http::HttpAnswer {
+/// A final answer as the second front's clients get it, at a Unix time.
+pub fn answer(answer: FinalAnswer, tags: &[String], now: UnixTime) -> http::HttpAnswer {
     use http::HttpAnswer;
     match answer {
         FinalAnswer::Served(copy) => {
             let tag = Some(copy.etag).filter(|tag| !tag.is_empty());
             let held = copy.not_modified || tag.as_ref().is_some_and(|tag| tags.contains(tag));
-            let born = Micros::try_from(copy.generated_at_ms).ok().filter(|born| *born > 0);
-            let age = born.map(|born| (now / 1000 - born).max(0) / 1000);
+            let born_ms = i64::try_from(copy.generated_at_ms).ok().filter(|born_ms| *born_ms > 0);
+            let age = born_ms.map(|born_ms| (now.as_millis() - born_ms).max(0) / 1000);
             HttpAnswer { body: copy.body, tag, age, ..HttpAnswer::bare(if held { 304 } else { 200 }) }
         }
         FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => {
@@ -201,7 +203,7 @@
         }
         FinalAnswer::Rejected { retry_after: pause, .. } => {
             // Whole seconds, rounded up: a client that keeps to them is never early.
-            let seconds = (pause + 999_999) / 1_000_000;
+            let seconds = pause.as_secs_rounded_up();
             HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
         }
         FinalAnswer::Failed { late: false } => HttpAnswer::bare(502),
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -4,12 +4,14 @@
 use crate::core::CachedCopy;
 use crate::interface::RejectionReason;
 
+const MS: Span = Span::from_millis(1);
+
 fn names() -> SiteNames {
     let classes = vec!["replay".into(), "piece".into()];
     SiteNames {
         classes,
         retired: vec![false; 2],
-        deadlines: vec![6_000_000, 3_000_000],
+        deadlines: vec![6000 * MS, 3000 * MS],
         ..SiteNames::default()
     }
 }
@@ -38,7 +40,7 @@
 fn a_requests_fields_are_read_as_the_table_says() {
     let read = form(&fields(&[]), &names()).expect("a form");
     assert_eq!((read.class, read.object, read.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
-    assert_eq!((read.group, read.patience, read.seen), (GroupId(17), 1_500_000, None));
+    assert_eq!((read.group, read.patience, read.seen), (GroupId(17), 1500 * MS, None));
     let bare =
         form(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names()).expect("a form");
     assert_eq!((bare.part, bare.group, bare.seen.as_deref()), (0, GroupId(0), Some("t")));
@@ -103,7 +105,11 @@
         assert_eq!(end.result, result);
         assert_eq!(
             (end.cache_status, end.fill_wait),
-            if told { (Some(CacheStatus::SourceUnreachable), 12_500) } else { (None, 0) }
+            if told {
+                (Some(CacheStatus::SourceUnreachable), Span::from_micros(12_500))
+            } else {
+                (None, Span::ZERO)
+            }
         );
     }
 }
@@ -116,14 +122,14 @@
         generated_at_ms: 1000,
         not_modified: same,
     };
-    let now = 3_500_000;
+    let now = UnixTime::from_millis(3500);
     for (given, tags, status, retry_after) in [
         (FinalAnswer::Served(copy(false)), &["b"][..], 200, None),
         (FinalAnswer::Served(copy(false)), &["b", "a"], 304, None),
         (FinalAnswer::Served(copy(true)), &["a"], 304, None),
         (
             FinalAnswer::Rejected {
-                retry_after: 250_000,
+                retry_after: 250 * MS,
                 timed_out: false,
                 reason: RejectionReason::ProxyFull,
             },
@@ -133,7 +139,7 @@
         ),
         (
             FinalAnswer::Rejected {
-                retry_after: 1_000_001,
+                retry_after: Span::from_micros(1_000_001),
                 timed_out: false,
                 reason: RejectionReason::ProxyFull,
             },
@@ -142,14 +148,18 @@
             Some(2),
         ),
         (
-            FinalAnswer::Rejected { retry_after: 0, timed_out: false, reason: RejectionReason::ProxyFull },
+            FinalAnswer::Rejected {
+                retry_after: Span::ZERO,
+                timed_out: false,
+                reason: RejectionReason::ProxyFull,
+            },
             &[],
             503,
             None,
         ),
         (
             FinalAnswer::Rejected {
-                retry_after: 250_000,
+                retry_after: 250 * MS,
                 timed_out: true,
                 reason: RejectionReason::DeadlineExceeded,
             },
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -2,7 +2,7 @@
 
 use crate::config::events::{FeedServer, Health};
 use crate::config::settings::SiteNames;
-use crate::interface::{Endpoint, ServerId, ServerState, Span, ZoneId};
+use crate::interface::{Endpoint, Instant, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
@@ -52,7 +52,7 @@
         };
         Endpoint {
             server: self.id(&host.host),
-            started_at: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Span),
+            started_at: (host.born_ms > 0.0).then_some(Instant::from_micros((host.born_ms * 1000.0) as i64)),
             weight: host.share,
             kind: place(&names.kinds, &host.class),
             cell: host.block,
--- a/src/sim/federation.rs
+++ b/src/sim/federation.rs
@@ -11,29 +11,34 @@
 
 pub use search::{search, Summary};
 
-use crate::interface::{Span};
 use super::rules::Breach;
 use crate::federation::duties::LeaseTerms;
 use crate::federation::node::{founding, Tuning};
 use crate::federation::state::{Roster, State, WantedMember};
 use crate::federation::MemberId;
+use crate::interface::{Instant, Span};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
+use std::ops::Range;
 use world::{Event, World};
 
-const MS: i64 = 1000;
-const TICK: i64 = 50 * MS;
-/// Faults come until then, us...
-const FAULTS: Span = 20_000 * MS;
+const MS: Span = Span::from_millis(1);
+const TICK: Span = Span::from_millis(50);
+/// Faults come from the one to the other...
+const FIRST_FAULT: Instant = Instant::from_micros(1_000_000);
+const FAULTS: Instant = Instant::from_micros(20_000_000);
 /// ... and all is well again from then on, with this much time to find together.
-const QUIET: Span = 12_000 * MS;
+const QUIET: Span = Span::from_secs(12);
 const TUNING: Tuning = Tuning { election_ticks: 10, heartbeat_ticks: 2, compact_after: 12 };
+/// The shortest time that a message takes.
+const SHORTEST_DELAY: Span = Span::from_micros(500);
 /// Clocks run this much too fast or slow at most.
 const DRIFT: f64 = 0.05;
-const TERMS: LeaseTerms = LeaseTerms { span: 3000 * MS, guard: 150 * MS, drift: DRIFT };
+const TERMS: LeaseTerms =
+    LeaseTerms { span: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
 /// Duties that members stand for.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
@@ -70,6 +75,16 @@
 const SEEDS_PER_DISK_FAULTS: u64 = 4;
 const FIRST_SEED_WITH_DISK_FAULTS: u64 = 1;
 
+/// Draws a span.
+fn draw_span(random: &mut impl Rng, from: Range<Span>) -> Span {
+    Span::from_micros(random.random_range(from.start.as_micros()..from.end.as_micros()))
+}
+
+/// Draws an instant.
+fn draw_instant(random: &mut impl Rng, from: Range<Instant>) -> Instant {
+    Instant::from_micros(random.random_range(from.start.as_micros()..from.end.as_micros()))
+}
+
 /// Plays one seed.
 pub fn run(seed: u64, planted: Option<Planted>) -> Outcome {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -79,7 +94,7 @@
     let file: Roster = (1..=founders).map(founder).collect();
     let faults = random.random_range(4..=14);
     let mut world = World {
-        now: 0,
+        now: Instant::ZERO,
         count: 0,
         agenda: BTreeMap::new(),
         members: BTreeMap::new(),
@@ -104,10 +119,10 @@
         world.add(MemberId(id), founding(&founded));
     }
     for _ in 0..faults {
-        let at = world.random.random_range(1000 * MS..FAULTS);
+        let at = draw_instant(&mut world.random, FIRST_FAULT..FAULTS);
         world.plan(at, Event::Fault);
     }
-    world.plan(MS, Event::Load);
+    world.plan(Instant::ZERO + MS, Event::Load);
     if seed % SEEDS_PER_DISK_FAULTS == FIRST_SEED_WITH_DISK_FAULTS {
         world.plan_disk_faults();
     }
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -2,10 +2,11 @@
 
 use super::disk::DiskFault;
 use super::world::{Event, World};
-use super::{Planted, FAULTS, MS};
+use super::{draw_instant, Planted, FAULTS, FIRST_FAULT, MS};
 use crate::federation::log::Saved;
 use crate::federation::state::WantedMember;
 use crate::federation::MemberId;
+use crate::interface::Instant;
 use rand::Rng;
 
 /// Disk faults in a run that has them.
@@ -15,7 +16,7 @@
     pub(super) fn fault(&mut self) {
         let ids: Vec<MemberId> = self.members.keys().copied().collect();
         let any = ids[self.random.random_range(0..ids.len())];
-        let until = self.now + self.random.random_range(1..=40) * 100 * MS;
+        let until = self.now + self.random.random_range(1..=40_i64) * 100 * MS;
         match self.random.random_range(0..10) {
             0 | 1 => {
                 let other = ids[self.random.random_range(0..ids.len())];
@@ -55,7 +56,7 @@
             7 => {
                 // All at once: nothing but the stores is left.
                 for id in ids {
-                    let back = self.now + self.random.random_range(1..=10) * 100 * MS;
+                    let back = self.now + self.random.random_range(1..=10_i64) * 100 * MS;
                     self.crash(id, back);
                 }
             }
@@ -66,7 +67,7 @@
     /// The disk of a member fails until then, while the member tries to go on.
     fn fail_disk(&mut self, id: MemberId) {
         let random = &mut self.disk_random;
-        let until = self.now + random.random_range(1..=40) * 100 * MS;
+        let until = self.now + random.random_range(1..=40_i64) * 100 * MS;
         let fault = if random.random() { DiskFault::Full } else { DiskFault::InDoubt };
         if let Some(member) = self.members.get_mut(&id) {
             (member.disk.fault, member.disk.heals_at_restart) = (Some(fault), false);
@@ -77,7 +78,7 @@
     /// Plans failing disks that heal while their members try to go on. They are drawn apart from all else.
     pub(super) fn plan_disk_faults(&mut self) {
         for _ in 0..DISK_FAULTS {
-            let at = self.disk_random.random_range(1000 * MS..FAULTS);
+            let at = draw_instant(&mut self.disk_random, FIRST_FAULT..FAULTS);
             self.plan(at, Event::DiskFails);
         }
     }
@@ -89,7 +90,7 @@
         self.fail_disk(any);
     }
 
-    pub(super) fn crash(&mut self, id: MemberId, back: i64) {
+    pub(super) fn crash(&mut self, id: MemberId, back: Instant) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
         if self.planted == Some(Planted::EmptyStore) {
@@ -121,7 +122,7 @@
         self.files.push(file);
         let number = self.files.len() as u64 - 1;
         for id in self.members.keys().copied().collect::<Vec<_>>() {
-            let at = self.now + self.random.random_range(0..1000) * MS;
+            let at = self.now + self.random.random_range(0..1000_i64) * MS;
             self.plan(at, Event::File(id, number));
         }
     }
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -1,15 +1,15 @@
 //! The duties of members: they ask for leases, renew them, and act under their fencing tokens.
 
 use super::world::{Event, World};
-use super::{Planted, DUTIES, TERMS, TICK};
+use super::{draw_span, Planted, DUTIES, SHORTEST_DELAY, TERMS, TICK};
 use crate::federation::duties::LeaseTerms;
 use crate::federation::MemberId;
-use rand::Rng;
+use crate::interface::Span;
 
 impl World {
     pub(super) fn terms(&self) -> LeaseTerms {
         match self.planted {
-            Some(Planted::NoGuard) => LeaseTerms { guard: 0, drift: 0.0, ..TERMS },
+            Some(Planted::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..TERMS },
             _ => TERMS,
         }
     }
@@ -37,12 +37,12 @@
         }
         for command in commands {
             if leader.is_some() && !self.cut(id, leader) {
-                let delay = self.random.random_range(500..self.slowest);
+                let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.slowest);
                 self.plan(now + delay, Event::Ask(id, leader, command));
             }
         }
         for (duty, token) in held {
-            let moment = self.random.random_range(0..TICK);
+            let moment = draw_span(&mut self.random, Span::ZERO..TICK);
             self.plan(now + moment, Event::Act(id, duty, token));
         }
     }
--- a/src/sim/federation/search.rs
+++ b/src/sim/federation/search.rs
@@ -1,6 +1,7 @@
 //! Many runs on all cores, and what they came to.
 
-use super::{run, Outcome, Planted, MS};
+use super::{run, Outcome, Planted};
+use crate::interface::Span;
 use crate::sim::rules::Breach;
 use rayon::prelude::*;
 use std::collections::BTreeMap;
@@ -25,7 +26,11 @@
         let played = catch_unwind(AssertUnwindSafe(|| run(seed, planted)));
         played.unwrap_or_else(|panic| {
             let text = crate::caught::text(&*panic);
-            Outcome { breaches: vec![Breach { rule: "panic", at: 0, text }], trace: 0, counts: [0; 4] }
+            Outcome {
+                breaches: vec![Breach { rule: "panic", at: Span::ZERO, text }],
+                trace: 0,
+                counts: [0; 4],
+            }
         })
     };
     let played: Vec<(u64, Outcome)> = seeds.into_par_iter().map(|seed| (seed, play(seed))).collect();
@@ -48,7 +53,7 @@
             self.seeds
         )?;
         for (seed, Breach { rule, at, text }) in self.broken.iter().take(3) {
-            writeln!(f, "seed {seed} breaks {rule} at {} ms: {text}", at / MS)?;
+            writeln!(f, "seed {seed} breaks {rule} at {} ms: {text}", at.as_millis())?;
         }
         write!(f, "{} seeds break a rule", self.broken.len())
     }
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,14 +1,14 @@
 //! The members of a run, the events between them, and the observer who checks what they do.
 
-use crate::interface::{Instant};
 use super::disk::Disk;
-use super::{Planted, DRIFT, DUTIES, FAULTS, MS, QUIET, TERMS, TICK, TUNING};
+use super::{draw_span, Planted, DRIFT, DUTIES, FAULTS, MS, QUIET, SHORTEST_DELAY, TERMS, TICK, TUNING};
 use crate::federation::duties::{Grantor, Holder};
 use crate::federation::log::Saved;
 use crate::federation::node::Node;
 use crate::federation::records::{MessageKind, MessageRecord};
 use crate::federation::state::{Command, Roster, State};
 use crate::federation::{LogIndex, MemberId, Term};
+use crate::interface::{Instant, Span};
 use crate::sim::rules::Breach;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -16,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
 
-/// Pauses between the attempts of a member to open the store on a failing disk, us.
-const RETRY_PAUSES: std::ops::Range<i64> = 50 * MS..1000 * MS;
+/// Pauses between the attempts of a member to open the store on a failing disk.
+const RETRY_PAUSES: std::ops::Range<Span> = Span::from_millis(50)..Span::from_secs(1);
 
 pub(super) struct Member {
     pub disk: Disk,
@@ -27,20 +27,21 @@
     pub grantor: Grantor,
     /// The duties that it stands for.
     pub wants: BTreeSet<String>,
-    /// Its clock runs so much faster than the world's, and began there, us.
+    /// Its clock runs so much faster than the world's, and began there.
     pub drift: f64,
-    pub began: i64,
-    /// Its ticks are this long, us.
-    pub tick: i64,
-    pub stalled: i64,
+    pub began: Instant,
+    /// Its ticks are this long.
+    pub tick: Span,
+    pub stalled: Instant,
     /// Files that it has: the newest one's number.
     pub file: u64,
 }
 
 impl Member {
     /// Its own clock at a time of the world's.
-    pub fn clock(&self, now: Instant) -> i64 {
-        self.began + (now as f64 * (1.0 + self.drift)) as i64
+    pub fn clock(&self, now: Instant) -> Instant {
+        let elapsed = now - Instant::ZERO;
+        self.began + Span::from_micros_f64(elapsed.as_micros_f64() * (1.0 + self.drift))
     }
 }
 
@@ -63,16 +64,16 @@
 pub(super) struct World {
     pub now: Instant,
     pub count: u64,
-    pub agenda: BTreeMap<(i64, u64), Event>,
+    pub agenda: BTreeMap<(Instant, u64), Event>,
     pub members: BTreeMap<MemberId, Member>,
     /// From whom to whom nothing goes, and until when.
-    pub cuts: BTreeMap<(MemberId, MemberId), i64>,
+    pub cuts: BTreeMap<(MemberId, MemberId), Instant>,
     pub files: Vec<Roster>,
     pub random: ChaCha8Rng,
     /// Draws the faults of disks that heal.
     pub disk_random: ChaCha8Rng,
-    /// The longest that a message takes in this run, us.
-    pub slowest: i64,
+    /// The longest that a message takes in this run.
+    pub slowest: Span,
     /// Of so many votes that are given one is the last thing that its member does for a moment; 0: none.
     pub dies_voting: u32,
     pub planted: Option<Planted>,
@@ -95,7 +96,7 @@
 
     pub(super) fn broken(&mut self, rule: &'static str, text: String) {
         if self.breaches.iter().all(|breach| breach.rule != rule) {
-            self.breaches.push(Breach { rule, at: self.now, text });
+            self.breaches.push(Breach { rule, at: self.now - Instant::ZERO, text });
         }
     }
 
@@ -137,17 +138,17 @@
     }
 
     fn plan_restart(&mut self, id: MemberId) {
-        let pause = self.disk_random.random_range(RETRY_PAUSES);
+        let pause = draw_span(&mut self.disk_random, RETRY_PAUSES);
         self.plan(self.now + pause, Event::Restart(id));
     }
 
     pub(super) fn add(&mut self, id: MemberId, kept: Saved) {
         // As slow or fast as allowed, as a rule: what is between says less.
         let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
-        let tick = (TICK as f64 / (1.0 + drift)) as i64;
+        let tick = Span::from_micros_f64(TICK.as_micros_f64() / (1.0 + drift));
         let disk = Disk::new(kept, self.planted);
         let (holder, grantor) = (Holder::new(id, TERMS, 0), Grantor::new(TERMS));
-        let (wants, began) = (BTreeSet::new(), self.random.random_range(0..1000) * MS);
+        let (wants, began) = (BTreeSet::new(), Instant::ZERO + self.random.random_range(0..1000_i64) * MS);
         let member = Member {
             disk,
             node: None,
@@ -158,12 +159,12 @@
             drift,
             began,
             tick,
-            stalled: 0,
+            stalled: Instant::ZERO,
             file: 0,
         };
         self.members.insert(id, member);
         self.start(id);
-        let first = self.now + self.random.random_range(0..TICK);
+        let first = self.now + draw_span(&mut self.random, Span::ZERO..TICK);
         self.plan(first, Event::Tick(id, 0));
     }
 
@@ -211,7 +212,7 @@
         for message in out {
             let votes = message.kind == MessageKind::VoteAnswer && !message.reject && self.dies_voting > 0;
             if votes && self.now < FAULTS && self.random.random_range(0..self.dies_voting) == 0 {
-                let back = self.now + self.random.random_range(1..100) * MS;
+                let back = self.now + self.random.random_range(1..100_i64) * MS;
                 self.crash(id, back);
             }
             if message.kind == MessageKind::Snapshot {
@@ -220,7 +221,7 @@
                     node.report_snapshot(message.to, true);
                 }
             }
-            let delay = self.random.random_range(500..self.slowest);
+            let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.slowest);
             let lost = self.random.random_range(0..100) == 0 || self.cut(id, message.to);
             if !lost {
                 let from = self.members.get(&id).map_or(0, |member| member.incarnation);
@@ -327,7 +328,7 @@
                 self.drive(id);
             }
         }
-        let pause = self.random.random_range(50..400) * MS;
+        let pause = self.random.random_range(50..400_i64) * MS;
         if self.now < FAULTS + QUIET / 4 {
             self.plan(self.now + pause, Event::Load);
         }
--- a/src/sim/hosts.rs
+++ b/src/sim/hosts.rs
@@ -1,6 +1,7 @@
 //! The other end of the line protocol in the simulator: table caches, parents and the origin. They hold copies, fill
 //! misses, and answer when the world says it is time. What they are asked is reported to the rules.
 
+use crate::interface::{Instant, Span};
 use std::collections::BTreeMap;
 
 /// What a host is.
@@ -25,8 +26,8 @@
     pub item: (String, u32),
     /// Who fills a miss.
     pub from: Option<String>,
-    /// The oldest copy that will do, us; 0: any.
-    pub oldest: i64,
+    /// The oldest copy that will do; 0: any.
+    pub oldest: Span,
     /// The rank at which the copy is kept.
     pub rank: u32,
     /// The source gives only what it holds.
@@ -85,7 +86,7 @@
             "item" => fetch.item.0 = value.to_owned(),
             "chunk" => fetch.item.1 = number()? as u32,
             "from" => fetch.from = Some(value.to_owned()),
-            "oldest" => fetch.oldest = number()? * 1000,
+            "oldest" => fetch.oldest = Span::from_millis(number()?),
             "rank" => fetch.rank = number()? as u32,
             "mode" => fetch.peek = value.split('+').any(|word| word == "peek"),
             _ => {}
@@ -105,16 +106,16 @@
     pub tier: Tier,
     /// Its entry in the list.
     pub entry: serde_json::Value,
-    /// Copies by object and part: when the origin gave them out, us.
-    pub copies: BTreeMap<(String, u32), i64>,
+    /// Copies by object and part: when the origin gave them out.
+    pub copies: BTreeMap<(String, u32), Instant>,
     /// What has come on each connection and is no whole line yet, and when its first byte was sent.
-    pub links: BTreeMap<u64, (Vec<u8>, i64)>,
+    pub links: BTreeMap<u64, (Vec<u8>, Instant)>,
     /// Requests that are open, by connection and id.
     pub open: BTreeMap<(u64, String), Fetch>,
     /// Takes so many times as long until then.
-    pub slow: (i64, i64),
+    pub slow: (i64, Instant),
     /// Answers with errors until then.
-    pub errors: i64,
+    pub errors: Instant,
     /// The next answer can't be read.
     pub garbled: bool,
     /// The next answer comes twice.
@@ -122,9 +123,9 @@
     /// Its process is not there.
     pub dead: bool,
     /// Its last start, if that is one of this run.
-    pub born: Option<i64>,
-    /// What was sent to it of late while it was cold, us.
-    pub sends: Vec<i64>,
+    pub born: Option<Instant>,
+    /// What was sent to it of late while it was cold.
+    pub sends: Vec<Instant>,
 }
 
 impl Host {
@@ -138,8 +139,8 @@
             copies: BTreeMap::new(),
             links: BTreeMap::new(),
             open: BTreeMap::new(),
-            slow: (1, 0),
-            errors: 0,
+            slow: (1, Instant::ZERO),
+            errors: Instant::ZERO,
             garbled: false,
             twice: false,
             dead: false,
@@ -149,9 +150,9 @@
     }
 
     /// Whether it holds a copy that will do.
-    pub fn holds(&self, fetch: &Fetch, now: Instant) -> Option<i64> {
+    pub fn holds(&self, fetch: &Fetch, now: Instant) -> Option<Instant> {
         let born = *self.copies.get(&fetch.item)?;
-        (fetch.oldest == 0 || now - born <= fetch.oldest).then_some(born)
+        (fetch.oldest == Span::ZERO || now - born <= fetch.oldest).then_some(born)
     }
 }
 
@@ -170,7 +171,7 @@
         self.hosts.iter().position(|host| host.name == name)
     }
 
-    /// What a host answers now, us: the word, the fields, the bytes. Copies that a fill makes are kept.
+    /// What a host answers now: the word, the fields, the bytes. Copies that a fill makes are kept.
     pub fn outcome(
         &mut self,
         number: usize,
@@ -219,14 +220,14 @@
             if !is_there(fleet, origin) || fleet.hosts[origin].errors > now {
                 return bare("500", "far_fault");
             }
-            let born = now - 1000;
+            let born = now - Span::from_millis(1);
             for host in [Some(number), through].into_iter().flatten().filter(|host| *host != origin) {
                 fleet.hosts[host].copies.insert(fetch.item.clone(), born);
             }
             copy("pulled_far", fetch, born)
         };
         match (self.hosts[number].tier, source) {
-            (Tier::Origin, _) => copy("local", fetch, now - 1000),
+            (Tier::Origin, _) => copy("local", fetch, now - Span::from_millis(1)),
             (Tier::Parent, _) if fetch.peek => bare("404", "not_there"),
             (Tier::Parent, _) => far(self, None),
             (Tier::Cache, None) => bare("404", "not_there"),
@@ -257,13 +258,14 @@
 }
 
 /// An answer with a copy: its bytes say what it is and when the origin gave it out.
-fn copy(tell: &str, fetch: &Fetch, born: i64) -> (&'static str, String, Vec<u8>) {
+fn copy(tell: &str, fetch: &Fetch, born: Instant) -> (&'static str, String, Vec<u8>) {
     let (item, part) = &fetch.item;
-    let mut body = format!("{item}:{part}:{born};").into_bytes();
+    let born_us = born.as_micros();
+    let mut body = format!("{item}:{part}:{born_us};").into_bytes();
     let long = u64::from_str_radix(item, 16).unwrap_or(0).wrapping_mul(2_654_435_761) % 20_000;
     body.resize(body.len() + 100 + long as usize, b'.');
     let waited = if tell == "local" { 0 } else { 10 };
-    ("200", format!("ver=v{born},born={},tell={tell},waited={waited}", born / 1000), body)
+    ("200", format!("ver=v{born_us},born={},tell={tell},waited={waited}", born_us / 1000), body)
 }
 
 /// An answer's bytes on the wire.
--- a/src/sim/hosts/tests.rs
+++ b/src/sim/hosts/tests.rs
@@ -16,7 +16,7 @@
             class: "result".into(),
             item: ("0f".into(), 2),
             from: Some("s-2".into()),
-            oldest: 5000,
+            oldest: Span::from_millis(5),
             rank: 1,
             peek: true,
         };
@@ -35,7 +35,7 @@
 #[test]
 fn a_parent_that_errs_fails_the_fills_that_caches_ask_of_it() {
     let mut fleet = fleet(false);
-    fleet.hosts[1].errors = 1_000;
+    fleet.hosts[1].errors = Instant::from_micros(1_000);
     let fill = |class: &str, from: &str| Fetch {
         class: class.into(),
         item: ("0f".into(), 0),
@@ -43,9 +43,9 @@
         ..Fetch::default()
     };
     for class in ["segment", "result"] {
-        let (word, fields, _) = fleet.outcome(0, &fill(class, "parent"), 0, &|_, _| true);
+        let (word, fields, _) = fleet.outcome(0, &fill(class, "parent"), Instant::ZERO, &|_, _| true);
         assert_eq!((word, fields.as_str()), ("500", "tell=cut_off,waited=0"));
-        assert_eq!(fleet.outcome(0, &fill(class, "origin"), 0, &|_, _| true).0, "200");
+        assert_eq!(fleet.outcome(0, &fill(class, "origin"), Instant::ZERO, &|_, _| true).0, "200");
     }
 }
 
@@ -58,8 +58,8 @@
         from: Some("parent".into()),
         ..Fetch::default()
     };
-    assert_eq!(fleet.outcome(0, &fetch, 0, &|_, host| host != 1).1, "");
-    let (word, fields, _) = fleet.outcome(0, &fetch, 0, &|_, _| true);
+    assert_eq!(fleet.outcome(0, &fetch, Instant::ZERO, &|_, host| host != 1).1, "");
+    let (word, fields, _) = fleet.outcome(0, &fetch, Instant::ZERO, &|_, _| true);
     assert!(word == "200" && fields.ends_with("tell=pulled"), "{word} {fields}");
-    assert!(fleet.outcome(0, &fetch, 0, &|_, _| true).1.ends_with("tell=local"));
+    assert!(fleet.outcome(0, &fetch, Instant::ZERO, &|_, _| true).1.ends_with("tell=local"));
 }
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -1,19 +1,20 @@
 //! What has to hold in every run, checked as things happen: a breach names its rule and the moment. No I/O, no state
 //! of the world but what is told here.
 
-use serde::Serialize;
+use crate::interface::{Instant, Span};
+use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// A drain, removal or purge takes effect within this long after it was told, us (protocol page, with its slack).
+/// A drain, removal or purge takes effect within this long after it was told (protocol page, with its slack).
 const DRAIN: Span = Span::from_millis(1_050);
-/// An answer counts until this long after the request's time, us.
+/// An answer counts until this long after the request's time.
 const LATE: Span = Span::from_millis(550);
-/// What is under way may be seen so much later than it was sent, us.
+/// What is under way may be seen so much later than it was sent.
 pub const WAY: Span = Span::from_millis(45);
 
-/// No attempt begins for a client that left longer ago than this, us.
+/// No attempt begins for a client that left longer ago than this.
 const LEFT: Span = Span::from_millis(100);
-/// Time limits are this much longer on sockets, us (protocol page).
+/// Time limits are this much longer on sockets (protocol page).
 const SLACK: Span = Span::from_millis(50);
 
 /// A rule that was broken.
@@ -21,47 +22,51 @@
 pub struct Breach {
     /// The rule's word.
     pub rule: &'static str,
-    /// When, us from the start.
-    pub at: Instant,
+    /// When, from the start; in microseconds where it is written.
+    #[serde(serialize_with = "in_micros")]
+    pub at: Span,
     /// What happened.
     pub text: String,
 }
 
+fn in_micros<S: Serializer>(span: &Span, to: S) -> Result<S::Ok, S::Error> {
+    span.as_micros().serialize(to)
+}
+
 /// How a host stands with what it was sent for one `result`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ran {
     /// It may have; it was written then.
-    Maybe(i64),
+    Maybe(Instant),
     Never,
 }
 
 /// Keeps what the rules need to know.
 #[derive(Debug, Default)]
 pub struct Rules {
-    start: i64,
+    start: Instant,
     /// The first breach of each kind, in the order of time.
     pub breaches: Vec<Breach>,
     /// By trace, then host and connection: whether it may have run there.
     results: BTreeMap<String, BTreeMap<(usize, u64), Ran>>,
-    /// A `result` that may have run may be repeated for this long after its first attempt was written, us; `None`:
-    /// never.
-    window: Option<i64>,
+    /// A `result` that may have run may be repeated for this long after its first attempt was written; `None`: never.
+    window: Option<Span>,
     /// By trace: when its client gave it up.
-    clients_left: BTreeMap<String, i64>,
+    clients_left: BTreeMap<String, Instant>,
     /// By host: from when on it may no longer be sent anything.
-    gone: BTreeMap<usize, i64>,
+    gone: BTreeMap<usize, Instant>,
     /// By object: the purges, as what time copies must be newer than, and since when that holds.
-    purges: BTreeMap<String, Vec<(i64, i64)>>,
+    purges: BTreeMap<String, Vec<(Instant, Instant)>>,
 }
 
 impl Rules {
-    /// Rules for a run that starts now, us.
-    pub fn new(start: i64) -> Self {
+    /// Rules for a run that starts now.
+    pub fn new(start: Instant) -> Self {
         Rules { start, ..Rules::default() }
     }
 
-    /// The same where a `result` may be repeated for this long, us.
-    pub fn with_window(self, window: Option<i64>) -> Self {
+    /// The same where a `result` may be repeated for this long.
+    pub fn with_window(self, window: Option<Span>) -> Self {
         Rules { window, ..self }
     }
 
@@ -78,12 +83,12 @@
     }
 
     /// A host may no longer be used, which counts as told at `told`.
-    pub fn left(&mut self, host: usize, told: i64) {
+    pub fn left(&mut self, host: usize, told: Instant) {
         self.gone.entry(host).or_insert(told + DRAIN);
     }
 
     /// The feed was cut off from `since` on: what it told from then on counts as told at `told` at the earliest.
-    pub fn feed_cut(&mut self, since: Instant, told: i64) {
+    pub fn feed_cut(&mut self, since: Instant, told: Instant) {
         for deadline in self.gone.values_mut().filter(|deadline| **deadline >= since + DRAIN) {
             *deadline = (*deadline).max(told + DRAIN);
         }
@@ -98,7 +103,7 @@
     }
 
     /// An object was purged at a time; no older copy may be served to what comes `grace` after it was told.
-    pub fn purged(&mut self, object: &str, at: Instant, told: i64, grace: i64) {
+    pub fn purged(&mut self, object: &str, at: Instant, told: Instant, grace: Span) {
         self.purges.entry(object.to_owned()).or_default().push((at, told + grace));
     }
 
@@ -113,11 +118,11 @@
         is_result: bool,
     ) {
         if let Some(deadline) = self.gone.get(&host).filter(|deadline| sent > **deadline) {
-            let late = (sent - deadline) / 1000;
+            let late = (sent - *deadline).as_millis();
             self.broken(now, "drain", format!("{trace} goes to {name} {late} ms after it had to stop"));
         }
         if let Some(at) = self.clients_left.get(trace).filter(|at| sent > **at + LEFT + WAY) {
-            let late = (sent - at) / 1000;
+            let late = (sent - *at).as_millis();
             self.broken(
                 now,
                 "after-leaving",
@@ -140,7 +145,7 @@
             Some(window) => ("late-repeat", sent <= at + window + SLACK),
         };
         if !allowed {
-            let after = (sent - at) / 1000;
+            let after = (sent - at).as_millis();
             let text = format!("{trace} goes to {name} {after} ms after it may have run at host {other}");
             self.broken(now, rule, text);
         }
@@ -154,19 +159,19 @@
     }
 
     /// A client was served: by a copy of this time, for a request sent at that time.
-    pub fn served(&mut self, now: Instant, object: &str, born: i64, sent: Instant) {
-        let older = |(at, holds): &&(i64, i64)| born < *at && sent > *holds + WAY;
+    pub fn served(&mut self, now: Instant, object: &str, born: Instant, sent: Instant) {
+        let older = |(at, holds): &&(Instant, Instant)| born < *at && sent > *holds + WAY;
         if let Some((at, _)) = self.purges.get(object).and_then(|purges| purges.iter().find(older)) {
-            let by = (at - born) / 1000;
+            let by = (*at - born).as_millis();
             self.broken(now, "purge", format!("{object} is served by a copy {by} ms older than its purge"));
         }
     }
 
-    /// A request got its answer, or its client waits no longer: it was sent at one time with a patience, us.
-    pub fn answered(&mut self, now: Instant, what: &str, sent: Instant, patience: i64) {
+    /// A request got its answer, or its client waits no longer: it was sent at one time with a patience.
+    pub fn answered(&mut self, now: Instant, what: &str, sent: Instant, patience: Span) {
         let late = now - sent - patience;
         if late > LATE + WAY {
-            self.broken(now, "late", format!("{what} is answered {} ms after its time", late / 1000));
+            self.broken(now, "late", format!("{what} is answered {} ms after its time", late.as_millis()));
         }
     }
 }
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -3,6 +3,7 @@
 use super::faults::{Fault, Plan};
 use super::world::{run, Outcome, Sabotage};
 use crate::caught;
+use crate::interface::Span;
 use rayon::prelude::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -51,7 +52,7 @@
 pub fn play(plan: &Plan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> Outcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, sabotage)));
     played.unwrap_or_else(|panic| {
-        let breach = super::rules::Breach { rule: "panic", at: 0, text: caught::text(&*panic) };
+        let breach = super::rules::Breach { rule: "panic", at: Span::ZERO, text: caught::text(&*panic) };
         Outcome { breaches: vec![breach], trace: 0, steps: 0, answers: [0; 4], ties: 0, processes: 0 }
     })
 }
@@ -79,7 +80,7 @@
     let outcome = play(plan, seed, &pick(&keep), sabotage);
     let breach = outcome.breaches.iter().find(|breach| breach.rule == rule);
     let text =
-        breach.map_or_else(String::new, |breach| format!("at {} ms: {}", breach.at / 1000, breach.text));
+        breach.map_or_else(String::new, |breach| format!("at {} ms: {}", breach.at.as_millis(), breach.text));
     Failure { seed, rule: rule.to_owned(), text, faults: pick(&keep), keep, trace: outcome.trace }
 }
 
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -23,7 +23,7 @@
         client.seqid += 1;
         let seqid = client.seqid;
         let (patience, part, group) =
-            ((call.patience / 1000).to_string(), call.part.to_string(), GROUP.to_string());
+            (call.patience.as_millis().to_string(), call.part.to_string(), GROUP.to_string());
         let fields = [
             ("route", call.class),
             ("trace", &call.trace),
@@ -36,7 +36,7 @@
         self.fabric.send(link, &thrift_client::invoke(seqid, &fields, body));
         let sent = self.now.max(client.accepted_by);
         client.open.insert(seqid, Open { call: number, written: self.now, sent, resent });
-        self.schedule(self.now + call.patience + 2_000_000, Event::Overdue(call.client, seqid));
+        self.schedule(self.now + call.patience + Span::from_secs(2), Event::Overdue(call.client, seqid));
         if let Some(after) = call.abort {
             self.schedule(self.now + after, Event::Abort(call.client, seqid));
         }
@@ -107,7 +107,8 @@
                         self.rules.broken(self.now, "wrong-bytes", text);
                         continue;
                     };
-                    let born = rest.split(';').next().and_then(|born| born.parse().ok());
+                    let born =
+                        rest.split(';').next().and_then(|born| born.parse().ok()).map(Instant::from_micros);
                     if let Some(born) = born.filter(|_| call.class != "result") {
                         self.rules.served(self.now, &call.object, born, open.sent);
                     }
@@ -142,7 +143,7 @@
             let trace = self.calls[open.call].trace.clone();
             let nobody = process == 0 || self.killed.contains(&process);
             let after_term = told_to_stop.is_some_and(|at| open.written > at + TAKEN_AFTER_TERM - WAY);
-            let crossed = open.written > self.now - 2 * WAY - 50_000;
+            let crossed = open.written > self.now - 2 * WAY - Span::from_millis(50);
             self.answers[3] += 1;
             if nobody || after_term {
                 continue;
--- a/src/sim/world/events.rs
+++ b/src/sim/world/events.rs
@@ -1,6 +1,5 @@
 //! What is to happen at a time, besides what the network and the processes do by themselves.
 
-use crate::interface::{Instant};
 use super::*;
 
 /// A scheduled event.
@@ -14,7 +13,7 @@
     Fault(What),
     Back(usize),
     Die(usize),
-    Settle(Option<String>, i64),
+    Settle(Option<String>, Instant),
     Terminate(u32),
     Kill(u32),
     Restart,
@@ -66,7 +65,7 @@
                 self.over = true;
                 let all: Vec<u32> = self.servers.keys().copied().collect();
                 all.into_iter().for_each(|process| self.happen(Event::Terminate(process)));
-                self.schedule(self.now + ENDED + 1_000_000, Event::Look);
+                self.schedule(self.now + ENDED + Span::from_secs(1), Event::Look);
             }
             Event::Look => {}
         }
--- a/src/sim/world/faults.rs
+++ b/src/sim/world/faults.rs
@@ -1,6 +1,5 @@
 //! Faults as they happen.
 
-use crate::interface::{Instant};
 use super::*;
 use crate::sim::system_error::SystemError;
 
@@ -10,17 +9,19 @@
         match what {
             What::Silent { host, ms } => {
                 if !self.fleet.hosts[host].dead {
-                    let until = self.now + ms * 1000;
+                    let until = self.now + Span::from_millis(ms);
                     self.fabric.set_reach(address(host as u16), HostBehaviour::SilentUntil(until));
                 }
             }
             What::Killed { host, ms } => {
                 self.die(host);
-                self.schedule(self.now + ms * 1000, Event::Back(host));
+                self.schedule(self.now + Span::from_millis(ms), Event::Back(host));
             }
             What::Reset { host } => self.break_links(host),
-            What::Slow { host, times, ms } => self.fleet.hosts[host].slow = (times, self.now + ms * 1000),
-            What::Errors { host, ms } => self.fleet.hosts[host].errors = self.now + ms * 1000,
+            What::Slow { host, times, ms } => {
+                self.fleet.hosts[host].slow = (times, self.now + Span::from_millis(ms))
+            }
+            What::Errors { host, ms } => self.fleet.hosts[host].errors = self.now + Span::from_millis(ms),
             What::Garbled { host } => self.fleet.hosts[host].garbled = true,
             What::Drained { host } => {
                 let told = self.tell_health(host, "draining");
@@ -29,7 +30,7 @@
             What::Removed { host } => {
                 let told = self.tell_health(host, "removed");
                 self.rules.left(host, told);
-                self.schedule(self.now + 1_000_000, Event::Die(host));
+                self.schedule(self.now + Span::from_secs(1), Event::Die(host));
             }
             What::Ready { host } => {
                 if self.fleet.hosts[host].dead {
@@ -41,7 +42,7 @@
             What::PurgeObject { object } => self.purge(Some(format!("{:016x}", 0xab00 + object))),
             What::PurgeGroup => self.purge(None),
             What::FeedSilent { ms } => {
-                let until = self.now + ms * 1000;
+                let until = self.now + Span::from_millis(ms);
                 self.fabric.set_reach(address(FEED), HostBehaviour::SilentUntil(until));
                 self.cut_feed(until + HEARD_AGAIN);
             }
@@ -63,8 +64,8 @@
                 }
             }
             What::SlowDials { host, late_ms, ms } => {
-                let until = self.now + ms * 1000;
-                self.fabric.delay_dials(address(host as u16), late_ms * 1000, until);
+                let until = self.now + Span::from_millis(ms);
+                self.fabric.delay_dials(address(host as u16), Span::from_millis(late_ms), until);
             }
             What::ClosesIdle { host: number } => {
                 let host = &self.fleet.hosts[number];
@@ -92,23 +93,23 @@
             What::Upgrade => drop(self.upgrade()),
             What::UpgradeDies { ms } => {
                 if let Some(newer) = self.upgrade() {
-                    self.schedule(self.now + ms * 1000, Event::Kill(newer));
+                    self.schedule(self.now + Span::from_millis(ms), Event::Kill(newer));
                 }
             }
             What::Crash => {
                 let all: Vec<u32> = self.servers.keys().copied().collect();
                 all.into_iter().for_each(|process| self.kill(process));
             }
-            What::ClockStep { ms } => self.fabric.step_wall_clock(ms * 1000),
+            What::ClockStep { ms } => self.fabric.step_wall_clock(Span::from_millis(ms)),
             What::AcceptFails { error, times } => {
                 for port in 0..times {
                     let from = SocketAddr::from(([127, 0, 3, 1], 40_000 + port as u16));
                     self.fabric.dial_aborted(from, address(FRONT), error.errno());
                 }
             }
-            What::Exhausted { error, ms } => self.exhaust(error, self.now + ms * 1000),
+            What::Exhausted { error, ms } => self.exhaust(error, self.now + Span::from_millis(ms)),
             What::ConnectFails { host, error, at_once, ms } => {
-                let until = self.now + ms * 1000;
+                let until = self.now + Span::from_millis(ms);
                 self.fabric.fail_connects(address(host as u16), error.errno(), at_once, until);
             }
             What::LinksFail { host, error } => {
@@ -116,8 +117,8 @@
                 broken.into_keys().for_each(|link| self.fabric.fail(link, error.errno()));
                 self.fleet.hosts[host].open.clear();
             }
-            What::ShortIo { bytes, ms } => self.fabric.shorten(bytes, self.now + ms * 1000),
-            What::Interrupted { ms } => self.fabric.interrupt(self.now + ms * 1000),
+            What::ShortIo { bytes, ms } => self.fabric.shorten(bytes, self.now + Span::from_millis(ms)),
+            What::Interrupted { ms } => self.fabric.interrupt(self.now + Span::from_millis(ms)),
         }
     }
 
@@ -160,10 +161,11 @@
     }
 
     pub(super) fn purge(&mut self, object: Option<String>) {
-        let (at, grace) = (self.now / 1000 * 1000, 500_000);
+        let (at_ms, grace) = (unix_ms(self.now), Span::from_millis(500));
+        let at = Instant::from_micros(at_ms * 1000);
         let what = match &object {
-            Some(object) => json!({"key": object, "at": at / 1000}),
-            None => json!({"group": GROUP, "at": at / 1000}),
+            Some(object) => json!({"key": object, "at": at_ms}),
+            None => json!({"group": GROUP, "at": at_ms}),
         };
         let told = self.tell(json!({"purge": what}));
         for n in 0..self.plan.objects {
@@ -173,7 +175,7 @@
             }
         }
         let settles = self.base["settings"]["domain"]["purge_settles"].as_f64().unwrap_or(6000.0);
-        self.schedule(self.now + (settles * 1000.0) as i64, Event::Settle(object, at));
+        self.schedule(self.now + Span::from_micros_f64(settles * 1000.0), Event::Settle(object, at));
     }
 
     pub(super) fn break_links(&mut self, host: usize) {
@@ -196,7 +198,7 @@
         }
         (one.dead, one.born) = (false, Some(self.now));
         one.sends.clear();
-        one.entry["born_ms"] = (self.now / 1000).into();
+        one.entry["born_ms"] = unix_ms(self.now).into();
         self.fabric.set_reach(address(host as u16), HostBehaviour::Up);
         if one.entry["health"] == "up" && one.tier != Tier::Origin {
             self.tell_health(host, "up");
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -1,6 +1,5 @@
 //! The control feed: its events and the polls that wait for them.
 
-use crate::interface::{Instant};
 use super::*;
 
 impl World<'_> {
@@ -11,7 +10,7 @@
         let head = String::from_utf8_lossy(&input[..end]).into_owned();
         input.drain(..end + 4);
         let query = head.split(' ').nth(1).unwrap_or_default().to_owned();
-        let until = self.now + number(&query, "wait").min(5000) as i64 * 1000;
+        let until = self.now + Span::from_millis(number(&query, "wait").min(5000) as i64);
         self.feed.polls.insert(link, (number(&query, "SUB") as usize, until));
         self.schedule(until, Event::PollEnds(link));
         self.answer_poll(link);
@@ -30,14 +29,14 @@
     }
 
     /// Tells an event; gives when it counts as told.
-    pub(super) fn tell(&mut self, event: Value) -> i64 {
+    pub(super) fn tell(&mut self, event: Value) -> Instant {
         self.feed.events.push(event);
         let links: Vec<u64> = self.feed.polls.keys().copied().collect();
         links.into_iter().for_each(|link| self.answer_poll(link));
         self.now.max(self.feed.cut_until)
     }
 
-    pub(super) fn tell_health(&mut self, number: usize, health: &str) -> i64 {
+    pub(super) fn tell_health(&mut self, number: usize, health: &str) -> Instant {
         let mut entry = self.fleet.hosts[number].entry.clone();
         entry["health"] = health.into();
         self.fleet.hosts[number].entry = entry.clone();
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,9 +1,8 @@
 //! The caches, parents and the origin: what they are sent and answer.
 
-use crate::interface::{Instant, Span};
 use super::*;
 
-/// A second answer comes this long after the first, us.
+/// A second answer comes this long after the first.
 const SECOND_ANSWER: Span = Span::from_millis(8);
 
 impl World<'_> {
@@ -51,24 +50,27 @@
         let (now, rules) = (self.now, &self.base["settings"]["rules"]);
         let figure = |name: &str| rules[name].as_f64().unwrap_or(0.0);
         let host = &mut self.fleet.hosts[number];
-        let Some(born) = host.born.filter(|born| now - born < (figure("warm_after") * 1000.0) as i64) else {
+        let Some(born) =
+            host.born.filter(|born| now - *born < Span::from_micros_f64(figure("warm_after") * 1000.0))
+        else {
             return;
         };
-        let part = (now - born) as f64 / (figure("warm_after") * 1000.0);
+        let part = (now - born).as_micros_f64() / (figure("warm_after") * 1000.0);
         let warmth = figure("cold_share") + (1.0 - figure("cold_share")) * part;
-        let span = (figure("overload_for") * 1000.0) as i64;
+        let span = Span::from_micros_f64(figure("overload_for") * 1000.0);
         host.sends.retain(|at| *at > now - span);
         host.sends.push(now);
-        let most = figure("fall_multiple") * warmth * host.link * span as f64 / 1e6;
+        let most = figure("fall_multiple") * warmth * host.link * span.as_micros_f64() / 1e6;
         let work = host.sends.len() as f64 * 0.02;
         if work > most {
-            let text = format!("{} is sent {work:.2} s of work in {span} us, of {most:.2}", host.name);
+            let text =
+                format!("{} is sent {work:.2} s of work in {} us, of {most:.2}", host.name, span.as_micros());
             self.rules.broken(now, "cold", text);
         }
     }
 
-    pub(super) fn service(&mut self, number: usize) -> i64 {
-        let usual = self.random.random_range(2..=12) * 1000;
+    pub(super) fn service(&mut self, number: usize) -> Span {
+        let usual = Span::from_millis(self.random.random_range(2..=12));
         let (times, until) = self.fleet.hosts[number].slow;
         if until > self.now {
             usual * times
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -13,12 +13,12 @@
 use events::Event;
 use network::is_there;
 
-use crate::interface::{Instant, Span};
 use super::customers::{Customer, WINDOW_MS};
 use super::faults::{Fault, Plan, What};
 use super::hosts::{answer, lines, Fetch, Fleet, Host, Line, Tier};
 use super::rules::{Breach, Rules, WAY};
 use crate::config::Config;
+use crate::interface::{Instant, Span};
 use crate::lab::feed::number;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client::{self, Answered};
@@ -32,28 +32,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The Unix time at which runs start, us.
-const START: Span = Span::from_secs(1_700_000_000);
-/// Delays of connections, one way, us.
-const DELAYS: (i64, i64) = (1_000, 20_000);
+/// The Unix time at which runs start: the virtual clock reads Unix time.
+const START: Instant = Instant::from_micros(1_700_000_000_000_000);
+/// Delays of connections, one way.
+const DELAYS: (Span, Span) = (Span::from_millis(1), Span::from_millis(20));
 /// The numbers of the clients' front, and of the control feed, beside those of the hosts.
 const FRONT: u16 = 1_000;
 const FEED: u16 = 900;
 /// The group of all objects.
 const GROUP: u32 = 17;
-/// A source that is not there is given up after this, us.
+/// A source that is not there is given up after this.
 const SOURCE_LOST: Span = Span::from_millis(300);
-/// A killed process is started anew after this, us.
+/// A killed process is started anew after this.
 const RESTART: Span = Span::from_millis(200);
-/// A newer process is given this long before the older one is told to stop, us.
+/// A newer process is given this long before the older one is told to stop.
 const OVERLAP: Span = Span::from_millis(300);
-/// A feed that was cut off is heard again this long after it is back, us.
+/// A feed that was cut off is heard again this long after it is back.
 const HEARD_AGAIN: Span = Span::from_millis(2_200);
-/// Requests that come later than this after SIGTERM may find nobody, us.
+/// Requests that come later than this after SIGTERM may find nobody.
 const TAKEN_AFTER_TERM: Span = Span::from_millis(700);
-/// A process has ended by then after SIGTERM, us.
+/// A process has ended by then after SIGTERM.
 const ENDED: Span = Span::from_secs(31);
-/// Connections that wait as descriptors come back are accepted by then, us.
+/// Connections that wait as descriptors come back are accepted by then.
 const ACCEPTED_AGAIN: Span = Span::from_millis(60);
 /// Steps of a run at most: more means that something goes in a circle.
 const MOST_STEPS: usize = 1_000_000;
@@ -98,9 +98,9 @@
     class: &'static str,
     object: String,
     part: u32,
-    patience: i64,
+    patience: Span,
     trace: String,
-    abort: Option<i64>,
+    abort: Option<Span>,
 }
 
 struct Open {
@@ -118,10 +118,10 @@
     input: Vec<u8>,
     open: BTreeMap<i32, Open>,
     aborted: BTreeSet<i32>,
-    /// When it connected, us.
+    /// When it connected.
     dialled: Instant,
     /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
-    accepted_by: i64,
+    accepted_by: Instant,
 }
 
 #[derive(Default)]
@@ -129,11 +129,16 @@
     events: Vec<Value>,
     links: BTreeMap<u64, Vec<u8>>,
     /// Polls that wait, by connection: the last event had, and until when.
-    polls: BTreeMap<u64, (usize, i64)>,
+    polls: BTreeMap<u64, (usize, Instant)>,
     /// What is told before then counts as told then.
     cut_until: Instant,
 }
 
+/// What the virtual clock reads at an instant, in milliseconds of Unix time.
+fn unix_ms(at: Instant) -> i64 {
+    at.as_micros() / 1000
+}
+
 /// A run under way.
 struct World<'a> {
     plan: &'a Plan,
@@ -143,7 +148,7 @@
     now: Instant,
     /// For service times; calls were drawn before.
     random: ChaCha8Rng,
-    agenda: BTreeMap<(i64, u64), Event>,
+    agenda: BTreeMap<(Instant, u64), Event>,
     count: u64,
     calls: Vec<Call>,
     clients: Vec<Client>,
@@ -153,10 +158,10 @@
     base: Value,
     servers: BTreeMap<u32, Server>,
     processes: u32,
-    terminated: BTreeMap<u32, i64>,
+    terminated: BTreeMap<u32, Instant>,
     killed: BTreeSet<u32>,
-    /// Since when and until when processes get no descriptors, us.
-    exhausted: (i64, i64),
+    /// Since when and until when processes get no descriptors.
+    exhausted: (Instant, Instant),
     rules: Rules,
     answers: [u64; 4],
     over: bool,
@@ -166,7 +171,7 @@
 pub fn run(plan: &Plan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> Outcome {
     let mut world = World::new(plan, seed, sabotage);
     for fault in faults {
-        world.schedule(START + fault.at_ms * 1000, Event::Fault(fault.what));
+        world.schedule(START + Span::from_millis(fault.at_ms), Event::Fault(fault.what));
     }
     let ties = world.play();
     let (trace, steps) = world.fabric.trace();
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -1,6 +1,5 @@
 //! What comes on the network, told to clients, hosts and the feed.
 
-use crate::interface::{Instant};
 use super::*;
 
 impl World<'_> {
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -42,10 +42,10 @@
     }
 
     /// By how much the clock of the processes' deadlines is ahead: not at all, but with the bug that says so.
-    pub(super) fn ahead(&self) -> i64 {
+    pub(super) fn ahead(&self) -> Span {
         match self.sabotage {
             Some(Sabotage::WallDeadlines) => self.fabric.wall_offset(),
-            _ => 0,
+            _ => Span::ZERO,
         }
     }
 
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -17,7 +17,7 @@
         let links: Vec<f64> = hosts.as_array().into_iter().flatten().map(link).collect();
         let customer = Customer::draw(seed);
         customer.word(&mut base["settings"], hosts);
-        let mut window = customer.keyed_writes.then_some(WINDOW_MS * 1000);
+        let mut window = customer.keyed_writes.then_some(Span::from_millis(WINDOW_MS));
         match sabotage {
             Some(Sabotage::ResultTwice) => {
                 base["settings"]["grades"][3]["effect"] = "pure".into();
@@ -49,7 +49,7 @@
             processes: 0,
             terminated: BTreeMap::new(),
             killed: BTreeSet::new(),
-            exhausted: (0, 0),
+            exhausted: (Instant::ZERO, Instant::ZERO),
             rules: Rules::new(START).with_window(window),
             answers: [0; 4],
             over: false,
@@ -70,7 +70,7 @@
         world.feed.events.push(first);
         world.draw_calls();
         world.start();
-        let end = START + plan.ms * 1000 + 1_000_000;
+        let end = START + Span::from_millis(plan.ms) + Span::from_secs(1);
         world.schedule(end, Event::TerminateAll);
         world
     }
@@ -81,7 +81,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         random.set_stream(2);
         for n in 0..self.plan.requests {
-            let at = START + random.random_range(50..self.plan.ms.max(51)) * 1000;
+            let at = START + Span::from_millis(random.random_range(50..self.plan.ms.max(51)));
             let (class, deadline) = [("piece", 900), ("replay", 4500), ("standing", 1800), ("result", 2400)]
                 [[0, 0, 0, 1, 2, 3, 3][random.random_range(0..7)]];
             // Squared: a few objects are asked for again and again.
@@ -92,9 +92,10 @@
                 class,
                 object: format!("{:016x}", 0xab00 + object),
                 part: random.random_range(0..2),
-                patience: random.random_range(200..=deadline) * 1000,
+                patience: Span::from_millis(random.random_range(200..=deadline)),
                 trace: format!("{:016x}", (self.seed << 20) + n as u64),
-                abort: (random.random_range(0..20) == 0).then(|| random.random_range(1..200) * 1000),
+                abort: (random.random_range(0..20) == 0)
+                    .then(|| Span::from_millis(random.random_range(1..200))),
             });
             self.schedule(at, Event::Call(n));
         }
--- a/src/trace/counts.rs
+++ b/src/trace/counts.rs
@@ -30,7 +30,7 @@
     pub reordered: u64,
     /// Rows that came too late for that and were moved to the time reached.
     pub moved: u64,
-    /// By how much at the most, us.
+    /// By how much at the most.
     pub max_moved: Span,
 }
 
@@ -50,7 +50,7 @@
         for (column, Skipped { rows, first }) in &self.skipped {
             write!(formatter, ", {rows} skipped for {column} ({first})")?;
         }
-        let max_moved_s = self.max_moved as f64 / 1e6;
+        let max_moved_s = self.max_moved.as_secs_f64();
         write!(formatter, "; {reordered} put in order, {moved} moved by up to {max_moved_s:.1} s")
     }
 }
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -94,9 +94,9 @@
     pub object: Vec<usize>,
     /// Only rows that have this value.
     pub only: Option<OnlyRule>,
-    /// Rows are put in order over this span, us.
+    /// Rows are put in order over this span.
     pub reorder: Span,
-    /// The test's length, us.
+    /// The test's length.
     pub window: Span,
     /// Slices of a longer trace.
     pub slices: usize,
@@ -281,10 +281,10 @@
         Ok(Some(OnlyRule { column: self.format_column(only.column)?, value: only.value.to_owned() }))
     }
 
-    /// A span in whole seconds, us.
+    /// A span in whole seconds.
     fn read_seconds(&mut self, key: &str, default: u64, least: u64) -> Result<Span, DocError> {
         let seconds = self.reader.whole(key, least, MAX_SECONDS)?;
-        Ok(seconds.map_or(default, |seconds| seconds.value) as Span * 1_000_000)
+        Ok(Span::from_secs(seconds.map_or(default, |seconds| seconds.value) as i64))
     }
 
     fn read_classes(&mut self) -> Result<Vec<ClassRule>, DocError> {
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -51,8 +51,8 @@
 /// A request of a trace, when it is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Played {
-    /// From the start of the test, us.
-    pub at: Instant,
+    /// From the start of the test.
+    pub at: Span,
     /// The class, by its place in the map.
     pub class: usize,
     /// The object.
@@ -66,7 +66,7 @@
     pub classes: Vec<String>,
     /// The requests, in order.
     pub requests: Vec<Played>,
-    /// How long the test is, us.
+    /// How long the test is.
     pub length: Span,
     /// Slices that it is made of.
     pub slices: usize,
@@ -87,12 +87,12 @@
     let map = TraceMap::parse(map, &header)?;
     let names = if map.columns.is_empty() { header } else { map.columns.clone() };
     let file = TraceFile { path, map: &map, names };
-    let Survey { span, mut rates, mut counts } = file.survey().map_err(read_error)?;
-    let Some(span) = span else {
+    let Survey { range, mut rates, mut counts } = file.survey().map_err(read_error)?;
+    let Some(range) = range else {
         return Err(TraceError::Empty { path: path.display().to_string(), counts });
     };
-    let slices = Slices::new(span.first, span.last, map.window, map.slices, map.seed);
-    rates.span = span.last - span.first + 1;
+    let slices = Slices::new(range.first, range.last, map.window, map.slices, map.seed);
+    rates.span = range.last - range.first + Span::from_micros(1);
     rates.played = slices.length();
     let requests = file.sample(&slices, &mut counts).map_err(read_error)?;
     if requests.len() > MAX_PLAYED_ROWS {
@@ -113,24 +113,24 @@
     names: Vec<String>,
 }
 
-/// The first and the last time of a trace, us.
+/// The first and the last time of a trace.
 #[derive(Clone, Copy)]
-struct Span {
-    first: Span,
-    last: Span,
+struct TimeRange {
+    first: Instant,
+    last: Instant,
 }
 
-impl Span {
-    fn including(span: Option<Span>, at: Instant) -> Span {
-        let Span { first, last } = span.unwrap_or(Span { first: at, last: at });
-        Span { first: first.min(at), last: last.max(at) }
+impl TimeRange {
+    fn including(range: Option<TimeRange>, at: Instant) -> TimeRange {
+        let TimeRange { first, last } = range.unwrap_or(TimeRange { first: at, last: at });
+        TimeRange { first: first.min(at), last: last.max(at) }
     }
 }
 
 /// What the first reading finds.
 struct Survey {
     /// `None`: no row can be used.
-    span: Option<Span>,
+    range: Option<TimeRange>,
     /// With the rows of the trace by class alone.
     rates: Rates,
     counts: Counts,
@@ -139,14 +139,14 @@
 impl TraceFile<'_> {
     /// Reads the file for its span and rates.
     fn survey(&self) -> Result<Survey, csv::Error> {
-        let mut span = None;
+        let mut range = None;
         let mut rates = Rates::default();
         let mut counts = Counts::default();
         rows::for_each(self.path, self.map, &self.names, &mut counts, |row| {
-            span = Some(Span::including(span, row.at));
+            range = Some(TimeRange::including(range, row.at));
             *rates.all.entry(self.map.classes[row.class].class.clone()).or_default() += 1;
         })?;
-        Ok(Survey { span, rates, counts })
+        Ok(Survey { range, rates, counts })
     }
 
     /// Reads the file for what is played, in order; counts the rows out of order.
--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -5,6 +5,9 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
+/// Before the time of any row.
+const BEFORE_ALL: Instant = Instant::from_micros(i64::MIN);
+
 /// A row that is held back.
 struct HeldRow<T> {
     at: Instant,
@@ -14,7 +17,7 @@
 }
 
 impl<T> HeldRow<T> {
-    fn key(&self) -> (Span, u64) {
+    fn key(&self) -> (Instant, u64) {
         (self.at, self.place)
     }
 }
@@ -47,30 +50,30 @@
     /// Rows so far.
     count: u64,
     /// The latest time so far.
-    newest: Span,
+    newest: Instant,
     /// The time of the last row given out: nothing goes before it.
-    reached: Span,
+    reached: Instant,
     /// Rows that came before one with a smaller time and were put in order.
     pub reordered: u64,
     /// Rows that came too late for that and were moved to the time reached.
     pub moved: u64,
-    /// By how much at the most, us.
+    /// By how much at the most.
     pub max_moved: Span,
 }
 
 impl<T> Reorder<T> {
-    /// Orders over a span, us, and holds so many rows at the most.
+    /// Orders over a span and holds so many rows at the most.
     pub fn new(span: Span, max_held: usize) -> Self {
         Reorder {
             span,
             max_held: max_held.max(1),
             held: BinaryHeap::new(),
             count: 0,
-            newest: Span::MIN,
-            reached: Span::MIN,
+            newest: BEFORE_ALL,
+            reached: BEFORE_ALL,
             reordered: 0,
             moved: 0,
-            max_moved: 0,
+            max_moved: Span::ZERO,
         }
     }
 
@@ -88,9 +91,9 @@
     }
 
     /// A row that surely is next, if there is one: the window has passed it, or holds too many.
-    pub fn ready(&mut self) -> Option<(Span, T)> {
+    pub fn ready(&mut self) -> Option<(Instant, T)> {
         let Reverse(first) = self.held.peek()?;
-        let passed = first.at <= self.newest.saturating_sub(self.span);
+        let passed = first.at <= self.newest.saturating_add(-self.span);
         if passed || self.held.len() > self.max_held {
             self.pop()
         } else {
@@ -99,7 +102,7 @@
     }
 
     /// The rest, in order, once the file is over.
-    pub fn pop(&mut self) -> Option<(Span, T)> {
+    pub fn pop(&mut self) -> Option<(Instant, T)> {
         let Reverse(HeldRow { at, row, .. }) = self.held.pop()?;
         self.reached = at;
         Some((at, row))
--- a/src/trace/reorder/tests.rs
+++ b/src/trace/reorder/tests.rs
@@ -2,15 +2,16 @@
 
 use super::*;
 
+/// Spans and times in microseconds.
 fn all(span: i64, most: usize, times: &[i64]) -> (Vec<i64>, [u64; 2], i64) {
-    let mut window = Reorder::new(span, most);
+    let mut window = Reorder::new(Span::from_micros(span), most);
     let mut out = Vec::new();
     for at in times {
-        window.push(*at, *at);
-        out.extend(std::iter::from_fn(|| window.ready()).map(|(at, _)| at));
+        window.push(Instant::from_micros(*at), *at);
+        out.extend(std::iter::from_fn(|| window.ready()).map(|(at, _)| at.as_micros()));
     }
-    out.extend(std::iter::from_fn(|| window.pop()).map(|(at, _)| at));
-    (out, [window.reordered, window.moved], window.max_moved)
+    out.extend(std::iter::from_fn(|| window.pop()).map(|(at, _)| at.as_micros()));
+    (out, [window.reordered, window.moved], window.max_moved.as_micros())
 }
 
 #[test]
--- a/src/trace/rows.rs
+++ b/src/trace/rows.rs
@@ -17,7 +17,7 @@
 /// A row that became a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Row {
-    /// Its time in the trace, us.
+    /// Its time in the trace.
     pub(super) at: Instant,
     /// The class, by its place in the map.
     pub(super) class: usize,
@@ -152,10 +152,10 @@
         }
     }
 
-    fn time(&self) -> Result<Span, FieldError> {
+    fn time(&self) -> Result<Instant, FieldError> {
         let time = self.micros(self.map.time.column)?;
         let minus = self.map.time.minus.map_or(Ok(0.0), |column| self.micros(column))?;
-        Ok((time - minus) as Span)
+        Ok(Instant::ZERO + Span::from_micros_f64(time - minus))
     }
 
     /// The object that the map's columns name.
--- a/src/trace/sample.rs
+++ b/src/trace/sample.rs
@@ -8,43 +8,45 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
+/// The shortest span.
+const TICK: Span = Span::from_micros(1);
 /// The name under which all classes together are compared.
 pub const ALL: &str = "all";
 
 /// Which parts of a trace are taken, and when they are played.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slices {
-    /// Begin in the trace, us; each is `length` long and is played right behind the one before.
-    starts: Vec<Span>,
+    /// Begin in the trace; each is `length` long and is played right behind the one before.
+    starts: Vec<Instant>,
     length: Span,
 }
 
 impl Slices {
-    /// Slices of a trace from `first` to `last`, us, for a test of `window`; a trace that fits is taken whole.
-    pub fn new(first: Span, last: Span, window: Span, slices: usize, seed: u64) -> Self {
-        let span = (last - first + 1).max(1);
+    /// Slices of a trace from `first` to `last` for a test of `window`; a trace that fits is taken whole.
+    pub fn new(first: Instant, last: Instant, window: Span, slices: usize, seed: u64) -> Self {
+        let span = (last - first + TICK).max(TICK);
         if span <= window {
             return Slices { starts: vec![first], length: span };
         }
-        let slices = slices.clamp(1, window.max(1) as usize) as Span;
-        let length = (window / slices).max(1);
+        let slices = slices.clamp(1, window.max(TICK).as_micros() as usize) as i64;
+        let length = (window / slices).max(TICK);
         let stratum = span / slices;
-        let spare = (stratum - length).max(0);
+        let spare = (stratum - length).max(Span::ZERO).as_micros();
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let start = |slice| first + slice * stratum + random.random_range(0..=spare);
+        let start = |slice| first + slice * stratum + Span::from_micros(random.random_range(0..=spare));
         Slices { starts: (0..slices).map(start).collect(), length }
     }
 
-    /// When a row of this time is played, us from the start; `None`: it is not.
+    /// When a row of this time is played, from the start; `None`: it is not.
     pub fn played(&self, at: Instant) -> Option<Span> {
         let slice = self.starts.partition_point(|start| *start <= at).checked_sub(1)?;
         let within = at - self.starts[slice];
-        (within < self.length).then(|| slice as Span * self.length + within)
+        (within < self.length).then(|| slice as i64 * self.length + within)
     }
 
-    /// How long all of them are played, us.
+    /// How long all of them are played.
     pub fn length(&self) -> Span {
-        self.starts.len() as Span * self.length
+        self.starts.len() as i64 * self.length
     }
 
     /// How many there are.
@@ -58,11 +60,11 @@
 pub struct Rates {
     /// Rows of the trace by class.
     pub all: BTreeMap<String, u64>,
-    /// Its length, us.
+    /// Its length.
     pub span: Span,
     /// Rows taken by class.
     pub taken: BTreeMap<String, u64>,
-    /// What they are played in, us.
+    /// What they are played in.
     pub played: Span,
 }
 
@@ -108,9 +110,9 @@
     }
 }
 
-/// Rows a second, of a count in a span, us.
+/// Rows a second, of a count in a span.
 fn rate(count: u64, span: Span) -> f64 {
-    let seconds = span.max(1) as f64 / 1e6;
+    let seconds = span.max(TICK).as_secs_f64();
     count as f64 / seconds
 }
 
--- a/src/trace/sample/tests.rs
+++ b/src/trace/sample/tests.rs
@@ -2,19 +2,29 @@
 
 use super::*;
 
+/// Slices of a trace by times and spans in microseconds.
+fn slices(first: i64, last: i64, window: i64, slices: usize, seed: u64) -> Slices {
+    let [first, last] = [first, last].map(Instant::from_micros);
+    Slices::new(first, last, Span::from_micros(window), slices, seed)
+}
+
+fn played(slices: &Slices, at: i64) -> Option<i64> {
+    slices.played(Instant::from_micros(at)).map(Span::as_micros)
+}
+
 #[test]
 fn a_trace_that_fits_is_taken_whole_and_a_longer_one_by_slices() {
-    let whole = Slices::new(100, 199, 100, 5, 1);
+    let whole = slices(100, 199, 100, 5, 1);
     assert_eq!(
-        (whole.played(100), whole.played(199), whole.played(200), whole.length()),
+        (played(&whole, 100), played(&whole, 199), played(&whole, 200), whole.length().as_micros()),
         (Some(0), Some(99), None, 100)
     );
-    let slices = Slices::new(1000, 100_999, 10_000, 10, 1);
-    assert_eq!((slices.count(), slices.length()), (10, 10_000));
-    let played: Vec<i64> = (0..101_000).filter_map(|at| slices.played(at)).collect();
-    assert_eq!(played, (0..10_000).collect::<Vec<_>>(), "each moment of the test once, in order");
-    assert_eq!(slices, Slices::new(1000, 100_999, 10_000, 10, 1));
-    assert_ne!(slices, Slices::new(1000, 100_999, 10_000, 10, 2));
+    let sampled = slices(1000, 100_999, 10_000, 10, 1);
+    assert_eq!((sampled.count(), sampled.length().as_micros()), (10, 10_000));
+    let times: Vec<i64> = (0..101_000).filter_map(|at| played(&sampled, at)).collect();
+    assert_eq!(times, (0..10_000).collect::<Vec<_>>(), "each moment of the test once, in order");
+    assert_eq!(sampled, slices(1000, 100_999, 10_000, 10, 1));
+    assert_ne!(sampled, slices(1000, 100_999, 10_000, 10, 2));
 }
 
 /// A rate that rises tenfold and falls again: the sample keeps its mean, without thinning any moment of it.
@@ -22,18 +32,18 @@
 fn the_rate_is_not_bent() {
     let mut worst: f64 = 0.0;
     for seed in 0..20 {
-        let (mut rates, slices) = (Rates::default(), Slices::new(0, 3_600_000_000, 600_000_000, 20, seed));
+        let (mut rates, slices) = (Rates::default(), slices(0, 3_600_000_000, 600_000_000, 20, seed));
         let mut at = 0;
         while at <= 3_600_000_000 {
             let class = if at % 7 < 2 { "result" } else { "piece" };
             *rates.all.entry(class.into()).or_default() += 1;
-            if slices.played(at).is_some() {
+            if played(&slices, at).is_some() {
                 *rates.taken.entry(class.into()).or_default() += 1;
             }
             let part = at as f64 / 3.6e9;
             at += 1_000_000 / (5.0 + 45.0 * (std::f64::consts::PI * part).sin()) as i64 + at % 3;
         }
-        (rates.span, rates.played) = (3_600_000_000, slices.length());
+        (rates.span, rates.played) = (Span::from_secs(3_600), slices.length());
         let RateComparison { trace: told, sample: sampled, error } = rates.compare()[ALL];
         assert!((sampled / told - 1.0 - error).abs() < 1e-9);
         worst = worst.max(error.abs());
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -18,8 +18,9 @@
     load(&file(name, text), Doc { file: "map.hcl", text: map }).map_err(|error| error.to_string())
 }
 
+/// The times of the requests, in microseconds.
 fn times(trace: &Trace) -> Vec<i64> {
-    trace.requests.iter().map(|request| request.at).collect()
+    trace.requests.iter().map(|request| request.at.as_micros()).collect()
 }
 
 const AZURE: &str = "trace {\n format = \"azure-functions-2021\"\n class \"piece\" {}\n}";
@@ -91,7 +92,10 @@
         "trace {\n reorder_s = 50\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"piece\" {}\n}";
     let trace = read("late.csv", text, map).expect("usable");
     assert_eq!(times(&trace), [0, 90_000_000, 90_000_000, 190_000_000]);
-    assert_eq!((trace.counts.reordered, trace.counts.moved, trace.counts.max_moved), (0, 1, 80_000_000));
+    assert_eq!(
+        (trace.counts.reordered, trace.counts.moved, trace.counts.max_moved),
+        (0, 1, Span::from_secs(80))
+    );
 }
 
 #[test]
@@ -100,7 +104,7 @@
     (0..36_000).for_each(|n| text += &format!("{},{}\n", n as f64 / 10.0, n % 50));
     let map = "trace {\n window_s = 300\n slices = 30\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"result\" {\n part = 0.3\n }\n class \"piece\" {}\n}";
     let trace = read("long.csv", text.as_bytes(), map).expect("usable");
-    assert_eq!((trace.length, trace.slices), (300_000_000, 30));
+    assert_eq!((trace.length, trace.slices), (Span::from_secs(300), 30));
     assert!((2990..=3030).contains(&trace.requests.len()), "{}", trace.requests.len());
     let RateComparison { trace: told, sample: sampled, error } = trace.rates.compare()[ALL];
     assert!((told - 10.0).abs() < 0.01 && (sampled - 10.0).abs() < 0.1 && error.abs() < 0.01);
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,21 +1,21 @@
 //! Connections of the pool: opened, settled when idle, and closed with what was open there.
 
-use crate::interface::{Instant, Span};
 use super::answers::Reader;
 use super::pool::{Connection, Host, Job};
 use super::{ConnectionDeadline, JobEnd, Upstream};
 use crate::deadlines::Schedule;
+use crate::interface::{Instant, Span};
 use crate::net::{is_local, ConnectionKey, Net, Reason, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// After a connection did not come up no further one is opened beside others for this long, us: a server that
+/// After a connection did not come up no further one is opened beside others for this long: a server that
 /// takes no more of them is not pressed.
 const DIAL_BACKOFF: Span = Span::from_secs(1);
 /// A connection that is reset before it is up proves nothing of its server: it is tried anew this often.
 pub(super) const DIAL_RETRIES: u32 = 2;
-/// A connection for a write that is not needed any more is closed after this long, us.
+/// A connection for a write that is not needed any more is closed after this long.
 const UNUSED_WRITE_IDLE: Span = Span::from_millis(250);
-/// The shortest idle time of servers that is believed, us; some close sooner than the settings say.
+/// The shortest idle time of servers that is believed; some close sooner than the settings say.
 const LEAST_IDLE: Span = Span::from_millis(300);
 /// The part of the servers' idle time after which an idle connection is closed from here: before the peer.
 const IDLE_PART: f64 = 0.6;
@@ -155,7 +155,7 @@
             let idle = if connection.lane == 1 {
                 UNUSED_WRITE_IDLE
             } else {
-                (self.limits.idle_timeout as f64 * IDLE_PART) as i64
+                Span::from_micros_f64(self.limits.idle_timeout.as_micros_f64() * IDLE_PART)
             };
             connection.idle_deadline = Some(due.add(now + idle, ConnectionDeadline::Idle(key)));
         }
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -1,9 +1,9 @@
 //! The queues of jobs, and their writing: each job is worded when a connection takes its bytes, never before.
 
-use crate::interface::{Instant};
 use super::pool::{Connection, Host, Job, JobRecord, Lane};
 use super::{lines, ConnectionDeadline, JobEnd, Upstream, MOST_CONNECTIONS, PROVEN, SPREAD};
 use crate::deadlines::Schedule;
+use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -8,8 +8,8 @@
 mod pool;
 mod reading;
 
-use crate::interface::{Instant, Span};
 use crate::deadlines::Schedule;
+use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net, Reason};
 pub use dispatch::RequestEncoder;
 use lines::WireAnswer;
@@ -22,15 +22,15 @@
 /// A whole line must fit, or its connection would be read for ever without coming further.
 const _: () = assert!(INPUT > 2 * lines::LONGEST_LINE);
 /// A connection on which this many jobs in a row were given up unanswered is not to be trusted, if each had waited
-/// this long, us: clients that leave at once by the hundred say nothing of a server.
+/// this long: clients that leave at once by the hundred say nothing of a server.
 const MOST_UNANSWERED: u32 = 3;
 const UNANSWERED_AFTER: Span = Span::from_millis(300);
-/// A connection on which jobs wait and nothing was heard for this long is silent, us.
+/// A connection on which jobs wait and nothing was heard for this long is silent.
 const SILENT: Span = Span::from_millis(1_200);
-/// An answer that has begun and of which nothing more comes for this long has stopped short, us: its connection is
+/// An answer that has begun and of which nothing more comes for this long has stopped short: its connection is
 /// of no use, and what else is open there would wait for nothing.
 const STOPPED: Span = Span::from_millis(600);
-/// An answer that is not whole this long after it began never will be, us: no client waits for longer, and what else is
+/// An answer that is not whole this long after it began never will be: no client waits for longer, and what else is
 /// open on its connection would wait behind it.
 const LONGEST_ANSWER: Span = Span::from_secs(3);
 /// Reads of one connection at a turn: a server that sends without end takes its turns like all others.
@@ -42,12 +42,12 @@
 const SPREAD: usize = 2;
 /// Ids given up that a connection remembers.
 const MOST_CANCELLED: usize = 4096;
-/// A second answer comes within this long of the first, if one does, us: a repeat takes another connection until then,
+/// A second answer comes within this long of the first, if one does: a repeat takes another connection until then,
 /// and not for longer, since connections are scarce.
 const SECOND_ANSWER: Span = Span::from_millis(50);
 /// Ids answered that a connection remembers at most.
 const ANSWERED: usize = 64;
-/// A write goes by a connection of its own that has stood this long, us: on one that is reset while new, or that its
+/// A write goes by a connection of its own that has stood this long: on one that is reset while new, or that its
 /// server gives up at the moment of its next use, it may have run and has failed.
 const PROVEN: Span = Span::from_millis(3);
 
@@ -94,17 +94,17 @@
         /// How.
         ending: JobEnd,
         /// Time since it was asked for.
-        elapsed: i64,
+        elapsed: Span,
     },
 }
 
 /// The figures that the settings give.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// A connection that is not up by then has failed, us.
-    pub connect_timeout: i64,
-    /// The servers close idle connections after this, us.
-    pub idle_timeout: i64,
+    /// A connection that is not up by then has failed.
+    pub connect_timeout: Span,
+    /// The servers close idle connections after this.
+    pub idle_timeout: Span,
     /// Jobs that one connection carries.
     pub max_jobs_per_connection: usize,
     /// Connections in all.
@@ -121,7 +121,7 @@
     /// Where a job is.
     jobs: BTreeMap<Job, JobRecord>,
     probes: u64,
-    probed: BTreeMap<u64, i64>,
+    probed: BTreeMap<u64, Instant>,
     events: Vec<UpstreamEvent>,
     elsewhere: usize,
     /// Jobs written whole, by tally.
@@ -214,7 +214,13 @@
     }
 
     /// Gives a job up: it is not written, or its server is told to stop; nothing is heard of it any more.
-    pub fn abandon(&mut self, now: Instant, job: u64, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
+    pub fn abandon(
+        &mut self,
+        now: Instant,
+        job: u64,
+        net: &mut Net,
+        due: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
         let id = Job::Fetch(job);
         let Some(JobRecord { host, lane, id: name, connection, written, .. }) = self.jobs.remove(&id) else {
             return;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,9 +1,9 @@
 //! The pool's records: servers, their connections, and the jobs that wait or are open there.
 
-use crate::interface::{Instant};
 use super::answers::Reader;
 use super::{ANSWERED, MOST_UNANSWERED, PROVEN, SECOND_ANSWER, SILENT};
 use crate::deadlines::DeadlineHandle;
+use crate::interface::Instant;
 use crate::net::ConnectionKey;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,9 +1,9 @@
 //! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
 
-use crate::interface::{Instant};
 use super::answers::MalformedAnswer;
 use super::{ConnectionDeadline, JobEnd, Upstream, INPUT, LONGEST_ANSWER, PROVEN, READS_IN_A_TURN, STOPPED};
 use crate::deadlines::Schedule;
+use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 
 impl Upstream {
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,4 +1,3 @@
-use crate::interface::{Instant};
 use super::connections::DIAL_RETRIES;
 use super::lines::WireRequest;
 use super::*;
@@ -7,6 +6,12 @@
 
 /// Bytes that may be on the way on a connection of the simulated network.
 const WINDOW: usize = 256 * 1024;
+const US: Span = Span::from_micros(1);
+const MS: Span = Span::from_millis(1);
+
+fn at(span: Span) -> Instant {
+    Instant::ZERO + span
+}
 
 struct Pool {
     upstream: Upstream,
@@ -23,8 +28,8 @@
 fn pool_of(write: bool) -> Pool {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let figures = PoolLimits {
-        connect_timeout: 400_000,
-        idle_timeout: 1,
+        connect_timeout: 400 * MS,
+        idle_timeout: US,
         max_jobs_per_connection: 100,
         max_connections: 9,
         max_buffered_bytes: 1000,
@@ -32,15 +37,15 @@
     let (upstream, net) = (Upstream::new(figures), Net::new().expect("a poll"));
     let mut pool = Pool { upstream, net, due: Deadlines::default(), _listener: listener };
     let addr = pool._listener.local_addr().expect("an address");
-    pool.upstream.set_host(0, 1, addr, None, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(0, 1, 7, "a".into(), write, None);
+    pool.upstream.set_host(Instant::ZERO, 1, addr, None, &mut pool.net, &mut pool.due);
+    pool.upstream.queue(Instant::ZERO, 1, 7, "a".into(), write, None);
     pool.dispatch();
     pool
 }
 
 impl Pool {
     fn dispatch(&mut self) {
-        self.upstream.dispatch(0, &mut self.net, &mut self.due, &mut Notes::default());
+        self.upstream.dispatch(Instant::ZERO, &mut self.net, &mut self.due, &mut Notes::default());
     }
 
     fn connection(&self) -> ConnectionKey {
@@ -54,11 +59,11 @@
     let mut pool = pool();
     for _ in 0..DIAL_RETRIES {
         let old = pool.connection();
-        pool.upstream.drop_connection(0, old, Reason::PeerReset, &mut pool.net, &mut pool.due);
+        pool.upstream.drop_connection(Instant::ZERO, old, Reason::PeerReset, &mut pool.net, &mut pool.due);
         assert!(pool.connection() != old && pool.upstream.take_events().is_empty());
     }
     let last = pool.connection();
-    pool.upstream.drop_connection(0, last, Reason::PeerReset, &mut pool.net, &mut pool.due);
+    pool.upstream.drop_connection(Instant::ZERO, last, Reason::PeerReset, &mut pool.net, &mut pool.due);
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
 }
 
@@ -68,7 +73,7 @@
     let mut pool = pool();
     let old = pool.connection();
     pool.upstream.connections.get_mut(&old).expect("it is there").up = true;
-    pool.net.close(0, old, Reason::PeerReset); // as a write finds one that broke
+    pool.net.close(Instant::ZERO, old, Reason::PeerReset); // as a write finds one that broke
     pool.dispatch();
     assert!(pool.upstream.take_events().is_empty() && pool.connection() != old);
     assert!(pool.upstream.jobs[&Job::Fetch(7)].connection.is_none());
@@ -78,7 +83,7 @@
 #[test]
 fn a_server_that_is_gone_is_forgotten() {
     let mut pool = pool();
-    pool.upstream.remove_host(0, 1, &mut pool.net, &mut pool.due);
+    pool.upstream.remove_host(Instant::ZERO, 1, &mut pool.net, &mut pool.due);
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
     assert!(pool.upstream.hosts.is_empty() && pool.upstream.connections.is_empty());
 }
@@ -86,20 +91,21 @@
 /// A connection on which nothing is answered gets no new work; what left it at once says nothing.
 #[test]
 fn only_jobs_that_waited_make_a_connection_silent() {
-    for (waited, silent) in [(UNANSWERED_AFTER, true), (UNANSWERED_AFTER - 1, false)] {
+    for (waited, silent) in [(UNANSWERED_AFTER, true), (UNANSWERED_AFTER - US, false)] {
         let mut pool = pool();
         let key = pool.connection();
         for job in 0..u64::from(MOST_UNANSWERED) {
             pool.upstream.connections.get_mut(&key).expect("it is there").up = true;
             if job > 0 {
-                pool.upstream.queue(0, 1, 7 + job, format!("a{job}"), false, None);
+                pool.upstream.queue(Instant::ZERO, 1, 7 + job, format!("a{job}"), false, None);
             }
             pool.dispatch();
         }
         for job in 0..u64::from(MOST_UNANSWERED) {
-            pool.upstream.abandon(waited, 7 + job, &mut pool.net, &mut pool.due);
+            pool.upstream.abandon(at(waited), 7 + job, &mut pool.net, &mut pool.due);
         }
-        assert_eq!(!pool.upstream.connections.contains_key(&key), silent, "after {waited} us");
+        let after = waited.as_micros();
+        assert_eq!(!pool.upstream.connections.contains_key(&key), silent, "after {after} us");
     }
 }
 
@@ -112,12 +118,12 @@
     let (key, mut ready) = (pool.connection(), Vec::new());
     while pool.upstream.connections[&key].answer_deadline.is_none() {
         pool.net.poll(None, &mut ready).expect("a poll");
-        pool.upstream.ready(0, key, true, true, &mut pool.net, &mut pool.due);
+        pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.due);
         pool.dispatch();
     }
-    let due = pool.due.pop(STOPPED).expect("a deadline");
+    let due = pool.due.pop(at(STOPPED)).expect("a deadline");
     assert_eq!(due, ConnectionDeadline::Stopped(key));
-    pool.upstream.due(STOPPED, due, &mut pool.net, &mut pool.due);
+    pool.upstream.due(at(STOPPED), due, &mut pool.net, &mut pool.due);
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
 }
 
@@ -128,18 +134,18 @@
     let mut pool = pool_of(true);
     let first = pool.connection();
     pool.upstream.connections.get_mut(&first).expect("it is there").up = true;
-    let mut at = |now: Instant, job: u64| {
+    let mut goes_by = |now: Instant, job: u64| {
         if job > 7 {
             pool.upstream.queue(now, 1, job, format!("a{job}"), true, None);
         }
         pool.upstream.dispatch(now, &mut pool.net, &mut pool.due, &mut Notes::default());
         pool.upstream.jobs[&Job::Fetch(job)].connection
     };
-    assert_eq!((at(PROVEN - 1, 7), at(PROVEN, 7)), (None, Some(first)));
-    assert_eq!(at(PROVEN, 8), None);
+    assert_eq!((goes_by(at(PROVEN - US), 7), goes_by(at(PROVEN), 7)), (None, Some(first)));
+    assert_eq!(goes_by(at(PROVEN), 8), None);
     assert_eq!(pool.upstream.connections.len(), 2);
     pool.upstream.connections.get_mut(&first).expect("it is there").open.clear();
-    pool.upstream.settle(PROVEN, first, &mut pool.net, &mut pool.due);
+    pool.upstream.settle(at(PROVEN), first, &mut pool.net, &mut pool.due);
     assert!(!pool.upstream.connections.contains_key(&first), "it is closed once its write is answered");
 }
 
@@ -149,10 +155,10 @@
     let mut pool = pool();
     let key = pool.connection();
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
-    (connection.up, connection.idle_since) = (true, 0);
-    pool.upstream.limits.idle_timeout = 15_000_000;
-    pool.upstream.drop_connection(820_000, key, Reason::PeerClosed, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.limits.idle_timeout, 820_000);
+    (connection.up, connection.idle_since) = (true, Instant::ZERO);
+    pool.upstream.limits.idle_timeout = 15_000 * MS;
+    pool.upstream.drop_connection(at(820 * MS), key, Reason::PeerClosed, &mut pool.net, &mut pool.due);
+    assert_eq!(pool.upstream.limits.idle_timeout, 820 * MS);
 }
 
 /// A repeat on the connection of its first answer could take a second answer to that one for its own.
@@ -164,7 +170,7 @@
     let mut until = |pool: &mut Pool, done: fn(&Connection) -> bool| {
         while !done(&pool.upstream.connections[&key]) {
             pool.net.poll(None, &mut ready).expect("a poll");
-            pool.upstream.ready(0, key, true, true, &mut pool.net, &mut pool.due);
+            pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.due);
             pool.dispatch();
         }
     };
@@ -172,12 +178,12 @@
     std::io::Write::write_all(&mut peer, b"a 503 - 0\r\n").expect("written");
     until(&mut pool, |connection| !connection.answered.is_empty());
     assert_eq!(pool.upstream.take_events().len(), 1);
-    pool.upstream.queue(0, 1, 8, "a".into(), false, None);
+    pool.upstream.queue(Instant::ZERO, 1, 8, "a".into(), false, None);
     pool.dispatch();
     assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "not on this connection");
     assert_eq!(pool.upstream.connections.len(), 2, "but on a further one");
-    assert!(!pool.upstream.connections[&key].takes(SECOND_ANSWER - 1, "a"));
-    assert!(pool.upstream.connections[&key].takes(SECOND_ANSWER, "a"), "by then none comes any more");
+    assert!(!pool.upstream.connections[&key].takes(at(SECOND_ANSWER - US), "a"));
+    assert!(pool.upstream.connections[&key].takes(at(SECOND_ANSWER), "a"), "by then none comes any more");
 }
 
 /// A write on a connection whose server has closed it already would have failed as one that may have run.
@@ -190,7 +196,7 @@
     drop(peer);
     // The end is there, and its event has not been looked at.
     while pool.net.ended(first) == Ok(false) {}
-    pool.upstream.dispatch(PROVEN, &mut pool.net, &mut pool.due, &mut Notes::default());
+    pool.upstream.dispatch(at(PROVEN), &mut pool.net, &mut pool.due, &mut Notes::default());
     assert!(pool.upstream.take_events().is_empty(), "it has not failed");
     assert!(
         !pool.upstream.connections.contains_key(&first)
@@ -206,8 +212,8 @@
     pool.upstream.limits.max_connections = 1;
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = other.local_addr().expect("an address");
-    pool.upstream.set_host(0, 2, addr, None, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(0, 2, 8, "b".into(), false, None);
+    pool.upstream.set_host(Instant::ZERO, 2, addr, None, &mut pool.net, &mut pool.due);
+    pool.upstream.queue(Instant::ZERO, 2, 8, "b".into(), false, None);
     pool.dispatch();
     assert_eq!(
         pool.upstream.take_events(),
@@ -217,8 +223,8 @@
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
     connection.up = true;
     connection.open.clear();
-    pool.upstream.abandon(0, 7, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(0, 2, 9, "c".into(), false, None);
+    pool.upstream.abandon(Instant::ZERO, 7, &mut pool.net, &mut pool.due);
+    pool.upstream.queue(Instant::ZERO, 2, 9, "c".into(), false, None);
     pool.dispatch();
     assert!(pool.upstream.take_events().is_empty() && !pool.upstream.connections.contains_key(&key));
 }
@@ -256,19 +262,19 @@
     const LINK: u64 = 1;
 
     fn new() -> Self {
-        let fabric = Fabric::new(0, 1, (1000, 1000));
+        let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
         fabric.start_process(1);
         fabric.set_reach(host(1), HostBehaviour::Up);
         let figures = PoolLimits {
-            connect_timeout: 400_000,
-            idle_timeout: 1_000_000,
+            connect_timeout: 400 * MS,
+            idle_timeout: 1000 * MS,
             max_jobs_per_connection: 100,
             max_connections: 9,
             max_buffered_bytes: 1 << 20,
         };
         let (upstream, net) = (Upstream::new(figures), Net::on(&fabric, 1));
-        let mut pool = Simulated { upstream, net, fabric, due: Deadlines::default(), now: 0 };
-        pool.upstream.set_host(0, 1, host(1), None, &mut pool.net, &mut pool.due);
+        let mut pool = Simulated { upstream, net, fabric, due: Deadlines::default(), now: Instant::ZERO };
+        pool.upstream.set_host(Instant::ZERO, 1, host(1), None, &mut pool.net, &mut pool.due);
         pool
     }
 
@@ -282,7 +288,7 @@
     }
 
     /// Lets the network go on to a time, and the pool take in what is ready; the bytes that the server got.
-    fn pass(&mut self, to: i64) -> String {
+    fn pass(&mut self, to: Instant) -> String {
         self.now = to;
         self.fabric.advance(to);
         self.fabric.happen();
@@ -308,9 +314,9 @@
         let body = WINDOW - room - line - 2;
         assert!((100_000..1_000_000).contains(&body), "its length has six digits");
         self.queue(7, &mut Notes { body, ..Notes::default() });
-        self.pass(2000); // the connection comes up
+        self.pass(at(2 * MS)); // the connection comes up
         self.dispatch(&mut Notes { body, ..Notes::default() });
-        assert_eq!(self.upstream.jobs[&Job::Fetch(7)].written, 2000);
+        assert_eq!(self.upstream.jobs[&Job::Fetch(7)].written, at(2 * MS));
     }
 }
 
@@ -324,11 +330,11 @@
         assert_eq!((&notes.worded[..], &notes.not_written[..]), (&[8][..], &[8][..]));
         assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "it waits in the queue");
         if gives_up {
-            pool.upstream.abandon(2500, 8, &mut pool.net, &mut pool.due);
+            pool.upstream.abandon(at(2500 * US), 8, &mut pool.net, &mut pool.due);
         }
-        assert!(!pool.pass(3000).contains("fetch a8"));
+        assert!(!pool.pass(at(3 * MS)).contains("fetch a8"));
         pool.dispatch(&mut notes);
-        let sent = pool.pass(5000);
+        let sent = pool.pass(at(5 * MS));
         assert_eq!((sent.contains("fetch a8"), sent.contains("abort")), (!gives_up, false));
         assert_eq!(notes.worded.len(), if gives_up { 1 } else { 2 }, "worded anew as it is written");
     }
@@ -348,7 +354,7 @@
         [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }],
         "only what was open there has ended"
     );
-    pool.pass(10_000);
+    pool.pass(at(10 * MS));
     pool.dispatch(&mut notes);
     assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_some_and(|connection| connection != first));
 }
@@ -358,20 +364,20 @@
 fn a_server_that_sends_without_end_is_read_by_turns() {
     let (mut pool, mut notes) = (Simulated::new(), Notes::default());
     pool.queue(7, &mut notes);
-    pool.pass(2000);
+    pool.pass(at(2 * MS));
     pool.dispatch(&mut notes);
     let much = b"zz 503 - 0\r\n".repeat(10 * READS_IN_A_TURN * INPUT / 12);
     pool.fabric.send(Simulated::LINK, &much);
-    pool.pass(5000);
+    pool.pass(at(5 * MS));
     let mut turns = 1;
     while let Some(key) = pool.upstream.turn() {
         assert_eq!(pool.upstream.turns(), 0, "one turn for one connection");
-        pool.upstream.ready(5000, key, true, false, &mut pool.net, &mut pool.due);
+        pool.upstream.ready(at(5 * MS), key, true, false, &mut pool.net, &mut pool.due);
         turns += 1;
     }
     assert!(turns >= 10, "{turns} turns");
     pool.fabric.send(Simulated::LINK, b"a7 503 - 0\r\n");
-    pool.pass(9000);
+    pool.pass(at(9 * MS));
     assert_eq!(pool.upstream.take_events().len(), 1, "and its answers count");
 }
 
@@ -380,25 +386,25 @@
 fn an_answer_that_does_not_end_ends_its_connection() {
     let (mut pool, mut notes) = (Simulated::new(), Notes::default());
     pool.queue(7, &mut notes);
-    pool.pass(2000);
+    pool.pass(at(2 * MS));
     pool.dispatch(&mut notes);
     pool.fabric.send(Simulated::LINK, b"a7 200 ver=a 200000\r\n");
-    let mut at = 4000;
-    pool.pass(at);
-    let since = at;
+    let since = at(4 * MS);
+    pool.pass(since);
+    let mut now = since;
     let ended = loop {
-        at += STOPPED / 2;
-        while let Some(what) = pool.due.pop(at) {
-            pool.upstream.due(at, what, &mut pool.net, &mut pool.due);
+        now += STOPPED / 2;
+        while let Some(what) = pool.due.pop(now) {
+            pool.upstream.due(now, what, &mut pool.net, &mut pool.due);
         }
         let happened = pool.upstream.take_events();
         if !happened.is_empty() {
             break happened;
         }
-        assert!(at <= since + LONGEST_ANSWER + STOPPED, "it goes on for ever");
+        assert!(now <= since + LONGEST_ANSWER + STOPPED, "it goes on for ever");
         pool.fabric.send(Simulated::LINK, b"x");
-        pool.pass(at + 1000);
+        pool.pass(now + MS);
     };
     assert_eq!(ended, [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
-    assert!(at >= since + LONGEST_ANSWER, "and not before");
+    assert!(now >= since + LONGEST_ANSWER, "and not before");
 }
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -1,6 +1,9 @@
 //! What makes [`Settings`] unusable, told before a router starts.
 
-use crate::interface::{Class, Settings};
+use crate::interface::{Class, Settings, Span};
+
+/// The least span that is not zero.
+const MICROSECOND: Span = Span::from_micros(1);
 
 /// Why [`Settings`] cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -72,14 +75,14 @@
         figure("fall_multiple", rules.cache_slow_start.overload_multiple)?;
         figure("parent_cold_share", rules.parent_slow_start.initial_share)?;
         figure("parent_fall_multiple", rules.parent_slow_start.overload_multiple)?;
-        span("fall_span", rules.overload_window, 1)?;
-        span("warm_after", rules.cache_slow_start.full_after, 0)?;
-        span("parent_warm_after", rules.parent_slow_start.full_after, 0)?;
-        span("purge_grace", rules.purge_grace, 0)?;
-        span("purge_settles", rules.purge_settled_after, 0)?;
-        span("ask_within", rules.max_list_age, 0)?;
-        span("max_attempts", i64::from(self.limits.max_attempts), 1)?;
-        span("max_retry_after", self.limits.max_retry_after, 0)
+        at_least("fall_span", rules.overload_window, MICROSECOND)?;
+        at_least("warm_after", rules.cache_slow_start.full_after, Span::ZERO)?;
+        at_least("parent_warm_after", rules.parent_slow_start.full_after, Span::ZERO)?;
+        at_least("purge_grace", rules.purge_grace, Span::ZERO)?;
+        at_least("purge_settles", rules.purge_settled_after, Span::ZERO)?;
+        at_least("ask_within", rules.max_list_age, Span::ZERO)?;
+        at_least("max_attempts", self.limits.max_attempts, 1)?;
+        at_least("max_retry_after", self.limits.max_retry_after, Span::ZERO)
     }
 }
 
@@ -87,11 +90,11 @@
     fn check(&self) -> Result<(), SettingsError> {
         figure("stretch", self.objective_stretch)?;
         figure("worth", self.priority_weight)?;
-        span("target", self.latency_objective, 1)?;
-        span("deadline", self.client_deadline, 1)?;
-        span("window", self.dedup_window, 0)?;
-        span("fresh", self.fresh_for, 0)?;
-        span("grace", self.stale_for, 0)
+        at_least("target", self.latency_objective, MICROSECOND)?;
+        at_least("deadline", self.client_deadline, MICROSECOND)?;
+        at_least("window", self.dedup_window, Span::ZERO)?;
+        at_least("fresh", self.fresh_for, Span::ZERO)?;
+        at_least("grace", self.stale_for, Span::ZERO)
     }
 }
 
@@ -102,7 +105,7 @@
     }
 }
 
-fn span(name: &'static str, value: i64, least: i64) -> Result<(), SettingsError> {
+fn at_least<T: PartialOrd>(name: &'static str, value: T, least: T) -> Result<(), SettingsError> {
     match value >= least {
         true => Ok(()),
         false => Err(SettingsError::Span { name }),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -5,6 +5,7 @@
 use dahliatrack::control::resource::ResourceType;
 use dahliatrack::control::service::{ControlError, Running};
 use dahliatrack::control::session::Variant;
+use dahliatrack::interface::Span;
 use dahliatrack::lab::feed::StandInFeed;
 use dahliatrack::lab::site::{config, Shape};
 use dahliatrack::lab::views::{check, drain_delays, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
@@ -23,8 +24,8 @@
 
 /// Longer than anything takes that a test waits for: past it the test has failed.
 const LONG: Duration = Duration::from_secs(20);
-/// From the telling of a drain to the last view with the cache, us: the platform's bound.
-const BOUND: i64 = 1_000_000;
+/// From the telling of a drain to the last view with the cache: the platform's bound.
+const BOUND: Span = Span::from_secs(1);
 
 const CONTROL: &str =
     "control {\n listen = \"127.0.0.1:0\"\n hot \"piece\" {\n objects = [\"7f3a9c21e0b4d655\"]\n }\n}";
@@ -133,7 +134,7 @@
         logs.until(ResourceType::Endpoints, 24, |view| !view.servers.contains(&name(host))).await;
         logs.until(ResourceType::Routes, 24, |view| !view.servers.contains(&name(host))).await;
     }
-    let ms = log_time() / 1000;
+    let ms = log_time().as_micros() / 1000;
     let change = FeedChange::Purged { what: "17".into(), at_ms: ms };
     feed_events.push(FeedEvent { at: log_time(), change });
     feed.tell(json!({"purge": {"group": 17, "at": ms}}));
@@ -218,7 +219,7 @@
             .expect("a stream");
         before.subscribe(ResourceType::Routes, &state).await;
         before.subscribe(ResourceType::Endpoints, &state).await;
-        let ms = log_time() / 1000;
+        let ms = log_time().as_micros() / 1000;
         feed.tell(json!({"purge": {"group": 17, "at": ms}}));
         while !view(&mut before, &mut state, ResourceType::Routes).await.newer_than_ms.contains_key("17") {}
         offset_s.store(step_s, Ordering::SeqCst);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,9 +5,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const MS: Micros = 1000;
-const SECOND: Micros = 1000 * MS;
-const TICK: Micros = 10 * MS;
+const MS: Span = Span::from_millis(1);
+const SECOND: Span = Span::from_secs(1);
+const TICK: Span = Span::from_millis(10);
 
 /// A customer: what its settings tell and allow, and what its site is like.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     link: f64,
     origin: f64,
     /// The origin's first byte.
-    far: Micros,
+    far: Span,
     /// Mean sending time by class, us; sizes are drawn about it, `spread` being that of their logarithm.
     sending: Vec<f64>,
     spread: f64,
@@ -103,8 +103,8 @@
         }
     }
 
-    fn target(&self, class: usize) -> Micros {
-        (200.0 * MS as f64 + self.sending[class]) as Micros
+    fn target(&self, class: usize) -> Span {
+        Span::from_micros_f64(200.0 * MS.as_micros_f64() + self.sending[class])
     }
 
     fn settings(&self, ordinal: usize) -> Settings {
@@ -115,9 +115,9 @@
             priority_weight: 1.0,
             idempotency: Idempotency::Always,
             dedup_scope: DedupScope::All,
-            dedup_window: 0,
-            fresh_for: 0,
-            stale_for: 0,
+            dedup_window: Span::ZERO,
+            fresh_for: Span::ZERO,
+            stale_for: Span::ZERO,
             uncached: false,
             retired: false,
         };
@@ -170,7 +170,7 @@
         overload_window: SECOND,
         purge_grace: 500 * MS,
         purge_settled_after: 6 * SECOND,
-        max_list_age: 0,
+        max_list_age: Span::ZERO,
     }
 }
 
@@ -182,10 +182,10 @@
     server: ServerId,
     class: usize,
     object: u64,
-    sent: Micros,
-    until: Micros,
+    sent: Instant,
+    until: Instant,
     fill: bool,
-    waits: Micros,
+    waits: Span,
     sending: f64,
     left: f64,
     over: bool,
@@ -197,15 +197,15 @@
     plain: bool,
     routers: Vec<Router>,
     random: ChaCha8Rng,
-    now: Micros,
+    now: Instant,
     next: u64,
     objects: VecDeque<(usize, u64)>,
     held: BTreeSet<(ServerId, u64)>,
     out: Vec<Transfer>,
     attempts: BTreeMap<(usize, RequestId), u8>,
     /// By request: its class, object, arrival and sending time.
-    open: BTreeMap<RequestId, (usize, u64, Micros, f64)>,
-    timers: BTreeMap<(Micros, u64), usize>,
+    open: BTreeMap<RequestId, (usize, u64, Instant, f64)>,
+    timers: BTreeMap<(Instant, u64), usize>,
     /// The origin is so many times slower now.
     slow: f64,
     /// Requests over, those in time, and refusals by cause.
@@ -216,13 +216,13 @@
 
 impl Play {
     fn new(site: &Site, seed: u64) -> Self {
-        let new = |n: usize| Router::new(site.settings(n), seed + n as u64, 0).expect("usable");
+        let new = |n: usize| Router::new(site.settings(n), seed + n as u64, Instant::ZERO).expect("usable");
         let mut play = Play {
             site: site.clone(),
             plain: false,
             routers: (0..site.routers).map(new).collect(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            now: 0,
+            now: Instant::ZERO,
             next: 1,
             objects: VecDeque::new(),
             held: BTreeSet::new(),
@@ -279,7 +279,7 @@
                         server,
                         AttemptResult::Cancelled,
                         None,
-                        (sent, 0, 0),
+                        (sent, Span::ZERO, Span::ZERO),
                     );
                 }
                 Action::Timer { after, .. } => {
@@ -293,9 +293,9 @@
 
     fn answered(&mut self, request: RequestId, served: bool) {
         let Some((class, _, arrived, sending)) = self.open.remove(&request) else { return };
-        let aim = self.site.target(class) as f64 + 2.0 * sending;
+        let aim = self.site.target(class).as_micros_f64() + 2.0 * sending;
         self.over += 1;
-        self.timely += usize::from(served && (self.now - arrived) as f64 <= aim);
+        self.timely += usize::from(served && (self.now - arrived).as_micros_f64() <= aim);
     }
 
     fn sent(&mut self, router: usize, get: FillAttempt) {
@@ -320,7 +320,7 @@
             waits: if nothing {
                 5 * MS
             } else if fill {
-                (self.site.far as f64 * self.slow) as Micros
+                Span::from_micros_f64(self.site.far.as_micros_f64() * self.slow)
             } else {
                 MS
             },
@@ -339,7 +339,7 @@
         server: ServerId,
         result: AttemptResult,
         note: Option<CacheStatus>,
-        (sent, waited, sending): (Micros, Micros, Micros),
+        (sent, waited, sending): (Instant, Span, Span),
     ) {
         let note = match self.site.notes {
             CacheStatusDetail::Full => note,
@@ -351,8 +351,8 @@
         };
         let finished = result == AttemptResult::Ok;
         let elapsed = self.now - sent;
-        let waited = if self.site.notes == CacheStatusDetail::Full { waited } else { 0 };
-        let sending = if self.site.told { sending } else { 0 };
+        let waited = if self.site.notes == CacheStatusDetail::Full { waited } else { Span::ZERO };
+        let sending = if self.site.told { sending } else { Span::ZERO };
         let load = Vec::new();
         if finished || self.plain {
             self.answered(request, finished);
@@ -392,7 +392,7 @@
         for t in self.out.iter_mut().filter(|t| t.sent + t.waits <= self.now && t.left > 0.0) {
             let pace =
                 (self.site.link / there[&t.server]).min(if t.fill { origin / far } else { 1.0 }).min(1.0);
-            t.left -= pace * TICK as f64;
+            t.left -= pace * TICK.as_micros_f64();
         }
         let now = self.now;
         let ended = |t: &Transfer| t.left <= 0.0 || (t.left.is_nan() && t.sent + t.waits <= now);
@@ -405,7 +405,15 @@
         }
         self.out = out;
         for (router, request, attempt, server, sent) in lost {
-            self.outcome(router, request, attempt, server, AttemptResult::Timeout, None, (sent, 0, 0));
+            self.outcome(
+                router,
+                request,
+                attempt,
+                server,
+                AttemptResult::Timeout,
+                None,
+                (sent, Span::ZERO, Span::ZERO),
+            );
         }
         for t in over {
             let miss = t.left.is_nan();
@@ -420,20 +428,20 @@
                 (_, true) => (AttemptResult::Ok, Some(CacheStatus::FilledByOrigin)),
                 _ => (AttemptResult::Ok, Some(CacheStatus::Hit)),
             };
-            let times = (t.sent, t.waits, if miss { 0 } else { t.sending as Micros });
+            let times = (t.sent, t.waits, if miss { Span::ZERO } else { Span::from_micros_f64(t.sending) });
             self.outcome(t.router, t.request, t.attempt, t.server, result, note, times);
             debug_assert!(t.class < self.site.sending.len());
         }
     }
 
     /// Plays on for a span; gives the parts of the requests that ended in it which were in time, and were refused.
-    fn play(&mut self, span: Micros) -> (f64, f64) {
+    fn play(&mut self, span: Span) -> (f64, f64) {
         (self.over, self.timely) = (0, 0);
         self.refused.clear();
         let until = self.now + span;
         while self.now < until {
             self.step();
-            let mean = self.site.rate * TICK as f64 / SECOND as f64;
+            let mean = self.site.rate * TICK.as_micros_f64() / SECOND.as_micros_f64();
             let count = mean as usize + usize::from(self.random.random_range(0.0..1.0) < mean.fract());
             for _ in 0..count {
                 self.ask();
@@ -491,7 +499,7 @@
             let home = (object.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) % self.site.caches as u64;
             let (server, source, timeout) = (ServerId(home as u32 + 1), ServerId(99), request.client_timeout);
             let (join, only_held, no_parent_copy, renew) = (false, false, false, false);
-            let (request, rank, max_age) = (id, 1, 0);
+            let (request, rank, max_age) = (id, 1, Span::ZERO);
             let get = FillAttempt {
                 request,
                 server,
--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -6,10 +6,14 @@
 #[test]
 fn routers_name_the_same_parent_for_an_object_and_what_is_held_back_only_looks_there() {
     let source = |seed: u64| {
-        let mut router = Router::new(settings(), seed, 0).expect("usable");
+        let mut router = Router::new(settings(), seed, Instant::ZERO).expect("usable");
         let mut out = Vec::new();
-        router.handle(0, Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() }, &mut out);
-        router.handle(0, Event::Request(request(1, 7)), &mut out);
+        router.handle(
+            Instant::ZERO,
+            Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() },
+            &mut out,
+        );
+        router.handle(Instant::ZERO, Event::Request(request(1, 7)), &mut out);
         get_of(&out).expect("an attempt").source
     };
     assert!((1..20).all(|seed| source(seed) == source(0)));
@@ -44,7 +48,7 @@
             cache_status: Some(CacheStatus::Filled),
             elapsed: 110 * MS,
             fill_wait: waited,
-            transfer_time: 0,
+            transfer_time: Span::ZERO,
             finished: true,
             load_report: vec![],
         }));
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -17,8 +17,8 @@
 struct Pending {
     get: FillAttempt,
     attempt: u8,
-    sent: Micros,
-    ends: Micros,
+    sent: Instant,
+    ends: Instant,
     cancelled: bool,
 }
 
@@ -31,17 +31,17 @@
     /// Every request whose number is divided by this errs at every server.
     hopeless_every: u64,
     /// The mean time between requests.
-    pause: Micros,
+    pause: Span,
 }
 
 /// A router, the fleet that answers it, and the record of what it did.
 struct Stream {
     router: Router,
-    now: Micros,
+    now: Instant,
     seed: u64,
     pending: Vec<Pending>,
     attempts: std::collections::BTreeMap<RequestId, u8>,
-    due_ticks: Vec<(Micros, u32)>,
+    due_ticks: Vec<(Instant, u32)>,
     counts: std::collections::BTreeMap<&'static str, usize>,
     digest: Sha256,
 }
@@ -49,8 +49,8 @@
 impl Stream {
     fn new(settings: Settings, seed: u64) -> Self {
         Stream {
-            router: Router::new(settings, seed, 0).expect("usable"),
-            now: 0,
+            router: Router::new(settings, seed, Instant::ZERO).expect("usable"),
+            now: Instant::ZERO,
             seed,
             pending: Vec::new(),
             attempts: Default::default(),
@@ -68,7 +68,7 @@
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
-            self.digest.update(format!("{} {}\n", self.now, recorded(&action)));
+            self.digest.update(format!("{} {}\n", self.now.as_micros(), recorded(&action)));
             self.take(action);
         }
     }
@@ -80,7 +80,7 @@
                 let attempt = *number;
                 *number += 1;
                 let slow = self.draw(40) == 0;
-                let lasts = (5 + self.draw(300) as Micros) * MS * if slow { 20 } else { 1 };
+                let lasts = (5 + self.draw(300) as i64) * MS * if slow { 20 } else { 1 };
                 self.pending.push(Pending {
                     get,
                     attempt,
@@ -121,7 +121,7 @@
         let size_kb = if self.draw(3) == 0 { 0.0 } else { 10.0 + self.draw(400) as f64 };
         let part = (self.draw(8) == 0).into();
         let write = self.draw(20) == 0;
-        let patience = (200 + self.draw(5000) as Micros) * MS;
+        let patience = (200 + self.draw(5000) as i64) * MS;
         let group = GroupId((skewed % 7) as u32);
         let made = Request {
             class,
@@ -156,9 +156,12 @@
                 _ => None,
             };
             let elapsed = self.now - sent;
-            let waited =
-                if notes == CacheStatusDetail::Full { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
-            let sending = if self.draw(2) == 0 { elapsed / 3 } else { 0 };
+            let waited = if notes == CacheStatusDetail::Full {
+                elapsed / (2 + self.draw(4) as i64)
+            } else {
+                Span::ZERO
+            };
+            let sending = if self.draw(2) == 0 { elapsed / 3 } else { Span::ZERO };
             self.event(Event::AttemptEnded(AttemptOutcome {
                 request: get.request,
                 attempt,
@@ -176,7 +179,7 @@
 
     fn ending(&mut self, get: &FillAttempt, scenario: &Scenario) -> (AttemptResult, Option<CacheStatus>) {
         // One cache and one parent are worse than the others for some seconds of every forty.
-        let bad_time = self.now / (10 * SECOND) % 4 == 1;
+        let bad_time = (self.now - Instant::ZERO) / (10 * SECOND) % 4 == 1;
         let bad_server = [get.server, get.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
         let failures = if bad_time && bad_server { 600 } else { scenario.failures };
         if get.request.0.is_multiple_of(scenario.hopeless_every) {
@@ -244,18 +247,18 @@
 fn recorded(action: &Action) -> String {
     match action {
         Action::SendCacheOnly { request, server, timeout } => {
-            format!("Send {{ request: {request:?}, server: {server:?}, timeout: {timeout} }}")
+            format!("Send {{ request: {request:?}, server: {server:?}, timeout: {} }}", timeout.as_micros())
         }
         Action::SendWithFill(attempt) => recorded_fill(attempt),
         Action::Reject { request, retry_after, reason } => {
             let why = recorded_reason(*reason);
-            format!("Refuse {{ request: {request:?}, retry_after: {retry_after}, why: {why} }}")
+            format!("Refuse {{ request: {request:?}, retry_after: {}, why: {why} }}", retry_after.as_micros())
         }
         Action::Fail(request) => format!("Fail({request:?})"),
         Action::Cancel { request, attempt } => {
             format!("Cancel {{ request: {request:?}, attempt: {attempt} }}")
         }
-        Action::Timer { token, after } => format!("Timer {{ token: {token}, after: {after} }}"),
+        Action::Timer { token, after } => format!("Timer {{ token: {token}, after: {} }}", after.as_micros()),
         Action::HealthCheck(server) => format!("Probe({server:?})"),
         Action::CloseIdleConnections(server) => format!("CloseIdle({server:?})"),
         Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to:?}, bytes: {bytes:?} }}"),
@@ -268,6 +271,7 @@
 fn recorded_fill(attempt: &FillAttempt) -> String {
     let FillAttempt { request, server, timeout, source, cache_rank, max_age, .. } = attempt;
     let FillAttempt { join_fill, only_if_cached, bypass_parent_cache, stale_while_revalidate, .. } = attempt;
+    let (timeout, max_age) = (timeout.as_micros(), max_age.as_micros());
     format!(
         "Get(Get {{ request: {request:?}, server: {server:?}, timeout: {timeout}, source: {source:?}, \
          rank: {cache_rank}, max_age: {max_age}, join: {join_fill}, only_held: {only_if_cached}, \
@@ -294,7 +298,8 @@
     let mut stream = Stream::new(scenario.settings.clone(), seed);
     stream.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() });
     for step in 0..STEPS {
-        stream.now += 1 + stream.draw(2 * scenario.pause as u64) as Micros;
+        let pause = 1 + stream.draw(2 * scenario.pause.as_micros() as u64) as i64;
+        stream.now += Span::from_micros(pause);
         stream.tick();
         stream.answer(scenario);
         stream.ask(step as u64 + 1, classes);
@@ -306,7 +311,7 @@
             }
             4 => {
                 let group = GroupId(stream.draw(7) as u32);
-                stream.event(Event::Purged { purge: Purge::Group(group), age: 0 });
+                stream.event(Event::Purged { purge: Purge::Group(group), age: Span::ZERO });
             }
             5 => stream.event(Event::RequestCancelled(RequestId(step as u64 + 1))),
             6 => {
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -45,7 +45,7 @@
 #[test]
 fn over_the_budget_the_next_cache_in_hash_order_serves() {
     let mut cold = member(1, CACHE, 0);
-    cold.started_at = Some(0);
+    cold.started_at = Some(Instant::ZERO);
     let mut bench = Bench::new(settings(), vec![cold, member(2, CACHE, 0), member(21, ORIGIN, 1)]);
     let sent: Vec<u32> = (0..2000).map(|object| bench.served(object).server.0).collect();
     let to_cold = sent.iter().filter(|s| **s == 1).count();
@@ -56,7 +56,7 @@
 fn an_empty_location_refuses_at_once_with_advice_within_the_limit() {
     let mut bench = Bench::new(settings(), vec![member(9, CACHE, 2), member(11, PARENT, 1)]);
     let wait = refused(&bench.ask(7).1).expect("refused");
-    assert!(wait > 0 && wait <= 200 * MS);
+    assert!(wait > Span::ZERO && wait <= 200 * MS);
     let mut direct = settings();
     direct.limits.direct_to_source = true;
     let get = Bench::new(direct, vec![member(11, PARENT, 1)]).get(7);
@@ -117,7 +117,7 @@
             cache_status: Some(CacheStatus::FilledByOrigin),
             elapsed: 100 * MS,
             fill_wait: 90 * MS,
-            transfer_time: 0,
+            transfer_time: Span::ZERO,
             finished: true,
             load_report: vec![],
         };
@@ -133,18 +133,18 @@
 /// Attempts at caches whose links bear so many full-pace answers each: they share a link that has more.
 struct Links {
     bears: f64,
-    out: Vec<(Micros, FillAttempt)>,
+    out: Vec<(Instant, FillAttempt)>,
 }
 
 impl Links {
     /// Asks for `each` new objects in every 100 ms of `span`; how many were asked for and how many refused as a crowd.
-    fn play(&mut self, bench: &mut Bench, span: Micros, each: u64) -> (usize, usize) {
-        const SENDING: Micros = 400 * MS;
+    fn play(&mut self, bench: &mut Bench, span: Span, each: u64) -> (usize, usize) {
+        const SENDING: Span = Span::from_millis(400);
         let (mut asked, mut refused, until) = (0, 0, bench.now + span);
         while bench.now < until {
             bench.now += 20 * MS;
             bench.event(Event::Timer(0));
-            for _ in 0..if bench.now % (100 * MS) == 0 { each } else { 0 } {
+            for _ in 0..if (bench.now - Instant::ZERO) % (100 * MS) == Span::ZERO { each } else { 0 } {
                 let object = bench.next + 1000;
                 let (id, actions) = bench.open(object, 0.0);
                 asked += 1;
@@ -153,9 +153,10 @@
                 self.out.extend(get_of(&actions).map(|get| (bench.now, get)));
             }
             let there = |server| self.out.iter().filter(|(_, get)| get.server == server).count() as f64;
-            let takes =
-                |get: &FillAttempt| (SENDING as f64 * (there(get.server) / self.bears).max(1.0)) as Micros;
-            let over = |(sent, get): &(Micros, FillAttempt)| sent + takes(get) <= bench.now;
+            let takes = |get: &FillAttempt| {
+                Span::from_micros_f64(SENDING.as_micros_f64() * (there(get.server) / self.bears).max(1.0))
+            };
+            let over = |(sent, get): &(Instant, FillAttempt)| *sent + takes(get) <= bench.now;
             let (ended, out): (Vec<_>, Vec<_>) = self.out.iter().cloned().partition(over);
             self.out = out;
             for (sent, get) in ended {
@@ -166,7 +167,7 @@
                     result: AttemptResult::Ok,
                     cache_status: Some(CacheStatus::Hit),
                     elapsed: bench.now - sent,
-                    fill_wait: 0,
+                    fill_wait: Span::ZERO,
                     transfer_time: SENDING,
                     finished: true,
                     load_report: vec![],
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -8,7 +8,7 @@
     let error = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
-        Router::new(settings, 1, 0).err()
+        Router::new(settings, 1, Instant::ZERO).err()
     };
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
@@ -21,9 +21,9 @@
     assert_eq!(error(|s| s.classes[0].objective_stretch = -1.0), figure("stretch"));
     assert_eq!(error(|s| s.protection.cache_slow_start.initial_share = f64::INFINITY), figure("cold_share"));
     let span = |name| Some(SettingsError::Span { name });
-    assert_eq!(error(|s| s.classes[0].latency_objective = 0), span("target"));
-    assert_eq!(error(|s| s.protection.overload_window = 0), span("fall_span"));
-    assert_eq!(error(|s| s.protection.purge_settled_after = -1), span("purge_settles"));
+    assert_eq!(error(|s| s.classes[0].latency_objective = Span::ZERO), span("target"));
+    assert_eq!(error(|s| s.protection.overload_window = Span::ZERO), span("fall_span"));
+    assert_eq!(error(|s| s.protection.purge_settled_after = -MICROSECOND), span("purge_settles"));
 }
 
 #[test]
@@ -85,12 +85,12 @@
 #[test]
 fn after_a_purge_only_newer_copies_do_and_the_bound_is_never_0() {
     let mut bench = Bench::new(settings(), fleet());
-    assert_eq!(bench.served(7).max_age, 0);
-    bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 0 });
-    assert_eq!(bench.served(7).max_age, 1, "0 would mean any age");
+    assert_eq!(bench.served(7).max_age, Span::ZERO);
+    bench.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: Span::ZERO });
+    assert_eq!(bench.served(7).max_age, MICROSECOND, "0 would mean any age");
     bench.now += 200 * MS;
     assert_eq!(bench.served(7).max_age, 200 * MS);
-    assert_eq!(bench.served(8).max_age, 0);
+    assert_eq!(bench.served(8).max_age, Span::ZERO);
     bench.event(Event::Purged { purge: Purge::Group(GroupId(5)), age: 50 * MS });
     assert_eq!(bench.served(7).max_age, 50 * MS, "the newest purge counts");
     assert_eq!(bench.served(8).max_age, 50 * MS);
@@ -98,7 +98,7 @@
     assert_eq!(bench.served(7).max_age, 50 * MS, "news of an older one changes nothing");
     bench.get(9);
     bench.pass(5 * SECOND);
-    assert!(bench.served(7).max_age > 0, "not settled yet");
+    assert!(bench.served(7).max_age > Span::ZERO, "not settled yet");
 }
 
 #[test]
@@ -231,7 +231,7 @@
     assert_eq!(cached, [Action::WatchEndpoints(true)]);
     let failed = bench.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] });
     let [Action::Timer { token, after }] = failed[..] else { panic!("{failed:?}") };
-    assert!(after > 0, "the discovery service is not called again at once");
+    assert!(after > Span::ZERO, "the discovery service is not called again at once");
     assert_eq!(bench.event(Event::Timer(token)), [Action::WatchEndpoints(true)]);
 }
 
--- a/tests/policy/popular_directory.rs
+++ b/tests/policy/popular_directory.rs
@@ -44,7 +44,10 @@
             assert!(get.source.0 != 1 || tried_at.is_some(), "it is shut");
         }
     }
-    assert!(tried_at.is_some_and(|at| (SECOND..SECOND + 100 * MS).contains(&at)), "{tried_at:?}");
+    assert!(
+        tried_at.is_some_and(|at| (SECOND..SECOND + 100 * MS).contains(&(at - Instant::ZERO))),
+        "{tried_at:?}"
+    );
 }
 
 #[test]
@@ -65,9 +68,9 @@
     let delegate = bench.get(7);
     assert_ne!(delegate.server, home);
     bench.end(&delegate, 0, AttemptResult::Rejected, Some(CacheStatus::NoFillSlot));
-    bench.now += SECOND - 1;
+    bench.now += SECOND - MICROSECOND;
     assert_eq!(bench.served(7).server, home);
-    bench.now += 1;
+    bench.now += MICROSECOND;
     assert_ne!(bench.served(7).server, home);
 }
 
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -115,7 +115,7 @@
     };
     let mut bench = Bench::new(settings(), fleet());
     let first = at_once(&mut bench);
-    let mut run = |waited: Micros| {
+    let mut run = |waited: Span| {
         for object in 1..100 {
             bench.now += 50 * MS;
             let gets: Vec<FillAttempt> = (0..9).map(|i| bench.get(2000 + 10 * object + i)).collect();
@@ -128,7 +128,7 @@
                     cache_status: Some(CacheStatus::FilledByOrigin),
                     elapsed: waited + 100 * MS,
                     fill_wait: waited,
-                    transfer_time: 0,
+                    transfer_time: Span::ZERO,
                     finished: true,
                     load_report: vec![],
                 }));
@@ -161,7 +161,7 @@
             cache_status: Some(CacheStatus::Filled),
             elapsed: 110 * MS,
             fill_wait: waited,
-            transfer_time: 0,
+            transfer_time: Span::ZERO,
             finished: true,
             load_report: vec![],
         }));
@@ -246,11 +246,11 @@
     let home = fleet().into_iter().find(|m| m.server == get.server).expect("it is listed");
     bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..home }]);
     bench.pass(2 * SECOND);
-    assert_eq!(bench.router.capacities(0).len(), fleet().len(), "its attempt is still out");
+    assert_eq!(bench.router.capacities(Instant::ZERO).len(), fleet().len(), "its attempt is still out");
     bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     bench.get(8);
     bench.pass(2 * SECOND);
-    assert_eq!(bench.router.capacities(0).len(), fleet().len() - 1);
+    assert_eq!(bench.router.capacities(Instant::ZERO).len(), fleet().len() - 1);
 }
 
 /// Where all answers take long for a while (a shared link is full), two that are out as long as others were are no sign
@@ -278,7 +278,7 @@
     };
     for object in 0..60 {
         let get = bench.get(object);
-        answer(&mut bench, &get, 1500 * MS + (object % 5) as Micros * 100 * MS);
+        answer(&mut bench, &get, 1500 * MS + (object % 5) as i64 * 100 * MS);
     }
     let silent = |actions: &[Action]| {
         actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("silent")))
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -21,11 +21,11 @@
     let mut sent = Vec::new();
     for step in 0..40 {
         for (ordinal, bench) in all.iter_mut().enumerate() {
-            bench.now = step * 250 * MS + ordinal as i64 % 250 * MS;
+            bench.now = Instant::ZERO + step * 250 * MS + ordinal as i64 % 250 * MS;
             let (_, actions) = bench.ask(1 + step as u64 * 1000 + ordinal as u64);
             let Some(get) = get_of(&actions) else { continue };
             if get.server.0 == cold || (source && get.source.0 == cold) {
-                sent.push(bench.now / MS);
+                sent.push((bench.now - Instant::ZERO) / MS);
             }
             bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
         }
@@ -43,8 +43,11 @@
 #[test]
 fn one_four_and_many_routers_keep_a_cold_servers_budget_and_use_it() {
     for routers in [1, 4, 240] {
-        let cold =
-            |server, kind, zone| Endpoint { started_at: Some(0), weight: 10.0, ..member(server, kind, zone) };
+        let cold = |server, kind, zone| Endpoint {
+            started_at: Some(Instant::ZERO),
+            weight: 10.0,
+            ..member(server, kind, zone)
+        };
         let parents =
             [member(1, CACHE, 0), cold(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)];
         let sent = sent_cold(routers, &parents, 11, true);
@@ -64,20 +67,20 @@
 #[test]
 fn a_cold_cache_gets_no_more_than_its_budget_within_a_span() {
     let mut cold = member(1, CACHE, 0);
-    (cold.started_at, cold.weight) = (Some(0), 10.0);
+    (cold.started_at, cold.weight) = (Some(Instant::ZERO), 10.0);
     let mut bench = Bench::new(settings(), vec![cold, member(21, ORIGIN, 1)]);
     // 2 x (0.25 of 10) transfers x 1 s = 5 s of sending may reach it; means start at the target, 0.6 s.
     let sent = (0..100).filter(|object| get_of(&bench.ask(100 + object).1).is_some()).count();
     assert!((1..=50).contains(&sent), "{sent} of 0.1 s each");
     let before = sent;
-    bench.now += SECOND + 1;
+    bench.now += SECOND + MICROSECOND;
     assert!(get_of(&bench.ask(7).1).is_some(), "the span has passed, {before} before");
 }
 
 #[test]
 fn a_cold_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
     let mut cold = member(11, PARENT, 1);
-    (cold.started_at, cold.weight) = (Some(0), 20.0);
+    (cold.started_at, cold.weight) = (Some(Instant::ZERO), 20.0);
     let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), cold, member(12, PARENT, 1)]);
     let named = (0..400).filter(|object| bench.served(*object).source.0 == 11).count();
     // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at the most, each fill 0.1 s and more.
@@ -91,8 +94,8 @@
         let mut list = fleet();
         list.retain(|m| m.kind != CACHE || m.server == ServerId(1));
         let mut bench = Bench::new(settings(), list.clone());
-        bench.now = SECOND;
-        list[0].started_at = Some(SECOND);
+        bench.now = Instant::ZERO + SECOND;
+        list[0].started_at = Some(bench.now);
         bench.list(ListUpdate::Delta, vec![list[0]]);
         bench.router.share(processes, 0);
         let large = |id| Event::Request(Request { size_kb: 1000.0, ..request(id, id) });
@@ -109,8 +112,8 @@
     /// The server, whether as a cache or as the source of fills.
     server: Endpoint,
     /// When it starts, or joins, and when a burst comes.
-    starts: Micros,
-    burst: Micros,
+    starts: Instant,
+    burst: Instant,
     /// Each router is told that it is the only one.
     undivided: bool,
 }
@@ -121,7 +124,7 @@
 
 impl ColdFleet {
     /// The times of what reaches the server, in order.
-    fn sends(&self, seed: u64) -> Vec<Micros> {
+    fn sends(&self, seed: u64) -> Vec<Instant> {
         let count = if self.undivided { 1 } else { self.routers };
         let mut fleet_settings = settings();
         fleet_settings.topology.routers = count;
@@ -141,8 +144,8 @@
                 let burst = if bench.now >= self.burst { 3.0 } else { 1.0 };
                 let rate = 60.0 * busy * burst / f64::from(self.routers);
                 let gap = -random.random_range(f64::EPSILON..1.0_f64).ln() / rate;
-                bench.now += (gap * SECOND as f64) as Micros + 1;
-                if bench.now > FLEET_SECONDS * SECOND {
+                bench.now += Span::from_micros_f64(gap * SECOND.as_micros_f64()) + MICROSECOND;
+                if bench.now > Instant::ZERO + FLEET_SECONDS * SECOND {
                     break;
                 }
                 if !listed && bench.now >= self.starts {
@@ -172,11 +175,12 @@
             slow_start;
         let sends = self.sends(seed);
         assert!(!sends.is_empty(), "it is used while it is cold");
-        let over = |from: &Micros| {
-            let warmth = share + (1.0 - share) * (from - self.starts).max(0) as f64 / warm as f64;
-            let span = rules.overload_window as f64 / SECOND as f64;
+        let over = |from: &Instant| {
+            let warmth = share
+                + (1.0 - share) * from.saturating_since(self.starts).as_micros_f64() / warm.as_micros_f64();
+            let span = rules.overload_window.as_micros_f64() / SECOND.as_micros_f64();
             let allowed = multiple * warmth * self.server.weight * span / SENDING;
-            let count = sends.iter().filter(|at| (*from..from + rules.overload_window).contains(at)).count();
+            let count = sends.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
             count as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
         sends.iter().map(over).fold(f64::MIN, f64::max)
@@ -187,11 +191,14 @@
 fn cold_fleets(routers: u32, undivided: bool) -> Vec<ColdFleet> {
     let cache = Endpoint { weight: 1.0, ..member(1, CACHE, 0) };
     let parent = Endpoint { weight: 2.0, ..member(11, PARENT, 1) };
-    let with = |server, starts, burst| ColdFleet { routers, server, starts, burst, undivided };
+    let with = |server, starts, burst| {
+        let (starts, burst) = (Instant::ZERO + starts, Instant::ZERO + burst);
+        ColdFleet { routers, server, starts, burst, undivided }
+    };
     vec![
-        with(cache, 0, 2 * SECOND),
+        with(cache, Span::ZERO, 2 * SECOND),
         with(cache, 2 * SECOND, 2 * SECOND),
-        with(parent, 0, 2 * SECOND),
+        with(parent, Span::ZERO, 2 * SECOND),
         with(parent, 2 * SECOND, 3 * SECOND),
     ]
 }
