--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -2,8 +2,9 @@
 
 use dahliatrack::*;
 
-pub const MS: Micros = 1000;
-pub const SECOND: Micros = 1000 * MS;
+pub const MICROSECOND: Span = Span::from_micros(1);
+pub const MS: Span = Span::from_millis(1);
+pub const SECOND: Span = Span::from_secs(1);
 pub const CACHE: u16 = 0;
 pub const PARENT: u16 = 1;
 pub const ORIGIN: u16 = 2;
@@ -18,8 +19,8 @@
         idempotency: Idempotency::Always,
         dedup_scope: DedupScope::All,
         dedup_window: SECOND,
-        fresh_for: 0,
-        stale_for: 0,
+        fresh_for: Span::ZERO,
+        stale_for: Span::ZERO,
         uncached: false,
         retired: false,
     };
@@ -114,13 +115,17 @@
 
 pub struct Bench {
     pub router: Router,
-    pub now: Micros,
+    pub now: Instant,
     pub next: u64,
 }
 
 impl Bench {
     pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
-        let mut bench = Bench { router: Router::new(settings, 1, 0).expect("usable"), now: 0, next: 0 };
+        let mut bench = Bench {
+            router: Router::new(settings, 1, Instant::ZERO).expect("usable"),
+            now: Instant::ZERO,
+            next: 0,
+        };
         bench.list(ListUpdate::Full, members);
         bench
     }
@@ -168,7 +173,7 @@
             cache_status: note,
             elapsed: 100 * MS,
             fill_wait: 10 * MS,
-            transfer_time: 0,
+            transfer_time: Span::ZERO,
             finished: result == AttemptResult::Ok,
             load_report: vec![],
         }))
@@ -181,7 +186,7 @@
     }
 
     /// Lets time pass in ticks; gives the actions of all of them.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub fn pass(&mut self, span: Span) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
         while self.now < until {
@@ -208,7 +213,7 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> Option<Micros> {
+pub fn refused(actions: &[Action]) -> Option<Span> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
