--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The pure parts work on passed-in time: [`model`] turns the endpoint list, purges and the decision module's answers
 //! into a [`snapshot`] of [`resource`]s; [`session`] is the state machine of one client's stream; [`debounce`] says
-//! when changes are published. Around them, [`feed_watch`] polls the control feed, [`wire`] encodes protobuf messages
-//! and [`service`] serves gRPC.
+//! when changes are published. Around them, `feed_watch` polls the control feed, `wire` encodes protobuf messages
+//! and `service` serves gRPC.
 
 pub mod clock;
 pub mod debounce;
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -169,7 +169,7 @@
 /// What the core wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Write this attempt as soon as a connection takes it; [`Core::write_attempt`] says then what to write.
+    /// Write this attempt as soon as a connection takes it; [`Core::write_attempt`](super::Core::write_attempt) says then what to write.
     SendAttempt {
         /// The attempt.
         attempt: AttemptKey,
@@ -180,9 +180,9 @@
     },
     /// Give this attempt up; nothing more is heard of it.
     AbandonAttempt(AttemptKey),
-    /// The request's final answer is there: [`Core::answer_now`] tells it, [`Core::answer_begun`] ends it.
+    /// The request's final answer is there: [`Core::answer_now`](super::Core::answer_now) tells it, [`Core::answer_begun`](super::Core::answer_begun) ends it.
     AnswerRequest(RequestKey),
-    /// Ask a server for its health; [`Core::health_checked`] takes the result.
+    /// Ask a server for its health; [`Core::health_checked`](super::Core::health_checked) takes the result.
     HealthCheck(ServerId),
     /// Close idle connections to a server.
     CloseIdleConnections(ServerId),
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -10,7 +10,7 @@
 use tracing::debug;
 
 impl Core {
-    /// Takes a request in; it is owed one [`Command::Answer`], unless it is given up.
+    /// Takes a request in; it is owed one [`Command::AnswerRequest`], unless it is given up.
     pub fn submit(
         &mut self,
         now: Micros,
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// The connection fails at once, or [`is_local`]: for want of a descriptor, a port or the like. Nothing was sent.
+    /// The connection fails at once, or [`is_local`](super::is_local): for want of a descriptor, a port or the like. Nothing was sent.
     pub fn connect(&mut self, now: i64, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
             match self.begin_connect(peer) {
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -3,7 +3,7 @@
 //! one order, so that a run repeats bit for bit.
 //!
 //! The processes (edge proxies) use it by `Net`; the other side (table caches, clients, the control feed) is played
-//! by its owner: it is told what came by [`Signal`]s and answers by [`Fabric::send`] and the like. A host can be up,
+//! by its owner: it is told what came by [`ActorEvent`]s and answers by [`Fabric::send`] and the like. A host can be up,
 //! refusing or silent; what is under way to or from a silent one is held until it is back, as resends would.
 
 mod endpoint;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The mio loop's sockets: connection slots with bounded buffers, partial reads and writes, and one log line
 //! with a reason code for each connection that ends.
 //!
-//! [`poll`] waits for what is ready, [`connections`] opens and closes, [`transfer`] reads and writes; all three are parts of
+//! `poll` waits for what is ready, `connections` opens and closes, `transfer` reads and writes; all three are parts of
 //! [`Net`].
 
 mod clock;
