--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,9 @@
 //! The settings message: JSON in the wire's words, turned into [`Settings`].
 
-use crate::interface::*;
+use crate::interface::{
+    CacheStatusDetail, Class, ClassId, DedupScope, Idempotency, Micros, ProtectionRules, Settings,
+    SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -31,7 +34,7 @@
 
 /// What a router program needs of the settings and the decision module does not.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
+pub struct SiteNames {
     /// The names of the classes, by number; those that are retired keep theirs.
     pub classes: Vec<String>,
     /// Which of them are retired.
@@ -60,14 +63,14 @@
 
 /// The settings message, read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parsed {
+pub struct SiteSettings {
     /// For the decision module.
     pub settings: Settings,
     /// For the program around it.
-    pub names: Names,
+    pub names: SiteNames,
 }
 
-impl Names {
+impl SiteNames {
     /// The class that requests of this name have now.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let known = self.classes.iter().zip(&self.retired);
@@ -76,7 +79,7 @@
     }
 }
 
-impl Parsed {
+impl SiteSettings {
     /// These settings as they follow older ones in a running program. A class of the same name and rules keeps its
     /// number; a new one, or one whose rules differ, gets a number that no class has had, and the old one is retired:
     /// its open requests go on by its rules. Where the own place and the servers' kinds and zones differ, the old
@@ -85,9 +88,9 @@
     /// # Errors
     ///
     /// The numbers are used up.
-    pub fn following(self, old: &Parsed) -> Result<(Parsed, bool), String> {
-        let Parsed { settings: new, names: told } = self;
-        let mut names = Names {
+    pub fn following(self, old: &SiteSettings) -> Result<(SiteSettings, bool), String> {
+        let SiteSettings { settings: new, names: told } = self;
+        let mut names = SiteNames {
             kinds: old.names.kinds.clone(),
             zones: old.names.zones.clone(),
             retired: vec![true; old.names.classes.len()],
@@ -109,26 +112,20 @@
             }
             names.classes.push(name.clone());
             names.retired.push(false);
-            names.writes.push(class.effect != Effect::Safe);
-            names.deadlines.push(class.deadline);
+            names.writes.push(class.idempotency != Idempotency::Always);
+            names.deadlines.push(class.client_deadline);
             classes.push(class.clone());
         }
-        let place = old.settings.clone();
-        let settings = Settings {
-            classes,
-            routers: place.routers,
-            ordinal: place.ordinal,
-            zone: place.zone,
-            routers_by_zone: place.routers_by_zone,
-            hub_by_zone: place.hub_by_zone,
-            link_kb_per_s: place.link_kb_per_s,
-            parent_kind: place.parent_kind,
-            origin_kind: place.origin_kind,
-            ..new.clone()
+        let place = &old.settings.topology;
+        let topology = Topology {
+            transfer_kb_per_s: new.topology.transfer_kb_per_s,
+            weights_state_links: new.topology.weights_state_links,
+            ..place.clone()
         };
+        let settings = Settings { classes, topology, ..new.clone() };
         let moved = Settings { classes: new.classes.clone(), ..settings.clone() } != new;
         let moved = moved || names.kinds != told.kinds || names.zones != told.zones;
-        Ok((Parsed { settings, names }, moved))
+        Ok((SiteSettings { settings, names }, moved))
     }
 }
 
@@ -217,7 +214,7 @@
 /// # Errors
 ///
 /// What is wrong, in one line.
-pub fn parse(text: &[u8]) -> Result<Parsed, String> {
+pub fn parse(text: &[u8]) -> Result<SiteSettings, String> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let wire: Wire = serde_path_to_error::deserialize(&mut json).map_err(|e| format!("settings: {e}"))?;
     json.end().map_err(|e| format!("settings: {e}"))?;
@@ -226,32 +223,36 @@
     for (i, grade) in wire.grades.iter().enumerate() {
         let lacking = |name: &str| format!("settings: domain.{name} has no entry for class {i}");
         classes.push(Class {
-            target: micros(grade.target),
-            stretch: grade.aim_stretch,
-            deadline: micros(grade.deadline),
-            worth: grade.points,
-            effect: word(
+            latency_objective: micros(grade.target),
+            objective_stretch: grade.aim_stretch,
+            client_deadline: micros(grade.deadline),
+            priority_weight: grade.points,
+            idempotency: word(
                 "effect",
                 &grade.effect,
-                &[("pure", Effect::Safe), ("token", Effect::Keyed), ("side_effect", Effect::Unsafe)],
+                &[
+                    ("pure", Idempotency::Always),
+                    ("token", Idempotency::WithKey),
+                    ("side_effect", Idempotency::Never),
+                ],
             )?,
-            scope: word(
+            dedup_scope: word(
                 "dedup_scope",
                 &grade.dedup_scope,
                 &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)],
             )?,
-            window: micros(grade.window),
-            fresh: micros(*domain.fresh_for.get(i).ok_or_else(|| lacking("fresh_for"))?),
-            grace: micros(*domain.class_grace.get(i).ok_or_else(|| lacking("class_grace"))?),
-            never_kept: *domain.goes_through.get(i).ok_or_else(|| lacking("goes_through"))?,
+            dedup_window: micros(grade.window),
+            fresh_for: micros(*domain.fresh_for.get(i).ok_or_else(|| lacking("fresh_for"))?),
+            stale_for: micros(*domain.class_grace.get(i).ok_or_else(|| lacking("class_grace"))?),
+            uncached: *domain.goes_through.get(i).ok_or_else(|| lacking("goes_through"))?,
             retired: false,
         });
     }
-    let names = Names {
+    let names = SiteNames {
         classes: wire.grades.iter().map(|grade| grade.name.clone()).collect(),
         retired: vec![false; classes.len()],
-        writes: classes.iter().map(|class| class.effect != Effect::Safe).collect(),
-        deadlines: classes.iter().map(|class| class.deadline).collect(),
+        writes: classes.iter().map(|class| class.idempotency != Idempotency::Always).collect(),
+        deadlines: classes.iter().map(|class| class.client_deadline).collect(),
         kinds: wire.skus.clone(),
         zones: wire.failure_domains.clone(),
         report: wire.report.names.clone(),
@@ -261,54 +262,66 @@
         most_held: limits.most_held,
         flow_bytes_per_s: 0.0,
     };
-    let settings = Settings {
+    let topology = Topology {
         routers: wire.balancers,
         ordinal: wire.ordinal,
         zone: ZoneId(wire.my_zone),
         routers_by_zone: domain.count_by_zone.clone(),
         hub_by_zone: domain.hub_by_zone.iter().copied().map(ZoneId).collect(),
-        link_kb_per_s: domain.pipe_kb_per_s.clone(),
-        pace_kb_per_s: domain.pace_kb_per_s,
-        weighed: wire.weights != "silent",
-        classes,
+        zone_link_kb_per_s: domain.pipe_kb_per_s.clone(),
+        transfer_kb_per_s: domain.pace_kb_per_s,
+        weights_state_links: wire.weights != "silent",
         parent_kind: u16::try_from(domain.second_tier_kind).ok(),
         origin_kind: domain.root_kind,
-        direct: domain.straight,
-        joins: domain.collapses,
-        siblings: word(
+    };
+    let limits = SiteLimits {
+        max_attempts: limits.max_attempts,
+        parallel_attempts: limits.parallel_tries,
+        cancellation: limits.cancel,
+        health_checks: limits.may_probe,
+        peer_messages: limits.peer_messages,
+        retry_after: limits.retry_after,
+        max_retry_after: micros(limits.max_retry_after),
+        direct_to_source: domain.straight,
+        join_fills: domain.collapses,
+        sibling_sources: word(
             "lateral",
             &domain.lateral,
-            &[("silent", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)],
+            &[
+                ("silent", SiblingSources::None),
+                ("location", SiblingSources::SameLocation),
+                ("any", SiblingSources::Any),
+            ],
         )?,
-        notes: word(
+        cache_status_detail: word(
             "tells",
             &domain.tells,
-            &[("all", Notes::All), ("hit", Notes::Hit), ("silent", Notes::None)],
+            &[
+                ("all", CacheStatusDetail::Full),
+                ("hit", CacheStatusDetail::Served),
+                ("silent", CacheStatusDetail::None),
+            ],
         )?,
-        ask_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
-        limits: Limits {
-            max_attempts: limits.max_attempts,
-            parallel: limits.parallel_tries,
-            cancel: limits.cancel,
-            probes: limits.may_probe,
-            peers: limits.peer_messages,
-            retry_after: limits.retry_after,
-            max_retry_after: micros(limits.max_retry_after),
+        polls_discovery: word("discovery", &wire.discovery, &[("automatic", false), ("subscribe", true)])?,
+    };
+    let protection = ProtectionRules {
+        cache_slow_start: SlowStartRules {
+            initial_share: rules.cold_share,
+            full_after: micros(rules.warm_after),
+            overload_multiple: rules.fall_multiple,
         },
-        rules: Rules {
-            cold_share: rules.cold_share,
-            warm_after: micros(rules.warm_after),
-            fall_multiple: rules.fall_multiple,
-            fall_span: micros(rules.overload_for),
-            parent_cold_share: domain.parent_floor,
-            parent_warm_after: micros(domain.parent_cold),
-            parent_fall_multiple: domain.upper_fall_multiple,
-            purge_grace: micros(domain.purge_grace),
-            purge_settles: micros(domain.purge_settles),
-            ask_within: micros(rules.ask_within),
+        parent_slow_start: SlowStartRules {
+            initial_share: domain.parent_floor,
+            full_after: micros(domain.parent_cold),
+            overload_multiple: domain.upper_fall_multiple,
         },
+        overload_window: micros(rules.overload_for),
+        purge_grace: micros(domain.purge_grace),
+        purge_settled_after: micros(domain.purge_settles),
+        max_list_age: micros(rules.ask_within),
     };
-    Ok(Parsed { settings, names })
+    let settings = Settings { topology, classes, limits, protection };
+    Ok(SiteSettings { settings, names })
 }
 
 /// Milliseconds of the wire as microseconds.
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -1,11 +1,11 @@
 //! Hot objects: which ones the operator names, and where a router sends their requests.
 
 use crate::config::located::{unknown, Place};
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
-    Action, AttemptResult, Class, ClassId, Event, Get, GroupId, Micros, Note, ObjectId, Outcome, Request,
-    RequestId, ServerId, Settings,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Micros,
+    ObjectId, Request, RequestId, ServerId, Settings,
 };
 use crate::Router;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 /// The hot objects that the operator's file names, sorted.
 pub(super) fn hot_objects(
     settings: &Settings,
-    names: &Names,
+    names: &SiteNames,
     control: &ControlSettings,
 ) -> Result<Vec<HotObject>, HotError> {
     let mut hot = Vec::new();
@@ -70,14 +70,14 @@
     Ok(hot)
 }
 
-fn hot_class(settings: &Settings, names: &Names, named: &HotClass) -> Result<ClassId, HotError> {
+fn hot_class(settings: &Settings, names: &SiteNames, named: &HotClass) -> Result<ClassId, HotError> {
     let at = named.class.at;
     let name = &named.class.value;
     let Some(class) = names.class(name) else {
         let text = unknown("class", name, names.classes.iter().map(String::as_str));
         return Err(HotError::UnknownClass { at, text });
     };
-    if settings.classes[usize::from(class.0)].never_kept {
+    if settings.classes[usize::from(class.0)].uncached {
         return Err(HotError::NeverCached { at, class: name.clone() });
     }
     Ok(class)
@@ -91,13 +91,13 @@
     classes: &[Class],
     next_request: &mut u64,
 ) -> Option<Placement> {
-    let patience = classes[usize::from(hot.class.0)].deadline;
+    let patience = classes[usize::from(hot.class.0)].client_deadline;
     let mut placement = Placement::default();
     for query in 0..QUERIES {
         let request = request(RequestId(*next_request), hot, patience);
         *next_request += 1;
         let Some(get) = answer(router, now, request) else { continue };
-        placement.rank = placement.rank.max(get.rank);
+        placement.rank = placement.rank.max(get.cache_rank);
         if query >= SETTLED_AFTER {
             let source = Some(get.source).filter(|source| *source != get.server);
             placement.caches.insert(get.server, source);
@@ -115,34 +115,34 @@
         object: hot.object,
         part: 0,
         group: GroupId(0),
-        patience,
+        client_timeout: patience,
         size_kb: 0.0,
-        repeat: false,
-        write: false,
+        is_retry: false,
+        is_write: false,
     }
 }
 
 /// Passes a request to a router, and that it was answered; returns what the router decided.
-fn answer(router: &mut Router, now: Micros, request: Request) -> Option<Get> {
+fn answer(router: &mut Router, now: Micros, request: Request) -> Option<FillAttempt> {
     let id = request.id;
     let mut actions = Vec::new();
     router.handle(now, Event::Request(request), &mut actions);
     let get = actions.into_iter().find_map(|action| match action {
-        Action::Get(get) => Some(get),
+        Action::SendWithFill(get) => Some(get),
         _ => None,
     })?;
-    let outcome = Outcome {
-        sending: 0,
+    let outcome = AttemptOutcome {
+        transfer_time: 0,
         request: id,
         attempt: 0,
         server: get.server,
         result: AttemptResult::Ok,
-        note: Some(Note::Hit),
+        cache_status: Some(CacheStatus::Hit),
         elapsed: QUERY_TIME,
-        waited: 0,
+        fill_wait: 0,
         finished: true,
-        load: Vec::new(),
+        load_report: Vec::new(),
     };
-    router.handle(now, Event::Outcome(outcome), &mut Vec::new());
+    router.handle(now, Event::AttemptEnded(outcome), &mut Vec::new());
     Some(get)
 }
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -7,7 +7,7 @@
 use crate::control::resource::{Content, PerType, Resource, ResourceType};
 use crate::control::snapshot::{PointSnapshot, ResourceSet};
 use crate::control::version::Sequence;
-use crate::interface::{Class, Event, Micros, Purge, ServerId, Settings, ZoneId};
+use crate::interface::{Class, Event, Micros, Purge, ServerId, Settings, Topology, ZoneId};
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,7 +34,8 @@
         seed: u64,
         now: Micros,
     ) -> Result<Self, SettingsError> {
-        let router = Router::new(Settings { zone, ..settings.clone() }, seed, now)?;
+        let topology = Topology { zone, ..settings.topology.clone() };
+        let router = Router::new(Settings { topology, ..settings.clone() }, seed, now)?;
         Ok(Point {
             zone,
             router,
@@ -46,13 +47,13 @@
 
     /// Passes a change of the endpoint list to the router.
     pub(super) fn apply_members(&mut self, now: Micros, change: &ListChange) {
-        let event = Event::Members { kind: change.kind, entries: change.entries.clone() };
+        let event = Event::EndpointList { update: change.kind, endpoints: change.entries.clone() };
         self.router.handle(now, event, &mut Vec::new());
     }
 
     /// Passes a purge to the router; `age` is how long ago it was made, us.
     pub(super) fn apply_purge(&mut self, now: Micros, purge: Purge, age: Micros) {
-        self.router.handle(now, Event::Purged { what: purge, age }, &mut Vec::new());
+        self.router.handle(now, Event::Purged { purge, age }, &mut Vec::new());
     }
 
     /// Asks the router again where it sends the hot objects' requests.
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -1,17 +1,17 @@
 //! The servers of the endpoint list, as the control feed states them.
 
 use crate::config::events::{self, Health};
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::control::clock::Moment;
-use crate::interface::{ListKind, Member, Micros, ServerId, ServerState};
-use crate::members::Members;
+use crate::interface::{Endpoint, ListUpdate, Micros, ServerId, ServerState};
+use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// A server of the list.
 pub(super) struct Server {
     /// Its entry for the decision module, with its start on the monotonic clock.
-    pub(super) member: Member,
+    pub(super) member: Endpoint,
     /// Its name.
     pub(super) name: String,
     /// Its address, if the list states one.
@@ -33,9 +33,9 @@
 
 /// A change of the list.
 pub(super) struct ListChange {
-    pub(super) kind: ListKind,
+    pub(super) kind: ListUpdate,
     /// The stated entries, for the decision module.
-    pub(super) entries: Vec<Member>,
+    pub(super) entries: Vec<Endpoint>,
     /// Whether a server that was ready no longer is.
     pub(super) lost_ready: bool,
 }
@@ -43,16 +43,21 @@
 /// All servers of the list.
 #[derive(Default)]
 pub(super) struct ServerRegistry {
-    members: Members,
+    members: ServerNames,
     servers: BTreeMap<ServerId, Server>,
 }
 
 impl ServerRegistry {
     /// Applies a change of the list, complete or of some entries.
-    pub(super) fn apply(&mut self, moment: Moment, change: &events::Members, names: &Names) -> ListChange {
+    pub(super) fn apply(
+        &mut self,
+        moment: Moment,
+        change: &events::ListChange,
+        names: &SiteNames,
+    ) -> ListChange {
         let ready_before = self.ready();
         let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
-        let entries: Vec<Member> = stated.iter().map(|server| server.member).collect();
+        let entries: Vec<Endpoint> = stated.iter().map(|server| server.member).collect();
         if change.whole {
             self.servers.clear();
         }
@@ -64,19 +69,19 @@
                 self.servers.insert(id, server);
             }
         }
-        for entry in entries.iter().filter(|entry| entry.state == ServerState::Gone) {
+        for entry in entries.iter().filter(|entry| entry.state == ServerState::Removed) {
             self.members.forget(entry.server);
         }
         let lost_ready = !ready_before.is_subset(&self.ready());
-        let kind = if change.whole { ListKind::Full } else { ListKind::Delta };
+        let kind = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
         ListChange { kind, entries, lost_ready }
     }
 
     /// A server as an entry of the list states it.
-    fn stated(&mut self, moment: Moment, host: &events::Host, names: &Names) -> Server {
-        let mut member = self.members.member(host, names);
-        let born_unix = member.up_since;
-        member.up_since = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
+    fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &SiteNames) -> Server {
+        let mut member = self.members.endpoint(host, names);
+        let born_unix = member.started_at;
+        member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
         Server { member, name: host.host.clone(), addr: host.dial, born_unix }
     }
 
@@ -84,7 +89,7 @@
     /// since the decision module takes another start for a restart.
     fn start_of(&self, moment: Moment, server: ServerId, born_unix: Micros) -> Micros {
         let known = self.servers.get(&server).filter(|known| known.born_unix == Some(born_unix));
-        let known_start = known.and_then(|known| known.member.up_since);
+        let known_start = known.and_then(|known| known.member.started_at);
         known_start.unwrap_or_else(|| moment.monotonic_of(born_unix))
     }
 
@@ -95,7 +100,7 @@
 
     /// Whether any server has started after a monotonic time, us.
     pub(super) fn any_started_after(&self, time: Micros) -> bool {
-        let mut starts = self.servers.values().filter_map(|server| server.member.up_since);
+        let mut starts = self.servers.values().filter_map(|server| server.member.started_at);
         starts.any(|start| start > time)
     }
 
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,68 +1,69 @@
 //! What the decision module is told, and the actions with which it answers.
 
 use super::attempts::NewAttempt;
-use super::{Command, Core, Due, Final};
+use super::{Command, Core, CoreDeadline, FinalAnswer};
 use crate::deadlines::Schedule;
 use crate::interface::{
-    Action, AttemptResult, Event, ListKind, Member, Micros, Purge, RequestId, ServerId, ServerState, Why,
+    Action, AttemptResult, Endpoint, Event, ListUpdate, Micros, Purge, RejectionReason, RequestId, ServerId,
+    ServerState,
 };
 use crate::slots::Key;
 
 impl Core {
     /// A probe was answered.
-    pub fn probed(
+    pub fn health_checked(
         &mut self,
         now: Micros,
         server: ServerId,
         result: AttemptResult,
         elapsed: Micros,
-        load: Vec<f32>,
-        due: &mut dyn Schedule<Due>,
+        load_report: Vec<f32>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        self.events.push_back(Event::Probed { server, result, elapsed, load });
-        self.run(now, due);
+        self.events.push_back(Event::HealthChecked { server, result, elapsed, load_report });
+        self.run_router(now, due);
     }
 
     /// News of the list of servers.
-    pub fn members(
+    pub fn update_endpoints(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<Member>,
-        due: &mut dyn Schedule<Due>,
+        kind: ListUpdate,
+        entries: Vec<Endpoint>,
+        due: &mut dyn Schedule<CoreDeadline>,
     ) {
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
-            self.states.clear();
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
+            self.server_states.clear();
         }
-        self.states.extend(entries.iter().map(|member| (member.server, member.state)));
-        self.states.retain(|_, state| *state != ServerState::Gone); // unknown is as good as gone
-        self.events.push_back(Event::Members { kind, entries });
-        self.run(now, due);
+        self.server_states.extend(entries.iter().map(|member| (member.server, member.state)));
+        self.server_states.retain(|_, state| *state != ServerState::Removed); // unknown is as good as gone
+        self.events.push_back(Event::EndpointList { update: kind, endpoints: entries });
+        self.run_router(now, due);
     }
 
     /// A purge, and the time at which it was made.
-    pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<Due>) {
-        let kept = 2 * self.settings.rules.purge_settles;
-        self.purged.retain(|_, at| *at + kept > now);
-        let newest = self.purged.entry(what).or_insert(at);
+    pub fn purge(&mut self, now: Micros, what: Purge, at: Micros, due: &mut dyn Schedule<CoreDeadline>) {
+        let kept = 2 * self.settings.protection.purge_settled_after;
+        self.purge_times.retain(|_, at| *at + kept > now);
+        let newest = self.purge_times.entry(what).or_insert(at);
         *newest = at.max(*newest);
-        self.events.push_back(Event::Purged { what, age: now - at });
-        self.run(now, due);
+        self.events.push_back(Event::Purged { purge: what, age: now - at });
+        self.run_router(now, due);
     }
 
     /// A deadline of the core has fallen.
-    pub fn due(&mut self, now: Micros, what: Due, due: &mut dyn Schedule<Due>) {
+    pub fn deadline_passed(&mut self, now: Micros, what: CoreDeadline, due: &mut dyn Schedule<CoreDeadline>) {
         match what {
-            Due::Timer(token) => self.events.push_back(Event::Timer(token)),
-            Due::Attempt(key) => self.time_out(now, key, due),
-            Due::Patience(key) => self.on_patience(now, key, due),
-            Due::Expiry(key) => self.on_expiry(now, key, due),
+            CoreDeadline::RouterTimer(token) => self.events.push_back(Event::Timer(token)),
+            CoreDeadline::AttemptTimeout(key) => self.time_out_attempt(now, key, due),
+            CoreDeadline::ClientTimeout(key) => self.on_client_timeout(now, key, due),
+            CoreDeadline::AuthorizationExpiry(key) => self.on_authorization_expiry(now, key, due),
         }
-        self.run(now, due);
+        self.run_router(now, due);
     }
 
     /// Feeds the module what has happened until it wants nothing more.
-    pub(super) fn run(&mut self, now: Micros, due: &mut dyn Schedule<Due>) {
+    pub(super) fn run_router(&mut self, now: Micros, due: &mut dyn Schedule<CoreDeadline>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, event, &mut actions);
@@ -73,35 +74,39 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<Due>) {
+    pub(super) fn carry_out(&mut self, now: Micros, action: Action, due: &mut dyn Schedule<CoreDeadline>) {
         match action {
-            Action::Send { request, server, timeout } => {
-                self.begin_attempt(now, NewAttempt { request, server, timeout, get: None }, due);
+            Action::SendCacheOnly { request, server, timeout } => {
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: None }, due);
             }
-            Action::Get(get) => {
+            Action::SendWithFill(get) => {
                 let (request, server, timeout) = (get.request, get.server, get.timeout);
-                self.begin_attempt(now, NewAttempt { request, server, timeout, get: Some(get) }, due);
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: Some(get) }, due);
+            }
+            Action::Reject { request, retry_after, reason: why } => {
+                self.reject(now, request, retry_after, why)
             }
-            Action::Refuse { request, retry_after, why } => self.reject(now, request, retry_after, why),
             Action::Fail(request) => {
-                let late = self.is_late(now, request);
-                self.answer(Key::from_number(request.0), Final::Failed { late });
+                let late = self.is_timed_out(now, request);
+                self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
             }
             Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, due),
             Action::Timer { token, after } => {
-                due.add(now + after.max(0), Due::Timer(token));
+                due.add(now + after.max(0), CoreDeadline::RouterTimer(token));
+            }
+            Action::HealthCheck(server) => self.commands.push_back(Command::HealthCheck(server)),
+            Action::CloseIdleConnections(server) => {
+                self.commands.push_back(Command::CloseIdleConnections(server))
             }
-            Action::Probe(server) => self.commands.push_back(Command::Probe(server)),
-            Action::CloseIdle(server) => self.commands.push_back(Command::CloseIdle(server)),
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
             // No platform of ours has messages between proxies or a list that must be asked for.
-            Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
+            Action::SendToPeer { .. } | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
         }
     }
 
-    fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: Why) {
-        let late = self.is_late(now, request);
-        let answer = Final::Refused { pause: retry_after.max(0), late, why };
-        self.answer(Key::from_number(request.0), answer);
+    fn reject(&mut self, now: Micros, request: RequestId, retry_after: Micros, why: RejectionReason) {
+        let late = self.is_timed_out(now, request);
+        let answer = FinalAnswer::Rejected { retry_after: retry_after.max(0), timed_out: late, reason: why };
+        self.choose_answer(Key::from_number(request.0), answer);
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -2,7 +2,11 @@
 
 use super::*;
 use crate::deadlines::Deadlines;
-use crate::interface::*;
+use crate::interface::{
+    Action, AttemptResult, CacheStatusDetail, Class, ClassId, DedupScope, Endpoint, GroupId, Idempotency,
+    ListUpdate, Micros, ObjectId, ProtectionRules, Purge, RejectionReason, RequestId, ServerId, ServerState,
+    Settings, SiblingSources, SiteLimits, SlowStartRules, Topology, ZoneId,
+};
 use bytes::Bytes;
 
 const MS: Micros = 1000;
@@ -12,87 +16,96 @@
 
 struct Bench {
     core: Core,
-    due: Deadlines<Due>,
+    due: Deadlines<CoreDeadline>,
 }
 
-fn class(effect: Effect) -> Class {
-    let never_kept = effect == Effect::Unsafe;
+fn class(effect: Idempotency) -> Class {
+    let never_kept = effect == Idempotency::Never;
     Class {
-        target: 500 * MS,
-        stretch: 2.0,
-        deadline: 3 * SECOND,
-        worth: 1.0,
-        effect,
-        scope: DedupScope::All,
-        window: SECOND,
-        fresh: 0,
-        grace: 0,
-        never_kept,
+        latency_objective: 500 * MS,
+        objective_stretch: 2.0,
+        client_deadline: 3 * SECOND,
+        priority_weight: 1.0,
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: SECOND,
+        fresh_for: 0,
+        stale_for: 0,
+        uncached: never_kept,
         retired: false,
     }
 }
 
-fn member(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Member {
-    Member { server, up_since: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
+fn member(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Endpoint {
+    Endpoint { server, started_at: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
+}
+
+fn settings() -> Settings {
+    let topology = Topology {
+        routers: 1,
+        ordinal: 0,
+        zone: ZoneId(0),
+        routers_by_zone: vec![1, 0],
+        hub_by_zone: vec![ZoneId(1); 2],
+        zone_link_kb_per_s: vec![0.0; 2],
+        transfer_kb_per_s: 1000.0,
+        weights_state_links: true,
+        parent_kind: Some(1),
+        origin_kind: 2,
+    };
+    let limits = SiteLimits {
+        max_attempts: 6,
+        parallel_attempts: true,
+        cancellation: true,
+        health_checks: true,
+        peer_messages: false,
+        retry_after: true,
+        max_retry_after: 2 * SECOND,
+        direct_to_source: false,
+        join_fills: false,
+        sibling_sources: SiblingSources::SameLocation,
+        cache_status_detail: CacheStatusDetail::Full,
+        polls_discovery: false,
+    };
+    let protection = ProtectionRules {
+        cache_slow_start: SlowStartRules {
+            initial_share: 0.2,
+            full_after: 10 * SECOND,
+            overload_multiple: 4.0,
+        },
+        parent_slow_start: SlowStartRules {
+            initial_share: 0.1,
+            full_after: 10 * SECOND,
+            overload_multiple: 2.0,
+        },
+        overload_window: SECOND,
+        purge_grace: 500 * MS,
+        purge_settled_after: 6 * SECOND,
+        max_list_age: 0,
+    };
+    let classes = vec![class(Idempotency::Always), class(Idempotency::Never), class(Idempotency::WithKey)];
+    Settings { topology, classes, limits, protection }
 }
 
 impl Bench {
     fn new() -> Self {
-        let settings = Settings {
-            routers: 1,
-            ordinal: 0,
-            zone: ZoneId(0),
-            routers_by_zone: vec![1, 0],
-            hub_by_zone: vec![ZoneId(1); 2],
-            link_kb_per_s: vec![0.0; 2],
-            pace_kb_per_s: 1000.0,
-            weighed: true,
-            classes: vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Keyed)],
-            parent_kind: Some(1),
-            origin_kind: 2,
-            direct: false,
-            joins: false,
-            siblings: Siblings::Location,
-            notes: Notes::All,
-            ask_discovery: false,
-            limits: Limits {
-                max_attempts: 6,
-                parallel: true,
-                cancel: true,
-                probes: true,
-                peers: false,
-                retry_after: true,
-                max_retry_after: 2 * SECOND,
-            },
-            rules: Rules {
-                cold_share: 0.2,
-                warm_after: 10 * SECOND,
-                fall_multiple: 4.0,
-                fall_span: SECOND,
-                parent_cold_share: 0.1,
-                parent_warm_after: 10 * SECOND,
-                parent_fall_multiple: 2.0,
-                purge_grace: 500 * MS,
-                purge_settles: 6 * SECOND,
-                ask_within: 0,
-            },
-        };
+        let settings = settings();
         let mut bench =
             Bench { core: Core::new(settings, 1, 0).expect("settings"), due: Deadlines::default() };
         let mut list = vec![member(PARENT, 1, 1, ServerState::Ready)];
         list.extend(CACHES.map(|cache| member(cache, 0, 0, ServerState::Ready)));
-        bench.core.members(0, ListKind::Full, list, &mut bench.due);
+        bench.core.update_endpoints(0, ListUpdate::Full, list, &mut bench.due);
         bench
     }
 
     fn ask(&mut self, now: Micros, class: u16, expires: Option<Micros>) -> RequestKey {
-        let ask = Ask {
+        let ask = ClientRequest {
             class: ClassId(class),
             object: ObjectId(7),
             part: 0,
             group: GroupId(3),
-            patience: 3 * SECOND,
-            expires,
+            timeout: 3 * SECOND,
+            authorized_until: expires,
         };
         self.core.submit(now, ask, &mut self.due)
     }
@@ -101,7 +114,7 @@
     fn pass(&mut self, until: Micros) {
         while let Some(at) = self.due.next().filter(|at| *at <= until) {
             while let Some(what) = self.due.pop(at) {
-                self.core.due(at, what, &mut self.due);
+                self.core.deadline_passed(at, what, &mut self.due);
             }
         }
     }
@@ -109,14 +122,14 @@
     /// The commands, in short words, and the attempts that are to be sent.
     fn commands(&mut self) -> (Vec<&'static str>, Vec<AttemptKey>) {
         let (mut words, mut attempts) = (Vec::new(), Vec::new());
-        while let Some(command) = self.core.command() {
+        while let Some(command) = self.core.next_command() {
             words.push(match command {
-                Command::Send { attempt, .. } => {
+                Command::SendAttempt { attempt, .. } => {
                     attempts.push(attempt);
                     "send"
                 }
-                Command::Drop(_) => "drop",
-                Command::Answer(_) => "answer",
+                Command::AbandonAttempt(_) => "drop",
+                Command::AnswerRequest(_) => "answer",
                 Command::Log(_) => continue,
                 _ => "other",
             });
@@ -129,24 +142,29 @@
         let request = self.ask(0, class, expires);
         let (words, attempts) = self.commands();
         assert_eq!(words, ["send"]);
-        assert!(self.core.launch(0, attempts[0], &mut self.due).is_some());
+        assert!(self.core.write_attempt(0, attempts[0], &mut self.due).is_some());
         (request, attempts[0])
     }
 
     fn end(&mut self, now: Micros, attempt: AttemptKey, result: AttemptResult) {
-        let copy = Copy { bytes: Bytes::from_static(b"bytes"), ..Copy::default() };
-        self.core.ended(now, attempt, End { copy, ..End::bare(result) }, &mut self.due);
+        let copy = CachedCopy { body: Bytes::from_static(b"bytes"), ..CachedCopy::default() };
+        self.core.attempt_ended(
+            now,
+            attempt,
+            AttemptEnd { copy, ..AttemptEnd::without_details(result) },
+            &mut self.due,
+        );
     }
 
     /// Begins a second attempt beside the first.
     fn hedge(&mut self, now: Micros, request: RequestKey) {
         let request = RequestId(request.number());
-        let hedge = Action::Send { request, server: CACHES[1], timeout: 0 };
+        let hedge = Action::SendCacheOnly { request, server: CACHES[1], timeout: 0 };
         self.core.carry_out(now, hedge, &mut self.due);
-        self.core.run(now, &mut self.due);
+        self.core.run_router(now, &mut self.due);
     }
 
-    fn take(&mut self, now: Micros, request: RequestKey) -> Option<Final> {
+    fn take(&mut self, now: Micros, request: RequestKey) -> Option<FinalAnswer> {
         let answer = self.core.answer_now(now, request);
         self.core.answer_begun(now, request, &mut self.due);
         answer
@@ -160,7 +178,9 @@
     bench.end(90 * MS, attempt, AttemptResult::Ok);
     bench.end(91 * MS, attempt, AttemptResult::Ok);
     assert_eq!(bench.commands().0, ["answer"]);
-    assert!(matches!(bench.take(92 * MS, request), Some(Final::Served(copy)) if &copy.bytes[..] == b"bytes"));
+    assert!(
+        matches!(bench.take(92 * MS, request), Some(FinalAnswer::Served(copy)) if &copy.body[..] == b"bytes")
+    );
     assert_eq!(bench.take(93 * MS, request), None);
     bench.pass(10 * SECOND);
     assert_eq!(bench.commands().0, Vec::<&str>::new(), "its deadlines are gone with it");
@@ -169,13 +189,17 @@
 #[test]
 fn what_the_module_gives_up_on_is_answered_at_once() {
     let mut bench = Bench::new();
-    let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Gone)).to_vec();
-    bench.core.members(0, ListKind::Delta, removed, &mut bench.due);
+    let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
+    bench.core.update_endpoints(0, ListUpdate::Delta, removed, &mut bench.due);
     let request = bench.ask(0, 0, None);
     assert_eq!(bench.commands().0, ["answer"]);
     assert_eq!(
         bench.take(0, request),
-        Some(Final::Refused { pause: 250 * MS, late: false, why: Why::NoServer })
+        Some(FinalAnswer::Rejected {
+            retry_after: 250 * MS,
+            timed_out: false,
+            reason: RejectionReason::NoServer
+        })
     );
 }
 
@@ -183,15 +207,31 @@
 fn when_patience_ends_each_request_has_its_answer() {
     // A write that never left surely did not run and is refused; one that may have run has failed.
     for (class, leaves, wanted) in [
-        (0, true, Final::Refused { pause: 250 * MS, late: true, why: Why::Late }),
-        (1, true, Final::Failed { late: true }),
-        (1, false, Final::Refused { pause: 250 * MS, late: true, why: Why::Late }),
+        (
+            0,
+            true,
+            FinalAnswer::Rejected {
+                retry_after: 250 * MS,
+                timed_out: true,
+                reason: RejectionReason::DeadlineExceeded,
+            },
+        ),
+        (1, true, FinalAnswer::Failed { late: true }),
+        (
+            1,
+            false,
+            FinalAnswer::Rejected {
+                retry_after: 250 * MS,
+                timed_out: true,
+                reason: RejectionReason::DeadlineExceeded,
+            },
+        ),
     ] {
         let mut bench = Bench::new();
         let request = bench.ask(0, class, None);
         let (_, attempts) = bench.commands();
         if leaves {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
         }
         bench.pass(3 * SECOND);
         let (words, _) = bench.commands();
@@ -208,7 +248,7 @@
         (AttemptResult::Reset, false),
         (AttemptResult::Error, false),
         (AttemptResult::ConnectFailed, true),
-        (AttemptResult::Full, true),
+        (AttemptResult::Rejected, true),
         (AttemptResult::Miss, true),
     ] {
         let mut bench = Bench::new();
@@ -217,7 +257,7 @@
         let (words, _) = bench.commands();
         assert_eq!(words, [if again { "send" } else { "answer" }], "{result:?}");
         if !again {
-            assert_eq!(bench.take(9 * MS, request), Some(Final::Failed { late: false }));
+            assert_eq!(bench.take(9 * MS, request), Some(FinalAnswer::Failed { late: false }));
         }
     }
 }
@@ -252,7 +292,7 @@
     assert_eq!(bench.commands().0, ["answer", "drop"]);
     bench.end(41 * MS, attempt, AttemptResult::Ok);
     assert_eq!(bench.commands().0, Vec::<&str>::new());
-    assert_eq!(bench.take(41 * MS, request), Some(Final::Denied));
+    assert_eq!(bench.take(41 * MS, request), Some(FinalAnswer::Denied));
 }
 
 #[test]
@@ -261,12 +301,12 @@
         let mut bench = Bench::new();
         let (request, attempt) = bench.launched(0, Some(40 * MS));
         bench.end(39 * MS, attempt, AttemptResult::Ok);
-        assert_eq!(bench.core.held(), 5);
+        assert_eq!(bench.core.held_bytes(), 5);
         if falls {
             bench.pass(40 * MS);
         } // else the answer is asked for before the deadline is looked at
-        assert_eq!(bench.take(40 * MS, request), Some(Final::Denied));
-        assert_eq!(bench.core.held(), 0, "its bytes are let go");
+        assert_eq!(bench.take(40 * MS, request), Some(FinalAnswer::Denied));
+        assert_eq!(bench.core.held_bytes(), 0, "its bytes are let go");
     }
 }
 
@@ -278,14 +318,14 @@
         let (_, attempts) = bench.commands();
         let zone = if drained == PARENT { (1, 1) } else { (0, 0) };
         let entry = member(drained, zone.0, zone.1, ServerState::Draining);
-        bench.core.members(MS, ListKind::Delta, vec![entry], &mut bench.due);
-        let order = bench.core.launch(2 * MS, attempts[0], &mut bench.due);
+        bench.core.update_endpoints(MS, ListUpdate::Delta, vec![entry], &mut bench.due);
+        let order = bench.core.write_attempt(2 * MS, attempts[0], &mut bench.due);
         let (words, next) = bench.commands();
         match order {
-            Some(order) => assert_ne!(order.source, Some(drained)),
+            Some(order) => assert_ne!(order.fill_source, Some(drained)),
             None => {
                 assert_eq!(words, ["send"], "it is placed anew");
-                assert!(bench.core.launch(2 * MS, next[0], &mut bench.due).is_some());
+                assert!(bench.core.write_attempt(2 * MS, next[0], &mut bench.due).is_some());
             }
         }
     }
@@ -302,7 +342,7 @@
         bench.ask(0, 0, None);
         let (_, attempts) = bench.commands();
         bench.core.purge(2 * MS, what, -MS, &mut bench.due);
-        let order = bench.core.launch(5 * MS, attempts[0], &mut bench.due).expect("an order");
+        let order = bench.core.write_attempt(5 * MS, attempts[0], &mut bench.due).expect("an order");
         assert_eq!(order.max_age, limit, "{what:?}");
     }
 }
@@ -313,11 +353,14 @@
     let mut bench = Bench::new();
     let (read, _) = bench.launched(0, None);
     let write = bench.ask(0, 1, None);
-    bench.core.expire(100 * MS, &mut bench.due);
+    bench.core.time_out_all(100 * MS, &mut bench.due);
     let (words, _) = bench.commands();
     assert_eq!(words.iter().filter(|word| **word == "answer").count(), 2, "{words:?}");
     for request in [read, write] {
-        assert!(matches!(bench.take(100 * MS, request), Some(Final::Failed { .. } | Final::Refused { .. })));
+        assert!(matches!(
+            bench.take(100 * MS, request),
+            Some(FinalAnswer::Failed { .. } | FinalAnswer::Rejected { .. })
+        ));
     }
     assert_eq!(bench.core.unanswered(), 0);
 }
@@ -331,12 +374,12 @@
         bench.end(100 * MS, first, AttemptResult::Reset);
         let (words, repeats) = bench.commands();
         assert_eq!(words, ["send"], "it is repeated");
-        let order = bench.core.launch(dialled, repeats[0], &mut bench.due);
+        let order = bench.core.write_attempt(dialled, repeats[0], &mut bench.due);
         assert_eq!(order.is_some(), written, "its connection comes up after {dialled} us");
         if !written {
             assert_eq!(bench.commands().0, ["answer"]);
             assert!(
-                matches!(bench.take(dialled, request), Some(Final::Refused { .. })),
+                matches!(bench.take(dialled, request), Some(FinalAnswer::Rejected { .. })),
                 "all share what they know"
             );
         }
@@ -348,9 +391,9 @@
 fn what_never_ran_opens_no_window() {
     let mut bench = Bench::new();
     let (_, first) = bench.launched(2, None);
-    bench.end(100 * MS, first, AttemptResult::Full);
+    bench.end(100 * MS, first, AttemptResult::Rejected);
     let (_, repeats) = bench.commands();
-    assert!(bench.core.launch(2 * SECOND, repeats[0], &mut bench.due).is_some());
+    assert!(bench.core.write_attempt(2 * SECOND, repeats[0], &mut bench.due).is_some());
 }
 
 /// A write whose connection does not come up is tried elsewhere once it is called off: it never ran.
@@ -361,11 +404,11 @@
         let request = bench.ask(0, 1, None);
         let (_, attempts) = bench.commands();
         if leaves {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
         }
         let cancel = Action::Cancel { request: RequestId(request.number()), attempt: 0 };
         bench.core.carry_out(200 * MS, cancel, &mut bench.due);
-        bench.core.run(200 * MS, &mut bench.due);
+        bench.core.run_router(200 * MS, &mut bench.due);
         let (words, _) = bench.commands();
         assert_eq!(words, ["drop", if leaves { "answer" } else { "send" }], "leaves {leaves}");
     }
@@ -385,7 +428,7 @@
         let (_, next) = bench.commands();
         assert_eq!(next.len(), 1, "hedged {hedged}");
         bench.core.cancel(10 * MS, request, &mut bench.due);
-        assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_none());
+        assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_none());
         bench.pass(10 * SECOND);
         assert!(!bench.commands().0.contains(&"send"), "nor is anything tried for it later");
     }
@@ -399,13 +442,14 @@
         bench.ask(0, 0, None);
         let (_, mut attempts) = bench.commands();
         if retried {
-            bench.core.launch(0, attempts[0], &mut bench.due);
+            bench.core.write_attempt(0, attempts[0], &mut bench.due);
             bench.end(9 * MS, attempts[0], AttemptResult::Error);
             attempts = bench.commands().1;
         }
-        let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").until;
-        let order = bench.core.launch(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
-        assert_eq!(order.limit, 7 * MS, "retried {retried}");
+        let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").deadline;
+        let order =
+            bench.core.write_attempt(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
+        assert_eq!(order.timeout, 7 * MS, "retried {retried}");
         assert!(deadline <= 3 * SECOND);
     }
 }
@@ -419,8 +463,8 @@
     let (_, next) = bench.commands();
     bench.end(10 * MS, first, AttemptResult::Ok);
     assert!(bench.commands().0.contains(&"answer"), "at once");
-    assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_none(), "nothing more is written");
-    assert!(matches!(bench.take(12 * MS, request), Some(Final::Served(_))));
+    assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_none(), "nothing more is written");
+    assert!(matches!(bench.take(12 * MS, request), Some(FinalAnswer::Served(_))));
 
     let mut bench = Bench::new();
     let (request, first) = bench.launched(0, None);
@@ -428,9 +472,9 @@
     let (_, next) = bench.commands();
     bench.end(10 * MS, first, AttemptResult::Error);
     assert!(!bench.core.is_answered(request));
-    assert!(bench.core.launch(11 * MS, next[0], &mut bench.due).is_some(), "the other one goes on");
+    assert!(bench.core.write_attempt(11 * MS, next[0], &mut bench.due).is_some(), "the other one goes on");
     bench.end(20 * MS, next[0], AttemptResult::Ok);
-    assert!(matches!(bench.take(21 * MS, request), Some(Final::Served(_))));
+    assert!(matches!(bench.take(21 * MS, request), Some(FinalAnswer::Served(_))));
 }
 
 /// A connection may take no byte of what is worded for it: a write has not run then, and may be worded anew.
@@ -439,16 +483,18 @@
     for written in [false, true] {
         let mut bench = Bench::new();
         let (request, attempt) = bench.launched(1, None);
-        bench.core.not_launched(attempt);
+        bench.core.attempt_not_written(attempt);
         if written {
-            let order = bench.core.launch(500 * MS, attempt, &mut bench.due);
-            assert_eq!(order.map(|order| order.limit), Some(2500 * MS));
+            let order = bench.core.write_attempt(500 * MS, attempt, &mut bench.due);
+            assert_eq!(order.map(|order| order.timeout), Some(2500 * MS));
         }
         bench.pass(3 * SECOND);
         let answer = bench.take(3 * SECOND, request);
         match written {
-            true => assert_eq!(answer, Some(Final::Failed { late: true })),
-            false => assert!(matches!(answer, Some(Final::Refused { late: true, .. })), "{answer:?}"),
+            true => assert_eq!(answer, Some(FinalAnswer::Failed { late: true })),
+            false => {
+                assert!(matches!(answer, Some(FinalAnswer::Rejected { timed_out: true, .. })), "{answer:?}")
+            }
         }
     }
 }
@@ -462,9 +508,12 @@
         let other = bench.ask(n, 0, None);
         bench.core.cancel(n, other, &mut bench.due);
     }
-    let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Gone)).to_vec();
-    bench.core.members(MS, ListKind::Delta, gone, &mut bench.due);
+    let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
+    bench.core.update_endpoints(MS, ListUpdate::Delta, gone, &mut bench.due);
     bench.end(2 * MS, attempt, AttemptResult::Reset);
     assert!(bench.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
-    assert!(matches!(bench.take(2 * MS, request), Some(Final::Refused { .. } | Final::Failed { .. })));
+    assert!(matches!(
+        bench.take(2 * MS, request),
+        Some(FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. })
+    ));
 }
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -6,7 +6,7 @@
 use super::site::Site;
 use super::world::{Next, World};
 use crate::interface::{
-    Class, ClassId, Event, GroupId, ListKind, Member, Micros, ObjectId, Request, RequestId, ServerId,
+    Class, ClassId, Endpoint, Event, GroupId, ListUpdate, Micros, ObjectId, Request, RequestId, ServerId,
     ServerState, ZoneId,
 };
 use crate::{Router, SettingsError};
@@ -40,13 +40,13 @@
 }
 
 /// The list as it stands once a scenario's change was told.
-pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Member> {
+pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
-    let mut change = |server: &ServerId, change: &dyn Fn(&mut Member)| {
+    let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
         servers.entry(*server).and_modify(change);
     };
     for server in &scenario.cold {
-        change(server, &|member| member.up_since = Some(site.now));
+        change(server, &|member| member.started_at = Some(site.now));
     }
     for (server, weight) in &scenario.reweighted {
         change(server, &|member| member.weight = *weight);
@@ -55,7 +55,7 @@
         change(server, &|member| member.state = ServerState::Draining);
     }
     for server in &scenario.removed {
-        change(server, &|member| member.state = ServerState::Gone);
+        change(server, &|member| member.state = ServerState::Removed);
     }
     servers
 }
@@ -90,7 +90,7 @@
 /// Settings with which no router can start.
 pub fn explore(site: &Site, scenario: &Scenario, asked: Asked<'_>) -> Result<Trace, SettingsError> {
     let mut settings = site.settings.clone();
-    settings.zone = asked.point;
+    settings.topology.zone = asked.point;
     let class = settings.classes[usize::from(asked.class.0)].clone();
     let plan = Plan::new(site, asked);
     let mut router = Router::new(settings, asked.seed, plan.start)?;
@@ -113,10 +113,10 @@
 /// Applies a scenario's change to the world; returns what the router hears of it.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
     let servers = changed(site, scenario).into_values();
-    let is_new = |member: &Member| site.servers.get(&member.server) != Some(member);
+    let is_new = |member: &Endpoint| site.servers.get(&member.server) != Some(member);
     let entries = servers.filter(is_new).collect();
     world.change(scenario);
-    Event::Members { kind: ListKind::Delta, entries }
+    Event::EndpointList { update: ListUpdate::Delta, endpoints: entries }
 }
 
 /// When what is asked, in one exploration.
@@ -155,7 +155,10 @@
         let objects: Vec<ObjectId> = before.into_iter().chain(self.phase()).collect();
         let mut world = World::new(site, objects.clone(), judged_from);
         let entries = site.servers.values().copied().collect();
-        world.plan(self.start, Next::Event(Event::Members { kind: ListKind::Full, entries }));
+        world.plan(
+            self.start,
+            Next::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
+        );
         world.plan(self.change, Next::Change);
         for (number, object) in objects.into_iter().enumerate() {
             let (since, nth) = match number.checked_sub(judged_from) {
@@ -177,10 +180,10 @@
             object,
             part: 0,
             group: GroupId(0),
-            patience: class.deadline,
+            client_timeout: class.client_deadline,
             size_kb: 0.0,
-            repeat: false,
-            write: class.never_kept,
+            is_retry: false,
+            is_write: class.uncached,
         }
     }
 }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -1,11 +1,11 @@
 //! A site as its configuration and the control feed's known events describe it, and selectors of its servers.
 
-use crate::config::events::{Batch, Health, Host};
+use crate::config::events::{FeedBatch, FeedServer, Health};
 use crate::config::located::unknown;
-use crate::config::settings::Names;
+use crate::config::settings::SiteNames;
 use crate::config::Config;
-use crate::interface::{ClassId, Member, Micros, ServerId, ServerState, Settings, ZoneId};
-use crate::members::Members;
+use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
+use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     /// The kinds of machine, by number.
     pub kinds: Vec<String>,
     /// The servers by number; those that were removed are not there.
-    pub servers: BTreeMap<ServerId, Member>,
+    pub servers: BTreeMap<ServerId, Endpoint>,
     /// Their names.
     pub names: BTreeMap<ServerId, String>,
     /// What was odd in the list: a zone or kind that the settings do not name, an address that comes twice.
@@ -91,15 +91,15 @@
             oddities: Vec::new(),
             now: 0,
         };
-        let zones = site.settings.routers_by_zone.len().max(site.zones.len());
+        let zones = site.settings.topology.routers_by_zone.len().max(site.zones.len());
         site.zones.extend((site.zones.len()..zones).map(|zone| zone.to_string()));
         site.apply(&config.known, &parsed.names);
         site
     }
 
     /// Applies the events that the configuration knows.
-    fn apply(&mut self, batch: &Batch, names: &Names) {
-        let mut members = Members::default();
+    fn apply(&mut self, batch: &FeedBatch, names: &SiteNames) {
+        let mut members = ServerNames::default();
         let mut addresses = Addresses::new();
         for change in batch.events.iter().filter_map(|event| event.members.as_ref()) {
             if change.whole {
@@ -107,7 +107,7 @@
                 addresses.clear();
             }
             for host in &change.hosts {
-                let member = members.member(host, names);
+                let member = members.endpoint(host, names);
                 self.names.insert(member.server, host.host.clone());
                 if host.health == Health::Removed {
                     self.servers.remove(&member.server);
@@ -120,16 +120,16 @@
         self.now += SETTLED;
     }
 
-    fn add(&mut self, host: &Host, member: Member, names: &Names, addresses: &mut Addresses) {
+    fn add(&mut self, host: &FeedServer, member: Endpoint, names: &SiteNames, addresses: &mut Addresses) {
         self.servers.insert(member.server, member);
-        self.now = self.now.max(member.up_since.unwrap_or(0));
+        self.now = self.now.max(member.started_at.unwrap_or(0));
         self.check_address(host, member.server, addresses);
         self.check_name("zone", host, &host.site, member.zone.0, &names.zones);
         self.check_name("kind", host, &host.class, member.kind, &names.kinds);
     }
 
     /// Notes an address that another server has too.
-    fn check_address(&mut self, host: &Host, server: ServerId, addresses: &mut Addresses) {
+    fn check_address(&mut self, host: &FeedServer, server: ServerId, addresses: &mut Addresses) {
         let Some(address) = host.dial else { return };
         let other = addresses.insert(address, server).filter(|other| *other != server);
         if let Some(other) = other {
@@ -139,7 +139,7 @@
     }
 
     /// Notes a name that the settings lack; `number` is its place in their list.
-    fn check_name(&mut self, what: &str, host: &Host, name: &str, number: u16, known: &[String]) {
+    fn check_name(&mut self, what: &str, host: &FeedServer, name: &str, number: u16, known: &[String]) {
         if usize::from(number) >= known.len() {
             let text = unknown(what, name, known.iter().map(String::as_str));
             self.oddities.push(format!("{}: {text}", host.host));
@@ -176,34 +176,34 @@
     }
 
     /// Whether a server is a parent, which stands at a hub.
-    pub fn is_parent(&self, member: &Member) -> bool {
-        Some(member.kind) == self.settings.parent_kind
+    pub fn is_parent(&self, member: &Endpoint) -> bool {
+        Some(member.kind) == self.settings.topology.parent_kind
     }
 
     /// Whether a server is the origin.
-    pub fn is_origin(&self, member: &Member) -> bool {
-        member.kind == self.settings.origin_kind
+    pub fn is_origin(&self, member: &Endpoint) -> bool {
+        member.kind == self.settings.topology.origin_kind
     }
 
     /// Whether a server is a table cache.
-    pub fn is_cache(&self, member: &Member) -> bool {
+    pub fn is_cache(&self, member: &Endpoint) -> bool {
         !self.is_parent(member) && !self.is_origin(member)
     }
 
     /// The points: zones that have edge proxies.
     pub fn points(&self) -> Vec<ZoneId> {
-        let zones = self.settings.routers_by_zone.iter().enumerate();
+        let zones = self.settings.topology.routers_by_zone.iter().enumerate();
         zones.filter(|(_, routers)| **routers > 0).map(|(zone, _)| ZoneId(zone as u16)).collect()
     }
 
     /// The hub of a point.
     pub fn hub(&self, point: ZoneId) -> Option<ZoneId> {
-        self.settings.hub_by_zone.get(usize::from(point.0)).copied()
+        self.settings.topology.hub_by_zone.get(usize::from(point.0)).copied()
     }
 
     /// The ready table caches of a point among these servers.
-    pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Member>, point: ZoneId) -> BTreeSet<ServerId> {
-        let fits = |member: &&Member| {
+    pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Endpoint>, point: ZoneId) -> BTreeSet<ServerId> {
+        let fits = |member: &&Endpoint| {
             self.is_cache(member) && member.zone == point && member.state == ServerState::Ready
         };
         servers.values().filter(fits).map(|member| member.server).collect()
@@ -251,7 +251,7 @@
             }
             Some(_) => Selector::Server(self.server(text)?),
         };
-        let point = self.settings.zone;
+        let point = self.settings.topology.zone;
         if self.servers.values().any(|member| self.selects(&selector, member, point)) {
             return Ok(selector);
         }
@@ -269,7 +269,7 @@
     }
 
     /// Whether a selector names a server, for a request at a point.
-    pub fn selects(&self, selector: &Selector, member: &Member, point: ZoneId) -> bool {
+    pub fn selects(&self, selector: &Selector, member: &Endpoint, point: ZoneId) -> bool {
         match selector {
             Selector::Origin => self.is_origin(member),
             Selector::Hub => self.is_parent(member),
@@ -287,7 +287,8 @@
 
     /// The servers that any of the selectors names.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
-        let named = |member: &&Member| selectors.iter().any(|selector| self.selects(selector, member, point));
+        let named =
+            |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
         self.servers.values().filter(named).map(|member| member.server).collect()
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,10 +24,11 @@
 pub mod front;
 pub mod interface;
 pub mod lab;
-pub mod members;
+
 pub mod net;
 pub mod policy;
 pub mod server;
+pub mod server_names;
 pub mod sim;
 pub mod slots;
 pub mod spread;
@@ -36,9 +37,10 @@
 mod validate;
 
 pub use interface::{
-    Action, AttemptResult, Class, ClassId, DedupScope, Effect, Event, Get, GroupId, Limits, ListKind, Member,
-    Micros, Note, Notes, ObjectId, Outcome, Purge, Request, RequestId, Rules, ServerId, ServerState,
-    Settings, Siblings, Why, ZoneId,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Class, ClassId, DedupScope,
+    Endpoint, Event, FillAttempt, GroupId, Idempotency, Instant, ListUpdate, Micros, ObjectId,
+    ProtectionRules, Purge, RejectionReason, Request, RequestId, ServerId, ServerState, Settings,
+    SiblingSources, SiteLimits, SlowStartRules, Span, Topology, ZoneId,
 };
 pub use policy::Router;
 pub use validate::SettingsError;
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `net` on a simulated network whose system calls fail.
 
-use super::fabric::{host, Reach, Signal};
+use super::fabric::{host, ActorEvent, HostBehaviour};
 use super::*;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
     SocketAddr::from(([127, 0, 2, 1], 40_000 + number))
 }
 
-fn pass(fabric: &Fabric, to: i64) -> Vec<Signal> {
+fn pass(fabric: &Fabric, to: i64) -> Vec<ActorEvent> {
     fabric.advance(to);
     fabric.happen();
     fabric.signals()
 }
 
 /// A connection from the process to host 1, which is up.
-fn connected(fabric: &Fabric, net: &mut Net) -> ConnKey {
-    fabric.set_reach(host(1), Reach::Up);
+fn connected(fabric: &Fabric, net: &mut Net) -> ConnectionKey {
+    fabric.set_reach(host(1), HostBehaviour::Up);
     let key = net.connect(0, host(1), Role::Upstream).expect("begun");
     pass(fabric, fabric.now() + 2000);
     assert_eq!(net.connected(key), Ok(true));
@@ -85,8 +85,8 @@
     assert_eq!(net.write(key, [Bytes::from_static(b"ping")]), Ok(()));
     fabric.send(2, b"pong");
     let told = pass(&fabric, 4000);
-    assert!(matches!(&told[..], [Signal::Bytes { bytes, .. }] if bytes == b"ping"), "{told:?}");
-    assert_eq!(net.read(key, 100), Ok(Got { more: false, end: false, bytes: 4 }));
+    assert!(matches!(&told[..], [ActorEvent::Bytes { bytes, .. }] if bytes == b"ping"), "{told:?}");
+    assert_eq!(net.read(key, 100), Ok(ReadProgress { more: false, end: false, bytes: 4 }));
 }
 
 /// A client's last bytes are dropped before its connection is closed, or it would be reset.
@@ -105,7 +105,7 @@
         fabric.send(link, b"nor this");
         pass(&fabric, 2000);
         net.close(2000, key, Reason::Done);
-        assert_eq!(pass(&fabric, 3000), [Signal::Closed { link }]);
+        assert_eq!(pass(&fabric, 3000), [ActorEvent::Closed { link }]);
     }
 }
 
@@ -118,11 +118,11 @@
     assert_eq!(net.write(key, [text.clone(), text.clone()]), Ok(()));
     fabric.send(1, &text);
     let told = pass(&fabric, 3000).into_iter().flat_map(|signal| match signal {
-        Signal::Bytes { bytes, .. } => bytes,
+        ActorEvent::Bytes { bytes, .. } => bytes,
         _ => Vec::new(),
     });
     assert_eq!(told.collect::<Vec<u8>>(), [text.clone(), text.clone()].concat());
-    assert_eq!(net.read(key, 100), Ok(Got { more: false, end: false, bytes: 10 }));
+    assert_eq!(net.read(key, 100), Ok(ReadProgress { more: false, end: false, bytes: 10 }));
     assert_eq!(net.input(key, |input| input.split().freeze()), Some(text));
 }
 
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,25 +1,27 @@
 //! The endpoint list: its changes, and what each server is used for.
 
 use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_AGAIN};
-use crate::interface::*;
+use crate::interface::{Action, Endpoint, ListUpdate, Micros, ServerId, ServerState};
 
 impl Router {
     /// Takes in news of the endpoint list.
     pub(super) fn on_members(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<Member>,
+        kind: ListUpdate,
+        entries: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
         match kind {
-            ListKind::Cached if self.settings.ask_discovery => out.push(Action::Watch(true)),
-            ListKind::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
+            ListUpdate::Cached if self.settings.limits.polls_discovery => {
+                out.push(Action::WatchEndpoints(true))
+            }
+            ListUpdate::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
             _ => {}
         }
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
+        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
             for server in self.servers.values_mut() {
-                server.member.state = ServerState::Gone;
+                server.member.state = ServerState::Removed;
             }
         }
         for member in entries {
@@ -30,9 +32,9 @@
     }
 
     /// Takes in one entry of the list.
-    fn update_member(&mut self, now: Micros, member: Member) {
+    fn update_member(&mut self, now: Micros, member: Endpoint) {
         let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
-        if server.member.up_since != member.up_since {
+        if server.member.started_at != member.started_at {
             server.on_restart();
         }
         server.member = member;
@@ -40,8 +42,9 @@
 
     /// Brings the lists of ready servers by their use up to date.
     fn update_tiers(&mut self) {
-        let is_own = |s: &Server| self.is_cache(s.member.server) && s.member.zone == self.settings.zone;
-        let is_origin = |s: &Server| s.member.kind == self.settings.origin_kind;
+        let is_own =
+            |s: &Server| self.is_cache(s.member.server) && s.member.zone == self.settings.topology.zone;
+        let is_origin = |s: &Server| s.member.kind == self.settings.topology.origin_kind;
         let caches = self.ready_servers(is_own);
         let parents = self.ready_servers(|server| self.is_parent(server));
         let origin = self.ready_servers(is_origin).first().copied();
@@ -58,7 +61,8 @@
 
     /// The caches of the list, and how many of them get nothing now, or probes only.
     pub fn targets(&self) -> (usize, usize) {
-        let is_listed = |s: &&Server| s.member.state != ServerState::Gone && self.is_cache(s.member.server);
+        let is_listed =
+            |s: &&Server| s.member.state != ServerState::Removed && self.is_cache(s.member.server);
         let caches: Vec<&Server> = self.servers.values().filter(is_listed).collect();
         let is_out = |s: &&&Server| s.ejected || s.member.state != ServerState::Ready;
         (caches.len(), caches.iter().filter(is_out).count())
@@ -66,12 +70,14 @@
 
     /// Whether a server is a parent.
     pub(super) fn is_parent(&self, server: &Server) -> bool {
-        Some(server.member.kind) == self.settings.parent_kind
+        Some(server.member.kind) == self.settings.topology.parent_kind
     }
 
     /// Whether a server is a cache: no parent, and not the origin.
     pub fn is_cache(&self, server: ServerId) -> bool {
         let kind = self.servers.get(&server).map(|server| server.member.kind);
-        kind.is_some() && kind != self.settings.parent_kind && kind != Some(self.settings.origin_kind)
+        kind.is_some()
+            && kind != self.settings.topology.parent_kind
+            && kind != Some(self.settings.topology.origin_kind)
     }
 }
--- a/src/members.rs
+++ b/src/server_names.rs
@@ -1,8 +1,8 @@
 //! The servers by name: the control feed's words on one side, the decision module's numbers on the other.
 
-use crate::config::events::{Health, Host};
-use crate::config::settings::Names;
-use crate::interface::{Member, Micros, ServerId, ServerState, ZoneId};
+use crate::config::events::{FeedServer, Health};
+use crate::config::settings::SiteNames;
+use crate::interface::{Endpoint, Micros, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
@@ -10,12 +10,12 @@
 
 /// The servers that the list has named so far.
 #[derive(Default)]
-pub struct Members {
+pub struct ServerNames {
     ids: BTreeMap<String, ServerId>,
     names: BTreeMap<ServerId, String>,
 }
 
-impl Members {
+impl ServerNames {
     /// The name of a server.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.names.get(&server).map(String::as_str)
@@ -46,13 +46,13 @@
     }
 
     /// An entry of the list in the module's words.
-    pub fn member(&mut self, host: &Host, names: &Names) -> Member {
+    pub fn endpoint(&mut self, host: &FeedServer, names: &SiteNames) -> Endpoint {
         let place = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
         };
-        Member {
+        Endpoint {
             server: self.id(&host.host),
-            up_since: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Micros),
+            started_at: (host.born_ms > 0.0).then_some((host.born_ms * 1000.0) as Micros),
             weight: host.share,
             kind: place(&names.kinds, &host.class),
             cell: host.block,
@@ -60,7 +60,7 @@
             state: match host.health {
                 Health::Up => ServerState::Ready,
                 Health::Draining => ServerState::Draining,
-                Health::Removed => ServerState::Gone,
+                Health::Removed => ServerState::Removed,
             },
         }
     }
--- a/tests/logic/golden.rs
+++ b/tests/policy/golden.rs
@@ -15,7 +15,7 @@
 
 /// An attempt that the stand-in fleet has not answered yet.
 struct Pending {
-    get: Get,
+    get: FillAttempt,
     attempt: u8,
     sent: Micros,
     ends: Micros,
@@ -68,14 +68,14 @@
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
-            self.digest.update(format!("{} {action:?}\n", self.now));
+            self.digest.update(format!("{} {}\n", self.now, recorded(&action)));
             self.take(action);
         }
     }
 
     fn take(&mut self, action: Action) {
         let kind = match action {
-            Action::Get(get) => {
+            Action::SendWithFill(get) => {
                 let number = self.attempts.entry(get.request).or_default();
                 let attempt = *number;
                 *number += 1;
@@ -102,14 +102,13 @@
                 self.due_ticks.push((self.now + after, token));
                 "timer"
             }
-            Action::Refuse { why, .. } => {
-                let (_, name) = Why::ALL.into_iter().find(|(each, _)| *each == why).expect("a name");
-                *self.counts.entry(name).or_default() += 1;
+            Action::Reject { reason, .. } => {
+                *self.counts.entry(reason.metric_name()).or_default() += 1;
                 "refuse"
             }
             Action::Fail(_) => "fail",
             Action::Log(_) => "log",
-            Action::Watch(_) => "watch",
+            Action::WatchEndpoints(_) => "watch",
             _ => "other",
         };
         *self.counts.entry(kind).or_default() += 1;
@@ -124,7 +123,15 @@
         let write = self.draw(20) == 0;
         let patience = (200 + self.draw(5000) as Micros) * MS;
         let group = GroupId((skewed % 7) as u32);
-        let made = Request { class, size_kb, part, write, patience, group, ..request(id, skewed) };
+        let made = Request {
+            class,
+            size_kb,
+            part,
+            is_write: write,
+            client_timeout: patience,
+            group,
+            ..request(id, skewed)
+        };
         self.event(Event::Request(made));
     }
 
@@ -137,31 +144,37 @@
                 true => (AttemptResult::Cancelled, None),
                 false => self.ending(&get, scenario),
             };
-            let notes = scenario.settings.notes;
+            let notes = scenario.settings.limits.cache_status_detail;
             let told = match (notes, note) {
-                (Notes::All, note) => note,
-                (Notes::Hit, Some(Note::Hit | Note::Filled | Note::Joined | Note::Old)) => note,
+                (CacheStatusDetail::Full, note) => note,
+                (
+                    CacheStatusDetail::Served,
+                    Some(
+                        CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale,
+                    ),
+                ) => note,
                 _ => None,
             };
             let elapsed = self.now - sent;
-            let waited = if notes == Notes::All { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
+            let waited =
+                if notes == CacheStatusDetail::Full { elapsed / (2 + self.draw(4) as Micros) } else { 0 };
             let sending = if self.draw(2) == 0 { elapsed / 3 } else { 0 };
-            self.event(Event::Outcome(Outcome {
+            self.event(Event::AttemptEnded(AttemptOutcome {
                 request: get.request,
                 attempt,
                 server: get.server,
                 result,
-                note: told,
+                cache_status: told,
                 elapsed,
-                waited,
-                sending,
+                fill_wait: waited,
+                transfer_time: sending,
                 finished: result == AttemptResult::Ok,
-                load: vec![],
+                load_report: vec![],
             }));
         }
     }
 
-    fn ending(&mut self, get: &Get, scenario: &Scenario) -> (AttemptResult, Option<Note>) {
+    fn ending(&mut self, get: &FillAttempt, scenario: &Scenario) -> (AttemptResult, Option<CacheStatus>) {
         // One cache and one parent are worse than the others for some seconds of every forty.
         let bad_time = self.now / (10 * SECOND) % 4 == 1;
         let bad_server = [get.server, get.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
@@ -172,25 +185,25 @@
         if self.draw(1000) < failures {
             return match self.draw(10) {
                 0 | 1 => (AttemptResult::Error, None),
-                2 => (AttemptResult::Error, Some(Note::SourceLost)),
-                3 => (AttemptResult::Error, Some(Note::OriginFailed)),
-                4 => (AttemptResult::Full, Some(Note::SourceRefused)),
-                5 => (AttemptResult::Full, Some(Note::NoPlace)),
+                2 => (AttemptResult::Error, Some(CacheStatus::SourceUnreachable)),
+                3 => (AttemptResult::Error, Some(CacheStatus::OriginFailed)),
+                4 => (AttemptResult::Rejected, Some(CacheStatus::SourceRejected)),
+                5 => (AttemptResult::Rejected, Some(CacheStatus::NoFillSlot)),
                 6 => (AttemptResult::Timeout, None),
                 7 => (AttemptResult::Reset, None),
                 8 => (AttemptResult::ConnectFailed, None),
-                _ => (AttemptResult::Miss, Some(Note::SourceLacks)),
+                _ => (AttemptResult::Miss, Some(CacheStatus::SourceMiss)),
             };
         }
-        if get.only_held && self.draw(2) == 0 {
+        if get.only_if_cached && self.draw(2) == 0 {
             return (AttemptResult::Miss, None);
         }
         let note = match self.draw(8) {
-            0..=3 => Note::Hit,
-            4 => Note::Filled,
-            5 => Note::FilledByOrigin,
-            6 => Note::Joined,
-            _ => Note::Old,
+            0..=3 => CacheStatus::Hit,
+            4 => CacheStatus::Filled,
+            5 => CacheStatus::FilledByOrigin,
+            6 => CacheStatus::Collapsed,
+            _ => CacheStatus::Stale,
         };
         (AttemptResult::Ok, Some(note))
     }
@@ -201,12 +214,12 @@
         let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining][self.draw(3) as usize];
         let up_since = (self.draw(2) == 0).then_some(self.now);
         let weight = 20.0 + self.draw(100) as f64;
-        let entry = Member { up_since, state, weight, ..member(id, kind, zone) };
+        let entry = Endpoint { started_at: up_since, state, weight, ..member(id, kind, zone) };
         match self.draw(4) {
-            0 => self.event(Event::Members { kind: ListKind::Full, entries: fleet() }),
-            1 => self.event(Event::Members { kind: ListKind::Failed, entries: vec![] }),
-            2 => self.event(Event::Members { kind: ListKind::Cached, entries: fleet() }),
-            _ => self.event(Event::Members { kind: ListKind::Delta, entries: vec![entry] }),
+            0 => self.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() }),
+            1 => self.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] }),
+            2 => self.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: fleet() }),
+            _ => self.event(Event::EndpointList { update: ListUpdate::Delta, endpoints: vec![entry] }),
         }
     }
 
@@ -227,11 +240,59 @@
     }
 }
 
+/// An action as the digests have it: its text does not follow the names in the code, so that renaming keeps the digests.
+fn recorded(action: &Action) -> String {
+    match action {
+        Action::SendCacheOnly { request, server, timeout } => {
+            format!("Send {{ request: {request:?}, server: {server:?}, timeout: {timeout} }}")
+        }
+        Action::SendWithFill(attempt) => recorded_fill(attempt),
+        Action::Reject { request, retry_after, reason } => {
+            let why = recorded_reason(*reason);
+            format!("Refuse {{ request: {request:?}, retry_after: {retry_after}, why: {why} }}")
+        }
+        Action::Fail(request) => format!("Fail({request:?})"),
+        Action::Cancel { request, attempt } => {
+            format!("Cancel {{ request: {request:?}, attempt: {attempt} }}")
+        }
+        Action::Timer { token, after } => format!("Timer {{ token: {token}, after: {after} }}"),
+        Action::HealthCheck(server) => format!("Probe({server:?})"),
+        Action::CloseIdleConnections(server) => format!("CloseIdle({server:?})"),
+        Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to:?}, bytes: {bytes:?} }}"),
+        Action::Log(line) => format!("Log({line:?})"),
+        Action::WatchEndpoints(on) => format!("Watch({on})"),
+        Action::PollEndpoints => "Fetch".into(),
+    }
+}
+
+fn recorded_fill(attempt: &FillAttempt) -> String {
+    let FillAttempt { request, server, timeout, source, cache_rank, max_age, .. } = attempt;
+    let FillAttempt { join_fill, only_if_cached, bypass_parent_cache, stale_while_revalidate, .. } = attempt;
+    format!(
+        "Get(Get {{ request: {request:?}, server: {server:?}, timeout: {timeout}, source: {source:?}, \
+         rank: {cache_rank}, max_age: {max_age}, join: {join_fill}, only_held: {only_if_cached}, \
+         no_parent_copy: {bypass_parent_cache}, renew: {stale_while_revalidate} }})"
+    )
+}
+
+fn recorded_reason(reason: RejectionReason) -> &'static str {
+    match reason {
+        RejectionReason::NoServer => "NoServer",
+        RejectionReason::Overloaded => "Crowd",
+        RejectionReason::SlowStart => "Cold",
+        RejectionReason::FetchLimit => "Fetches",
+        RejectionReason::RetryBudget => "Retries",
+        RejectionReason::AttemptsExhausted => "Attempts",
+        RejectionReason::DeadlineExceeded => "Late",
+        RejectionReason::ProxyFull => "Full",
+    }
+}
+
 /// Plays one scenario; gives the counts of its actions and their digest.
 fn play(scenario: &Scenario, seed: u64) -> String {
     let classes = scenario.settings.classes.len() as u64;
     let mut stream = Stream::new(scenario.settings.clone(), seed);
-    stream.event(Event::Members { kind: ListKind::Full, entries: fleet() });
+    stream.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() });
     for step in 0..STEPS {
         stream.now += 1 + stream.draw(2 * scenario.pause as u64) as Micros;
         stream.tick();
@@ -241,17 +302,17 @@
             0 => stream.change_list(),
             1..=3 => {
                 let object = ObjectId(stream.draw(OBJECTS));
-                stream.event(Event::Purged { what: Purge::Object(object), age: 10 * MS });
+                stream.event(Event::Purged { purge: Purge::Object(object), age: 10 * MS });
             }
             4 => {
                 let group = GroupId(stream.draw(7) as u32);
-                stream.event(Event::Purged { what: Purge::Group(group), age: 0 });
+                stream.event(Event::Purged { purge: Purge::Group(group), age: 0 });
             }
-            5 => stream.event(Event::Gone(RequestId(step as u64 + 1))),
+            5 => stream.event(Event::RequestCancelled(RequestId(step as u64 + 1))),
             6 => {
                 if let Some(get) = stream.pending.last().map(|p| p.get.clone()) {
                     let (request, server) = (get.request, get.server);
-                    stream.event(Event::First { request, attempt: 0, server, elapsed: MS });
+                    stream.event(Event::FirstByte { request, attempt: 0, server, elapsed: MS });
                 }
             }
             _ => {}
@@ -271,7 +332,7 @@
 /// The settings after a reload: one class more, and other limits.
 fn reconfigured(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    let added = Class { target: 900 * MS, ..settings.classes[0].clone() };
+    let added = Class { latency_objective: 900 * MS, ..settings.classes[0].clone() };
     settings.classes.push(added);
     settings.classes[1].retired = true;
     settings.limits.max_attempts = 5;
@@ -282,23 +343,27 @@
 fn all_classes() -> Settings {
     let usual = settings();
     let class = usual.classes[0].clone();
-    let keyed = Class { effect: Effect::Keyed, never_kept: true, ..class.clone() };
+    let keyed = Class { idempotency: Idempotency::WithKey, uncached: true, ..class.clone() };
     let classes = vec![
         class.clone(),
-        Class { fresh: 2 * SECOND, grace: 3 * SECOND, target: 300 * MS, stretch: 1.0, ..class.clone() },
-        Class { never_kept: true, ..class.clone() },
-        Class { effect: Effect::Unsafe, never_kept: true, ..class.clone() },
-        Class { scope: DedupScope::All, ..keyed.clone() },
-        Class { scope: DedupScope::Zone, ..keyed.clone() },
-        Class { scope: DedupScope::Cell, window: 100 * MS, ..keyed },
+        Class {
+            fresh_for: 2 * SECOND,
+            stale_for: 3 * SECOND,
+            latency_objective: 300 * MS,
+            objective_stretch: 1.0,
+            ..class.clone()
+        },
+        Class { uncached: true, ..class.clone() },
+        Class { idempotency: Idempotency::Never, uncached: true, ..class.clone() },
+        Class { dedup_scope: DedupScope::All, ..keyed.clone() },
+        Class { dedup_scope: DedupScope::Zone, ..keyed.clone() },
+        Class { dedup_scope: DedupScope::Cell, dedup_window: 100 * MS, ..keyed },
     ];
     Settings { classes, ..usual }
 }
 
 fn scenarios() -> Vec<Scenario> {
     let usual = all_classes();
-    let parallel = Limits { parallel: true, ..usual.limits.clone() };
-    let no_cancel = Limits { cancel: false, retry_after: false, ..usual.limits.clone() };
     let scenario = |name, settings, failures, pause| Scenario {
         name,
         settings,
@@ -306,24 +371,36 @@
         hopeless_every: u64::MAX,
         pause,
     };
-    let many = Settings { routers: 20, ordinal: 4, routers_by_zone: vec![8, 0, 12], ..usual.clone() };
-    let mute = Settings { notes: Notes::None, weighed: false, ..usual.clone() };
-    let asked = Settings { ask_discovery: true, direct: true, limits: no_cancel, ..usual.clone() };
+    let mut many = usual.clone();
+    many.topology.routers = 20;
+    many.topology.ordinal = 4;
+    many.topology.routers_by_zone = vec![8, 0, 12];
+    let mut mute = usual.clone();
+    mute.limits.cache_status_detail = CacheStatusDetail::None;
+    mute.topology.weights_state_links = false;
+    let mut mute_parallel = mute.clone();
+    mute_parallel.limits.parallel_attempts = true;
+    let mut served_parallel = usual.clone();
+    served_parallel.limits.cache_status_detail = CacheStatusDetail::Served;
+    served_parallel.limits.parallel_attempts = true;
+    let mut asked = usual.clone();
+    asked.limits.polls_discovery = true;
+    asked.limits.direct_to_source = true;
+    asked.limits.cancellation = false;
+    asked.limits.retry_after = false;
+    let mut no_siblings = usual.clone();
+    no_siblings.limits.sibling_sources = SiblingSources::None;
+    no_siblings.limits.join_fills = false;
     vec![
         scenario("notes-all", usual.clone(), 60, 5 * MS),
         scenario("notes-all-busy", usual.clone(), 20, MS),
-        scenario(
-            "notes-hit-parallel",
-            Settings { notes: Notes::Hit, limits: parallel.clone(), ..usual.clone() },
-            80,
-            4 * MS,
-        ),
-        scenario("notes-none-unweighed", mute.clone(), 60, 3 * MS),
-        scenario("notes-none-parallel", Settings { limits: parallel, ..mute }, 150, 3 * MS),
+        scenario("notes-hit-parallel", served_parallel, 80, 4 * MS),
+        scenario("notes-none-unweighed", mute, 60, 3 * MS),
+        scenario("notes-none-parallel", mute_parallel, 150, 3 * MS),
         Scenario { hopeless_every: 40, ..scenario("errors-everywhere", usual.clone(), 5, 5 * MS) },
         scenario("many-routers", many, 60, 4 * MS),
         scenario("asked-direct-no-cancel", asked, 100, 5 * MS),
-        scenario("no-siblings", Settings { siblings: Siblings::None, joins: false, ..usual }, 300, 6 * MS),
+        scenario("no-siblings", no_siblings, 300, 6 * MS),
     ]
 }
 
