--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -34,8 +34,6 @@
 
 /// How often the weights of caches that are warming up are computed anew.
 const WARM_UP_STEP: Span = Span::from_secs(1);
-/// When what is never due is due.
-const NEVER: Instant = Instant::from_micros(i64::MAX);
 
 /// Why there is no model.
 #[derive(Debug, thiserror::Error)]
@@ -152,8 +150,8 @@
 
     /// When [`Self::tick`] is due next.
     pub fn due(&self) -> Instant {
-        let refresh_at = if self.hot.is_empty() { NEVER } else { self.refresh_at };
-        let warm_up_at = self.warm_up_at.unwrap_or(NEVER);
+        let refresh_at = if self.hot.is_empty() { Instant::MAX } else { self.refresh_at };
+        let warm_up_at = self.warm_up_at.unwrap_or(Instant::MAX);
         refresh_at.min(warm_up_at).min(self.purges.due())
     }
 
--- a/src/control/model/purges.rs
+++ b/src/control/model/purges.rs
@@ -1,6 +1,5 @@
 //! The purges that are announced to clients.
 
-use super::NEVER;
 use crate::control::clock::Moment;
 use crate::interface::{Instant, Purge, Span, UnixTime};
 use std::collections::BTreeMap;
@@ -38,7 +37,7 @@
     /// When the next purge expires.
     pub(super) fn due(&self) -> Instant {
         let times = self.purges.values().map(|purge| purge.expires_at);
-        times.min().unwrap_or(NEVER)
+        times.min().unwrap_or(Instant::MAX)
     }
 
     /// Removes what has expired; returns whether anything had.
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -80,7 +80,7 @@
     /// A server as an entry of the list states it.
     fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &SiteNames) -> Server {
         let mut member = self.members.endpoint(host, names);
-        let born_unix = born_unix(host);
+        let born_unix = host.started_at();
         member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
         Server { member, name: host.host.clone(), addr: host.dial, born_unix }
     }
@@ -119,8 +119,3 @@
         usable.map(|(id, server)| (*id, server))
     }
 }
-
-/// A server's start as an entry of the list states it; `None`: long ago.
-fn born_unix(host: &events::FeedServer) -> Option<UnixTime> {
-    (host.born_ms > 0.0).then_some(UnixTime::from_micros((host.born_ms * 1000.0) as i64))
-}
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -107,7 +107,10 @@
                 addresses.clear();
             }
             for host in &change.hosts {
-                let member = members.endpoint(host, names);
+                let mut member = members.endpoint(host, names);
+                // Expectations are explored on a clock that reads Unix time.
+                let started_at = host.started_at();
+                member.started_at = started_at.map(|unix| Instant::from_micros(unix.as_micros()));
                 self.names.insert(member.server, host.host.clone());
                 if host.health == Health::Removed {
                     self.servers.remove(&member.server);
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -121,6 +121,10 @@
 impl Instant {
     /// The clock's zero, to which nothing is tied: a start for clocks that are passed in.
     pub const ZERO: Instant = Instant(0);
+    /// The first instant: before all others.
+    pub const MIN: Instant = Instant(i64::MIN);
+    /// The last instant, which never comes.
+    pub const MAX: Instant = Instant(i64::MAX);
 
     /// The instant at which the clock reads so many microseconds.
     pub const fn from_micros(micros: i64) -> Self {
--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -6,9 +6,6 @@
 use crate::interface::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When a server may be used again that does not return.
-const NEVER: Instant = Instant::from_micros(i64::MAX);
-
 /// A rule that a client's log breaks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
@@ -61,7 +58,7 @@
     left_at: Instant,
     /// Until when clients may still have it.
     deadline: Instant,
-    /// When it may be used again; [`NEVER`]: it does not return.
+    /// When it may be used again; [`Instant::MAX`]: it does not return.
     returned_at: Instant,
 }
 
@@ -110,7 +107,7 @@
     let returns = events.iter().filter(|event| event.at > left_at);
     let returns = returns
         .filter(|event| matches!(&event.change, FeedChange::ServerReturned(returned) if returned == server));
-    returns.map(|event| event.at).min().unwrap_or(NEVER)
+    returns.map(|event| event.at).min().unwrap_or(Instant::MAX)
 }
 
 fn by_client(log: &[LogEntry]) -> Vec<ClientLog<'_>> {
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -4,7 +4,7 @@
 use super::instants::Reception;
 use super::Server;
 use crate::config::events::{FeedBatch, FeedEvent};
-use crate::interface::{ListUpdate, ObjectId, Purge, ServerId, ServerState, UnixTime};
+use crate::interface::{ListUpdate, ObjectId, Purge, ServerId, ServerState};
 use crate::GroupId;
 use tracing::{info, warn};
 
@@ -15,7 +15,7 @@
         let first = self.feed.polls()[1] == 0 || !self.listed;
         let heard = Reception { now: self.now, unix: self.net.unix_time(), first };
         let purges = batch.events.iter().filter_map(|event| event.purge.as_ref());
-        purges.for_each(|purge| self.instants.witness(self.now, unix_time(purge.at)));
+        purges.for_each(|purge| self.instants.witness(self.now, purge.made_at()));
         for FeedEvent { n, members, purge } in batch.events {
             if let Some(change) = members {
                 self.listed |= change.whole;
@@ -23,8 +23,8 @@
                 for host in &change.hosts {
                     let mut member = self.members.endpoint(host, &self.names);
                     let server = member.server;
-                    let told = (host.born_ms > 0.0).then_some(unix_time(host.born_ms));
-                    member.started_at = told.map(|told| self.instants.start(heard, server, told));
+                    let started_at = host.started_at();
+                    member.started_at = started_at.map(|unix| self.instants.start(heard, server, unix));
                     let id = server.0;
                     match host.dial.filter(|_| member.state != ServerState::Removed) {
                         Some(addr) => {
@@ -55,14 +55,9 @@
                         continue;
                     }
                 };
-                let at = self.instants.purge(heard, unix_time(purge.at));
+                let at = self.instants.purge(heard, purge.made_at());
                 self.core.purge(self.now, what, at, &mut self.due);
             }
         }
     }
 }
-
-/// The Unix time of a millisecond with a fraction.
-fn unix_time(ms: f64) -> UnixTime {
-    UnixTime::from_micros((ms * 1000.0) as i64)
-}
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -2,7 +2,7 @@
 
 use crate::config::events::{FeedServer, Health};
 use crate::config::settings::SiteNames;
-use crate::interface::{Endpoint, Instant, ServerId, ServerState, ZoneId};
+use crate::interface::{Endpoint, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
@@ -45,14 +45,15 @@
         }
     }
 
-    /// An entry of the list in the module's words.
+    /// An entry of the endpoint list for the decision module, without its start: the feed states that in Unix time
+    /// ([`FeedServer::started_at`]), which the caller converts.
     pub fn endpoint(&mut self, host: &FeedServer, names: &SiteNames) -> Endpoint {
         let place = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
         };
         Endpoint {
             server: self.id(&host.host),
-            started_at: (host.born_ms > 0.0).then_some(Instant::from_micros((host.born_ms * 1000.0) as i64)),
+            started_at: None,
             weight: host.share,
             kind: place(&names.kinds, &host.class),
             cell: host.block,
--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -5,9 +5,6 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Before the time of any row.
-const BEFORE_ALL: Instant = Instant::from_micros(i64::MIN);
-
 /// A row that is held back.
 struct HeldRow<T> {
     at: Instant,
@@ -69,8 +66,8 @@
             max_held: max_held.max(1),
             held: BinaryHeap::new(),
             count: 0,
-            newest: BEFORE_ALL,
-            reached: BEFORE_ALL,
+            newest: Instant::MIN,
+            reached: Instant::MIN,
             reordered: 0,
             moved: 0,
             max_moved: Span::ZERO,
