--- a/src/admission/exhaust.rs
+++ b/src/admission/exhaust.rs
@@ -2,12 +2,15 @@
 //! pause of accepts, one log line at each episode's start and end, and the count of connections taken with the spare
 //! descriptor and refused. No I/O: the caller says what happened, at what time.
 
-use super::Micros;
+use crate::interface::{Instant, Span};
+
+/// The shortest first pause.
+const LEAST: Span = Span::from_micros(1);
 
 /// An episode that lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Episode {
-    since: Micros,
+    since: Instant,
     /// Accepts that failed in it.
     tries: u32,
     /// Connections taken with the spare descriptor and refused in it.
@@ -17,8 +20,8 @@
 /// What to do after an accept failed for want of descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// When to try accepting again, us.
-    pub until: Micros,
+    /// When to try accepting again.
+    pub until: Instant,
     /// Whether this began an episode: the one moment to log.
     pub began: bool,
 }
@@ -26,8 +29,8 @@
 /// An episode that is over, for its one closing log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// How long it lasted, us.
-    pub lasted: Micros,
+    /// How long it lasted.
+    pub lasted: Span,
     /// Accepts that failed in it.
     pub tries: u32,
     /// Connections refused with the spare descriptor in it.
@@ -38,8 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exhaustion {
     episode: Option<Episode>,
-    first: Micros,
-    most: Micros,
+    first: Span,
+    most: Span,
     /// Episodes so far.
     pub episodes: u64,
     /// Connections refused with the spare so far.
@@ -47,14 +50,14 @@
 }
 
 impl Exhaustion {
-    /// No episode yet; pauses from `first` doubling to `most`, us.
-    pub fn new(first: Micros, most: Micros) -> Self {
-        Exhaustion { episode: None, first: first.max(1), most: most.max(first), episodes: 0, shed: 0 }
+    /// No episode yet; pauses from `first` doubling to `most`.
+    pub fn new(first: Span, most: Span) -> Self {
+        Exhaustion { episode: None, first: first.max(LEAST), most: most.max(first), episodes: 0, shed: 0 }
     }
 
     /// Takes new bounds; an episode under way goes on with them.
-    pub fn set_bounds(&mut self, first: Micros, most: Micros) {
-        (self.first, self.most) = (first.max(1), most.max(first));
+    pub fn set_bounds(&mut self, first: Span, most: Span) {
+        (self.first, self.most) = (first.max(LEAST), most.max(first));
     }
 
     /// Whether an episode lasts.
@@ -63,7 +66,7 @@
     }
 
     /// An accept failed for want of descriptors at `now`.
-    pub fn failed(&mut self, now: Micros) -> Backoff {
+    pub fn failed(&mut self, now: Instant) -> Backoff {
         let began = self.episode.is_none();
         if began {
             self.episodes += 1;
@@ -83,7 +86,7 @@
     }
 
     /// An accept went through, or found nobody waiting: an episode is over.
-    pub fn accepted(&mut self, now: Micros) -> Option<Ended> {
+    pub fn accepted(&mut self, now: Instant) -> Option<Ended> {
         let episode = self.episode.take()?;
         Some(Ended { lasted: now - episode.since, tries: episode.tries, shed: episode.shed })
     }
--- a/src/bin/dahliatrack-wirehost/main.rs
+++ b/src/bin/dahliatrack-wirehost/main.rs
@@ -5,7 +5,7 @@
 
 use codec::{Incoming, Reply, BATCH_HEADER};
 use dahliatrack::config::settings;
-use dahliatrack::{Action, Micros, Router};
+use dahliatrack::{Action, Instant, Router};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -56,7 +56,7 @@
 /// Passes one event to its instance; `Err` is bad input.
 fn step(
     routers: &mut BTreeMap<u32, Router>,
-    now: Micros,
+    now: Instant,
     instance: u32,
     incoming: Incoming,
     reply: &mut Reply,
--- a/src/config/events.rs
+++ b/src/config/events.rs
@@ -1,5 +1,6 @@
 //! The numbered events of the control feed, as its answers and the configuration's `known` hold them.
 
+use crate::interface::UnixTime;
 use serde::Deserialize;
 
 /// An answer of the control feed.
@@ -61,6 +62,25 @@
     pub born_ms: f64,
 }
 
+impl FeedServer {
+    /// Its last start; `None`: long ago.
+    pub fn started_at(&self) -> Option<UnixTime> {
+        (self.born_ms > 0.0).then_some(unix_time(self.born_ms))
+    }
+}
+
+impl FeedPurge {
+    /// When it was made.
+    pub fn made_at(&self) -> UnixTime {
+        unix_time(self.at)
+    }
+}
+
+/// The Unix time of milliseconds with a fraction.
+fn unix_time(millis: f64) -> UnixTime {
+    UnixTime::from_micros((millis * 1000.0) as i64)
+}
+
 fn one() -> f64 {
     1.0
 }
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -4,8 +4,8 @@
 use crate::config::settings::SiteNames;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
-    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Micros,
-    ObjectId, Request, RequestId, ServerId, Settings,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Instant,
+    ObjectId, Request, RequestId, ServerId, Settings, Span,
 };
 use crate::Router;
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
 const QUERIES: usize = 12;
 /// The first queries go to the home and start delegates; the ones from here on show where it settled.
 const SETTLED_AFTER: usize = QUERIES / 2;
-/// How long a query takes, as it is reported to the router, us.
-const QUERY_TIME: Micros = 5_000;
+/// How long a query takes, as it is reported to the router.
+const QUERY_TIME: Span = Span::from_millis(5);
 
 /// Why a class cannot have hot objects.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -86,7 +86,7 @@
 /// Asks a router where it sends an object's requests now; `None`: nowhere. Each query takes the next request number.
 pub(super) fn placement(
     router: &mut Router,
-    now: Micros,
+    now: Instant,
     hot: HotObject,
     classes: &[Class],
     next_request: &mut u64,
@@ -107,7 +107,7 @@
 }
 
 /// A request for a hot object as a client would send it.
-fn request(id: RequestId, hot: HotObject, patience: Micros) -> Request {
+fn request(id: RequestId, hot: HotObject, patience: Span) -> Request {
     Request {
         id,
         class: hot.class,
@@ -123,7 +123,7 @@
 }
 
 /// Passes a request to a router, and that it was answered; returns what the router decided.
-fn answer(router: &mut Router, now: Micros, request: Request) -> Option<FillAttempt> {
+fn answer(router: &mut Router, now: Instant, request: Request) -> Option<FillAttempt> {
     let id = request.id;
     let mut actions = Vec::new();
     router.handle(now, Event::Request(request), &mut actions);
@@ -132,14 +132,14 @@
         _ => None,
     })?;
     let outcome = AttemptOutcome {
-        transfer_time: 0,
+        transfer_time: Span::ZERO,
         request: id,
         attempt: 0,
         server: get.server,
         result: AttemptResult::Ok,
         cache_status: Some(CacheStatus::Hit),
         elapsed: QUERY_TIME,
-        fill_wait: 0,
+        fill_wait: Span::ZERO,
         finished: true,
         load_report: Vec::new(),
     };
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -5,8 +5,8 @@
 };
 use crate::deadlines::Schedule;
 use crate::interface::{
-    AttemptOutcome, AttemptResult, Event, FillAttempt, Idempotency, Micros, Purge, RequestId, ServerId,
-    ServerState,
+    AttemptOutcome, AttemptResult, Event, FillAttempt, Idempotency, Instant, Purge, RequestId, ServerId,
+    ServerState, Span,
 };
 use crate::slots::Key;
 use tracing::debug;
@@ -16,7 +16,7 @@
     pub request: RequestId,
     pub server: ServerId,
     /// Its time-out; 0: until the client stops waiting.
-    pub timeout: Micros,
+    pub timeout: Span,
     /// How it may be filled; `None`: not at all.
     pub fill: Option<FillAttempt>,
 }
@@ -25,7 +25,7 @@
     /// Begins an attempt: it is queued for its server, or ends at once if it comes too late.
     pub(super) fn begin_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         new: NewAttempt,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -34,7 +34,7 @@
         let number = request.attempts_sent;
         request.attempts_sent = number.saturating_add(1);
         let deadline = request.deadline();
-        let until = if new.timeout == 0 { deadline } else { (now + new.timeout).min(deadline) };
+        let until = if new.timeout == Span::ZERO { deadline } else { (now + new.timeout).min(deadline) };
         let is_moot = !request.is_open() || u32::from(number) >= request.max_attempts || until <= now;
         let NewAttempt { request: id, server, fill: get, .. } = new;
         let purge =
@@ -66,7 +66,7 @@
     /// to be written; if it had not ended before, it ends as never sent.
     pub fn write_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) -> Option<OutgoingAttempt> {
@@ -113,12 +113,12 @@
     }
 
     /// The oldest copy that will do for an attempt, after the purges that came in since it was decided on; 0: any.
-    fn max_age(&self, now: Micros, attempt: &Attempt) -> Micros {
+    fn max_age(&self, now: Instant, attempt: &Attempt) -> Span {
         let purged = attempt.purge_scopes.iter().filter_map(|what| self.purge_times.get(what)).max();
-        let asked = attempt.fill.as_ref().map_or(0, |get| get.max_age);
-        let Some(purged) = purged else { return asked };
-        let since_purge = (now - purged).max(1);
-        if asked == 0 {
+        let asked = attempt.fill.as_ref().map_or(Span::ZERO, |get| get.max_age);
+        let Some(&purged) = purged else { return asked };
+        let since_purge = (now - purged).max(Span::from_micros(1));
+        if asked == Span::ZERO {
             since_purge
         } else {
             asked.min(since_purge)
@@ -127,7 +127,7 @@
 
     /// Whether an attempt may be written by its class's effect, beside what was written for its request before: it may
     /// have waited for a connection since it was decided on, and repeats of a keyed request have a window.
-    fn may_repeat(&self, now: Micros, key: AttemptKey, attempt: &Attempt) -> bool {
+    fn may_repeat(&self, now: Instant, key: AttemptKey, attempt: &Attempt) -> bool {
         let Some(request) = self.requests.get(Key::from_number(attempt.request.0)) else { return false };
         let others = self.attempts.iter().filter(|(other, _)| *other != key);
         let others = others.filter(|(_, other)| other.request == attempt.request);
@@ -144,7 +144,7 @@
     /// An attempt has ended; what comes late for one that was given up is ignored.
     pub fn attempt_ended(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         end: AttemptEnd,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -158,7 +158,7 @@
     /// Ends an attempt whose time is over. Unsent by then, it never ran: no connection came up in time.
     pub(super) fn time_out_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         due: &mut dyn Schedule<CoreDeadline>,
     ) {
@@ -171,7 +171,7 @@
     /// request may go elsewhere.
     pub(super) fn cancel_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         request: RequestId,
         number: u8,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -187,7 +187,7 @@
     /// Ends an attempt that is given up from here, as `result`.
     pub(super) fn abandon_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         result: AttemptResult,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -197,7 +197,7 @@
     }
 
     /// When an attempt's bytes may have left, if they may have.
-    pub fn written_at(&self, key: AttemptKey) -> Option<Micros> {
+    pub fn written_at(&self, key: AttemptKey) -> Option<Instant> {
         self.attempts.get(key)?.written_at
     }
 
@@ -213,7 +213,7 @@
     /// Ends an attempt and tells the module; the first copy answers the request.
     fn end_attempt(
         &mut self,
-        now: Micros,
+        now: Instant,
         key: AttemptKey,
         mut end: AttemptEnd,
         due: &mut dyn Schedule<CoreDeadline>,
@@ -242,7 +242,7 @@
     }
 
     /// How it ended, as the decision module is told.
-    fn outcome(&self, now: Micros, end: AttemptEnd, finished: bool) -> AttemptOutcome {
+    fn outcome(&self, now: Instant, end: AttemptEnd, finished: bool) -> AttemptOutcome {
         AttemptOutcome {
             request: self.request,
             attempt: self.number,
@@ -261,13 +261,7 @@
 fn log_outcome(request: RequestKey, attempt: &Attempt, outcome: &AttemptOutcome) {
     let (server, number) = (attempt.server.0, attempt.number);
     let source = attempt.fill.as_ref().map(|get| get.source.0);
-    let AttemptOutcome {
-        result,
-        cache_status: note,
-        elapsed: us,
-        fill_wait: waited,
-        transfer_time: sending,
-        ..
-    } = outcome;
+    let AttemptOutcome { result, cache_status: note, elapsed, fill_wait, transfer_time, .. } = outcome;
+    let (us, waited, sending) = (elapsed.as_micros(), fill_wait.as_micros(), transfer_time.as_micros());
     debug!("{request} attempt {number} at {server} from {source:?}: {result:?} {note:?} us={us} waited={waited} sending={sending}");
 }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -4,13 +4,13 @@
 use crate::config::located::unknown;
 use crate::config::settings::SiteNames;
 use crate::config::Config;
-use crate::interface::{ClassId, Endpoint, Micros, ServerId, ServerState, Settings, ZoneId};
+use crate::interface::{ClassId, Endpoint, Instant, ServerId, ServerState, Settings, Span, ZoneId};
 use crate::server_names::ServerNames;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// How long after the last late start the site is looked at: every server is warm by then.
-const SETTLED: Micros = 3_600_000_000;
+const SETTLED: Span = Span::from_secs(3_600);
 
 /// A configuration's settings with the servers of its list.
 #[derive(Clone, Debug)]
@@ -29,8 +29,8 @@
     pub names: BTreeMap<ServerId, String>,
     /// What was odd in the list: a zone or kind that the settings do not name, an address that comes twice.
     pub oddities: Vec<String>,
-    /// The moment at which the site is looked at, us of the Unix clock.
-    pub now: Micros,
+    /// The moment at which the site is looked at, on a clock that reads Unix time, as the starts of its servers.
+    pub now: Instant,
 }
 
 /// The listed addresses, with the last server that has each.
@@ -89,7 +89,7 @@
             servers: BTreeMap::new(),
             names: BTreeMap::new(),
             oddities: Vec::new(),
-            now: 0,
+            now: Instant::ZERO,
         };
         let zones = site.settings.topology.routers_by_zone.len().max(site.zones.len());
         site.zones.extend((site.zones.len()..zones).map(|zone| zone.to_string()));
@@ -107,7 +107,10 @@
                 addresses.clear();
             }
             for host in &change.hosts {
-                let member = members.endpoint(host, names);
+                let mut member = members.endpoint(host, names);
+                // Expectations are explored on a clock that reads Unix time.
+                let started_at = host.started_at();
+                member.started_at = started_at.map(|unix| Instant::from_micros(unix.as_micros()));
                 self.names.insert(member.server, host.host.clone());
                 if host.health == Health::Removed {
                     self.servers.remove(&member.server);
@@ -122,7 +125,7 @@
 
     fn add(&mut self, host: &FeedServer, member: Endpoint, names: &SiteNames, addresses: &mut Addresses) {
         self.servers.insert(member.server, member);
-        self.now = self.now.max(member.started_at.unwrap_or(0));
+        self.now = self.now.max(member.started_at.unwrap_or(Instant::ZERO));
         self.check_address(host, member.server, addresses);
         self.check_name("zone", host, &host.site, member.zone.0, &names.zones);
         self.check_name("kind", host, &host.class, member.kind, &names.kinds);
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -4,17 +4,17 @@
 use super::expectation::{Answer, Scenario};
 use super::site::Site;
 use crate::interface::{
-    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Micros,
-    ObjectId, RequestId, ServerId,
+    Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Instant,
+    ObjectId, RequestId, ServerId, Span,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// An attempt's answer comes after this, us.
-const ANSWER_TIME: Micros = 5_000;
-/// A fill's first byte comes after this, us.
-const FILL_TIME: Micros = 10_000;
-/// How long a connection that does not come up is tried, us, as the platform's `connect_timeout`.
-const CONNECT_TIMEOUT: Micros = 400_000;
+/// An attempt's answer comes after this.
+const ANSWER_TIME: Span = Span::from_millis(5);
+/// A fill's first byte comes after this.
+const FILL_TIME: Span = Span::from_millis(10);
+/// How long a connection that does not come up is tried, as the platform's `connect_timeout`.
+const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 
 /// What is due.
 pub(super) enum Next {
@@ -25,7 +25,7 @@
 }
 
 /// When something is due; at one time in the order in which it was planned.
-type Slot = (Micros, u64);
+type Slot = (Instant, u64);
 
 /// An attempt: its request, and its number from 0.
 type AttemptKey = (usize, u8);
@@ -33,17 +33,17 @@
 /// How an attempt ends.
 #[derive(Clone, Copy)]
 struct Ending {
-    /// How long after its start, us.
-    after: Micros,
+    /// How long after its start.
+    after: Span,
     result: AttemptResult,
     note: Option<CacheStatus>,
-    /// How long it waited for the source of its fill, us.
-    waited: Micros,
+    /// How long it waited for the source of its fill.
+    waited: Span,
 }
 
 impl Ending {
-    fn of(after: Micros, result: AttemptResult, note: Option<CacheStatus>) -> Self {
-        Ending { after, result, note, waited: 0 }
+    fn of(after: Span, result: AttemptResult, note: Option<CacheStatus>) -> Self {
+        Ending { after, result, note, waited: Span::ZERO }
     }
 
     /// A copy was there.
@@ -52,13 +52,13 @@
     }
 
     /// It was filled, from the origin or from a copy.
-    fn filled(note: CacheStatus, waited: Micros) -> Self {
+    fn filled(note: CacheStatus, waited: Span) -> Self {
         Ending { waited, ..Ending::of(ANSWER_TIME + waited, AttemptResult::Ok, Some(note)) }
     }
 
-    /// The same, cut off by the attempt's time-out; 0: there is none.
-    fn within(self, timeout: Micros) -> Self {
-        if timeout == 0 || self.after < timeout {
+    /// The same, cut off by the attempt's time-out; zero: there is none.
+    fn within(self, timeout: Span) -> Self {
+        if timeout == Span::ZERO || self.after < timeout {
             return self;
         }
         Ending { after: timeout, result: AttemptResult::Timeout, ..self }
@@ -104,7 +104,7 @@
     }
 
     /// Plans what is due at a time.
-    pub(super) fn plan(&mut self, at: Micros, next: Next) -> Slot {
+    pub(super) fn plan(&mut self, at: Instant, next: Next) -> Slot {
         self.planned += 1;
         let slot = (at, self.planned);
         self.due.insert(slot, next);
@@ -112,7 +112,7 @@
     }
 
     /// Takes what is due next, if it is by `end`.
-    pub(super) fn next_until(&mut self, end: Micros) -> Option<(Micros, Next)> {
+    pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, Next)> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
         let ((now, _), next) = first.remove_entry();
         if let Next::Event(Event::AttemptEnded(outcome)) = &next {
@@ -128,7 +128,7 @@
     }
 
     /// Carries out an action of the router.
-    pub(super) fn act(&mut self, now: Micros, action: Action, class: &Class) {
+    pub(super) fn act(&mut self, now: Instant, action: Action, class: &Class) {
         match action {
             Action::SendWithFill(get) => self.start_attempt(now, &get, class),
             Action::SendCacheOnly { request, server, timeout } => {
@@ -150,7 +150,7 @@
     }
 
     /// Records an attempt, and plans how it ends.
-    fn start_attempt(&mut self, now: Micros, get: &FillAttempt, class: &Class) {
+    fn start_attempt(&mut self, now: Instant, get: &FillAttempt, class: &Class) {
         let request = get.request.0 as usize;
         let attempt = self.attempts[request];
         self.attempts[request] += 1;
@@ -172,7 +172,7 @@
             cache_status: ending.note,
             elapsed: ending.after,
             fill_wait: ending.waited,
-            transfer_time: 0,
+            transfer_time: Span::ZERO,
             finished: ending.result == AttemptResult::Ok,
             load_report: Vec::new(),
         };
@@ -188,7 +188,7 @@
     }
 
     /// Ends an open attempt as cancelled.
-    fn cancel(&mut self, now: Micros, key: AttemptKey) {
+    fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
         let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
         let (ends_at, _) = slot;
@@ -243,14 +243,14 @@
 }
 
 /// A request that is sent on to a server as it is: no fill, no copy.
-fn sent(request: RequestId, server: ServerId, timeout: Micros) -> FillAttempt {
+fn sent(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
         server,
         timeout,
         source: server,
         cache_rank: 0,
-        max_age: 0,
+        max_age: Span::ZERO,
         join_fill: false,
         only_if_cached: true,
         bypass_parent_cache: false,
--- a/src/federation/duties.rs
+++ b/src/federation/duties.rs
@@ -3,10 +3,11 @@
 //! counts from when it saw the grant, with the drift that clocks are allowed; so two never hold at once, whatever the
 //! network does. The receiver of an act rejects a fencing token lower than the highest it has seen.
 //!
-//! No I/O: time is passed in, microseconds of a clock that only goes forward while the process runs.
+//! No I/O: time is passed in, of a clock that only goes forward while the process runs.
 
 use super::state::{Command, Lease, State};
 use super::MemberId;
+use crate::interface::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Unanswered requests of one duty that are remembered; an older one that is granted after all is not used.
@@ -15,29 +16,29 @@
 /// How long leases last, and by which clocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// A lease lasts so long, us.
-    pub span: i64,
-    /// Its holder stops so long before its end, us.
-    pub guard: i64,
+    /// A lease lasts so long.
+    pub span: Span,
+    /// Its holder stops so long before its end.
+    pub guard: Span,
     /// Clocks run apart by this part at most.
     pub drift: f64,
 }
 
 impl LeaseTerms {
-    /// How long the leader waits since it saw a lease, us: on the slowest holder's clock the span is over then, by the
+    /// How long the leader waits since it saw a lease: on the slowest holder's clock the span is over then, by the
     /// fastest leader's clock, too.
-    pub fn expiry_timeout(&self) -> i64 {
-        (self.span as f64 * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as i64
+    pub fn expiry_timeout(&self) -> Span {
+        Span::from_micros_f64((self.span.as_micros_f64() * (1.0 + self.drift) / (1.0 - self.drift)).ceil())
     }
 
-    /// How long before its end a lease is renewed, us.
-    fn renewal_window(&self) -> i64 {
+    /// How long before its end a lease is renewed.
+    fn renewal_window(&self) -> Span {
         self.span / 3
     }
 
-    /// The pause before an unanswered proposal is retried, us.
-    fn retry_interval(&self) -> i64 {
-        (self.span / 20).max(1)
+    /// The pause before an unanswered proposal is retried.
+    fn retry_interval(&self) -> Span {
+        (self.span / 20).max(Span::from_micros(1))
     }
 }
 
@@ -47,15 +48,15 @@
     /// The fencing token.
     pub token: u64,
     /// Until when it may be acted under, on this member's clock.
-    pub until: i64,
+    pub until: Instant,
 }
 
 /// A duty that this member stands for.
 #[derive(Debug, Default)]
 struct Candidacy {
     /// When each request that is not answered was made.
-    requested: BTreeMap<u64, i64>,
-    next_request_at: i64,
+    requested: BTreeMap<u64, Instant>,
+    next_request_at: Instant,
     held: Option<Held>,
 }
 
@@ -93,7 +94,7 @@
     }
 
     /// The commands that are to be proposed now: requests for free duties, renewals of leases that are held.
-    pub fn due(&mut self, now: i64, state: &State) -> Vec<Command> {
+    pub fn due(&mut self, now: Instant, state: &State) -> Vec<Command> {
         self.observe(state);
         let (id, terms) = (self.id, self.terms);
         let mut out = Vec::new();
@@ -139,7 +140,7 @@
     }
 
     /// The token under which a duty may be acted on now; to be asked before *each* act.
-    pub fn token(&self, now: i64, duty: &str) -> Option<u64> {
+    pub fn token(&self, now: Instant, duty: &str) -> Option<u64> {
         let held = self.candidacies.get(duty)?.held?;
         (now < held.until).then_some(held.token)
     }
@@ -159,9 +160,9 @@
     token: u64,
     request: u64,
     /// When this token and request were seen first.
-    since: i64,
+    since: Instant,
     /// When its end was proposed last.
-    expiry_proposed_at: Option<i64>,
+    expiry_proposed_at: Option<Instant>,
 }
 
 /// The leader's side: which leases have run out.
@@ -179,7 +180,7 @@
     }
 
     /// What is to be proposed now. A new leader counts every lease from now on, since it cannot know when it began.
-    pub fn due(&mut self, now: i64, state: &State, leads: bool) -> Vec<Command> {
+    pub fn due(&mut self, now: Instant, state: &State, leads: bool) -> Vec<Command> {
         if !leads {
             self.observed.clear();
             return Vec::new();
@@ -190,7 +191,7 @@
     }
 
     /// The end of a lease that ran out, if it is to be proposed now.
-    fn expire(&mut self, now: i64, duty: &str, lease: &Lease) -> Option<Command> {
+    fn expire(&mut self, now: Instant, duty: &str, lease: &Lease) -> Option<Command> {
         let Lease { token, request, .. } = *lease;
         let new = Observed { token, request, since: now, expiry_proposed_at: None };
         let observed = self.observed.entry(duty.to_owned()).or_insert(new);
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -20,6 +20,7 @@
 use super::view::View;
 use super::wire::Frame;
 use super::MemberId;
+use crate::interface::{Instant, Span};
 use crate::net::{Net, Ready};
 use handle::Instruction;
 use mio::net::UnixStream;
@@ -33,15 +34,15 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant};
+use std::time::{self, Duration};
 use tracing::{error, info};
 
 /// The poll's token of the edge proxy's instructions.
 const WAKE: usize = 1;
-/// How long a leader that stops waits for another to lead, us.
-const HAND_OVER_TIMEOUT: i64 = 200_000;
-/// How often the view is published, us.
-const PUBLISH_EVERY: i64 = 50_000;
+/// How long a leader that stops waits for another to lead.
+const HAND_OVER_TIMEOUT: Span = Span::from_millis(200);
+/// How often the view is published.
+const PUBLISH_EVERY: Span = Span::from_millis(50);
 /// Why a member that is paused takes no part, as operators are told.
 const PAUSED: &str = "a newer process has the store";
 
@@ -54,7 +55,7 @@
     /// The member takes part.
     Running(Box<Participant>),
     /// It failed, and is started anew then.
-    Halted { until: i64 },
+    Halted { until: Instant },
     /// A newer process has the store.
     Paused,
 }
@@ -63,7 +64,7 @@
 #[derive(Clone, Copy)]
 struct Leaving {
     /// It waits for another leader no longer than that.
-    until: i64,
+    until: Instant,
     /// The thread ends then.
     ends: bool,
 }
@@ -80,8 +81,8 @@
     listen: Option<SocketAddr>,
     view: View,
     shared: SharedView,
-    next_publication: i64,
-    started: Instant,
+    next_publication: Instant,
+    started: time::Instant,
     random: ChaCha8Rng,
 }
 
@@ -100,21 +101,21 @@
             membership: Membership::new(settings),
             links,
             open_store,
-            phase: Phase::Halted { until: 0 },
+            phase: Phase::Halted { until: Instant::ZERO },
             outage: Outage::none(),
             leaving: None,
             counters: Counters::default(),
             listen: None,
             view: View::default(),
             shared,
-            next_publication: 0,
-            started: Instant::now(),
+            next_publication: Instant::ZERO,
+            started: time::Instant::now(),
             random,
         }
     }
 
-    fn now(&self) -> i64 {
-        self.started.elapsed().as_micros() as i64
+    fn now(&self) -> Instant {
+        Instant::ZERO + Span::from(self.started.elapsed())
     }
 
     /// Runs until it is told to stop. A panic in a turn, be it a check of the library's, halts this member and nothing else.
@@ -165,7 +166,7 @@
             Phase::Halted { until } => *until,
             Phase::Paused => return None,
         };
-        Some(Duration::from_micros((due - self.now()).max(0) as u64))
+        Some((due - self.now()).to_std())
     }
 
     /// Follows the edge proxy's instructions; `false`: there is no edge proxy any more.
@@ -184,7 +185,7 @@
         }
     }
 
-    fn resume(&mut self, now: i64) {
+    fn resume(&mut self, now: Instant) {
         if self.leaving.is_some_and(|leaving| !leaving.ends) {
             self.leaving = None;
         }
@@ -193,14 +194,14 @@
         }
     }
 
-    fn reload(&mut self, now: i64, settings: FederationSettings) {
+    fn reload(&mut self, now: Instant, settings: FederationSettings) {
         info!(revision = settings.revision, "federation: a new file");
         self.membership = Membership::new(settings);
         self.introduce(now);
     }
 
     /// Tells the connections who this member is and whom it knows; one that takes no part does so once it does.
-    fn introduce(&mut self, now: i64) {
+    fn introduce(&mut self, now: Instant) {
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
         let identity = Identity::of(settings, participant.identity(), participant.incarnation());
@@ -209,7 +210,7 @@
     }
 
     /// Takes what connections have for this member.
-    fn receive(&mut self, now: i64, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
+    fn receive(&mut self, now: Instant, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
         let mut received = Vec::new();
         for one in ready.drain(..) {
             match (one, &self.phase) {
@@ -227,7 +228,7 @@
     }
 
     /// Opens the store and the listener, and takes part.
-    fn start(&mut self, now: i64) {
+    fn start(&mut self, now: Instant) {
         match self.try_start(now) {
             Ok((participant, address)) => {
                 self.phase = Phase::Running(Box::new(participant));
@@ -243,7 +244,7 @@
         }
     }
 
-    fn try_start(&mut self, now: i64) -> Result<(Participant, SocketAddr), HaltReason> {
+    fn try_start(&mut self, now: Instant) -> Result<(Participant, SocketAddr), HaltReason> {
         let settings = &self.membership.settings;
         let opened = (self.open_store)(settings)
             .map_err(|source| HaltReason::Store { path: settings.store.clone(), source })?;
@@ -277,7 +278,7 @@
     }
 
     /// Handles what was received and what is due by the clock.
-    fn advance(&mut self, now: i64, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
+    fn advance(&mut self, now: Instant, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
         let Phase::Running(participant) = &mut self.phase else { return Ok(()) };
         for (from, frame) in received {
             participant.receive(from, frame);
@@ -286,12 +287,12 @@
         participant.drive(now, &mut self.links, &mut self.counters)?;
         let news = participant.log_events(&mut self.counters);
         if let Some(recovery) = self.outage.recovered(now) {
-            let (lasted_ms, failures) = (recovery.lasted / 1000, recovery.failures);
+            let (lasted_ms, failures) = (recovery.lasted.as_millis(), recovery.failures);
             info!(lasted_ms, failures, "federation: this member takes part again");
         }
         if news || self.next_publication <= now {
             self.next_publication = now + PUBLISH_EVERY;
-            let now = self.started.elapsed().as_micros() as i64; // storing may have taken a while
+            let now = Instant::ZERO + Span::from(self.started.elapsed()); // storing may have taken a while
             let view = participant.view(now, &self.membership.settings, &self.links);
             self.view = View { listen: self.listen.map(|address| address.to_string()), ..view };
             self.publish();
@@ -300,7 +301,7 @@
     }
 
     /// Begins to pause, or to end.
-    fn hand_over(&mut self, now: i64, ends: bool) {
+    fn hand_over(&mut self, now: Instant, ends: bool) {
         let ends = ends || self.leaving.is_some_and(|leaving| leaving.ends);
         if let Phase::Running(participant) = &mut self.phase {
             participant.hand_over(now, &mut self.links);
@@ -309,7 +310,7 @@
     }
 
     /// Pauses or ends a member that has handed over; `true`: the thread ends now.
-    fn leave(&mut self, now: i64) -> bool {
+    fn leave(&mut self, now: Instant) -> bool {
         let Some(leaving) = self.leaving else { return false };
         let leads = matches!(&self.phase, Phase::Running(participant) if participant.is_leader());
         if leads && now < leaving.until {
@@ -321,7 +322,7 @@
         leaving.ends
     }
 
-    fn pause(&mut self, now: i64) {
+    fn pause(&mut self, now: Instant) {
         self.leaving = None;
         self.phase = Phase::Paused;
         self.links.close(now);
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -13,13 +13,13 @@
 use crate::federation::view::{DutyView, MemberView, View};
 use crate::federation::wire::Frame;
 use crate::federation::{Leadership, MemberId};
+use crate::interface::{Instant, Span};
 use rand::Rng;
 use std::collections::BTreeSet;
-use std::time::Instant;
 use tracing::{info, warn};
 
-/// How often a member whose store is not enrolled yet asks for that, us.
-const ENROL_EVERY: i64 = 200_000;
+/// How often a member whose store is not enrolled yet asks for that.
+const ENROL_EVERY: Span = Span::from_millis(200);
 /// The duty of proposing what all sites are to hold in common; voters stand for it.
 const PUBLISH_DUTY: &str = "publish";
 
@@ -55,7 +55,7 @@
     type Error = StoreError;
 
     fn save(&mut self, save: &Save) -> Result<(), StoreError> {
-        let begun = Instant::now();
+        let begun = std::time::Instant::now();
         let done = self.store.save(save);
         *self.slowest_us = (*self.slowest_us).max(begun.elapsed().as_micros() as u64);
         done
@@ -68,15 +68,15 @@
     store: Store,
     holder: Holder,
     grantor: Grantor,
-    next_tick: i64,
-    next_enrolment: i64,
+    next_tick: Instant,
+    next_enrolment: Instant,
 }
 
 impl Participant {
     pub fn new(
         settings: &FederationSettings,
         (store, saved): (Store, Saved),
-        now: i64,
+        now: Instant,
         random: &mut impl Rng,
     ) -> Result<Self, HaltReason> {
         let node = Node::new(settings.id, saved, settings.tuning, random.random())?;
@@ -85,7 +85,7 @@
         Ok(Participant { node, store, holder, grantor, next_tick: now, next_enrolment: now })
     }
 
-    pub fn next_tick(&self) -> i64 {
+    pub fn next_tick(&self) -> Instant {
         self.next_tick
     }
 
@@ -131,7 +131,7 @@
     /// Does what is due by the clock: elections and heartbeats, changes of the members, leases, enrolment.
     pub fn tick(
         &mut self,
-        now: i64,
+        now: Instant,
         membership: &Membership,
         links: &mut Links,
         leaving: bool,
@@ -156,7 +156,7 @@
     }
 
     /// Stands for duties where this member votes, and ends leases that ran out where it leads.
-    fn renew_leases(&mut self, now: i64, links: &mut Links) {
+    fn renew_leases(&mut self, now: Instant, links: &mut Links) {
         let (state, leads) = (self.node.state().0, self.node.is_leader());
         let votes = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
         let duties = votes.then(|| PUBLISH_DUTY.to_owned()).into_iter().collect();
@@ -167,7 +167,7 @@
     }
 
     /// Asks for this member's store to be enrolled, where none is.
-    fn enrol(&mut self, now: i64, links: &mut Links) -> Result<(), HaltReason> {
+    fn enrol(&mut self, now: Instant, links: &mut Links) -> Result<(), HaltReason> {
         let (id, incarnation) = (self.node.id(), self.incarnation());
         let Some(own) = self.node.state().0.members.get(&id) else { return Ok(()) };
         match own.incarnation {
@@ -179,7 +179,7 @@
     }
 
     /// Proposes a command here, or has the leader propose it.
-    fn propose(&mut self, now: i64, links: &mut Links, command: Command) {
+    fn propose(&mut self, now: Instant, links: &mut Links, command: Command) {
         let leader = self.node.leadership().leader;
         if leader == self.node.id() {
             self.node.propose(&command);
@@ -189,7 +189,12 @@
     }
 
     /// Stores what must be stored, then sends what may be sent.
-    pub fn drive(&mut self, now: i64, links: &mut Links, counters: &mut Counters) -> Result<(), HaltReason> {
+    pub fn drive(
+        &mut self,
+        now: Instant,
+        links: &mut Links,
+        counters: &mut Counters,
+    ) -> Result<(), HaltReason> {
         let mut storage = TimedStore { store: &mut self.store, slowest_us: &mut counters.slowest_save_us };
         let messages = self.node.drive(&mut storage)?;
         messages.into_iter().for_each(|message| self.send(now, links, message));
@@ -199,7 +204,7 @@
         Ok(())
     }
 
-    fn send(&mut self, now: i64, links: &mut Links, message: MessageRecord) {
+    fn send(&mut self, now: Instant, links: &mut Links, message: MessageRecord) {
         let (to, snapshot) = (message.to, message.kind == MessageKind::Snapshot);
         let sent = links.send(now, to, &Frame::Raft(message));
         if snapshot {
@@ -231,7 +236,7 @@
     }
 
     /// Releases the duties and hands over the lead, if this member has it.
-    pub fn hand_over(&mut self, now: i64, links: &mut Links) {
+    pub fn hand_over(&mut self, now: Instant, links: &mut Links) {
         // Duties first: what was proposed before the lead goes is still in the log.
         for command in self.holder.stand_for(&BTreeSet::new()) {
             self.propose(now, links, command);
@@ -240,7 +245,7 @@
     }
 
     /// The federation as this member sees it.
-    pub fn view(&self, now: i64, settings: &FederationSettings, links: &Links) -> View {
+    pub fn view(&self, now: Instant, settings: &FederationSettings, links: &Links) -> View {
         let (state, applied) = self.node.state();
         let (last, committed) = self.node.log_extent();
         let Leadership { leader, term } = self.node.leadership();
@@ -278,7 +283,7 @@
         self.node.state().0.members.iter().map(view).collect()
     }
 
-    fn duty_views(&self, now: i64) -> Vec<DutyView> {
+    fn duty_views(&self, now: Instant) -> Vec<DutyView> {
         let view = |(duty, lease): (&String, &Lease)| DutyView {
             duty: duty.clone(),
             holder: lease.holder,
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -5,14 +5,15 @@
 use super::route::{self, RequestTarget};
 use super::{SessionDeadline, SignedEvent, SignedFront, State, Turn, MOST_OPEN};
 use crate::deadlines::Schedule;
+use crate::interface::{Instant, UnixTime};
 use crate::net::{ConnectionKey, Net, Reason};
 use tracing::info;
 
-/// One moment on both clocks, us.
+/// One moment on both clocks.
 #[derive(Clone, Copy)]
 struct Now {
-    monotonic: i64,
-    unix: i64,
+    monotonic: Instant,
+    unix: UnixTime,
 }
 
 /// A request whose right was checked.
@@ -20,15 +21,15 @@
     place: RequestTarget,
     /// The tags of the client's copies.
     tags: Vec<String>,
-    /// The instant of the monotonic clock, us, from when on its right is over.
-    expires: i64,
+    /// The instant of the monotonic clock from when on its right is over.
+    expires: Instant,
 }
 
 impl SignedFront {
     /// A connection may be read from, or written to.
     pub fn ready(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -42,7 +43,7 @@
 
     fn read(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -80,7 +81,7 @@
     /// Takes the whole heads of what has come.
     fn take_heads(
         &mut self,
-        now: i64,
+        now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
         due: &mut dyn Schedule<SessionDeadline>,
@@ -152,7 +153,7 @@
             HttpAnswer::bare(if matches!(denial, Denial::Malformed(_)) { 400 } else { 403 })
         })?;
         let place = route::place(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
-        let expires = now.monotonic.saturating_add(expires.saturating_sub(now.unix));
+        let expires = now.monotonic.saturating_add(expires - now.unix);
         Ok(Admitted { place, tags: head.tags, expires })
     }
 
--- a/src/lab/views/log.rs
+++ b/src/lab/views/log.rs
@@ -1,7 +1,7 @@
 //! The logs of xDS clients: what each received, and when; and what the control feed stated meanwhile.
 
 use crate::control::resource::ResourceType;
-use crate::interface::Micros;
+use crate::interface::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A line of a client's log.
@@ -9,8 +9,8 @@
 pub struct LogEntry {
     /// The client's name; one that reconnects keeps it.
     pub client: String,
-    /// When, us, on the clock of all logs.
-    pub at: Micros,
+    /// When, on the clock of all logs.
+    pub at: Instant,
     /// What happened.
     pub event: ClientEvent,
 }
@@ -57,8 +57,8 @@
 /// What the control feed stated, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedEvent {
-    /// When, us, on the clock of all logs.
-    pub at: Micros,
+    /// When, on the clock of all logs.
+    pub at: Instant,
     /// What changed.
     pub change: FeedChange,
 }
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -2,7 +2,7 @@
 
 use super::timing::SECOND;
 use crate::{
-    interface::{Micros, RequestId},
+    interface::{Instant, RequestId, Span},
     spread::mix,
 };
 
@@ -11,7 +11,7 @@
 /// Own fetches that may be in flight at most. More only wait for each other at the origin.
 const MOST_LIMIT: f64 = 256.0;
 /// How the limit changes with slow or failed fetches.
-const DECREASE: Step = Step { rate: -3.0, longest: SECOND / 5 };
+const DECREASE: Step = Step { rate: -3.0, longest: Span::from_millis(200) };
 /// How it changes with others, up to its first value or while it binds.
 const INCREASE: Step = Step { rate: 1.0, longest: SECOND };
 
@@ -19,7 +19,7 @@
 /// few fetches count as much as many.
 struct Step {
     rate: f64,
-    longest: Micros,
+    longest: Span,
 }
 
 /// What the end of a fetch tells about the origin.
@@ -37,14 +37,14 @@
 pub struct FetchLimit {
     pub in_flight: usize,
     limit: f64,
-    observed_at: Micros,
+    observed_at: Instant,
     /// The requests that wait for a fetch to end.
     pub queue: Vec<RequestId>,
 }
 
 impl FetchLimit {
     /// The limit before any fetch.
-    pub fn new(now: Micros) -> Self {
+    pub fn new(now: Instant) -> Self {
         FetchLimit { in_flight: 0, limit: INITIAL_LIMIT, observed_at: now, queue: Vec::new() }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Moves the limit by the end of a fetch; it stays at least at `least`.
-    pub fn observe(&mut self, now: Micros, speed: FetchSpeed, least: f64) {
+    pub fn observe(&mut self, now: Instant, speed: FetchSpeed, least: f64) {
         let in_flight = self.in_flight as f64;
         let slow = speed == FetchSpeed::Slow;
         // A limit that was not used says nothing: it falls from what was in flight (RFC 7661).
@@ -74,8 +74,8 @@
         let may_rise = speed == FetchSpeed::Fast && used < INITIAL_LIMIT.max(in_flight + 2.0);
         if slow || may_rise {
             let step = if slow { DECREASE } else { INCREASE };
-            let elapsed = (now - self.observed_at).min(step.longest) as f64;
-            let factor = (step.rate * elapsed / SECOND as f64).exp();
+            let elapsed = (now - self.observed_at).min(step.longest).as_micros_f64();
+            let factor = (step.rate * elapsed / SECOND.as_micros_f64()).exp();
             self.limit = (used * factor).clamp(least, MOST_LIMIT);
         }
         self.observed_at = now;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -41,7 +41,7 @@
 mod upkeep;
 
 use crate::interface::{
-    Action, Class, ClassId, Event, Micros, Purge, Request, RequestId, ServerId, Settings,
+    Action, Class, ClassId, Event, Instant, Purge, Request, RequestId, ServerId, Settings,
 };
 use crate::SettingsError;
 use attempt::OpenRequest;
@@ -77,21 +77,21 @@
     origin: Option<ServerId>,
     open: BTreeMap<RequestId, OpenRequest>,
     directory: PopularDirectory,
-    upkeep_at: Micros,
+    upkeep_at: Instant,
     ticking: bool,
     /// By class.
     times: Vec<ClassTimes>,
     /// Full-pace answers that the caches' links were seen to bear for each weight, where no weight tells it.
     measured_link: Option<f64>,
     /// When what was purged last.
-    purges: BTreeMap<Purge, Micros>,
+    purges: BTreeMap<Purge, Instant>,
     retries: RetryBudget,
     fetches: FetchLimit,
 }
 
 impl Router {
     /// A router that knows nothing yet but its settings; an error where they cannot be used.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Router {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -128,7 +128,7 @@
     }
 
     /// Takes one event and appends what is to be done about it.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update: kind, endpoints: entries } => {
                 self.on_members(now, kind, entries, out)
@@ -176,7 +176,7 @@
     /// A request's own sending time at full pace, us; where sizes are not told, its class's mean.
     fn sending_time(&self, request: &Request) -> f64 {
         if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
-            return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND as f64;
+            return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND.as_micros_f64();
         }
         self.times(request.class).sending
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -24,7 +24,7 @@
 use crate::front::admin;
 use crate::front::signed;
 use crate::front::thrift;
-use crate::interface::{CacheStatus, ClassId, Micros, ServerId};
+use crate::interface::{CacheStatus, ClassId, Instant, ServerId, Span};
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::server_names::ServerNames;
@@ -45,7 +45,6 @@
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::time::Duration;
 use tracing::info;
 
 /// The numbers under which the loop watches what is no connection.
@@ -57,8 +56,8 @@
 /// The numbers under which the processes of one edge proxy watch each other: the older one, the newer one.
 pub const SIBLINGS: [usize; 2] = [OLDER, NEWER];
 
-/// The pause before connections are taken again when descriptors ran out, us.
-const ACCEPT_AGAIN: Micros = 50_000;
+/// The pause before connections are taken again when descriptors ran out.
+const ACCEPT_AGAIN: Span = Span::from_millis(50);
 
 /// Whose turn is first where several are ready at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -157,7 +156,7 @@
     files: Files,
     started: ActiveConfig,
     clock: Clock,
-    now: Micros,
+    now: Instant,
     net: Net,
     due: Deadlines<ServerDeadline>,
     core: Core,
@@ -188,9 +187,9 @@
     admitting: admit::Admitting,
     /// Whether the list of servers has been had.
     listed: bool,
-    stopping: Option<Micros>,
+    stopping: Option<Instant>,
     /// While no more clients are taken: since when all is answered.
-    answered_since: Option<Micros>,
+    answered_since: Option<Instant>,
     stopped: bool,
 }
 
@@ -310,7 +309,7 @@
     }
 
     /// When there is something to do even if nothing comes.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Instant> {
         if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
             Some(self.now)
         } else {
@@ -325,7 +324,7 @@
     /// The poll broke.
     pub fn turn(&mut self, ready: &mut Vec<Ready>) -> Result<(), ServerError> {
         self.now = self.clock.now();
-        let wait = self.next_due().map(|at| Duration::from_micros((at - self.now).max(0) as u64));
+        let wait = self.next_due().map(|at| (at - self.now).to_std());
         self.net.poll(wait, ready)?;
         self.now = self.clock.now();
         ready.sort_by_key(|one| self.precedence(*one));
@@ -600,7 +599,7 @@
 
 /// Words attempts for the servers' wire as they are written.
 struct AttemptEncoder<'a> {
-    now: Micros,
+    now: Instant,
     core: &'a mut Core,
     members: &'a ServerNames,
     waiting: &'a BTreeMap<RequestKey, PendingRequest>,
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -5,14 +5,16 @@
 use crate::core::{ClientRequest, FinalAnswer, RequestKey};
 use crate::front::signed::{self, route::RequestTarget};
 use crate::front::thrift::{self, codec::ThriftReply};
-use crate::interface::{ClassId, Micros, ObjectId, RejectionReason};
+use crate::interface::{ClassId, ObjectId, RejectionReason, Span};
 use crate::net::ConnectionKey;
 use crate::slots::Key;
 use crate::GroupId;
 use bytes::Bytes;
 
-/// A client counts its patience from its send; the request has been under way for about this long, us.
-const WAY: Micros = 12_000;
+/// A client counts its patience from its send; the request has been under way for about this long.
+const WAY: Span = Span::from_millis(12);
+/// The least patience that the core is told of.
+const LEAST_PATIENCE: Span = Span::from_micros(1);
 
 impl Server {
     /// A request's answer has begun.
@@ -158,8 +160,8 @@
         self.refusal(class, pause)
     }
 
-    /// A refusal with this pause (us), counted for its class.
-    pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Micros) -> ThriftReply {
+    /// A refusal with this pause, counted for its class.
+    pub(super) fn refusal(&mut self, class: Option<ClassId>, pause: Span) -> ThriftReply {
         let refused = FinalAnswer::Rejected {
             retry_after: pause,
             timed_out: false,
@@ -206,7 +208,7 @@
             seen,
             idempotency_key,
         } = form;
-        let patience = (patience - WAY).max(1);
+        let patience = (patience - WAY).max(LEAST_PATIENCE);
         let ask = ClientRequest { class, object, part, group, timeout: patience, authorized_until: None };
         let request = self.core.submit(self.now, ask, &mut self.due);
         self.thrift.bind(conn, seqid, request.number());
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -4,7 +4,7 @@
 mod formats;
 
 use crate::config::located::{unknown, Doc, DocError, Located, Place, Reader};
-use crate::interface::Micros;
+use crate::interface::Span;
 use crate::spread::mix;
 use formats::{Format, FORMATS};
 use hcl_edit::structure::Block;
@@ -94,10 +94,10 @@
     pub object: Vec<usize>,
     /// Only rows that have this value.
     pub only: Option<OnlyRule>,
-    /// Rows are put in order over this span, us.
-    pub reorder: Micros,
-    /// The test's length, us.
-    pub window: Micros,
+    /// Rows are put in order over this span.
+    pub reorder: Span,
+    /// The test's length.
+    pub window: Span,
     /// Slices of a longer trace.
     pub slices: usize,
     /// The seed of their places.
@@ -281,10 +281,10 @@
         Ok(Some(OnlyRule { column: self.format_column(only.column)?, value: only.value.to_owned() }))
     }
 
-    /// A span in whole seconds, us.
-    fn read_seconds(&mut self, key: &str, default: u64, least: u64) -> Result<Micros, DocError> {
+    /// A span in whole seconds.
+    fn read_seconds(&mut self, key: &str, default: u64, least: u64) -> Result<Span, DocError> {
         let seconds = self.reader.whole(key, least, MAX_SECONDS)?;
-        Ok(seconds.map_or(default, |seconds| seconds.value) as Micros * 1_000_000)
+        Ok(Span::from_secs(seconds.map_or(default, |seconds| seconds.value) as i64))
     }
 
     fn read_classes(&mut self) -> Result<Vec<ClassRule>, DocError> {
