--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told, and the actions with which it answers.
+//! The router's events and actions: what the program reports goes to the router, and what it decides is carried out.
 
 use super::attempts::NewAttempt;
 use super::{Command, Core, CoreDeadline, FinalAnswer};
@@ -9,8 +9,11 @@
 };
 use crate::slots::Key;
 
+/// Purges are remembered for this many times the time in which servers drop older copies.
+const PURGE_MEMORY_FACTOR: i64 = 2;
+
 impl Core {
-    /// A probe was answered.
+    /// A health check has ended.
     pub fn health_checked(
         &mut self,
         now: Instant,
@@ -18,101 +21,113 @@
         result: AttemptResult,
         elapsed: Span,
         load_report: Vec<f32>,
-        due: &mut dyn Schedule<CoreDeadline>,
+        deadlines: &mut dyn Schedule<CoreDeadline>,
     ) {
         self.events.push_back(Event::HealthChecked { server, result, elapsed, load_report });
-        self.run_router(now, due);
+        self.run_router(now, deadlines);
     }
 
-    /// News of the list of servers.
+    /// The endpoint list has changed.
     pub fn update_endpoints(
         &mut self,
         now: Instant,
-        kind: ListUpdate,
-        entries: Vec<Endpoint>,
-        due: &mut dyn Schedule<CoreDeadline>,
+        update: ListUpdate,
+        endpoints: Vec<Endpoint>,
+        deadlines: &mut dyn Schedule<CoreDeadline>,
     ) {
-        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
+        if matches!(update, ListUpdate::Cached | ListUpdate::Full) {
             self.server_states.clear();
         }
-        self.server_states.extend(entries.iter().map(|member| (member.server, member.state)));
-        self.server_states.retain(|_, state| *state != ServerState::Removed); // unknown is as good as gone
-        self.events.push_back(Event::EndpointList { update: kind, endpoints: entries });
-        self.run_router(now, due);
+        self.server_states.extend(endpoints.iter().map(|endpoint| (endpoint.server, endpoint.state)));
+        self.server_states.retain(|_, state| *state != ServerState::Removed);
+        self.events.push_back(Event::EndpointList { update, endpoints });
+        self.run_router(now, deadlines);
     }
 
-    /// A purge, and the time at which it was made.
-    pub fn purge(&mut self, now: Instant, what: Purge, at: Instant, due: &mut dyn Schedule<CoreDeadline>) {
-        let kept = 2 * self.settings.protection.purge_settled_after;
-        self.purge_times.retain(|_, at| *at + kept > now);
-        let newest = self.purge_times.entry(what).or_insert(at);
-        *newest = at.max(*newest);
-        self.events.push_back(Event::Purged { purge: what, age: now - at });
-        self.run_router(now, due);
+    /// A purge was made at a time.
+    pub fn purge(
+        &mut self,
+        now: Instant,
+        purge: Purge,
+        made_at: Instant,
+        deadlines: &mut dyn Schedule<CoreDeadline>,
+    ) {
+        let remembered_for = PURGE_MEMORY_FACTOR * self.settings.protection.purge_settled_after;
+        self.purge_times.retain(|_, made_at| *made_at + remembered_for > now);
+        let newest = self.purge_times.entry(purge).or_insert(made_at);
+        *newest = made_at.max(*newest);
+        self.events.push_back(Event::Purged { purge, age: now - made_at });
+        self.run_router(now, deadlines);
     }
 
-    /// A deadline of the core has fallen.
+    /// A deadline of the core has passed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
-        what: CoreDeadline,
-        due: &mut dyn Schedule<CoreDeadline>,
+        deadline: CoreDeadline,
+        deadlines: &mut dyn Schedule<CoreDeadline>,
     ) {
-        match what {
+        match deadline {
             CoreDeadline::RouterTimer(token) => self.events.push_back(Event::Timer(token)),
-            CoreDeadline::AttemptTimeout(key) => self.time_out_attempt(now, key, due),
-            CoreDeadline::ClientTimeout(key) => self.on_client_timeout(now, key, due),
-            CoreDeadline::AuthorizationExpiry(key) => self.on_authorization_expiry(now, key, due),
+            CoreDeadline::AttemptTimeout(key) => self.time_out_attempt(now, key, deadlines),
+            CoreDeadline::ClientTimeout(key) => self.on_client_timeout(now, key, deadlines),
+            CoreDeadline::AuthorizationExpiry(key) => self.on_authorization_expiry(now, key, deadlines),
         }
-        self.run_router(now, due);
+        self.run_router(now, deadlines);
     }
 
-    /// Feeds the module what has happened until it wants nothing more.
-    pub(super) fn run_router(&mut self, now: Instant, due: &mut dyn Schedule<CoreDeadline>) {
+    /// Gives the router all waiting events, those included that follow from its actions.
+    pub(super) fn run_router(&mut self, now: Instant, deadlines: &mut dyn Schedule<CoreDeadline>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, due);
+                self.carry_out(now, action, deadlines);
             }
             self.actions = actions;
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Instant, action: Action, due: &mut dyn Schedule<CoreDeadline>) {
+    /// Carries out an action of the router.
+    pub(super) fn carry_out(
+        &mut self,
+        now: Instant,
+        action: Action,
+        deadlines: &mut dyn Schedule<CoreDeadline>,
+    ) {
         match action {
             Action::SendCacheOnly { request, server, timeout } => {
-                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: None }, due);
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: None }, deadlines);
             }
-            Action::SendWithFill(get) => {
-                let (request, server, timeout) = (get.request, get.server, get.timeout);
-                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: Some(get) }, due);
+            Action::SendWithFill(fill) => {
+                let (request, server, timeout) = (fill.request, fill.server, fill.timeout);
+                self.begin_attempt(now, NewAttempt { request, server, timeout, fill: Some(fill) }, deadlines);
             }
-            Action::Reject { request, retry_after, reason: why } => {
-                self.reject(now, request, retry_after, why)
-            }
-            Action::Fail(request) => {
-                let late = self.is_timed_out(now, request);
-                self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
-            }
-            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, due),
+            Action::Reject { request, retry_after, reason } => self.reject(now, request, retry_after, reason),
+            Action::Fail(request) => self.fail(now, request),
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt, deadlines),
             Action::Timer { token, after } => {
-                due.add(now + after.max(Span::ZERO), CoreDeadline::RouterTimer(token));
+                deadlines.add(now + after.max(Span::ZERO), CoreDeadline::RouterTimer(token));
             }
             Action::HealthCheck(server) => self.commands.push_back(Command::HealthCheck(server)),
             Action::CloseIdleConnections(server) => {
-                self.commands.push_back(Command::CloseIdleConnections(server))
+                self.commands.push_back(Command::CloseIdleConnections(server));
             }
             Action::Log(line) => self.commands.push_back(Command::Log(line)),
-            // No platform of ours has messages between proxies or a list that must be asked for.
+            // No platform has messages between proxies, or an endpoint list that must be polled.
             Action::SendToPeer { .. } | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
         }
     }
 
-    fn reject(&mut self, now: Instant, request: RequestId, retry_after: Span, why: RejectionReason) {
-        let late = self.is_timed_out(now, request);
-        let answer =
-            FinalAnswer::Rejected { retry_after: retry_after.max(Span::ZERO), timed_out: late, reason: why };
+    fn reject(&mut self, now: Instant, request: RequestId, retry_after: Span, reason: RejectionReason) {
+        let timed_out = self.is_timed_out(now, request);
+        let retry_after = retry_after.max(Span::ZERO);
+        let answer = FinalAnswer::Rejected { retry_after, timed_out, reason };
         self.choose_answer(Key::from_number(request.0), answer);
     }
+
+    fn fail(&mut self, now: Instant, request: RequestId) {
+        let late = self.is_timed_out(now, request);
+        self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
+    }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between the core and those around it: requests, answers, ends of attempts, and what is to be done.
+//! What passes between the core and the program around it: requests, answers, ends of attempts, and commands.
 
 use super::{AttemptKey, RequestKey};
 use crate::interface::{
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 
-/// A request as a front hands it in.
+/// A client's request, as a front submits it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// Its class.
@@ -17,45 +17,45 @@
     pub part: u32,
     /// The object's group.
     pub group: GroupId,
-    /// How long the client waits from now.
+    /// How long the client still waits.
     pub timeout: Span,
-    /// From when on it may get no answer but 'denied', unless one has begun.
+    /// When its credential expires: afterwards it is denied, unless an answer has begun; `None`: never.
     pub authorized_until: Option<Instant>,
 }
 
-/// A copy of an object as a server gave it out.
+/// A copy of an object, as a server sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CachedCopy {
-    /// The bytes; none where the client's copy is the one.
+    /// The bytes; empty where the client's own copy is current.
     pub body: Bytes,
-    /// Its tag.
+    /// Its entity tag.
     pub etag: String,
-    /// When the origin gave it out, in Unix milliseconds; 0: not told.
+    /// When the origin generated it, in Unix milliseconds; 0: unknown.
     pub generated_at_ms: u64,
-    /// Whether the client's own copy is the one.
+    /// Whether the client's own copy is current.
     pub not_modified: bool,
 }
 
 /// A request's one final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// A copy is served.
+    /// Served with a copy.
     Served(CachedCopy),
-    /// Refused: trying again is harmless, after the pause.
+    /// Rejected: a retry is harmless, after the advised wait.
     Rejected {
-        /// How long the client should stay away.
+        /// How long the client should wait; zero: no advice.
         retry_after: Span,
-        /// Whether its time was over.
+        /// Whether its deadline had passed.
         timed_out: bool,
-        /// What stood in its way.
+        /// Why it was rejected.
         reason: RejectionReason,
     },
-    /// Failed; promises nothing.
+    /// Failed; it may have run.
     Failed {
-        /// Whether its time was over.
+        /// Whether its deadline had passed.
         late: bool,
     },
-    /// The client's right to an answer ended before the answer began.
+    /// The client's credential expired before the answer began.
     Denied,
 }
 
@@ -64,62 +64,23 @@
     pub(super) fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
-            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Rejected { .. } => "rejected",
             FinalAnswer::Failed { .. } => "failed",
             FinalAnswer::Denied => "denied",
         }
     }
 }
 
-/// The final answers that a class's requests got.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnswerCounts {
-    /// Served.
-    pub success: u64,
-    /// Refused.
-    pub overload: u64,
-    /// Failed or denied.
-    pub error: u64,
-}
-
-impl AnswerCounts {
-    pub(super) fn count(&mut self, answer: &FinalAnswer) {
-        match answer {
-            FinalAnswer::Served(_) => self.success += 1,
-            FinalAnswer::Rejected { .. } => self.overload += 1,
-            FinalAnswer::Failed { .. } | FinalAnswer::Denied => self.error += 1,
-        }
-    }
-}
-
-/// How many requests were rejected for one reason.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RejectionCount {
-    /// The reason's name for operators.
-    pub reason: &'static str,
-    /// The requests.
-    pub count: u64,
-}
-
-/// How many caches there are.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CacheCounts {
-    /// Caches of the list.
-    pub listed: usize,
-    /// Those of them that the decision module avoids now.
-    pub avoided: usize,
-}
-
-/// How an attempt ended, as the upstream side saw it.
+/// How an attempt ended, as seen on its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The ending.
+    /// The result.
     pub result: AttemptResult,
     /// How the answer came about.
     pub cache_status: Option<CacheStatus>,
     /// How long the fill waited for its first byte.
     pub fill_wait: Span,
-    /// How long the answer's bytes take at full pace; 0: not known.
+    /// How long the answer's bytes take at top speed; zero: unknown.
     pub transfer_time: Span,
     /// The load report.
     pub load_report: Vec<f32>,
@@ -128,7 +89,7 @@
 }
 
 impl AttemptEnd {
-    /// An ending about which nothing more is known.
+    /// An end of which only the result is known.
     pub fn without_details(result: AttemptResult) -> Self {
         AttemptEnd {
             result,
@@ -141,7 +102,7 @@
     }
 }
 
-/// An attempt as it is to be written now.
+/// What an attempt asks its server for, at the moment of its writing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingAttempt {
     /// The request.
@@ -150,26 +111,27 @@
     pub part: u32,
     /// Who fills a miss; `None`: nobody.
     pub fill_source: Option<ServerId>,
-    /// The rank of the copy.
+    /// The rank at which the copy is cached.
     pub cache_rank: u8,
-    /// The oldest copy that will do; 0: the class's fresh time.
+    /// The oldest copy that will do; zero: the class's fresh time.
     pub max_age: Span,
-    /// Join a fill that is under way.
+    /// Join a fill that is in flight.
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// The fill source answers only from its cache.
     pub only_if_cached: bool,
-    /// The parent keeps no copy.
+    /// The parent caches no copy.
     pub bypass_parent_cache: bool,
-    /// Serve an ageing copy and fetch it anew behind.
+    /// Serve an ageing copy and refresh it in the background.
     pub stale_while_revalidate: bool,
-    /// How long the answer is waited for.
+    /// How long the client waits for the answer.
     pub timeout: Span,
 }
 
-/// What the core wants done.
+/// What the core wants the program to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Write this attempt as soon as a connection takes it; [`Core::write_attempt`](super::Core::write_attempt) says then what to write.
+    /// Write this attempt as soon as a connection takes it; [`Core::write_attempt`](super::Core::write_attempt)
+    /// returns what to write.
     SendAttempt {
         /// The attempt.
         attempt: AttemptKey,
@@ -178,11 +140,12 @@
         /// The server.
         server: ServerId,
     },
-    /// Give this attempt up; nothing more is heard of it.
+    /// Abandon this attempt: its end is not reported any more.
     AbandonAttempt(AttemptKey),
-    /// The request's final answer is there: [`Core::answer_now`](super::Core::answer_now) tells it, [`Core::answer_begun`](super::Core::answer_begun) ends it.
+    /// The request's final answer is known: [`Core::answer_now`](super::Core::answer_now) returns it,
+    /// [`Core::answer_begun`](super::Core::answer_begun) ends the request.
     AnswerRequest(RequestKey),
-    /// Ask a server for its health; [`Core::health_checked`](super::Core::health_checked) takes the result.
+    /// Send a server a health check; its result goes to [`Core::health_checked`](super::Core::health_checked).
     HealthCheck(ServerId),
     /// Close idle connections to a server.
     CloseIdleConnections(ServerId),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,24 +1,30 @@
-//! Requests, attempts and outcomes, whatever wire they come by. The core feeds the decision module's
-//! [`Router`], carries out its actions, and sees to it that each request gets one final answer and each
-//! attempt one legal end. It reads no clock: the time is passed in.
+//! The core: requests, their attempts and their final answers, whatever wire they come by.
+//!
+//! It feeds the decision module, [`Router`], with events and carries out its actions. It guarantees that each request gets
+//! one final answer and that each attempt ends once. It has no sockets and reads no clock: times are passed in.
+//!
+//! - `messages`: what passes between the core and the program around it;
+//! - `requests`: requests, from their arrival to the start of their answer;
+//! - `attempts`: attempts, from the router's action to their end;
+//! - `events`: the router's events and actions;
+//! - `metrics`: counts of final answers.
 
 mod attempts;
 mod events;
 mod messages;
+mod metrics;
 mod requests;
 
-pub use messages::{
-    AnswerCounts, AttemptEnd, CacheCounts, CachedCopy, ClientRequest, Command, FinalAnswer, OutgoingAttempt,
-    RejectionCount,
-};
+pub use messages::{AttemptEnd, CachedCopy, ClientRequest, Command, FinalAnswer, OutgoingAttempt};
+pub use metrics::{AnswerCounts, CacheCounts, RejectionCount};
 
 use crate::deadlines::DeadlineHandle;
 use crate::interface::{
-    Action, ClassId, Event, FillAttempt, Instant, Purge, RejectionReason, RequestId, ServerId, ServerState,
-    Settings, Span,
+    Action, ClassId, Event, FillAttempt, Instant, Purge, RequestId, ServerId, ServerState, Settings, Span,
 };
 use crate::slots::{Key, Slots};
 use crate::{Router, SettingsError};
+use metrics::AnswerMetrics;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A request of the core's table.
@@ -26,48 +32,54 @@
 /// An attempt of the core's table.
 pub type AttemptKey = Key;
 
-/// What falls due for the core.
+/// A deadline of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoreDeadline {
     /// A timer of the decision module.
     RouterTimer(u32),
-    /// An attempt's time is over.
+    /// An attempt times out.
     AttemptTimeout(AttemptKey),
     /// The client stops waiting.
     ClientTimeout(RequestKey),
-    /// The client's right to an answer ends, unless the answer has begun.
+    /// The client's credential expires; it counts unless the answer has begun.
     AuthorizationExpiry(RequestKey),
 }
 
+/// Whether a request's final answer is known.
 enum AnswerState {
     Pending,
-    /// The answer is known, and no byte of it is out.
+    /// The answer is known, and no byte of it has been written.
     Chosen(FinalAnswer),
 }
 
+/// A request whose answer has not begun.
 struct OpenRequest {
     client_request: ClientRequest,
     arrived: Instant,
     state: AnswerState,
     attempts_sent: u8,
-    /// Attempts that it may have, by the settings that held when it came.
+    /// Attempts that it may have, by the settings in force at its arrival.
     max_attempts: u32,
-    /// When the first of its ended attempts that may have run was written.
+    /// When the first of its ended attempts that may have run was written, if there is one.
     first_possible_run: Option<Instant>,
     timeout_deadline: Option<DeadlineHandle>,
     authorization_deadline: Option<DeadlineHandle>,
 }
 
+/// An attempt that has not ended.
 struct Attempt {
     request: RequestId,
+    /// Its place in the order of the request's attempts, from 0.
     number: u8,
     server: ServerId,
+    /// How the server may fetch a miss; `None`: not at all.
     fill: Option<FillAttempt>,
+    /// The purges that concern it: of its object, and of the object's group.
     purge_scopes: [Purge; 2],
     started_at: Instant,
     deadline: Instant,
     timeout_deadline: Option<DeadlineHandle>,
-    /// When its bytes may have left.
+    /// When it was written; from then on it may have run.
     written_at: Option<Instant>,
 }
 
@@ -77,25 +89,26 @@
     settings: Settings,
     requests: Slots<OpenRequest>,
     attempts: Slots<Attempt>,
+    /// The listed servers; one that is missing counts as removed.
     server_states: BTreeMap<ServerId, ServerState>,
+    /// When what was purged last, as long as servers may still have older copies.
     purge_times: BTreeMap<Purge, Instant>,
+    /// Events that the router has not been given yet.
     events: VecDeque<Event>,
+    /// A buffer for the router's actions, empty between two events.
     actions: Vec<Action>,
     commands: VecDeque<Command>,
     /// Bytes of copies whose answers have not begun.
     held_bytes: usize,
-    /// By class; a request that its client abandons before its answer begins is in none.
-    answer_counts: Vec<AnswerCounts>,
-    /// Refusals by what stood in the way, in the order of [`RejectionReason::ALL`].
-    rejection_counts: [u64; RejectionReason::COUNT],
+    metrics: AnswerMetrics,
 }
 
 impl Core {
-    /// A core whose module knows nothing yet but its settings.
+    /// A core without servers or requests.
     ///
     /// # Errors
     ///
-    /// Settings that the module cannot use.
+    /// The settings are not usable.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         Ok(Core {
             router: Router::new(settings.clone(), seed, now)?,
@@ -108,24 +121,23 @@
             actions: Vec::new(),
             commands: VecDeque::new(),
             held_bytes: 0,
-            answer_counts: Vec::new(),
-            rejection_counts: [0; RejectionReason::COUNT],
+            metrics: AnswerMetrics::default(),
         })
     }
 
-    /// Goes on by other settings, in which every class that was there has its number and its rules: requests that are
-    /// open keep those, their deadlines and their number of attempts.
+    /// Applies new settings, in which every earlier class keeps its number and its rules. Open requests keep their
+    /// deadlines and their number of attempts.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.router.reconfigure(settings.clone());
         self.settings = settings;
     }
 
-    /// Tells how many processes serve as this edge proxy just now, and which of them this is.
+    /// Sets how many processes serve as this edge proxy, and this one's place among them.
     pub fn set_process_share(&mut self, processes: u32, place: u32) {
         self.router.share(processes, place);
     }
 
-    /// The next thing that the core wants done.
+    /// The next command to be carried out.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
@@ -140,18 +152,12 @@
         self.requests.len()
     }
 
-    /// Whether a server is a cache: no parent, and not the origin.
+    /// Whether a server is a cache, neither a parent nor the origin.
     pub fn is_cache(&self, server: ServerId) -> bool {
         self.router.is_cache(server)
     }
 
-    /// The caches of the list, and how many of them the module avoids now.
-    pub fn cache_counts(&self) -> CacheCounts {
-        let (listed, avoided) = self.router.targets();
-        CacheCounts { listed, avoided }
-    }
-
-    /// The advice on staying away that the module gives a class's clients.
+    /// The Retry-After that rejected requests of a class get.
     pub fn retry_after(&self, class: ClassId) -> Span {
         self.router.advice(class)
     }
