--- a/src/core/metrics.rs
+++ b/src/core/metrics.rs
@@ -2,6 +2,7 @@
 
 use super::{Core, FinalAnswer};
 use crate::interface::{ClassId, RejectionReason};
+use crate::policy::CacheCounts;
 
 /// The final answers to one class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -23,15 +24,6 @@
     pub count: u64,
 }
 
-/// How many caches there are.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CacheCounts {
-    /// Caches of the endpoint list.
-    pub listed: usize,
-    /// Those of them that the decision module avoids.
-    pub avoided: usize,
-}
-
 /// The final answers so far. A request that its client abandons before its answer begins is in no count.
 #[derive(Default)]
 pub(super) struct AnswerMetrics {
@@ -85,7 +77,6 @@
 
     /// How many caches are listed, and how many of them the router avoids.
     pub fn cache_counts(&self) -> CacheCounts {
-        let (listed, avoided) = self.router.targets();
-        CacheCounts { listed, avoided }
+        self.router.cache_counts()
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -16,7 +16,7 @@
 mod requests;
 
 pub use messages::{AttemptEnd, CachedCopy, ClientRequest, Command, FinalAnswer, OutgoingAttempt};
-pub use metrics::{AnswerCounts, CacheCounts, RejectionCount};
+pub use metrics::{AnswerCounts, RejectionCount};
 
 use crate::deadlines::DeadlineHandle;
 use crate::interface::{
@@ -134,7 +134,7 @@
 
     /// Sets how many processes serve as this edge proxy, and this one's place among them.
     pub fn set_process_share(&mut self, processes: u32, place: u32) {
-        self.router.share(processes, place);
+        self.router.set_process_share(processes, place);
     }
 
     /// The next command to be carried out.
@@ -159,7 +159,7 @@
 
     /// The Retry-After that rejected requests of a class get.
     pub fn retry_after(&self, class: ClassId) -> Span {
-        self.router.advice(class)
+        self.router.retry_after(class)
     }
 }
 
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -19,40 +19,40 @@
     pub source: ServerId,
     pub sent: Instant,
     /// Sent by the popular directory, with the home as its source.
-    pub delegate: bool,
-    /// Asks only for what the cache or its source holds: fills are held back.
-    pub only_held: bool,
-    /// Only for want of a fetch: after a miss its request waits for one.
+    pub is_delegate: bool,
+    /// It is answered only from what the cache or its source has cached.
+    pub only_if_cached: bool,
+    /// So only because the fetch limit is reached: after a miss its request waits for a fetch.
     pub waits_for_fetch: bool,
     pub in_flight: bool,
     /// Cancelled or hedged because it was overdue.
-    pub rescued: bool,
+    pub replaced: bool,
     /// The cache is at fault for how it ended, so it is asked again last.
     pub blamed: bool,
     /// It ended with an error of the cache's own, if it is not the request's.
     pub errored: bool,
     /// Its connection broke: that says little of the cache, and nothing of the source.
-    pub reset: bool,
-    /// The origin failed behind its source: what it holds is not asked for again by this request.
+    pub was_reset: bool,
+    /// The origin failed behind its source: this request does not use it for fills again.
     pub origin_failed: bool,
     /// It failed as a fill, and its answer does not tell whether at the cache or at its source.
-    pub unattributed: Option<Failure>,
+    pub unattributed_failure: Option<Failure>,
 }
 
 impl Attempt {
     /// Whether a source was to supply a miss, other than the home of a delegate.
     pub fn is_fill(&self) -> bool {
-        !self.delegate && self.source != self.server
+        !self.is_delegate && self.source != self.server
     }
 
     /// Whether it counts as a fetch that may reach the origin.
     pub fn is_fetch(&self) -> bool {
-        !self.only_held && !self.delegate
+        !self.only_if_cached && !self.is_delegate
     }
 
     /// Whether it failed in a way that may tell of its cache or its source.
     pub fn has_failed(&self) -> bool {
-        self.errored || self.unattributed.is_some()
+        self.errored || self.unattributed_failure.is_some()
     }
 }
 
@@ -94,26 +94,27 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Takes in the end of an attempt; gives the attempt as it stands then.
-    pub fn end_attempt(&mut self, outcome: &AttemptOutcome, notes: CacheStatusDetail) -> Option<Attempt> {
+    /// Records the end of an attempt; gives the attempt as it stands then.
+    pub fn end_attempt(&mut self, outcome: &AttemptOutcome, detail: CacheStatusDetail) -> Option<Attempt> {
         let number = usize::from(outcome.attempt);
-        let was_reset = |a: &Attempt| a.server == outcome.server && a.reset;
+        let was_reset = |a: &Attempt| a.server == outcome.server && a.was_reset;
         let reset_before = self.attempts.iter().take(number).any(was_reset);
         let ended = self.attempts.get(number).filter(|attempt| attempt.in_flight)?;
-        let unattributed = unattributed_failure(notes, outcome, ended);
-        let in_doubt = |a: &Attempt| a.server == outcome.server && a.unattributed.is_some();
+        let unattributed = unattributed_failure(detail, outcome, ended);
+        let in_doubt = |a: &Attempt| a.server == outcome.server && a.unattributed_failure.is_some();
         // The first failed fill at a cache is retried there, from another source: that tells which failed.
         let retry_in_place = unattributed.is_some() && !self.attempts.iter().any(in_doubt);
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
-        attempt.unattributed = unattributed;
+        attempt.unattributed_failure = unattributed;
         let by_source = outcome.cache_status.is_some_and(CacheStatus::is_fill_failure);
-        let called_off = attempt.rescued && outcome.result == AttemptResult::Cancelled;
+        let called_off = attempt.replaced && outcome.result == AttemptResult::Cancelled;
         attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
-        // What broke once is asked for where it was, since the copy is there; what breaks again is not.
-        attempt.reset = outcome.result == AttemptResult::Reset && !reset_before;
+        // An attempt that broke once is retried at the same cache, which has the copy; one that breaks again
+        // is not.
+        attempt.was_reset = outcome.result == AttemptResult::Reset && !reset_before;
         attempt.errored = outcome.result == AttemptResult::Error && !by_source;
-        let failed = !attempt.reset && outcome.result != AttemptResult::Ok && !by_source && !called_off;
+        let failed = !attempt.was_reset && outcome.result != AttemptResult::Ok && !by_source && !called_off;
         attempt.blamed |= failed && !retry_in_place;
         let attempt = attempt.clone();
         if !outcome.result.never_ran() && self.may_have_run.is_none_or(|first| attempt.sent < first.sent) {
@@ -125,11 +126,11 @@
 
 /// How an attempt failed as a fill, where the site's answers do not tell which of its two servers failed.
 fn unattributed_failure(
-    notes: CacheStatusDetail,
+    detail: CacheStatusDetail,
     outcome: &AttemptOutcome,
     attempt: &Attempt,
 ) -> Option<Failure> {
-    if notes == CacheStatusDetail::Full || outcome.cache_status.is_some() || !attempt.is_fill() {
+    if detail == CacheStatusDetail::Full || outcome.cache_status.is_some() || !attempt.is_fill() {
         return None;
     }
     match outcome.result {
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -1,12 +1,13 @@
-//! Attribution of failures: whether the cache or its source is at fault, told by the attempt that is served.
+//! Attribution of failures: whether the cache or its source is at fault, inferred from the attempt that is
+//! served.
 
 use super::{attempt::Attempt, Router};
 use crate::interface::{Instant, RequestId, ServerId};
 
 impl Router {
-    /// Books the failed attempts of a request, once another is served. An error is the cache's own where
-    /// another serves the same request. What errs everywhere can't be served, and a client that sends such
-    /// requests must not get all caches ejected.
+    /// Attributes the failed attempts of a request, once another one is served. An error is the cache's own
+    /// where another serves the same request. What errs everywhere can't be served, and a client that sends
+    /// such requests must not get all caches ejected.
     pub(super) fn attribute_failures(&mut self, now: Instant, id: RequestId, served: &Attempt) {
         let Some(open) = self.open.get(&id) else { return };
         let failed: Vec<Attempt> = open.attempts.iter().filter(|a| a.has_failed()).cloned().collect();
@@ -15,16 +16,16 @@
         }
     }
 
-    /// Books a failed attempt against the server at fault.
+    /// Records a failed attempt against the server at fault.
     fn attribute(&mut self, now: Instant, failed: &Attempt, served: &Attempt) {
-        match failed.unattributed {
+        match failed.unattributed_failure {
             Some(failure) if self.is_source_at_fault(failed, served) => {
                 self.servers.entry(failed.source).and_modify(|source| source.on_failed_fill(now, failure));
             }
             _ if failed.errored => {
                 self.servers.entry(failed.server).and_modify(|cache| cache.on_error(now));
             }
-            // A cache that rejects is at its limits: its answers tell that as it is.
+            // A cache that rejects is at its limits, which says nothing about its health.
             _ => {}
         }
     }
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -37,7 +37,7 @@
         pick(&least_distributed(&live), random)
     }
 
-    /// Books how a delegate's attempt ended.
+    /// Records how a delegate's attempt ended.
     pub(super) fn on_delegate_ended(&mut self, now: Instant, request: &Request, attempt: &Attempt, ok: bool) {
         if let Some(entry) = self.directory.get_mut(object_key(request)) {
             entry.on_delegate_ended(now, attempt.server, ok);
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,50 +1,59 @@
 //! The endpoint list: its changes, and what each server is used for.
 
-use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_AGAIN};
+use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_RETRY_TIMER};
 use crate::interface::{Action, Endpoint, Instant, ListUpdate, ServerId, ServerState};
 
+/// How many caches there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CacheCounts {
+    /// Caches of the endpoint list.
+    pub listed: usize,
+    /// Those of them that get no requests but probes: draining or ejected ones.
+    pub avoided: usize,
+}
+
 impl Router {
-    /// Takes in news of the endpoint list.
-    pub(super) fn on_members(
+    /// Handles an update of the endpoint list.
+    pub(super) fn on_endpoint_list(
         &mut self,
         now: Instant,
-        kind: ListUpdate,
-        entries: Vec<Endpoint>,
+        update: ListUpdate,
+        endpoints: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
-        match kind {
+        match update {
             ListUpdate::Cached if self.settings.limits.polls_discovery => {
                 out.push(Action::WatchEndpoints(true))
             }
-            ListUpdate::Failed => out.push(Action::Timer { token: WATCH_AGAIN, after: PROBE_INTERVAL }),
+            ListUpdate::Failed => out.push(Action::Timer { token: WATCH_RETRY_TIMER, after: PROBE_INTERVAL }),
             _ => {}
         }
-        if matches!(kind, ListUpdate::Cached | ListUpdate::Full) {
+        if matches!(update, ListUpdate::Cached | ListUpdate::Full) {
             for server in self.servers.values_mut() {
-                server.member.state = ServerState::Removed;
+                server.endpoint.state = ServerState::Removed;
             }
         }
-        for member in entries {
-            self.update_member(now, member);
+        for endpoint in endpoints {
+            self.update_endpoint(now, endpoint);
         }
         self.update_tiers();
         self.directory.retain_delegates(&self.caches);
     }
 
-    /// Takes in one entry of the list.
-    fn update_member(&mut self, now: Instant, member: Endpoint) {
-        let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
-        if server.member.started_at != member.started_at {
+    /// Updates one entry of the list.
+    fn update_endpoint(&mut self, now: Instant, endpoint: Endpoint) {
+        let server = self.servers.entry(endpoint.server).or_insert_with(|| Server::new(endpoint, now));
+        if server.endpoint.started_at != endpoint.started_at {
             server.on_restart();
         }
-        server.member = member;
+        server.endpoint = endpoint;
     }
 
     /// Brings the lists of ready servers by their use up to date.
     fn update_tiers(&mut self) {
         let is_own =
-            |s: &Server| self.is_cache(s.member.server) && s.member.zone == self.settings.topology.zone;
-        let is_origin = |s: &Server| s.member.kind == self.settings.topology.origin_kind;
+            |s: &Server| self.is_cache(s.endpoint.server) && s.endpoint.zone == self.settings.topology.zone;
+        let is_origin = |s: &Server| s.endpoint.kind == self.settings.topology.origin_kind;
         let caches = self.ready_servers(is_own);
         let parents = self.ready_servers(|server| self.is_parent(server));
         let origin = self.ready_servers(is_origin).first().copied();
@@ -55,27 +64,27 @@
 
     /// The ready servers that are of some kind.
     fn ready_servers(&self, is_of_kind: impl Fn(&Server) -> bool) -> Vec<ServerId> {
-        let is_ready = |server: &&Server| server.member.state == ServerState::Ready && is_of_kind(server);
-        self.servers.values().filter(is_ready).map(|server| server.member.server).collect()
+        let is_ready = |server: &&Server| server.endpoint.state == ServerState::Ready && is_of_kind(server);
+        self.servers.values().filter(is_ready).map(|server| server.endpoint.server).collect()
     }
 
-    /// The caches of the list, and how many of them get nothing now, or probes only.
-    pub fn targets(&self) -> (usize, usize) {
+    /// How many caches are listed, and how many of them get no requests but probes.
+    pub fn cache_counts(&self) -> CacheCounts {
         let is_listed =
-            |s: &&Server| s.member.state != ServerState::Removed && self.is_cache(s.member.server);
+            |s: &&Server| s.endpoint.state != ServerState::Removed && self.is_cache(s.endpoint.server);
         let caches: Vec<&Server> = self.servers.values().filter(is_listed).collect();
-        let is_out = |s: &&&Server| s.ejected || s.member.state != ServerState::Ready;
-        (caches.len(), caches.iter().filter(is_out).count())
+        let is_out = |s: &&&Server| s.ejected || s.endpoint.state != ServerState::Ready;
+        CacheCounts { listed: caches.len(), avoided: caches.iter().filter(is_out).count() }
     }
 
     /// Whether a server is a parent.
     pub(super) fn is_parent(&self, server: &Server) -> bool {
-        Some(server.member.kind) == self.settings.topology.parent_kind
+        Some(server.endpoint.kind) == self.settings.topology.parent_kind
     }
 
-    /// Whether a server is a cache: no parent, and not the origin.
+    /// Whether a server is a cache, neither a parent nor the origin.
     pub fn is_cache(&self, server: ServerId) -> bool {
-        let kind = self.servers.get(&server).map(|server| server.member.kind);
+        let kind = self.servers.get(&server).map(|server| server.endpoint.kind);
         kind.is_some()
             && kind != self.settings.topology.parent_kind
             && kind != Some(self.settings.topology.origin_kind)
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -9,7 +9,7 @@
 /// Own fetches that may be in flight at first.
 const INITIAL_LIMIT: f64 = 32.0;
 /// Own fetches that may be in flight at most. More only wait for each other at the origin.
-const MOST_LIMIT: f64 = 256.0;
+const MAX_LIMIT: f64 = 256.0;
 /// How the limit changes with slow or failed fetches.
 const DECREASE: Step = Step { rate: -3.0, longest: Span::from_millis(200) };
 /// How it changes with others, up to its first value or while it binds.
@@ -22,7 +22,7 @@
     longest: Span,
 }
 
-/// What the end of a fetch tells about the origin.
+/// What the end of a fetch says about the origin.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FetchSpeed {
     /// It failed or was slow.
@@ -76,7 +76,7 @@
             let step = if slow { DECREASE } else { INCREASE };
             let elapsed = (now - self.observed_at).min(step.longest).as_micros_f64();
             let factor = (step.rate * elapsed / SECOND.as_micros_f64()).exp();
-            self.limit = (used * factor).clamp(least, MOST_LIMIT);
+            self.limit = (used * factor).clamp(least, MAX_LIMIT);
         }
         self.observed_at = now;
     }
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -25,9 +25,9 @@
         match self.parents_in_order(now, open)[..] {
             [] => self.origin,
             [first, second, ..] if first_byte(first) > CLEARLY_SOONER * first_byte(second) + usual => {
-                Some(second.member.server)
+                Some(second.endpoint.server)
             }
-            [first, ..] => Some(first.member.server),
+            [first, ..] => Some(first.endpoint.server),
         }
     }
 
@@ -35,13 +35,13 @@
     fn parents_in_order(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let object = object_key(&open.request);
         let score = |server: &Server| {
-            rendezvous(object, server.member.server, server.member.weight * self.warmth(now, server))
+            rendezvous(object, server.endpoint.server, server.endpoint.weight * self.warmth(now, server))
         };
         let mut parents = self.eligible_parents(now, open);
         parents.sort_by(|a, b| score(a).total_cmp(&score(b)));
         let hub = self.settings.topology.hub_by_zone.get(usize::from(self.settings.topology.zone.0));
         // A farther hub costs more bytes on links.
-        parents.sort_by_key(|server| Some(&server.member.zone) != hub);
+        parents.sort_by_key(|server| Some(&server.endpoint.zone) != hub);
         parents
     }
 
@@ -50,11 +50,12 @@
         let class = open.request.class;
         let in_budget = self.parents.iter().filter(|s| !self.is_warm_up_budget_spent(now, **s, class));
         let parents: Vec<&Server> = in_budget.map(|server| &self.servers[server]).collect();
-        let has_ended = |a: &Attempt| a.rescued || !(a.in_flight || a.reset);
+        let has_ended = |a: &Attempt| a.replaced || !(a.in_flight || a.was_reset);
         let has_failed =
-            |s: &Server| open.attempts.iter().any(|a| a.source == s.member.server && has_ended(a));
-        let is_good =
-            |s: &&Server| (!s.ejected || s.ejected_until <= now) && !has_failed(s) && self.is_sure(s, open);
+            |s: &Server| open.attempts.iter().any(|a| a.source == s.endpoint.server && has_ended(a));
+        let is_good = |s: &&Server| {
+            (!s.ejected || s.ejected_until <= now) && !has_failed(s) && self.is_reliable_for(s, open)
+        };
         let good: Vec<&Server> = parents.iter().copied().filter(is_good).collect();
         // Without notes a slow origin looks like silent parents, and must not get more.
         if good.is_empty() && self.settings.limits.cache_status_detail == CacheStatusDetail::None {
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Instant, Purge, Span};
 
 impl Router {
-    /// Takes in a purge.
+    /// Records a purge.
     pub(super) fn on_purged(&mut self, now: Instant, what: Purge, age: Span) {
         let purged = now - age;
         self.purges.entry(what).and_modify(|at| *at = purged.max(*at)).or_insert(purged);
--- a/src/policy/home.rs
+++ b/src/policy/home.rs
@@ -4,7 +4,7 @@
     attempt::OpenRequest,
     popularity::{object_key, ObjectKey},
     rendezvous::rendezvous,
-    server::{Server, UNSURE_ERROR_RATE},
+    server::{Server, UNRELIABLE_ERROR_RATE},
     Router,
 };
 use crate::interface::{Idempotency, Instant, RejectionReason, Request, ServerId};
@@ -13,16 +13,16 @@
     /// The ready caches of the own location, the object's home first (rendezvous hash by size).
     pub(super) fn hash_order(&self, now: Instant, object: ObjectKey) -> Vec<ServerId> {
         let median = self.median_deviation();
-        // One that is due for its probe gets it by its whole share, or it would wait for long.
+        // A cache that is due for a probe keeps its full share of objects, so that it gets one soon.
         let reference = |s: &Server| if s.is_probe_due(now) { f64::INFINITY } else { median };
-        let score = |s: &Server| rendezvous(object, s.member.server, self.capacity(now, s, reference(s)));
+        let score = |s: &Server| rendezvous(object, s.endpoint.server, self.capacity(now, s, reference(s)));
         let mut order: Vec<_> = self.caches.iter().map(|id| (score(&self.servers[id]), *id)).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The cache that serves a request, or a parent past the caches where that is allowed and no cache is
-    /// ready; else what stands in the way.
+    /// The cache that serves a request, or a parent where requests may go there directly and no cache is
+    /// ready; else why the request is rejected.
     pub(super) fn home_or_parent(
         &self,
         now: Instant,
@@ -44,14 +44,14 @@
         })
     }
 
-    /// The first usable cache, of those that are least to blame for the request's earlier attempts.
+    /// The first usable cache, of those with the fewest failures of this request's earlier attempts.
     fn home(&self, now: Instant, open: &OpenRequest, order: &[ServerId]) -> Option<ServerId> {
         let times_blamed = |s: &ServerId| open.attempts.iter().filter(|a| a.server == *s && a.blamed).count();
-        let blame = |s: &ServerId| (times_blamed(s), !self.is_sure(&self.servers[s], open));
+        let blame = |s: &ServerId| (times_blamed(s), !self.is_reliable_for(&self.servers[s], open));
         order.iter().copied().filter(|server| self.is_usable(now, *server, open)).min_by_key(blame)
     }
 
-    /// A parent or the origin, where requests may go there and no cache is ready.
+    /// A parent or the origin, where requests may go there directly and no cache is ready.
     fn parent_past_caches(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
         if !self.settings.limits.direct_to_source || !self.caches.is_empty() {
             return None;
@@ -63,21 +63,21 @@
     /// Whether a cache may be sent a request: not ejected (or due for a probe) and in its warm-up budget.
     pub(super) fn is_usable(&self, now: Instant, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return false };
-        // A write is no probe: where it fails it may have run, and is lost.
+        // A write is no probe: if it fails it may have run, and is lost.
         let may_probe = self.class(&open.request).idempotency == Idempotency::Always && to.is_probe_due(now);
         (!to.ejected || may_probe)
             && self.may_send(now, open, server)
             && !self.is_warm_up_budget_spent(now, server, open.request.class)
     }
 
-    /// Whether no failure is to be expected there that would lose the request: one that must not run twice.
-    pub(super) fn is_sure(&self, server: &Server, open: &OpenRequest) -> bool {
-        let is_healthy = !server.ejected && server.error_rate < UNSURE_ERROR_RATE;
+    /// Whether a server is reliable enough for a request: one that must not run twice is lost with a failure.
+    pub(super) fn is_reliable_for(&self, server: &Server, open: &OpenRequest) -> bool {
+        let is_healthy = !server.ejected && server.error_rate < UNRELIABLE_ERROR_RATE;
         self.class(&open.request).idempotency == Idempotency::Always || is_healthy
     }
 
-    /// Whether this router has seen the object of a request before, of late.
-    pub(super) fn is_known(&self, request: &Request) -> bool {
+    /// Whether this router has seen the object of a request before, recently.
+    pub(super) fn was_requested_before(&self, request: &Request) -> bool {
         self.directory.get(object_key(request)).is_some_and(|entry| entry.count > 1)
     }
 }
--- a/src/policy/effects.rs
+++ b/src/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! The rule on effects: what may be sent again, and what may be called harmless to repeat.
+//! Idempotency: what may be sent again, and what may be rejected as harmless to retry.
 
 use super::{
     attempt::{OpenRequest, PossibleRun},
@@ -7,7 +7,7 @@
 use crate::interface::{DedupScope, Idempotency, Instant, ServerId};
 
 impl Router {
-    /// Whether another attempt keeps the rule on effects.
+    /// Whether another attempt keeps the rule on repeats.
     pub(super) fn may_send(&self, now: Instant, open: &OpenRequest, server: ServerId) -> bool {
         let class = self.class(&open.request);
         let in_flight = open.attempts.iter().find(|attempt| attempt.in_flight);
@@ -26,19 +26,19 @@
         }
     }
 
-    /// Whether two servers drop each other's repeats of a keyed request.
+    /// Whether two servers drop each other's repeats of a request with an idempotency key.
     fn drop_repeats_together(&self, scope: DedupScope, first: ServerId, second: ServerId) -> bool {
         let (Some(first), Some(second)) = (self.servers.get(&first), self.servers.get(&second)) else {
             return false;
         };
         match scope {
             DedupScope::All => true,
-            DedupScope::Zone => first.member.zone == second.member.zone,
-            DedupScope::Cell => first.member.cell == second.member.cell,
+            DedupScope::Zone => first.endpoint.zone == second.endpoint.zone,
+            DedupScope::Cell => first.endpoint.cell == second.endpoint.cell,
         }
     }
 
-    /// Whether a rejection, which tells the client that trying again is harmless, keeps the rule on effects.
+    /// Whether a rejection, which promises that a retry is harmless, keeps the rule on repeats.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class(&open.request);
         let may_have_run = open.may_have_run.is_some() || open.has_attempt_in_flight();
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of the class, the cache, the source and the origin.
+//! What the end of an attempt says about the class, the cache, the fill source and the origin.
 
 use super::{attempt::Attempt, fetch_limit::FetchSpeed, Router};
 use crate::interface::{
@@ -10,13 +10,13 @@
 
 /// The times of an ended attempt, us.
 struct Measured {
-    /// Whether the sending time was told for this answer.
-    is_sending_told: bool,
-    /// Its sending time at full pace.
-    sending: f64,
-    /// What is added to times before they are compared: small ones differ by chance.
+    /// Whether the transfer time of this answer is known.
+    is_transfer_known: bool,
+    /// Its transfer time at top speed.
+    transfer: f64,
+    /// Added to times before they are compared, since small times differ by chance.
     slack: f64,
-    /// Its time without what its source took, which is no fault of the cache.
+    /// Its time less what its source took, which is not the cache's fault.
     own: f64,
     /// Natural log of the cache's own time over what it should be.
     deviation: f64,
@@ -25,21 +25,21 @@
 impl Measured {
     fn new(router: &Router, outcome: &AttemptOutcome, request: &Request) -> Self {
         let class = router.class(request);
-        let is_sending_told = outcome.transfer_time > Span::ZERO && !class.uncached;
-        let sending = if is_sending_told {
+        let is_transfer_known = outcome.transfer_time > Span::ZERO && !class.uncached;
+        let transfer = if is_transfer_known {
             outcome.transfer_time.as_micros_f64()
         } else {
-            router.sending_time(request)
+            router.transfer_time(request)
         };
         let slack = class.latency_objective.as_micros_f64() / 4.0;
         let own = (outcome.elapsed - outcome.fill_wait).max(Span::ZERO).as_micros_f64();
-        let deviation = ((own + slack) / (sending + slack)).ln();
-        Measured { is_sending_told, sending, slack, own, deviation }
+        let deviation = ((own + slack) / (transfer + slack)).ln();
+        Measured { is_transfer_known, transfer, slack, own, deviation }
     }
 }
 
 impl Router {
-    /// Takes in what the end of an attempt tells.
+    /// Records what the end of an attempt says.
     pub(super) fn measure(
         &mut self,
         now: Instant,
@@ -53,21 +53,21 @@
             self.times_mut(request.class).observe_answer(outcome.elapsed.as_micros_f64());
         }
         if is_served && !self.settings.topology.weights_state_links {
-            self.measure_link(now, outcome, measured.sending, measured.slack);
+            self.measure_link(now, outcome, measured.transfer, measured.slack);
         }
-        if attempt.is_fill() && !attempt.only_held {
+        if attempt.is_fill() && !attempt.only_if_cached {
             let speed = self.fetch_speed(outcome, request, attempt, &measured);
             let least = 1.0 / f64::from(self.routers_sharing(false));
             self.fetches.observe(now, speed, least);
         }
-        self.measure_sending(outcome, request, &measured);
+        self.measure_transfer(outcome, request, &measured);
         self.measure_cache(now, outcome, attempt, &measured);
         if attempt.is_fill() {
             self.measure_source(now, outcome, attempt, &measured);
         }
     }
 
-    /// What the end of a fetch tells of the origin.
+    /// What the end of a fetch says about the origin.
     fn fetch_speed(
         &self,
         outcome: &AttemptOutcome,
@@ -79,18 +79,18 @@
         let class = self.class(request);
         let target = class.latency_objective.as_micros_f64();
         let is_lost =
-            matches!(outcome.result, Rejected | Timeout) || (outcome.result == Cancelled && attempt.rescued);
-        // Where notes say less, any fill may be one from the origin.
+            matches!(outcome.result, Rejected | Timeout) || (outcome.result == Cancelled && attempt.replaced);
+        // Where answers state less, any fill may have come from the origin.
         let is_from_origin = match self.settings.limits.cache_status_detail {
             CacheStatusDetail::Full => outcome.cache_status == Some(CacheStatus::FilledByOrigin),
             CacheStatusDetail::Served => outcome.cache_status == Some(CacheStatus::Filled),
             CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
-        let is_late = measured.is_sending_told
-            && outcome.elapsed.as_micros_f64() > target + class.objective_stretch * measured.sending;
+        let is_late = measured.is_transfer_known
+            && outcome.elapsed.as_micros_f64() > target + class.objective_stretch * measured.transfer;
         let is_slow_fill = is_late || outcome.fill_wait.as_micros_f64() > SLOW_FIRST_BYTE * target;
-        let is_mute = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
-        let is_error = outcome.result == Error && (is_mute || !attempt.errored);
+        let is_status_unknown = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
+        let is_error = outcome.result == Error && (is_status_unknown || !attempt.errored);
         if is_lost || (is_from_origin && is_slow_fill) || is_error {
             FetchSpeed::Slow
         } else if is_from_origin {
@@ -100,16 +100,17 @@
         }
     }
 
-    /// Takes in the sending time of an answer whose size is not known beforehand.
-    fn measure_sending(&mut self, outcome: &AttemptOutcome, request: &Request, measured: &Measured) {
-        let tells_sending = measured.is_sending_told || !is_filled(outcome) || self.class(request).uncached;
-        if outcome.result == AttemptResult::Ok && request.size_kb <= 0.0 && tells_sending {
-            let sending = if measured.is_sending_told { measured.sending } else { measured.own };
-            self.times_mut(request.class).observe_sending(sending);
+    /// Records the transfer time of an answer whose size was not known beforehand.
+    fn measure_transfer(&mut self, outcome: &AttemptOutcome, request: &Request, measured: &Measured) {
+        let is_informative =
+            measured.is_transfer_known || !is_filled(outcome) || self.class(request).uncached;
+        if outcome.result == AttemptResult::Ok && request.size_kb <= 0.0 && is_informative {
+            let transfer = if measured.is_transfer_known { measured.transfer } else { measured.own };
+            self.times_mut(request.class).observe_transfer(transfer);
         }
     }
 
-    /// Takes in what an outcome tells of the cache.
+    /// Records what an outcome says about the cache.
     fn measure_cache(
         &mut self,
         now: Instant,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Takes in what an outcome tells of the source of a fill.
+    /// Records what an outcome says about the source of a fill.
     fn measure_source(
         &mut self,
         now: Instant,
@@ -142,16 +143,16 @@
         measured: &Measured,
     ) {
         use AttemptResult::{Cancelled, Error, Miss, Ok, Rejected, Timeout};
-        let is_mute = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
+        let is_status_unknown = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
         let Some(source) = self.servers.get_mut(&attempt.source) else { return };
         let is_source_fault = matches!(
             outcome.cache_status,
             Some(CacheStatus::SourceUnreachable | CacheStatus::SourceRejected)
         );
-        if is_filled(outcome) || (is_mute && outcome.result == Ok) {
+        if is_filled(outcome) || (is_status_unknown && outcome.result == Ok) {
             let elapsed = outcome.elapsed.as_micros_f64();
-            let first_byte = if is_mute {
-                (elapsed - measured.sending).max(0.0)
+            let first_byte = if is_status_unknown {
+                (elapsed - measured.transfer).max(0.0)
             } else {
                 outcome.fill_wait.as_micros_f64()
             };
@@ -165,7 +166,7 @@
     }
 }
 
-/// Whether an answer is noted as filled.
+/// Whether an answer states that it was filled.
 fn is_filled(outcome: &AttemptOutcome) -> bool {
     matches!(outcome.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,11 @@
-//! Every decision of the router, one module each. Its types are in `src/interface.rs`.
+//! Every decision of the router, one module each. Its types are in `src/interface/mod.rs`.
 //!
 //! The tuned values are constants at the top of the modules that use them. The ordinary path is Fongta and
 //! Somchit's Popular Directory; what departs from it, and when, is in docs/design.md. An event goes from
 //! `Router::handle` to one of:
 //!
-//! - `dispatch`: a request's next attempt. It asks `home` (which cache), `delegates` (which other cache for
-//!   a popular object), `fill_source` (who supplies a miss), `freshness` (how old a copy may be), `effects`
+//! - `dispatch`: a request's next attempt. It asks `home` (which cache), `delegates` (which other cache for a
+//!   popular object), `fill_source` (who supplies a miss), `freshness` (how old a copy may be), `idempotency`
 //!   (what may be repeated), `load` (which server is overloaded) and `slow_start` (which is still warming
 //!   up).
 //! - `outcomes`: the end of an attempt; `attribution` and `measurements` take in what it tells.
@@ -21,13 +21,13 @@
 mod class_times;
 mod delegates;
 mod dispatch;
-mod effects;
 mod endpoints;
 mod fetch_limit;
 mod fill_source;
 mod final_answers;
 mod freshness;
 mod home;
+mod idempotency;
 mod load;
 mod measurements;
 mod outcomes;
@@ -46,6 +46,7 @@
 use crate::SettingsError;
 use attempt::OpenRequest;
 use class_times::ClassTimes;
+pub use endpoints::CacheCounts;
 use fetch_limit::FetchLimit;
 use popularity::PopularDirectory;
 use rand_core::SeedableRng;
@@ -55,11 +56,11 @@
 use std::collections::BTreeMap;
 use timing::{SECOND, TICK, UPKEEP_INTERVAL};
 
-/// Token of the timer that renews a failed subscription; the other timers are ticks.
-const WATCH_AGAIN: u32 = 1;
+/// Token of the timer that renews a failed subscription; all other timers are ticks.
+const WATCH_RETRY_TIMER: u32 = 1;
 
 /// The processes that serve as one router.
-struct Sharing {
+struct ProcessShare {
     processes: u32,
     /// This process's place among them.
     place: u32,
@@ -68,7 +69,7 @@
 /// A router's decisions, as a pure state machine.
 pub struct Router {
     settings: Settings,
-    sharing: Sharing,
+    process_share: ProcessShare,
     random: Pcg64Mcg,
     servers: BTreeMap<ServerId, Server>,
     /// The ready caches of the own location, and the ready parents; brought up to date with the list.
@@ -81,21 +82,22 @@
     ticking: bool,
     /// By class.
     times: Vec<ClassTimes>,
-    /// Full-pace answers that the caches' links were seen to bear for each weight, where no weight tells it.
+    /// Full-pace answers that the caches' links were measured to carry for each weight, where weights state
+    /// nothing.
     measured_link: Option<f64>,
-    /// When what was purged last.
+    /// When each object and group was purged last.
     purges: BTreeMap<Purge, Instant>,
     retries: RetryBudget,
     fetches: FetchLimit,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings; an error where they cannot be used.
+    /// A router without servers or requests; an error where the settings cannot be used.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Router {
             random: Pcg64Mcg::seed_from_u64(seed),
-            sharing: Sharing { processes: 1, place: 0 },
+            process_share: ProcessShare { processes: 1, place: 0 },
             servers: BTreeMap::new(),
             caches: Vec::new(),
             parents: Vec::new(),
@@ -104,7 +106,7 @@
             directory: PopularDirectory::new(now),
             upkeep_at: now + UPKEEP_INTERVAL,
             ticking: false,
-            times: settings.classes.iter().map(ClassTimes::untried).collect(),
+            times: settings.classes.iter().map(ClassTimes::initial).collect(),
             measured_link: None,
             purges: BTreeMap::new(),
             retries: RetryBudget::full(),
@@ -113,31 +115,31 @@
         })
     }
 
-    /// Goes on by other settings, in which a class that was there has its number and its rules still.
+    /// Applies new settings, in which every earlier class keeps its number and its rules.
     /// Requests that are open keep their limits.
     pub fn reconfigure(&mut self, settings: Settings) {
         let added = settings.classes.iter().skip(self.times.len());
-        self.times.extend(added.map(ClassTimes::untried));
+        self.times.extend(added.map(ClassTimes::initial));
         self.settings = settings;
     }
 
-    /// Tells how many processes serve as this router just now, and which this is: they share the budgets of
-    /// servers that are warming up.
-    pub fn share(&mut self, processes: u32, place: u32) {
-        self.sharing = Sharing { processes: processes.max(1), place };
+    /// Sets how many processes serve as this router, and this one's place among them: they share the budgets
+    /// of servers that are warming up.
+    pub fn set_process_share(&mut self, processes: u32, place: u32) {
+        self.process_share = ProcessShare { processes: processes.max(1), place };
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update: kind, endpoints: entries } => {
-                self.on_members(now, kind, entries, out)
+                self.on_endpoint_list(now, kind, entries, out)
             }
             Event::Request(request) => self.on_request(now, request, out),
             Event::FirstByte { request, .. } => self.on_first_byte(request),
-            Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, out),
+            Event::AttemptEnded(outcome) => self.on_attempt_ended(now, outcome, out),
             Event::RequestCancelled(id) => self.finish(id, out),
-            Event::Timer(WATCH_AGAIN) if self.settings.limits.polls_discovery => {
+            Event::Timer(WATCH_RETRY_TIMER) if self.settings.limits.polls_discovery => {
                 out.push(Action::WatchEndpoints(true))
             }
             Event::Timer(_) => self.on_tick(now, out),
@@ -150,7 +152,7 @@
         self.keep_ticking(out);
     }
 
-    /// Asks for the next tick while requests are open.
+    /// Sets the timer of the next tick while requests are open.
     fn keep_ticking(&mut self, out: &mut Vec<Action>) {
         if !self.ticking && !self.open.is_empty() {
             self.ticking = true;
@@ -163,21 +165,21 @@
         &self.settings.classes[usize::from(request.class.0)]
     }
 
-    /// What a class's answers take.
+    /// The times that a class's answers take.
     fn times(&self, class: ClassId) -> &ClassTimes {
         &self.times[usize::from(class.0)]
     }
 
-    /// What a class's answers take, to be changed.
+    /// The times that a class's answers take, to be updated.
     fn times_mut(&mut self, class: ClassId) -> &mut ClassTimes {
         &mut self.times[usize::from(class.0)]
     }
 
-    /// A request's own sending time at full pace, us; where sizes are not told, its class's mean.
-    fn sending_time(&self, request: &Request) -> f64 {
+    /// A request's own transfer time at top speed, us; where sizes are unknown, its class's mean.
+    fn transfer_time(&self, request: &Request) -> f64 {
         if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
             return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND.as_micros_f64();
         }
-        self.times(request.class).sending
+        self.times(request.class).transfer
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what is booked of it, and whether its request is retried.
+//! The end of an attempt: what is recorded of it, and whether its request is retried.
 
 use super::{
     attempt::{Attempt, OpenRequest},
@@ -7,18 +7,18 @@
 };
 use crate::interface::{Action, AttemptOutcome, AttemptResult, Instant, RejectionReason, Span};
 
-/// A request that so many caches have answered with an error is itself at fault, as likely as not.
-const MOST_ERRORS: usize = 3;
-/// Part of its objective that a request waits at most for others' fetches to end.
-const FETCH_WAIT: f64 = 0.5;
+/// A request that so many caches have answered with an error is probably at fault itself.
+const MAX_ERRORS: usize = 3;
+/// Share of its objective that a request waits at most for other fetches to end.
+const FETCH_WAIT_OBJECTIVE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Takes in how an attempt ended.
-    pub(super) fn on_outcome(&mut self, now: Instant, outcome: AttemptOutcome, out: &mut Vec<Action>) {
-        let notes = self.settings.limits.cache_status_detail;
+    /// Handles the end of an attempt.
+    pub(super) fn on_attempt_ended(&mut self, now: Instant, outcome: AttemptOutcome, out: &mut Vec<Action>) {
+        let detail = self.settings.limits.cache_status_detail;
         let Some(open) = self.open.get_mut(&outcome.request) else { return };
         let request = open.request.clone();
-        let Some(attempt) = open.end_attempt(&outcome, notes) else { return };
+        let Some(attempt) = open.end_attempt(&outcome, detail) else { return };
         let is_served = outcome.result == AttemptResult::Ok;
         let memory = self.load_memory();
         if let Some(server) = self.servers.get_mut(&attempt.server) {
@@ -26,7 +26,7 @@
         }
         self.fetches.in_flight -= usize::from(attempt.is_fetch());
         self.measure(now, &outcome, &request, &attempt);
-        if attempt.delegate {
+        if attempt.is_delegate {
             self.on_delegate_ended(now, &request, &attempt, is_served);
         }
         if is_served {
@@ -35,7 +35,7 @@
         self.continue_request(now, &outcome, &attempt, out);
     }
 
-    /// Ends, holds or retries the request of an attempt that has ended.
+    /// Finishes, queues or retries the request of an attempt that has ended.
     fn continue_request(
         &mut self,
         now: Instant,
@@ -52,18 +52,18 @@
         if open.has_attempt_in_flight() {
             return; // the hedged one may still answer
         }
-        if is_miss && attempt.waits_for_fetch && self.may_wait(now, open) {
+        if is_miss && attempt.waits_for_fetch && self.may_wait_for_fetch(now, open) {
             return self.fetches.queue.push(id);
         }
-        if open.attempts.iter().filter(|a| a.errored).count() >= MOST_ERRORS {
-            return self.give_up(now, id, RejectionReason::AttemptsExhausted, out);
+        if open.attempts.iter().filter(|a| a.errored).count() >= MAX_ERRORS {
+            return self.reject_or_fail(now, id, RejectionReason::AttemptsExhausted, out);
         }
-        if is_miss && attempt.only_held {
-            return self.give_up(now, id, RejectionReason::FetchLimit, out);
+        if is_miss && attempt.only_if_cached {
+            return self.reject_or_fail(now, id, RejectionReason::FetchLimit, out);
         }
-        let is_free = attempt.rescued || attempt.reset || (attempt.delegate && is_miss);
+        let is_free = attempt.replaced || attempt.was_reset || (attempt.is_delegate && is_miss);
         if !is_free && !self.retries.has_retry() {
-            return self.give_up(now, id, RejectionReason::RetryBudget, out);
+            return self.reject_or_fail(now, id, RejectionReason::RetryBudget, out);
         }
         if !is_free {
             self.retries.spend();
@@ -71,10 +71,12 @@
         self.dispatch(now, id, out);
     }
 
-    /// Whether a request may wait for a fetch: until well before its time, which a tick may miss by a little.
-    pub(super) fn may_wait(&self, now: Instant, open: &OpenRequest) -> bool {
-        let wait =
-            Span::from_micros_f64(FETCH_WAIT * self.class(&open.request).latency_objective.as_micros_f64());
+    /// Whether a request may wait for a fetch: until well before its deadline, since a tick may come a little
+    /// late.
+    pub(super) fn may_wait_for_fetch(&self, now: Instant, open: &OpenRequest) -> bool {
+        let wait = Span::from_micros_f64(
+            FETCH_WAIT_OBJECTIVE_SHARE * self.class(&open.request).latency_objective.as_micros_f64(),
+        );
         now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK)
     }
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,16 +1,16 @@
-//! The look over attempts that take too long: silent servers are ejected, and what waits there is hedged or
-//! moved.
+//! Overdue attempts: silent servers are ejected, and attempts that wait there are hedged or retried
+//! elsewhere.
 
 use super::{attempt::Attempt, timing::SECOND, Router};
 use crate::interface::{Action, CacheStatusDetail, Instant, RejectionReason, RequestId, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Overdue attempts that must be in flight at once for a server to be silent: one may just be large.
-const LEAST_OVERDUE: usize = 2;
+const MIN_OVERDUE: usize = 2;
 /// Caches at which a source's fills must be overdue for it to be silent.
-const LEAST_CACHES: usize = 2;
-/// Sending times of its own that an attempt is let run beyond the least objective of any class.
-const SENDING_TIMES: f64 = 2.0;
+const MIN_CACHES: usize = 2;
+/// Transfer times of its own that an attempt may run beyond the smallest objective of any class.
+const TRANSFER_TIMES: f64 = 2.0;
 
 /// An attempt of an open request, by its number.
 struct AttemptRef {
@@ -18,7 +18,7 @@
     number: usize,
 }
 
-/// What a look over the attempts in flight has found.
+/// What a survey of the attempts in flight has found.
 #[derive(Default)]
 struct Survey {
     /// Overdue attempts by server and by source.
@@ -34,14 +34,16 @@
     pub(super) fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.ticking = false;
         self.upkeep(now);
-        let patience = self.least_objective();
+        let patience = self.smallest_objective();
         let survey = self.survey(now, patience);
         let waited_too_long = self.take_expired_waiters(now);
         survey
             .expired
             .into_iter()
-            .for_each(|id| self.give_up(now, id, RejectionReason::DeadlineExceeded, out));
-        waited_too_long.into_iter().for_each(|id| self.give_up(now, id, RejectionReason::FetchLimit, out));
+            .for_each(|id| self.reject_or_fail(now, id, RejectionReason::DeadlineExceeded, out));
+        waited_too_long
+            .into_iter()
+            .for_each(|id| self.reject_or_fail(now, id, RejectionReason::FetchLimit, out));
         // A source is silent by what it was to fill at several caches; what waits there is no cache's fault.
         let (caches, sources): (Vec<_>, Vec<_>) =
             survey.overdue.into_iter().partition(|(server, _)| self.is_cache(*server));
@@ -52,7 +54,7 @@
     }
 
     /// The least latency objective of the classes in use.
-    fn least_objective(&self) -> Span {
+    fn smallest_objective(&self) -> Span {
         let classes = self.settings.classes.iter().filter(|class| !class.retired);
         classes.map(|class| class.latency_objective).min().unwrap_or(SECOND)
     }
@@ -65,9 +67,9 @@
                 survey.expired.push(*id);
             }
             let usual = self.times(open.request.class).usual_limit();
-            let sending = self.sending_time(&open.request);
+            let transfer = self.transfer_time(&open.request);
             let allowed =
-                Span::from_micros_f64((patience.as_micros_f64() + SENDING_TIMES * sending).max(usual));
+                Span::from_micros_f64((patience.as_micros_f64() + TRANSFER_TIMES * transfer).max(usual));
             for (number, attempt) in open.attempts.iter().enumerate().filter(|(_, a)| a.in_flight) {
                 *survey.in_flight.entry(attempt.source).or_default() += 1;
                 if attempt.sent + allowed > now {
@@ -87,7 +89,8 @@
     fn take_expired_waiters(&mut self, now: Instant) -> Vec<RequestId> {
         let queue = std::mem::take(&mut self.fetches.queue);
         let still_open = queue.into_iter().filter(|id| self.open.contains_key(id));
-        let (waiting, expired): (_, Vec<_>) = still_open.partition(|id| self.may_wait(now, &self.open[id]));
+        let (waiting, expired): (_, Vec<_>) =
+            still_open.partition(|id| self.may_wait_for_fetch(now, &self.open[id]));
         self.fetches.queue = waiting;
         expired
     }
@@ -110,7 +113,7 @@
             true => 2 * overdue.len() > in_flight,
             false => to.last_heard + patience <= now,
         };
-        let is_enough = overdue.len() >= LEAST_OVERDUE || (to.ejected && !overdue.is_empty());
+        let is_enough = overdue.len() >= MIN_OVERDUE || (to.ejected && !overdue.is_empty());
         if !is_unheard || !is_enough {
             return;
         }
@@ -120,24 +123,24 @@
         }
         to.eject(now);
         for attempt in overdue {
-            self.rescue(now, attempt, is_cache, out);
+            self.replace_overdue(now, attempt, is_cache, out);
         }
     }
 
-    /// The overdue attempts that speak against a cache: not those whose source is ejected.
+    /// The overdue attempts that count against a cache: not those whose source is ejected.
     fn overdue_at_cache(&self, mut overdue: Vec<AttemptRef>) -> Vec<AttemptRef> {
         let is_ejected = |server: ServerId| self.servers.get(&server).is_some_and(|server| server.ejected);
         overdue.retain(|attempt| {
-            self.attempt(attempt).is_some_and(|attempt| attempt.delegate || !is_ejected(attempt.source))
+            self.attempt(attempt).is_some_and(|attempt| attempt.is_delegate || !is_ejected(attempt.source))
         });
         overdue
     }
 
-    /// The overdue attempts that speak against a source: none while all are at one cache.
+    /// The overdue attempts that count against a source: none while all are at one cache.
     fn overdue_at_source(&self, overdue: Vec<AttemptRef>) -> Vec<AttemptRef> {
         let attempts = overdue.iter().filter_map(|attempt| self.attempt(attempt));
         let caches: BTreeSet<ServerId> = attempts.map(|attempt| attempt.server).collect();
-        if caches.len() < LEAST_CACHES {
+        if caches.len() < MIN_CACHES {
             return Vec::new();
         }
         overdue
@@ -148,16 +151,22 @@
         self.open.get(&attempt.request).map(|open| &open.attempts[attempt.number])
     }
 
-    /// Sends an overdue attempt's request elsewhere: hedged where two may be in flight, else in its place.
-    fn rescue(&mut self, now: Instant, overdue: AttemptRef, is_cache_at_fault: bool, out: &mut Vec<Action>) {
+    /// Replaces an overdue attempt: by a hedged request where two attempts may be in flight, else by a retry.
+    fn replace_overdue(
+        &mut self,
+        now: Instant,
+        overdue: AttemptRef,
+        is_cache_at_fault: bool,
+        out: &mut Vec<Action>,
+    ) {
         let AttemptRef { request, number } = overdue;
         let Some(open) = self.open.get_mut(&request).filter(|open| !open.finished) else { return };
         let parallel = open.limits.parallel_attempts;
         let attempt = &mut open.attempts[number];
-        if attempt.rescued || !(parallel || open.limits.cancellation) || !self.retries.has_retry() {
+        if attempt.replaced || !(parallel || open.limits.cancellation) || !self.retries.has_retry() {
             return;
         }
-        attempt.rescued = true;
+        attempt.replaced = true;
         attempt.blamed = is_cache_at_fault;
         self.retries.spend();
         if parallel {
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -7,16 +7,16 @@
 };
 use std::collections::BTreeMap;
 
-/// Objects that the directory counts; some tens of seconds of one router's requests fit.
-const MOST_OBJECTS: usize = 4096;
+/// Objects that the directory counts.
+const MAX_OBJECTS: usize = 4096;
 /// Counts are halved this often (design page).
 const HALVING_INTERVAL: Span = Span::from_secs(10);
 /// One counted object in this many is popular (design page: the top 1%).
-const POPULAR_PART: usize = 100;
+const POPULAR_DIVISOR: usize = 100;
 /// Fewer own requests than this make no object popular, however few objects are counted.
-const LEAST_THRESHOLD: u32 = 4;
+const MIN_THRESHOLD: u32 = 4;
 /// Delegates that a router starts for one object (design page).
-const MOST_DELEGATES: usize = 2;
+const MAX_DELEGATES: usize = 2;
 /// A delegate expires after this (design page).
 const DELEGATE_LIFETIME: Span = Span::from_secs(30);
 
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub struct PopularObject {
     pub count: u32,
-    /// No delegate is started until then: one is under way, or failed, and an overloaded home fills none.
+    /// No delegate is started until then: one is being started, or one has failed.
     rest_until: Instant,
     pub delegates: Vec<Delegate>,
 }
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Takes in how a delegate's attempt ended: served, it stays or becomes one; else it no longer is.
+    /// Records the end of a delegate's attempt: served, the cache stays or becomes a delegate; else it no
+    /// longer is one.
     pub fn on_delegate_ended(&mut self, now: Instant, server: ServerId, served: bool) {
         if !served {
             self.delegates.retain(|delegate| delegate.server != server);
@@ -79,7 +80,7 @@
     delegates.iter().filter(has_least).map(|delegate| delegate.server).collect()
 }
 
-/// The counted objects, and the count past which an object is popular.
+/// The counted objects, and the count beyond which an object is popular.
 pub struct PopularDirectory {
     objects: BTreeMap<ObjectKey, PopularObject>,
     threshold: u32,
@@ -90,7 +91,7 @@
     /// An empty directory.
     pub fn new(now: Instant) -> Self {
         let objects = BTreeMap::new();
-        PopularDirectory { objects, threshold: LEAST_THRESHOLD, halve_at: now + HALVING_INTERVAL }
+        PopularDirectory { objects, threshold: MIN_THRESHOLD, halve_at: now + HALVING_INTERVAL }
     }
 
     /// A counted object.
@@ -103,14 +104,14 @@
         self.objects.get_mut(&object)
     }
 
-    /// How often an object was asked for of late.
+    /// How often an object was requested recently.
     pub fn count_of(&self, object: ObjectKey) -> u32 {
         self.objects.get(&object).map_or(0, |entry| entry.count)
     }
 
     /// Counts a request; a new object takes the place of the one with the smallest count.
     pub fn count(&mut self, object: ObjectKey) {
-        if self.objects.len() >= MOST_OBJECTS && !self.objects.contains_key(&object) {
+        if self.objects.len() >= MAX_OBJECTS && !self.objects.contains_key(&object) {
             let least = self.objects.iter().min_by_key(|(_, entry)| entry.count).map(|(object, _)| *object);
             least.and_then(|object| self.objects.remove(&object));
         }
@@ -120,7 +121,7 @@
     /// Whether another delegate may be started for an object.
     pub fn wants_delegate(&self, now: Instant, entry: &PopularObject) -> bool {
         let live = entry.live_delegates(now).len();
-        entry.rest_until <= now && entry.count > self.threshold && live < MOST_DELEGATES
+        entry.rest_until <= now && entry.count > self.threshold && live < MAX_DELEGATES
     }
 
     /// Drops the delegates that are no longer listed.
@@ -139,8 +140,8 @@
         }
         let mut counts: Vec<u32> = self.objects.values().map(|entry| entry.count).collect();
         counts.sort_unstable_by(|a, b| b.cmp(a));
-        let popular = counts.get(counts.len() / POPULAR_PART).copied().unwrap_or(0);
-        self.threshold = popular.max(LEAST_THRESHOLD);
+        let popular = counts.get(counts.len() / POPULAR_DIVISOR).copied().unwrap_or(0);
+        self.threshold = popular.max(MIN_THRESHOLD);
         self.objects.values_mut().for_each(|entry| entry.delegates.retain(|d| d.expires > now));
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -3,7 +3,7 @@
 /// Retries that each request adds to the budget: more feed a shared bottleneck past its end.
 const RETRIES_PER_REQUEST: f64 = 0.05;
 /// Most retries that the budget holds.
-const MOST_RETRIES: f64 = 20.0;
+const MAX_RETRIES: f64 = 20.0;
 
 /// How many retries may be sent.
 pub struct RetryBudget {
@@ -13,12 +13,12 @@
 impl RetryBudget {
     /// A full budget.
     pub fn full() -> Self {
-        RetryBudget { retries: MOST_RETRIES }
+        RetryBudget { retries: MAX_RETRIES }
     }
 
     /// Adds one request's part.
     pub fn add_request(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MOST_RETRIES);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
     /// Whether a retry is left.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -8,9 +8,9 @@
 use std::collections::VecDeque;
 
 /// Latency deviation beyond the median cache's that chance does not explain.
-pub const LEAST_DEVIATION: f64 = 0.5;
+pub const MIN_DEVIATION: f64 = 0.5;
 /// Latency deviation of a server that fails outright or falls silent.
-const MOST_DEVIATION: f64 = 3.0;
+const MAX_DEVIATION: f64 = 3.0;
 /// Weight of a fill that never came in its source's smoothed first byte.
 const LOST_FILL_WEIGHT: f64 = 0.3;
 /// Weight of a new answer in a server's error rate.
@@ -20,19 +20,19 @@
 /// ...until it is under this one.
 const RECOVERED_ERROR_RATE: f64 = 0.1;
 /// Over this error rate no write goes to a server, or is filled there, if it need not.
-pub const UNSURE_ERROR_RATE: f64 = 0.02;
+pub const UNRELIABLE_ERROR_RATE: f64 = 0.02;
 
 /// Work that was sent to a server.
 pub struct SentWork {
     pub at: Instant,
-    /// Sending time, s.
+    /// Transfer time, s.
     pub work: f64,
 }
 
 /// A server of the list, with what this router has seen of it.
 #[derive(Default)]
 pub struct Server {
-    pub member: Endpoint,
+    pub endpoint: Endpoint,
     /// Own attempts in flight.
     pub in_flight: u32,
     /// Own attempts in flight, smoothed over time: with many routers a count of one tells little.
@@ -52,7 +52,7 @@
     /// Failed outright or silent: only probes until then.
     pub ejected: bool,
     pub ejected_until: Instant,
-    /// Work sent of late: a server that is warming up has a budget of it.
+    /// Work sent recently: a server that is warming up has a budget of it.
     pub recent_work: VecDeque<SentWork>,
 }
 
@@ -60,7 +60,7 @@
     /// A server that has just been listed.
     pub fn new(member: Endpoint, now: Instant) -> Self {
         Server {
-            member,
+            endpoint: member,
             smoothed_at: now,
             first_byte_at: now,
             last_heard: now,
@@ -107,7 +107,7 @@
 
     /// Ejects it until a probe succeeds: it failed outright or is silent.
     pub fn eject(&mut self, now: Instant) {
-        self.latency_deviation = MOST_DEVIATION;
+        self.latency_deviation = MAX_DEVIATION;
         self.eject_as_source(now);
     }
 
@@ -117,7 +117,7 @@
         self.ejected_until = now + PROBE_INTERVAL;
     }
 
-    /// Takes in an error of its own.
+    /// Records an error of its own.
     pub fn on_error(&mut self, now: Instant) {
         self.count_error();
         if self.error_rate > EJECTING_ERROR_RATE {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes in a failed fill from it. An error ejects it for a while; rejections only do where few fills
+    /// Records a failed fill from it. An error ejects it for a while; rejections only do where few fills
     /// succeed, since a cache without a place for a fill rejects in the same words.
     pub fn on_failed_fill(&mut self, now: Instant, failure: Failure) {
         self.count_error();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes in a broken connection. One answer that can't be read ends all that is open on its connection:
+    /// Records a broken connection. One answer that can't be read ends all that is open on its connection:
     /// it counts once.
     pub fn on_reset(&mut self, now: Instant) {
         if self.connection_broke_at != now {
@@ -143,11 +143,11 @@
         }
     }
 
-    /// Takes in that it answered, in whatever way: a probe it had ends its ejection, unless it errs too
+    /// Records that it answered, in whatever way: a probe it had ends its ejection, unless it errs too
     /// often.
     pub fn on_response(&mut self, now: Instant, deviation: f64) {
         if self.ejected {
-            self.latency_deviation = self.latency_deviation.min(deviation.max(LEAST_DEVIATION));
+            self.latency_deviation = self.latency_deviation.min(deviation.max(MIN_DEVIATION));
         }
         self.last_heard = now;
         if self.error_rate < RECOVERED_ERROR_RATE || !self.ejected {
@@ -156,12 +156,12 @@
         }
     }
 
-    /// Takes in how far the time of an answer of its own was off.
+    /// Records how far the time of an answer of its own was off.
     pub fn observe_deviation(&mut self, deviation: f64) {
-        smooth(&mut self.latency_deviation, SMOOTHING, deviation.min(MOST_DEVIATION));
+        smooth(&mut self.latency_deviation, SMOOTHING, deviation.min(MAX_DEVIATION));
     }
 
-    /// Takes in the first byte of a fill that it supplied.
+    /// Records the first byte of a fill that it supplied.
     pub fn on_fill(&mut self, now: Instant, first_byte: f64) {
         smooth(self.first_byte.get_or_insert(first_byte), SMOOTHING, first_byte);
         self.count_success();
@@ -170,7 +170,7 @@
         self.ejected = false;
     }
 
-    /// Takes in a fill of which nothing came: that says more than an answer, and all of its time was waiting.
+    /// Records a fill of which nothing came: that says more than an answer, and all of its time was waiting.
     pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a server that is warming up surely bears, and the budget that all routers share of it.
+//! Slow start: the capacity of a warming server, and the budget of it that all routers share.
 
 use super::{
     server::Server,
@@ -7,16 +7,16 @@
 };
 use crate::interface::{ClassId, Instant, ServerId, SlowStartRules};
 
-/// Part of the warm-up budget that is used: true sizes lie below the registered ones at times.
+/// Share of the warm-up budget that is used: true capacities may lie below the registered ones.
 const BUDGET_MARGIN: f64 = 0.5;
-/// Least share of a budget that is divided by.
-const LEAST_SHARE: f64 = 1e-9;
+/// Smallest share of a budget that is divided by.
+const MIN_SHARE: f64 = 1e-9;
 
 impl Router {
-    /// The part of its capacity that a server surely has by now.
+    /// The share of its capacity that a warming server has at least.
     pub(super) fn warmth(&self, now: Instant, server: &Server) -> f64 {
         let SlowStartRules { initial_share, full_after, .. } = self.slow_start_rules(server);
-        let Some(started_at) = server.member.started_at else { return 1.0 };
+        let Some(started_at) = server.endpoint.started_at else { return 1.0 };
         let part = now.saturating_since(started_at).ratio(full_after.max(MICROSECOND));
         (initial_share + (1.0 - initial_share) * part).min(1.0)
     }
@@ -34,7 +34,7 @@
     /// `None`.
     fn warm_up_budget(&self, now: Instant, server: &Server) -> Option<f64> {
         let warmth = self.warmth(now, server);
-        if warmth >= 1.0 || server.member.kind == self.settings.topology.origin_kind {
+        if warmth >= 1.0 || server.endpoint.kind == self.settings.topology.origin_kind {
             return None;
         }
         let multiple = self.slow_start_rules(server).overload_multiple;
@@ -52,14 +52,14 @@
     pub(super) fn is_warm_up_budget_spent(&self, now: Instant, server: ServerId, class: ClassId) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
         let Some(budget) = self.warm_up_budget(now, server) else { return false };
-        let work = self.times(class).sending / SECOND.as_micros_f64();
-        let processes = self.sharing.processes;
-        let sharers = self.routers_sharing(self.is_cache(server.member.server)) * processes;
-        let number = self.settings.topology.ordinal * processes + self.sharing.place;
+        let work = self.times(class).transfer / SECOND.as_micros_f64();
+        let processes = self.process_share.processes;
+        let sharers = self.routers_sharing(self.is_cache(server.endpoint.server)) * processes;
+        let number = self.settings.topology.ordinal * processes + self.process_share.place;
         let share = budget / f64::from(sharers);
         let span = self.settings.protection.overload_window.max(MICROSECOND);
-        let age = now - server.member.started_at.unwrap_or(now);
-        let turns = (work / share.max(LEAST_SHARE)).ceil() as u32;
+        let age = now - server.endpoint.started_at.unwrap_or(now);
+        let turns = (work / share.max(MIN_SHARE)).ceil() as u32;
         let turns = i64::from(turns.next_power_of_two().min(sharers)); // so that all routers hold it alike
         let since = if turns > 1 { now - age % span - MICROSECOND } else { now - span };
         let sent: f64 = server.recent_work.iter().filter(|sent| sent.at > since).map(|sent| sent.work).sum();
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -1,10 +1,10 @@
-//! Upkeep: the popular directory is brought up to date, and what has had its time is forgotten.
+//! Periodic upkeep: halves the popular directory and drops expired state.
 
 use super::{timing::UPKEEP_INTERVAL, Router};
 use crate::interface::{Instant, ServerState};
 
 impl Router {
-    /// Brings the directory up to date and forgets what has had its time, once in each interval.
+    /// Updates the directory and drops expired state, once in each interval.
     pub(super) fn upkeep(&mut self, now: Instant) {
         if now < self.upkeep_at {
             return;
@@ -12,7 +12,7 @@
         self.upkeep_at = now + UPKEEP_INTERVAL;
         self.directory.upkeep(now);
         self.forget_settled_purges(now);
-        self.servers.retain(|_, s| s.member.state != ServerState::Removed || s.in_flight > 0);
+        self.servers.retain(|_, s| s.endpoint.state != ServerState::Removed || s.in_flight > 0);
         let since = now - self.settings.protection.overload_window;
         for server in self.servers.values_mut() {
             server.recent_work.retain(|sent| sent.at > since);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -32,7 +32,7 @@
 #[test]
 fn it_names_its_interface_at_the_top() {
     let module = include_str!("../src/policy/mod.rs");
-    assert!(module.lines().next().is_some_and(|line| line.contains("src/interface.rs")));
+    assert!(module.lines().next().is_some_and(|line| line.contains("src/interface/mod.rs")));
 }
 
 /// The platform prints the size of the files that are named there, and keeps their text with each play.
--- a/tests/policy/fill_sources.rs
+++ b/tests/policy/fill_sources.rs
@@ -41,7 +41,7 @@
 }
 
 fn ejected_caches(bench: &Bench) -> usize {
-    bench.router.targets().1
+    bench.router.cache_counts().avoided
 }
 
 #[test]
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -5,6 +5,7 @@
 //! decisions records a new snapshot.
 
 use crate::support::{fleet, member, request, settings, CACHE, MS, PARENT, SECOND};
+use dahliatrack::policy::CacheCounts;
 use dahliatrack::spread::next;
 use dahliatrack::*;
 use sha2::{Digest, Sha256};
@@ -235,7 +236,8 @@
 
     /// Adds what each server can be trusted with to the digest, to the last bit.
     fn record_capacities(&mut self) {
-        let mut line = format!("{:?}", self.router.targets());
+        let CacheCounts { listed, avoided } = self.router.cache_counts();
+        let mut line = format!("({listed}, {avoided})");
         for (server, capacity) in self.router.capacities(self.now) {
             write!(line, " {}:{:016x}", server.0, capacity.to_bits()).expect("a string takes all");
         }
@@ -324,7 +326,7 @@
         }
         if step == STEPS / 2 {
             stream.router.reconfigure(reconfigured(&scenario.settings));
-            stream.router.share(3, 1);
+            stream.router.set_process_share(3, 1);
         }
         if step % 50 == 0 {
             stream.record_capacities();
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -97,7 +97,7 @@
         bench.now = Instant::ZERO + SECOND;
         list[0].started_at = Some(bench.now);
         bench.list(ListUpdate::Delta, vec![list[0]]);
-        bench.router.share(processes, 0);
+        bench.router.set_process_share(processes, 0);
         let large = |id| Event::Request(Request { size_kb: 1000.0, ..request(id, id) });
         (0..200).filter(|id| get_of(&bench.event(large(*id))).is_some()).count()
     };
