--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -1,27 +1,28 @@
-//! The admin endpoint: HTTP/1.1, one call per connection. Its callers hold a few descriptors of their own, so that
-//! neither clients nor callers that sit on a connection keep an answer from the next.
+//! The admin endpoint: HTTP/1.1, one call per connection. Its callers have a few descriptors of their own, so that
+//! neither clients nor callers that hold a connection open keep an answer from the next.
 
 use super::http::{self, HeadError};
+use super::lingering;
+use super::sessions::{self, Sessions};
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net, Reason};
 use bytes::{Bytes, BytesMut};
-use std::collections::BTreeMap;
 
-/// The kind of an answer that is lines of text.
+/// The content type of lines of text.
 pub const TEXT: &str = "text/plain; charset=utf-8";
-/// Callers at a time; for one more, the one that has been silent longest has to go.
-pub const CALLERS: usize = 8;
-/// A call must be whole this long after its caller connected.
-const WHOLE: Span = Span::from_secs(6);
+/// Connections at a time; one more evicts the one that has been silent longest.
+pub const MAX_CALLERS: usize = 8;
+/// A call must be complete this long after its caller connected.
+const CALL_TIMEOUT: Span = Span::from_secs(6);
 /// How long a caller may take to close after its answer.
-const LINGER: Span = Span::from_secs(1);
+const LINGER_TIMEOUT: Span = Span::from_secs(1);
 
-/// What falls due: a caller's time is over.
+/// The time-out of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerDeadline(ConnectionKey);
 
-/// What is asked.
+/// A call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
     /// Whether this process takes clients.
@@ -32,76 +33,130 @@
     Federation,
 }
 
-struct Session {
-    due: DeadlineHandle,
-    heard: Instant,
-    /// It has its answer and is to close: closing first, with its bytes unread, would reset the connection and could
-    /// take the answer away from it.
-    answered: bool,
+/// An answer to a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AdminAnswer<'a> {
+    /// The HTTP status.
+    pub status: u16,
+    /// The content type.
+    pub content_type: &'a str,
+    /// The body.
+    pub body: &'a str,
+}
+
+impl AdminAnswer<'_> {
+    /// An answer of a status alone.
+    fn bare(status: u16) -> Self {
+        AdminAnswer { status, content_type: TEXT, body: "" }
+    }
+
+    /// The answer's bytes. The connection closes after it.
+    fn encode(&self, net: &Net) -> Bytes {
+        let mut text = http::status_and_date(self.status, net.unix_time());
+        http::push_header(&mut text, "Content-Type", &self.content_type);
+        http::push_header(&mut text, "Content-Length", &self.body.len());
+        http::push_header(&mut text, "Cache-Control", &"no-store");
+        if self.status == 405 {
+            http::push_header(&mut text, "Allow", &"GET");
+        }
+        http::push_header(&mut text, "Connection", &"close");
+        text.push_str("\r\n");
+        text.push_str(self.body);
+        text.into()
+    }
+}
+
+/// One caller's connection.
+struct Caller {
+    timeout: DeadlineHandle,
+    last_active: Instant,
+    /// It has its answer, and only its close is awaited.
+    is_answered: bool,
+}
+
+impl sessions::Session for Caller {
+    fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle> {
+        std::iter::once(self.timeout)
+    }
+
+    fn has_open_requests(&self) -> bool {
+        false // a call is answered as it is taken
+    }
+
+    fn is_lingering(&self) -> bool {
+        self.is_answered
+    }
+
+    fn has_asked(&self) -> bool {
+        self.is_answered
+    }
+
+    fn last_active(&self) -> Instant {
+        self.last_active
+    }
 }
 
 /// The callers' connections.
 #[derive(Default)]
 pub struct AdminFront {
-    sessions: BTreeMap<ConnectionKey, Session>,
+    callers: Sessions<Caller>,
 }
 
 impl AdminFront {
-    /// Takes a caller's connection in, in the place of another where there are too many.
+    /// Adds a caller's connection, in place of another where there are too many.
     pub fn open(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<CallerDeadline>,
+        deadlines: &mut dyn Schedule<CallerDeadline>,
     ) {
-        if self.sessions.len() >= CALLERS {
-            let least = self.sessions.iter().min_by_key(|(conn, s)| (!s.answered, s.heard, **conn));
-            if let Some(least) = least.map(|(conn, _)| *conn) {
-                self.close(now, least, Reason::Evicted, net, due);
+        if self.callers.len() >= MAX_CALLERS {
+            if let Some(evicted) = self.callers.forced_eviction_candidate() {
+                self.close(now, evicted, Reason::Evicted, net, deadlines);
             }
         }
-        let session =
-            Session { due: due.add(now + WHOLE, CallerDeadline(conn)), heard: now, answered: false };
-        self.sessions.insert(conn, session);
+        let timeout = deadlines.add(now + CALL_TIMEOUT, CallerDeadline(conn));
+        self.callers.insert(conn, Caller { timeout, last_active: now, is_answered: false });
     }
 
-    /// Whether this connection is a caller's.
+    /// Whether a connection is a caller's.
     pub fn owns(&self, conn: ConnectionKey) -> bool {
-        self.sessions.contains_key(&conn)
+        self.callers.contains(conn)
     }
 
-    /// A connection may be read from, or written to; gives the call that is whole now, which [`AdminFront::answer`] ends.
-    pub fn ready(
+    /// Handles a connection that may be read from or written to. Returns the call if it is complete now;
+    /// [`AdminFront::answer`] answers it.
+    pub fn on_ready(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<CallerDeadline>,
+        deadlines: &mut dyn Schedule<CallerDeadline>,
     ) -> Option<AdminCall> {
-        let session = self.sessions.get_mut(&conn)?;
-        if session.answered {
-            if net.flush(conn).and_then(|()| net.ended(conn)) != Ok(false) {
-                self.close(now, conn, Reason::Done, net, due);
+        let caller = self.callers.get_mut(conn)?;
+        if caller.is_answered {
+            if lingering::flush_and_drop_input(conn, net) != Ok(false) {
+                self.close(now, conn, Reason::Done, net, deadlines);
             }
             return None;
         }
-        let got = match net.read(conn, http::MOST_HEAD + 1) {
-            Ok(got) => got,
+        let progress = match net.read(conn, http::MAX_HEAD_BYTES + 1) {
+            Ok(progress) => progress,
             Err(reason) => {
-                self.close(now, conn, reason, net, due);
+                self.close(now, conn, reason, net, deadlines);
                 return None;
             }
         };
-        if got.bytes > 0 {
-            session.heard = now;
+        if progress.bytes > 0 {
+            caller.last_active = now;
         }
-        match net.input(conn, call).unwrap_or(Ok(None)) {
+        match net.input(conn, take_call).unwrap_or(Ok(None)) {
             Ok(Some(call)) => return Some(call),
-            // It writes nothing more, so half a head never becomes a whole one.
-            Ok(None) if got.end => self.close(now, conn, Reason::PeerClosed, net, due),
+            // It writes nothing more, so an incomplete head is never completed.
+            Ok(None) if progress.end => self.close(now, conn, Reason::PeerClosed, net, deadlines),
             Ok(None) => {}
-            Err(status) => self.answer(now, conn, status, (TEXT, ""), net, due),
+            Err(status) => self.answer(now, conn, AdminAnswer::bare(status), net, deadlines),
         }
         None
     }
@@ -111,48 +166,39 @@
         &mut self,
         now: Instant,
         conn: ConnectionKey,
-        status: u16,
-        (kind, body): (&str, &str),
+        answer: AdminAnswer,
         net: &mut Net,
-        due: &mut dyn Schedule<CallerDeadline>,
+        deadlines: &mut dyn Schedule<CallerDeadline>,
     ) {
-        let Some(session) = self.sessions.get_mut(&conn) else { return };
-        (session.answered, session.heard) = (true, now);
-        due.remove(session.due);
-        session.due = due.add(now + LINGER, CallerDeadline(conn));
-        let mut head = http::start(status, net.unix_time());
-        http::line(&mut head, "Content-Type", &kind);
-        http::line(&mut head, "Content-Length", &body.len());
-        http::line(&mut head, "Cache-Control", &"no-store");
-        if status == 405 {
-            http::line(&mut head, "Allow", &"GET");
-        }
-        http::line(&mut head, "Connection", &"close");
-        head.push_str("\r\n");
-        head.push_str(body);
+        let Some(caller) = self.callers.get_mut(conn) else { return };
+        caller.is_answered = true;
+        caller.last_active = now;
+        deadlines.remove(caller.timeout);
+        caller.timeout = deadlines.add(now + LINGER_TIMEOUT, CallerDeadline(conn));
         net.input(conn, BytesMut::clear);
-        match net.write(conn, [Bytes::from(head)]) {
-            Ok(()) if net.unwritten(conn) == 0 => net.shutdown(conn),
-            Ok(()) => {} // its length says where it ends
-            Err(reason) => self.close(now, conn, reason, net, due),
+        match net.write(conn, [answer.encode(net)]) {
+            // What is not written yet ends where its length says.
+            Ok(()) => drop(lingering::shut_down_if_flushed(conn, net)),
+            Err(reason) => self.close(now, conn, reason, net, deadlines),
         }
     }
 
-    /// A caller's time is over: half a call gets its answer, what was answered is closed.
-    pub fn due(
+    /// Handles a caller's time-out: an incomplete call is answered, what was answered is closed.
+    pub fn deadline_passed(
         &mut self,
         now: Instant,
-        what: CallerDeadline,
+        CallerDeadline(conn): CallerDeadline,
         net: &mut Net,
-        due: &mut dyn Schedule<CallerDeadline>,
+        deadlines: &mut dyn Schedule<CallerDeadline>,
     ) {
-        let CallerDeadline(conn) = what;
-        let Some(session) = self.sessions.get(&conn) else { return };
-        let said_nothing = net.input(conn, |input| input.is_empty()).unwrap_or(true);
-        match session.answered {
-            true => self.close(now, conn, Reason::Done, net, due),
-            false if said_nothing => self.close(now, conn, Reason::HeadTimeout, net, due),
-            false => self.answer(now, conn, 408, (TEXT, ""), net, due),
+        let Some(caller) = self.callers.get(conn) else { return };
+        let has_sent_nothing = net.input(conn, |input| input.is_empty()).unwrap_or(true);
+        if caller.is_answered {
+            self.close(now, conn, Reason::Done, net, deadlines);
+        } else if has_sent_nothing {
+            self.close(now, conn, Reason::HeadTimeout, net, deadlines);
+        } else {
+            self.answer(now, conn, AdminAnswer::bare(408), net, deadlines);
         }
     }
 
@@ -162,30 +208,26 @@
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<CallerDeadline>,
+        deadlines: &mut dyn Schedule<CallerDeadline>,
     ) {
-        let Some(session) = self.sessions.remove(&conn) else { return };
-        due.remove(session.due);
-        net.close(now, conn, reason);
+        self.callers.close(now, conn, reason, net, deadlines);
     }
 
     /// Closes all connections.
-    pub fn stop(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<CallerDeadline>) {
-        for conn in self.sessions.keys().copied().collect::<Vec<_>>() {
-            self.close(now, conn, Reason::Stopping, net, due);
-        }
+    pub fn close_all(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<CallerDeadline>) {
+        self.callers.close_all(now, net, deadlines);
     }
 }
 
-/// Takes the call, once its head is whole.
+/// Takes the call, once its head is complete.
 ///
 /// # Errors
 ///
-/// The status of what is no call.
-fn call(input: &mut BytesMut) -> Result<Option<AdminCall>, u16> {
-    let read = http::head(input, |head| {
+/// The HTTP status that answers what is not a call.
+fn take_call(input: &mut BytesMut) -> Result<Option<AdminCall>, u16> {
+    let read = http::take_head(input, |head| {
         if head.method != Some("GET") {
-            return Err(HeadError::Method { keep: false });
+            return Err(HeadError::Method { keep_alive: false });
         }
         if http::has_body(head) {
             return Err(HeadError::Malformed("a body"));
--- a/src/front/admin/tests.rs
+++ b/src/front/admin/tests.rs
@@ -20,13 +20,13 @@
         for byte in text.bytes() {
             assert_eq!(read, Ok(None), "{text:?} is read at its end");
             input.extend_from_slice(&[byte]);
-            read = call(&mut input);
+            read = take_call(&mut input);
             if read.is_err() {
                 break;
             }
         }
         assert_eq!(read, wanted, "{text:?}");
     }
-    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(http::MOST_HEAD));
-    assert_eq!(call(&mut BytesMut::from(&long[..])), Err(431));
+    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(http::MAX_HEAD_BYTES));
+    assert_eq!(take_call(&mut BytesMut::from(&long[..])), Err(431));
 }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -1,45 +1,45 @@
-//! What the fronts that speak HTTP/1.1 share: heads taken whole, and answers' first lines.
+//! What the fronts that speak HTTP/1.1 share: request heads, and the first lines of answers.
 
 use crate::interface::UnixTime;
 use bytes::{Buf, BytesMut};
 use std::fmt::Write;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// The longest head.
-pub const MOST_HEAD: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
+/// The longest head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 
-/// What can't be served as it is.
+/// Why a request cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It can't be read, or not told apart from the next: 400, and the connection ends.
+    /// The head is malformed, or its end is in doubt: 400, and the connection ends.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// A method that is not served: 405.
+    /// The method is not served: 405.
     #[error("a method that is not served")]
     Method {
         /// Whether more requests may follow.
-        keep: bool,
+        keep_alive: bool,
     },
     /// The head is too long: 431, and the connection ends.
     #[error("the head is too long")]
     Oversize,
 }
 
-/// Takes the next head and reads it with `read`; `None` if it is not whole.
+/// Takes the next head and reads it with `read`; `None` if it is not complete.
 ///
 /// # Errors
 ///
-/// It is no head, too long, or what `read` says.
-pub fn head<T>(
+/// The head is malformed or too long, or `read` fails.
+pub fn take_head<T>(
     input: &mut BytesMut,
     read: impl FnOnce(&httparse::Request) -> Result<T, HeadError>,
 ) -> Result<Option<T>, HeadError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => length,
-        Ok(httparse::Status::Partial) if input.len() <= MOST_HEAD => return Ok(None),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HeadError::Oversize),
         Err(_) => return Err(HeadError::Malformed("head")),
     };
@@ -49,20 +49,20 @@
 }
 
 /// The values of a header, in their order.
-pub fn named<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a str> {
-    let fits = move |header: &&httparse::Header| header.name.eq_ignore_ascii_case(name);
-    head.headers.iter().filter(fits).map(|header| std::str::from_utf8(header.value).unwrap_or("\u{fffd}"))
+pub fn header_values<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a str> {
+    let has_name = move |header: &&httparse::Header| header.name.eq_ignore_ascii_case(name);
+    head.headers.iter().filter(has_name).map(|header| std::str::from_utf8(header.value).unwrap_or("\u{fffd}"))
 }
 
-/// Whether a request brings a body, as far as its head says so. Where it ends must be beyond doubt, or one client's
-/// bytes become another's request.
+/// Whether a request has a body by its head. Bodies are not read: where a request ends must be beyond doubt, or one
+/// client's bytes become another's request.
 pub fn has_body(head: &httparse::Request) -> bool {
-    named(head, "transfer-encoding").next().is_some()
-        || named(head, "content-length").any(|length| length != "0")
+    header_values(head, "transfer-encoding").next().is_some()
+        || header_values(head, "content-length").any(|length| length != "0")
 }
 
-/// The first lines of an answer, at a Unix time.
-pub fn start(status: u16, now: UnixTime) -> String {
+/// The status line and the date of an answer.
+pub fn status_and_date(status: u16, now: UnixTime) -> String {
     let reason = match status {
         200 => "OK",
         304 => "Not Modified",
@@ -82,7 +82,7 @@
     format!("HTTP/1.1 {status} {reason}\r\nDate: {date}\r\n")
 }
 
-/// Adds a header's line.
-pub fn line(head: &mut String, name: &str, value: &dyn std::fmt::Display) {
-    let _ = write!(head, "{name}: {value}\r\n"); // a string takes all
+/// Appends a header.
+pub fn push_header(head: &mut String, name: &str, value: &dyn std::fmt::Display) {
+    let _ = write!(head, "{name}: {value}\r\n"); // writing to a string cannot fail
 }
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -1,88 +1,96 @@
-//! The answers of a connection, in the order of its requests.
+//! Answers to clients, in the order of a connection's requests.
 
 use super::http::{self, HttpAnswer};
-use super::{SessionDeadline, SignedFront, State};
+use super::session::RequestState;
+use super::{RequestIndex, SessionDeadline, SignedFront};
 use crate::deadlines::Schedule;
+use crate::front::RequestHandle;
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net};
 
+/// The shortest Retry-After that is sent, in seconds.
+const MIN_RETRY_AFTER_SECS: i64 = 1;
+
 impl SignedFront {
-    /// Answers a request without the core; its turn is kept.
-    pub fn say(&mut self, conn: ConnectionKey, number: u64, answer: HttpAnswer) {
-        let turns = self.sessions.get_mut(&conn).map(|session| &mut session.turns);
-        if let Some(turn) = turns.and_then(|turns| turns.iter_mut().find(|turn| turn.number == number)) {
-            turn.state = State::Said(answer);
+    /// Sets the answer of a request that is not handed on to the core. It is written when it is its turn.
+    pub fn set_answer(&mut self, conn: ConnectionKey, index: RequestIndex, answer: HttpAnswer) {
+        let session = self.sessions.get_mut(conn);
+        if let Some(request) = session.and_then(|session| session.request_mut(index)) {
+            request.state = RequestState::Answered(answer);
         }
     }
 
-    /// The request whose turn it is to be answered and which the core knows by this number; a connection
-    /// whose last answer has not left entirely has none. Answers of the front itself are written here.
-    pub fn next(
+    /// The request that is to be answered next, if the caller is to answer it and the answer before it is written.
+    /// Answers of the front itself are written here.
+    pub fn next_to_answer(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
-    ) -> Option<u64> {
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) -> Option<RequestHandle> {
         loop {
-            let session = self.sessions.get_mut(&conn)?;
+            let session = self.sessions.get_mut(conn)?;
             if net.unwritten(conn) > 0 {
                 return None;
             }
-            match &session.turns.front()?.state {
-                State::Open(bound) => return *bound,
-                State::Said(answer) => {
+            match &session.requests.front()?.state {
+                RequestState::Open(handle) => return *handle,
+                RequestState::Answered(answer) => {
                     let answer = answer.clone();
-                    self.begin(now, conn, answer, net, due);
+                    self.begin_answer(now, conn, answer, net, deadlines);
                 }
             }
         }
     }
 
-    /// Begins the answer whose turn it is; whether a byte of it has left, and with it the turn is over.
-    pub fn begin(
+    /// Begins to answer the connection's first request. Returns whether a byte has been written, which ends the
+    /// request.
+    pub fn begin_answer(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         answer: HttpAnswer,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> bool {
-        let Some(session) = self.sessions.get_mut(&conn) else { return false };
-        let Some(turn) = session.turns.front() else { return false };
-        let (only_head, keep) = (turn.only_head, turn.keep);
-        match net.begin(conn, http::answer(&answer, only_head, keep, net.unix_time())) {
+        let Some(session) = self.sessions.get_mut(conn) else { return false };
+        let Some(request) = session.requests.front() else { return false };
+        let parts = http::encode_answer(&answer, request.only_head, request.keep_alive, net.unix_time());
+        match net.begin(conn, parts) {
             Ok(false) => return false,
             Ok(true) => {}
             Err(reason) => {
-                // The turn is over as well: the answer was given, and its client is not there to take it.
-                session.turns.pop_front();
-                self.close(now, conn, reason, net, due);
+                // The request ends as well: it was answered, and its client is not there to take the answer.
+                session.requests.pop_front();
+                self.close(now, conn, reason, net, deadlines);
                 return true;
             }
         }
-        session.turns.pop_front();
-        session.heard = now;
+        session.requests.pop_front();
+        session.last_active = now;
         true
     }
 
-    /// Answers a connection that admission refused before anything is read there: one 503 with `Retry-After`, then
-    /// its end, lingering for the client to close so that the answer is not taken away by a reset.
-    pub fn refuse_all(
+    /// Rejects a connection that admission control refused, before anything is read there: one 503 with `Retry-After`,
+    /// then a graceful close.
+    pub fn reject_connection(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
-        seconds: i64,
+        retry_after_secs: i64,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) {
-        let refused = HttpAnswer { retry_after: Some(seconds.max(1)), ..HttpAnswer::bare(503) };
-        if let Err(reason) = net.write(conn, http::answer(&refused, false, false, net.unix_time())) {
-            return self.close(now, conn, reason, net, due);
+        let retry_after = Some(retry_after_secs.max(MIN_RETRY_AFTER_SECS));
+        let rejection = HttpAnswer { retry_after, ..HttpAnswer::bare(503) };
+        let parts = http::encode_answer(&rejection, false, false, net.unix_time());
+        if let Err(reason) = net.write(conn, parts) {
+            return self.close(now, conn, reason, net, deadlines);
         }
-        if let Some(session) = self.sessions.get_mut(&conn) {
-            session.last = true;
+        if let Some(session) = self.sessions.get_mut(conn) {
+            session.ends_after_answers = true;
         }
-        self.finish(now, conn, net, due);
+        self.linger_if_answered(now, conn, net, deadlines);
     }
 }
--- /dev/null
+++ b/src/front/signed/closing.rs
@@ -0,0 +1,130 @@
+//! The ends of clients' connections: time-outs, graceful and immediate closes.
+
+use super::http::HttpAnswer;
+use super::session::{PipelinedRequest, RequestState};
+use super::{SessionDeadline, SignedFront, LINGER_TIMEOUT};
+use crate::deadlines::Schedule;
+use crate::front::lingering;
+use crate::interface::Instant;
+use crate::net::{ConnectionKey, Net, Reason};
+
+impl SignedFront {
+    /// Handles a connection's deadline. Returns the connection, which may have an answer to write.
+    pub fn deadline_passed(
+        &mut self,
+        now: Instant,
+        deadline: SessionDeadline,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) -> ConnectionKey {
+        match deadline {
+            SessionDeadline::Check(conn) => {
+                self.check_timeouts(now, conn, net, deadlines);
+                conn
+            }
+            SessionDeadline::ClientTimeout(conn) => {
+                self.client_timed_out(now, conn, net, deadlines);
+                conn
+            }
+        }
+    }
+
+    /// The client has not sent a complete head in time, or has not closed.
+    fn client_timed_out(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        let Some(session) = self.sessions.get_mut(conn) else { return };
+        session.client_timeout = None;
+        if session.is_lingering {
+            return self.close(now, conn, Reason::Done, net, deadlines);
+        }
+        if session.received == 0 && net.input(conn, |input| input.is_empty()).unwrap_or(true) {
+            return self.close(now, conn, Reason::HeadTimeout, net, deadlines);
+        }
+        let state = RequestState::Answered(HttpAnswer::bare(408));
+        let index = session.next_index();
+        session.push(PipelinedRequest { index, state, only_head: false, keep_alive: false });
+    }
+
+    /// Closes a connection that is stalled or idle.
+    fn check_timeouts(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        let next_check = now + self.check_interval();
+        let Some(session) = self.sessions.get_mut(conn) else { return };
+        let written_bytes = net.wrote(conn);
+        let is_stalled = net.unwritten(conn) > 0 && written_bytes == session.written_bytes;
+        let is_idle = session.requests.is_empty() && session.last_active + self.config.idle_timeout <= now;
+        session.written_bytes = written_bytes;
+        session.check = deadlines.add(next_check, SessionDeadline::Check(conn));
+        if is_stalled {
+            self.close(now, conn, Reason::Stalled, net, deadlines);
+        } else if is_idle {
+            self.close(now, conn, Reason::Idle, net, deadlines);
+        }
+    }
+
+    /// Ends a connection gracefully if its last answer is written: shuts down the write side and awaits the client's
+    /// close.
+    pub fn linger_if_answered(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        let Some(session) = self.sessions.get_mut(conn) else { return };
+        let is_answered = session.ends_after_answers && session.requests.is_empty();
+        if is_answered && !session.is_lingering && lingering::shut_down_if_flushed(conn, net) {
+            session.is_lingering = true;
+            session.clear_client_timeout(deadlines);
+            let at = now + LINGER_TIMEOUT;
+            session.client_timeout = Some(deadlines.add(at, SessionDeadline::ClientTimeout(conn)));
+        }
+    }
+
+    /// Closes a connection that its client has closed, whatever of its input is still unread.
+    pub fn on_peer_closed(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        let is_lingering = self.sessions.get(conn).is_some_and(|session| session.is_lingering);
+        let reason = if is_lingering { Reason::Done } else { Reason::PeerClosed };
+        self.close(now, conn, reason, net, deadlines);
+    }
+
+    /// The connection to close in favour of a new one, if there is one without an open request.
+    pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
+        self.sessions.eviction_candidate(net)
+    }
+
+    /// Closes a connection. Its open requests are cancelled.
+    pub fn close(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        reason: Reason,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        if let Some(session) = self.sessions.close(now, conn, reason, net, deadlines) {
+            self.cancelled.extend(session.into_handles());
+        }
+    }
+
+    /// Closes all connections.
+    pub fn close_all(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<SessionDeadline>) {
+        self.sessions.close_all(now, net, deadlines);
+    }
+}
--- a/src/front/signed/gate/mod.rs
+++ b/src/front/signed/gate/mod.rs
@@ -3,7 +3,7 @@
 mod token;
 mod url;
 
-use super::uri::{Malformed, Uri};
+use super::uri::{MalformedUri, Uri};
 use crate::config::signed::{Key, SignedConfig};
 use crate::interface::UnixTime;
 
@@ -120,7 +120,7 @@
 
 /// A URL that holds no credential yet, in normal form.
 fn fresh(url: &str) -> Result<Uri, SignError> {
-    let uri = Uri::whole(url).map_err(|Malformed(why)| SignError::Uri(why))?;
+    let uri = Uri::parse_absolute(url).map_err(|MalformedUri(why)| SignError::Uri(why))?;
     match [URL_PREFIX, EXPIRES, KEY_NAME, SIGNATURE, PACKAGE].iter().any(|name| uri.parameter(name).is_some())
     {
         true => Err(SignError::Uri("it holds a credential")),
--- a/src/front/signed/gate/tests.rs
+++ b/src/front/signed/gate/tests.rs
@@ -27,7 +27,7 @@
 }
 
 fn check(gate: &Gate, url: &str, cookie: Option<&str>) -> String {
-    let uri = Uri::whole(url).expect("a URI");
+    let uri = Uri::parse_absolute(url).expect("a URI");
     match gate.check(&uri, cookie, UnixTime::from_secs(NOW)) {
         Ok(end) => format!("until {}", end.as_secs() - NOW),
         Err(denial) => format!("{denial:?}"),
--- a/src/front/signed/gate/url.rs
+++ b/src/front/signed/gate/url.rs
@@ -78,7 +78,8 @@
 /// beginning of a path.
 fn opens(prefix: &str, uri: &Uri) -> bool {
     let prefix = BASE64.decode(prefix).ok().and_then(|bytes| String::from_utf8(bytes).ok());
-    let prefix = prefix.and_then(|text| Uri::whole(&text).ok()).filter(|prefix| prefix.query.is_empty());
+    let prefix =
+        prefix.and_then(|text| Uri::parse_absolute(&text).ok()).filter(|prefix| prefix.query.is_empty());
     prefix.is_some_and(|prefix| {
         (&prefix.scheme, &prefix.host) == (&uri.scheme, &uri.host) && uri.path.starts_with(&prefix.path)
     })
--- /dev/null
+++ b/src/front/signed/handover.rs
@@ -0,0 +1,29 @@
+//! Connections that end as a newer process takes the clients: those of this front are not handed over.
+
+use super::{SessionDeadline, SignedFront};
+use crate::deadlines::Schedule;
+use crate::interface::Instant;
+use crate::net::Net;
+
+impl SignedFront {
+    /// Ends each connection with the answers to its open requests, or with its next answer.
+    pub fn start_draining(
+        &mut self,
+        now: Instant,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        self.is_draining = true;
+        for conn in self.sessions.connections() {
+            let has_unused_input = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
+            let Some(session) = self.sessions.get_mut(conn) else { continue };
+            if let Some(last) = session.requests.back_mut() {
+                last.keep_alive = false;
+                session.ends_after_answers = true;
+            } else if session.received > 0 && !has_unused_input {
+                session.ends_after_answers = true;
+                self.linger_if_answered(now, conn, net, deadlines);
+            }
+        }
+    }
+}
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -1,62 +1,85 @@
-//! Heads of HTTP/1.1 requests as a server reads them, and its answers.
+//! Heads of HTTP/1.1 requests, and answers to them.
 
 use super::gate::PACKAGE;
-use super::uri::{Malformed, Uri};
+use super::uri::{MalformedUri, Uri};
 use crate::front::http;
-pub use crate::front::http::{HeadError, MOST_HEAD};
+pub use crate::front::http::{HeadError, MAX_HEAD_BYTES};
 use crate::interface::UnixTime;
 use bytes::{Bytes, BytesMut};
 
 /// A request without a body, read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Whether only the answer's head is wanted.
+    /// Whether only the answer's head is sent.
     pub only_head: bool,
-    /// What is asked for.
+    /// The requested URI.
     pub uri: Uri,
     /// The token in a cookie.
     pub cookie: Option<String>,
-    /// The tags of the client's copies.
-    pub tags: Vec<String>,
+    /// The entity tags of the client's copies.
+    pub etags: Vec<String>,
     /// Whether more requests may follow.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
-/// Takes the next head; `None` if it is not whole.
-pub fn head(input: &mut BytesMut, scheme: &str) -> Result<Option<RequestHead>, HeadError> {
-    http::head(input, |head| request(head, scheme))
+/// Takes the next head; `None` if it is not complete.
+///
+/// # Errors
+///
+/// The head is malformed, too long, or of a request that is not served.
+pub fn take_head(input: &mut BytesMut, scheme: &str) -> Result<Option<RequestHead>, HeadError> {
+    http::take_head(input, |head| read_request(head, scheme))
 }
 
-fn request(head: &httparse::Request, scheme: &str) -> Result<RequestHead, HeadError> {
-    let named = |name| http::named(head, name);
-    let words = |name| named(name).flat_map(|value| value.split(',')).map(str::trim);
+fn read_request(head: &httparse::Request, scheme: &str) -> Result<RequestHead, HeadError> {
+    let values = |name| http::header_values(head, name);
+    let list = |name| values(name).flat_map(|value| value.split(',')).map(str::trim);
     if http::has_body(head) {
         return Err(HeadError::Malformed("a body"));
     }
-    let latest = head.version == Some(1);
-    let says = |word| words("connection").any(|known| known.eq_ignore_ascii_case(word));
-    let keep = if latest { !says("close") } else { says("keep-alive") };
+    let is_http_1_1 = head.version == Some(1);
+    let keep_alive = keeps_alive(head, is_http_1_1);
     let only_head = match head.method {
         Some("GET") => false,
         Some("HEAD") => true,
-        _ => return Err(HeadError::Method { keep }),
+        _ => return Err(HeadError::Method { keep_alive }),
     };
-    let mut hosts = named("host");
+    let mut hosts = values("host");
     let host = hosts.next();
-    if hosts.next().is_some() || (latest && host.is_none()) {
+    if hosts.next().is_some() || (is_http_1_1 && host.is_none()) {
         return Err(HeadError::Malformed("host"));
     }
     let uri = Uri::parse(scheme, host, head.path.unwrap_or_default());
-    let uri = uri.map_err(|Malformed(why)| HeadError::Malformed(why))?;
-    let cookies = named("cookie").flat_map(|value| value.split(';')).filter_map(|pair| pair.split_once('='));
-    let mut tokens = cookies.filter(|(name, _)| name.trim() == PACKAGE).map(|(_, value)| value.trim());
-    let cookie = tokens.next().map(str::to_owned);
+    let uri = uri.map_err(|MalformedUri(why)| HeadError::Malformed(why))?;
+    let cookie = token_cookie(head)?;
+    let opaque_tag = |etag: &str| etag.trim_start_matches("W/").trim_matches('"').to_owned();
+    let etags = list("if-none-match").filter(|etag| !etag.is_empty()).map(opaque_tag).collect();
+    Ok(RequestHead { only_head, uri, cookie, etags, keep_alive })
+}
+
+/// Whether the connection stays open after the answer, as far as the client says.
+fn keeps_alive(head: &httparse::Request, is_http_1_1: bool) -> bool {
+    let says = |option: &str| {
+        let mut options = http::header_values(head, "connection").flat_map(|value| value.split(','));
+        options.any(|known| known.trim().eq_ignore_ascii_case(option))
+    };
+    if is_http_1_1 {
+        !says("close")
+    } else {
+        says("keep-alive")
+    }
+}
+
+/// The token in a cookie.
+fn token_cookie(head: &httparse::Request) -> Result<Option<String>, HeadError> {
+    let cookies = http::header_values(head, "cookie").flat_map(|value| value.split(';'));
+    let pairs = cookies.filter_map(|cookie| cookie.split_once('='));
+    let mut tokens = pairs.filter(|(name, _)| name.trim() == PACKAGE).map(|(_, value)| value.trim());
+    let token = tokens.next().map(str::to_owned);
     if tokens.next().is_some() {
         return Err(HeadError::Malformed("several credentials"));
     }
-    let strong = |tag: &str| tag.trim_start_matches("W/").trim_matches('"').to_owned();
-    let tags = words("if-none-match").filter(|tag| !tag.is_empty()).map(strong).collect();
-    Ok(RequestHead { only_head, uri, cookie, tags, keep })
+    Ok(token)
 }
 
 /// An answer.
@@ -66,32 +89,32 @@
     pub status: u16,
     /// Its body.
     pub body: Bytes,
-    /// The copy's tag.
-    pub tag: Option<String>,
+    /// The copy's entity tag.
+    pub etag: Option<String>,
     /// The copy's age, in seconds.
     pub age: Option<i64>,
-    /// How long to stay away, in seconds.
+    /// How long the client should stay away, in seconds.
     pub retry_after: Option<i64>,
 }
 
 impl HttpAnswer {
-    /// An answer that is all said by its status.
+    /// An answer of a status alone.
     pub fn bare(status: u16) -> Self {
         HttpAnswer { status, ..HttpAnswer::default() }
     }
 }
 
-/// An answer's bytes, at a Unix time.
-pub fn answer(answer: &HttpAnswer, only_head: bool, keep: bool, now: UnixTime) -> [Bytes; 2] {
-    let mut head = http::start(answer.status, now);
-    let mut line = |name: &str, value: &dyn std::fmt::Display| http::line(&mut head, name, value);
+/// Encodes an answer: its head and its body.
+pub fn encode_answer(answer: &HttpAnswer, only_head: bool, keep_alive: bool, now: UnixTime) -> [Bytes; 2] {
+    let mut head = http::status_and_date(answer.status, now);
+    let mut line = |name: &str, value: &dyn std::fmt::Display| http::push_header(&mut head, name, value);
     match answer.status {
         200 => {
             line("Content-Type", &"application/octet-stream");
             line("Content-Length", &answer.body.len());
         }
         304 => {}
-        // What is denied or failed now may be served the next moment.
+        // A denied or failed request may succeed the next moment.
         _ => {
             line("Cache-Control", &"no-store");
             line("Content-Length", &0);
@@ -100,8 +123,8 @@
     if answer.status == 405 {
         line("Allow", &"GET, HEAD");
     }
-    if let Some(tag) = &answer.tag {
-        line("ETag", &format!("\"{tag}\""));
+    if let Some(etag) = &answer.etag {
+        line("ETag", &format!("\"{etag}\""));
     }
     if let Some(age) = answer.age {
         line("Age", &age);
@@ -109,7 +132,7 @@
     if let Some(seconds) = answer.retry_after {
         line("Retry-After", &seconds);
     }
-    if !keep {
+    if !keep_alive {
         line("Connection", &"close");
     }
     head.push_str("\r\n");
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn read(text: &str) -> Result<Option<RequestHead>, HeadError> {
-    head(&mut BytesMut::from(text), "http")
+    take_head(&mut BytesMut::from(text), "http")
 }
 
 #[test]
@@ -16,7 +16,7 @@
         ("GET http://o/b HTTP/1.1\r\nHost: h\r\n\r\n", "GET http://o/b keep"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nIf-None-Match: \"x\", W/\"y\"\r\n\r\n", "GET http://h/a keep x y"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "GET http://h/a keep"),
-        ("POST /a HTTP/1.1\r\nHost: h\r\n\r\n", "Method { keep: true }"),
+        ("POST /a HTTP/1.1\r\nHost: h\r\n\r\n", "Method { keep_alive: true }"),
         ("GET /a HTTP/1.1\r\n\r\n", "Malformed(\"host\")"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nHost: h\r\n\r\n", "Malformed(\"host\")"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n", "Malformed(\"a body\")"),
@@ -38,14 +38,14 @@
             Err(bad) => format!("{bad:?}"),
             Ok(Some(head)) => {
                 let method = if head.only_head { "HEAD" } else { "GET" };
-                let keep = if head.keep { "keep" } else { "close" };
-                let tags: String = head.tags.iter().map(|tag| format!(" {tag}")).collect();
-                format!("{method} {} {keep}{tags}", head.uri)
+                let keep = if head.keep_alive { "keep" } else { "close" };
+                let etags: String = head.etags.iter().map(|etag| format!(" {etag}")).collect();
+                format!("{method} {} {keep}{etags}", head.uri)
             }
         };
         assert_eq!(got, wanted, "{text:?}");
     }
-    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MOST_HEAD));
+    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MAX_HEAD_BYTES));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(65));
     assert_eq!((read(&long), read(&many)), (Err(HeadError::Oversize), Err(HeadError::Oversize)));
 }
@@ -53,11 +53,11 @@
 #[test]
 fn answers_say_what_their_status_needs() {
     let text = |given: HttpAnswer, only_head, keep| {
-        String::from_utf8(answer(&given, only_head, keep, UnixTime::EPOCH).concat()).expect("text")
+        String::from_utf8(encode_answer(&given, only_head, keep, UnixTime::EPOCH).concat()).expect("text")
     };
     let served = HttpAnswer {
         body: Bytes::from_static(b"hi"),
-        tag: Some("t".into()),
+        etag: Some("t".into()),
         age: Some(3),
         ..HttpAnswer::bare(200)
     };
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,9 +1,10 @@
-//! Reading from clients: heads taken whole, and let in by their credentials.
+//! Reading from clients: complete heads, whose credentials are checked before anything else is done with them.
 
 use super::gate::Denial;
 use super::http::{self, HeadError, HttpAnswer, RequestHead};
 use super::route::{self, RequestTarget};
-use super::{SessionDeadline, SignedEvent, SignedFront, State, Turn, MOST_OPEN};
+use super::session::{PipelinedRequest, RequestState};
+use super::{RequestIndex, SessionDeadline, SignedEvent, SignedFront, MAX_OPEN_REQUESTS};
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, UnixTime};
 use crate::net::{ConnectionKey, Net, Reason};
@@ -16,29 +17,30 @@
     unix: UnixTime,
 }
 
-/// A request whose right was checked.
-struct Admitted {
-    place: RequestTarget,
-    /// The tags of the client's copies.
-    tags: Vec<String>,
-    /// The instant of the monotonic clock from when on its right is over.
+/// A request whose credential is valid.
+struct AuthorizedRequest {
+    target: RequestTarget,
+    /// The entity tags of the client's copies.
+    etags: Vec<String>,
+    /// When its credential expires, on the monotonic clock.
     expires: Instant,
 }
 
 impl SignedFront {
-    /// A connection may be read from, or written to.
-    pub fn ready(
+    /// Handles a connection that may be read from or written to.
+    pub fn on_ready(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<SignedEvent> {
-        let mut asks = Vec::new();
-        if let Err(reason) = net.flush(conn).and_then(|()| self.read(now, conn, net, due, &mut asks)) {
-            self.close(now, conn, reason, net, due);
+        let mut events = Vec::new();
+        if let Err(reason) = net.flush(conn).and_then(|()| self.read(now, conn, net, deadlines, &mut events))
+        {
+            self.close(now, conn, reason, net, deadlines);
         }
-        asks
+        events
     }
 
     fn read(
@@ -46,104 +48,124 @@
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
-        asks: &mut Vec<SignedEvent>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+        events: &mut Vec<SignedEvent>,
     ) -> Result<(), Reason> {
         loop {
-            let got = net.read(conn, http::MOST_HEAD + 1)?;
-            let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
-            if got.bytes > 0 {
-                session.heard = now;
+            let progress = net.read(conn, http::MAX_HEAD_BYTES + 1)?;
+            let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
+            if progress.bytes > 0 {
+                session.last_active = now;
             }
-            if got.end {
-                return Err(if session.lingers { Reason::Done } else { Reason::PeerClosed });
+            if progress.end {
+                return Err(if session.is_lingering { Reason::Done } else { Reason::PeerClosed });
             }
-            self.take_heads(now, conn, net, due, asks);
-            let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
-            // A head that has begun has its time; between requests the idle time holds.
-            let begun = !session.last && net.input(conn, |input| !input.is_empty()).unwrap_or(false);
-            if begun && session.head.is_none() && session.turns.len() < MOST_OPEN {
-                session.head = Some(due.add(now + self.config.head_timeout, SessionDeadline::Head(conn)));
-            } else if !begun && session.count > 0 && !session.lingers {
-                session.head.take().into_iter().for_each(|handle| due.remove(handle));
-            }
-            if session.last {
+            self.take_heads(now, conn, net, deadlines, events);
+            self.update_client_timeout(now, conn, net, deadlines);
+            let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
+            if session.ends_after_answers {
                 net.input(conn, |input| input.clear());
             }
-            // What is left unread for want of turns is read once there are some: no event will tell of it.
-            session.more = !session.last && session.turns.len() >= MOST_OPEN;
-            if session.last || session.more || !got.more {
+            // What is left unread is read once fewer requests are open: no event will announce it.
+            session.has_unread = !session.ends_after_answers && session.requests.len() >= MAX_OPEN_REQUESTS;
+            if session.ends_after_answers || session.has_unread || !progress.more {
                 return Ok(());
             }
         }
     }
 
-    /// Takes the whole heads of what has come.
+    /// Starts the time-out of a head that has begun, or clears it: between requests the idle time-out holds.
+    fn update_client_timeout(
+        &mut self,
+        now: Instant,
+        conn: ConnectionKey,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) {
+        let Some(session) = self.sessions.get_mut(conn) else { return };
+        let has_begun_head =
+            !session.ends_after_answers && net.input(conn, |input| !input.is_empty()).unwrap_or(false);
+        if has_begun_head && session.client_timeout.is_none() && session.requests.len() < MAX_OPEN_REQUESTS {
+            let at = now + self.config.head_timeout;
+            session.client_timeout = Some(deadlines.add(at, SessionDeadline::ClientTimeout(conn)));
+        } else if !has_begun_head && session.received > 0 && !session.is_lingering {
+            session.clear_client_timeout(deadlines);
+        }
+    }
+
+    /// Takes the complete heads of the input.
     fn take_heads(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<SessionDeadline>,
-        asks: &mut Vec<SignedEvent>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+        events: &mut Vec<SignedEvent>,
     ) {
-        while let Some(session) = self.sessions.get(&conn) {
-            if session.last || session.turns.len() >= MOST_OPEN {
+        while let Some(session) = self.sessions.get(conn) {
+            if session.ends_after_answers || session.requests.len() >= MAX_OPEN_REQUESTS {
                 return;
             }
-            let number = session.count;
+            let index = session.next_index();
             let scheme = &self.config.scheme;
-            let turn = match net.input(conn, |input| http::head(input, scheme)).unwrap_or(Ok(None)) {
+            let request = match net.input(conn, |input| http::take_head(input, scheme)).unwrap_or(Ok(None)) {
                 Ok(None) => return,
                 Ok(Some(head)) => {
-                    self.turn(Now { monotonic: now, unix: net.unix_time() }, conn, number, head, asks)
+                    let now = Now { monotonic: now, unix: net.unix_time() };
+                    self.authorized_request(now, conn, index, head, events)
                 }
-                Err(bad) => self.refused_turn(conn, number, bad),
+                Err(error) => self.unreadable_request(conn, index, error),
             };
-            let Some(session) = self.sessions.get_mut(&conn) else { return };
-            // The next head has a time of its own.
-            session.head.take().into_iter().for_each(|handle| due.remove(handle));
-            (session.count, session.last) = (number + 1, !turn.keep);
-            session.turns.push_back(turn);
+            let Some(session) = self.sessions.get_mut(conn) else { return };
+            // The next head has a time-out of its own.
+            session.clear_client_timeout(deadlines);
+            session.push(request);
         }
     }
 
-    /// The turn of a request that was read.
-    fn turn(
+    /// The request of a head. Its event is pushed if its credential is valid; else it is answered here.
+    fn authorized_request(
         &self,
         now: Now,
         conn: ConnectionKey,
-        number: u64,
+        index: RequestIndex,
         head: RequestHead,
-        asks: &mut Vec<SignedEvent>,
-    ) -> Turn {
-        let (only_head, keep) = (head.only_head, head.keep && !self.retired);
-        let state = match self.admit(head, now) {
-            Err(answer) => State::Said(answer),
-            Ok(Admitted { place, tags, expires }) => {
-                asks.push(SignedEvent::Request { conn, number, place, tags, expires });
-                State::Open(None)
+        events: &mut Vec<SignedEvent>,
+    ) -> PipelinedRequest {
+        let only_head = head.only_head;
+        let keep_alive = head.keep_alive && !self.is_draining;
+        let state = match self.authorize(head, now) {
+            Err(answer) => RequestState::Answered(answer),
+            Ok(AuthorizedRequest { target, etags, expires }) => {
+                events.push(SignedEvent::Request { conn, index, target, etags, expires });
+                RequestState::Open(None)
             }
         };
-        Turn { number, state, only_head, keep }
+        PipelinedRequest { index, state, only_head, keep_alive }
     }
 
-    /// The turn of what can't be served as it is.
-    fn refused_turn(&self, conn: ConnectionKey, number: u64, bad: HeadError) -> Turn {
-        let (status, keep) = match bad {
-            HeadError::Method { keep } => (405, keep && !self.retired),
+    /// The answered request of a head that cannot be served.
+    fn unreadable_request(
+        &self,
+        conn: ConnectionKey,
+        index: RequestIndex,
+        error: HeadError,
+    ) -> PipelinedRequest {
+        let (status, keep_alive) = match error {
+            HeadError::Method { keep_alive } => (405, keep_alive && !self.is_draining),
             HeadError::Oversize => (431, false),
             HeadError::Malformed(why) => {
                 info!("conn={conn} malformed: {why}");
                 (400, false)
             }
         };
-        Turn { number, state: State::Said(HttpAnswer::bare(status)), only_head: false, keep }
+        let state = RequestState::Answered(HttpAnswer::bare(status));
+        PipelinedRequest { index, state, only_head: false, keep_alive }
     }
 
-    /// Checks a request's right before anything else is told of it. Rights end at a Unix time: its instant is reckoned
-    /// here, once, and holds however the wall clock is stepped afterwards.
-    fn admit(&self, head: RequestHead, now: Now) -> Result<Admitted, HttpAnswer> {
+    /// Checks a request's credential. Credentials expire at a Unix time, which is converted to an instant here, once, so
+    /// that a later step of the wall clock does not move it.
+    fn authorize(&self, head: RequestHead, now: Now) -> Result<AuthorizedRequest, HttpAnswer> {
         if !self.config.hosts.contains(&head.uri.host) {
             return Err(HttpAnswer::bare(421));
         }
@@ -152,13 +174,14 @@
             info!("denied: {} {}", denial.code(), head.uri.path);
             HttpAnswer::bare(if matches!(denial, Denial::Malformed(_)) { 400 } else { 403 })
         })?;
-        let place = route::place(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
+        let target = route::find_target(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
         let expires = now.monotonic.saturating_add(expires - now.unix);
-        Ok(Admitted { place, tags: head.tags, expires })
+        Ok(AuthorizedRequest { target, etags: head.etags, expires })
     }
 
-    /// Whether requests were left unread for want of turns, and there are some now.
-    pub fn has_more(&self, conn: ConnectionKey) -> bool {
-        self.sessions.get(&conn).is_some_and(|session| session.more && session.turns.len() < MOST_OPEN / 2)
+    /// Whether input was left unread that can be read now, since fewer requests are open.
+    pub fn has_unread_requests(&self, conn: ConnectionKey) -> bool {
+        let can_read = |open: usize| open < MAX_OPEN_REQUESTS / 2;
+        self.sessions.get(conn).is_some_and(|session| session.has_unread && can_read(session.requests.len()))
     }
 }
--- a/src/front/signed/route.rs
+++ b/src/front/signed/route.rs
@@ -1,51 +1,60 @@
-//! What a path names, by the operator's routes.
+//! Finds the object that a path names, by the operator's routes.
 
 use crate::config::signed::Route;
+use crate::interface::{GroupId, ObjectId};
 
-/// What a path names.
+/// A route, by its place in the operator's file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RouteIndex(pub usize);
+
+/// The object that a path names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTarget {
-    /// The route, by its place in the operator's file.
-    pub route: usize,
+    /// The route that the path fits.
+    pub route: RouteIndex,
     /// The object.
-    pub object: u64,
+    pub object: ObjectId,
     /// Its group.
-    pub group: u32,
+    pub group: GroupId,
     /// Its part.
     pub part: u32,
 }
 
-/// The first route that a path fits.
-pub fn place(routes: &[Route], path: &str) -> Option<RequestTarget> {
-    routes.iter().enumerate().find_map(|(number, route)| fit(number, route, path))
+/// Finds the object that a path names by the first route that the path fits.
+pub fn find_target(routes: &[Route], path: &str) -> Option<RequestTarget> {
+    routes.iter().enumerate().find_map(|(index, route)| match_route(RouteIndex(index), route, path))
 }
 
-fn fit(number: usize, route: &Route, path: &str) -> Option<RequestTarget> {
-    let (mut forms, mut segments) = (route.path.split('/'), path.split('/'));
-    let mut place = RequestTarget { route: number, object: 0, group: route.group, part: 0 };
+/// Matches a path with a route, segment by segment.
+fn match_route(index: RouteIndex, route: &Route, path: &str) -> Option<RequestTarget> {
+    let mut patterns = route.path.split('/');
+    let mut segments = path.split('/');
+    let group = GroupId(route.group);
+    let mut target = RequestTarget { route: index, object: ObjectId(0), group, part: 0 };
     loop {
-        let (form, segment) = match (forms.next(), segments.next()) {
-            (None, None) => return Some(place),
-            (form, segment) => (form?, segment?),
+        let (pattern, segment) = match (patterns.next(), segments.next()) {
+            (None, None) => return Some(target),
+            (pattern, segment) => (pattern?, segment?),
         };
-        match form {
-            "{object}" => place.object = object(segment)?,
-            "{group}" => place.group = decimal(segment)?,
-            "{part}" => place.part = decimal(segment)?,
-            _ if form == segment => {}
+        match pattern {
+            "{object}" => target.object = ObjectId(parse_object(segment)?),
+            "{group}" => target.group = GroupId(parse_decimal(segment)?),
+            "{part}" => target.part = parse_decimal(segment)?,
+            _ if pattern == segment => {}
             _ => return None,
         }
     }
 }
 
-/// One object has one path: 16 digits, in lower case.
-fn object(segment: &str) -> Option<u64> {
-    let fits = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    let whole = segment.len() == 16 && segment.bytes().all(fits);
-    u64::from_str_radix(segment, 16).ok().filter(|_| whole)
+/// One object has one path: 16 hexadecimal digits, in lower case.
+fn parse_object(segment: &str) -> Option<u64> {
+    let is_lower_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    let is_valid = segment.len() == 16 && segment.bytes().all(is_lower_hex);
+    u64::from_str_radix(segment, 16).ok().filter(|_| is_valid)
 }
 
-fn decimal(segment: &str) -> Option<u32> {
+/// One number has one path: no leading zeros and no sign.
+fn parse_decimal(segment: &str) -> Option<u32> {
     let number: u32 = segment.parse().ok()?;
     (number.to_string() == segment).then_some(number)
 }
--- a/src/front/signed/uri.rs
+++ b/src/front/signed/uri.rs
@@ -1,13 +1,13 @@
-//! The URIs of requests, in one normal form: links are signed and checked in it, and paths are mapped from it.
+//! The URIs of requests, in one normal form, in which URLs are signed and checked and paths are routed.
 //!
 //! Escapes of unreserved characters are undone and the others written in upper case, in path and query; dot
 //! segments are removed from the path; the host is in lower case without the scheme's own port. Raw bytes
-//! outside RFC 3986, broken escapes, an escaped NUL, fragments and a parameter named twice are refused.
+//! outside RFC 3986, broken escapes, an escaped NUL, fragments and a parameter named twice are rejected.
 
-/// What can't be a request's URI.
+/// Why a text is not the URI of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a request's URI: {0}")]
-pub struct Malformed(pub &'static str);
+pub struct MalformedUri(pub &'static str);
 
 /// A URI in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,12 +45,12 @@
 }
 
 impl Uri {
-    /// Reads a request's target; its own authority, if it has one, goes before the `Host` header's.
+    /// Reads a request's target. Its own authority, if it has one, takes precedence over the `Host` header.
     ///
     /// # Errors
     ///
-    /// What is no URI of a request.
-    pub fn parse(scheme: &str, host: Option<&str>, target: &str) -> Result<Self, Malformed> {
+    /// The target is not the URI of a request.
+    pub fn parse(scheme: &str, host: Option<&str>, target: &str) -> Result<Self, MalformedUri> {
         let absolute = ["http://", "https://"].iter().find_map(|start| {
             let known = target.get(..start.len()).is_some_and(|s| s.eq_ignore_ascii_case(start));
             known.then(|| &target[start.len()..])
@@ -60,43 +60,48 @@
                 let (host, target) = rest.split_at(rest.find(['/', '?', '#']).unwrap_or(rest.len()));
                 (host, if target.is_empty() { "/" } else { target })
             }
-            None => (host.ok_or(Malformed("no host"))?, target),
+            None => (host.ok_or(MalformedUri("no host"))?, target),
         };
         if target.contains('#') {
-            return Err(Malformed("a fragment"));
+            return Err(MalformedUri("a fragment"));
         }
         let (path, query) =
             target.split_once('?').map_or((target, None), |(path, query)| (path, Some(query)));
         if !path.starts_with('/') {
-            return Err(Malformed("no absolute path"));
+            return Err(MalformedUri("no absolute path"));
         }
         let mut parameters: Vec<Parameter> = Vec::new();
         for part in query.into_iter().flat_map(|query| query.split('&')) {
-            let part = escapes(part, b"/?:@!$'()*+,;=")?;
+            let part = normalize_escapes(part, b"/?:@!$'()*+,;=")?;
             let (name, value) = match part.split_once('=') {
                 Some((name, value)) => (name.to_owned(), Some(value.to_owned())),
                 None => (part, None),
             };
             if parameters.iter().any(|known| known.name == name) {
-                return Err(Malformed("a parameter comes twice"));
+                return Err(MalformedUri("a parameter comes twice"));
             }
             parameters.push(Parameter { name, value });
         }
-        let path = without_dots(&escapes(path, b"/:@!$&'()*+,;=")?);
-        Ok(Uri { scheme: scheme.to_owned(), host: authority(scheme, host)?, path, query: parameters })
+        let path = remove_dot_segments(&normalize_escapes(path, b"/:@!$&'()*+,;=")?);
+        Ok(Uri {
+            scheme: scheme.to_owned(),
+            host: normalize_authority(scheme, host)?,
+            path,
+            query: parameters,
+        })
     }
 
-    /// Reads a whole URI, as it is handed in to be signed.
+    /// Reads an absolute URI.
     ///
     /// # Errors
     ///
-    /// What is no such URI.
-    pub fn whole(text: &str) -> Result<Self, Malformed> {
-        let (scheme, _) = text.split_once("://").ok_or(Malformed("no scheme"))?;
+    /// The text is not an absolute `http` or `https` URI.
+    pub fn parse_absolute(text: &str) -> Result<Self, MalformedUri> {
+        let (scheme, _) = text.split_once("://").ok_or(MalformedUri("no scheme"))?;
         let scheme = scheme.to_ascii_lowercase();
         match scheme.as_str() {
             "http" | "https" => Uri::parse(&scheme, None, text),
-            _ => Err(Malformed("the scheme is neither http nor https")),
+            _ => Err(MalformedUri("the scheme is neither http nor https")),
         }
     }
 
@@ -121,17 +126,20 @@
     }
 }
 
-fn authority(scheme: &str, host: &str) -> Result<String, Malformed> {
+/// The host in lower case, without the scheme's default port.
+fn normalize_authority(scheme: &str, host: &str) -> Result<String, MalformedUri> {
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b);
     if host.is_empty() || !host.bytes().all(fits) {
-        return Err(Malformed("the host is none"));
+        return Err(MalformedUri("the host is none"));
     }
     let host = host.to_ascii_lowercase();
-    let own = if scheme == "https" { ":443" } else { ":80" };
-    Ok(host.strip_suffix(own).unwrap_or(&host).to_owned())
+    let default_port = if scheme == "https" { ":443" } else { ":80" };
+    Ok(host.strip_suffix(default_port).unwrap_or(&host).to_owned())
 }
 
-fn escapes(text: &str, others: &[u8]) -> Result<String, Malformed> {
+/// Undoes the escapes of unreserved characters and writes the others in upper case. `allowed` are the other characters
+/// that may stand unescaped.
+fn normalize_escapes(text: &str, allowed: &[u8]) -> Result<String, MalformedUri> {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (String::with_capacity(bytes.len()), 0);
     let unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
@@ -140,23 +148,24 @@
         if b == b'%' {
             let digits = bytes.get(at..at + 2).filter(|two| two.iter().all(u8::is_ascii_hexdigit));
             let digits =
-                digits.and_then(|two| std::str::from_utf8(two).ok()).ok_or(Malformed("an escape"))?;
+                digits.and_then(|two| std::str::from_utf8(two).ok()).ok_or(MalformedUri("an escape"))?;
             at += 2;
             match u8::from_str_radix(digits, 16) {
-                Ok(0) | Err(_) => return Err(Malformed("an escape")),
+                Ok(0) | Err(_) => return Err(MalformedUri("an escape")),
                 Ok(b) if unreserved(b) => out.push(char::from(b)),
                 Ok(_) => out.extend(["%", &digits.to_ascii_uppercase()]),
             }
-        } else if unreserved(b) || others.contains(&b) {
+        } else if unreserved(b) || allowed.contains(&b) {
             out.push(char::from(b));
         } else {
-            return Err(Malformed("a byte that belongs in no URI"));
+            return Err(MalformedUri("a byte that belongs in no URI"));
         }
     }
     Ok(out)
 }
 
-fn without_dots(path: &str) -> String {
+/// Removes the segments `.` and `..`, as RFC 3986 does.
+fn remove_dot_segments(path: &str) -> String {
     let mut kept: Vec<&str> = Vec::new();
     let mut segments = path.split('/').skip(1).peekable();
     while let Some(segment) = segments.next() {
--- /dev/null
+++ b/src/front/thrift/codec/mod.rs
@@ -0,0 +1,18 @@
+//! Thrift's strict binary protocol, as far as the service `Front` needs it.
+//!
+//! - `reading`: decodes calls; `error`: why a message cannot be decoded.
+//! - `writing`: encodes replies.
+//! - `format`: the constants of the protocol and of the service.
+
+mod error;
+mod format;
+mod reading;
+mod writing;
+
+pub use error::DecodeError;
+pub use format::LENGTH_BYTES;
+pub use reading::{decode_call, Call, Method};
+pub use writing::{encode_reply, ExceptionKind, ThriftReply};
+
+#[cfg(test)]
+mod tests;
--- a/src/front/thrift/codec/tests.rs
+++ b/src/front/thrift/codec/tests.rs
@@ -1,6 +1,9 @@
 //! Tests of `codec`.
 
 use super::*;
+use crate::front::thrift::SequenceId;
+use crate::interface::Span;
+use bytes::Bytes;
 
 /// A message in bytes, its texts in quotes.
 fn bytes(parts: &[&str]) -> Bytes {
@@ -44,7 +47,7 @@
         &["00 00 00 04", "'ping", "01", "00 00 00 09", "00"],
         &["80 01 00 02 00 00 00 04", "'ping", "00 00 00 09", "00"],
     ];
-    let lines: Vec<String> = cases.iter().map(|parts| format!("{:?}", call(bytes(parts)))).collect();
+    let lines: Vec<String> = cases.iter().map(|parts| format!("{:?}", decode_call(bytes(parts)))).collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
@@ -53,11 +56,35 @@
     let cases = [
         ThriftReply::Answer { body: Bytes::from_static(b"body"), fields: vec![("current", "1".into())] },
         ThriftReply::Pong(true),
-        ThriftReply::Rejected { pause: 250 },
-        ThriftReply::Rejected { pause: 0 },
+        ThriftReply::Rejected { retry_after: Span::from_millis(250) },
+        ThriftReply::Rejected { retry_after: Span::ZERO },
         ThriftReply::Failed,
-        ThriftReply::Exception { name: "ping".into(), kind: 7, text: "why".into() },
+        ThriftReply::Exception {
+            name: "ping".into(),
+            kind: ExceptionKind::ProtocolError,
+            text: "why".into(),
+        },
     ];
-    let lines: Vec<String> = cases.map(|given| shown(&reply(7, given).concat())).into();
+    let lines: Vec<String> = cases.map(|given| shown(&encode_reply(SequenceId(7), given).concat())).into();
     insta::assert_snapshot!(lines.join("\n"));
 }
+
+/// Clients get these texts with a protocol error.
+#[test]
+fn errors_are_worded_as_the_table_says() {
+    let cases = [
+        (DecodeError::Truncated, "a message ends early"),
+        (DecodeError::NegativeLength, "a negative length"),
+        (DecodeError::InvalidUtf8, "a string is not UTF-8"),
+        (DecodeError::MapNotOfStrings, "a map is not of strings"),
+        (DecodeError::NestedTooDeep, "a value nests too deep"),
+        (DecodeError::UnknownType, "an unknown type"),
+        (DecodeError::MissingFields, "no fields"),
+        (DecodeError::MissingSequenceId, "no seqid"),
+        (DecodeError::NotStrictProtocol, "not the strict protocol"),
+        (DecodeError::NotACall, "not a call"),
+    ];
+    for (error, text) in cases {
+        assert_eq!(error.to_string(), text);
+    }
+}
--- a/src/front/thrift/frames.rs
+++ b/src/front/thrift/frames.rs
@@ -1,36 +1,42 @@
 //! Frames: a length, and a message of so many bytes.
 
-use super::codec::{self, Method, PREFIX};
-use super::MOST_FRAME;
+use super::codec::{self, Method, LENGTH_BYTES};
+use super::limits::MAX_FRAME_BYTES;
+use super::SequenceId;
 use crate::net::Reason;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The next whole frame of what has come.
+/// Takes the next complete frame.
+///
+/// # Errors
+///
+/// The length is negative or beyond the limit.
 pub(super) fn next_frame(input: &mut BytesMut) -> Result<Option<Bytes>, Reason> {
-    let Some(prefix) = input.first_chunk::<PREFIX>() else { return Ok(None) };
+    let Some(prefix) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = usize::try_from(i32::from_be_bytes(*prefix)).map_err(|_| Reason::BadMessage)?;
-    if length > MOST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(Reason::Oversize);
     }
-    if input.len() < PREFIX + length {
+    if input.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
-    input.advance(PREFIX);
+    input.advance(LENGTH_BYTES);
     Ok(Some(input.split_to(length).freeze()))
 }
 
-/// The sequence numbers that the whole messages of what has come cancel, from those on that were not looked at before.
-pub(super) fn cancelled(input: &[u8], scanned: &mut usize) -> Vec<i32> {
+/// The sequence numbers that the complete messages of the input cancel. The first `scanned` bytes were searched before;
+/// `scanned` is moved on.
+pub(super) fn find_cancellations(input: &[u8], scanned: &mut usize) -> Vec<SequenceId> {
     let mut cancelled = Vec::new();
-    while let Some((prefix, rest)) = input.get(*scanned..).and_then(<[u8]>::split_first_chunk::<PREFIX>) {
+    while let Some((prefix, rest)) = input.get(*scanned..).and_then(<[u8]>::split_first_chunk::<LENGTH_BYTES>)
+    {
         let length = usize::try_from(i32::from_be_bytes(*prefix)).unwrap_or(usize::MAX);
         let Some(message) = rest.get(..length) else { break };
-        if let Ok(codec::Call { method: Method::Abort(seqid), .. }) =
-            codec::call(Bytes::copy_from_slice(message))
-        {
+        let call = codec::decode_call(Bytes::copy_from_slice(message));
+        if let Ok(codec::Call { method: Method::Abort(seqid), .. }) = call {
             cancelled.push(seqid);
         }
-        *scanned += PREFIX + length;
+        *scanned += LENGTH_BYTES + length;
     }
     cancelled
 }
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -1,210 +1,217 @@
-//! Reading from clients: messages taken whole and by turns, and cancellations seen also where nothing else is taken.
+//! Reading from clients: complete messages in turns, and cancellations also where nothing else is taken.
 
-use super::codec::{self, Method, ThriftReply, PREFIX};
-use super::frames::{cancelled, next_frame};
-use super::{ThriftEvent, ThriftFront, MOST_FRAME, MOST_OPEN, MOST_UNWRITTEN, TURN};
+use super::codec::{self, ExceptionKind, Method, ThriftReply, LENGTH_BYTES};
+use super::frames::{find_cancellations, next_frame};
+use super::limits::{
+    MAX_FRAME_BYTES, MAX_OPEN_REQUESTS, MAX_SCANNED_BYTES, MAX_UNWRITTEN_BYTES, MESSAGES_PER_TURN,
+};
+use super::{SessionDeadline, ThriftEvent, ThriftFront};
 use crate::deadlines::Schedule;
+use crate::front::lingering;
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 use tracing::warn;
 
-/// Thrift's kinds of exceptions that are answered here.
-const UNKNOWN_METHOD: i32 = 1;
-const PROTOCOL_ERROR: i32 = 7;
-
-/// Bytes that are looked through for cancellations, and handed on with a connection, at most.
-const MOST_SCANNED: usize = 512 * 1024;
-
-/// How one turn of a connection ended.
+/// How a connection's turn ended.
+#[derive(PartialEq, Eq)]
 enum TurnEnd {
-    /// All whole messages are taken.
-    Empty,
+    /// All complete messages are taken.
+    Drained,
     /// There may be more of them.
-    More,
+    LimitReached,
 }
 
 impl ThriftFront {
-    /// A connection may be read from, or written to, or its client is known to have closed it. A client that closed has
-    /// gone: what it asked for is over, also what is still unread.
-    pub fn ready(
+    /// Handles a connection that may be read from or written to, or whose client has `closed` it. Requests of a client
+    /// that closed are cancelled, also those still unread.
+    pub fn on_ready(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         closed: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<super::SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<ThriftEvent> {
-        let Some(session) = self.sessions.get(&conn) else { return Vec::new() };
-        if session.lingers.is_some() {
-            self.linger(now, conn, net, due);
+        let Some(session) = self.sessions.get(conn) else { return Vec::new() };
+        if session.lingering_since.is_some() {
+            self.continue_lingering(now, conn, net, deadlines);
             return Vec::new();
         }
         if closed {
-            return self.close(now, conn, Reason::PeerClosed, net, due);
+            return self.close(now, conn, Reason::PeerClosed, net, deadlines);
         }
         if session.unreadable.is_some() {
-            return self.ready_unreadable(now, conn, net, due);
+            return self.on_ready_unreadable(now, conn, net, deadlines);
         }
-        let mut asks = Vec::new();
-        match net.flush(conn).and_then(|()| self.read(now, conn, net, &mut asks)) {
+        let mut events = Vec::new();
+        match net.flush(conn).and_then(|()| self.read(now, conn, net, &mut events)) {
             Ok(()) => {}
             Err(reason @ (Reason::PeerClosed | Reason::PeerReset)) => {
-                asks.extend(self.close(now, conn, reason, net, due));
+                events.extend(self.close(now, conn, reason, net, deadlines));
             }
-            Err(reason) => asks.extend(self.end_unreadable(now, conn, reason, net, due)),
+            Err(reason) => events.extend(self.stop_reading(now, conn, reason, net, deadlines)),
         }
-        asks
+        events
     }
 
-    /// The same where nothing can be read any more: only answers are written.
-    fn ready_unreadable(
+    /// Handles a connection that is no longer read from: only answers are written.
+    fn on_ready_unreadable(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<super::SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<ThriftEvent> {
-        match net.flush(conn).and_then(|()| net.ended(conn)) {
+        match lingering::flush_and_drop_input(conn, net) {
             Ok(false) => Vec::new(),
-            Ok(true) => self.close(now, conn, Reason::PeerClosed, net, due),
-            Err(reason) => self.close(now, conn, reason, net, due),
+            Ok(true) => self.close(now, conn, Reason::PeerClosed, net, deadlines),
+            Err(reason) => self.close(now, conn, reason, net, deadlines),
         }
     }
 
-    /// Ends a connection on which something came that can't be read on from: at once, or after the answers to what was
-    /// asked there before.
-    fn end_unreadable(
+    /// Ends a connection whose input cannot be read any further: at once, or after the answers to its open requests.
+    fn stop_reading(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<super::SessionDeadline>,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<ThriftEvent> {
-        let Some(session) = self.sessions.get_mut(&conn) else { return Vec::new() };
-        if session.open.is_empty() {
-            return self.end(now, conn, reason, net, due);
+        let Some(session) = self.sessions.get_mut(conn) else { return Vec::new() };
+        if session.open_requests.is_empty() {
+            return self.close_gracefully(now, conn, reason, net, deadlines);
         }
         session.unreadable = Some(reason);
-        session.arrivals.clear();
-        net.input(conn, |input| input.clear());
+        session.drop_input(conn, net);
         Vec::new()
     }
 
+    /// Reads a connection for one turn.
     fn read(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        asks: &mut Vec<ThriftEvent>,
+        events: &mut Vec<ThriftEvent>,
     ) -> Result<(), Reason> {
         let mut taken = 0;
         loop {
-            let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
+            let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
             // Its next read comes with the write event that says that some bytes were taken.
-            if session.paused.is_some() || net.unwritten(conn) >= MOST_UNWRITTEN {
-                return self.read_cancellations(now, conn, net, asks);
+            if session.paused_since.is_some() || net.unwritten(conn) >= MAX_UNWRITTEN_BYTES {
+                return self.read_cancellations(now, conn, net, events);
             }
-            session.scanned = 0;
-            let got = net.read(conn, MOST_FRAME + PREFIX)?;
-            session.arrived(now, got.bytes);
-            let turn_end = self.take_frames(now, conn, &mut taken, net, asks)?;
-            let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
-            let unfinished = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
-            session.begun = if unfinished || !session.asked { session.begun.or(Some(now)) } else { None };
-            if matches!(turn_end, TurnEnd::More) || (got.more && taken > 0) {
-                if !session.more {
-                    session.more = true;
-                    self.turns.push_back(conn);
-                }
+            session.scanned_bytes = 0;
+            let progress = net.read(conn, MAX_FRAME_BYTES + LENGTH_BYTES)?;
+            session.add_arrival(now, progress.bytes);
+            let turn_end = self.take_frames(now, conn, &mut taken, net, events)?;
+            let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
+            let has_begun_message = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
+            session.awaiting_message_since = if has_begun_message || !session.has_asked {
+                session.awaiting_message_since.or(Some(now))
+            } else {
+                None
+            };
+            if turn_end == TurnEnd::LimitReached || (progress.more && taken > 0) {
+                session.queue(conn, &mut self.turns);
                 return Ok(());
             }
-            if got.end {
+            if progress.end {
                 return Err(Reason::PeerClosed);
             }
-            if !got.more {
+            if !progress.more {
                 return Ok(());
             }
         }
     }
 
-    /// Takes whole messages, up to a turn's number.
+    /// Takes the complete frames of the input, up to the turn's limit.
     fn take_frames(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         taken: &mut usize,
         net: &mut Net,
-        asks: &mut Vec<ThriftEvent>,
+        events: &mut Vec<ThriftEvent>,
     ) -> Result<TurnEnd, Reason> {
-        while *taken < TURN {
+        while *taken < MESSAGES_PER_TURN {
             let frame = net.input(conn, next_frame).unwrap_or(Ok(None))?;
-            let Some(frame) = frame else { return Ok(TurnEnd::Empty) };
+            let Some(frame) = frame else { return Ok(TurnEnd::Drained) };
             *taken += 1;
-            self.take(now, conn, frame, net, asks)?;
+            self.take_message(now, conn, frame, net, events)?;
         }
-        Ok(TurnEnd::More)
+        Ok(TurnEnd::LimitReached)
     }
 
-    /// Looks through what has come on a connection from which no request is taken now: one that is open may have been
-    /// cancelled there, and is over at once. The bytes stay for when they have their turn.
+    /// Searches the input of a connection from which no request is taken now: an open request may have been cancelled
+    /// there. The bytes stay for the connection's next turn.
     fn read_cancellations(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         net: &mut Net,
-        asks: &mut Vec<ThriftEvent>,
+        events: &mut Vec<ThriftEvent>,
     ) -> Result<(), Reason> {
-        let got = net.read(conn, MOST_SCANNED)?;
-        if let Some(session) = self.sessions.get_mut(&conn) {
-            session.arrived(now, got.bytes);
-            let scanned = &mut session.scanned;
-            let cancelled = net.input(conn, |input| cancelled(input, scanned)).unwrap_or_default();
-            let over = cancelled.into_iter().filter_map(|seqid| session.open.remove(&seqid)).flatten();
-            asks.extend(over.map(ThriftEvent::Cancelled));
+        let progress = net.read(conn, MAX_SCANNED_BYTES)?;
+        if let Some(session) = self.sessions.get_mut(conn) {
+            session.add_arrival(now, progress.bytes);
+            let scanned = &mut session.scanned_bytes;
+            let cancelled = net.input(conn, |input| find_cancellations(input, scanned)).unwrap_or_default();
+            let open_requests = &mut session.open_requests;
+            let handles = cancelled.into_iter().filter_map(|seqid| open_requests.remove(&seqid)).flatten();
+            events.extend(handles.map(ThriftEvent::Cancelled));
         }
-        if got.end {
+        if progress.end {
             return Err(Reason::PeerClosed);
         }
         Ok(())
     }
 
-    fn take(
+    /// Takes one message: hands it in as an event, or answers what is no valid call.
+    fn take_message(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
         frame: Bytes,
         net: &mut Net,
-        asks: &mut Vec<ThriftEvent>,
+        events: &mut Vec<ThriftEvent>,
     ) -> Result<(), Reason> {
-        let Some(session) = self.sessions.get_mut(&conn) else { return Ok(()) };
-        (session.heard, session.begun, session.asked) = (now, None, true);
-        let arrived = session.arrivals.take(PREFIX + frame.len()).unwrap_or(now);
-        let call = codec::call(frame).map_err(|error| {
-            warn!("conn={conn} {error}");
+        let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
+        session.last_active = now;
+        session.awaiting_message_since = None;
+        session.has_asked = true;
+        let arrived = session.arrivals.take(LENGTH_BYTES + frame.len()).unwrap_or(now);
+        let call = codec::decode_call(frame).map_err(|error| {
+            warn!("conn={conn} a message can't be read: {error}");
             Reason::BadMessage
         })?;
-        let (seqid, name) = (call.seqid, call.name);
-        let exception =
-            |kind, text: &str| codec::reply(seqid, ThriftReply::Exception { name, kind, text: text.into() });
+        let seqid = call.seqid;
+        let exception = |kind, text: String| {
+            codec::encode_reply(seqid, ThriftReply::Exception { name: call.name, kind, text })
+        };
         match call.method {
-            // Which of two answers under one number is whose can't be told: neither gets one.
-            Method::Invoke { .. } | Method::Malformed(_) if session.open.contains_key(&seqid) => {
-                session.withdraw(conn, seqid, asks);
+            // Two answers under one number could not be told apart: neither request gets one.
+            Method::Invoke { .. } | Method::Malformed(_) if session.open_requests.contains_key(&seqid) => {
+                session.cancel(conn, seqid, events);
                 return Err(Reason::DuplicateSeqid);
             }
-            Method::Invoke { fields, .. } if session.open.len() >= MOST_OPEN => {
-                asks.push(ThriftEvent::RequestOverLimit { conn, seqid, fields });
+            Method::Invoke { fields, .. } if session.open_requests.len() >= MAX_OPEN_REQUESTS => {
+                events.push(ThriftEvent::RequestOverLimit { conn, seqid, fields });
             }
             Method::Invoke { fields, body } => {
-                session.open.insert(seqid, None);
-                asks.push(ThriftEvent::Request { conn, seqid, fields, body, arrived });
+                session.open_requests.insert(seqid, None);
+                events.push(ThriftEvent::Request { conn, seqid, fields, body, arrived });
+            }
+            Method::Abort(target) => session.cancel(conn, target, events),
+            Method::Ping => events.push(ThriftEvent::Ping { conn, seqid }),
+            Method::Unknown => {
+                net.write(conn, exception(ExceptionKind::UnknownMethod, "no such method".into()))?;
+            }
+            Method::Malformed(error) => {
+                net.write(conn, exception(ExceptionKind::ProtocolError, error.to_string()))?;
             }
-            Method::Abort(target) => session.withdraw(conn, target, asks),
-            Method::Ping => asks.push(ThriftEvent::Ping { conn, seqid }),
-            Method::Unknown => net.write(conn, exception(UNKNOWN_METHOD, "no such method"))?,
-            Method::Malformed(why) => net.write(conn, exception(PROTOCOL_ERROR, why))?,
         }
         Ok(())
     }
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -1,133 +1,143 @@
 //! What is kept of one client's connection.
 
-use super::{SessionDeadline, ThriftEvent, LOOK, NEVER_ASKED};
+use super::arrivals::Arrivals;
+use super::limits::{CHECK_INTERVAL, FIRST_REQUEST_GRACE};
+use super::{SequenceId, SessionDeadline, ThriftEvent};
 use crate::deadlines::{DeadlineHandle, Schedule};
+use crate::front::{sessions, RequestHandle};
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes that came together and are not used yet.
-struct Arrival {
-    bytes: usize,
-    at: Instant,
+/// The open requests of a connection, with their handles once these are bound.
+pub(super) type OpenRequests = BTreeMap<SequenceId, Option<RequestHandle>>;
+
+/// One client's connection.
+pub(super) struct Session {
+    pub open_requests: OpenRequests,
+    pub check: DeadlineHandle,
+    /// Bytes written so far, as of the last check.
+    pub written_bytes: u64,
+    /// When some bytes were last written, or none were waiting.
+    pub last_write_progress: Instant,
+    /// When a message last came or was answered.
+    pub last_active: Instant,
+    /// Since when a message is awaited that has begun, or a first one.
+    pub awaiting_message_since: Option<Instant>,
+    /// It has sent a complete message.
+    pub has_asked: bool,
+    /// It waits for a turn to be read from.
+    pub is_queued: bool,
+    /// Since when reading pauses, so that the connection can be handed over once its requests are answered.
+    pub paused_since: Option<Instant>,
+    /// Reading may not pause again before this.
+    pub pause_allowed_at: Instant,
+    /// Since when only the client's close is awaited.
+    pub lingering_since: Option<Instant>,
+    /// The write side is shut down.
+    pub is_shut_down: bool,
+    /// Input cannot be read any further. The connection ends for this reason once its open requests are answered.
+    pub unreadable: Option<Reason>,
+    /// Bytes of unread messages that were already searched for cancellations.
+    pub scanned_bytes: usize,
+    /// When the unused bytes came.
+    pub arrivals: Arrivals,
+    /// What the next read brings may have waited since then.
+    pub waiting_since: Option<Instant>,
 }
 
-/// When the unused bytes of a connection came, the oldest first: a request may wait unread while its client's
-/// patience runs.
-#[derive(Default)]
-pub(super) struct Arrivals(VecDeque<Arrival>);
+impl sessions::Session for Session {
+    fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle> {
+        std::iter::once(self.check)
+    }
 
-impl Arrivals {
-    /// Bytes have come.
-    pub(super) fn add(&mut self, bytes: usize, at: Instant) {
-        match self.0.back_mut() {
-            Some(last) if last.at == at => last.bytes += bytes,
-            _ if bytes > 0 => self.0.push_back(Arrival { bytes, at }),
-            _ => {}
-        }
+    fn has_open_requests(&self) -> bool {
+        !self.open_requests.is_empty()
     }
 
-    /// Uses the oldest bytes; when the first of them came.
-    pub(super) fn take(&mut self, mut bytes: usize) -> Option<Instant> {
-        let at = self.0.front()?.at;
-        while let Some(first) = self.0.front_mut().filter(|_| bytes > 0) {
-            let part = bytes.min(first.bytes);
-            (bytes, first.bytes) = (bytes - part, first.bytes - part);
-            if first.bytes == 0 {
-                self.0.pop_front();
-            }
-        }
-        Some(at)
+    fn is_lingering(&self) -> bool {
+        self.lingering_since.is_some()
     }
 
-    pub(super) fn clear(&mut self) {
-        self.0.clear();
+    fn has_asked(&self) -> bool {
+        self.has_asked
     }
-}
 
-pub(super) struct Session {
-    /// The open requests, and their numbers once they are bound.
-    pub open: BTreeMap<i32, Option<u64>>,
-    pub look: Option<DeadlineHandle>,
-    /// Bytes written, and when some were last.
-    pub wrote: u64,
-    pub moved: Instant,
-    /// When a message came or was answered last.
-    pub heard: Instant,
-    /// Since when a message is awaited that has begun, or a first one.
-    pub begun: Option<Instant>,
-    /// It has sent a whole message.
-    pub asked: bool,
-    /// There may be more to read than its turn allowed.
-    pub more: bool,
-    /// Since when nothing more is read: it is to be handed on once what is open is answered...
-    pub paused: Option<Instant>,
-    /// ... but not before this: it had its pause.
-    pub rested: Instant,
-    /// All is said, and the client is to close: closing first, with its bytes unread, would reset the connection
-    /// and could take the last answers away from it.
-    pub lingers: Option<Instant>,
-    /// The write side is shut down: no answer waits to be written any more.
-    pub shut_down: bool,
-    /// What came can't be read on from here: the connection ends for this once what is open there is answered.
-    pub unreadable: Option<Reason>,
-    /// Bytes of unread messages that were looked through for cancellations already.
-    pub scanned: usize,
-    /// When the bytes came that are not used yet.
-    pub arrivals: Arrivals,
-    /// What the next read brings may wait since then.
-    pub waits_since: Option<Instant>,
+    fn last_active(&self) -> Instant {
+        self.last_active
+    }
 }
 
 impl Session {
-    pub(super) fn new(now: Instant, conn: ConnectionKey, due: &mut dyn Schedule<SessionDeadline>) -> Self {
+    /// A connection that has just been accepted.
+    pub(super) fn new(
+        now: Instant,
+        conn: ConnectionKey,
+        deadlines: &mut dyn Schedule<SessionDeadline>,
+    ) -> Self {
         Session {
-            open: BTreeMap::new(),
-            look: Some(due.add(now + LOOK, SessionDeadline(conn))),
-            wrote: 0,
-            moved: now,
-            heard: now,
-            begun: Some(now),
-            asked: false,
-            more: false,
-            paused: None,
-            rested: now,
-            lingers: None,
-            shut_down: false,
+            open_requests: BTreeMap::new(),
+            check: deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn)),
+            written_bytes: 0,
+            last_write_progress: now,
+            last_active: now,
+            awaiting_message_since: Some(now),
+            has_asked: false,
+            is_queued: false,
+            paused_since: None,
+            pause_allowed_at: now,
+            lingering_since: None,
+            is_shut_down: false,
             unreadable: None,
-            scanned: 0,
+            scanned_bytes: 0,
             arrivals: Arrivals::default(),
-            waits_since: None,
+            waiting_since: None,
         }
     }
 
     /// Notes bytes that were just read.
-    pub(super) fn arrived(&mut self, now: Instant, bytes: usize) {
-        let at = self.waits_since.take().unwrap_or(now);
+    pub(super) fn add_arrival(&mut self, now: Instant, bytes: usize) {
+        let at = self.waiting_since.take().unwrap_or(now);
         self.arrivals.add(bytes, at);
     }
 
-    /// Whether all that it asked is answered and no further message has begun.
+    /// Drops what was read and not used.
+    pub(super) fn drop_input(&mut self, conn: ConnectionKey, net: &mut Net) {
+        self.arrivals.clear();
+        net.input(conn, |input| input.clear());
+    }
+
+    /// Whether all its requests are answered and no further message has begun.
     pub(super) fn is_idle(&self, now: Instant, conn: ConnectionKey, net: &mut Net) -> bool {
-        let unread = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
-        let asked = self.asked || self.heard + NEVER_ASKED <= now;
-        let quiet = asked && self.lingers.is_none() && !self.more && self.open.is_empty();
-        quiet && net.unwritten(conn) == 0 && !unread(net)
+        let has_unused_input = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
+        let is_past_first_request = self.has_asked || self.last_active + FIRST_REQUEST_GRACE <= now;
+        is_past_first_request
+            && self.lingering_since.is_none()
+            && !self.is_queued
+            && self.open_requests.is_empty()
+            && net.unwritten(conn) == 0
+            && !has_unused_input(net)
     }
 
-    /// Reads again: what has come meanwhile has its turn.
-    pub(super) fn resume(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
-        self.paused = None;
-        if !std::mem::replace(&mut self.more, true) {
+    /// Queues the connection to be read from, if it is not queued.
+    pub(super) fn queue(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
+        if !self.is_queued {
+            self.is_queued = true;
             turns.push_back(conn);
         }
     }
 
-    /// Gives an open request up; it may have come in the same read, and then the server never sees it.
-    pub(super) fn withdraw(&mut self, conn: ConnectionKey, seqid: i32, asks: &mut Vec<ThriftEvent>) {
-        match self.open.remove(&seqid) {
-            Some(Some(number)) => asks.push(ThriftEvent::Cancelled(number)),
-            Some(None) => asks.retain(|ask| !ask.is_invoke(conn, seqid)),
+    /// Ends the pause of reading.
+    pub(super) fn resume(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
+        self.paused_since = None;
+        self.queue(conn, turns);
+    }
+
+    /// Cancels an open request. If it came in the same read, its event is taken back and the server never sees it.
+    pub(super) fn cancel(&mut self, conn: ConnectionKey, seqid: SequenceId, events: &mut Vec<ThriftEvent>) {
+        match self.open_requests.remove(&seqid) {
+            Some(Some(handle)) => events.push(ThriftEvent::Cancelled(handle)),
+            Some(None) => events.retain(|event| !event.is_request(conn, seqid)),
             None => {}
         }
     }
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -84,7 +84,7 @@
     /// Reads on a connection that may have waited while none could be taken: its client's patience has run since.
     fn read_what_waited(&mut self, conn: ConnectionKey) {
         if let Some(since) = self.admitting.accepts_fail_since {
-            self.thrift.waits_since(conn, since);
+            self.thrift.set_waiting_since(conn, since);
             self.on_ready(Ready::readable(conn));
         }
     }
@@ -101,9 +101,9 @@
             return true;
         }
         for _ in 0..EVICTION_TRIES {
-            let Some(conn) = self.thrift.least_missed(&self.net) else { break };
+            let Some(conn) = self.thrift.eviction_candidate(&self.net) else { break };
             self.on_ready(Ready::readable(conn));
-            if self.thrift.least_missed(&self.net) == Some(conn) {
+            if self.thrift.eviction_candidate(&self.net) == Some(conn) {
                 self.thrift.close(self.now, conn, Reason::Evicted, &mut self.net, &mut self.due);
                 return true;
             }
@@ -112,7 +112,7 @@
             }
         }
         for _ in 0..EVICTION_TRIES {
-            let least = |server: &Self| server.links.as_ref()?.front.least_missed(&server.net);
+            let least = |server: &Self| server.links.as_ref()?.front.eviction_candidate(&server.net);
             let Some(conn) = least(self) else { break };
             self.on_ready(Ready::readable(conn));
             let is_still = least(self) == Some(conn);
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -129,7 +129,7 @@
         } else if let Some(links) = &mut self.links {
             links.front.open(self.now, conn, &mut self.due);
             let seconds = pause.as_secs_rounded_up();
-            links.front.refuse_all(self.now, conn, seconds, &mut self.net, &mut self.due);
+            links.front.reject_connection(self.now, conn, seconds, &mut self.net, &mut self.due);
             if !waits {
                 links.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
             }
@@ -152,7 +152,7 @@
     /// since its client is about to send a request that would cross the end.
     pub(super) fn end_refused(&mut self, conn: ConnectionKey) {
         if self.admitting.refusing.get(&conn).is_some_and(|(_, told)| *told) {
-            self.thrift.end_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+            self.thrift.close_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
         }
     }
 
--- a/src/server/figures.rs
+++ b/src/server/figures.rs
@@ -1,7 +1,7 @@
 //! The operators' calls, and the figures that they are told: read where they are kept, worded here alone.
 
 use super::Server;
-use crate::front::admin::{self, AdminCall};
+use crate::front::admin::{self, AdminAnswer, AdminCall};
 use crate::interface::ClassId;
 use crate::net::{ConnectionKey, Role};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// A caller's connection may be read from: answers the call that is whole now.
     pub(super) fn called(&mut self, conn: ConnectionKey) {
         let Some(admin) = &mut self.admin else { return };
-        let Some(call) = admin.front.ready(self.now, conn, &mut self.net, &mut self.due) else { return };
+        let Some(call) = admin.front.on_ready(self.now, conn, &mut self.net, &mut self.due) else { return };
         let (status, body) = match call {
             AdminCall::Healthcheck if self.takes_clients() => (200, "ok\n".into()),
             AdminCall::Healthcheck if self.stopping.is_some() => (503, "stopping\n".into()),
@@ -34,7 +34,8 @@
         };
         let kind = if call == AdminCall::Federation { "application/json" } else { admin::TEXT };
         if let Some(admin) = &mut self.admin {
-            admin.front.answer(self.now, conn, status, (kind, &body), &mut self.net, &mut self.due);
+            let answer = AdminAnswer { status, content_type: kind, body: &body };
+            admin.front.answer(self.now, conn, answer, &mut self.net, &mut self.due);
         }
     }
 
--- a/src/server/leave.rs
+++ b/src/server/leave.rs
@@ -7,7 +7,7 @@
 use super::handover::{Handed, HandedStream};
 use super::{Server, ServerDeadline};
 use crate::deadlines::Schedule;
-use crate::front::thrift::PAUSE;
+use crate::front::thrift::HANDOVER_PAUSE;
 use crate::interface::{Instant, Span};
 use crate::net::{Ready, Reason, Role};
 use tracing::{info, warn};
@@ -74,9 +74,9 @@
         } else {
             info!("no more clients are taken");
         }
-        self.thrift.retire();
+        self.thrift.start_draining();
         if let Some(links) = &mut self.links {
-            links.front.retire(self.now, &mut self.net, &mut self.due);
+            links.front.start_draining(self.now, &mut self.net, &mut self.due);
         }
         self.due.add(self.now, ServerDeadline::Stop);
     }
@@ -94,7 +94,7 @@
         if self.handover.has_newer() {
             let begun = self.stopping.unwrap_or(self.now);
             let most = ((self.now - begun) / PAUSE_STEP) as usize;
-            let before_end = self.last_answers() <= self.now + PAUSE;
+            let before_end = self.last_answers() <= self.now + HANDOVER_PAUSE;
             for conn in self.thrift.connections_to_hand_over(self.now, most, before_end, &self.net) {
                 let handover = &mut self.handover;
                 if self.net.hand_over(self.now, conn, |stream, unused| handover.hand(stream, unused)) {
@@ -107,7 +107,7 @@
             // What has come meanwhile is still answered.
             self.on_ready(Ready::readable(conn));
             self.pump();
-            self.thrift.end_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.due);
+            self.thrift.close_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.due);
         }
     }
 
@@ -185,7 +185,7 @@
         }
         self.core.time_out_all(self.now, &mut self.due);
         self.settle();
-        let asks = self.thrift.end_all(self.now, Reason::Stopping, &mut self.net, &mut self.due);
+        let asks = self.thrift.close_all_gracefully(self.now, Reason::Stopping, &mut self.net, &mut self.due);
         self.on_thrift_events(asks);
     }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -130,7 +130,7 @@
 
 /// Whom a request's answer is for.
 enum Client {
-    Thrift { conn: ConnectionKey, seqid: i32 },
+    Thrift { conn: ConnectionKey, seqid: thrift::SequenceId },
     Signed { conn: ConnectionKey },
 }
 
@@ -378,12 +378,12 @@
     pub fn finish(&mut self) {
         self.handover.end(&mut self.net);
         self.federation.finish();
-        self.thrift.stop(self.now, &mut self.net, &mut self.due);
+        self.thrift.close_all(self.now, &mut self.net, &mut self.due);
         if let Some(links) = &mut self.links {
-            links.front.stop(self.now, &mut self.net, &mut self.due);
+            links.front.close_all(self.now, &mut self.net, &mut self.due);
         }
         if let Some(admin) = &mut self.admin {
-            admin.front.stop(self.now, &mut self.net, &mut self.due);
+            admin.front.close_all(self.now, &mut self.net, &mut self.due);
         }
         self.upstream.stop(self.now, &mut self.net, &mut self.due);
         info!("stopped");
@@ -426,7 +426,7 @@
                     self.federation.newer(self.handover.has_newer());
                 }
                 if others && self.is_leaving() && !self.handover.has_newer() {
-                    self.thrift.resume();
+                    self.thrift.resume_reading();
                 }
             }
             Ready::Source(LISTENER | LINKS) => self.accept(),
@@ -447,12 +447,14 @@
                 } else if self.is_for_admin(ready) {
                     self.called(key);
                 } else if self.thrift.owns(key) {
-                    let asks = self.thrift.ready(self.now, key, closed, &mut self.net, &mut self.due);
+                    let asks = self.thrift.on_ready(self.now, key, closed, &mut self.net, &mut self.due);
                     self.on_thrift_events(asks);
                     self.end_refused(key);
                 } else if self.links.as_ref().is_some_and(|links| links.front.owns(key)) {
                     match self.links.as_mut().filter(|_| closed) {
-                        Some(links) => links.front.closed(self.now, key, &mut self.net, &mut self.due),
+                        Some(links) => {
+                            links.front.on_peer_closed(self.now, key, &mut self.net, &mut self.due)
+                        }
                         None => self.read_links(key),
                     }
                     self.write_signed_answers(key);
@@ -472,17 +474,17 @@
                 self.feed.deadline_passed(self.now, what, &mut self.net, &mut self.due)
             }
             ServerDeadline::Thrift(what) => {
-                let asks = self.thrift.due(self.now, what, &mut self.net, &mut self.due);
+                let asks = self.thrift.deadline_passed(self.now, what, &mut self.net, &mut self.due);
                 self.on_thrift_events(asks);
             }
             ServerDeadline::Signed(what) => {
                 let Some(links) = &mut self.links else { return };
-                let conn = links.front.due(self.now, what, &mut self.net, &mut self.due);
+                let conn = links.front.deadline_passed(self.now, what, &mut self.net, &mut self.due);
                 self.write_signed_answers(conn);
             }
             ServerDeadline::Admin(what) => {
                 if let Some(admin) = &mut self.admin {
-                    admin.front.due(self.now, what, &mut self.net, &mut self.due);
+                    admin.front.deadline_passed(self.now, what, &mut self.net, &mut self.due);
                 }
             }
             ServerDeadline::Accept => self.accept_now(),
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -4,11 +4,11 @@
 use super::{Client, PendingRequest, Server};
 use crate::core::{ClientRequest, FinalAnswer, RequestKey};
 use crate::front::signed::{self, route::RequestTarget};
-use crate::front::thrift::{self, codec::ThriftReply};
-use crate::interface::{ClassId, ObjectId, RejectionReason, Span};
+use crate::front::thrift::{self, codec::ExceptionKind, codec::ThriftReply, SequenceId};
+use crate::front::RequestHandle;
+use crate::interface::{ClassId, RejectionReason, Span};
 use crate::net::ConnectionKey;
 use crate::slots::Key;
-use crate::GroupId;
 use bytes::Bytes;
 
 /// A client counts its patience from its send; the request has been under way for about this long.
@@ -27,35 +27,37 @@
     pub(super) fn write_signed_answers(&mut self, conn: ConnectionKey) {
         let now = self.now;
         while let Some(links) = &mut self.links {
-            let Some(number) = links.front.next(now, conn, &mut self.net, &mut self.due) else { break };
-            let request = Key::from_number(number);
+            let Some(handle) = links.front.next_to_answer(now, conn, &mut self.net, &mut self.due) else {
+                break;
+            };
+            let request = Key::from_number(handle.number());
             let Some(answer) = self.core.answer_now(now, request) else { break };
             let tags = self.pending.get(&request).map(|waiting| &waiting.tags[..]).unwrap_or_default();
             let answer = translate::answer(answer, tags, self.net.unix_time());
-            if !links.front.begin(now, conn, answer, &mut self.net, &mut self.due) {
+            if !links.front.begin_answer(now, conn, answer, &mut self.net, &mut self.due) {
                 break;
             }
             self.on_answer_begun(request);
         }
-        if self.links.as_ref().is_some_and(|links| links.front.has_more(conn)) {
+        if self.links.as_ref().is_some_and(|links| links.front.has_unread_requests(conn)) {
             self.read_links(conn);
             return self.write_signed_answers(conn);
         }
         if let Some(links) = &mut self.links {
-            links.front.finish(now, conn, &mut self.net, &mut self.due);
+            links.front.linger_if_answered(now, conn, &mut self.net, &mut self.due);
             let gone = links.front.take_cancelled();
-            gone.into_iter().for_each(|number| self.on_request_cancelled(number));
+            gone.into_iter().for_each(|handle| self.on_request_cancelled(handle));
         }
     }
 
     pub(super) fn read_links(&mut self, conn: ConnectionKey) {
         let Some(links) = &mut self.links else { return };
-        let asks = links.front.ready(self.now, conn, &mut self.net, &mut self.due);
+        let asks = links.front.on_ready(self.now, conn, &mut self.net, &mut self.due);
         asks.into_iter().for_each(|ask| self.on_signed_request(ask));
     }
 
-    pub(super) fn on_request_cancelled(&mut self, number: u64) {
-        let request = Key::from_number(number);
+    pub(super) fn on_request_cancelled(&mut self, handle: RequestHandle) {
+        let request = Key::from_number(handle.number());
         self.remove_pending(request);
         self.core.cancel(self.now, request, &mut self.due);
     }
@@ -81,13 +83,13 @@
 
     /// Hands in a request of the second front, which has checked its right.
     pub(super) fn on_signed_request(&mut self, ask: signed::SignedEvent) {
-        let signed::SignedEvent::Request { conn, number, place, tags, expires } = ask;
-        let RequestTarget { route, object, group, part } = place;
+        let signed::SignedEvent::Request { conn, index, target, etags, expires } = ask;
+        let RequestTarget { route, object, group, part } = target;
         let (full, now) = (self.is_full(conn), self.now);
-        let Some(links) = self.links.as_mut().filter(|links| links.front.is_open(conn, number)) else {
+        let Some(links) = self.links.as_mut().filter(|links| links.front.is_open(conn, index)) else {
             return;
         };
-        let Some((class, patience)) = links.classes.get(route).copied() else { return };
+        let Some((class, patience)) = links.classes.get(route.0).copied() else { return };
         if full {
             let refused = FinalAnswer::Rejected {
                 retry_after: self.core.retry_after(class),
@@ -95,18 +97,22 @@
                 reason: RejectionReason::ProxyFull,
             };
             self.core.count_answer(class, &refused);
-            return links.front.say(conn, number, translate::answer(refused, &[], self.net.unix_time()));
+            return links.front.set_answer(
+                conn,
+                index,
+                translate::answer(refused, &[], self.net.unix_time()),
+            );
         }
-        let (object, group, expires) = (ObjectId(object), GroupId(group), Some(expires));
+        let expires = Some(expires);
         let ask = ClientRequest { class, object, part, group, timeout: patience, authorized_until: expires };
         let request = self.core.submit(now, ask, &mut self.due);
-        links.front.bind(conn, number, request.number());
+        links.front.bind(conn, index, RequestHandle::from_number(request.number()));
         // The servers know a request by an id that no other edge proxy's requests have.
         let trace = format!("{:016x}", self.seed ^ request.number().rotate_left(32));
         let (client, item, body) = (Client::Signed { conn }, format!("{:016x}", object.0), Bytes::new());
         self.add_pending(
             request,
-            PendingRequest { client, tags, class, trace, item, idempotency_key: None, body },
+            PendingRequest { client, tags: etags, class, trace, item, idempotency_key: None, body },
         );
     }
 
@@ -121,7 +127,7 @@
                         self.on_thrift_events(asks);
                     } else if self.thrift.is_open(conn, seqid) {
                         let form = translate::form(&fields, &self.names).and_then(|form| match &form {
-                            _ if body.len() > thrift::MOST_BODY => Err("the body is too long".into()),
+                            _ if body.len() > thrift::MAX_BODY_BYTES => Err("the body is too long".into()),
                             form if self.ids.contains(&form.trace) => Err("trace is another's".into()),
                             _ => Ok(form),
                         });
@@ -144,12 +150,12 @@
                     }
                     self.answer_unbound(conn, seqid, ThriftReply::Pong(self.takes_clients()));
                 }
-                thrift::ThriftEvent::Cancelled(number) => self.on_request_cancelled(number),
+                thrift::ThriftEvent::Cancelled(handle) => self.on_request_cancelled(handle),
             }
         }
     }
 
-    pub(super) fn answer_unbound(&mut self, conn: ConnectionKey, seqid: i32, reply: ThriftReply) {
+    pub(super) fn answer_unbound(&mut self, conn: ConnectionKey, seqid: SequenceId, reply: ThriftReply) {
         let asks = self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
         self.on_thrift_events(asks);
     }
@@ -174,7 +180,7 @@
     pub(super) fn invoke(
         &mut self,
         conn: ConnectionKey,
-        seqid: i32,
+        seqid: SequenceId,
         class: Option<ClassId>,
         form: Result<translate::RequestFields, String>,
         body: Bytes,
@@ -184,7 +190,11 @@
                 class
                     .into_iter()
                     .for_each(|class| self.core.count_answer(class, &FinalAnswer::Failed { late: false }));
-                Err(ThriftReply::Exception { name: "invoke".into(), kind: 7, text })
+                Err(ThriftReply::Exception {
+                    name: "invoke".into(),
+                    kind: ExceptionKind::ProtocolError,
+                    text,
+                })
             }
             Ok(_) if self.is_full(conn) => Err(self.refuse(class)),
             Ok(form) => Ok(form),
@@ -211,7 +221,7 @@
         let patience = (patience - WAY).max(LEAST_PATIENCE);
         let ask = ClientRequest { class, object, part, group, timeout: patience, authorized_until: None };
         let request = self.core.submit(self.now, ask, &mut self.due);
-        self.thrift.bind(conn, seqid, request.number());
+        self.thrift.bind(conn, seqid, RequestHandle::from_number(request.number()));
         let (client, tags) = (Client::Thrift { conn, seqid }, Vec::from_iter(seen));
         // A copy: a slice would keep the whole buffer that the frame came in.
         let body = Bytes::copy_from_slice(&body);
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -180,9 +180,7 @@
             let fields = if copy.not_modified { vec![("current", "1".to_owned())] } else { Vec::new() };
             ThriftReply::Answer { body: copy.body, fields }
         }
-        FinalAnswer::Rejected { retry_after: pause, .. } => {
-            ThriftReply::Rejected { pause: pause.as_millis() }
-        }
+        FinalAnswer::Rejected { retry_after: pause, .. } => ThriftReply::Rejected { retry_after: pause },
         FinalAnswer::Failed { .. } | FinalAnswer::Denied => ThriftReply::Failed,
     }
 }
@@ -192,11 +190,11 @@
     use http::HttpAnswer;
     match answer {
         FinalAnswer::Served(copy) => {
-            let tag = Some(copy.etag).filter(|tag| !tag.is_empty());
-            let held = copy.not_modified || tag.as_ref().is_some_and(|tag| tags.contains(tag));
+            let etag = Some(copy.etag).filter(|etag| !etag.is_empty());
+            let held = copy.not_modified || etag.as_ref().is_some_and(|etag| tags.contains(etag));
             let born_ms = i64::try_from(copy.generated_at_ms).ok().filter(|born_ms| *born_ms > 0);
             let age = born_ms.map(|born_ms| (now.as_millis() - born_ms).max(0) / 1000);
-            HttpAnswer { body: copy.body, tag, age, ..HttpAnswer::bare(if held { 304 } else { 200 }) }
+            HttpAnswer { body: copy.body, etag, age, ..HttpAnswer::bare(if held { 304 } else { 200 }) }
         }
         FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => {
             HttpAnswer::bare(504)
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -176,6 +176,6 @@
         let said = answer(given.clone(), &tags, now);
         assert_eq!((said.status, said.retry_after), (status, retry_after), "{given:?}");
         assert_eq!(said.age, served.then_some(2), "{given:?}");
-        assert_eq!(said.tag.is_some() || !said.body.is_empty(), served, "{given:?}");
+        assert_eq!(said.etag.is_some() || !said.body.is_empty(), served, "{given:?}");
     }
 }
