--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -271,6 +271,23 @@
     assert!(!admission.answers_rejected(0, Some(8)), "half the reserve for table caches is left");
 }
 
+/// Each key sets its own field, whatever the field's name.
+#[test]
+fn the_admission_file_keeps_its_keys() {
+    let text = "admission {\n pause_ms = 1\n most_pause_ms = 2\n most_refusing = 3\n backoff_ms = 4\n \
+                most_backoff_ms = 5\n}";
+    let settings = AdmissionSettings::parse(text).expect("good");
+    let wanted = AdmissionSettings {
+        retry_after_ms: 1,
+        max_retry_after_ms: 2,
+        max_pending_rejections: 3,
+        backoff_ms: 4,
+        max_backoff_ms: 5,
+        ..AdmissionSettings::default()
+    };
+    assert_eq!(settings, wanted);
+}
+
 /// The operator's example file stays usable.
 #[test]
 fn the_deployed_example_reads() {
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -229,9 +229,7 @@
         if head.method != Some("GET") {
             return Err(HeadError::Method { keep_alive: false });
         }
-        if http::has_body(head) {
-            return Err(HeadError::Malformed("a body"));
-        }
+        http::check_no_body(head)?;
         let path = head.path.unwrap_or_default();
         Ok(match path.split_once('?').map_or(path, |(path, _)| path) {
             "/healthcheck" => Some(AdminCall::Healthcheck),
@@ -245,7 +243,7 @@
         Ok(Some(Some(call))) => Ok(Some(call)),
         Ok(Some(None)) => Err(404),
         Err(HeadError::Method { .. }) => Err(405),
-        Err(HeadError::Malformed(_)) => Err(400),
+        Err(HeadError::Syntax | HeadError::Body) => Err(400),
         Err(HeadError::Oversize) => Err(431),
     }
 }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -9,12 +9,15 @@
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Why a request cannot be served.
+/// Why a head cannot be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// The head is malformed, or its end is in doubt: 400, and the connection ends.
-    #[error("malformed: {0}")]
-    Malformed(&'static str),
+    /// It is not HTTP/1: 400, and the connection ends.
+    #[error("head")]
+    Syntax,
+    /// The request has a body: 400, and the connection ends.
+    #[error("a body")]
+    Body,
     /// The method is not served: 405.
     #[error("a method that is not served")]
     Method {
@@ -31,17 +34,17 @@
 /// # Errors
 ///
 /// The head is malformed or too long, or `read` fails.
-pub fn take_head<T>(
+pub fn take_head<T, E: From<HeadError>>(
     input: &mut BytesMut,
-    read: impl FnOnce(&httparse::Request) -> Result<T, HeadError>,
-) -> Result<Option<T>, HeadError> {
+    read: impl FnOnce(&httparse::Request) -> Result<T, E>,
+) -> Result<Option<T>, E> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(input) {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
         Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HeadError::Oversize),
-        Err(_) => return Err(HeadError::Malformed("head")),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HeadError::Oversize.into()),
+        Err(_) => return Err(HeadError::Syntax.into()),
     };
     let read = read(&head);
     input.advance(length);
@@ -54,11 +57,18 @@
     head.headers.iter().filter(has_name).map(|header| std::str::from_utf8(header.value).unwrap_or("\u{fffd}"))
 }
 
-/// Whether a request has a body by its head. Bodies are not read: where a request ends must be beyond doubt, or one
-/// client's bytes become another's request.
-pub fn has_body(head: &httparse::Request) -> bool {
-    header_values(head, "transfer-encoding").next().is_some()
-        || header_values(head, "content-length").any(|length| length != "0")
+/// Checks that a request has no body, by its head. Bodies are not read: where a request ends must be beyond doubt, or
+/// one client's bytes become another's request.
+///
+/// # Errors
+///
+/// It has a body, or may have one.
+pub fn check_no_body(head: &httparse::Request) -> Result<(), HeadError> {
+    let has_encoding = header_values(head, "transfer-encoding").next().is_some();
+    if has_encoding || header_values(head, "content-length").any(|length| length != "0") {
+        return Err(HeadError::Body);
+    }
+    Ok(())
 }
 
 /// The status line and the date of an answer.
--- /dev/null
+++ b/src/front/signed/credentials/claims.rs
@@ -0,0 +1,54 @@
+//! The claims of a token: what it says.
+
+use super::{Denial, InvalidCredential};
+use serde_json::{Map, Value};
+
+/// The claims that are understood, and so may be critical.
+const UNDERSTOOD: [&str; 8] = ["iss", "aud", "exp", "nbf", "iat", "cdniv", "cdniuc", "cdnicrit"];
+/// Claims that restrict a token in ways that are not checked here: such a token is denied.
+const UNCHECKED: [&str; 2] = ["cdniip", "jti"];
+/// The version of the claims.
+const VERSION: i64 = 1;
+/// The transport by which a token is not renewed.
+const NO_RENEWAL: i64 = 0;
+/// The latest Unix time that is accepted, in seconds.
+const MAX_UNIX_SECONDS: f64 = 1e11;
+
+/// The claims of a genuine token.
+pub(super) struct Claims(pub Map<String, Value>);
+
+impl Claims {
+    /// A claim that is a text.
+    pub(super) fn text(&self, name: &str) -> Result<Option<&str>, Denial> {
+        match self.0.get(name) {
+            None => Ok(None),
+            Some(Value::String(text)) => Ok(Some(text.as_str())),
+            Some(_) => Err(InvalidCredential::Claims.into()),
+        }
+    }
+
+    /// A claim that is a Unix time, in seconds.
+    pub(super) fn time(&self, name: &str) -> Result<Option<f64>, Denial> {
+        let Some(value) = self.0.get(name) else { return Ok(None) };
+        let time = value.as_f64().filter(|time| (0.0..=MAX_UNIX_SECONDS).contains(time));
+        time.map(Some).ok_or(InvalidCredential::Claims.into())
+    }
+
+    /// Checks that no claim is critical and not understood, or restricts the token in a way that is not checked here.
+    pub(super) fn check_understood(&self) -> Result<(), Denial> {
+        let critical = self.text("cdnicrit")?.unwrap_or_default();
+        let is_understood = |name: &str| UNDERSTOOD.contains(&name) && self.0.contains_key(name);
+        if critical.split(',').map(str::trim).any(|name| !name.is_empty() && !is_understood(name)) {
+            return Err(InvalidCredential::CriticalClaim.into());
+        }
+        let is_renewed =
+            self.0.get("cdnistt").is_some_and(|transport| transport.as_i64() != Some(NO_RENEWAL));
+        if is_renewed || UNCHECKED.iter().any(|name| self.0.contains_key(*name)) {
+            return Err(InvalidCredential::UnsupportedClaim.into());
+        }
+        if self.0.get("cdniv").is_some_and(|version| version.as_i64() != Some(VERSION)) {
+            return Err(InvalidCredential::Version.into());
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/front/signed/credentials/tests.rs
@@ -0,0 +1,279 @@
+//! Tables of signed URLs and tokens: which are valid, and why others are denied.
+
+use super::token::hash_container;
+use super::*;
+use crate::config::signed::{Algorithm, Secret};
+use base64::engine::general_purpose::URL_SAFE_NO_PAD;
+use base64::Engine;
+use jsonwebtoken::{Algorithm as Jose, EncodingKey, Header};
+use serde_json::{json, Value};
+
+const NOW: i64 = 1_700_000_000;
+
+fn key(name: &str, algorithm: Algorithm, issuers: &[&str]) -> Key {
+    let secret = Secret(format!("secret of the key {name}").into_bytes());
+    let issuers = issuers.iter().map(|issuer| issuer.to_string()).collect();
+    Key { name: name.into(), algorithm, checks: secret.clone(), signs: Some(secret), issuers }
+}
+
+fn keyring() -> Keyring {
+    let keys = vec![
+        key("u1", Algorithm::UrlSha1, &[]),
+        key("u2", Algorithm::UrlSha256, &[]),
+        key("t1", Algorithm::Hs256, &[]),
+        key("t2", Algorithm::Hs256, &["tables"]),
+    ];
+    Keyring { keys, audience: vec!["edge".into()] }
+}
+
+fn check(keyring: &Keyring, url: &str, cookie: Option<&str>) -> String {
+    let uri = Uri::parse_absolute(url).expect("a URI");
+    match keyring.verify(&uri, cookie, UnixTime::from_secs(NOW)) {
+        Ok(end) => format!("until {}", end.as_secs() - NOW),
+        Err(denial) => format!("{denial:?}"),
+    }
+}
+
+#[test]
+fn a_signed_url_has_the_published_form() {
+    // HMAC-SHA1 over the whole URL up to the signature, written in base64url with padding: RFC 2104's
+    // construction, computed apart from this program.
+    let mut keyring = keyring();
+    keyring.keys[0].checks = Secret((0..16).collect());
+    let url = keyring.sign_url("u1", "https://replays.example.org/a", NOW + 9).expect("signed");
+    let wanted = "https://replays.example.org/a?Expires=1700000009&KeyName=u1&Signature=";
+    assert_eq!(url, format!("{wanted}-pJUtsK7n3yS1gFlYeKjlO5K_as="));
+}
+
+#[test]
+fn signed_urls_are_verified_as_the_table_says() {
+    let keyring = keyring();
+    let signed =
+        |key: &str, seconds| keyring.sign_url(key, "https://h.example/a?x=1", NOW + seconds).expect("url");
+    let good = signed("u1", 60);
+    let cut = good.find("Signature=").expect("a signature") + "Signature=".len();
+    let cases = [
+        (good.clone(), "until 60"),
+        (good.trim_end_matches('=').to_owned(), "until 60"),
+        (signed("u2", 60), "until 60"),
+        (good.replace("/a?", "/%61?"), "until 60"),
+        ("https://h.example/a".into(), "Missing"),
+        (signed("u1", 0), "Expired"),
+        (signed("u1", -5), "Expired"),
+        (good.replace("/a?", "/b?"), "Invalid(Signature)"),
+        (good.replace("h.example", "i.example"), "Invalid(Signature)"),
+        (good.replace("x=1", "x=2"), "Invalid(Signature)"),
+        (good.replace("Expires=17", "Expires=18"), "Invalid(Signature)"),
+        (good.replace("KeyName=u1", "KeyName=u2"), "Invalid(Signature)"),
+        (good.replace("KeyName=u1", "KeyName=t1"), "Invalid(Signature)"),
+        (good.replace("KeyName=u1", "KeyName=zz"), "Invalid(Key)"),
+        (good.replace("Expires=", "Expires=+"), "Invalid(Expires)"),
+        (good.replace("Expires=", "Expires=999"), "Invalid(Expires)"),
+        (good[..cut].to_owned(), "Invalid(Signature)"),
+        (format!("{good}&y=1"), "Invalid(Parameters)"),
+        ("https://h.example/a?Signature=x".into(), "Invalid(Parameters)"),
+        (format!("{good}&URISigningPackage=x"), "SeveralCredentials"),
+    ];
+    for (url, wanted) in cases {
+        assert_eq!(check(&keyring, &url, None), wanted, "{url}");
+    }
+    assert_eq!(check(&keyring, &good, Some("x")), "SeveralCredentials");
+}
+
+#[test]
+fn a_signed_prefix_is_valid_for_urls_that_begin_with_it() {
+    let mut keyring = keyring();
+    let of = |keyring: &Keyring, key: &str, seconds| {
+        keyring.sign_prefix(key, "https://h.example/replays/17/", NOW + seconds).expect("signed")
+    };
+    let good = of(&keyring, "u1", 60);
+    let other = good.replace("URLPrefix=", "URLPrefix=A");
+    let cases = [
+        (format!("https://h.example/replays/17/a?{good}"), "until 60"),
+        (format!("https://H.example:443/replays/x/../17/a/b?x=1&{good}"), "until 60"),
+        (format!("https://h.example/replays/17/a?{}", of(&keyring, "u2", 60)), "until 60"),
+        (format!("https://h.example/replays/17/a?{}", of(&keyring, "u1", 0)), "Expired"),
+        (format!("https://h.example/replays/18/a?{good}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17/../18/a?{good}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17?{good}"), "Invalid(Prefix)"),
+        (format!("https://i.example/replays/17/a?{good}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17/a?{other}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17/a?{good}&x=1"), "Invalid(Parameters)"),
+        (
+            format!("https://h.example/replays/17/a?{}", good.replace("&Exp", "&x=1&Exp")),
+            "Invalid(Parameters)",
+        ),
+        (
+            format!("https://h.example/replays/17/a?{}", good.replace("Expires=17", "Expires=18")),
+            "Invalid(Signature)",
+        ),
+        (format!("https://h.example/replays/17/a?{}", good.replace("=u1", "=u2")), "Invalid(Signature)"),
+    ];
+    for (url, wanted) in cases {
+        assert_eq!(check(&keyring, &url, None), wanted, "{url}");
+    }
+    // The published form signs the parameters alone: computed apart from this program.
+    keyring.keys[0].checks = Secret((0..16).collect());
+    let text = keyring.sign_prefix("u1", "https://replays.example.org/17/", NOW + 9).expect("signed");
+    let prefix = "aHR0cHM6Ly9yZXBsYXlzLmV4YW1wbGUub3JnLzE3Lw==";
+    let wanted =
+        format!("URLPrefix={prefix}&Expires=1700000009&KeyName=u1&Signature=t-7CWWPwVOIe4MEIj4eBsZOAwLM=");
+    assert_eq!(text, wanted);
+    assert!(keyring.sign_prefix("u1", "https://h.example/replays/17", NOW).is_err(), "17 would open 170");
+}
+
+fn token(kid: Option<&str>, algorithm: Jose, secret: &str, claims: Value) -> String {
+    let head = Header { kid: kid.map(str::to_owned), ..Header::new(algorithm) };
+    let secret = format!("secret of the key {secret}");
+    jsonwebtoken::encode(&head, &claims, &EncodingKey::from_secret(secret.as_bytes())).expect("a token")
+}
+
+#[test]
+fn tokens_are_verified_as_the_table_says() {
+    let keyring = keyring();
+    let url = "https://h.example/a/1?x=1";
+    let hash = hash_container(url);
+    let with = |more: Value| {
+        let mut claims = json!({ "exp": NOW + 60, "cdniv": 1, "cdniuc": hash });
+        let more = more.as_object().expect("claims").clone();
+        claims.as_object_mut().expect("claims").extend(more);
+        claims.as_object_mut().expect("claims").retain(|_, value| !value.is_null());
+        claims
+    };
+    let cases = [
+        (json!({}), "until 60"),
+        (json!({ "exp": NOW as f64 + 0.5 }), "until 0"),
+        (json!({ "exp": NOW }), "Expired"),
+        (json!({ "exp": null }), "Invalid(NoExpiry)"),
+        (json!({ "exp": "soon" }), "Invalid(Claims)"),
+        (json!({ "exp": 1e300 }), "Invalid(Claims)"),
+        (json!({ "nbf": NOW }), "until 60"),
+        (json!({ "nbf": NOW + 1 }), "NotYetValid"),
+        (json!({ "cdniv": null }), "until 60"),
+        (json!({ "cdniv": 2 }), "Invalid(Version)"),
+        (json!({ "iss": "tables" }), "Invalid(Issuer)"),
+        (json!({ "aud": "edge" }), "until 60"),
+        (json!({ "aud": ["x", "edge"] }), "until 60"),
+        (json!({ "aud": "x" }), "Invalid(Audience)"),
+        (json!({ "cdniuc": null }), "Invalid(Container)"),
+        (json!({ "cdniuc": "hash:sha-256;AAAA" }), "Invalid(Container)"),
+        (json!({ "cdniuc": "regex:https://h\\.example/a/[0-9]\\?x=1" }), "until 60"),
+        (json!({ "cdniuc": "regex:https://h\\.example/a/" }), "Invalid(Container)"),
+        (json!({ "cdniuc": "regex:(" }), "Invalid(Container)"),
+        (json!({ "cdnicrit": "exp, cdniuc" }), "until 60"),
+        (json!({ "cdnicrit": "future", "future": 1 }), "Invalid(CriticalClaim)"),
+        (json!({ "cdnicrit": "nbf" }), "Invalid(CriticalClaim)"),
+        (json!({ "future": 1 }), "until 60"),
+        (json!({ "cdniip": "x" }), "Invalid(UnsupportedClaim)"),
+        (json!({ "jti": "x" }), "Invalid(UnsupportedClaim)"),
+        (json!({ "cdnistt": 1 }), "Invalid(UnsupportedClaim)"),
+    ];
+    for (more, wanted) in cases {
+        let package = token(Some("t1"), Jose::HS256, "t1", with(more.clone()));
+        assert_eq!(check(&keyring, &format!("{url}&URISigningPackage={package}"), None), wanted, "{more}");
+        assert_eq!(check(&keyring, url, Some(&package)), wanted, "{more} in a cookie");
+    }
+    let issued = with(json!({ "iss": "tables" }));
+    let heads = [
+        (token(Some("t2"), Jose::HS256, "t2", issued.clone()), "until 60"),
+        (token(Some("t2"), Jose::HS256, "t2", with(json!({}))), "Invalid(Issuer)"),
+        (token(Some("t1"), Jose::HS256, "t2", with(json!({}))), "Invalid(Signature)"),
+        (token(Some("t1"), Jose::HS384, "t1", with(json!({}))), "Invalid(Signature)"),
+        (token(Some("u1"), Jose::HS256, "u1", with(json!({}))), "Invalid(Key)"),
+        (token(None, Jose::HS256, "t1", with(json!({}))), "Invalid(Key)"),
+        ("a.b.c".into(), "Invalid(Token)"),
+        (String::new(), "Invalid(Token)"),
+    ];
+    for (package, wanted) in heads {
+        assert_eq!(check(&keyring, url, Some(&package)), wanted, "{package}");
+    }
+    let unsigned = format!("{}.e30.", URL_SAFE_NO_PAD.encode("{\"alg\":\"none\",\"kid\":\"t1\"}"));
+    assert_eq!(check(&keyring, url, Some(&unsigned)), "Invalid(Signature)");
+    let critical = format!("{}.e30.", URL_SAFE_NO_PAD.encode("{\"alg\":\"HS256\",\"crit\":[\"b64\"]}"));
+    assert_eq!(check(&keyring, url, Some(&critical)), "Invalid(CriticalHeader)");
+}
+
+#[test]
+fn an_issued_token_is_valid_for_its_uris_and_no_others() {
+    let keyring = keyring();
+    let grant = |binding| Grant { binding, exp: NOW + 60, nbf: Some(NOW), iss: Some("tables".into()) };
+    let object = Binding::Object("https://H.example:443/a/./1".into());
+    let package = keyring.sign_token("t2", &grant(object)).expect("a token");
+    assert_eq!(check(&keyring, "https://h.example/a/1", Some(&package)), "until 60");
+    assert_eq!(check(&keyring, "https://h.example/a/2", Some(&package)), "Invalid(Container)");
+    let table =
+        keyring.sign_token("t2", &grant(Binding::Table("https://h.example/t/1/".into()))).expect("a token");
+    for (url, wanted) in [
+        ("https://h.example/t/1/x", "until 60"),
+        ("https://h.example/t/1/../2/x", "Invalid(Container)"),
+        ("https://h.example/t/17/x", "Invalid(Container)"),
+    ] {
+        assert_eq!(check(&keyring, url, Some(&table)), wanted, "{url}");
+    }
+    let refused = |binding| keyring.sign_token("t2", &grant(binding)).is_err();
+    assert!(refused(Binding::Table("https://h.example/t/1".into())));
+    assert!(refused(Binding::Object("https://h.example/a?Expires=1".into())));
+    assert!(keyring.sign_token("u1", &grant(Binding::Object("https://h.example/a".into()))).is_err());
+    assert!(keyring.sign_url("t1", "https://h.example/a", NOW).is_err());
+}
+
+#[test]
+fn no_secret_is_ever_shown() {
+    assert!(!format!("{:?}", keyring().keys).contains("secret of"));
+}
+
+#[test]
+fn an_es256_key_checks_by_its_public_half_and_signs_only_with_the_private() {
+    use p256::pkcs8::{EncodePrivateKey, EncodePublicKey, LineEnding};
+    let private = p256::SecretKey::from_slice(&[7; 32]).expect("a key");
+    let public = private.public_key().to_public_key_pem(LineEnding::LF).expect("PEM").into_bytes();
+    let private = private.to_pkcs8_pem(LineEnding::LF).expect("PEM").as_bytes().to_vec();
+    let key = |signs: Option<Vec<u8>>| Key {
+        name: "e1".into(),
+        algorithm: Algorithm::Es256,
+        checks: Secret(public.clone()),
+        signs: signs.map(Secret),
+        issuers: vec![],
+    };
+    let whole = Keyring { keys: vec![key(Some(private))], audience: vec![] };
+    let checks = Keyring { keys: vec![key(None)], audience: vec![] };
+    let url = "https://h.example/a";
+    let grant = Grant { binding: Binding::Object(url.into()), exp: NOW + 60, nbf: None, iss: None };
+    let package = whole.sign_token("e1", &grant).expect("a token");
+    assert_eq!(check(&checks, url, Some(&package)), "until 60");
+    assert!(checks.sign_token("e1", &grant).is_err());
+    // The public half is no secret: a token that takes it for one is not genuine.
+    let claims = json!({ "exp": NOW + 60, "cdniuc": hash_container(url) });
+    let head = Header { kid: Some("e1".into()), ..Header::new(Jose::HS256) };
+    let forged = jsonwebtoken::encode(&head, &claims, &EncodingKey::from_secret(&public)).expect("a token");
+    assert_eq!(check(&checks, url, Some(&forged)), "Invalid(Signature)");
+}
+
+/// The log has these codes.
+#[test]
+fn denials_have_the_codes_of_the_table() {
+    let cases: [(Denial, &str); 19] = [
+        (Denial::SeveralCredentials, "several credentials"),
+        (Denial::Missing, "missing"),
+        (Denial::Expired, "expired"),
+        (Denial::NotYetValid, "early"),
+        (InvalidCredential::Parameters.into(), "parameters"),
+        (InvalidCredential::Expires.into(), "expires"),
+        (InvalidCredential::Key.into(), "key"),
+        (InvalidCredential::Signature.into(), "signature"),
+        (InvalidCredential::Prefix.into(), "prefix"),
+        (InvalidCredential::Token.into(), "token"),
+        (InvalidCredential::CriticalHeader.into(), "critical header"),
+        (InvalidCredential::Claims.into(), "claims"),
+        (InvalidCredential::CriticalClaim.into(), "critical claim"),
+        (InvalidCredential::UnsupportedClaim.into(), "unsupported claim"),
+        (InvalidCredential::Version.into(), "version"),
+        (InvalidCredential::Issuer.into(), "issuer"),
+        (InvalidCredential::Audience.into(), "audience"),
+        (InvalidCredential::Container.into(), "container"),
+        (InvalidCredential::NoExpiry.into(), "no end"),
+    ];
+    for (denial, code) in cases {
+        assert_eq!(denial.to_string(), code);
+    }
+}
--- /dev/null
+++ b/src/front/signed/credentials/token.rs
@@ -0,0 +1,161 @@
+//! Tokens: signed JSON web tokens that are valid for one URI, or for all with a prefix.
+
+use super::claims::Claims;
+use super::{
+    check_expiry, table_uri, unix_time, unsigned_uri, Binding, Denial, Grant, InvalidCredential, Keyring,
+    SignError,
+};
+use crate::config::signed::{Algorithm, Key, Secret};
+use crate::front::signed::uri::Uri;
+use crate::interface::UnixTime;
+use base64::engine::general_purpose::URL_SAFE_NO_PAD;
+use base64::Engine;
+use jsonwebtoken::{DecodingKey, EncodingKey, Header, Validation};
+use regex::RegexBuilder;
+use serde_json::{json, Map, Value};
+use sha2::{Digest, Sha256};
+
+/// The largest program that a token's regular expression may become, in bytes.
+const MAX_REGEX_BYTES: usize = 1 << 18;
+
+impl Keyring {
+    /// Verifies a token for a URI. Returns when it expires.
+    pub(super) fn verify_token(&self, token: &str, uri: &Uri, now: UnixTime) -> Result<UnixTime, Denial> {
+        let header = read_header(token).ok_or(InvalidCredential::Token)?;
+        if header.contains_key("crit") {
+            return Err(InvalidCredential::CriticalHeader.into());
+        }
+        let key = self.token_key(&header).ok_or(InvalidCredential::Key)?;
+        let claims = verify_signature(token, key)?;
+        self.check_claims(&claims, key, uri, now)
+    }
+
+    /// The key that a token names, or the only one if it names none.
+    fn token_key(&self, header: &Map<String, Value>) -> Option<&Key> {
+        let mut keys = self.keys.iter().filter(|key| jwt_algorithm(key.algorithm).is_some());
+        match header.get("kid") {
+            Some(kid) => keys.find(|key| kid.as_str() == Some(&key.name)),
+            None => keys.next().filter(|_| keys.next().is_none()),
+        }
+    }
+
+    /// Checks the claims of a genuine token. Returns when it expires.
+    fn check_claims(&self, claims: &Claims, key: &Key, uri: &Uri, now: UnixTime) -> Result<UnixTime, Denial> {
+        claims.check_understood()?;
+        if !was_issued_by(key, claims.text("iss")?) {
+            return Err(InvalidCredential::Issuer.into());
+        }
+        if !self.is_audience(claims) {
+            return Err(InvalidCredential::Audience.into());
+        }
+        let container = claims.text("cdniuc")?.ok_or(InvalidCredential::Container)?;
+        if !contains(container, &uri.to_string()) {
+            return Err(InvalidCredential::Container.into());
+        }
+        if claims.time("nbf")?.is_some_and(|nbf| now < unix_time(nbf)) {
+            return Err(Denial::NotYetValid);
+        }
+        check_expiry(claims.time("exp")?.ok_or(InvalidCredential::NoExpiry)?, now)
+    }
+
+    /// Whether a token is for this service, or names none.
+    fn is_audience(&self, claims: &Claims) -> bool {
+        let is_this_service = |name: &Value| self.audience.iter().any(|known| name.as_str() == Some(known));
+        match claims.0.get("aud") {
+            None => true,
+            Some(Value::Array(names)) => names.iter().any(is_this_service),
+            Some(name) => is_this_service(name),
+        }
+    }
+
+    /// Issues a token.
+    ///
+    /// # Errors
+    ///
+    /// There is no such key, or the URI cannot be signed.
+    pub fn sign_token(&self, key: &str, grant: &Grant) -> Result<String, SignError> {
+        let unknown = || SignError::Key(key.to_owned());
+        let known = self.keys.iter().find(|known| known.name == key).ok_or_else(unknown)?;
+        let algorithm = jwt_algorithm(known.algorithm).ok_or_else(unknown)?;
+        let Secret(bytes) = known.signs.as_ref().ok_or_else(unknown)?;
+        let signing_key = match known.algorithm {
+            Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::Unusable)?,
+            _ => EncodingKey::from_secret(bytes),
+        };
+        let container = match &grant.binding {
+            Binding::Object(url) => hash_container(&unsigned_uri(url)?.to_string()),
+            Binding::Table(url) => {
+                format!("regex:{}.*", regex::escape(&table_uri(url)?.to_string()))
+            }
+        };
+        let mut claims = json!({ "cdniv": 1, "exp": grant.exp, "cdniuc": container });
+        if let Some(nbf) = grant.nbf {
+            claims["nbf"] = nbf.into();
+        }
+        if let Some(iss) = &grant.iss {
+            claims["iss"] = iss.as_str().into();
+        }
+        let head = Header { kid: Some(key.to_owned()), ..Header::new(algorithm) };
+        jsonwebtoken::encode(&head, &claims, &signing_key).map_err(|_| SignError::Unusable)
+    }
+}
+
+/// The header of a token, which is not verified yet.
+fn read_header(token: &str) -> Option<Map<String, Value>> {
+    let header = token.split('.').next().unwrap_or_default();
+    let header = URL_SAFE_NO_PAD.decode(header).ok()?;
+    serde_json::from_slice(&header).ok()
+}
+
+/// Verifies a token's signature. Returns its claims.
+fn verify_signature(token: &str, key: &Key) -> Result<Claims, InvalidCredential> {
+    // The key says which algorithm it is for; what the token says must be the same.
+    let algorithm = jwt_algorithm(key.algorithm).ok_or(InvalidCredential::Key)?;
+    let mut validation = Validation::new(algorithm);
+    validation.required_spec_claims.clear();
+    // The claims are checked in this module.
+    validation.validate_exp = false;
+    validation.validate_nbf = false;
+    validation.validate_aud = false;
+    let Secret(bytes) = &key.checks;
+    let decoding_key = match key.algorithm {
+        Algorithm::Es256 => DecodingKey::from_ec_pem(bytes).map_err(|_| InvalidCredential::Key)?,
+        _ => DecodingKey::from_secret(bytes),
+    };
+    let decoded = jsonwebtoken::decode::<Map<String, Value>>(token, &decoding_key, &validation);
+    decoded.map(|token| Claims(token.claims)).map_err(|_| InvalidCredential::Signature)
+}
+
+/// Whether a key is for tokens of this issuer, or of none.
+fn was_issued_by(key: &Key, issuer: Option<&str>) -> bool {
+    match issuer {
+        Some(issuer) => key.issuers.iter().any(|known| known == issuer),
+        None => key.issuers.is_empty(),
+    }
+}
+
+/// The algorithm of a key for tokens.
+fn jwt_algorithm(algorithm: Algorithm) -> Option<jsonwebtoken::Algorithm> {
+    match algorithm {
+        Algorithm::Hs256 => Some(jsonwebtoken::Algorithm::HS256),
+        Algorithm::Es256 => Some(jsonwebtoken::Algorithm::ES256),
+        Algorithm::UrlSha1 | Algorithm::UrlSha256 => None,
+    }
+}
+
+/// The URI container that is a hash of the whole URI, as RFC 6920 writes it in a segment.
+pub(super) fn hash_container(uri: &str) -> String {
+    format!("hash:sha-256;{}", URL_SAFE_NO_PAD.encode(Sha256::digest(uri)))
+}
+
+/// Whether a URI container holds a URI.
+fn contains(container: &str, uri: &str) -> bool {
+    match container.strip_prefix("regex:") {
+        // The whole URI must match: a pattern for one place must not open what only contains it.
+        Some(pattern) => RegexBuilder::new(&format!("^(?:{pattern})$"))
+            .size_limit(MAX_REGEX_BYTES)
+            .build()
+            .is_ok_and(|regex| regex.is_match(uri)),
+        None => container == hash_container(uri),
+    }
+}
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -1,13 +1,30 @@
 //! Heads of HTTP/1.1 requests, and answers to them.
 
-use super::gate::PACKAGE;
-use super::uri::{MalformedUri, Uri};
+use super::credentials::TOKEN_PARAMETER;
+use super::uri::{Uri, UriError};
 use crate::front::http;
 pub use crate::front::http::{HeadError, MAX_HEAD_BYTES};
 use crate::interface::UnixTime;
 use bytes::{Bytes, BytesMut};
 
-/// A request without a body, read.
+/// Why a request cannot be served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RequestError {
+    /// Its head cannot be taken.
+    #[error(transparent)]
+    Head(#[from] HeadError),
+    /// It does not have exactly one host.
+    #[error("host")]
+    Host,
+    /// Its target is malformed.
+    #[error(transparent)]
+    Uri(#[from] UriError),
+    /// It has more than one credential.
+    #[error("several credentials")]
+    SeveralCredentials,
+}
+
+/// A request without a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// Whether only the answer's head is sent.
@@ -27,30 +44,27 @@
 /// # Errors
 ///
 /// The head is malformed, too long, or of a request that is not served.
-pub fn take_head(input: &mut BytesMut, scheme: &str) -> Result<Option<RequestHead>, HeadError> {
+pub fn take_head(input: &mut BytesMut, scheme: &str) -> Result<Option<RequestHead>, RequestError> {
     http::take_head(input, |head| read_request(head, scheme))
 }
 
-fn read_request(head: &httparse::Request, scheme: &str) -> Result<RequestHead, HeadError> {
+fn read_request(head: &httparse::Request, scheme: &str) -> Result<RequestHead, RequestError> {
     let values = |name| http::header_values(head, name);
     let list = |name| values(name).flat_map(|value| value.split(',')).map(str::trim);
-    if http::has_body(head) {
-        return Err(HeadError::Malformed("a body"));
-    }
+    http::check_no_body(head)?;
     let is_http_1_1 = head.version == Some(1);
     let keep_alive = keeps_alive(head, is_http_1_1);
     let only_head = match head.method {
         Some("GET") => false,
         Some("HEAD") => true,
-        _ => return Err(HeadError::Method { keep_alive }),
+        _ => return Err(HeadError::Method { keep_alive }.into()),
     };
     let mut hosts = values("host");
     let host = hosts.next();
     if hosts.next().is_some() || (is_http_1_1 && host.is_none()) {
-        return Err(HeadError::Malformed("host"));
+        return Err(RequestError::Host);
     }
-    let uri = Uri::parse(scheme, host, head.path.unwrap_or_default());
-    let uri = uri.map_err(|MalformedUri(why)| HeadError::Malformed(why))?;
+    let uri = Uri::parse(scheme, host, head.path.unwrap_or_default())?;
     let cookie = token_cookie(head)?;
     let opaque_tag = |etag: &str| etag.trim_start_matches("W/").trim_matches('"').to_owned();
     let etags = list("if-none-match").filter(|etag| !etag.is_empty()).map(opaque_tag).collect();
@@ -71,13 +85,13 @@
 }
 
 /// The token in a cookie.
-fn token_cookie(head: &httparse::Request) -> Result<Option<String>, HeadError> {
+fn token_cookie(head: &httparse::Request) -> Result<Option<String>, RequestError> {
     let cookies = http::header_values(head, "cookie").flat_map(|value| value.split(';'));
     let pairs = cookies.filter_map(|cookie| cookie.split_once('='));
-    let mut tokens = pairs.filter(|(name, _)| name.trim() == PACKAGE).map(|(_, value)| value.trim());
+    let mut tokens = pairs.filter(|(name, _)| name.trim() == TOKEN_PARAMETER).map(|(_, value)| value.trim());
     let token = tokens.next().map(str::to_owned);
     if tokens.next().is_some() {
-        return Err(HeadError::Malformed("several credentials"));
+        return Err(RequestError::SeveralCredentials);
     }
     Ok(token)
 }
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn read(text: &str) -> Result<Option<RequestHead>, HeadError> {
+fn read(text: &str) -> Result<Option<RequestHead>, RequestError> {
     take_head(&mut BytesMut::from(text), "http")
 }
 
@@ -16,21 +16,21 @@
         ("GET http://o/b HTTP/1.1\r\nHost: h\r\n\r\n", "GET http://o/b keep"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nIf-None-Match: \"x\", W/\"y\"\r\n\r\n", "GET http://h/a keep x y"),
         ("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "GET http://h/a keep"),
-        ("POST /a HTTP/1.1\r\nHost: h\r\n\r\n", "Method { keep_alive: true }"),
-        ("GET /a HTTP/1.1\r\n\r\n", "Malformed(\"host\")"),
-        ("GET /a HTTP/1.1\r\nHost: h\r\nHost: h\r\n\r\n", "Malformed(\"host\")"),
-        ("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n", "Malformed(\"a body\")"),
-        ("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "Malformed(\"a body\")"),
-        ("GET /a?x=1&x=2 HTTP/1.1\r\nHost: h\r\n\r\n", "Malformed(\"a parameter comes twice\")"),
+        ("POST /a HTTP/1.1\r\nHost: h\r\n\r\n", "Head(Method { keep_alive: true })"),
+        ("GET /a HTTP/1.1\r\n\r\n", "Host"),
+        ("GET /a HTTP/1.1\r\nHost: h\r\nHost: h\r\n\r\n", "Host"),
+        ("GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\n", "Head(Body)"),
+        ("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", "Head(Body)"),
+        ("GET /a?x=1&x=2 HTTP/1.1\r\nHost: h\r\n\r\n", "Uri(RepeatedParameter)"),
         (
             "GET /a HTTP/1.1\r\nHost: h\r\nCookie: URISigningPackage=a; URISigningPackage=b\r\n\r\n",
-            "Malformed(\"several credentials\")",
+            "SeveralCredentials",
         ),
-        ("nonsense\r\n\r\n", "Malformed(\"head\")"),
+        ("nonsense\r\n\r\n", "Head(Syntax)"),
         ("GET /a HTTP/1.1\r\nHo", "partial"),
     ];
     for (text, wanted) in cases {
-        for cut in (0..text.len()).filter(|_| !wanted.contains("head")) {
+        for cut in (0..text.len()).filter(|_| !wanted.contains("Syntax")) {
             assert_eq!(read(&text[..cut]), Ok(None), "{text:?} cut at {cut}");
         }
         let got = match read(text) {
@@ -47,7 +47,10 @@
     }
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MAX_HEAD_BYTES));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(65));
-    assert_eq!((read(&long), read(&many)), (Err(HeadError::Oversize), Err(HeadError::Oversize)));
+    assert_eq!(
+        (read(&long), read(&many)),
+        (Err(HeadError::Oversize.into()), Err(HeadError::Oversize.into()))
+    );
 }
 
 #[test]
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -2,15 +2,15 @@
 //! requests of a connection in their order, and writes one answer to each.
 //!
 //! - `session`: what is kept of one connection.
-//! - `reading`: request heads in; `http` reads a head, `uri` its target, `gate` checks its credential, and `route`
-//!   finds the object that it names.
+//! - `reading`: request heads in; `http` reads a head, `uri` its target, `credentials` verifies its credential, and
+//!   `route` finds the object that it names.
 //! - `answering`: answers out, in the order of the requests.
 //! - `closing`: time-outs, graceful and immediate closes.
 //! - `handover`: connections end as a newer process takes the clients.
 
 mod answering;
 mod closing;
-pub mod gate;
+pub mod credentials;
 mod handover;
 pub mod http;
 mod reading;
@@ -26,7 +26,7 @@
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net};
-use gate::Gate;
+use credentials::Keyring;
 use session::{RequestState, Session};
 
 /// Requests that may be open on one connection; more are read once these are answered.
@@ -66,7 +66,7 @@
 /// The clients' connections.
 pub struct SignedFront {
     config: SignedConfig,
-    gate: Gate,
+    keyring: Keyring,
     sessions: Sessions<Session>,
     cancelled: Vec<RequestHandle>,
     /// Every answer is the last of its connection.
@@ -77,7 +77,7 @@
     /// A front with the operator's configuration.
     pub fn new(config: SignedConfig) -> Self {
         SignedFront {
-            gate: Gate::new(&config),
+            keyring: Keyring::new(&config),
             config,
             sessions: Sessions::default(),
             cancelled: Vec::new(),
@@ -87,7 +87,7 @@
 
     /// Replaces the configuration, except for the listener. Open requests go on.
     pub fn reload(&mut self, config: SignedConfig) {
-        self.gate = Gate::new(&config);
+        self.keyring = Keyring::new(&config);
         self.config = config;
     }
 
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,7 +1,7 @@
 //! Reading from clients: complete heads, whose credentials are checked before anything else is done with them.
 
-use super::gate::Denial;
-use super::http::{self, HeadError, HttpAnswer, RequestHead};
+use super::credentials::Denial;
+use super::http::{self, HeadError, HttpAnswer, RequestError, RequestHead};
 use super::route::{self, RequestTarget};
 use super::session::{PipelinedRequest, RequestState};
 use super::{RequestIndex, SessionDeadline, SignedEvent, SignedFront, MAX_OPEN_REQUESTS};
@@ -149,13 +149,13 @@
         &self,
         conn: ConnectionKey,
         index: RequestIndex,
-        error: HeadError,
+        error: RequestError,
     ) -> PipelinedRequest {
         let (status, keep_alive) = match error {
-            HeadError::Method { keep_alive } => (405, keep_alive && !self.is_draining),
-            HeadError::Oversize => (431, false),
-            HeadError::Malformed(why) => {
-                info!("conn={conn} malformed: {why}");
+            RequestError::Head(HeadError::Method { keep_alive }) => (405, keep_alive && !self.is_draining),
+            RequestError::Head(HeadError::Oversize) => (431, false),
+            malformed => {
+                info!("conn={conn} malformed: {malformed}");
                 (400, false)
             }
         };
@@ -169,10 +169,10 @@
         if !self.config.hosts.contains(&head.uri.host) {
             return Err(HttpAnswer::bare(421));
         }
-        let expires = self.gate.check(&head.uri, head.cookie.as_deref(), now.unix).map_err(|denial| {
+        let expires = self.keyring.verify(&head.uri, head.cookie.as_deref(), now.unix).map_err(|denial| {
             // The path only: what follows it is a credential.
-            info!("denied: {} {}", denial.code(), head.uri.path);
-            HttpAnswer::bare(if matches!(denial, Denial::Malformed(_)) { 400 } else { 403 })
+            info!("denied: {denial} {}", head.uri.path);
+            HttpAnswer::bare(if denial == Denial::SeveralCredentials { 400 } else { 403 })
         })?;
         let target = route::find_target(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
         let expires = now.monotonic.saturating_add(expires - now.unix);
--- a/src/front/signed/uri.rs
+++ b/src/front/signed/uri.rs
@@ -6,8 +6,35 @@
 
 /// Why a text is not the URI of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a request's URI: {0}")]
-pub struct MalformedUri(pub &'static str);
+pub enum UriError {
+    /// There is no host.
+    #[error("no host")]
+    NoHost,
+    /// It has a fragment.
+    #[error("a fragment")]
+    Fragment,
+    /// Its path is not absolute.
+    #[error("no absolute path")]
+    NoAbsolutePath,
+    /// A parameter comes more than once.
+    #[error("a parameter comes twice")]
+    RepeatedParameter,
+    /// It has no scheme.
+    #[error("no scheme")]
+    NoScheme,
+    /// Its scheme is neither http nor https.
+    #[error("the scheme is neither http nor https")]
+    UnknownScheme,
+    /// Its host is empty or has bytes that no host has.
+    #[error("the host is none")]
+    InvalidHost,
+    /// A percent sign is not followed by two hexadecimal digits, or escapes a NUL.
+    #[error("an escape")]
+    InvalidEscape,
+    /// It has a byte that belongs in no URI.
+    #[error("a byte that belongs in no URI")]
+    InvalidByte,
+}
 
 /// A URI in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,7 +77,7 @@
     /// # Errors
     ///
     /// The target is not the URI of a request.
-    pub fn parse(scheme: &str, host: Option<&str>, target: &str) -> Result<Self, MalformedUri> {
+    pub fn parse(scheme: &str, host: Option<&str>, target: &str) -> Result<Self, UriError> {
         let absolute = ["http://", "https://"].iter().find_map(|start| {
             let known = target.get(..start.len()).is_some_and(|s| s.eq_ignore_ascii_case(start));
             known.then(|| &target[start.len()..])
@@ -60,15 +87,15 @@
                 let (host, target) = rest.split_at(rest.find(['/', '?', '#']).unwrap_or(rest.len()));
                 (host, if target.is_empty() { "/" } else { target })
             }
-            None => (host.ok_or(MalformedUri("no host"))?, target),
+            None => (host.ok_or(UriError::NoHost)?, target),
         };
         if target.contains('#') {
-            return Err(MalformedUri("a fragment"));
+            return Err(UriError::Fragment);
         }
         let (path, query) =
             target.split_once('?').map_or((target, None), |(path, query)| (path, Some(query)));
         if !path.starts_with('/') {
-            return Err(MalformedUri("no absolute path"));
+            return Err(UriError::NoAbsolutePath);
         }
         let mut parameters: Vec<Parameter> = Vec::new();
         for part in query.into_iter().flat_map(|query| query.split('&')) {
@@ -78,7 +105,7 @@
                 None => (part, None),
             };
             if parameters.iter().any(|known| known.name == name) {
-                return Err(MalformedUri("a parameter comes twice"));
+                return Err(UriError::RepeatedParameter);
             }
             parameters.push(Parameter { name, value });
         }
@@ -96,12 +123,12 @@
     /// # Errors
     ///
     /// The text is not an absolute `http` or `https` URI.
-    pub fn parse_absolute(text: &str) -> Result<Self, MalformedUri> {
-        let (scheme, _) = text.split_once("://").ok_or(MalformedUri("no scheme"))?;
+    pub fn parse_absolute(text: &str) -> Result<Self, UriError> {
+        let (scheme, _) = text.split_once("://").ok_or(UriError::NoScheme)?;
         let scheme = scheme.to_ascii_lowercase();
         match scheme.as_str() {
             "http" | "https" => Uri::parse(&scheme, None, text),
-            _ => Err(MalformedUri("the scheme is neither http nor https")),
+            _ => Err(UriError::UnknownScheme),
         }
     }
 
@@ -127,10 +154,10 @@
 }
 
 /// The host in lower case, without the scheme's default port.
-fn normalize_authority(scheme: &str, host: &str) -> Result<String, MalformedUri> {
+fn normalize_authority(scheme: &str, host: &str) -> Result<String, UriError> {
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b);
     if host.is_empty() || !host.bytes().all(fits) {
-        return Err(MalformedUri("the host is none"));
+        return Err(UriError::InvalidHost);
     }
     let host = host.to_ascii_lowercase();
     let default_port = if scheme == "https" { ":443" } else { ":80" };
@@ -139,7 +166,7 @@
 
 /// Undoes the escapes of unreserved characters and writes the others in upper case. `allowed` are the other characters
 /// that may stand unescaped.
-fn normalize_escapes(text: &str, allowed: &[u8]) -> Result<String, MalformedUri> {
+fn normalize_escapes(text: &str, allowed: &[u8]) -> Result<String, UriError> {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (String::with_capacity(bytes.len()), 0);
     let unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
@@ -148,17 +175,17 @@
         if b == b'%' {
             let digits = bytes.get(at..at + 2).filter(|two| two.iter().all(u8::is_ascii_hexdigit));
             let digits =
-                digits.and_then(|two| std::str::from_utf8(two).ok()).ok_or(MalformedUri("an escape"))?;
+                digits.and_then(|two| std::str::from_utf8(two).ok()).ok_or(UriError::InvalidEscape)?;
             at += 2;
             match u8::from_str_radix(digits, 16) {
-                Ok(0) | Err(_) => return Err(MalformedUri("an escape")),
+                Ok(0) | Err(_) => return Err(UriError::InvalidEscape),
                 Ok(b) if unreserved(b) => out.push(char::from(b)),
                 Ok(_) => out.extend(["%", &digits.to_ascii_uppercase()]),
             }
         } else if unreserved(b) || allowed.contains(&b) {
             out.push(char::from(b));
         } else {
-            return Err(MalformedUri("a byte that belongs in no URI"));
+            return Err(UriError::InvalidByte);
         }
     }
     Ok(out)
--- a/src/front/signed/uri/tests.rs
+++ b/src/front/signed/uri/tests.rs
@@ -27,7 +27,7 @@
     ];
     for (target, wanted) in cases {
         let got = Uri::parse("https", Some("H.example:443"), target)
-            .map_or_else(|MalformedUri(why)| format!("malformed: {why}"), |uri| uri.to_string());
+            .map_or_else(|error| format!("malformed: {error}"), |uri| uri.to_string());
         assert_eq!(got, wanted, "{target}");
     }
     for host in [None, Some(""), Some("a b"), Some("u@h")] {
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
     settings::FederationSettings,
     store::{self, Store},
 };
-use dahliatrack::front::signed::gate::{Binding, Gate, Grant, SignError};
+use dahliatrack::front::signed::credentials::{Binding, Grant, Keyring, SignError};
 use dahliatrack::lab::flood::{self, Plan};
 use dahliatrack::lab::replay::ReplayError;
 use dahliatrack::server::{route_classes, Server, ServerError};
@@ -452,10 +452,10 @@
             }
         }
         Command::Sign(Sign::Url { with: With { signed, key, expires }, url }) => {
-            print(&Gate::new(&SignedConfig::read(&signed)?).sign_url(&key, &url, expires)?);
+            print(&Keyring::new(&SignedConfig::read(&signed)?).sign_url(&key, &url, expires)?);
         }
         Command::Sign(Sign::Prefix { with: With { signed, key, expires }, prefix }) => {
-            print(&Gate::new(&SignedConfig::read(&signed)?).sign_prefix(&key, &prefix, expires)?);
+            print(&Keyring::new(&SignedConfig::read(&signed)?).sign_prefix(&key, &prefix, expires)?);
         }
         Command::Sign(Sign::Token { with, object, table, not_before, issuer }) => {
             let With { signed, key, expires } = with;
@@ -464,7 +464,7 @@
                 (None, table) => Binding::Table(table.unwrap_or_default()),
             };
             let grant = Grant { binding, exp: expires, nbf: not_before, iss: issuer };
-            print(&Gate::new(&SignedConfig::read(&signed)?).sign_token(&key, &grant)?);
+            print(&Keyring::new(&SignedConfig::read(&signed)?).sign_token(&key, &grant)?);
         }
         Command::Flood { target, known, known_from, flood, flood_from, seconds, route, flood_asks } => {
             let loopback = [target.ip(), known_from, flood_from].iter().all(std::net::IpAddr::is_loopback);
