--- a/src/bin/dahliatrack-wirehost/main.rs
+++ b/src/bin/dahliatrack-wirehost/main.rs
@@ -4,7 +4,7 @@
 mod codec;
 
 use codec::{Incoming, Reply, BATCH_HEADER};
-use dahliatrack::config::settings;
+use dahliatrack::config::settings::SiteSettings;
 use dahliatrack::{Action, Instant, Router};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
@@ -64,7 +64,7 @@
     let mut actions: Vec<Action> = Vec::new();
     let ran = match incoming {
         Incoming::Born { seed, settings } => {
-            let settings = settings::parse(&settings)?.settings;
+            let settings = SiteSettings::parse(&settings).map_err(|e| e.to_string())?.policy;
             routers.insert(instance, Router::new(settings, seed, now).map_err(|e| format!("settings: {e}"))?);
             Ok(())
         }
--- a/src/config/events.rs
+++ b/src/config/events.rs
@@ -3,6 +3,9 @@
 use crate::interface::UnixTime;
 use serde::Deserialize;
 
+const DEFAULT_WEIGHT: f64 = 1.0;
+const MICROS_PER_MILLI: f64 = 1000.0;
+
 /// An answer of the control feed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedBatch {
@@ -12,7 +15,7 @@
     pub events: Vec<FeedEvent>,
 }
 
-/// An event and its number; an event of an unknown kind has neither part and is passed over.
+/// An event and its number; an event of an unknown kind has neither part and is ignored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedEvent {
     /// The number.
@@ -54,10 +57,10 @@
     pub block: u16,
     /// Its state.
     pub health: Health,
-    /// Its size.
-    #[serde(default = "one")]
+    /// Its weight.
+    #[serde(default = "default_weight")]
     pub share: f64,
-    /// The Unix millisecond of a late start, or 0.
+    /// The Unix millisecond of its last start where that was of late, or 0.
     #[serde(default)]
     pub born_ms: f64,
 }
@@ -78,11 +81,11 @@
 
 /// The Unix time of milliseconds with a fraction.
 fn unix_time(millis: f64) -> UnixTime {
-    UnixTime::from_micros((millis * 1000.0) as i64)
+    UnixTime::from_micros((millis * MICROS_PER_MILLI) as i64)
 }
 
-fn one() -> f64 {
-    1.0
+fn default_weight() -> f64 {
+    DEFAULT_WEIGHT
 }
 
 /// The state of a server of the list.
@@ -93,7 +96,7 @@
     Up,
     /// Finishes what it has.
     Draining,
-    /// Gone.
+    /// No longer in the list.
     Removed,
 }
 
--- /dev/null
+++ b/src/config/located/reader.rs
@@ -0,0 +1,193 @@
+//! Reads one HCL block by its keys.
+
+use super::{unknown, Doc, DocError, Located, Place};
+use crate::interface::ObjectId;
+use hcl_edit::expr::{Expression, ObjectKey, ObjectValue};
+use hcl_edit::structure::{Attribute, Block, Body, Structure};
+use std::collections::BTreeSet;
+
+/// A name and its number in an object, `{ name = 2.5 }`.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NamedNumber {
+    /// The name, at the place of its number.
+    pub name: Located<String>,
+    /// The number.
+    pub number: f64,
+}
+
+/// Reads one block's attributes and inner blocks by name; what was not read is an error at the end.
+pub struct Reader<'a> {
+    doc: Doc<'a>,
+    body: &'a Body,
+    /// The names that were read, present or not.
+    known: BTreeSet<String>,
+}
+
+impl<'a> Reader<'a> {
+    pub(super) fn new(doc: Doc<'a>, body: &'a Body) -> Self {
+        Reader { doc, body, known: BTreeSet::new() }
+    }
+
+    fn attribute(&mut self, key: &str) -> Option<&'a Attribute> {
+        self.known.insert(key.to_owned());
+        self.body.get_attribute(key)
+    }
+
+    /// An attribute's value with its place, or an error that says what the attribute expects.
+    fn located<T>(
+        &self,
+        attribute: &Attribute,
+        value: Option<T>,
+        expected: &str,
+    ) -> Result<Located<T>, DocError> {
+        let at = self.doc.place(&attribute.value);
+        let unexpected = || self.doc.error(at, format!("{} wants {expected}", attribute.key.as_str()));
+        Ok(Located { value: value.ok_or_else(unexpected)?, at })
+    }
+
+    /// Where an attribute's value stands.
+    pub fn place_of(&self, key: &str) -> Option<Place> {
+        self.body.get_attribute(key).map(|attribute| self.doc.place(&attribute.value))
+    }
+
+    /// A text.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type.
+    pub fn string(&mut self, key: &str) -> Result<Option<Located<String>>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(None) };
+        let value = attribute.value.as_str().map(str::to_owned);
+        self.located(attribute, value, "a text").map(Some)
+    }
+
+    /// A text or a list of texts; absent: an empty list.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type, or an empty list.
+    pub fn strings(&mut self, key: &str) -> Result<Vec<Located<String>>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
+        let text = |value: &Expression| {
+            let at = self.doc.place(value);
+            Some(Located { value: value.as_str()?.to_owned(), at })
+        };
+        let list = match &attribute.value {
+            Expression::Array(array) => array.iter().map(text).collect(),
+            one => text(one).map(|one| vec![one]),
+        };
+        let list = list.filter(|list: &Vec<_>| !list.is_empty());
+        Ok(self.located(attribute, list, "a text, or a list of texts that is not empty")?.value)
+    }
+
+    /// Objects of 16 hex digits each, a text or a list; absent: an empty list.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type or form.
+    pub fn objects(&mut self, key: &str) -> Result<Vec<ObjectId>, DocError> {
+        let (texts, doc) = (self.strings(key)?, self.doc);
+        let object = |text: Located<String>| {
+            let number = u64::from_str_radix(&text.value, 16).ok().filter(|_| text.value.len() == 16);
+            let invalid = || doc.error(text.at, format!("{:?} is not 16 hex digits", text.value));
+            number.map(ObjectId).ok_or_else(invalid)
+        };
+        texts.into_iter().map(object).collect()
+    }
+
+    /// `true` or `false`.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type.
+    pub fn flag(&mut self, key: &str) -> Result<Option<Located<bool>>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(None) };
+        self.located(attribute, attribute.value.as_bool(), "true or false").map(Some)
+    }
+
+    /// A number in a range, both ends included.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type, or out of its range.
+    pub fn number(&mut self, key: &str, min: f64, max: f64) -> Result<Option<Located<f64>>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(None) };
+        let value = attribute.value.as_number().and_then(hcl_edit::Number::as_f64);
+        let value = value.filter(|value| (min..=max).contains(value));
+        self.located(attribute, value, &format!("a number from {min} to {max}")).map(Some)
+    }
+
+    /// A whole number in a range, both ends included.
+    ///
+    /// # Errors
+    ///
+    /// A value of another type, with a fraction, or out of its range.
+    pub fn whole(&mut self, key: &str, min: u64, max: u64) -> Result<Option<Located<u64>>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(None) };
+        let value = attribute.value.as_number().and_then(hcl_edit::Number::as_u64);
+        let value = value.filter(|value| (min..=max).contains(value));
+        self.located(attribute, value, &format!("a whole number from {min} to {max}")).map(Some)
+    }
+
+    /// An object of names and numbers of 0 or more, `{ name = 2.5 }`; absent: empty.
+    ///
+    /// # Errors
+    ///
+    /// A value of another form.
+    pub fn numbers(&mut self, key: &str) -> Result<Vec<NamedNumber>, DocError> {
+        let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
+        let object = attribute.value.as_object();
+        let entries = object.and_then(|object| object.iter().map(|entry| self.named_number(entry)).collect());
+        Ok(self.located(attribute, entries, "an object of names and numbers of 0 or more")?.value)
+    }
+
+    fn named_number(&self, (key, value): (&ObjectKey, &ObjectValue)) -> Option<NamedNumber> {
+        let at = self.doc.place(value.expr());
+        let identifier = key.as_ident().map(|name| name.as_str().to_owned());
+        let name = identifier.or_else(|| Some(key.as_expr()?.as_str()?.to_owned()))?;
+        let number = value.expr().as_number()?.as_f64()?;
+        let valid = number.is_finite() && number >= 0.0;
+        valid.then_some(NamedNumber { name: Located { value: name, at }, number })
+    }
+
+    /// The blocks of a name, in their order.
+    pub fn blocks(&mut self, name: &str) -> Vec<&'a Block> {
+        self.known.insert(name.to_owned());
+        self.body.blocks().filter(|block| block.has_ident(name)).collect()
+    }
+
+    /// The one block of a name, if it is there.
+    ///
+    /// # Errors
+    ///
+    /// A second one.
+    pub fn block(&mut self, name: &str) -> Result<Option<&'a Block>, DocError> {
+        match self.blocks(name)[..] {
+            [] => Ok(None),
+            [one] => Ok(Some(one)),
+            [_, second, ..] => Err(self.doc.error(self.doc.place(second), format!("a second {name} block"))),
+        }
+    }
+
+    /// Ends the reading.
+    ///
+    /// # Errors
+    ///
+    /// The first attribute or block that was not read, with the names that are known.
+    pub fn finish(self) -> Result<(), DocError> {
+        match self.body.iter().find(|part| !self.known.contains(name_of(part))) {
+            Some(extra) => {
+                let text = unknown("key", name_of(extra), self.known.iter().map(String::as_str));
+                Err(self.doc.error(self.doc.place(extra), text))
+            }
+            None => Ok(()),
+        }
+    }
+}
+
+fn name_of(part: &Structure) -> &str {
+    match part {
+        Structure::Attribute(attribute) => attribute.key.as_str(),
+        Structure::Block(block) => block.ident.as_str(),
+    }
+}
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -1,39 +1,42 @@
 //! Tests of `settings`.
 
 use super::*;
+use crate::interface::{Class, Idempotency, Span, ZoneId};
 
-fn parsed(classes: &[(&str, Span, Idempotency)]) -> SiteSettings {
+/// The settings of the example, with these classes: names, deadlines and idempotency.
+fn settings_with(classes: &[(&str, Span, Idempotency)]) -> SiteSettings {
     let text = include_str!("example.json");
-    let mut parsed = parse(text.as_bytes()).expect("usable");
-    let like = parsed.settings.classes[0].clone();
-    let class = |(_, deadline, effect): &(_, _, _)| Class {
-        client_deadline: *deadline,
-        idempotency: *effect,
-        ..like.clone()
+    let mut settings = SiteSettings::parse(text.as_bytes()).expect("usable");
+    let template = settings.policy.classes[0].clone();
+    let class = |(_, client_deadline, idempotency): &(_, _, _)| Class {
+        client_deadline: *client_deadline,
+        idempotency: *idempotency,
+        ..template.clone()
     };
-    parsed.settings.classes = classes.iter().map(class).collect();
-    parsed.names.classes = classes.iter().map(|(name, ..)| (*name).to_owned()).collect();
-    parsed.names.deadlines = classes.iter().map(|(_, deadline, _)| *deadline).collect();
-    parsed.names.writes = classes.iter().map(|(.., effect)| *effect != Idempotency::Always).collect();
-    parsed.names.retired = vec![false; classes.len()];
-    parsed
+    settings.policy.classes = classes.iter().map(class).collect();
+    let named = classes.iter().zip(&settings.policy.classes);
+    settings.program.classes =
+        named.map(|((name, ..), class)| ClassInfo::new((*name).to_owned(), class)).collect();
+    settings
 }
 
-/// The numbers that the names have, and how many records there are.
-fn numbers(parsed: &SiteSettings) -> (Vec<Option<u16>>, usize) {
-    let number = |name| parsed.names.class(name).map(|class| class.0);
-    let n = parsed.settings.classes.len();
-    assert!([parsed.names.classes.len(), parsed.names.writes.len(), parsed.names.deadlines.len()] == [n; 3]);
-    let retired = parsed.settings.classes.iter().map(|class| class.retired);
-    assert!(retired.eq(parsed.names.retired.iter().copied()));
-    (["a", "b", "c"].map(number).to_vec(), n)
+/// The numbers of the classes `a`, `b` and `c`, and how many classes there are.
+fn class_numbers(settings: &SiteSettings) -> (Vec<Option<u16>>, usize) {
+    let SiteSettings { policy, program } = settings;
+    assert_eq!(program.classes.len(), policy.classes.len());
+    for (info, class) in program.classes.iter().zip(&policy.classes) {
+        let wanted = ClassInfo { retired: class.retired, ..ClassInfo::new(info.name.clone(), class) };
+        assert_eq!(*info, wanted);
+    }
+    let number = |name| program.class(name).map(|class| class.0);
+    (["a", "b", "c"].map(number).to_vec(), policy.classes.len())
 }
 
 #[test]
 fn a_class_keeps_its_number_as_long_as_its_rules() {
     use Idempotency::{Always, Never};
     let [five, six, seven] = [5, 6, 7].map(Span::from_micros);
-    let first = parsed(&[("a", five, Always), ("b", six, Always)]);
+    let first = settings_with(&[("a", five, Always), ("b", six, Always)]);
     let steps = [
         (vec![("b", six, Always), ("a", five, Always)], (vec![Some(0), Some(1), None], 2)),
         (vec![("a", five, Never), ("b", six, Always)], (vec![Some(2), Some(1), None], 3)),
@@ -41,18 +44,17 @@
         (vec![("a", five, Always), ("c", six, Always)], (vec![Some(4), None, Some(3)], 5)),
         (vec![("a", five, Always), ("c", seven, Always)], (vec![Some(4), None, Some(5)], 6)),
     ];
-    let mut now = first;
+    let mut running = first;
     for (classes, wanted) in steps {
-        let (next, moved) = parsed(&classes).following(&now).expect("usable");
-        assert_eq!((numbers(&next), moved), (wanted, false), "{classes:?}");
-        now = next;
+        let Reconfiguration { settings, needs_restart } =
+            settings_with(&classes).reconfigure(&running).expect("usable");
+        assert_eq!((class_numbers(&settings), needs_restart), (wanted, false), "{classes:?}");
+        running = settings;
     }
-    assert_eq!(now.settings.classes[0].idempotency, Always, "open requests go on by the old record");
-    let mut moved = parsed(&[("a", five, Always)]);
-    (moved.settings.topology.zone, moved.settings.limits.max_attempts) = (ZoneId(0), 1);
-    let (next, moved) = moved.following(&now).expect("usable");
-    assert_eq!(
-        (next.settings.topology.zone, next.settings.limits.max_attempts, moved),
-        (now.settings.topology.zone, 1, true)
-    );
+    assert_eq!(running.policy.classes[0].idempotency, Always, "open requests go on by the old record");
+    let mut moved = settings_with(&[("a", five, Always)]);
+    (moved.policy.topology.zone, moved.policy.limits.max_attempts) = (ZoneId(0), 1);
+    let Reconfiguration { settings, needs_restart } = moved.reconfigure(&running).expect("usable");
+    let (topology, limits) = (&settings.policy.topology, &settings.policy.limits);
+    assert_eq!((topology.zone, limits.max_attempts, needs_restart), (running.policy.topology.zone, 1, true));
 }
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -1,7 +1,7 @@
 //! Hot objects: which ones the operator names, and where a router sends their requests.
 
 use crate::config::located::{unknown, Place};
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
     Action, AttemptOutcome, AttemptResult, CacheStatus, Class, ClassId, Event, FillAttempt, GroupId, Instant,
@@ -57,7 +57,7 @@
 /// The hot objects that the operator's file names, sorted.
 pub(super) fn hot_objects(
     settings: &Settings,
-    names: &SiteNames,
+    names: &ProgramSettings,
     control: &ControlSettings,
 ) -> Result<Vec<HotObject>, HotError> {
     let mut hot = Vec::new();
@@ -70,11 +70,11 @@
     Ok(hot)
 }
 
-fn hot_class(settings: &Settings, names: &SiteNames, named: &HotClass) -> Result<ClassId, HotError> {
+fn hot_class(settings: &Settings, names: &ProgramSettings, named: &HotClass) -> Result<ClassId, HotError> {
     let at = named.class.at;
     let name = &named.class.value;
     let Some(class) = names.class(name) else {
-        let text = unknown("class", name, names.classes.iter().map(String::as_str));
+        let text = unknown("class", name, names.class_names());
         return Err(HotError::UnknownClass { at, text });
     };
     if settings.classes[usize::from(class.0)].uncached {
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -77,7 +77,7 @@
         epoch: Epoch,
         now: Instant,
     ) -> Result<Self, ModelError> {
-        let SiteSettings { settings, names } = parsed;
+        let SiteSettings { policy: settings, program: names } = parsed;
         let hot = hot_objects(&settings, &names, control)?;
         let points = points(&settings, seed, now)?;
         // A purge is announced until all servers have dropped older copies, and as long again for the rest.
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -1,7 +1,7 @@
 //! The servers of the endpoint list, as the control feed states them.
 
 use crate::config::events::{self, Health};
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::control::clock::Moment;
 use crate::interface::{Endpoint, Instant, ListUpdate, ServerId, ServerState, UnixTime};
 use crate::server_names::ServerNames;
@@ -53,7 +53,7 @@
         &mut self,
         moment: Moment,
         change: &events::ListChange,
-        names: &SiteNames,
+        names: &ProgramSettings,
     ) -> ListChange {
         let ready_before = self.ready();
         let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
@@ -78,7 +78,7 @@
     }
 
     /// A server as an entry of the list states it.
-    fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &SiteNames) -> Server {
+    fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &ProgramSettings) -> Server {
         let mut member = self.members.endpoint(host, names);
         let born_unix = host.started_at();
         member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
--- a/src/control/model/routes.rs
+++ b/src/control/model/routes.rs
@@ -90,7 +90,7 @@
 fn class_route(site: &Site, number: usize, class: &Class) -> ClassRoute {
     let cached = !class.uncached;
     let route = Route {
-        class: site.names.classes[number].clone(),
+        class: site.names.classes[number].name.clone(),
         object: None,
         purge: None,
         caches: Vec::new(),
--- a/src/control/model/site.rs
+++ b/src/control/model/site.rs
@@ -1,6 +1,6 @@
 //! What stays the same for all points and all snapshots of a run.
 
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::control::resource::Content;
 use crate::interface::{Settings, ZoneId};
 
@@ -10,7 +10,7 @@
 /// What stays the same for all points and all snapshots of a run.
 pub(super) struct Site {
     pub(super) settings: Settings,
-    pub(super) names: SiteNames,
+    pub(super) names: ProgramSettings,
     pub(super) encode: Encode,
 }
 
--- a/src/control/service/mod.rs
+++ b/src/control/service/mod.rs
@@ -60,7 +60,7 @@
 impl Files {
     fn read_control(&self) -> Result<ControlSettings, ControlError> {
         let bytes = read(&self.control)?;
-        let text = String::from_utf8(bytes).map_err(|_| ConfigError::form(&self.control, "not UTF-8"))?;
+        let text = String::from_utf8(bytes).map_err(|_| ConfigError::invalid(&self.control, "not UTF-8"))?;
         let file = self.control.display().to_string();
         Ok(ControlSettings::parse(Doc { file: &file, text: &text })?)
     }
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -2,7 +2,7 @@
 //! `each_...`.
 
 use super::read_selectors;
-use crate::config::located::{Doc, DocError, Reader};
+use crate::config::located::{Doc, DocError, NamedNumber, Reader};
 use crate::expect::expectation::Scenario;
 use crate::expect::site::{Selector, Site};
 use crate::interface::ServerId;
@@ -95,7 +95,7 @@
     }
 
     fn read_reweighted(&mut self) -> Result<(), DocError> {
-        for (name, weight) in self.reader.numbers("reweighted")? {
+        for NamedNumber { name, number: weight } in self.reader.numbers("reweighted")? {
             let selector = self
                 .site
                 .selector(&name.value)
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -22,7 +22,7 @@
 mod tests;
 
 use crate::config::located::{Doc, DocError};
-use crate::config::{read, Config, ConfigError};
+use crate::config::{read_text, Config, ConfigError};
 use expectation::{Breadth, Suite};
 use judge::judge;
 use language::parse;
@@ -69,8 +69,7 @@
 /// Files that cannot be read or used. An expectation that does not hold is no error but a verdict.
 pub fn check(config: &Path, expectations: &Path, overrides: &Overrides) -> Result<Report, ExpectError> {
     let site = Site::of(&Config::read(config)?);
-    let text = read(expectations)?;
-    let text = String::from_utf8(text).map_err(|_| ConfigError::form(expectations, "not UTF-8"))?;
+    let text = read_text(expectations)?;
     let file = expectations.display().to_string();
     let mut suite = parse(Doc { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
     if let Some(only) = &overrides.only {
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -2,7 +2,7 @@
 
 use crate::config::events::{FeedBatch, FeedServer, Health};
 use crate::config::located::unknown;
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::config::Config;
 use crate::interface::{ClassId, Endpoint, Instant, ServerId, ServerState, Settings, Span, ZoneId};
 use crate::server_names::ServerNames;
@@ -82,10 +82,10 @@
     pub fn of(config: &Config) -> Self {
         let parsed = &config.settings;
         let mut site = Site {
-            settings: parsed.settings.clone(),
-            classes: parsed.names.classes.clone(),
-            zones: parsed.names.zones.clone(),
-            kinds: parsed.names.kinds.clone(),
+            settings: parsed.policy.clone(),
+            classes: parsed.program.class_names().map(str::to_owned).collect(),
+            zones: parsed.program.zones.clone(),
+            kinds: parsed.program.kinds.clone(),
             servers: BTreeMap::new(),
             names: BTreeMap::new(),
             oddities: Vec::new(),
@@ -93,12 +93,12 @@
         };
         let zones = site.settings.topology.routers_by_zone.len().max(site.zones.len());
         site.zones.extend((site.zones.len()..zones).map(|zone| zone.to_string()));
-        site.apply(&config.known, &parsed.names);
+        site.apply(&config.known, &parsed.program);
         site
     }
 
     /// Applies the events that the configuration knows.
-    fn apply(&mut self, batch: &FeedBatch, names: &SiteNames) {
+    fn apply(&mut self, batch: &FeedBatch, names: &ProgramSettings) {
         let mut members = ServerNames::default();
         let mut addresses = Addresses::new();
         for change in batch.events.iter().filter_map(|event| event.members.as_ref()) {
@@ -123,7 +123,13 @@
         self.now += SETTLED;
     }
 
-    fn add(&mut self, host: &FeedServer, member: Endpoint, names: &SiteNames, addresses: &mut Addresses) {
+    fn add(
+        &mut self,
+        host: &FeedServer,
+        member: Endpoint,
+        names: &ProgramSettings,
+        addresses: &mut Addresses,
+    ) {
         self.servers.insert(member.server, member);
         self.now = self.now.max(member.started_at.unwrap_or(Instant::ZERO));
         self.check_address(host, member.server, addresses);
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -81,11 +81,11 @@
     /// A file that cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = config::read(path)?;
-        let text = String::from_utf8(text).map_err(|_| ConfigError::form(path, "not UTF-8"))?;
+        let text = String::from_utf8(text).map_err(|_| ConfigError::invalid(path, "not UTF-8"))?;
         let file = path.display().to_string();
         let parsed = Self::parse(Doc { file: &file, text: &text });
         let (mut settings, key_file) =
-            parsed.map_err(|error| ConfigError::form(path, format!("{}: {}", error.at, error.text)))?;
+            parsed.map_err(|error| ConfigError::invalid(path, format!("{}: {}", error.at, error.text)))?;
         let folder = path.parent().unwrap_or(Path::new("."));
         settings.key = read_key(&folder.join(key_file))?;
         settings.store = folder.join(&settings.store);
@@ -139,9 +139,9 @@
     let text = config::read(path)?;
     let text = String::from_utf8_lossy(&text);
     let bytes = BASE64_URL_SAFE_NO_PAD.decode(text.trim().trim_end_matches('='));
-    let bytes = bytes.map_err(|_| ConfigError::form(path, "the key is no base64url"))?;
+    let bytes = bytes.map_err(|_| ConfigError::invalid(path, "the key is no base64url"))?;
     if bytes.len() < MIN_KEY_BYTES {
-        return Err(ConfigError::form(path, format!("the key has under {MIN_KEY_BYTES} bytes")));
+        return Err(ConfigError::invalid(path, format!("the key has under {MIN_KEY_BYTES} bytes")));
     }
     Ok(Key::new(bytes))
 }
--- a/src/front/signed/gate/tests.rs
+++ b/src/front/signed/gate/tests.rs
@@ -13,7 +13,7 @@
 fn key(name: &str, algorithm: Algorithm, issuers: &[&str]) -> Key {
     let secret = Secret(format!("secret of the key {name}").into_bytes());
     let issuers = issuers.iter().map(|issuer| issuer.to_string()).collect();
-    Key { name: name.into(), algorithm, checks: secret.clone(), signs: Some(secret), issuers }
+    Key { name: name.into(), algorithm, verification_key: secret.clone(), signing_key: Some(secret), issuers }
 }
 
 fn gate() -> Gate {
@@ -39,7 +39,7 @@
     // HMAC-SHA1 over the whole URL up to the signature, written in base64url with padding: RFC 2104's
     // construction, computed apart from this program.
     let mut gate = gate();
-    gate.keys[0].checks = Secret((0..16).collect());
+    gate.keys[0].verification_key = Secret((0..16).collect());
     let url = gate.sign_url("u1", "https://replays.example.org/a", NOW + 9).expect("signed");
     let wanted = "https://replays.example.org/a?Expires=1700000009&KeyName=u1&Signature=";
     assert_eq!(url, format!("{wanted}-pJUtsK7n3yS1gFlYeKjlO5K_as="));
@@ -113,7 +113,7 @@
         assert_eq!(check(&gate, &url, None), wanted, "{url}");
     }
     // The published form signs the parameters alone: computed apart from this program.
-    gate.keys[0].checks = Secret((0..16).collect());
+    gate.keys[0].verification_key = Secret((0..16).collect());
     let text = gate.sign_prefix("u1", "https://replays.example.org/17/", NOW + 9).expect("signed");
     let prefix = "aHR0cHM6Ly9yZXBsYXlzLmV4YW1wbGUub3JnLzE3Lw==";
     let wanted =
@@ -228,11 +228,11 @@
     let private = p256::SecretKey::from_slice(&[7; 32]).expect("a key");
     let public = private.public_key().to_public_key_pem(LineEnding::LF).expect("PEM").into_bytes();
     let private = private.to_pkcs8_pem(LineEnding::LF).expect("PEM").as_bytes().to_vec();
-    let key = |signs: Option<Vec<u8>>| Key {
+    let key = |signing_key: Option<Vec<u8>>| Key {
         name: "e1".into(),
         algorithm: Algorithm::Es256,
-        checks: Secret(public.clone()),
-        signs: signs.map(Secret),
+        verification_key: Secret(public.clone()),
+        signing_key: signing_key.map(Secret),
         issuers: vec![],
     };
     let whole = Gate { keys: vec![key(Some(private))], audience: vec![] };
--- a/src/front/signed/gate/token.rs
+++ b/src/front/signed/gate/token.rs
@@ -77,7 +77,7 @@
         let mut only = Validation::new(algorithm);
         only.required_spec_claims.clear();
         (only.validate_exp, only.validate_nbf, only.validate_aud) = (false, false, false);
-        let Secret(bytes) = &key.checks;
+        let Secret(bytes) = &key.verification_key;
         let checks = match key.algorithm {
             Algorithm::Es256 => DecodingKey::from_ec_pem(bytes).map_err(|_| Denial::Forged("key"))?,
             _ => DecodingKey::from_secret(bytes),
@@ -126,7 +126,7 @@
         let unknown = || SignError::Key(key.to_owned());
         let known = self.keys.iter().find(|known| known.name == key).ok_or_else(unknown)?;
         let algorithm = jose(known.algorithm).ok_or_else(unknown)?;
-        let Secret(bytes) = known.signs.as_ref().ok_or_else(unknown)?;
+        let Secret(bytes) = known.signing_key.as_ref().ok_or_else(unknown)?;
         let signs = match known.algorithm {
             Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::Unusable)?,
             _ => EncodingKey::from_secret(bytes),
--- a/src/front/signed/gate/url.rs
+++ b/src/front/signed/gate/url.rs
@@ -85,7 +85,7 @@
 }
 
 fn mac(key: &Key, text: &str) -> Option<Vec<u8>> {
-    let Secret(secret) = &key.checks;
+    let Secret(secret) = &key.verification_key;
     Some(match key.algorithm {
         Algorithm::UrlSha1 => {
             Hmac::<Sha1>::new_from_slice(secret).ok()?.chain_update(text).finalize().into_bytes().to_vec()
@@ -99,7 +99,7 @@
 
 /// Compares in constant time, as the HMAC crate does it.
 fn mac_fits(key: &Key, text: &str, given: &[u8]) -> bool {
-    let Secret(secret) = &key.checks;
+    let Secret(secret) = &key.verification_key;
     match key.algorithm {
         Algorithm::UrlSha1 => Hmac::<Sha1>::new_from_slice(secret)
             .is_ok_and(|mac| mac.chain_update(text).verify_slice(given).is_ok()),
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -56,7 +56,7 @@
         }
         site["known"] = self.known.unwrap_or_else(|| self.feed.known());
         let config = Config::parse(site.to_string().as_bytes())
-            .map_err(|text| ConfigError::form(Path::new("made-up site"), text))?;
+            .map_err(|text| ConfigError::invalid(Path::new("made-up site"), text))?;
         let settings = ControlSettings::parse(Doc { file: "control.hcl", text: self.control })?;
         let running = start_with_clock(&config, settings, self.clock).await?;
         Ok(StartedSite { running, hosts })
--- a/src/lab_commands.rs
+++ b/src/lab_commands.rs
@@ -139,7 +139,7 @@
         }
         Lab::Replay { trace, map, how } => {
             let text = dahliatrack::config::read(&map)?;
-            let text = String::from_utf8(text).map_err(|_| ConfigError::form(&map, "not UTF-8"))?;
+            let text = String::from_utf8(text).map_err(|_| ConfigError::invalid(&map, "not UTF-8"))?;
             let file = map.display().to_string();
             play(&trace::load(&trace, Doc { file: &file, text: &text })?, how)?;
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -380,14 +380,14 @@
         Command::Federation(FederationCommand::Init { federation, join }) => {
             let settings = FederationSettings::read(&federation)?;
             store::found(&settings, join, rand::random())
-                .map_err(|error| ConfigError::form(&settings.store, error))?;
+                .map_err(|error| ConfigError::invalid(&settings.store, error))?;
             print(&format!("{}: made for member {}", settings.store.display(), settings.id));
         }
         #[cfg(feature = "federation")]
         Command::Federation(FederationCommand::Check { federation }) => {
             let settings = FederationSettings::read(&federation)?;
             let (store, saved) = Store::open(&settings.store, &settings.cluster, settings.id)
-                .map_err(|error| ConfigError::form(&settings.store, error))?;
+                .map_err(|error| ConfigError::invalid(&settings.store, error))?;
             let last = saved.last_index();
             let (id, term) = (store.owner().id, saved.hard.term);
             print(&format!("member {id}: usable, term {term}, log {}..{last}", saved.snapshot.index));
@@ -409,7 +409,8 @@
             let plan = match faults {
                 Some(path) => {
                     let text = dahliatrack::config::read(&path)?;
-                    let text = String::from_utf8(text).map_err(|_| ConfigError::form(&path, "not UTF-8"))?;
+                    let text =
+                        String::from_utf8(text).map_err(|_| ConfigError::invalid(&path, "not UTF-8"))?;
                     let file = path.display().to_string();
                     faults::Plan::parse(Doc { file: &file, text: &text }).map_err(ExpectError::from)?
                 }
@@ -495,7 +496,7 @@
 fn usable(config: PathBuf, Beside { signed, admission }: Beside) -> Result<(), Error> {
     let files = Files { config, signed, admin: None, admission, federation: None };
     let on = files.admission()?.enabled;
-    let (config, signed) = files.read()?;
+    let dahliatrack::config::LoadedFiles { config, signed } = files.read()?;
     let routes = signed.map(|signed| route_classes(&signed, &config.settings)).transpose()?;
     print(&format!("{}: usable, {} events known", config.name, config.known.events.len()));
     if let Some(routes) = routes {
--- a/src/server/federate.rs
+++ b/src/server/federate.rs
@@ -37,7 +37,7 @@
         pub fn check(&self, files: &Files) -> Result<CheckedSettings, ConfigError> {
             let checked = Self::read(files)?;
             if let (Some(handle), Some(settings), Some(path)) = (&self.0, &checked.0, &files.federation) {
-                let fixed = |setting| ConfigError::form(path, setting);
+                let fixed = |setting| ConfigError::invalid(path, setting);
                 handle.check(settings).map_err(fixed)?;
             }
             Ok(checked)
--- a/src/server/figures.rs
+++ b/src/server/figures.rs
@@ -48,7 +48,7 @@
     pub(super) fn figures(&self) -> String {
         // A class whose rules were changed has had several numbers: its name's figures are the sum.
         let mut classes: BTreeMap<&str, [u64; 4]> = BTreeMap::new();
-        for (number, name) in self.names.classes.iter().enumerate() {
+        for (number, name) in self.names.class_names().enumerate() {
             let class = ClassId(number as u16);
             let answered = self.core.answer_counts(class);
             let new = [answered.success, answered.overload, answered.error, self.upstream.written(class.0)];
--- a/src/server/leave.rs
+++ b/src/server/leave.rs
@@ -134,7 +134,14 @@
 
     /// When the process may be ended by force.
     fn forced_end(&self) -> Instant {
-        let longest = self.names.deadlines.iter().copied().max().unwrap_or(Span::ZERO).min(LONGEST);
+        let longest = self
+            .names
+            .classes
+            .iter()
+            .map(|class| class.client_deadline)
+            .max()
+            .unwrap_or(Span::ZERO)
+            .min(LONGEST);
         self.stopping.unwrap_or(self.now) + longest + FORCE_AFTER_DEADLINE
     }
 
--- a/src/server/links.rs
+++ b/src/server/links.rs
@@ -33,7 +33,7 @@
     signed: &SignedConfig,
     settings: &SiteSettings,
 ) -> Result<Vec<(ClassId, Span)>, ServerError> {
-    let SiteSettings { names, settings } = settings;
+    let SiteSettings { program: names, policy: settings } = settings;
     let class = |route: &crate::config::signed::Route| {
         let id = names.class(&route.class)?;
         let class = settings.classes.get(usize::from(id.0)).filter(|class| !class.uncached)?;
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -15,9 +15,9 @@
 mod translate;
 
 use crate::admission::AdmissionSettings;
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::config::signed::SignedConfig;
-use crate::config::{Config, ConfigError, Files};
+use crate::config::{Config, ConfigError, Files, LoadedFiles};
 use crate::core::{self, Command, Core, RequestKey};
 use crate::deadlines::Deadlines;
 use crate::feed::{self, Feed};
@@ -176,7 +176,7 @@
     ids: BTreeSet<String>,
     /// Bytes of the bodies that these requests brought.
     bodies: usize,
-    names: SiteNames,
+    names: ProgramSettings,
     /// None once a newer process takes the clients.
     listener: Option<Listener>,
     /// None in the simulator, which calls what they would.
@@ -205,7 +205,7 @@
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
         net.watch(&mut signals, SIGNALS)?;
         let admission = files.admission()?;
-        let (config, signed) = files.read()?;
+        let LoadedFiles { config, signed } = files.read()?;
         let federation = FederationHandle::read(&files)?;
         let (seed, handover) = (config.seed, Handover::begin);
         let read = (config, signed, admission);
@@ -245,13 +245,13 @@
         });
         let admin = admin.transpose()?;
         let started = ActiveConfig::of(&config);
-        let names = config.settings.names;
+        let names = config.settings.program;
         let budget = ResourceBudget::of(&config.limits, 1);
         let figures = budget.pool_limits(&names);
         let mut server = Server {
             files,
             started,
-            core: Core::new(config.settings.settings, config.seed, now)?,
+            core: Core::new(config.settings.policy, config.seed, now)?,
             members: ServerNames::default(),
             instants: UnixTimeConverter::new(now, net.unix_time()),
             upstream: Upstream::new(figures),
@@ -563,7 +563,7 @@
             Command::SendAttempt { attempt, request, server } => {
                 let waiting = self.pending.get(&request);
                 let (id, class) = waiting.map_or_else(Default::default, |w| (w.trace.clone(), w.class.0));
-                let write = self.names.writes.get(usize::from(class)).is_some_and(|write| *write);
+                let write = self.names.class_info(ClassId(class)).is_some_and(|class| class.is_write);
                 let tally = Some(class).filter(|_| self.core.is_cache(server));
                 self.upstream.queue(self.now, server.0, attempt.number(), id, write, tally);
             }
@@ -603,14 +603,14 @@
     core: &'a mut Core,
     members: &'a ServerNames,
     waiting: &'a BTreeMap<RequestKey, PendingRequest>,
-    names: &'a SiteNames,
+    names: &'a ProgramSettings,
 }
 
 impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
     fn encode(&mut self, job: u64, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
         let order = self.core.write_attempt(self.now, Key::from_number(job), due)?;
         let asked = self.waiting.get(&order.request)?;
-        let class = self.names.classes.get(usize::from(asked.class.0))?;
+        let class = &self.names.class_info(asked.class)?.name;
         let from = order.fill_source.and_then(|source| self.members.name(source));
         // One tag can be passed on; several are looked through when the answer is there.
         let seen = if let [tag] = &asked.tags[..] { Some(tag.clone()) } else { None };
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -2,8 +2,8 @@
 //! operator's file. The rest holds until the next start.
 
 use super::{route_classes, Server, ServerError};
-use crate::config::settings::{SiteNames, SiteSettings};
-use crate::config::{Config, ConfigError, ProcessLimits};
+use crate::config::settings::{ProgramSettings, Reconfiguration, SiteSettings};
+use crate::config::{Config, ConfigError, LoadedFiles, ProcessLimits};
 use crate::upstream::PoolLimits;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -53,11 +53,11 @@
     }
 
     /// What connections to servers go by.
-    pub fn pool_limits(&self, names: &SiteNames) -> PoolLimits {
+    pub fn pool_limits(&self, names: &ProgramSettings) -> PoolLimits {
         PoolLimits {
             connect_timeout: names.connect_timeout,
-            idle_timeout: names.conn_idle,
-            max_jobs_per_connection: names.streams_per_conn,
+            idle_timeout: names.connection_idle_timeout,
+            max_jobs_per_connection: names.max_streams_per_connection,
             max_connections: self.servers,
             max_buffered_bytes: self.answers,
         }
@@ -76,7 +76,7 @@
 impl ActiveConfig {
     /// Whether refusals may tell clients when to come back.
     pub fn retry_after(&self) -> bool {
-        self.settings.settings.limits.retry_after
+        self.settings.policy.limits.retry_after
     }
 
     pub fn of(config: &Config) -> Self {
@@ -111,21 +111,22 @@
     fn take_over(&mut self) -> Result<(), ServerError> {
         let admission = self.files.admission()?;
         let federation = self.federation.check(&self.files)?;
-        let (config, signed) = self.files.read()?;
-        let unusable = |text: String| ConfigError::form(&self.files.config, text);
+        let LoadedFiles { config, signed } = self.files.read()?;
         if let Some(key) = self.started.keys.difference(&config.keys).next() {
-            return Err(unusable(format!("{key} is missing")).into());
+            return Err(ConfigError::invalid(&self.files.config, format!("{key} is missing")).into());
         }
         let Config { name, listen, limits, feed, keys, settings, .. } = config;
-        let (settings, moved) = settings.following(&self.started.settings).map_err(unusable)?;
+        let reconfigured = settings.reconfigure(&self.started.settings);
+        let Reconfiguration { settings, needs_restart } =
+            reconfigured.map_err(|error| ConfigError::invalid(&self.files.config, error))?;
         let routes = signed.map(|signed| route_classes(&signed, &settings).map(|routes| (routes, signed)));
         let routes = routes.transpose()?;
-        let waits = moved || (&name, listen) != (&self.started.name, self.started.listen);
+        let waits = needs_restart || (&name, listen) != (&self.started.name, self.started.listen);
         let (name, listen) = (self.started.name.clone(), self.started.listen);
-        self.core.reconfigure(settings.settings.clone());
+        self.core.reconfigure(settings.policy.clone());
         self.admitting.reconfigure(admission);
         self.federation.reload(federation);
-        self.names = settings.names.clone();
+        self.names = settings.program.clone();
         self.started = ActiveConfig { name, listen, keys, limits, settings };
         self.update_process_share();
         if let (Some(links), Some((classes, signed))) = (&mut self.links, routes) {
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -76,7 +76,8 @@
     /// Whether there is no room for another request: refused now, it does no harm.
     pub(super) fn is_full(&self, conn: ConnectionKey) -> bool {
         let held = self.net.held_bytes() + self.core.held_bytes() + self.bodies;
-        self.budget.is_full(held, self.net.unwritten(conn)) || self.pending.len() >= self.names.most_held
+        self.budget.is_full(held, self.net.unwritten(conn))
+            || self.pending.len() >= self.names.max_open_requests
     }
 
     /// Hands in a request of the second front, which has checked its right.
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -1,6 +1,6 @@
 //! Translation between the wires' messages and the core's requests, attempts and outcomes.
 
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::core::{AttemptEnd, CachedCopy, FinalAnswer, OutgoingAttempt};
 use crate::front::signed::http;
 use crate::front::thrift::codec::ThriftReply;
@@ -39,12 +39,12 @@
 }
 
 /// The class that a request names, whatever else is wrong with it.
-pub fn class(fields: &BTreeMap<String, String>, names: &SiteNames) -> Option<ClassId> {
+pub fn class(fields: &BTreeMap<String, String>, names: &ProgramSettings) -> Option<ClassId> {
     names.class(fields.get("route")?)
 }
 
 /// Reads a request's fields; unknown ones are ignored.
-pub fn form(fields: &BTreeMap<String, String>, names: &SiteNames) -> Result<RequestFields, String> {
+pub fn form(fields: &BTreeMap<String, String>, names: &ProgramSettings) -> Result<RequestFields, String> {
     let field = |name: &str| fields.get(name).map(String::as_str);
     let needed = |name: &str| field(name).ok_or_else(|| format!("{name} is missing"));
     fn number<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, String> {
@@ -62,7 +62,7 @@
     let ((trace, _), (item, object)) = (hex("trace")?, hex("entity")?);
     let patience_ms: i64 = number("patience", needed("patience")?)?;
     let patience = Span::from_micros(patience_ms.checked_mul(1000).unwrap_or(0));
-    let most = names.deadlines.get(class).map_or(Span::ZERO, |deadline| MOST_PATIENCE * *deadline);
+    let most = names.classes.get(class).map_or(Span::ZERO, |class| MOST_PATIENCE * class.client_deadline);
     if !(Span::from_micros(1)..=most).contains(&patience) {
         return Err("patience is no number of its range".into());
     }
@@ -119,7 +119,7 @@
 }
 
 /// What an attempt's ending on the wire proves.
-pub fn end(ending: JobEnd, names: &SiteNames) -> AttemptEnd {
+pub fn end(ending: JobEnd, names: &ProgramSettings) -> AttemptEnd {
     let answer = match ending {
         JobEnd::NotConnected => return AttemptEnd::without_details(AttemptResult::ConnectFailed),
         JobEnd::NotSent => return AttemptEnd::without_details(AttemptResult::NotSent),
@@ -151,9 +151,9 @@
     });
     let waited = answer.field("waited").and_then(|ms| ms.parse::<f64>().ok()).unwrap_or(0.0);
     // A copy that is called current sends no bytes, and its time says nothing of the object's size.
-    let sending = answer.body.len() as f64 / names.flow_bytes_per_s.max(1.0) * 1_000_000.0;
-    let sending = if names.flow_bytes_per_s > 0.0 { Span::from_micros_f64(sending) } else { Span::ZERO };
-    let load = answer.load_report(&names.report);
+    let sending = answer.body.len() as f64 / names.transfer_bytes_per_s.max(1.0) * 1_000_000.0;
+    let sending = if names.transfer_bytes_per_s > 0.0 { Span::from_micros_f64(sending) } else { Span::ZERO };
+    let load = answer.load_report(&names.load_report_names);
     AttemptEnd {
         result,
         cache_status: note,
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -1,18 +1,22 @@
 //! Tables of what one part's words mean in another's.
 
 use super::*;
+use crate::config::settings::ClassInfo;
 use crate::core::CachedCopy;
 use crate::interface::RejectionReason;
 
 const MS: Span = Span::from_millis(1);
 
-fn names() -> SiteNames {
-    let classes = vec!["replay".into(), "piece".into()];
-    SiteNames {
-        classes,
-        retired: vec![false; 2],
-        deadlines: vec![6000 * MS, 3000 * MS],
-        ..SiteNames::default()
+fn names() -> ProgramSettings {
+    let class = |name: &str, client_deadline| ClassInfo {
+        name: name.into(),
+        retired: false,
+        is_write: false,
+        client_deadline,
+    };
+    ProgramSettings {
+        classes: vec![class("replay", 6000 * MS), class("piece", 3000 * MS)],
+        ..ProgramSettings::default()
     }
 }
 
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -1,7 +1,7 @@
 //! The servers by name: the control feed's words on one side, the decision module's numbers on the other.
 
 use crate::config::events::{FeedServer, Health};
-use crate::config::settings::SiteNames;
+use crate::config::settings::ProgramSettings;
 use crate::interface::{Endpoint, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
 
     /// An entry of the endpoint list for the decision module, without its start: the feed states that in Unix time
     /// ([`FeedServer::started_at`]), which the caller converts.
-    pub fn endpoint(&mut self, host: &FeedServer, names: &SiteNames) -> Endpoint {
+    pub fn endpoint(&mut self, host: &FeedServer, names: &ProgramSettings) -> Endpoint {
         let place = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
         };
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -16,6 +16,7 @@
             self.cut_feed(self.exhausted.1 + HEARD_AGAIN);
         }
         let started = Config::parse(text.to_string().as_bytes())
+            .map_err(|e| e.to_string())
             .and_then(|config| Server::start_on(&self.fabric, process, config).map_err(|e| e.to_string()));
         match started {
             Ok(server) => drop(self.servers.insert(process, server)),
