--- /dev/null
+++ b/src/commands/error.rs
@@ -0,0 +1,82 @@
+//! Why a command failed, and the exit code that tells it.
+
+use dahliatrack::config::located::DocError;
+use dahliatrack::config::ConfigError;
+#[cfg(feature = "control")]
+use dahliatrack::control::service::ControlError;
+use dahliatrack::expect::ExpectError;
+use dahliatrack::front::signed::gate::SignError;
+use dahliatrack::lab::replay::ReplayError;
+use dahliatrack::server::ServerError;
+use dahliatrack::trace::TraceError;
+
+/// The exit code of files that cannot be used.
+const EXIT_BAD_CONFIG: u8 = 2;
+/// The exit code of all other failures.
+const EXIT_FAILURE: u8 = 1;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Document(#[from] DocError),
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    #[error(transparent)]
+    Sign(#[from] SignError),
+    #[cfg(feature = "control")]
+    #[error(transparent)]
+    Control(#[from] ControlError),
+    #[error(transparent)]
+    Expect(#[from] ExpectError),
+    #[error("{0} errors in the configuration")]
+    InvalidSite(usize),
+    #[error(transparent)]
+    Replay(#[from] ReplayError),
+    #[error(transparent)]
+    Trace(#[from] TraceError),
+    #[error("report: {0}")]
+    ReportPage(#[from] minijinja::Error),
+    #[error("a rule is broken")]
+    RuleBroken,
+    #[error("some expectations do not hold")]
+    ExpectationsNotMet,
+    #[error("flood: only loopback addresses are flooded")]
+    FloodNotLoopback,
+    #[error("flood: {0}")]
+    FloodHistogram(#[from] hdrhistogram::CreationError),
+}
+
+impl CommandError {
+    /// The exit code of the process.
+    pub fn exit_code(&self) -> u8 {
+        if self.is_config() {
+            EXIT_BAD_CONFIG
+        } else {
+            EXIT_FAILURE
+        }
+    }
+
+    /// Whether a file of the operator's cannot be used.
+    fn is_config(&self) -> bool {
+        match self {
+            CommandError::Config(_)
+            | CommandError::Document(_)
+            | CommandError::Expect(_)
+            | CommandError::InvalidSite(_)
+            | CommandError::Trace(_) => true,
+            CommandError::Server(error) => error.is_config(),
+            #[cfg(feature = "control")]
+            CommandError::Control(error) => error.is_config(),
+            CommandError::Sign(_)
+            | CommandError::FloodNotLoopback
+            | CommandError::FloodHistogram(_)
+            | CommandError::ExpectationsNotMet
+            | CommandError::RuleBroken
+            | CommandError::Replay(_)
+            | CommandError::ReportPage(_) => false,
+        }
+    }
+}
--- /dev/null
+++ b/src/commands/flood.rs
@@ -0,0 +1,60 @@
+//! `dahliatrack flood`: a connection flood on loopback, beside known clients.
+
+use super::output::print;
+use super::CommandError;
+use dahliatrack::lab::flood::{self, Plan};
+use std::net::{IpAddr, SocketAddr};
+
+const MIN_SECONDS: f64 = 0.1;
+const MAX_SECONDS: f64 = 600.0;
+const MAX_CONNECTIONS_PER_CLIENT: u64 = 100_000;
+
+/// The target, the known clients and the flood.
+#[derive(clap::Args)]
+pub struct FloodArgs {
+    /// The platform's front
+    #[arg(long)]
+    target: SocketAddr,
+    /// Known clients, a thread each
+    #[arg(long, default_value_t = 50)]
+    known: usize,
+    /// The loopback address they come from
+    #[arg(long, default_value = "127.0.0.2")]
+    known_from: IpAddr,
+    /// Silent connections the flood holds at most
+    #[arg(long, default_value_t = 2000)]
+    flood: usize,
+    /// The loopback address it comes from
+    #[arg(long, default_value = "127.0.0.3")]
+    flood_from: IpAddr,
+    /// Seconds, at most 600
+    #[arg(long, default_value_t = 10.0)]
+    seconds: f64,
+    /// The class of known clients' requests
+    #[arg(long, default_value = "piece")]
+    route: String,
+    /// Each flood connection pings once, so that having asked does not tell it from a client
+    #[arg(long)]
+    flood_asks: bool,
+}
+
+/// Floods, and prints how the known clients fared.
+pub fn run(args: FloodArgs) -> Result<(), CommandError> {
+    let FloodArgs { target, known, known_from, flood, flood_from, seconds, route, flood_asks } = args;
+    if ![target.ip(), known_from, flood_from].iter().all(IpAddr::is_loopback) {
+        return Err(CommandError::FloodNotLoopback);
+    }
+    let plan = Plan {
+        target,
+        known,
+        known_from,
+        flood,
+        flood_from,
+        seconds: seconds.clamp(MIN_SECONDS, MAX_SECONDS),
+        most_connections: MAX_CONNECTIONS_PER_CLIENT,
+        route,
+        flood_asks,
+    };
+    print(&flood::run(&plan)?);
+    Ok(())
+}
--- /dev/null
+++ b/src/commands/lab/replay.rs
@@ -0,0 +1,123 @@
+//! `dahliatrack lab replay` and `dahliatrack lab demo`: replays traces against stand-in caches.
+
+use crate::commands::output::{print, print_report, Format};
+use crate::commands::CommandError;
+use dahliatrack::config::located::Doc;
+use dahliatrack::config::read_text;
+use dahliatrack::lab::made::{self, Made};
+use dahliatrack::lab::replay::{self, Replay, ReplayError};
+use dahliatrack::lab::site::Shape;
+use dahliatrack::sim::faults::Plan;
+use dahliatrack::trace::{self, Trace};
+use std::fs::{self, File};
+use std::path::{Path, PathBuf};
+
+const PARENTS: usize = 2;
+const MIN_SPEED: f64 = 0.001;
+const MAX_SPEED: f64 = 1000.0;
+
+const DEMO_RATE_PER_S: f64 = 100.0;
+const DEMO_OBJECTS: u64 = 500;
+/// How the demo's trace is read.
+const DEMO_MAP: &str = include_str!("../../../deploy/trace-map.hcl");
+
+/// The length of a demo, and how it is played.
+#[derive(clap::Args)]
+pub struct DemoArgs {
+    /// Seconds
+    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=600))]
+    seconds: u64,
+    #[command(flatten)]
+    play: PlayArgs,
+}
+
+/// A trace, and how it is played.
+#[derive(clap::Args)]
+pub struct ReplayArgs {
+    /// The trace
+    trace: PathBuf,
+    /// How its columns are read and mapped to classes (HCL)
+    #[arg(long)]
+    map: PathBuf,
+    #[command(flatten)]
+    play: PlayArgs,
+}
+
+/// How a trace is played.
+#[derive(clap::Args)]
+struct PlayArgs {
+    /// Client connections
+    #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u64).range(1..=500))]
+    connections: u64,
+    /// Stand-in table caches
+    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(1..=100))]
+    caches: u64,
+    /// How many times as fast the trace's time runs, which multiplies its rate
+    #[arg(long, default_value_t = 1.0)]
+    speed: f64,
+    /// Faults, drawn from this seed over the replay; none without it
+    #[arg(long)]
+    faults: Option<u64>,
+    /// The seed of the stand-in site
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Write a page with plots there, too
+    #[arg(long)]
+    html: Option<PathBuf>,
+    /// Write the report as text or JSON
+    #[arg(long, value_enum, default_value = "text")]
+    format: Format,
+}
+
+/// Replays a trace from a file.
+pub fn run_replay(args: ReplayArgs) -> Result<(), CommandError> {
+    let text = read_text(&args.map)?;
+    let file = args.map.display().to_string();
+    let trace = trace::load(&args.trace, Doc { file: &file, text: &text })?;
+    play(&trace, args.play)
+}
+
+/// Replays a made-up trace.
+pub fn run_demo(args: DemoArgs) -> Result<(), CommandError> {
+    let made = Made {
+        seconds: args.seconds as f64,
+        rate: DEMO_RATE_PER_S,
+        objects: DEMO_OBJECTS,
+        seed: args.play.seed,
+    };
+    let folder = std::env::temp_dir().join(format!("dahliatrack-demo-{}", std::process::id()));
+    fs::create_dir_all(&folder).map_err(ReplayError::from)?;
+    let trace = make_trace(&made, &folder.join("trace.csv"));
+    let _ = fs::remove_dir_all(&folder); // a folder that stays harms nothing
+    play(&trace?, args.play)
+}
+
+/// Writes a made-up trace to a file, and reads it as any other trace.
+fn make_trace(made: &Made, path: &Path) -> Result<Trace, CommandError> {
+    let written = File::create(path).and_then(|mut file| made::azure(made, &mut file));
+    written.map_err(ReplayError::from)?;
+    Ok(trace::load(path, Doc { file: "demo.hcl", text: DEMO_MAP })?)
+}
+
+/// Replays a trace and writes the report.
+fn play(trace: &Trace, args: PlayArgs) -> Result<(), CommandError> {
+    let caches = args.caches as usize;
+    let length_ms = (trace.length.as_millis_f64() / args.speed.max(MIN_SPEED)) as i64;
+    let plan = Plan { caches, parents: PARENTS, ms: length_ms, ..Plan::default() }.of_hosts();
+    let replay = Replay {
+        program: std::env::current_exe().map_err(ReplayError::from)?,
+        shape: Shape { points: 1, proxies: 1, caches, hubs: 1, parents: PARENTS, seed: args.seed },
+        connections: args.connections as usize,
+        speed: args.speed.clamp(MIN_SPEED, MAX_SPEED),
+        faults: args.faults.map_or_else(Vec::new, |seed| plan.script(seed)),
+        seed: args.seed,
+        progress: true,
+    };
+    let report = replay::replay(trace, &replay)?;
+    print_report(&report, args.format);
+    if let Some(path) = args.html {
+        fs::write(&path, report.html()?).map_err(ReplayError::from)?;
+        print(&format!("the page is {}", path.display()));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/commands/lab/site.rs
@@ -0,0 +1,55 @@
+//! `dahliatrack lab site`: makes up a site.
+
+use crate::commands::output::print;
+use dahliatrack::lab::site::{self, Shape};
+
+/// The address of the made-up site's feed.
+const FEED_ADDRESS: &str = "127.0.0.1:7070";
+const SERVER_PORT: u16 = 4100;
+/// Values of each of the two last bytes of the servers' addresses.
+const ADDRESSES_PER_BYTE: usize = 250;
+const ADDRESSES_PER_NETWORK: usize = ADDRESSES_PER_BYTE * ADDRESSES_PER_BYTE;
+
+/// The size of a made-up site.
+#[derive(clap::Args)]
+pub struct SiteArgs {
+    /// Points: zones with edge proxies and table caches
+    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=4000))]
+    points: u64,
+    /// Edge proxies in all
+    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100_000))]
+    proxies: u64,
+    /// Table caches in all
+    #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=50_000))]
+    caches: u64,
+    /// Hubs
+    #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=1000))]
+    hubs: u64,
+    /// Parents of each hub
+    #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(0..=100))]
+    parents: u64,
+    /// The seed
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+}
+
+/// Prints the configuration of a made-up site.
+pub fn run(args: SiteArgs) {
+    let shape = Shape {
+        points: args.points as usize,
+        proxies: args.proxies as usize,
+        caches: args.caches as usize,
+        hubs: args.hubs as usize,
+        parents: args.parents as usize,
+        seed: args.seed,
+    };
+    print(&site::config(&shape, FEED_ADDRESS, server_address));
+}
+
+/// The address of a server. Nothing connects to it: addresses only have to differ.
+fn server_address(number: usize) -> String {
+    let network = 1 + number / ADDRESSES_PER_NETWORK;
+    let subnet = number / ADDRESSES_PER_BYTE % ADDRESSES_PER_BYTE;
+    let host = 1 + number % ADDRESSES_PER_BYTE;
+    format!("127.{network}.{subnet}.{host}:{SERVER_PORT}")
+}
--- /dev/null
+++ b/src/commands/lab/trace.rs
@@ -0,0 +1,41 @@
+//! `dahliatrack lab trace`: makes up a trace.
+
+use crate::commands::CommandError;
+use dahliatrack::lab::made::{self, Made};
+use dahliatrack::lab::replay::ReplayError;
+use std::io::{self, Write};
+
+const MIN_SECONDS: f64 = 1.0;
+const MAX_SECONDS: f64 = 1e7;
+const MIN_RATE_PER_S: f64 = 0.001;
+const MAX_RATE_PER_S: f64 = 1e5;
+
+/// The size of a made-up trace.
+#[derive(clap::Args)]
+pub struct TraceArgs {
+    /// Its length in seconds
+    #[arg(long, default_value_t = 3600.0)]
+    seconds: f64,
+    /// Its mean rate, rows a second
+    #[arg(long, default_value_t = 50.0)]
+    rate: f64,
+    /// Objects
+    #[arg(long, default_value_t = 2000)]
+    objects: u64,
+    /// The seed
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+}
+
+/// Writes a made-up trace to standard output.
+pub fn run(args: TraceArgs) -> Result<(), CommandError> {
+    let made = Made {
+        seconds: args.seconds.clamp(MIN_SECONDS, MAX_SECONDS),
+        rate: args.rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S),
+        objects: args.objects,
+        seed: args.seed,
+    };
+    let mut out = io::BufWriter::new(io::stdout().lock());
+    made::azure(&made, &mut out).and_then(|_| out.flush()).map_err(ReplayError::from)?;
+    Ok(())
+}
--- /dev/null
+++ b/src/commands/sim.rs
@@ -0,0 +1,113 @@
+//! `dahliatrack sim`: the simulator, for edge proxies and for federations.
+
+use super::output::print;
+use super::CommandError;
+use dahliatrack::config::located::Doc;
+use dahliatrack::config::read_text;
+use dahliatrack::sim::faults::{Fault, Plan};
+use dahliatrack::sim::runner;
+use dahliatrack::sim::world::Sabotage;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
+
+/// What is simulated.
+#[derive(clap::Args)]
+pub struct SimArgs {
+    /// The seeds, as 0..10000
+    #[arg(long, default_value = "0..1000", value_parser = parse_seeds)]
+    seeds: Range<u64>,
+    /// A file of sizes and of how often which fault happens (HCL), in place of the usual ones
+    #[arg(long)]
+    faults: Option<PathBuf>,
+    /// Only these faults of the seed's script, by number, as 0,3; `none`: no fault
+    #[arg(long, value_parser = parse_fault_numbers)]
+    keep: Option<FaultNumbers>,
+    /// Plant a bug, to see that it is found
+    #[arg(long, value_enum)]
+    sabotage: Option<Sabotage>,
+    /// Play federations of several members in place of an edge proxy
+    #[cfg(feature = "federation")]
+    #[arg(long)]
+    federation: bool,
+    /// Plant a bug in the federation, to see that it is found
+    #[cfg(feature = "federation")]
+    #[arg(long, value_enum, requires = "federation")]
+    plant: Option<dahliatrack::sim::federation::Planted>,
+    /// Failures that are shrunk and told
+    #[arg(long, default_value_t = 3)]
+    most: usize,
+}
+
+/// Places in a seed's script of faults.
+#[derive(Clone, Debug)]
+struct FaultNumbers(Vec<usize>);
+
+/// Simulates, and fails if a rule is broken.
+pub fn run(args: SimArgs) -> Result<(), CommandError> {
+    #[cfg(feature = "federation")]
+    if args.federation {
+        let summary = dahliatrack::sim::federation::search(args.seeds, args.plant);
+        print(&summary);
+        return fail_if(!summary.broken.is_empty());
+    }
+    let plan = args.faults.as_deref().map_or_else(|| Ok(Plan::default()), read_plan)?;
+    match args.keep {
+        Some(numbers) => replay(&plan, args.seeds.start, &numbers, args.sabotage),
+        None => {
+            let summary = runner::search(&plan, args.seeds, args.sabotage, args.most);
+            print(&summary);
+            fail_if(!summary.broken.is_empty())
+        }
+    }
+}
+
+/// Plays one seed with some of its faults, and prints all that came of it.
+fn replay(
+    plan: &Plan,
+    seed: u64,
+    FaultNumbers(numbers): &FaultNumbers,
+    sabotage: Option<Sabotage>,
+) -> Result<(), CommandError> {
+    let script = plan.script(seed);
+    let kept: Vec<Fault> = numbers.iter().filter_map(|number| script.get(*number).cloned()).collect();
+    let outcome = runner::play(plan, seed, &kept, sabotage);
+    print(&serde_json::json!(outcome));
+    fail_if(!outcome.breaches.is_empty())
+}
+
+fn fail_if(broken: bool) -> Result<(), CommandError> {
+    if broken {
+        return Err(CommandError::RuleBroken);
+    }
+    Ok(())
+}
+
+fn read_plan(path: &Path) -> Result<Plan, CommandError> {
+    let text = read_text(path)?;
+    let file = path.display().to_string();
+    Ok(Plan::parse(Doc { file: &file, text: &text })?)
+}
+
+#[derive(Debug, thiserror::Error)]
+#[error("{0:?} is no number")]
+struct FaultNumberError(String);
+
+fn parse_fault_numbers(text: &str) -> Result<FaultNumbers, FaultNumberError> {
+    let words = text.split(',').filter(|word| *word != "none");
+    let numbers = words.map(|word| word.parse().map_err(|_| FaultNumberError(word.to_owned())));
+    numbers.collect::<Result<_, _>>().map(FaultNumbers)
+}
+
+#[derive(Debug, thiserror::Error)]
+#[error("a range of seeds, as 0..10000")]
+struct SeedRangeError;
+
+fn parse_seeds(text: &str) -> Result<Range<u64>, SeedRangeError> {
+    let (start, end) = text.split_once("..").ok_or(SeedRangeError)?;
+    let parse = |number: &str| number.parse().map_err(|_| SeedRangeError);
+    let seeds = parse(start)?..parse(end)?;
+    if seeds.is_empty() {
+        return Err(SeedRangeError);
+    }
+    Ok(seeds)
+}
