--- a/src/validate.rs
+++ b/src/validate.rs
@@ -1,9 +1,6 @@
-//! What makes [`Settings`] unusable, told before a router starts.
+//! The checks of [`Settings`] before a router starts, one line a value.
 
-use crate::interface::{Class, Settings, Span};
-
-/// The least span that is not zero.
-const MICROSECOND: Span = Span::from_micros(1);
+use crate::interface::{Class, ProtectionRules, Settings, SiteLimits, Span, Topology};
 
 /// Why [`Settings`] cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -36,7 +33,7 @@
         /// The setting.
         name: &'static str,
     },
-    /// A span of time is zero or negative.
+    /// A span or a count is too small.
     #[error("{name} is no span of time")]
     Span {
         /// The setting.
@@ -44,70 +41,121 @@
     },
 }
 
+/// The result of one check.
+type Check = Result<(), SettingsError>;
+
 impl Settings {
-    /// Tells whether a router can start with these settings.
+    /// Checks whether a router can start with these settings.
     ///
     /// # Errors
     ///
-    /// The first thing found that is missing, out of range, negative or not finite.
+    /// The first value that is missing, out of range, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
-        if self.classes.is_empty() {
-            return Err(SettingsError::NoClasses);
-        }
-        if self.topology.ordinal >= self.topology.routers {
-            return Err(SettingsError::Ordinal {
-                ordinal: self.topology.ordinal,
-                routers: self.topology.routers,
-            });
-        }
-        let zones = self.topology.routers_by_zone.len();
-        let zone = |name, zone: u16| match usize::from(zone) < zones {
+        check_all([
+            if self.classes.is_empty() { Err(SettingsError::NoClasses) } else { Ok(()) },
+            self.topology.check(),
+            self.classes.iter().try_for_each(Class::check),
+            self.protection.check(),
+            self.limits.check(),
+        ])
+    }
+}
+
+impl Topology {
+    fn check(&self) -> Check {
+        let zone = |name, zone| listed_zone(name, zone, self.routers_by_zone.len());
+        check_all([
+            self.check_ordinal(),
+            zone("zone", self.zone.0),
+            self.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0)),
+            figure("pace_kb_per_s", self.transfer_kb_per_s),
+            self.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link)),
+        ])
+    }
+
+    fn check_ordinal(&self) -> Check {
+        match self.ordinal < self.routers {
             true => Ok(()),
-            false => Err(SettingsError::Zone { name, zone, zones }),
-        };
-        zone("zone", self.topology.zone.0)?;
-        self.topology.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0))?;
-        figure("pace_kb_per_s", self.topology.transfer_kb_per_s)?;
-        self.topology.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link))?;
-        self.classes.iter().try_for_each(Class::check)?;
-        let rules = &self.protection;
-        figure("cold_share", rules.cache_slow_start.initial_share)?;
-        figure("fall_multiple", rules.cache_slow_start.overload_multiple)?;
-        figure("parent_cold_share", rules.parent_slow_start.initial_share)?;
-        figure("parent_fall_multiple", rules.parent_slow_start.overload_multiple)?;
-        at_least("fall_span", rules.overload_window, MICROSECOND)?;
-        at_least("warm_after", rules.cache_slow_start.full_after, Span::ZERO)?;
-        at_least("parent_warm_after", rules.parent_slow_start.full_after, Span::ZERO)?;
-        at_least("purge_grace", rules.purge_grace, Span::ZERO)?;
-        at_least("purge_settles", rules.purge_settled_after, Span::ZERO)?;
-        at_least("ask_within", rules.max_list_age, Span::ZERO)?;
-        at_least("max_attempts", self.limits.max_attempts, 1)?;
-        at_least("max_retry_after", self.limits.max_retry_after, Span::ZERO)
+            false => Err(SettingsError::Ordinal { ordinal: self.ordinal, routers: self.routers }),
+        }
     }
 }
 
 impl Class {
-    fn check(&self) -> Result<(), SettingsError> {
-        figure("stretch", self.objective_stretch)?;
-        figure("worth", self.priority_weight)?;
-        at_least("target", self.latency_objective, MICROSECOND)?;
-        at_least("deadline", self.client_deadline, MICROSECOND)?;
-        at_least("window", self.dedup_window, Span::ZERO)?;
-        at_least("fresh", self.fresh_for, Span::ZERO)?;
-        at_least("grace", self.stale_for, Span::ZERO)
+    fn check(&self) -> Check {
+        check_all([
+            figure("stretch", self.objective_stretch),
+            figure("worth", self.priority_weight),
+            positive_span("target", self.latency_objective),
+            positive_span("deadline", self.client_deadline),
+            span("window", self.dedup_window),
+            span("fresh", self.fresh_for),
+            span("grace", self.stale_for),
+        ])
+    }
+}
+
+impl ProtectionRules {
+    fn check(&self) -> Check {
+        let (cache, parent) = (&self.cache_slow_start, &self.parent_slow_start);
+        check_all([
+            figure("cold_share", cache.initial_share),
+            figure("fall_multiple", cache.overload_multiple),
+            figure("parent_cold_share", parent.initial_share),
+            figure("parent_fall_multiple", parent.overload_multiple),
+            positive_span("fall_span", self.overload_window),
+            span("warm_after", cache.full_after),
+            span("parent_warm_after", parent.full_after),
+            span("purge_grace", self.purge_grace),
+            span("purge_settles", self.purge_settled_after),
+            span("ask_within", self.max_list_age),
+        ])
     }
 }
 
-fn figure(name: &'static str, value: f64) -> Result<(), SettingsError> {
+impl SiteLimits {
+    fn check(&self) -> Check {
+        check_all([
+            at_least("max_attempts", self.max_attempts, 1),
+            span("max_retry_after", self.max_retry_after),
+        ])
+    }
+}
+
+/// The first error of several checks.
+fn check_all<const N: usize>(checks: [Check; N]) -> Check {
+    checks.into_iter().collect()
+}
+
+/// A number of 0 or more.
+fn figure(name: &'static str, value: f64) -> Check {
     match value.is_finite() && value >= 0.0 {
         true => Ok(()),
         false => Err(SettingsError::Figure { name }),
     }
 }
 
-fn at_least<T: PartialOrd>(name: &'static str, value: T, least: T) -> Result<(), SettingsError> {
-    match value >= least {
+/// A span of 0 or more.
+fn span(name: &'static str, value: Span) -> Check {
+    at_least(name, value, Span::ZERO)
+}
+
+/// A span of more than 0.
+fn positive_span(name: &'static str, value: Span) -> Check {
+    at_least(name, value, Span::from_micros(1))
+}
+
+fn at_least<T: PartialOrd>(name: &'static str, value: T, min: T) -> Check {
+    match value >= min {
         true => Ok(()),
         false => Err(SettingsError::Span { name }),
     }
 }
+
+/// A zone that the lists of zones have.
+fn listed_zone(name: &'static str, zone: u16, zones: usize) -> Check {
+    match usize::from(zone) < zones {
+        true => Ok(()),
+        false => Err(SettingsError::Zone { name, zone, zones }),
+    }
+}
