--- a/src/bin/dahliatrack-wirehost/main.rs
+++ b/src/bin/dahliatrack-wirehost/main.rs
@@ -1,101 +1,74 @@
 //! Hosts routers of the library on the simulator's wire: batches on standard input, replies on standard
 //! output. It decides nothing itself.
+//!
+//! - `frames`: reads frames from the input.
+//! - `codec`: the records in them, and the replies.
+//! - `host`: the router instances.
 
 mod codec;
+mod frames;
+mod host;
 
-use codec::{Incoming, Reply, BATCH_HEADER};
-use dahliatrack::config::settings::SiteSettings;
-use dahliatrack::{Action, Instant, Router};
-use std::collections::BTreeMap;
+use codec::{CodecError, Reply};
+use frames::{Frame, FrameError};
+use host::{CreateError, Host};
 use std::io::{self, BufReader, Read, Write};
-use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    #[error("frame at byte {offset} of the input: {error}")]
+    Batch { offset: u64, error: BatchError },
+    #[error("output: {0}")]
+    Output(#[from] io::Error),
+}
+
+/// Why a batch cannot be answered.
+#[derive(Debug, thiserror::Error)]
+enum BatchError {
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error(transparent)]
+    Codec(#[from] CodecError),
+    #[error(transparent)]
+    Create(#[from] CreateError),
+}
+
 fn main() -> ExitCode {
     std::panic::set_hook(Box::new(|_| ())); // a panic is reported on the wire instead
-    match serve(&mut BufReader::with_capacity(1 << 16, io::stdin().lock()), &mut io::stdout().lock()) {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("dahliatrack-wirehost: {message}");
+        Err(error) => {
+            eprintln!("dahliatrack-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Answers batches until the input ends.
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut routers = BTreeMap::new();
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), ServeError> {
+    let mut host = Host::default();
     let mut offset: u64 = 0;
     loop {
-        let place = |e: String| format!("frame at byte {offset} of the input: {e}");
-        let Some(head) = read_header(input).map_err(place)? else {
-            return Ok(());
-        };
-        let (now, length, count) = codec::header(&head).map_err(place)?;
-        let mut body = Vec::new();
-        let wanted = (length - BATCH_HEADER) as u64;
-        input.take(wanted).read_to_end(&mut body).map_err(|e| place(e.to_string()))?;
-        if (body.len() as u64) < wanted {
-            return Err(place(format!(
-                "the input ends after {} of {length} bytes",
-                body.len() + BATCH_HEADER
-            )));
-        }
-        let mut reply = Reply::default();
-        for (instance, incoming) in codec::records(&body, count).map_err(place)? {
-            step(&mut routers, now, instance, incoming, &mut reply).map_err(place)?;
-        }
-        output
-            .write_all(&reply.finish())
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("output: {e}"))?;
-        offset += length as u64;
-    }
-}
-
-/// Passes one event to its instance; `Err` is bad input.
-fn step(
-    routers: &mut BTreeMap<u32, Router>,
-    now: Instant,
-    instance: u32,
-    incoming: Incoming,
-    reply: &mut Reply,
-) -> Result<(), String> {
-    let mut actions: Vec<Action> = Vec::new();
-    let ran = match incoming {
-        Incoming::Born { seed, settings } => {
-            let settings = SiteSettings::parse(&settings).map_err(|e| e.to_string())?.policy;
-            routers.insert(instance, Router::new(settings, seed, now).map_err(|e| format!("settings: {e}"))?);
-            Ok(())
-        }
-        Incoming::Killed => {
-            routers.remove(&instance);
-            Ok(())
-        }
-        Incoming::Event(event) => match routers.get_mut(&instance) {
-            Some(router) => catch_unwind(AssertUnwindSafe(|| router.handle(now, event, &mut actions))),
-            None => Ok(()),
-        },
-    };
-    for action in &actions {
-        reply.action(instance, action);
-    }
-    if let Err(panic) = ran {
-        let text = panic.downcast_ref::<String>().map(String::as_str);
-        let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-        reply.bug(instance, text);
-        routers.remove(&instance);
+        let located = |error| ServeError::Batch { offset, error };
+        let frame = Frame::read(input).map_err(|error| located(error.into()))?;
+        let Some(frame) = frame else { return Ok(()) };
+        let reply = answer(&mut host, &frame).map_err(located)?;
+        output.write_all(&reply.finish())?;
+        output.flush()?;
+        offset += frame.header.frame_bytes as u64;
     }
-    Ok(())
 }
 
-/// The next frame's header; `None` at a clean end of the input.
-fn read_header(input: &mut impl Read) -> Result<Option<[u8; BATCH_HEADER]>, String> {
-    let mut head = Vec::with_capacity(BATCH_HEADER);
-    input.take(BATCH_HEADER as u64).read_to_end(&mut head).map_err(|e| e.to_string())?;
-    match <[u8; BATCH_HEADER]>::try_from(head) {
-        Ok(head) => Ok(Some(head)),
-        Err(head) if head.is_empty() => Ok(None),
-        Err(head) => Err(format!("the input ends after {} of {BATCH_HEADER} header bytes", head.len())),
+/// Passes a batch's records to their instances.
+fn answer(host: &mut Host, frame: &Frame) -> Result<Reply, BatchError> {
+    let mut reply = Reply::default();
+    for record in frame.header.parse_records(&frame.body)? {
+        host.handle(frame.header.now, record, &mut reply)?;
     }
+    Ok(reply)
 }
