--- a/src/front/signed/credentials/tests.rs
+++ b/src/front/signed/credentials/tests.rs
@@ -13,7 +13,7 @@
 fn key(name: &str, algorithm: Algorithm, issuers: &[&str]) -> Key {
     let secret = Secret(format!("secret of the key {name}").into_bytes());
     let issuers = issuers.iter().map(|issuer| issuer.to_string()).collect();
-    Key { name: name.into(), algorithm, checks: secret.clone(), signs: Some(secret), issuers }
+    Key { name: name.into(), algorithm, verification_key: secret.clone(), signing_key: Some(secret), issuers }
 }
 
 fn keyring() -> Keyring {
@@ -39,7 +39,7 @@
     // HMAC-SHA1 over the whole URL up to the signature, written in base64url with padding: RFC 2104's
     // construction, computed apart from this program.
     let mut keyring = keyring();
-    keyring.keys[0].checks = Secret((0..16).collect());
+    keyring.keys[0].verification_key = Secret((0..16).collect());
     let url = keyring.sign_url("u1", "https://replays.example.org/a", NOW + 9).expect("signed");
     let wanted = "https://replays.example.org/a?Expires=1700000009&KeyName=u1&Signature=";
     assert_eq!(url, format!("{wanted}-pJUtsK7n3yS1gFlYeKjlO5K_as="));
@@ -113,7 +113,7 @@
         assert_eq!(check(&keyring, &url, None), wanted, "{url}");
     }
     // The published form signs the parameters alone: computed apart from this program.
-    keyring.keys[0].checks = Secret((0..16).collect());
+    keyring.keys[0].verification_key = Secret((0..16).collect());
     let text = keyring.sign_prefix("u1", "https://replays.example.org/17/", NOW + 9).expect("signed");
     let prefix = "aHR0cHM6Ly9yZXBsYXlzLmV4YW1wbGUub3JnLzE3Lw==";
     let wanted =
@@ -231,8 +231,8 @@
     let key = |signs: Option<Vec<u8>>| Key {
         name: "e1".into(),
         algorithm: Algorithm::Es256,
-        checks: Secret(public.clone()),
-        signs: signs.map(Secret),
+        verification_key: Secret(public.clone()),
+        signing_key: signs.map(Secret),
         issuers: vec![],
     };
     let whole = Keyring { keys: vec![key(Some(private))], audience: vec![] };
--- a/src/front/signed/credentials/token.rs
+++ b/src/front/signed/credentials/token.rs
@@ -77,7 +77,7 @@
         let unknown = || SignError::Key(key.to_owned());
         let known = self.keys.iter().find(|known| known.name == key).ok_or_else(unknown)?;
         let algorithm = jwt_algorithm(known.algorithm).ok_or_else(unknown)?;
-        let Secret(bytes) = known.signs.as_ref().ok_or_else(unknown)?;
+        let Secret(bytes) = known.signing_key.as_ref().ok_or_else(unknown)?;
         let signing_key = match known.algorithm {
             Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::Unusable)?,
             _ => EncodingKey::from_secret(bytes),
@@ -117,7 +117,7 @@
     validation.validate_exp = false;
     validation.validate_nbf = false;
     validation.validate_aud = false;
-    let Secret(bytes) = &key.checks;
+    let Secret(bytes) = &key.verification_key;
     let decoding_key = match key.algorithm {
         Algorithm::Es256 => DecodingKey::from_ec_pem(bytes).map_err(|_| InvalidCredential::Key)?,
         _ => DecodingKey::from_secret(bytes),
--- a/src/front/signed/credentials/url.rs
+++ b/src/front/signed/credentials/url.rs
@@ -109,7 +109,7 @@
 
 /// The signature of a text, by a key for signed URLs.
 fn mac(key: &Key, text: &str) -> Option<Vec<u8>> {
-    let Secret(secret) = &key.checks;
+    let Secret(secret) = &key.verification_key;
     Some(match key.algorithm {
         Algorithm::UrlSha1 => {
             Hmac::<Sha1>::new_from_slice(secret).ok()?.chain_update(text).finalize().into_bytes().to_vec()
@@ -123,7 +123,7 @@
 
 /// Whether a signature is that of a text. The comparison takes constant time.
 fn is_signature_valid(key: &Key, text: &str, signature: &[u8]) -> bool {
-    let Secret(secret) = &key.checks;
+    let Secret(secret) = &key.verification_key;
     match key.algorithm {
         Algorithm::UrlSha1 => Hmac::<Sha1>::new_from_slice(secret)
             .is_ok_and(|mac| mac.chain_update(text).verify_slice(signature).is_ok()),
