--- a/src/server/figures.rs
+++ b/src/server/figures.rs
@@ -51,7 +51,8 @@
         for (number, name) in self.names.classes.iter().enumerate() {
             let class = ClassId(number as u16);
             let answered = self.core.answer_counts(class);
-            let new = [answered.success, answered.overload, answered.error, self.upstream.written(class.0)];
+            let new =
+                [answered.success, answered.overload, answered.error, self.upstream.written_requests(class)];
             let sums = classes.entry(name).or_default();
             sums.iter_mut().zip(new).for_each(|(sum, new)| *sum += new);
         }
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -25,13 +25,19 @@
                     let server = member.server;
                     let started_at = host.started_at();
                     member.started_at = started_at.map(|unix| self.instants.start(heard, server, unix));
-                    let id = server.0;
                     match host.dial.filter(|_| member.state != ServerState::Removed) {
                         Some(addr) => {
                             let since = member.started_at;
-                            self.upstream.set_host(self.now, id, addr, since, &mut self.net, &mut self.due);
+                            self.upstream.set_server(
+                                self.now,
+                                server,
+                                addr,
+                                since,
+                                &mut self.net,
+                                &mut self.due,
+                            );
                         }
-                        None => self.upstream.remove_host(self.now, id, &mut self.net, &mut self.due),
+                        None => self.upstream.remove_server(self.now, server, &mut self.net, &mut self.due),
                     }
                     info!("event {n}: {} is {:?}", host.host, host.health);
                     entries.push(member);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -24,13 +24,13 @@
 use crate::front::admin;
 use crate::front::signed;
 use crate::front::thrift;
-use crate::interface::{CacheStatus, ClassId, Instant, ServerId, Span};
+use crate::interface::{CacheStatus, ClassId, Instant, Span};
 use crate::net::fabric::Fabric;
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::server_names::ServerNames;
 use crate::slots::Key;
 use crate::upstream::lines::WireRequest;
-use crate::upstream::{self, RequestEncoder, Upstream, UpstreamEvent};
+use crate::upstream::{self, JobId, QueueKind, QueuedRequest, RequestEncoder, Upstream, UpstreamEvent};
 use crate::SettingsError;
 use bytes::Bytes;
 use federate::FederationHandle;
@@ -310,7 +310,7 @@
 
     /// When there is something to do even if nothing comes.
     pub fn next_due(&self) -> Option<Instant> {
-        if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
+        if self.thrift.waiting_turns() + self.upstream.waiting_turns() > 0 {
             Some(self.now)
         } else {
             self.due.next()
@@ -342,8 +342,8 @@
             self.on_ready(Ready::readable(conn));
             self.settle();
         }
-        for _ in 0..self.upstream.turns() {
-            let Some(conn) = self.upstream.turn() else { break };
+        for _ in 0..self.upstream.waiting_turns() {
+            let Some(conn) = self.upstream.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
             self.settle();
         }
@@ -467,7 +467,9 @@
     fn on_due(&mut self, due: ServerDeadline) {
         match due {
             ServerDeadline::Core(what) => self.core.deadline_passed(self.now, what, &mut self.due),
-            ServerDeadline::Upstream(what) => self.upstream.due(self.now, what, &mut self.net, &mut self.due),
+            ServerDeadline::Upstream(what) => {
+                self.upstream.deadline_passed(self.now, what, &mut self.net, &mut self.due)
+            }
             ServerDeadline::Feed(what) => {
                 self.feed.deadline_passed(self.now, what, &mut self.net, &mut self.due)
             }
@@ -536,7 +538,7 @@
         match happening {
             UpstreamEvent::JobEnded { job, end: ending } => {
                 let end = translate::end(ending, &self.names);
-                let attempt = Key::from_number(job);
+                let attempt = Key::from_number(job.0);
                 let asked = self
                     .core
                     .written_at(attempt)
@@ -544,11 +546,11 @@
                 self.instants.witness_copy(self.now, end.copy.generated_at_ms, asked);
                 self.core.attempt_ended(self.now, attempt, end, &mut self.due);
             }
-            UpstreamEvent::HealthChecked { host, ending, elapsed } => {
+            UpstreamEvent::HealthChecked { server, end: ending, elapsed } => {
                 let end = translate::end(ending, &self.names);
                 self.core.health_checked(
                     self.now,
-                    ServerId(host),
+                    server,
                     end.result,
                     elapsed,
                     end.load_report,
@@ -564,11 +566,14 @@
                 let waiting = self.pending.get(&request);
                 let (id, class) = waiting.map_or_else(Default::default, |w| (w.trace.clone(), w.class.0));
                 let write = self.names.writes.get(usize::from(class)).is_some_and(|write| *write);
-                let tally = Some(class).filter(|_| self.core.is_cache(server));
-                self.upstream.queue(self.now, server.0, attempt.number(), id, write, tally);
+                let queue = if write { QueueKind::Writes } else { QueueKind::Reads };
+                let counted_class = Some(ClassId(class)).filter(|_| self.core.is_cache(server));
+                let job = JobId(attempt.number());
+                let queued = QueuedRequest { job, server, wire_id: id, queue, counted_class };
+                self.upstream.queue(self.now, queued);
             }
             Command::AbandonAttempt(attempt) => {
-                self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.due);
+                self.upstream.cancel(self.now, JobId(attempt.number()), &mut self.net, &mut self.due);
             }
             Command::AnswerRequest(request) => {
                 match self.pending.get(&request).map(|waiting| &waiting.client) {
@@ -588,9 +593,9 @@
                     None => {}
                 }
             }
-            Command::HealthCheck(server) => self.upstream.health_check(self.now, server.0),
+            Command::HealthCheck(server) => self.upstream.health_check(self.now, server),
             Command::CloseIdleConnections(server) => {
-                self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.due);
+                self.upstream.close_idle(self.now, server, &mut self.net, &mut self.due);
             }
             Command::Log(line) => info!("module: {line}"),
         }
@@ -607,8 +612,8 @@
 }
 
 impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
-    fn encode(&mut self, job: u64, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
-        let order = self.core.write_attempt(self.now, Key::from_number(job), due)?;
+    fn encode(&mut self, job: JobId, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
+        let order = self.core.write_attempt(self.now, Key::from_number(job.0), due)?;
         let asked = self.waiting.get(&order.request)?;
         let class = self.names.classes.get(usize::from(asked.class.0))?;
         let from = order.fill_source.and_then(|source| self.members.name(source));
@@ -618,8 +623,8 @@
         Some(translate::fetch(&order, class, from, &asked.item, seen, key, &asked.body))
     }
 
-    fn not_written(&mut self, job: u64) {
-        self.core.attempt_not_written(Key::from_number(job));
+    fn not_written(&mut self, job: JobId) {
+        self.core.attempt_not_written(Key::from_number(job.0));
     }
 }
 
--- a/src/upstream/answers.rs
+++ b/src/upstream/answers.rs
@@ -1,98 +1,105 @@
-//! Answers as they come from servers: read in pieces, and taken whole.
+//! The reader of servers' answers, which arrive in parts and are returned complete.
 
-use super::lines::{WireAnswer, LONGEST_LINE, MOST_BYTES};
+use super::lines::{WireAnswer, MAX_BODY_BYTES, MAX_LINE_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The words that an answer may have.
-const WORDS: [&str; 10] = ["200", "304", "404", "500", "503", "504", "alive", "dead", "stats", "status"];
+/// The statuses that an answer may have.
+const STATUSES: [&str; 10] = ["200", "304", "404", "500", "503", "504", "alive", "dead", "stats", "status"];
 
-/// The end of a line, and of an answer's bytes.
+/// Stands in a line in place of its fields, if it has none.
+const NO_FIELDS: &str = "-";
+/// Ends a line, and an answer's body.
 const LINE_END: &[u8; 2] = b"\r\n";
-/// A shorter answer is copied out of the buffer: a slice would keep all of it.
-const SHORT: usize = 16 * 1024;
+/// A shorter body is copied: a slice would keep the whole buffer alive.
+const MIN_SLICED_BODY_BYTES: usize = 16 * 1024;
 
-/// The peer does not speak the protocol.
+/// What the peer sent is no answer of the line protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no answer of the line protocol")]
 pub struct MalformedAnswer;
 
-/// An answer's line, and how many bytes follow it.
+/// An answer without its body.
 #[derive(Debug)]
 struct Head {
     answer: WireAnswer,
-    length: usize,
+    body_length: usize,
 }
 
-/// What reads a connection's answers, each taken whole.
+/// Reads the answers of one connection.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct AnswerReader {
+    /// The answer that is being received.
     head: Option<Head>,
-    /// Bytes of the answer under way that are still to be let go.
-    skip: usize,
+    /// Bytes of that answer that are still to be discarded.
+    discard: usize,
 }
 
-impl Reader {
-    /// Bytes that the answer under way takes in the buffer; 0 if that is not known yet.
+impl AnswerReader {
+    /// Buffer bytes that the answer being received needs; 0 if that is not known yet, or if its body is discarded.
     pub fn wanted(&self) -> usize {
-        self.head.as_ref().filter(|_| self.skip == 0).map_or(0, |head| head.length + LINE_END.len())
+        self.head.as_ref().filter(|_| self.discard == 0).map_or(0, |head| head.body_length + LINE_END.len())
     }
 
-    /// Whether an answer's bytes are still to come.
+    /// Whether the body of an answer is still to be received.
     pub fn is_midway(&self) -> bool {
         self.head.is_some()
     }
 
-    /// The next whole answer of what has come. An answer longer than `room` bytes is let go as it comes.
+    /// Takes the next complete answer from `input`. A body longer than `capacity` bytes is discarded as it arrives.
     ///
     /// # Errors
     ///
-    /// Something that is no answer.
-    pub fn next(&mut self, input: &mut BytesMut, room: usize) -> Result<Option<WireAnswer>, MalformedAnswer> {
+    /// The input is no answer.
+    pub fn next(
+        &mut self,
+        input: &mut BytesMut,
+        capacity: usize,
+    ) -> Result<Option<WireAnswer>, MalformedAnswer> {
         loop {
-            if self.skip > 0 {
-                return Ok(self.skip_bytes(input));
+            if self.discard > 0 {
+                return Ok(self.discard_body(input));
             }
             if self.head.is_some() {
-                return self.take_bytes(input);
+                return self.take_body(input);
             }
             let Some(head) = next_head(input)? else { return Ok(None) };
-            // A copy of no bytes is believed once the line's end behind it is there: its length may not fit.
-            if head.length == 0 && head.answer.status != "200" {
+            // An empty body is complete only with the line end behind it: the stated length may be wrong.
+            if head.body_length == 0 && head.answer.status != "200" {
                 return Ok(Some(head.answer));
             }
-            self.begin(head, input, room);
+            self.begin_body(head, input, capacity);
         }
     }
 
-    /// Begins an answer that has bytes.
-    fn begin(&mut self, mut head: Head, input: &mut BytesMut, room: usize) {
-        if head.length > room {
-            self.skip = head.length + LINE_END.len();
+    /// Begins an answer that has a body.
+    fn begin_body(&mut self, mut head: Head, input: &mut BytesMut, capacity: usize) {
+        if head.body_length > capacity {
+            self.discard = head.body_length + LINE_END.len();
             head.answer.body_dropped = true;
         } else {
-            input.reserve((head.length + LINE_END.len()).saturating_sub(input.len()));
+            input.reserve((head.body_length + LINE_END.len()).saturating_sub(input.len()));
         }
         self.head = Some(head);
     }
 
-    /// Lets bytes of an answer go that there is no room for; the answer without them once they are through.
-    fn skip_bytes(&mut self, input: &mut BytesMut) -> Option<WireAnswer> {
-        let part = self.skip.min(input.len());
+    /// Discards a body that there is no capacity for; returns the answer once all of it was received.
+    fn discard_body(&mut self, input: &mut BytesMut) -> Option<WireAnswer> {
+        let part = self.discard.min(input.len());
         input.advance(part);
-        self.skip -= part;
-        if self.skip > 0 {
+        self.discard -= part;
+        if self.discard > 0 {
             return None;
         }
         self.head.take().map(|head| head.answer)
     }
 
-    /// Takes an answer's bytes, if they are all there.
-    fn take_bytes(&mut self, input: &mut BytesMut) -> Result<Option<WireAnswer>, MalformedAnswer> {
-        let Some(Head { length, .. }) = self.head else { return Ok(None) };
+    /// Takes an answer with its body, if it was received completely.
+    fn take_body(&mut self, input: &mut BytesMut) -> Result<Option<WireAnswer>, MalformedAnswer> {
+        let Some(Head { body_length: length, .. }) = self.head else { return Ok(None) };
         if input.len() < length + LINE_END.len() {
             return Ok(None);
         }
-        let body = if length < SHORT {
+        let body = if length < MIN_SLICED_BODY_BYTES {
             let body = Bytes::copy_from_slice(&input[..length]);
             input.advance(length);
             body
@@ -106,40 +113,40 @@
     }
 }
 
-/// Takes the next line of an answer, if it is whole.
+/// Takes the next line, if it was received completely.
 fn next_head(input: &mut BytesMut) -> Result<Option<Head>, MalformedAnswer> {
     loop {
         let Some(end) = input.windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
-            return if input.len() > LONGEST_LINE { Err(MalformedAnswer) } else { Ok(None) };
+            return if input.len() > MAX_LINE_BYTES { Err(MalformedAnswer) } else { Ok(None) };
         };
         let line = input.split_to(end + LINE_END.len());
-        // An empty line is the end behind no bytes.
+        // An empty line ends an empty body.
         if end > 0 {
-            return head(&line[..end]).map(Some);
+            return parse_head(&line[..end]).map(Some);
         }
     }
 }
 
-/// The line of an answer, and the bytes that follow it.
-fn head(line: &[u8]) -> Result<Head, MalformedAnswer> {
+/// Parses the line of an answer.
+fn parse_head(line: &[u8]) -> Result<Head, MalformedAnswer> {
     let line = std::str::from_utf8(line).map_err(|_| MalformedAnswer)?;
     let words: Vec<&str> = line.split(' ').collect();
-    let (id, word, fields, length) = match words[..] {
-        [id, word] => (id, word, "-", "0"),
-        [id, word, fields] => (id, word, fields, "0"),
-        [id, word, fields, length] => (id, word, fields, length),
+    let (id, status, fields, length) = match words[..] {
+        [id, status] => (id, status, NO_FIELDS, "0"),
+        [id, status, fields] => (id, status, fields, "0"),
+        [id, status, fields, length] => (id, status, fields, length),
         _ => return Err(MalformedAnswer),
     };
-    let length: usize = length.parse().map_err(|_| MalformedAnswer)?;
-    if id.is_empty() || !WORDS.contains(&word) || length > MOST_BYTES {
+    let body_length: usize = length.parse().map_err(|_| MalformedAnswer)?;
+    if id.is_empty() || !STATUSES.contains(&status) || body_length > MAX_BODY_BYTES {
         return Err(MalformedAnswer);
     }
     let pair = |pair: &str| pair.split_once('=').map(|(name, value)| (name.to_owned(), value.to_owned()));
     let fields = match fields {
-        "-" | "" => Vec::new(),
+        NO_FIELDS | "" => Vec::new(),
         list => list.split(',').map(pair).collect::<Option<_>>().ok_or(MalformedAnswer)?,
     };
-    let (id, word) = (id.to_owned(), word.to_owned());
-    let answer = WireAnswer { id, status: word, fields, body: Bytes::new(), body_dropped: false };
-    Ok(Head { answer, length })
+    let (id, status) = (id.to_owned(), status.to_owned());
+    let answer = WireAnswer { id, status, fields, body: Bytes::new(), body_dropped: false };
+    Ok(Head { answer, body_length })
 }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,223 +1,284 @@
-//! Connections of the pool: opened, settled when idle, and closed with what was open there.
+//! Opening and closing connections.
 
-use super::answers::Reader;
-use super::pool::{Connection, Host, Job};
-use super::{ConnectionDeadline, JobEnd, Upstream};
+use super::connection::Connection;
+use super::jobs::{Job, JobEnd};
+use super::servers::{QueueKind, Server};
+use super::Upstream;
 use crate::deadlines::Schedule;
-use crate::interface::{Instant, Span};
+use crate::interface::{Instant, ServerId, Span};
 use crate::net::{is_local, ConnectionKey, Net, Reason, Role};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// After a connection did not come up no further one is opened beside others for this long: a server that
-/// takes no more of them is not pressed.
-const DIAL_BACKOFF: Span = Span::from_secs(1);
-/// A connection that is reset before it is up proves nothing of its server: it is tried anew this often.
-pub(super) const DIAL_RETRIES: u32 = 2;
-/// A connection for a write that is not needed any more is closed after this long.
-const UNUSED_WRITE_IDLE: Span = Span::from_millis(250);
-/// The shortest idle time of servers that is believed; some close sooner than the settings say.
-const LEAST_IDLE: Span = Span::from_millis(300);
-/// The part of the servers' idle time after which an idle connection is closed from here: before the peer.
-const IDLE_PART: f64 = 0.6;
+use std::collections::BTreeMap;
+
+/// After a connection did not come up, none is opened beside others for this long: its server may take no more.
+const CONNECT_BACKOFF: Span = Span::from_secs(1);
+/// How often a connection that is reset before it is up is opened again: such a reset proves nothing of its server.
+pub(super) const MAX_CONNECT_RETRIES: u32 = 2;
+/// An unused connection for writes is closed after this long.
+const UNUSED_WRITE_TIMEOUT: Span = Span::from_millis(250);
+/// The shortest idle time-out that is learned from a server that closes sooner than the settings say.
+const MIN_IDLE_TIMEOUT: Span = Span::from_millis(300);
+/// The fraction of the servers' idle time-out after which an idle connection is closed here: before the peer does.
+const IDLE_FRACTION: f64 = 0.6;
+
+/// A deadline of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionDeadline {
+    /// It has not come up in time.
+    Connect(ConnectionKey),
+    /// It has been idle for too long.
+    Idle(ConnectionKey),
+    /// Nothing more of an answer was received.
+    AnswerStalled(ConnectionKey),
+    /// A connection is old enough for a write.
+    FitForWrite,
+}
+
+/// Why a connection could not be opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum ConnectError {
+    /// The server can't be reached.
+    #[error("the server can't be reached")]
+    Unreachable,
+    /// This process lacks a descriptor, a port or the like, which says nothing about the server.
+    #[error("no descriptor, port or the like is left")]
+    Exhausted,
+}
+
+impl ConnectError {
+    /// How jobs end that waited for the connection.
+    fn job_end(self) -> JobEnd {
+        match self {
+            ConnectError::Unreachable => JobEnd::NotConnected,
+            ConnectError::Exhausted => JobEnd::NotSent,
+        }
+    }
+}
 
 impl Upstream {
-    /// Closes idle connections while there are more than may be held.
-    pub fn trim(&mut self, now: Instant, net: &mut Net, due: &mut dyn Schedule<ConnectionDeadline>) {
-        let over = net.count(Role::Upstream).saturating_sub(self.limits.max_connections);
-        (0..over).for_each(|_| self.drop_idlest(now, net, due));
+    /// Closes idle connections while there are more than the limits allow.
+    pub fn trim(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<ConnectionDeadline>) {
+        let excess = net.count(Role::Upstream).saturating_sub(self.limits.max_connections);
+        for _ in 0..excess {
+            self.drop_longest_idle(now, net, deadlines);
+        }
     }
 
     /// Closes a server's idle connections.
     pub fn close_idle(
         &mut self,
         now: Instant,
-        host: u32,
+        server: ServerId,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
-        let connections = self.hosts.get(&host).map(Host::connections).unwrap_or_default();
-        for connection in connections {
-            if self.connections.get(&connection).is_some_and(|l| l.up && l.open.is_empty()) {
-                self.drop_connection(now, connection, Reason::Idle, net, due);
+        for key in self.connections_of(server) {
+            if self.connections.get(&key).is_some_and(Connection::is_idle) {
+                self.drop_connection(now, key, Reason::Idle, net, deadlines);
             }
         }
     }
 
+    /// Closes all connections.
+    pub fn stop(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<ConnectionDeadline>) {
+        for key in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.drop_connection(now, key, Reason::Stopping, net, deadlines);
+        }
+    }
+
+    /// Opens a connection for a queue. If that fails at once, the jobs that only it could have taken end.
     pub(super) fn connect(
         &mut self,
         now: Instant,
-        host: u32,
-        lane: usize,
+        server: ServerId,
+        queue: QueueKind,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) -> bool {
         if net.count(Role::Upstream) >= self.limits.max_connections {
-            self.drop_idlest(now, net, due);
-        }
-        let Some(known) = self.hosts.get_mut(&host) else { return false };
-        let room = net.count(Role::Upstream) < self.limits.max_connections;
-        let connected = room.then(|| net.connect(now, known.addr, Role::Upstream));
-        let key = match connected {
-            Some(Ok(key)) => key,
-            Some(Err(error)) if !is_local(&error) => {
-                self.connect_failed(now, host, lane, JobEnd::NotConnected);
-                return false;
-            }
-            // For want of a descriptor or the like here: that says nothing of the server.
-            Some(Err(_)) | None => {
-                self.connect_failed(now, host, lane, JobEnd::NotSent);
+            self.drop_longest_idle(now, net, deadlines);
+        }
+        let Some(addr) = self.servers.get(&server).map(|known| known.addr) else { return false };
+        let key = match self.begin_connect(now, addr, net) {
+            Ok(key) => key,
+            Err(error) => {
+                self.connect_failed(now, server, queue, &error.job_end());
                 return false;
             }
         };
-        known.lanes[lane].connections.push(key);
+        if let Some(queue) = self.queue_mut(server, queue) {
+            queue.connections.push(key);
+        }
         let connect_deadline =
-            Some(due.add(now + self.limits.connect_timeout, ConnectionDeadline::Connect(key)));
-        let connection = Connection {
-            host,
-            lane,
-            up: false,
-            blocked: false,
-            open: BTreeMap::new(),
-            cancelled: BTreeSet::new(),
-            answered: VecDeque::new(),
-            reader: Reader::default(),
-            waiting: None,
-            unanswered: 0,
-            since: now,
-            used: false,
-            idle_since: now,
-            connect_deadline,
-            idle_deadline: None,
-            answer_deadline: None,
-            answer_since: None,
-            tally: None,
-        };
-        self.connections.insert(key, connection);
+            deadlines.add(now + self.limits.connect_timeout, ConnectionDeadline::Connect(key));
+        self.connections.insert(key, Connection::connecting(now, server, queue, connect_deadline));
         true
     }
 
-    /// Closes the connection that has been idle longest, if one is.
-    pub(super) fn drop_idlest(
-        &mut self,
+    fn begin_connect(
+        &self,
         now: Instant,
+        addr: std::net::SocketAddr,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
-    ) {
-        let idle =
-            self.connections.iter().filter(|(_, connection)| connection.up && connection.open.is_empty());
-        let idlest = idle.min_by_key(|(key, connection)| (connection.idle_since, **key)).map(|(key, _)| *key);
-        if let Some(key) = idlest {
-            self.drop_connection(now, key, Reason::Evicted, net, due);
+    ) -> Result<ConnectionKey, ConnectError> {
+        if net.count(Role::Upstream) >= self.limits.max_connections {
+            return Err(ConnectError::Exhausted);
         }
+        net.connect(now, addr, Role::Upstream).map_err(|error| match is_local(&error) {
+            true => ConnectError::Exhausted,
+            false => ConnectError::Unreachable,
+        })
     }
 
-    /// A connection failed to come up: what is queued ends unless another may still take it.
-    pub(super) fn connect_failed(&mut self, now: Instant, host: u32, lane: usize, ending: JobEnd) {
-        let Some(known) = self.hosts.get_mut(&host).map(|known| &mut known.lanes[lane]) else { return };
-        known.backoff_until = now + DIAL_BACKOFF;
-        let hope = |key: &ConnectionKey| {
+    /// A connection failed to come up: the jobs of its queue end unless another connection may still take them.
+    fn connect_failed(&mut self, now: Instant, server: ServerId, queue: QueueKind, end: &JobEnd) {
+        let Some(known) = self.servers.get_mut(&server).map(|server| server.queue_mut(queue)) else { return };
+        known.backoff_until = now + CONNECT_BACKOFF;
+        let may_take_jobs = |key: &ConnectionKey| {
             self.connections
                 .get(key)
-                .is_some_and(|connection| if connection.up { !connection.silent(now) } else { true })
+                .is_some_and(|connection| !connection.is_up || !connection.is_silent(now))
         };
-        if known.connections.iter().any(hope) {
+        if known.connections.iter().any(may_take_jobs) {
             return;
         }
-        let queue = std::mem::take(&mut known.queue);
-        queue.into_iter().for_each(|job| self.end(now, job, ending.clone()));
+        let jobs = std::mem::take(&mut known.jobs);
+        self.end_jobs(now, jobs, end);
     }
 
-    /// Looks after a connection on which nothing waits any more.
+    /// Looks at a connection after its last open job may have ended: closes it, or sets its idle deadline.
     pub(super) fn settle(
         &mut self,
         now: Instant,
         key: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
-        let Some(connection) =
-            self.connections.get_mut(&key).filter(|connection| connection.open.is_empty() && connection.up)
-        else {
+        let Some(connection) = self.connections.get(&key).filter(|connection| connection.is_idle()) else {
             return;
         };
-        if self.hosts.get(&connection.host).is_none_or(|host| host.gone) {
-            return self.drop_connection(now, key, Reason::Replaced, net, due);
+        match self.reason_to_close(now, connection) {
+            Some(reason) => self.drop_connection(now, key, reason, net, deadlines),
+            None => self.set_idle_deadline(now, key, deadlines),
+        }
+    }
+
+    /// Why an idle connection is closed at once, if it is.
+    fn reason_to_close(&self, now: Instant, connection: &Connection) -> Option<Reason> {
+        if self.servers.get(&connection.server).is_none_or(|server| server.is_removed) {
+            return Some(Reason::Replaced);
         }
-        if connection.silent(now) {
-            return self.drop_connection(now, key, Reason::Silent, net, due);
+        if connection.is_silent(now) {
+            return Some(Reason::Silent);
         }
-        if connection.lane == 1 && connection.used {
-            return self.drop_connection(now, key, Reason::Done, net, due);
+        let is_used_up = connection.queue == QueueKind::Writes && connection.was_used;
+        is_used_up.then_some(Reason::Done)
+    }
+
+    fn set_idle_deadline(
+        &mut self,
+        now: Instant,
+        key: ConnectionKey,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        connection.silent_since = None;
+        if connection.idle_deadline.is_some() {
+            return;
         }
-        connection.waiting = None;
-        if connection.idle_deadline.is_none() {
-            connection.idle_since = now;
-            let idle = if connection.lane == 1 {
-                UNUSED_WRITE_IDLE
-            } else {
-                Span::from_micros_f64(self.limits.idle_timeout.as_micros_f64() * IDLE_PART)
-            };
-            connection.idle_deadline = Some(due.add(now + idle, ConnectionDeadline::Idle(key)));
+        connection.idle_since = now;
+        let timeout = match connection.queue {
+            QueueKind::Reads => {
+                Span::from_micros_f64(self.limits.idle_timeout.as_micros_f64() * IDLE_FRACTION)
+            }
+            QueueKind::Writes => UNUSED_WRITE_TIMEOUT,
+        };
+        connection.idle_deadline = Some(deadlines.add(now + timeout, ConnectionDeadline::Idle(key)));
+    }
+
+    /// Closes the connection that has been idle longest, if any is idle.
+    fn drop_longest_idle(
+        &mut self,
+        now: Instant,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        let longest = idle.min_by_key(|(key, connection)| (connection.idle_since, **key));
+        if let Some(key) = longest.map(|(key, _)| *key) {
+            self.drop_connection(now, key, Reason::Evicted, net, deadlines);
         }
     }
 
+    /// Closes a server's connections.
     pub(super) fn close_connections(
         &mut self,
         now: Instant,
-        host: u32,
+        server: ServerId,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
-        let connections = self.hosts.get(&host).map(Host::connections).unwrap_or_default();
-        connections
-            .into_iter()
-            .for_each(|connection| self.drop_connection(now, connection, reason, net, due));
+        for key in self.connections_of(server) {
+            self.drop_connection(now, key, reason, net, deadlines);
+        }
+    }
+
+    fn connections_of(&self, server: ServerId) -> Vec<ConnectionKey> {
+        self.servers.get(&server).map(Server::connections).unwrap_or_default()
     }
 
+    /// Closes a connection; its open jobs end, since each may have run. One that was reset before it came up is opened
+    /// again.
     pub(super) fn drop_connection(
         &mut self,
         now: Instant,
         key: ConnectionKey,
         reason: Reason,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let Some(connection) = self.connections.remove(&key) else { return };
-        connection
-            .connect_deadline
-            .into_iter()
-            .chain(connection.idle_deadline)
-            .chain(connection.answer_deadline)
-            .for_each(|handle| due.remove(handle));
+        connection.deadlines().for_each(|handle| deadlines.remove(handle));
         net.close(now, key, reason);
-        if reason == Reason::PeerClosed && connection.up && connection.open.is_empty() {
-            self.limits.idle_timeout =
-                self.limits.idle_timeout.min((now - connection.idle_since).max(LEAST_IDLE));
-        }
-        let mut again = false;
-        if let Some(host) = self.hosts.get_mut(&connection.host) {
-            let lane = &mut host.lanes[connection.lane];
-            lane.connections.retain(|known| *known != key);
-            again = !connection.up
-                && reason == Reason::PeerReset
-                && lane.dial_retries < DIAL_RETRIES
-                && !host.gone;
-            lane.dial_retries += u32::from(again);
-            if host.gone && host.connections().is_empty() {
-                self.hosts.remove(&connection.host);
-            }
+        if reason == Reason::PeerClosed && connection.is_idle() {
+            self.learn_idle_timeout(now - connection.idle_since);
+        }
+        let retries = self.remove_from_queue(key, &connection, reason);
+        let Connection { server, queue, is_up, open, .. } = connection;
+        self.end_open_jobs(now, open);
+        if retries {
+            self.connect(now, server, queue, net, deadlines);
+        } else if !is_up {
+            self.connect_failed(now, server, queue, &JobEnd::NotConnected);
         }
-        let mut open: Vec<Job> = connection.open.into_values().collect();
-        open.sort_by_key(|job| match job {
-            Job::Fetch(number) | Job::Probe(number) => *number,
-        });
-        open.into_iter().for_each(|job| self.end(now, job, JobEnd::Reset));
-        if again {
-            self.connect(now, connection.host, connection.lane, net, due);
-        } else if !connection.up {
-            self.connect_failed(now, connection.host, connection.lane, JobEnd::NotConnected);
+    }
+
+    /// A server closed a connection that had been idle for this long.
+    fn learn_idle_timeout(&mut self, idle: Span) {
+        self.limits.idle_timeout = self.limits.idle_timeout.min(idle.max(MIN_IDLE_TIMEOUT));
+    }
+
+    /// Removes a connection from its server's record, and with the last one that of a removed server; whether another
+    /// one is to be opened in its place.
+    fn remove_from_queue(&mut self, key: ConnectionKey, connection: &Connection, reason: Reason) -> bool {
+        let Some(server) = self.servers.get_mut(&connection.server) else { return false };
+        let is_removed = server.is_removed;
+        let queue = server.queue_mut(connection.queue);
+        queue.connections.retain(|known| *known != key);
+        let was_reset_early = !connection.is_up && reason == Reason::PeerReset;
+        let retries = was_reset_early && queue.connect_retries < MAX_CONNECT_RETRIES && !is_removed;
+        queue.connect_retries += u32::from(retries);
+        if is_removed && server.connections().is_empty() {
+            self.servers.remove(&connection.server);
         }
+        retries
+    }
+
+    /// Ends what was open on a connection that was closed, in the order of the jobs' numbers.
+    fn end_open_jobs(&mut self, now: Instant, open: BTreeMap<String, Job>) {
+        let mut jobs: Vec<Job> = open.into_values().collect();
+        jobs.sort_by_key(|job| job.number());
+        self.end_jobs(now, jobs, &JobEnd::Reset);
     }
 }
 
--- a/src/upstream/lines.rs
+++ b/src/upstream/lines.rs
@@ -1,16 +1,16 @@
-//! The line protocol to table caches, parents and the origin.
+//! The line protocol to table caches, parents and the origin: encoding of requests, and answers as parsed.
 
 use bytes::Bytes;
 use std::fmt::Write;
 
-/// The longest line of an answer.
-pub const LONGEST_LINE: usize = 4096;
-/// The longest word of a client's that is passed on.
-const LONGEST_WORD: usize = 128;
-/// The most bytes that an answer may carry: an object of the protocol has 240,000.
-pub const MOST_BYTES: usize = 1 << 18;
+/// The longest line of an answer, in bytes.
+pub const MAX_LINE_BYTES: usize = 4096;
+/// The longest plain word, in bytes.
+const MAX_WORD_BYTES: usize = 128;
+/// The longest body of an answer, in bytes: an object of the protocol has 240,000.
+pub const MAX_BODY_BYTES: usize = 1 << 18;
 
-/// A request as it is written.
+/// A request to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WireRequest {
     /// The class's name.
@@ -19,36 +19,36 @@
     pub item: String,
     /// The part.
     pub part: u32,
-    /// How long the answer is waited for, in milliseconds.
+    /// The attempt time-out, in milliseconds.
     pub timeout_ms: i64,
-    /// The id of the source of a fill.
+    /// The fill source's id.
     pub fill_source: Option<String>,
-    /// The rank at which the copy is kept.
+    /// The rank at which the copy is cached.
     pub cache_rank: u8,
-    /// The oldest copy that will do, in milliseconds; 0: not said.
+    /// The oldest copy that is accepted, in milliseconds; 0: any age.
     pub max_age_ms: i64,
-    /// Join a fill that is under way.
+    /// Join a fill in flight.
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// The source answers only from its cache.
     pub only_if_cached: bool,
-    /// The parent keeps no copy.
+    /// The parent caches no copy.
     pub bypass_parent_cache: bool,
-    /// Renew an ageing copy behind.
+    /// Serve an ageing copy and refresh it in the background.
     pub stale_while_revalidate: bool,
-    /// The tag of the client's copy; passed on only if it is one word that can't be mistaken.
+    /// The entity tag of the client's copy; sent only if it is a plain word.
     pub client_etag: Option<String>,
     /// The idempotency key, a plain word.
     pub idempotency_key: Option<String>,
-    /// What the client sent along.
+    /// The request's body.
     pub body: Bytes,
 }
 
-/// The bytes of a request before its body.
+/// Encodes a request's line; its body follows.
 pub fn fetch_head(id: &str, fetch: &WireRequest) -> Bytes {
     let WireRequest { class, item, part: chunk, timeout_ms: limit, .. } = fetch;
     let mut line = format!("fetch {id} cls={class},item={item},chunk={chunk},limit={limit}");
     let mut field = |name: &str, value: &dyn std::fmt::Display| {
-        let _ = write!(line, ",{name}={value}"); // a string takes all
+        let _ = write!(line, ",{name}={value}"); // writing to a string can't fail
     };
     if let Some(from) = &fetch.fill_source {
         field("from", from);
@@ -59,13 +59,13 @@
     if fetch.max_age_ms > 0 {
         field("oldest", &fetch.max_age_ms);
     }
-    let words = [
+    let modes = [
         (fetch.join_fill, "share"),
         (fetch.only_if_cached, "peek"),
         (fetch.bypass_parent_cache, "pass"),
         (fetch.stale_while_revalidate, "swr"),
     ];
-    let mode: Vec<&str> = words.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
+    let mode: Vec<&str> = modes.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
     if !mode.is_empty() {
         field("mode", &mode.join("+"));
     }
@@ -79,34 +79,34 @@
     line.into()
 }
 
-/// Whether a client's word can be passed on: one that would break the line cannot.
+/// Whether a client's word can stand in a line without breaking it.
 pub fn is_plain(word: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || "_-.:".contains(c);
-    (1..=LONGEST_WORD).contains(&word.len()) && word.chars().all(fits)
+    (1..=MAX_WORD_BYTES).contains(&word.len()) && word.chars().all(fits)
 }
 
-/// Gives a request up.
+/// Encodes the cancellation of a request.
 pub fn abort(id: &str) -> Bytes {
     format!("abort {id}\r\n").into()
 }
 
-/// Asks for the health, with the load report.
-pub fn stats(tag: &str) -> Bytes {
-    format!("stats {tag}\r\n").into()
+/// Encodes a health check, which is answered with the load report.
+pub fn stats(id: &str) -> Bytes {
+    format!("stats {id}\r\n").into()
 }
 
-/// An answer.
+/// An answer of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireAnswer {
-    /// The id of what it answers.
+    /// The id of the request that it answers.
     pub id: String,
-    /// Its word: `200`, `alive` and the like.
+    /// Its status: `200`, `alive` and the like.
     pub status: String,
-    /// Its fields.
+    /// Its fields, by name.
     pub fields: Vec<(String, String)>,
-    /// Its bytes.
+    /// Its body.
     pub body: Bytes,
-    /// Its bytes were let go for want of memory.
+    /// Its body was discarded for want of memory.
     pub body_dropped: bool,
 }
 
@@ -116,7 +116,7 @@
         self.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The load report, in the order of the names.
+    /// The load report, in the order of the names in the settings.
     pub fn load_report(&self, names: &[String]) -> Vec<f32> {
         let pairs: Vec<(&str, f32)> = self
             .field("meter")
@@ -125,7 +125,7 @@
             .filter_map(|pair| pair.split_once(':'))
             .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
             .collect();
-        // On the sockets some names differ from those of the settings; these stand in the settings' order.
+        // Some servers use other names than the settings; they report in the settings' order.
         let named = |name: &String| pairs.iter().find(|(known, _)| known == name).map(|(_, value)| *value);
         let found: Option<Vec<f32>> = names.iter().map(named).collect();
         found.unwrap_or_else(|| pairs.iter().map(|(_, value)| *value).collect())
--- a/src/upstream/lines/tests.rs
+++ b/src/upstream/lines/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of `lines`.
 
 use super::*;
-use crate::upstream::answers::{MalformedAnswer, Reader};
+use crate::upstream::answers::{AnswerReader, MalformedAnswer};
 use bytes::BytesMut;
 
-fn read(bytes: &[u8], step: usize, room: usize) -> Result<Vec<WireAnswer>, MalformedAnswer> {
-    let (mut reader, mut input, mut all) = (Reader::default(), BytesMut::new(), Vec::new());
+fn read(bytes: &[u8], step: usize, capacity: usize) -> Result<Vec<WireAnswer>, MalformedAnswer> {
+    let (mut reader, mut input, mut all) = (AnswerReader::default(), BytesMut::new(), Vec::new());
     for part in bytes.chunks(step) {
         input.extend_from_slice(part);
-        while let Some(answer) = reader.next(&mut input, room)? {
+        while let Some(answer) = reader.next(&mut input, capacity)? {
             all.push(answer);
         }
     }
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn answers_are_read_whole_however_they_come() {
+fn answers_are_complete_however_their_bytes_arrive() {
     let text = b"7 200 ver=a1,born=5,meter=inflight:7;x0:0.5 4\r\nab\r\n\r\n8 404 tell=not_there 0\r\n\r\n\
             p1 alive\r\n9 304 ver=q 0\r\n";
     for step in 1..text.len() {
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn what_has_no_room_is_let_go_and_the_next_answer_is_read() {
+fn a_body_without_capacity_is_discarded_and_the_next_answer_is_read() {
     let all = read(b"1 200 - 6\r\nabcdef\r\n2 503 - 0\r\n", 3, 5).expect("answers");
     assert_eq!((all[0].body_dropped, all[0].body.len(), &all[1].status[..]), (true, 0, "503"));
 }
 
 #[test]
-fn what_is_no_answer_is_bad() {
+fn input_that_is_no_answer_is_malformed() {
     let long = [b"1 200 a=", &[b'x'; 5000][..]].concat();
     let bad: [&[u8]; 9] = [
         b"1\r\n",
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_request_names_only_what_is_said() {
+fn a_request_line_has_only_the_fields_that_are_set() {
     let plain =
         WireRequest { class: "piece".into(), item: "7f".into(), timeout_ms: 900, ..WireRequest::default() };
     let head = |fetch: &WireRequest| String::from_utf8(fetch_head("5", fetch).to_vec()).expect("text");
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,13 +1,27 @@
 //! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
 
 use super::answers::MalformedAnswer;
-use super::{ConnectionDeadline, JobEnd, Upstream, INPUT, LONGEST_ANSWER, PROVEN, READS_IN_A_TURN, STOPPED};
+use super::connection::MIN_WRITE_CONNECTION_AGE;
+use super::lines::{self, WireAnswer};
+use super::{ConnectionDeadline, JobEnd, QueueKind, Upstream};
 use crate::deadlines::Schedule;
-use crate::interface::Instant;
+use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net, Reason};
 
+/// Bytes read at a time, besides those of the answer that is being received.
+pub(super) const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// A whole line must fit, or its connection would be read for ever without coming further.
+const _: () = assert!(READ_BUFFER_BYTES > 2 * lines::MAX_LINE_BYTES);
+/// Reads of one connection in a turn, so that a server that sends without end does not hold up the others.
+pub(super) const MAX_READS_PER_TURN: usize = 4;
+/// An answer of which nothing more is received for this long ends its connection, since everything else that is open
+/// there waits behind it.
+pub(super) const ANSWER_STALL_TIMEOUT: Span = Span::from_millis(600);
+/// An answer that is not complete this long after it began ends its connection: no client waits longer.
+pub(super) const MAX_ANSWER_TIME: Span = Span::from_secs(3);
+
 impl Upstream {
-    /// A connection may be read from, or written to.
+    /// Handles a connection that may be readable or writable.
     pub fn ready(
         &mut self,
         now: Instant,
@@ -15,174 +29,188 @@
         read: bool,
         write: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
-        if let Err(reason) = self.advance(now, key, read, write, net, due) {
-            self.drop_connection(now, key, reason, net, due);
+        if let Err(reason) = self.try_ready(now, key, read, write, net, deadlines) {
+            self.drop_connection(now, key, reason, net, deadlines);
         }
     }
 
-    fn advance(
+    fn try_ready(
         &mut self,
         now: Instant,
         key: ConnectionKey,
         read: bool,
         write: bool,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) -> Result<(), Reason> {
         let Some(connection) = self.connections.get(&key) else { return Ok(()) };
-        if !connection.up {
+        if !connection.is_up {
             if !net.connected(key)? {
                 return Ok(());
             }
-            self.come_up(now, key, net, due);
+            self.on_connected(now, key, net, deadlines);
         }
         if write {
-            if let Some(connection) = self.connections.get_mut(&key) {
-                connection.blocked = false;
-            }
-            net.flush(key)?;
-            self.tally(key, net);
+            self.on_writable(key, net)?;
         }
         if read {
             self.read(now, key, net)?;
-            self.watch_answer(now, key, net, due);
-            self.settle(now, key, net, due);
+            self.update_answer_deadline(now, key, net, deadlines);
+            self.settle(now, key, net, deadlines);
         }
         Ok(())
     }
 
     /// A connection has come up.
-    fn come_up(
+    fn on_connected(
         &mut self,
         now: Instant,
         key: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        connection.up = true;
-        (connection.since, connection.idle_since) = (now, now);
-        if connection.lane == 1 {
-            due.add(now + PROVEN, ConnectionDeadline::Proven);
+        connection.is_up = true;
+        (connection.up_since, connection.idle_since) = (now, now);
+        if connection.queue == QueueKind::Writes {
+            deadlines.add(now + MIN_WRITE_CONNECTION_AGE, ConnectionDeadline::FitForWrite);
+        }
+        if let Some(handle) = connection.connect_deadline.take() {
+            deadlines.remove(handle);
         }
-        connection.connect_deadline.take().into_iter().for_each(|handle| due.remove(handle));
-        if let Some(host) = self.hosts.get_mut(&connection.host) {
-            host.lanes[connection.lane].dial_retries = 0;
+        let (server, queue) = (connection.server, connection.queue);
+        if let Some(queue) = self.queue_mut(server, queue) {
+            queue.connect_retries = 0;
         }
-        self.settle(now, key, net, due);
+        self.settle(now, key, net, deadlines);
     }
 
-    /// Sets the deadline of an answer that has come in part: its next bytes, and its end, have their times.
-    fn watch_answer(
+    fn on_writable(&mut self, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.is_blocked = false;
+        }
+        net.flush(key)?;
+        self.count_written(key, net);
+        Ok(())
+    }
+
+    /// Sets the deadline of an answer that was received in part: for its next bytes, and for its end.
+    fn update_answer_deadline(
         &mut self,
         now: Instant,
         key: ConnectionKey,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let in_part =
+        if let Some(handle) = connection.answer_deadline.take() {
+            deadlines.remove(handle);
+        }
+        let is_partial =
             connection.reader.is_midway() || net.input(key, |input| !input.is_empty()).unwrap_or(false);
-        connection.answer_deadline.take().into_iter().for_each(|handle| due.remove(handle));
-        if !in_part {
-            connection.answer_since = None;
+        if !is_partial {
+            connection.answer_started_at = None;
             return;
         }
-        let since = *connection.answer_since.get_or_insert(now);
-        let until = (now + STOPPED).min(since + LONGEST_ANSWER);
-        connection.answer_deadline = Some(due.add(until, ConnectionDeadline::Stopped(key)));
+        let started_at = *connection.answer_started_at.get_or_insert(now);
+        let until = (now + ANSWER_STALL_TIMEOUT).min(started_at + MAX_ANSWER_TIME);
+        connection.answer_deadline = Some(deadlines.add(until, ConnectionDeadline::AnswerStalled(key)));
     }
 
-    /// Takes in what has come. A server that sends without end gets its next turn behind all others.
+    /// Reads answers. A server that sends without end gets its next turn after all others.
     pub(super) fn read(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
-        for _ in 0..READS_IN_A_TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             let wanted = self.connections.get(&key).map_or(0, |connection| connection.reader.wanted());
-            let got = net.read(key, wanted + INPUT);
-            if got.is_ok_and(|got| got.bytes > 0) {
-                if let Some(connection) = self.connections.get_mut(&key) {
-                    (connection.unanswered, connection.waiting) = (0, Some(now));
-                }
+            let progress = net.read(key, wanted + READ_BUFFER_BYTES);
+            if progress.is_ok_and(|progress| progress.bytes > 0) {
+                self.on_bytes_received(now, key);
             }
+            // What was received before the connection broke counts.
             self.take_answers(now, key, net)?;
-            match got? {
-                got if got.end => return Err(Reason::PeerClosed),
-                got if !got.more => return Ok(()),
-                _ => {}
+            let progress = progress?;
+            if progress.end {
+                return Err(Reason::PeerClosed);
+            }
+            if !progress.more {
+                return Ok(());
             }
         }
-        self.turns.push_back(key);
+        self.read_turns.push_back(key);
         Ok(())
     }
 
-    /// Ends the jobs whose answers have come whole.
+    fn on_bytes_received(&mut self, now: Instant, key: ConnectionKey) {
+        if let Some(connection) = self.connections.get_mut(&key) {
+            (connection.unanswered_jobs, connection.silent_since) = (0, Some(now));
+        }
+    }
+
+    /// Ends the jobs whose answers were received completely.
     fn take_answers(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
-        let room = self.limits.max_buffered_bytes.saturating_sub(net.held_bytes() + self.elsewhere);
+        let held_bytes = net.held_bytes() + self.bytes_held_elsewhere;
+        let capacity = self.limits.max_buffered_bytes.saturating_sub(held_bytes);
         let Some(connection) = self.connections.get_mut(&key) else { return Ok(()) };
         let mut answers = Vec::new();
-        let read = net.input(key, |input| {
-            while let Some(answer) = connection.reader.next(input, room)? {
+        let result = net.input(key, |input| {
+            while let Some(answer) = connection.reader.next(input, capacity)? {
                 answers.push(answer);
             }
             Ok(())
         });
         if !answers.is_empty() {
-            connection.answer_since = None;
+            connection.answer_started_at = None;
         }
         for answer in answers {
-            // An id that is not open was given up: its answer came late.
-            match self.connections.get_mut(&key).and_then(|connection| connection.answered(now, &answer.id)) {
-                Some(job) => self.end(now, job, JobEnd::Answer(answer)),
-                None => drop(answer),
-            }
+            self.on_answer(now, key, answer);
         }
-        match read {
+        match result {
             Some(Err(MalformedAnswer)) => Err(Reason::BadMessage),
             _ => Ok(()),
         }
     }
 
+    /// Ends the job that an answer is for. One under an id that is not open is late: its job was cancelled.
+    fn on_answer(&mut self, now: Instant, key: ConnectionKey, answer: WireAnswer) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        if let Some(job) = connection.take_answered(now, &answer.id) {
+            self.end_job(now, job, JobEnd::Answer(answer));
+        }
+    }
+
     /// The next connection that has more to read than its last turn allowed.
-    pub fn turn(&mut self) -> Option<ConnectionKey> {
-        self.turns.pop_front()
+    pub fn next_turn(&mut self) -> Option<ConnectionKey> {
+        self.read_turns.pop_front()
     }
 
     /// How many connections wait for a turn.
-    pub fn turns(&self) -> usize {
-        self.turns.len()
+    pub fn waiting_turns(&self) -> usize {
+        self.read_turns.len()
     }
 
-    /// A connection's deadline has fallen.
-    pub fn due(
+    /// Handles a deadline that has passed.
+    pub fn deadline_passed(
         &mut self,
         now: Instant,
-        what: ConnectionDeadline,
+        deadline: ConnectionDeadline,
         net: &mut Net,
-        due: &mut dyn Schedule<ConnectionDeadline>,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
-        match what {
-            ConnectionDeadline::Connect(key) => {
-                if let Some(connection) = self.connections.get_mut(&key).filter(|connection| !connection.up) {
-                    connection.connect_deadline = None;
-                    self.drop_connection(now, key, Reason::ConnectTimeout, net, due);
-                }
-            }
-            ConnectionDeadline::Proven => {} // what waits for it is written by the next dispatch
-            ConnectionDeadline::Stopped(key) => {
-                if let Some(connection) = self.connections.get_mut(&key) {
-                    connection.answer_deadline = None;
-                    self.drop_connection(now, key, Reason::Stalled, net, due);
-                }
-            }
-            ConnectionDeadline::Idle(key) => {
-                if let Some(connection) =
-                    self.connections.get_mut(&key).filter(|connection| connection.open.is_empty())
-                {
-                    connection.idle_deadline = None;
-                    self.drop_connection(now, key, Reason::Idle, net, due);
-                }
-            }
+        let (key, reason) = match deadline {
+            ConnectionDeadline::FitForWrite => return, // the next dispatch writes what waits for it
+            ConnectionDeadline::Connect(key) => (key, Reason::ConnectTimeout),
+            ConnectionDeadline::AnswerStalled(key) => (key, Reason::Stalled),
+            ConnectionDeadline::Idle(key) => (key, Reason::Idle),
+        };
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let applies = match deadline {
+            ConnectionDeadline::Connect(_) => !connection.is_up,
+            ConnectionDeadline::Idle(_) => connection.open.is_empty(),
+            ConnectionDeadline::AnswerStalled(_) | ConnectionDeadline::FitForWrite => true,
+        };
+        if applies {
+            self.drop_connection(now, key, reason, net, deadlines);
         }
     }
 }
--- /dev/null
+++ b/src/upstream/servers.rs
@@ -0,0 +1,157 @@
+//! Servers: their addresses, and for each the queue of its reads and that of its writes.
+
+use super::jobs::{Job, JobEnd};
+use super::{ConnectionDeadline, Upstream};
+use crate::deadlines::Schedule;
+use crate::interface::{Instant, ServerId};
+use crate::net::{ConnectionKey, Net, Reason};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+/// The most connections to one server for its reads, silent ones included.
+const MAX_READ_CONNECTIONS: usize = 6;
+/// The most connections to one server for its writes, silent ones included.
+const MAX_WRITE_CONNECTIONS: usize = 8;
+
+/// The two queues of a server. Reads and writes have connections of their own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueueKind {
+    /// Requests that may be sent again; they share connections.
+    Reads,
+    /// Requests that must not be sent twice; each takes a connection of its own while there can be one more.
+    Writes,
+}
+
+impl QueueKind {
+    /// Both, in the order in which they are dispatched.
+    pub(super) const ALL: [QueueKind; 2] = [QueueKind::Reads, QueueKind::Writes];
+
+    /// The most connections to one server for this queue.
+    pub(super) fn max_connections(self) -> usize {
+        match self {
+            QueueKind::Reads => MAX_READ_CONNECTIONS,
+            QueueKind::Writes => MAX_WRITE_CONNECTIONS,
+        }
+    }
+}
+
+/// A server, as the endpoint list names it.
+pub(super) struct Server {
+    pub addr: SocketAddr,
+    /// Its last start, if the list states it.
+    pub started_at: Option<Instant>,
+    /// It was removed from the list, and is forgotten with its last connection.
+    pub is_removed: bool,
+    reads: ServerQueue,
+    writes: ServerQueue,
+}
+
+/// A queue of a server's jobs, and the connections that take them.
+#[derive(Default)]
+pub(super) struct ServerQueue {
+    pub connections: Vec<ConnectionKey>,
+    pub jobs: VecDeque<Job>,
+    /// Until then no connection is opened beside another.
+    pub backoff_until: Instant,
+    /// How often in a row a connection was opened again after it was reset before it came up.
+    pub connect_retries: u32,
+}
+
+impl Server {
+    fn new(addr: SocketAddr, started_at: Option<Instant>) -> Self {
+        let (reads, writes) = (ServerQueue::default(), ServerQueue::default());
+        Server { addr, started_at, is_removed: false, reads, writes }
+    }
+
+    pub fn queue(&self, kind: QueueKind) -> &ServerQueue {
+        match kind {
+            QueueKind::Reads => &self.reads,
+            QueueKind::Writes => &self.writes,
+        }
+    }
+
+    pub fn queue_mut(&mut self, kind: QueueKind) -> &mut ServerQueue {
+        match kind {
+            QueueKind::Reads => &mut self.reads,
+            QueueKind::Writes => &mut self.writes,
+        }
+    }
+
+    /// The connections of both queues.
+    pub fn connections(&self) -> Vec<ConnectionKey> {
+        self.reads.connections.iter().chain(&self.writes.connections).copied().collect()
+    }
+
+    /// Empties both queues.
+    fn take_jobs(&mut self) -> Vec<Job> {
+        let mut jobs = Vec::from(std::mem::take(&mut self.reads.jobs));
+        jobs.extend(std::mem::take(&mut self.writes.jobs));
+        jobs
+    }
+}
+
+impl Upstream {
+    /// Adds a server or updates its address. If the address was another server's, or this server has started anew,
+    /// the old connections lead to a process that has ended, and are closed.
+    pub fn set_server(
+        &mut self,
+        now: Instant,
+        server: ServerId,
+        addr: SocketAddr,
+        started_at: Option<Instant>,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
+        self.replace_servers_at(now, addr, server, net, deadlines);
+        let known = self.servers.get(&server);
+        if known.is_some_and(|known| known.addr != addr || known.started_at != started_at) {
+            self.close_connections(now, server, Reason::Replaced, net, deadlines);
+        }
+        let known = self.servers.entry(server).or_insert_with(|| Server::new(addr, started_at));
+        (known.addr, known.started_at, known.is_removed) = (addr, started_at, false);
+    }
+
+    /// Forgets the servers that had an address which belongs to another server now.
+    fn replace_servers_at(
+        &mut self,
+        now: Instant,
+        addr: SocketAddr,
+        owner: ServerId,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
+        let others = self.servers.iter().filter(|(id, server)| **id != owner && server.addr == addr);
+        for other in others.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.close_connections(now, other, Reason::Replaced, net, deadlines);
+            if let Some(mut server) = self.servers.remove(&other) {
+                self.end_jobs(now, server.take_jobs(), &JobEnd::NotConnected);
+            }
+        }
+    }
+
+    /// Removes a server: its queued jobs end, and its connections are closed once they are idle.
+    pub fn remove_server(
+        &mut self,
+        now: Instant,
+        server: ServerId,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<ConnectionDeadline>,
+    ) {
+        let Some(known) = self.servers.get_mut(&server) else { return };
+        known.is_removed = true;
+        let (jobs, connections) = (known.take_jobs(), known.connections());
+        if connections.is_empty() {
+            self.servers.remove(&server);
+        }
+        self.end_jobs(now, jobs, &JobEnd::NotConnected);
+        for key in connections {
+            if self.connections.get(&key).is_some_and(|connection| connection.open.is_empty()) {
+                self.drop_connection(now, key, Reason::Replaced, net, deadlines);
+            }
+        }
+    }
+
+    pub(super) fn queue_mut(&mut self, server: ServerId, queue: QueueKind) -> Option<&mut ServerQueue> {
+        self.servers.get_mut(&server).map(|server| server.queue_mut(queue))
+    }
+}
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -1,51 +1,68 @@
-use super::connections::DIAL_RETRIES;
+//! Tests of the pool as a whole.
+
+use super::connection::{DUPLICATE_ANSWER_WINDOW, MAX_UNANSWERED_JOBS, MIN_WRITE_CONNECTION_AGE};
+use super::connections::MAX_CONNECT_RETRIES;
+use super::jobs::MIN_UNANSWERED_WAIT;
 use super::lines::WireRequest;
+use super::reading::{ANSWER_STALL_TIMEOUT, MAX_ANSWER_TIME, MAX_READS_PER_TURN, READ_BUFFER_BYTES};
 use super::*;
 use crate::deadlines::Deadlines;
 use crate::net::fabric::{host, ActorEvent, Fabric, HostBehaviour};
+use crate::net::{Net, Reason};
 
 /// Bytes that may be on the way on a connection of the simulated network.
 const WINDOW: usize = 256 * 1024;
 const US: Span = Span::from_micros(1);
 const MS: Span = Span::from_millis(1);
+const SERVER: ServerId = ServerId(1);
+const OTHER_SERVER: ServerId = ServerId(2);
 
 fn at(span: Span) -> Instant {
     Instant::ZERO + span
 }
 
+fn request(server: ServerId, job: u64, wire_id: &str, queue: QueueKind) -> QueuedRequest {
+    QueuedRequest { job: JobId(job), server, wire_id: wire_id.to_owned(), queue, counted_class: None }
+}
+
 struct Pool {
     upstream: Upstream,
     net: Net,
-    due: Deadlines<ConnectionDeadline>,
+    deadlines: Deadlines<ConnectionDeadline>,
     _listener: std::net::TcpListener,
 }
 
-/// A pool with one server, which takes connections and says nothing, and one job for it.
+/// A pool with one server, which accepts connections and never answers, and one job for it.
 fn pool() -> Pool {
-    pool_of(false)
+    pool_of(QueueKind::Reads)
 }
 
-fn pool_of(write: bool) -> Pool {
+fn pool_of(queue: QueueKind) -> Pool {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let figures = PoolLimits {
+    let limits = PoolLimits {
         connect_timeout: 400 * MS,
         idle_timeout: US,
         max_jobs_per_connection: 100,
         max_connections: 9,
         max_buffered_bytes: 1000,
     };
-    let (upstream, net) = (Upstream::new(figures), Net::new().expect("a poll"));
-    let mut pool = Pool { upstream, net, due: Deadlines::default(), _listener: listener };
+    let (upstream, net) = (Upstream::new(limits), Net::new().expect("a poll"));
+    let mut pool = Pool { upstream, net, deadlines: Deadlines::default(), _listener: listener };
     let addr = pool._listener.local_addr().expect("an address");
-    pool.upstream.set_host(Instant::ZERO, 1, addr, None, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(Instant::ZERO, 1, 7, "a".into(), write, None);
+    pool.upstream.set_server(Instant::ZERO, SERVER, addr, None, &mut pool.net, &mut pool.deadlines);
+    pool.upstream.queue(Instant::ZERO, request(SERVER, 7, "a", queue));
     pool.dispatch();
     pool
 }
 
 impl Pool {
     fn dispatch(&mut self) {
-        self.upstream.dispatch(Instant::ZERO, &mut self.net, &mut self.due, &mut Notes::default());
+        self.upstream.dispatch(
+            Instant::ZERO,
+            &mut self.net,
+            &mut self.deadlines,
+            &mut RecordingEncoder::default(),
+        );
     }
 
     fn connection(&self) -> ConnectionKey {
@@ -55,54 +72,67 @@
 
 /// Such a reset proves nothing: it would have ended the job as not connected, and shut the server.
 #[test]
-fn a_connection_that_is_reset_while_new_is_tried_anew() {
+fn a_connection_that_is_reset_before_it_is_up_is_opened_again() {
     let mut pool = pool();
-    for _ in 0..DIAL_RETRIES {
+    for _ in 0..MAX_CONNECT_RETRIES {
         let old = pool.connection();
-        pool.upstream.drop_connection(Instant::ZERO, old, Reason::PeerReset, &mut pool.net, &mut pool.due);
+        pool.upstream.drop_connection(
+            Instant::ZERO,
+            old,
+            Reason::PeerReset,
+            &mut pool.net,
+            &mut pool.deadlines,
+        );
         assert!(pool.connection() != old && pool.upstream.take_events().is_empty());
     }
     let last = pool.connection();
-    pool.upstream.drop_connection(Instant::ZERO, last, Reason::PeerReset, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
+    pool.upstream.drop_connection(Instant::ZERO, last, Reason::PeerReset, &mut pool.net, &mut pool.deadlines);
+    assert_eq!(
+        pool.upstream.take_events(),
+        [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::NotConnected }]
+    );
 }
 
 /// A write that met a connection that had broken unseen would have failed as one that may have run.
 #[test]
-fn a_job_of_which_no_byte_left_goes_by_another_connection() {
+fn a_job_of_which_no_byte_was_sent_takes_another_connection() {
     let mut pool = pool();
     let old = pool.connection();
-    pool.upstream.connections.get_mut(&old).expect("it is there").up = true;
+    pool.upstream.connections.get_mut(&old).expect("it is there").is_up = true;
     pool.net.close(Instant::ZERO, old, Reason::PeerReset); // as a write finds one that broke
     pool.dispatch();
     assert!(pool.upstream.take_events().is_empty() && pool.connection() != old);
-    assert!(pool.upstream.jobs[&Job::Fetch(7)].connection.is_none());
+    assert!(pool.upstream.jobs[&Job::Request(JobId(7))].connection.is_none());
 }
 
 /// With caches replaced all day long, what is kept of each that has gone would grow for good.
 #[test]
-fn a_server_that_is_gone_is_forgotten() {
+fn a_removed_server_is_forgotten() {
     let mut pool = pool();
-    pool.upstream.remove_host(Instant::ZERO, 1, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::NotConnected }]);
-    assert!(pool.upstream.hosts.is_empty() && pool.upstream.connections.is_empty());
+    pool.upstream.remove_server(Instant::ZERO, SERVER, &mut pool.net, &mut pool.deadlines);
+    assert_eq!(
+        pool.upstream.take_events(),
+        [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::NotConnected }]
+    );
+    assert!(pool.upstream.servers.is_empty() && pool.upstream.connections.is_empty());
 }
 
 /// A connection on which nothing is answered gets no new work; what left it at once says nothing.
 #[test]
-fn only_jobs_that_waited_make_a_connection_silent() {
-    for (waited, silent) in [(UNANSWERED_AFTER, true), (UNANSWERED_AFTER - US, false)] {
+fn only_cancelled_jobs_that_waited_make_a_connection_silent() {
+    for (waited, silent) in [(MIN_UNANSWERED_WAIT, true), (MIN_UNANSWERED_WAIT - US, false)] {
         let mut pool = pool();
         let key = pool.connection();
-        for job in 0..u64::from(MOST_UNANSWERED) {
-            pool.upstream.connections.get_mut(&key).expect("it is there").up = true;
+        for job in 0..u64::from(MAX_UNANSWERED_JOBS) {
+            pool.upstream.connections.get_mut(&key).expect("it is there").is_up = true;
             if job > 0 {
-                pool.upstream.queue(Instant::ZERO, 1, 7 + job, format!("a{job}"), false, None);
+                pool.upstream
+                    .queue(Instant::ZERO, request(SERVER, 7 + job, &format!("a{job}"), QueueKind::Reads));
             }
             pool.dispatch();
         }
-        for job in 0..u64::from(MOST_UNANSWERED) {
-            pool.upstream.abandon(at(waited), 7 + job, &mut pool.net, &mut pool.due);
+        for job in 0..u64::from(MAX_UNANSWERED_JOBS) {
+            pool.upstream.cancel(at(waited), JobId(7 + job), &mut pool.net, &mut pool.deadlines);
         }
         let after = waited.as_micros();
         assert_eq!(!pool.upstream.connections.contains_key(&key), silent, "after {after} us");
@@ -111,120 +141,131 @@
 
 /// An answer that stops short leaves its connection open: all that is open there would wait for nothing.
 #[test]
-fn a_connection_whose_answer_stops_short_is_ended() {
+fn a_connection_whose_answer_stalls_is_closed() {
     let mut pool = pool();
     let (mut peer, _) = pool._listener.accept().expect("a connection");
     std::io::Write::write_all(&mut peer, b"a 200 ver=a 9\r\nhalf").expect("written");
     let (key, mut ready) = (pool.connection(), Vec::new());
     while pool.upstream.connections[&key].answer_deadline.is_none() {
         pool.net.poll(None, &mut ready).expect("a poll");
-        pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.due);
+        pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.deadlines);
         pool.dispatch();
     }
-    let due = pool.due.pop(at(STOPPED)).expect("a deadline");
-    assert_eq!(due, ConnectionDeadline::Stopped(key));
-    pool.upstream.due(at(STOPPED), due, &mut pool.net, &mut pool.due);
-    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
+    let due = pool.deadlines.pop(at(ANSWER_STALL_TIMEOUT)).expect("a deadline");
+    assert_eq!(due, ConnectionDeadline::AnswerStalled(key));
+    pool.upstream.deadline_passed(at(ANSWER_STALL_TIMEOUT), due, &mut pool.net, &mut pool.deadlines);
+    assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
 }
 
 /// A write on a connection that is reset while new, or that its server gives up as idle at that moment, may have run
 /// and has failed: it waits for one that has stood, and takes none that was used.
 #[test]
-fn a_write_goes_by_a_connection_of_its_own_that_has_stood() {
-    let mut pool = pool_of(true);
+fn a_write_takes_an_unused_connection_that_has_been_up_for_a_while() {
+    let mut pool = pool_of(QueueKind::Writes);
     let first = pool.connection();
-    pool.upstream.connections.get_mut(&first).expect("it is there").up = true;
-    let mut goes_by = |now: Instant, job: u64| {
+    pool.upstream.connections.get_mut(&first).expect("it is there").is_up = true;
+    let mut connection_of = |now: Instant, job: u64| {
         if job > 7 {
-            pool.upstream.queue(now, 1, job, format!("a{job}"), true, None);
+            pool.upstream.queue(now, request(SERVER, job, &format!("a{job}"), QueueKind::Writes));
         }
-        pool.upstream.dispatch(now, &mut pool.net, &mut pool.due, &mut Notes::default());
-        pool.upstream.jobs[&Job::Fetch(job)].connection
+        pool.upstream.dispatch(now, &mut pool.net, &mut pool.deadlines, &mut RecordingEncoder::default());
+        pool.upstream.jobs[&Job::Request(JobId(job))].connection
     };
-    assert_eq!((goes_by(at(PROVEN - US), 7), goes_by(at(PROVEN), 7)), (None, Some(first)));
-    assert_eq!(goes_by(at(PROVEN), 8), None);
+    assert_eq!(
+        (connection_of(at(MIN_WRITE_CONNECTION_AGE - US), 7), connection_of(at(MIN_WRITE_CONNECTION_AGE), 7)),
+        (None, Some(first))
+    );
+    assert_eq!(connection_of(at(MIN_WRITE_CONNECTION_AGE), 8), None);
     assert_eq!(pool.upstream.connections.len(), 2);
     pool.upstream.connections.get_mut(&first).expect("it is there").open.clear();
-    pool.upstream.settle(at(PROVEN), first, &mut pool.net, &mut pool.due);
+    pool.upstream.settle(at(MIN_WRITE_CONNECTION_AGE), first, &mut pool.net, &mut pool.deadlines);
     assert!(!pool.upstream.connections.contains_key(&first), "it is closed once its write is answered");
 }
 
 /// Some servers close idle connections far sooner than the settings say.
 #[test]
-fn idle_connections_are_closed_before_the_servers_that_were_seen_to() {
+fn a_shorter_idle_timeout_of_servers_is_learned() {
     let mut pool = pool();
     let key = pool.connection();
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
-    (connection.up, connection.idle_since) = (true, Instant::ZERO);
+    (connection.is_up, connection.idle_since) = (true, Instant::ZERO);
     pool.upstream.limits.idle_timeout = 15_000 * MS;
-    pool.upstream.drop_connection(at(820 * MS), key, Reason::PeerClosed, &mut pool.net, &mut pool.due);
+    pool.upstream.drop_connection(at(820 * MS), key, Reason::PeerClosed, &mut pool.net, &mut pool.deadlines);
     assert_eq!(pool.upstream.limits.idle_timeout, 820 * MS);
 }
 
 /// A repeat on the connection of its first answer could take a second answer to that one for its own.
 #[test]
-fn a_repeat_takes_no_second_answer_to_its_first_attempt() {
+fn a_retry_under_the_same_id_takes_no_duplicate_answer() {
     let mut pool = pool();
     let (mut peer, _) = pool._listener.accept().expect("a connection");
     let (key, mut ready) = (pool.connection(), Vec::new());
     let mut until = |pool: &mut Pool, done: fn(&Connection) -> bool| {
         while !done(&pool.upstream.connections[&key]) {
             pool.net.poll(None, &mut ready).expect("a poll");
-            pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.due);
+            pool.upstream.ready(Instant::ZERO, key, true, true, &mut pool.net, &mut pool.deadlines);
             pool.dispatch();
         }
     };
     until(&mut pool, |connection| !connection.open.is_empty());
     std::io::Write::write_all(&mut peer, b"a 503 - 0\r\n").expect("written");
-    until(&mut pool, |connection| !connection.answered.is_empty());
+    until(&mut pool, |connection| connection.has_answered_ids());
     assert_eq!(pool.upstream.take_events().len(), 1);
-    pool.upstream.queue(Instant::ZERO, 1, 8, "a".into(), false, None);
+    pool.upstream.queue(Instant::ZERO, request(SERVER, 8, "a", QueueKind::Reads));
     pool.dispatch();
-    assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "not on this connection");
+    assert!(pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(), "not on this connection");
     assert_eq!(pool.upstream.connections.len(), 2, "but on a further one");
-    assert!(!pool.upstream.connections[&key].takes(at(SECOND_ANSWER - US), "a"));
-    assert!(pool.upstream.connections[&key].takes(at(SECOND_ANSWER), "a"), "by then none comes any more");
+    assert!(!pool.upstream.connections[&key].accepts_id(at(DUPLICATE_ANSWER_WINDOW - US), "a"));
+    assert!(
+        pool.upstream.connections[&key].accepts_id(at(DUPLICATE_ANSWER_WINDOW), "a"),
+        "by then none comes any more"
+    );
 }
 
 /// A write on a connection whose server has closed it already would have failed as one that may have run.
 #[test]
-fn a_write_does_not_go_out_on_a_connection_that_its_server_has_closed() {
-    let mut pool = pool_of(true);
+fn a_write_is_not_sent_on_a_connection_that_its_server_has_closed() {
+    let mut pool = pool_of(QueueKind::Writes);
     let first = pool.connection();
     let (peer, _) = pool._listener.accept().expect("a connection");
-    pool.upstream.connections.get_mut(&first).expect("it is there").up = true;
+    pool.upstream.connections.get_mut(&first).expect("it is there").is_up = true;
     drop(peer);
     // The end is there, and its event has not been looked at.
     while pool.net.ended(first) == Ok(false) {}
-    pool.upstream.dispatch(at(PROVEN), &mut pool.net, &mut pool.due, &mut Notes::default());
+    pool.upstream.dispatch(
+        at(MIN_WRITE_CONNECTION_AGE),
+        &mut pool.net,
+        &mut pool.deadlines,
+        &mut RecordingEncoder::default(),
+    );
     assert!(pool.upstream.take_events().is_empty(), "it has not failed");
     assert!(
         !pool.upstream.connections.contains_key(&first)
-            && pool.upstream.jobs[&Job::Fetch(7)].connection.is_none()
+            && pool.upstream.jobs[&Job::Request(JobId(7))].connection.is_none()
     );
 }
 
 /// A server must not be held for failed because this process has no descriptor left for a connection to it.
 #[test]
-fn without_a_descriptor_the_idlest_connection_goes_or_the_job_is_unsent() {
+fn at_the_connection_limit_the_longest_idle_one_is_evicted_or_the_job_ends_unsent() {
     let mut pool = pool();
     let key = pool.connection();
     pool.upstream.limits.max_connections = 1;
     let other = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = other.local_addr().expect("an address");
-    pool.upstream.set_host(Instant::ZERO, 2, addr, None, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(Instant::ZERO, 2, 8, "b".into(), false, None);
+    pool.upstream.set_server(Instant::ZERO, OTHER_SERVER, addr, None, &mut pool.net, &mut pool.deadlines);
+    pool.upstream.queue(Instant::ZERO, request(OTHER_SERVER, 8, "b", QueueKind::Reads));
     pool.dispatch();
     assert_eq!(
         pool.upstream.take_events(),
-        [UpstreamEvent::JobEnded { job: 8, end: JobEnd::NotSent }],
+        [UpstreamEvent::JobEnded { job: JobId(8), end: JobEnd::NotSent }],
         "none is idle"
     );
     let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
-    connection.up = true;
+    connection.is_up = true;
     connection.open.clear();
-    pool.upstream.abandon(Instant::ZERO, 7, &mut pool.net, &mut pool.due);
-    pool.upstream.queue(Instant::ZERO, 2, 9, "c".into(), false, None);
+    pool.upstream.cancel(Instant::ZERO, JobId(7), &mut pool.net, &mut pool.deadlines);
+    pool.upstream.queue(Instant::ZERO, request(OTHER_SERVER, 9, "c", QueueKind::Reads));
     pool.dispatch();
     assert!(pool.upstream.take_events().is_empty() && !pool.upstream.connections.contains_key(&key));
 }
@@ -234,25 +275,25 @@
     upstream: Upstream,
     net: Net,
     fabric: Fabric,
-    due: Deadlines<ConnectionDeadline>,
+    deadlines: Deadlines<ConnectionDeadline>,
     now: Instant,
 }
 
-/// Words jobs, and notes what it was asked.
+/// Encodes jobs, and records the calls.
 #[derive(Default)]
-struct Notes {
+struct RecordingEncoder {
     body: usize,
-    worded: Vec<u64>,
-    not_written: Vec<u64>,
+    encoded: Vec<JobId>,
+    not_written: Vec<JobId>,
 }
 
-impl RequestEncoder<Deadlines<ConnectionDeadline>> for Notes {
-    fn encode(&mut self, job: u64, _: &mut Deadlines<ConnectionDeadline>) -> Option<WireRequest> {
-        self.worded.push(job);
+impl RequestEncoder<Deadlines<ConnectionDeadline>> for RecordingEncoder {
+    fn encode(&mut self, job: JobId, _: &mut Deadlines<ConnectionDeadline>) -> Option<WireRequest> {
+        self.encoded.push(job);
         Some(WireRequest { body: vec![b'x'; self.body].into(), ..WireRequest::default() })
     }
 
-    fn not_written(&mut self, job: u64) {
+    fn not_written(&mut self, job: JobId) {
         self.not_written.push(job);
     }
 }
@@ -265,26 +306,27 @@
         let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
         fabric.start_process(1);
         fabric.set_reach(host(1), HostBehaviour::Up);
-        let figures = PoolLimits {
+        let limits = PoolLimits {
             connect_timeout: 400 * MS,
             idle_timeout: 1000 * MS,
             max_jobs_per_connection: 100,
             max_connections: 9,
             max_buffered_bytes: 1 << 20,
         };
-        let (upstream, net) = (Upstream::new(figures), Net::on(&fabric, 1));
-        let mut pool = Simulated { upstream, net, fabric, due: Deadlines::default(), now: Instant::ZERO };
-        pool.upstream.set_host(Instant::ZERO, 1, host(1), None, &mut pool.net, &mut pool.due);
+        let (upstream, net) = (Upstream::new(limits), Net::on(&fabric, 1));
+        let mut pool =
+            Simulated { upstream, net, fabric, deadlines: Deadlines::default(), now: Instant::ZERO };
+        pool.upstream.set_server(Instant::ZERO, SERVER, host(1), None, &mut pool.net, &mut pool.deadlines);
         pool
     }
 
-    fn queue(&mut self, job: u64, wording: &mut Notes) {
-        self.upstream.queue(self.now, 1, job, format!("a{job}"), false, None);
-        self.dispatch(wording);
+    fn queue(&mut self, job: u64, encoder: &mut RecordingEncoder) {
+        self.upstream.queue(self.now, request(SERVER, job, &format!("a{job}"), QueueKind::Reads));
+        self.dispatch(encoder);
     }
 
-    fn dispatch(&mut self, wording: &mut Notes) {
-        self.upstream.dispatch(self.now, &mut self.net, &mut self.due, wording);
+    fn dispatch(&mut self, encoder: &mut RecordingEncoder) {
+        self.upstream.dispatch(self.now, &mut self.net, &mut self.deadlines, encoder);
     }
 
     /// Lets the network go on to a time, and the pool take in what is ready; the bytes that the server got.
@@ -296,7 +338,7 @@
         self.net.poll(None, &mut ready).expect("no poll to break");
         for one in ready {
             if let crate::net::Ready::Conn { key, read, write, .. } = one {
-                self.upstream.ready(to, key, read, write, &mut self.net, &mut self.due);
+                self.upstream.ready(to, key, read, write, &mut self.net, &mut self.deadlines);
             }
         }
         let bytes = self.fabric.signals().into_iter().filter_map(|signal| match signal {
@@ -313,66 +355,68 @@
                 .len();
         let body = WINDOW - room - line - 2;
         assert!((100_000..1_000_000).contains(&body), "its length has six digits");
-        self.queue(7, &mut Notes { body, ..Notes::default() });
+        self.queue(7, &mut RecordingEncoder { body, ..RecordingEncoder::default() });
         self.pass(at(2 * MS)); // the connection comes up
-        self.dispatch(&mut Notes { body, ..Notes::default() });
-        assert_eq!(self.upstream.jobs[&Job::Fetch(7)].written, at(2 * MS));
+        self.dispatch(&mut RecordingEncoder { body, ..RecordingEncoder::default() });
+        assert_eq!(self.upstream.jobs[&Job::Request(JobId(7))].written_at, at(2 * MS));
     }
 }
 
 /// What a full socket kept for later would reach its server for a client that has gone, or with a time that is over.
 #[test]
-fn a_job_that_a_full_socket_does_not_take_is_not_kept_there() {
+fn a_job_that_a_full_socket_does_not_take_is_not_buffered() {
     for gives_up in [false, true] {
-        let (mut pool, mut notes) = (Simulated::new(), Notes::default());
+        let (mut pool, mut encoder) = (Simulated::new(), RecordingEncoder::default());
         pool.fill(0);
-        pool.queue(8, &mut notes);
-        assert_eq!((&notes.worded[..], &notes.not_written[..]), (&[8][..], &[8][..]));
-        assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_none(), "it waits in the queue");
+        pool.queue(8, &mut encoder);
+        assert_eq!((&encoder.encoded[..], &encoder.not_written[..]), (&[JobId(8)][..], &[JobId(8)][..]));
+        assert!(pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(), "it waits in the queue");
         if gives_up {
-            pool.upstream.abandon(at(2500 * US), 8, &mut pool.net, &mut pool.due);
+            pool.upstream.cancel(at(2500 * US), JobId(8), &mut pool.net, &mut pool.deadlines);
         }
         assert!(!pool.pass(at(3 * MS)).contains("fetch a8"));
-        pool.dispatch(&mut notes);
+        pool.dispatch(&mut encoder);
         let sent = pool.pass(at(5 * MS));
         assert_eq!((sent.contains("fetch a8"), sent.contains("abort")), (!gives_up, false));
-        assert_eq!(notes.worded.len(), if gives_up { 1 } else { 2 }, "worded anew as it is written");
+        assert_eq!(encoder.encoded.len(), if gives_up { 1 } else { 2 }, "encoded anew as it is written");
     }
 }
 
 /// A line that left in part can't be called back: its connection ends, and the job has not run.
 #[test]
-fn a_job_whose_line_is_cut_by_a_full_socket_goes_by_another_connection() {
-    let (mut pool, mut notes) = (Simulated::new(), Notes::default());
+fn a_job_whose_line_is_cut_by_a_full_socket_takes_another_connection() {
+    let (mut pool, mut encoder) = (Simulated::new(), RecordingEncoder::default());
     pool.fill(5);
     let first = *pool.upstream.connections.keys().next().expect("a connection");
-    pool.queue(8, &mut notes);
-    assert_eq!(notes.not_written, [8]);
+    pool.queue(8, &mut encoder);
+    assert_eq!(encoder.not_written, [JobId(8)]);
     assert!(!pool.upstream.connections.contains_key(&first));
     assert_eq!(
         pool.upstream.take_events(),
-        [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }],
+        [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }],
         "only what was open there has ended"
     );
     pool.pass(at(10 * MS));
-    pool.dispatch(&mut notes);
-    assert!(pool.upstream.jobs[&Job::Fetch(8)].connection.is_some_and(|connection| connection != first));
+    pool.dispatch(&mut encoder);
+    assert!(pool.upstream.jobs[&Job::Request(JobId(8))]
+        .connection
+        .is_some_and(|connection| connection != first));
 }
 
 /// A server that sends without end must not keep the loop from all others.
 #[test]
-fn a_server_that_sends_without_end_is_read_by_turns() {
-    let (mut pool, mut notes) = (Simulated::new(), Notes::default());
-    pool.queue(7, &mut notes);
+fn a_server_that_sends_without_end_is_read_in_turns() {
+    let (mut pool, mut encoder) = (Simulated::new(), RecordingEncoder::default());
+    pool.queue(7, &mut encoder);
     pool.pass(at(2 * MS));
-    pool.dispatch(&mut notes);
-    let much = b"zz 503 - 0\r\n".repeat(10 * READS_IN_A_TURN * INPUT / 12);
+    pool.dispatch(&mut encoder);
+    let much = b"zz 503 - 0\r\n".repeat(10 * MAX_READS_PER_TURN * READ_BUFFER_BYTES / 12);
     pool.fabric.send(Simulated::LINK, &much);
     pool.pass(at(5 * MS));
     let mut turns = 1;
-    while let Some(key) = pool.upstream.turn() {
-        assert_eq!(pool.upstream.turns(), 0, "one turn for one connection");
-        pool.upstream.ready(at(5 * MS), key, true, false, &mut pool.net, &mut pool.due);
+    while let Some(key) = pool.upstream.next_turn() {
+        assert_eq!(pool.upstream.waiting_turns(), 0, "one turn for one connection");
+        pool.upstream.ready(at(5 * MS), key, true, false, &mut pool.net, &mut pool.deadlines);
         turns += 1;
     }
     assert!(turns >= 10, "{turns} turns");
@@ -383,28 +427,28 @@
 
 /// An answer of which something comes now and then would hold all that is open behind it.
 #[test]
-fn an_answer_that_does_not_end_ends_its_connection() {
-    let (mut pool, mut notes) = (Simulated::new(), Notes::default());
-    pool.queue(7, &mut notes);
+fn an_answer_that_takes_too_long_ends_its_connection() {
+    let (mut pool, mut encoder) = (Simulated::new(), RecordingEncoder::default());
+    pool.queue(7, &mut encoder);
     pool.pass(at(2 * MS));
-    pool.dispatch(&mut notes);
+    pool.dispatch(&mut encoder);
     pool.fabric.send(Simulated::LINK, b"a7 200 ver=a 200000\r\n");
     let since = at(4 * MS);
     pool.pass(since);
     let mut now = since;
     let ended = loop {
-        now += STOPPED / 2;
-        while let Some(what) = pool.due.pop(now) {
-            pool.upstream.due(now, what, &mut pool.net, &mut pool.due);
+        now += ANSWER_STALL_TIMEOUT / 2;
+        while let Some(what) = pool.deadlines.pop(now) {
+            pool.upstream.deadline_passed(now, what, &mut pool.net, &mut pool.deadlines);
         }
         let happened = pool.upstream.take_events();
         if !happened.is_empty() {
             break happened;
         }
-        assert!(now <= since + LONGEST_ANSWER + STOPPED, "it goes on for ever");
+        assert!(now <= since + MAX_ANSWER_TIME + ANSWER_STALL_TIMEOUT, "it goes on for ever");
         pool.fabric.send(Simulated::LINK, b"x");
         pool.pass(now + MS);
     };
-    assert_eq!(ended, [UpstreamEvent::JobEnded { job: 7, end: JobEnd::Reset }]);
-    assert!(now >= since + LONGEST_ANSWER, "and not before");
+    assert_eq!(ended, [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
+    assert!(now >= since + MAX_ANSWER_TIME, "and not before");
 }
