--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -4,7 +4,7 @@
 use super::version::PollNumber;
 use crate::config::events::FeedBatch;
 use crate::deadlines::Deadlines;
-use crate::feed::{Feed, FeedDeadline};
+use crate::feed::{Feed, FeedDeadline, PollCounts};
 use crate::interface::Span;
 use crate::net::{Net, Ready};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
         // Bounded by the feed: one poll is out at a time, and each answer leaves one update that is taken at once.
         let (sender, updates) = unbounded_channel();
         let polls_begun = PollCounter::default();
-        let feed = Feed::new(addr, last).with_wait(wait.as_millis() as i64);
+        let feed = Feed::new(addr, last).with_wait(Span::from_millis(wait.as_millis() as i64));
         let mut poller = Poller {
             clock,
             net: Net::new()?,
@@ -127,7 +127,7 @@
 
     /// Sends an update if a poll was answered; an error if nobody receives it.
     fn report(&mut self, batches: Vec<FeedBatch>) -> Result<(), ReceiverGone> {
-        let [begun, answered] = self.feed.polls();
+        let PollCounts { begun, answered } = self.feed.polls();
         self.polls_begun.set(begun);
         if answered <= self.answered_poll && batches.is_empty() {
             return Ok(());
--- a/src/feed/http.rs
+++ b/src/feed/http.rs
@@ -1,85 +1,125 @@
-//! Answers of HTTP/1.1, as a client reads them.
+//! The parser of HTTP/1.1 responses.
 
 use bytes::{Buf, BytesMut};
 
-/// An answer.
+/// The most headers that a response may have.
+const MAX_HEADERS: usize = 32;
+/// Ends a chunk of a body.
+const CHUNK_END: &[u8; 2] = b"\r\n";
+
+/// A complete response.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Its status.
     pub status: u16,
-    /// Its body.
+    /// Its body, without chunk headers.
     pub body: Vec<u8>,
-    /// Whether the connection ends with it.
-    pub close: bool,
+    /// Whether the server closes the connection after it.
+    pub closes_connection: bool,
 }
 
-/// What came is no answer.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Bad;
+/// The input is no HTTP response.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no HTTP response")]
+pub struct MalformedResponse;
 
-enum Length {
+/// How the length of a body is given.
+enum BodyLength {
     Known(usize),
     Chunked,
     UntilEnd,
 }
 
-/// Takes the next whole answer; `end` says that nothing more comes.
-pub fn answer(input: &mut BytesMut, end: bool) -> Result<Option<Answer>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut head = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(start) = head.parse(input).map_err(|_| Bad)? else { return Ok(None) };
-    let named = |name: &'static str| {
-        let fits = move |header: &&httparse::Header| header.name.eq_ignore_ascii_case(name);
-        head.headers.iter().filter(fits).filter_map(|header| std::str::from_utf8(header.value).ok())
+/// What a response's header fields say.
+struct Head {
+    /// Its bytes.
+    length: usize,
+    status: u16,
+    closes_connection: bool,
+    body_length: BodyLength,
+}
+
+/// A complete body.
+struct Body {
+    bytes: Vec<u8>,
+    /// The bytes that it takes in the input.
+    encoded_length: usize,
+}
+
+/// Takes the next complete response; `is_at_end`: nothing more will be received.
+///
+/// # Errors
+///
+/// The input is no response.
+pub fn parse_response(
+    input: &mut BytesMut,
+    is_at_end: bool,
+) -> Result<Option<HttpResponse>, MalformedResponse> {
+    let Some(head) = parse_head(input)? else { return Ok(None) };
+    let Some(body) = parse_body(&input[head.length..], &head.body_length, is_at_end)? else {
+        return Ok(None);
     };
-    let status = head.code.ok_or(Bad)?;
-    let has = |name, word: &str| named(name).any(|value| value.to_ascii_lowercase().contains(word));
-    let mut close = has("connection", "close") || head.version == Some(0);
-    let length = if has("transfer-encoding", "chunked") {
-        Length::Chunked
-    } else if let Some(length) = named("content-length").next() {
-        Length::Known(length.trim().parse().map_err(|_| Bad)?)
-    } else {
-        Length::UntilEnd
+    input.advance(head.length + body.encoded_length);
+    let closes_connection = head.closes_connection || matches!(head.body_length, BodyLength::UntilEnd);
+    Ok(Some(HttpResponse { status: head.status, body: body.bytes, closes_connection }))
+}
+
+fn parse_head(input: &[u8]) -> Result<Option<Head>, MalformedResponse> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let httparse::Status::Complete(length) = response.parse(input).map_err(|_| MalformedResponse)? else {
+        return Ok(None);
     };
-    let rest = &input[start..];
-    let (body, used) = match length {
-        Length::Known(length) if rest.len() >= length => (rest[..length].to_vec(), length),
-        Length::Known(_) => return Ok(None),
-        Length::Chunked => match chunks(rest)? {
-            Some(whole) => whole,
-            None => return Ok(None),
-        },
-        Length::UntilEnd if end => {
-            close = true;
-            (rest.to_vec(), rest.len())
-        }
-        Length::UntilEnd => return Ok(None),
+    let values = |name: &'static str| {
+        let matching = response.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+        matching.filter_map(|header| std::str::from_utf8(header.value).ok())
+    };
+    let has = |name, token: &str| values(name).any(|value| value.to_ascii_lowercase().contains(token));
+    let is_http_1_0 = response.version == Some(0);
+    let body_length = if has("transfer-encoding", "chunked") {
+        BodyLength::Chunked
+    } else if let Some(length) = values("content-length").next() {
+        BodyLength::Known(length.trim().parse().map_err(|_| MalformedResponse)?)
+    } else {
+        BodyLength::UntilEnd
     };
-    input.advance(start + used);
-    Ok(Some(Answer { status, body, close }))
+    Ok(Some(Head {
+        length,
+        status: response.code.ok_or(MalformedResponse)?,
+        closes_connection: has("connection", "close") || is_http_1_0,
+        body_length,
+    }))
+}
+
+fn parse_body(input: &[u8], length: &BodyLength, is_at_end: bool) -> Result<Option<Body>, MalformedResponse> {
+    let plain = |bytes: &[u8]| Body { bytes: bytes.to_vec(), encoded_length: bytes.len() };
+    match length {
+        BodyLength::Known(length) => Ok(input.get(..*length).map(plain)),
+        BodyLength::Chunked => parse_chunks(input),
+        BodyLength::UntilEnd => Ok(Some(input).filter(|_| is_at_end).map(plain)),
+    }
 }
 
-/// The chunks of a body, and the bytes that they took; `None` if they are not whole yet.
-fn chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Bad> {
-    let (mut body, mut at) = (Vec::new(), 0);
+/// Joins the chunks of a body, if all of them were received.
+fn parse_chunks(input: &[u8]) -> Result<Option<Body>, MalformedResponse> {
+    let (mut bytes, mut position) = (Vec::new(), 0);
     loop {
-        let (start, size) = match httparse::parse_chunk_size(&bytes[at..]) {
-            Ok(httparse::Status::Complete((start, size))) => (at + start, size as usize),
+        let (start, size) = match httparse::parse_chunk_size(&input[position..]) {
+            Ok(httparse::Status::Complete((start, size))) => (position + start, size as usize),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Bad),
+            Err(_) => return Err(MalformedResponse),
         };
-        if size > bytes.len() {
+        if size > input.len() {
             return Ok(None);
         }
-        let Some(chunk) = bytes.get(start..start + size + 2) else { return Ok(None) };
-        if !chunk.ends_with(b"\r\n") {
-            return Err(Bad);
+        let Some(chunk) = input.get(start..start + size + CHUNK_END.len()) else { return Ok(None) };
+        if !chunk.ends_with(CHUNK_END) {
+            return Err(MalformedResponse);
         }
-        body.extend_from_slice(&chunk[..size]);
-        at = start + size + 2;
+        bytes.extend_from_slice(&chunk[..size]);
+        position = start + size + CHUNK_END.len();
         if size == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some(Body { bytes, encoded_length: position }));
         }
     }
 }
--- /dev/null
+++ b/src/feed/reading.rs
@@ -0,0 +1,109 @@
+//! Reading the control feed: complete responses, and the new events in them.
+
+use super::http::{self, HttpResponse, MalformedResponse};
+use super::{Feed, FeedDeadline, MIN_BACKOFF, MIN_CONNECT_TIMEOUT};
+use crate::config::events::FeedBatch;
+use crate::deadlines::Schedule;
+use crate::interface::Instant;
+use crate::net::{ConnectionKey, Net, ReadProgress, Reason};
+use tracing::warn;
+
+/// The longest response that is accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 22;
+/// The HTTP status of a response that carries events.
+const STATUS_OK: u16 = 200;
+
+impl Feed {
+    /// Handles a connection that may be readable or writable; returns the new events.
+    pub fn on_ready(
+        &mut self,
+        now: Instant,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<FeedDeadline>,
+    ) -> Vec<FeedBatch> {
+        let mut batches = Vec::new();
+        if let Err(reason) = self.try_ready(now, net, deadlines, &mut batches) {
+            self.disconnect(now, reason, net, deadlines);
+        }
+        batches
+    }
+
+    fn try_ready(
+        &mut self,
+        now: Instant,
+        net: &mut Net,
+        deadlines: &mut dyn Schedule<FeedDeadline>,
+        batches: &mut Vec<FeedBatch>,
+    ) -> Result<(), Reason> {
+        let Some(key) = self.connection else { return Ok(()) };
+        if !self.is_up {
+            if !net.connected(key)? {
+                return Ok(());
+            }
+            (self.is_up, self.connect_timeout) = (true, MIN_CONNECT_TIMEOUT);
+            self.send_poll(now, net, deadlines);
+        }
+        net.flush(key)?;
+        loop {
+            let progress = net.read(key, MAX_RESPONSE_BYTES);
+            // A response that was received before the connection broke counts.
+            if let Some(response) = next_response(key, progress, net)? {
+                self.on_response(response, batches)?;
+                self.send_poll(now, net, deadlines);
+            }
+            let progress = progress?;
+            if progress.end {
+                return Err(Reason::PeerClosed);
+            }
+            if !progress.more {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Handles the answer to the poll that was sent last.
+    fn on_response(&mut self, response: HttpResponse, batches: &mut Vec<FeedBatch>) -> Result<(), Reason> {
+        let parsed = serde_json::from_slice::<FeedBatch>(&response.body);
+        let batch = match parsed {
+            Ok(batch) if response.status == STATUS_OK => batch,
+            other => {
+                warn!("feed: status {}, {:?}", response.status, other.err());
+                return Err(Reason::BadMessage);
+            }
+        };
+        self.backoff = MIN_BACKOFF;
+        self.polls.answered = self.polls.begun;
+        batches.extend(self.without_received(batch));
+        if response.closes_connection {
+            return Err(Reason::Done);
+        }
+        Ok(())
+    }
+
+    /// The events of a batch that were not received before, if there are any.
+    fn without_received(&mut self, mut batch: FeedBatch) -> Option<FeedBatch> {
+        batch.events.retain(|event| event.n > self.last_event);
+        let newest = batch.events.iter().map(|event| event.n).max();
+        self.last_event = self.last_event.max(newest.unwrap_or(0)).max(batch.n);
+        Some(batch).filter(|batch| !batch.events.is_empty())
+    }
+}
+
+/// Takes the next complete response that was received, if there is one.
+fn next_response(
+    key: ConnectionKey,
+    progress: Result<ReadProgress, Reason>,
+    net: &mut Net,
+) -> Result<Option<HttpResponse>, Reason> {
+    let is_at_end = progress.is_ok_and(|progress| progress.end);
+    let Some(parsed) = net.input(key, |input| http::parse_response(input, is_at_end)) else {
+        return Ok(None);
+    };
+    match parsed {
+        Ok(Some(response)) => Ok(Some(response)),
+        // A full buffer without a complete response never gets one.
+        Ok(None) if progress.is_ok_and(|progress| progress.more) => Err(Reason::Oversize),
+        Ok(None) => Ok(None),
+        Err(MalformedResponse) => Err(Reason::BadMessage),
+    }
+}
--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -12,7 +12,7 @@
     /// Takes in events of the control feed, in their order.
     pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
         // What was known at the start, or else the first list that is told.
-        let first = self.feed.polls()[1] == 0 || !self.listed;
+        let first = self.feed.polls().answered == 0 || !self.listed;
         let heard = Reception { now: self.now, unix: self.net.unix_time(), first };
         let purges = batch.events.iter().filter_map(|event| event.purge.as_ref());
         purges.for_each(|purge| self.instants.witness(self.now, purge.made_at()));
