--- a/src/server/list.rs
+++ b/src/server/list.rs
@@ -12,7 +12,7 @@
     /// Takes in events of the control feed, in their order.
     pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
         // What was known at the start, or else the first list that is told.
-        let first = self.feed.polls()[1] == 0 || !self.listed;
+        let first = self.feed.polls().answered == 0 || !self.listed;
         let heard = Reception { now: self.now, unix: self.net.unix_time(), first };
         let purges = batch.events.iter().filter_map(|event| event.purge.as_ref());
         purges.for_each(|purge| self.instants.witness(self.now, purge.made_at()));
@@ -25,13 +25,19 @@
                     let server = member.server;
                     let started_at = host.started_at();
                     member.started_at = started_at.map(|unix| self.instants.start(heard, server, unix));
-                    let id = server.0;
                     match host.dial.filter(|_| member.state != ServerState::Removed) {
                         Some(addr) => {
                             let since = member.started_at;
-                            self.upstream.set_host(self.now, id, addr, since, &mut self.net, &mut self.due);
+                            self.upstream.set_server(
+                                self.now,
+                                server,
+                                addr,
+                                since,
+                                &mut self.net,
+                                &mut self.due,
+                            );
                         }
-                        None => self.upstream.remove_host(self.now, id, &mut self.net, &mut self.due),
+                        None => self.upstream.remove_server(self.now, server, &mut self.net, &mut self.due),
                     }
                     info!("event {n}: {} is {:?}", host.host, host.health);
                     entries.push(member);
