--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -16,7 +16,7 @@
 use crate::config::located::Doc;
 use crate::config::Config;
 use crate::interface::{Instant, Span, UnixTime};
-use crate::lab::site::{config, Shape};
+use crate::standin::site::{config, Shape};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::config::located::Place;
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
-use crate::lab::site::{config, Shape};
+use crate::standin::site::{config, Shape};
 use serde_json::Value;
 
 /// Three points with four caches each, two hubs with two parents each, the origin.
--- a/src/lab/flood.rs
+++ b/src/lab/flood.rs
@@ -2,7 +2,7 @@
 //! in count and time. It measures what admission is for: whether known clients still connect, how long until their
 //! first answer (hdrhistogram, us), and whether every request that was taken got its answer.
 
-use super::thrift_client::{answer, invoke, ping, send, Answered};
+use crate::standin::thrift_client::{answer, invoke, ping, send, Answered};
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::io;
--- /dev/null
+++ b/src/lab/hosts/agenda.rs
@@ -0,0 +1,107 @@
+//! What is scheduled at the hosts, and the thread that carries it out.
+
+use super::{now, HostsState, StandInHosts};
+use crate::interface::Instant;
+use crate::standin::faults::FaultKind;
+use crate::standin::fleet::Fleet;
+use crate::standin::ids::{HostId, LinkId};
+use crate::standin::line_protocol::GARBLED_ANSWER;
+use std::collections::BTreeMap;
+use std::io::Write;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+/// The thread looks whether the hosts have stopped at least this often.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+
+/// A scheduled event.
+pub(super) enum ScheduledEvent {
+    /// A host answers an attempt, by its id.
+    HostAnswers(HostId, LinkId, String),
+    /// A fault begins.
+    Fault(FaultKind),
+    /// A killed host starts anew.
+    HostRestarts(HostId),
+    /// All copies older than a purge are gone.
+    PurgeSettles(Instant),
+}
+
+/// Scheduled events, in the order of time; those of one time in the order in which they were scheduled.
+#[derive(Default)]
+pub(super) struct Agenda {
+    events: BTreeMap<(Instant, u64), ScheduledEvent>,
+    count: u64,
+}
+
+impl Agenda {
+    fn next_time(&self) -> Option<Instant> {
+        self.events.keys().next().map(|(at, _)| *at)
+    }
+}
+
+impl StandInHosts {
+    pub(super) fn schedule(&self, state: &mut HostsState, at: Instant, event: ScheduledEvent) {
+        state.agenda.count += 1;
+        state.agenda.events.insert((at, state.agenda.count), event);
+        self.0.changed.notify_one();
+    }
+
+    /// Carries out events as they fall due, until the hosts stop.
+    pub(super) fn run_agenda(&self) {
+        let mut state = self.lock();
+        while !state.is_stopped {
+            let wait = state.agenda.next_time().map_or(MAX_WAIT, |at| (at - now()).to_std());
+            if !wait.is_zero() {
+                let waited = self.0.changed.wait_timeout(state, wait.min(MAX_WAIT));
+                state = waited.unwrap_or_else(PoisonError::into_inner).0;
+                continue;
+            }
+            if let Some((_, event)) = state.agenda.events.pop_first() {
+                self.handle(&mut state, event);
+            }
+        }
+        state.connections.clear();
+    }
+
+    fn handle(&self, state: &mut HostsState, event: ScheduledEvent) {
+        let now = now();
+        match event {
+            ScheduledEvent::HostAnswers(host, link, id) => self.answer(state, host, link, id, now),
+            ScheduledEvent::Fault(fault) => self.begin_fault(state, now, fault),
+            ScheduledEvent::HostRestarts(host) => {
+                state.fleet[host].restart(now);
+                self.publish_health(state, host, "up");
+            }
+            ScheduledEvent::PurgeSettles(purged_at) => {
+                for host in &mut state.fleet.hosts {
+                    host.copies.retain(|_, handed_out| *handed_out >= purged_at);
+                }
+            }
+        }
+    }
+
+    /// A host answers an attempt, unless that was cancelled; a silent host answers later.
+    fn answer(&self, state: &mut HostsState, host: HostId, link: LinkId, id: String, now: Instant) {
+        let silent_until = state.silent_until[host.0];
+        if silent_until > now {
+            return self.schedule(state, silent_until, ScheduledEvent::HostAnswers(host, link, id));
+        }
+        let Some(request) = state.fleet[host].open.remove(&(link, id.clone())) else { return };
+        if std::mem::take(&mut state.fleet[host].garbles_next) {
+            return state.send(link, GARBLED_ANSWER);
+        }
+        let silent_until = &state.silent_until;
+        let is_reachable = |fleet: &Fleet, host: HostId| !fleet[host].dead && silent_until[host.0] <= now;
+        let answer = state.fleet.answer(host, &request, now, &is_reachable);
+        state.send(link, &answer.encode(&id));
+    }
+}
+
+impl HostsState {
+    /// Writes to a connection, if it is still open. A failure shows when it is read.
+    pub(super) fn send(&mut self, link: LinkId, bytes: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(&link) {
+            let _ = connection.stream.write_all(bytes);
+        }
+    }
+}
--- /dev/null
+++ b/src/lab/hosts/connection.rs
@@ -0,0 +1,84 @@
+//! Connections to the hosts: each is read in a thread of its own.
+
+use super::agenda::ScheduledEvent;
+use super::{now, Connection, HostsState, StandInHosts};
+use crate::interface::{Instant, Span};
+use crate::standin::ids::{HostId, LinkId};
+use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, HEALTHY};
+use std::io::{self, Read};
+use std::net::TcpStream;
+use std::thread;
+
+/// A source that is not reachable is given up after this.
+const SOURCE_TIMEOUT: Span = Span::from_millis(300);
+/// The bytes of one read.
+const READ_BYTES: usize = 16 * 1024;
+
+impl StandInHosts {
+    /// Serves a connection, unless the host is not running.
+    pub(super) fn accept(&self, host: HostId, stream: TcpStream) {
+        let Ok(reading) = stream.try_clone() else { return };
+        let _ = stream.set_nodelay(true);
+        let mut state = self.lock();
+        // A killed process would refuse; its listener can't be closed here, so the connection ends at once.
+        if state.fleet[host].dead || state.is_stopped {
+            return;
+        }
+        let link = state.next_link();
+        state.connections.insert(link, Connection { host, stream });
+        drop(state);
+        let hosts = self.clone();
+        thread::spawn(move || {
+            let _ = hosts.read(host, link, reading);
+            hosts.lock().connections.remove(&link);
+        });
+    }
+
+    /// Reads requests until the connection ends.
+    fn read(&self, host: HostId, link: LinkId, mut stream: TcpStream) -> io::Result<()> {
+        let (mut input, mut buffer) = (Vec::new(), [0; READ_BYTES]);
+        loop {
+            let count = stream.read(&mut buffer)?;
+            if count == 0 {
+                return Ok(());
+            }
+            input.extend_from_slice(&buffer[..count]);
+            let lines = take_lines(&mut input).map_err(io::Error::other)?;
+            let mut state = self.lock();
+            for line in lines {
+                match line {
+                    HostLine::Fetch(request) => self.receive(&mut state, host, link, request),
+                    HostLine::Cancel(id) => drop(state.fleet[host].open.remove(&(link, id))),
+                    HostLine::HealthCheck(tag) => state.send(link, &HEALTHY.encode(&tag)),
+                }
+            }
+        }
+    }
+
+    /// Takes in a request and schedules its answer.
+    fn receive(&self, state: &mut HostsState, host: HostId, link: LinkId, request: FetchRequest) {
+        let now = now();
+        state.counts.requests += 1;
+        let after = state.draw_answering_time(host, &request, now);
+        let id = request.id.clone();
+        state.fleet[host].open.insert((link, id.clone()), request);
+        self.schedule(state, now + after, ScheduledEvent::HostAnswers(host, link, id));
+    }
+}
+
+impl HostsState {
+    /// Draws how long a host takes to answer a request, with a fill where it needs one.
+    fn draw_answering_time(&mut self, host: HostId, request: &FetchRequest, now: Instant) -> Span {
+        let own = self.draw_service_time(host, now);
+        if !self.fleet[host].needs_source(request, now) {
+            return own;
+        }
+        let Some(source) = self.fleet.source(request) else { return own };
+        self.counts.fills += 1;
+        if self.is_reachable(source, now) {
+            own + self.draw_service_time(source, now)
+        } else {
+            own + SOURCE_TIMEOUT
+        }
+    }
+}
--- /dev/null
+++ b/src/lab/hosts/mod.rs
@@ -0,0 +1,194 @@
+//! Stand-in table caches, parents and the origin on loopback sockets, with scripted faults: the same hosts as in the
+//! simulator ([`crate::standin::fleet`]), each behind a listener of its own.
+//!
+//! - `connection`: reads requests, in a thread for each connection.
+//! - `agenda`: answers and faults that are due, in one thread.
+//! - `faults`: what goes wrong.
+
+mod agenda;
+mod connection;
+mod faults;
+
+use crate::interface::{Instant, Span};
+use crate::net::unix_time;
+use crate::standin::faults::Fault;
+use crate::standin::feed::StandInFeed;
+use crate::standin::fleet::Fleet;
+use crate::standin::host::{Host, Tier};
+use crate::standin::ids::{HostId, LinkId};
+use agenda::{Agenda, ScheduledEvent};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::SystemTime;
+
+/// A request takes a host this long, us.
+const SERVICE_TIME_US: std::ops::RangeInclusive<i64> = 2_000..=12_000;
+
+/// Listeners on loopback, one for each host.
+pub struct HostListeners(Vec<TcpListener>);
+
+impl HostListeners {
+    /// Listens on free ports.
+    ///
+    /// # Errors
+    ///
+    /// No ports are free.
+    pub fn bind(count: usize) -> io::Result<Self> {
+        let listeners = (0..count).map(|_| TcpListener::bind("127.0.0.1:0"));
+        Ok(HostListeners(listeners.collect::<Result<_, _>>()?))
+    }
+
+    /// The listeners' addresses.
+    ///
+    /// # Errors
+    ///
+    /// The system does not say.
+    pub fn addresses(&self) -> io::Result<Vec<SocketAddr>> {
+        self.0.iter().map(TcpListener::local_addr).collect()
+    }
+}
+
+/// What the hosts are and how they behave.
+pub struct HostsPlan<'a> {
+    /// Their entries in the endpoint list: caches first, then parents, then the origin.
+    pub entries: &'a [Value],
+    /// The number of caches.
+    pub caches: usize,
+    /// What goes wrong, from the moment the hosts serve.
+    pub faults: &'a [Fault],
+    /// The seed of service times.
+    pub seed: u64,
+}
+
+/// How many requests the hosts received; serialized as a list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+#[serde(into = "[u64; 2]")]
+pub struct HostCounts {
+    /// Requests.
+    pub requests: u64,
+    /// Those that needed a fill.
+    pub fills: u64,
+}
+
+impl From<HostCounts> for [u64; 2] {
+    fn from(counts: HostCounts) -> Self {
+        [counts.requests, counts.fills]
+    }
+}
+
+/// A connection to a host.
+struct Connection {
+    host: HostId,
+    stream: TcpStream,
+}
+
+struct HostsState {
+    fleet: Fleet,
+    /// Nothing is answered until then, by host.
+    silent_until: Vec<Instant>,
+    connections: BTreeMap<LinkId, Connection>,
+    last_link: LinkId,
+    agenda: Agenda,
+    random: ChaCha8Rng,
+    is_stopped: bool,
+    counts: HostCounts,
+}
+
+impl HostsState {
+    fn new(plan: &HostsPlan<'_>) -> Self {
+        let parents = plan.entries.len().saturating_sub(plan.caches + 1);
+        let host = |(number, entry): (usize, &Value)| {
+            Host::new(Tier::of(HostId(number), plan.caches, parents), entry.clone())
+        };
+        let hosts: Vec<Host> = plan.entries.iter().enumerate().map(host).collect();
+        HostsState {
+            silent_until: vec![Instant::ZERO; hosts.len()],
+            fleet: Fleet { hosts, sparse_notes: false },
+            connections: BTreeMap::new(),
+            last_link: LinkId(0),
+            agenda: Agenda::default(),
+            random: ChaCha8Rng::seed_from_u64(plan.seed),
+            is_stopped: false,
+            counts: HostCounts::default(),
+        }
+    }
+
+    fn next_link(&mut self) -> LinkId {
+        self.last_link = LinkId(self.last_link.0 + 1);
+        self.last_link
+    }
+
+    /// Whether a host's process runs and it answers.
+    fn is_reachable(&self, host: HostId, now: Instant) -> bool {
+        !self.fleet[host].dead && self.silent_until[host.0] <= now
+    }
+
+    /// Draws how long a host takes for one request.
+    fn draw_service_time(&mut self, host: HostId, now: Instant) -> Span {
+        let usual = Span::from_micros(self.random.random_range(SERVICE_TIME_US));
+        self.fleet[host].service_time(usual, now)
+    }
+}
+
+/// What the threads of the hosts share.
+struct SharedState {
+    state: Mutex<HostsState>,
+    /// Notified at every scheduled event, and when the hosts stop.
+    changed: Condvar,
+    feed: StandInFeed,
+}
+
+/// The hosts; clones are the same ones.
+#[derive(Clone)]
+pub struct StandInHosts(Arc<SharedState>);
+
+impl StandInHosts {
+    /// Serves the hosts behind their listeners, in threads that end with the process. Their health is stated by the
+    /// feed.
+    pub fn serve(listeners: HostListeners, feed: &StandInFeed, plan: &HostsPlan<'_>) -> Self {
+        let state = Mutex::new(HostsState::new(plan));
+        let shared = SharedState { state, changed: Condvar::new(), feed: feed.clone() };
+        let hosts = StandInHosts(Arc::new(shared));
+        let begun = now();
+        for fault in plan.faults {
+            let at = begun + Span::from_millis(fault.at_ms);
+            hosts.schedule(&mut hosts.lock(), at, ScheduledEvent::Fault(fault.kind));
+        }
+        for (number, listener) in listeners.0.into_iter().enumerate() {
+            let hosts = hosts.clone();
+            thread::spawn(move || {
+                listener.incoming().flatten().for_each(|stream| hosts.accept(HostId(number), stream))
+            });
+        }
+        let timer = hosts.clone();
+        thread::spawn(move || timer.run_agenda());
+        hosts
+    }
+
+    fn lock(&self) -> MutexGuard<'_, HostsState> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// How many requests have come so far.
+    pub fn counts(&self) -> HostCounts {
+        self.lock().counts
+    }
+
+    /// Stops serving and closes all connections.
+    pub fn stop(&self) {
+        self.lock().is_stopped = true;
+        self.0.changed.notify_all();
+    }
+}
+
+/// The hosts' clock: it reads Unix time, which their answers state.
+fn now() -> Instant {
+    Instant::from_micros(unix_time(SystemTime::now()).as_micros())
+}
--- /dev/null
+++ b/src/lab/replay/clients.rs
@@ -0,0 +1,263 @@
+//! The clients of a replay: each sends its share of the requests at the trace's times on a connection of its own, and
+//! connects again when that ends.
+
+use super::{ClassTerms, ReplayPlan};
+use crate::standin::thrift_client::{self, Answered};
+use crate::trace::{Played, Trace};
+use indicatif::ProgressBar;
+use std::collections::BTreeMap;
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::mpsc::{channel, Sender};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Requests that are open at the end are waited for this long.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(6);
+/// The pause between two looks whether requests are still open.
+const LAST_ANSWERS_PAUSE: Duration = Duration::from_millis(10);
+/// A request is written on the client's connection, or else once on a new one.
+const WRITE_ATTEMPTS: usize = 2;
+/// The bytes of one read.
+const READ_BYTES: usize = 64 * 1024;
+/// The bits of a trace id that number the requests of a replay.
+const REQUEST_BITS: u32 = 32;
+
+/// How a request ended, as its client saw it.
+pub(super) struct RequestEnd {
+    /// Its class, by its place in the trace's map.
+    pub(super) class: usize,
+    /// When it was sent, from the start.
+    pub(super) sent: Duration,
+    pub(super) took: Duration,
+    /// `None`: it got no answer.
+    pub(super) answer: Option<Answered>,
+}
+
+/// What the clients saw.
+pub(super) struct PlayedRequests {
+    pub(super) ends: Vec<RequestEnd>,
+    /// How late a request was sent at the worst.
+    pub(super) max_lateness: Duration,
+}
+
+/// What the clients of a replay share.
+#[derive(Clone, Copy)]
+pub(super) struct Traffic<'a> {
+    pub(super) trace: &'a Trace,
+    pub(super) plan: &'a ReplayPlan,
+    /// By class.
+    pub(super) terms: &'a [ClassTerms],
+    /// The edge proxy's front.
+    pub(super) target: SocketAddr,
+    pub(super) begun: Instant,
+    pub(super) progress: &'a ProgressBar,
+}
+
+impl Traffic<'_> {
+    /// When a request is sent, from the start.
+    fn sending_time(&self, request: &Played) -> Duration {
+        Duration::from_secs_f64(request.at.as_secs_f64() / self.plan.speed)
+    }
+
+    /// The frame of the request of this place in the trace.
+    fn frame(&self, number: usize, request: &Played, seqid: i32) -> Vec<u8> {
+        let class = self.trace.classes[request.class].as_str();
+        let object = format!("{:016x}", request.object);
+        let client_timeout = (self.terms[request.class].deadline_ms as u64).to_string();
+        let trace = format!("{:016x}", (self.plan.seed << REQUEST_BITS) + number as u64 + 1);
+        let fields = [
+            ("route", class),
+            ("trace", &trace),
+            ("patience", &client_timeout),
+            ("entity", &object),
+            ("slice", "0"),
+            ("set", "17"),
+        ];
+        let body: &[u8] = if class == "result" { b"won" } else { b"" };
+        thrift_client::invoke(seqid, &fields, body)
+    }
+}
+
+/// Sends all requests at their times over the connections, and gathers how they end.
+pub(super) fn play(traffic: &Traffic<'_>) -> io::Result<PlayedRequests> {
+    let (sender, ends) = channel();
+    let clients = traffic.plan.connections.max(1);
+    thread::scope(|scope| {
+        let start = |number: usize| {
+            let client = ReplayClient::new(*traffic, sender.clone());
+            scope.spawn(move || client.run(number, clients))
+        };
+        let running: Vec<_> = (0..clients).map(start).collect();
+        drop(sender);
+        let ends: Vec<RequestEnd> = ends.iter().collect();
+        let mut max_lateness = Duration::ZERO;
+        for client in running {
+            let lateness =
+                client.join().map_err(|_| io::Error::other("a client of the load tool panicked"))?;
+            max_lateness = max_lateness.max(lateness);
+        }
+        Ok(PlayedRequests { ends, max_lateness })
+    })
+}
+
+/// A request that has no answer yet.
+struct OpenRequest {
+    class: usize,
+    /// From the start.
+    sent: Duration,
+}
+
+/// The open requests of one connection by sequence number, which its reading thread shares.
+#[derive(Clone, Default)]
+struct OpenRequests(Arc<Mutex<BTreeMap<i32, OpenRequest>>>);
+
+impl OpenRequests {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<i32, OpenRequest>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// A connection to the edge proxy.
+struct ClientConnection {
+    stream: TcpStream,
+    open: OpenRequests,
+}
+
+impl ClientConnection {
+    /// Connects, and reads answers in a thread of its own; `None`: that failed.
+    fn open(target: SocketAddr, begun: Instant, ends: &Sender<RequestEnd>) -> Option<Self> {
+        let stream = TcpStream::connect(target).ok()?;
+        stream.set_nodelay(true).ok()?;
+        let reading = stream.try_clone().ok()?;
+        let open = OpenRequests::default();
+        let (shared, ends) = (open.clone(), ends.clone());
+        thread::spawn(move || read_answers(reading, &shared, begun, &ends));
+        Some(ClientConnection { stream, open })
+    }
+
+    /// Writes a request's frame; `false`: the connection has ended.
+    fn write(&mut self, seqid: i32, request: OpenRequest, frame: &[u8]) -> bool {
+        self.open.lock().insert(seqid, request);
+        let is_written = self.stream.write_all(frame).is_ok();
+        if !is_written {
+            self.open.lock().remove(&seqid);
+        }
+        is_written
+    }
+}
+
+/// Reads answers until the connection ends.
+fn read_answers(mut stream: TcpStream, open: &OpenRequests, begun: Instant, ends: &Sender<RequestEnd>) {
+    let (mut input, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
+    while let Ok(count) = stream.read(&mut buffer) {
+        if count == 0 {
+            return;
+        }
+        input.extend_from_slice(&buffer[..count]);
+        while let Ok(Some(answer)) = thrift_client::take_answer(&mut input) {
+            let request = open.lock().remove(&answer.seqid);
+            if let Some(OpenRequest { class, sent }) = request {
+                let took = begun.elapsed().saturating_sub(sent);
+                let _ = ends.send(RequestEnd { class, sent, took, answer: Some(answer.kind) });
+            }
+        }
+    }
+}
+
+/// One client.
+struct ReplayClient<'a> {
+    traffic: Traffic<'a>,
+    ends: Sender<RequestEnd>,
+    connection: Option<ClientConnection>,
+    /// The open requests of all its connections so far.
+    open: Vec<OpenRequests>,
+    last_seqid: i32,
+    max_lateness: Duration,
+}
+
+impl<'a> ReplayClient<'a> {
+    fn new(traffic: Traffic<'a>, ends: Sender<RequestEnd>) -> Self {
+        let max_lateness = Duration::ZERO;
+        ReplayClient { traffic, ends, connection: None, open: Vec::new(), last_seqid: 0, max_lateness }
+    }
+
+    /// Sends the requests of the client of this number among `clients`, and waits for the last answers; returns how
+    /// late it sent at the worst.
+    fn run(mut self, number: usize, clients: usize) -> Duration {
+        let requests = self.traffic.trace.requests.iter().enumerate();
+        for (number, request) in requests.skip(number).step_by(clients) {
+            self.wait_for(self.traffic.sending_time(request));
+            self.traffic.progress.inc(1);
+            self.send(number, request);
+        }
+        self.wait_for_last_answers();
+        self.end();
+        self.max_lateness
+    }
+
+    /// Sleeps until a time from the start; records how late it is.
+    fn wait_for(&mut self, time: Duration) {
+        let begun = self.traffic.begun;
+        if let Some(wait) = time.checked_sub(begun.elapsed()) {
+            thread::sleep(wait);
+        }
+        self.max_lateness = self.max_lateness.max(begun.elapsed().saturating_sub(time));
+    }
+
+    /// Sends a request. Writing shows that a connection has ended; the request then goes on a new one.
+    fn send(&mut self, number: usize, request: &Played) {
+        self.last_seqid += 1;
+        let frame = self.traffic.frame(number, request, self.last_seqid);
+        let is_sent = (0..WRITE_ATTEMPTS).any(|_| self.write(request.class, &frame));
+        if !is_sent {
+            let sent = self.traffic.sending_time(request);
+            self.unanswered(OpenRequest { class: request.class, sent });
+        }
+    }
+
+    fn write(&mut self, class: usize, frame: &[u8]) -> bool {
+        if self.connection.is_none() {
+            self.connect();
+        }
+        let Some(connection) = &mut self.connection else { return false };
+        let request = OpenRequest { class, sent: self.traffic.begun.elapsed() };
+        let is_written = connection.write(self.last_seqid, request, frame);
+        if !is_written {
+            self.connection = None;
+        }
+        is_written
+    }
+
+    fn connect(&mut self) {
+        let Traffic { target, begun, .. } = self.traffic;
+        self.connection = ClientConnection::open(target, begun, &self.ends);
+        self.open.extend(self.connection.iter().map(|connection| connection.open.clone()));
+    }
+
+    fn wait_for_last_answers(&self) {
+        let until = Instant::now() + LAST_ANSWERS_TIMEOUT;
+        let is_any_open = || self.open.iter().any(|open| !open.lock().is_empty());
+        while is_any_open() && Instant::now() < until {
+            thread::sleep(LAST_ANSWERS_PAUSE);
+        }
+    }
+
+    /// Closes the connection; what is still open has no answer.
+    fn end(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            let _ = connection.stream.shutdown(Shutdown::Both);
+        }
+        for open in std::mem::take(&mut self.open) {
+            for request in std::mem::take(&mut *open.lock()).into_values() {
+                self.unanswered(request);
+            }
+        }
+    }
+
+    fn unanswered(&self, request: OpenRequest) {
+        let OpenRequest { class, sent } = request;
+        let _ = self.ends.send(RequestEnd { class, sent, took: Duration::ZERO, answer: None });
+    }
+}
--- a/src/lab/xds/measure.rs
+++ b/src/lab/xds/measure.rs
@@ -9,9 +9,9 @@
 use crate::control::service::{ControlError, Running};
 use crate::control::session::Variant;
 use crate::interface::{Instant, Span};
-use crate::lab::feed::StandInFeed;
-use crate::lab::site::Shape;
 use crate::lab::views::{check, Breach, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
+use crate::standin::feed::StandInFeed;
+use crate::standin::site::Shape;
 use hdrhistogram::Histogram;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -268,7 +268,7 @@
     /// States a server's new health over the feed; returns when.
     fn set_health(&mut self, feed: &StandInFeed, host: &Value, health: &str, change: FeedChange) -> Instant {
         let at = log_time();
-        feed.tell_health(host, health);
+        feed.publish_health(host, health);
         self.feed_events.push(FeedEvent { at, change });
         at
     }
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -5,8 +5,8 @@
 use crate::control::clock::Clock;
 use crate::control::service::{start_with_clock, ControlError, Running};
 use crate::control::settings::ControlSettings;
-use crate::lab::feed::StandInFeed;
-use crate::lab::site::{config, Shape};
+use crate::standin::feed::StandInFeed;
+use crate::standin::site::{config, Shape};
 use serde_json::Value;
 use std::path::Path;
 
@@ -52,7 +52,7 @@
         let list = site["known"]["events"][0].clone();
         let hosts = list["members"]["hosts"].as_array().cloned().unwrap_or_default();
         if self.feed.known()["n"] == 0 {
-            self.feed.tell(list);
+            self.feed.publish(list);
         }
         site["known"] = self.known.unwrap_or_else(|| self.feed.known());
         let config = Config::parse(site.to_string().as_bytes())
--- a/src/lab_commands.rs
+++ b/src/lab_commands.rs
@@ -7,11 +7,11 @@
 #[cfg(feature = "control")]
 use dahliatrack::control::service::ControlError;
 use dahliatrack::lab::made;
-use dahliatrack::lab::replay::{self, Replay, ReplayError};
-use dahliatrack::lab::site::{self, Shape};
+use dahliatrack::lab::replay::{self, ReplayError, ReplayPlan};
 #[cfg(feature = "control")]
 use dahliatrack::lab::xds;
-use dahliatrack::sim::faults;
+use dahliatrack::standin::faults::RunPlan;
+use dahliatrack::standin::site::{self, Shape};
 use dahliatrack::trace;
 use std::path::PathBuf;
 #[cfg(feature = "control")]
@@ -175,8 +175,8 @@
     let length_ms = (trace.length.as_millis_f64() / how.speed.max(0.001)) as i64;
     let (caches, parents) = (how.caches as usize, 2);
     let shape = Shape { points: 1, proxies: 1, caches, hubs: 1, parents, seed: how.seed };
-    let plan = faults::Plan { caches, parents, ms: length_ms, ..faults::Plan::default() }.of_hosts();
-    let replay = Replay {
+    let plan = RunPlan { caches, parents, ms: length_ms, ..RunPlan::default() }.only_host_faults();
+    let replay = ReplayPlan {
         program: std::env::current_exe().map_err(ReplayError::from)?,
         shape,
         connections: how.connections as usize,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,6 +32,7 @@
 pub mod sim;
 pub mod slots;
 pub mod spread;
+pub mod standin;
 pub mod trace;
 pub mod upstream;
 mod validate;
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,8 +21,9 @@
 use dahliatrack::lab::flood::{self, Plan};
 use dahliatrack::lab::replay::ReplayError;
 use dahliatrack::server::{route_classes, Server, ServerError};
+use dahliatrack::sim::runner;
 use dahliatrack::sim::world::Sabotage;
-use dahliatrack::sim::{faults, runner};
+use dahliatrack::standin::faults::{Fault, RunPlan};
 use dahliatrack::trace::TraceError;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -411,14 +412,13 @@
                     let text = dahliatrack::config::read(&path)?;
                     let text = String::from_utf8(text).map_err(|_| ConfigError::form(&path, "not UTF-8"))?;
                     let file = path.display().to_string();
-                    faults::Plan::parse(Doc { file: &file, text: &text }).map_err(ExpectError::from)?
+                    RunPlan::parse(Doc { file: &file, text: &text }).map_err(ExpectError::from)?
                 }
-                None => faults::Plan::default(),
+                None => RunPlan::default(),
             };
             if let Some(Numbers(keep)) = keep {
                 let script = plan.script(seeds.start);
-                let picked: Vec<faults::Fault> =
-                    keep.iter().filter_map(|n| script.get(*n).cloned()).collect();
+                let picked: Vec<Fault> = keep.iter().filter_map(|n| script.get(*n).cloned()).collect();
                 let outcome = runner::play(&plan, seeds.start, &picked, sabotage);
                 print(&serde_json::json!(outcome));
                 return if outcome.breaches.is_empty() { Ok(()) } else { Err(Error::Broken) };
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Config;
 use crate::interface::{Instant, Span};
-use crate::lab::site::{config, Shape};
-use crate::lab::thrift_client;
 use crate::net::fabric::{host, ActorEvent, Fabric};
 use crate::server::Server;
+use crate::standin::site::{config, Shape};
+use crate::standin::thrift_client;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 
--- a/src/sim/mod.rs
+++ b/src/sim/mod.rs
@@ -1,17 +1,17 @@
 //! A deterministic simulator: the edge proxy's own network code on a virtual clock, against scripted faults drawn from
 //! a seed, with every rule checked as things happen. See docs/simulator.md.
 //!
-//! [`customers`] draws the site, [`faults`] what goes wrong ([`system_error`]: with system calls), [`world`] plays a run, [`hosts`] is the other end of the line protocol, [`rules`]
-//! says what must hold, [`runner`] plays many seeds and shrinks what fails.
+//! - [`world`] plays a run: the program's own server on a virtual network, and around it stand-in clients, hosts and feed.
+//! - [`site_variant`] draws how the site differs from the default one; the faults are [`crate::standin::faults`].
+//! - [`rules`] says what must hold.
+//! - [`runner`] plays many seeds and shrinks what fails.
+//! - `federation` plays federations of several members.
 
-pub mod customers;
-pub mod faults;
 #[cfg(feature = "federation")]
 pub mod federation;
-pub mod hosts;
 pub mod rules;
 pub mod runner;
-pub mod system_error;
+pub mod site_variant;
 pub mod world;
 
 #[cfg(test)]
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -1,28 +1,28 @@
-//! What has to hold in every run, checked as things happen: a breach names its rule and the moment. No I/O, no state
-//! of the world but what is told here.
+//! What has to hold in every run, checked at each step: a breach names its rule and the moment. No I/O, and no state of
+//! the world but what is reported here.
 
 use crate::interface::{Instant, Span};
+use crate::standin::ids::{HostId, LinkId};
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// A drain, removal or purge takes effect within this long after it was told (protocol page, with its slack).
-const DRAIN: Span = Span::from_millis(1_050);
-/// An answer counts until this long after the request's time.
-const LATE: Span = Span::from_millis(550);
-/// What is under way may be seen so much later than it was sent.
-pub const WAY: Span = Span::from_millis(45);
-
+/// A drain, removal or purge takes effect within this time after it was stated (protocol page, with its slack).
+const DRAIN_BOUND: Span = Span::from_millis(1_050);
+/// An answer counts until this long after the client's timeout.
+const ANSWER_GRACE: Span = Span::from_millis(550);
+/// What is in flight may arrive this much later than it was sent.
+pub const MAX_TRANSIT: Span = Span::from_millis(45);
 /// No attempt begins for a client that left longer ago than this.
-const LEFT: Span = Span::from_millis(100);
+const CANCEL_BOUND: Span = Span::from_millis(100);
 /// Time limits are this much longer on sockets (protocol page).
-const SLACK: Span = Span::from_millis(50);
+const SOCKET_SLACK: Span = Span::from_millis(50);
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Breach {
-    /// The rule's word.
+    /// The rule's name.
     pub rule: &'static str,
-    /// When, from the start; in microseconds where it is written.
+    /// When, from the start of the run; serialized in microseconds.
     #[serde(serialize_with = "in_micros")]
     pub at: Span,
     /// What happened.
@@ -33,30 +33,56 @@
     span.as_micros().serialize(to)
 }
 
-/// How a host stands with what it was sent for one `result`.
+/// An attempt that has reached a host.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedAttempt<'a> {
+    /// The host.
+    pub host: HostId,
+    /// The host's name in the endpoint list.
+    pub host_name: &'a str,
+    /// The connection.
+    pub link: LinkId,
+    /// The trace of the client's request.
+    pub trace: &'a str,
+    /// When its first byte was written, which is what drains count from.
+    pub sent: Instant,
+    /// Whether it writes.
+    pub is_write: bool,
+}
+
+/// Whether a write ran where it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ran {
-    /// It may have; it was written then.
-    Maybe(Instant),
-    Never,
+enum WriteState {
+    /// It may have run; it was written then.
+    MayHaveRun(Instant),
+    DidNotRun,
 }
 
-/// Keeps what the rules need to know.
+/// A purge of one object.
+#[derive(Clone, Copy, Debug)]
+pub struct PurgeRule {
+    /// Copies that are older than this are void.
+    pub purged_at: Instant,
+    /// From this time on, no request is served by one.
+    pub holds_from: Instant,
+}
+
+/// The state that the rules need.
 #[derive(Debug, Default)]
 pub struct Rules {
     start: Instant,
-    /// The first breach of each kind, in the order of time.
+    /// The first breach of each rule, in the order of time.
     pub breaches: Vec<Breach>,
-    /// By trace, then host and connection: whether it may have run there.
-    results: BTreeMap<String, BTreeMap<(usize, u64), Ran>>,
-    /// A `result` that may have run may be repeated for this long after its first attempt was written; `None`: never.
-    window: Option<Span>,
-    /// By trace: when its client gave it up.
+    /// By trace: the write's state at each host and connection that it was sent to.
+    writes: BTreeMap<String, BTreeMap<(HostId, LinkId), WriteState>>,
+    /// A write that may have run may be repeated for this long after its first attempt was written; `None`: never.
+    dedup_window: Option<Span>,
+    /// By trace: when its client cancelled it or closed its connection.
     clients_left: BTreeMap<String, Instant>,
-    /// By host: from when on it may no longer be sent anything.
-    gone: BTreeMap<usize, Instant>,
-    /// By object: the purges, as what time copies must be newer than, and since when that holds.
-    purges: BTreeMap<String, Vec<(Instant, Instant)>>,
+    /// When drained and removed hosts must no longer be sent anything.
+    drain_deadlines: BTreeMap<HostId, Instant>,
+    /// By object.
+    purges: BTreeMap<String, Vec<PurgeRule>>,
 }
 
 impl Rules {
@@ -65,9 +91,16 @@
         Rules { start, ..Rules::default() }
     }
 
-    /// The same where a `result` may be repeated for this long.
-    pub fn with_window(self, window: Option<Span>) -> Self {
-        Rules { window, ..self }
+    /// The same rules where a write may be repeated for this long.
+    pub fn with_dedup_window(self, dedup_window: Option<Span>) -> Self {
+        Rules { dedup_window, ..self }
+    }
+
+    /// Records a breach, unless the rule was broken before.
+    pub fn breach(&mut self, now: Instant, rule: &'static str, text: String) {
+        if self.breaches.iter().all(|breach| breach.rule != rule) {
+            self.breaches.push(Breach { rule, at: now - self.start, text });
+        }
     }
 
     /// A client has cancelled a request or closed its connection.
@@ -75,103 +108,103 @@
         self.clients_left.entry(trace.to_owned()).or_insert(now);
     }
 
-    /// Books a breach; each rule's first one is enough.
-    pub fn broken(&mut self, now: Instant, rule: &'static str, text: String) {
-        if self.breaches.iter().all(|breach| breach.rule != rule) {
-            self.breaches.push(Breach { rule, at: now - self.start, text });
-        }
+    /// A host was drained or removed, which counts as stated at `stated`.
+    pub fn host_left(&mut self, host: HostId, stated: Instant) {
+        self.drain_deadlines.entry(host).or_insert(stated + DRAIN_BOUND);
     }
 
-    /// A host may no longer be used, which counts as told at `told`.
-    pub fn left(&mut self, host: usize, told: Instant) {
-        self.gone.entry(host).or_insert(told + DRAIN);
+    /// A host may be used again.
+    pub fn host_returned(&mut self, host: HostId) {
+        self.drain_deadlines.remove(&host);
     }
 
-    /// The feed was cut off from `since` on: what it told from then on counts as told at `told` at the earliest.
-    pub fn feed_cut(&mut self, since: Instant, told: Instant) {
-        for deadline in self.gone.values_mut().filter(|deadline| **deadline >= since + DRAIN) {
-            *deadline = (*deadline).max(told + DRAIN);
+    /// The feed is cut off since `since`: what it stated after that counts as stated at `stated` at the earliest.
+    pub fn feed_cut(&mut self, since: Instant, stated: Instant) {
+        for deadline in self.drain_deadlines.values_mut().filter(|deadline| **deadline >= since + DRAIN_BOUND)
+        {
+            *deadline = (*deadline).max(stated + DRAIN_BOUND);
         }
-        for (_, holds) in self.purges.values_mut().flatten().filter(|(_, holds)| *holds >= since) {
-            *holds = (*holds).max(told);
+        for purge in self.purges.values_mut().flatten().filter(|purge| purge.holds_from >= since) {
+            purge.holds_from = purge.holds_from.max(stated);
         }
     }
 
-    /// A host may be used again.
-    pub fn came(&mut self, host: usize) {
-        self.gone.remove(&host);
+    /// An object was purged.
+    pub fn purged(&mut self, object: &str, purge: PurgeRule) {
+        self.purges.entry(object.to_owned()).or_default().push(purge);
     }
 
-    /// An object was purged at a time; no older copy may be served to what comes `grace` after it was told.
-    pub fn purged(&mut self, object: &str, at: Instant, told: Instant, grace: Span) {
-        self.purges.entry(object.to_owned()).or_default().push((at, told + grace));
+    /// A complete request has reached a host.
+    pub fn attempt_received(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
+        self.check_drain(now, attempt);
+        self.check_client_left(now, attempt);
+        if attempt.is_write {
+            self.check_repeat(now, attempt);
+        }
     }
 
-    /// A request has come whole to a host; its first byte was written at `sent`, which is what drains count from.
-    pub fn fetched(
-        &mut self,
-        now: Instant,
-        sent: Instant,
-        (host, name): (usize, &str),
-        link: u64,
-        trace: &str,
-        is_result: bool,
-    ) {
-        if let Some(deadline) = self.gone.get(&host).filter(|deadline| sent > **deadline) {
-            let late = (sent - *deadline).as_millis();
-            self.broken(now, "drain", format!("{trace} goes to {name} {late} ms after it had to stop"));
-        }
-        if let Some(at) = self.clients_left.get(trace).filter(|at| sent > **at + LEFT + WAY) {
-            let late = (sent - *at).as_millis();
-            self.broken(
-                now,
-                "after-leaving",
-                format!("{trace} goes to {name} {late} ms after its client left"),
-            );
-        }
-        if !is_result {
-            return;
-        }
-        let known = self.results.entry(trace.to_owned()).or_default();
-        let ran = known.iter().filter_map(|((host, _), ran)| match ran {
-            Ran::Maybe(at) => Some((*at, *host)),
-            Ran::Never => None,
+    fn check_drain(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
+        let ReceivedAttempt { host_name, trace, sent, .. } = *attempt;
+        let deadline = self.drain_deadlines.get(&attempt.host);
+        let Some(deadline) = deadline.filter(|deadline| sent > **deadline) else { return };
+        let late = (sent - *deadline).as_millis();
+        self.breach(now, "drain", format!("{trace} goes to {host_name} {late} ms after it had to stop"));
+    }
+
+    fn check_client_left(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
+        let ReceivedAttempt { host_name, trace, sent, .. } = *attempt;
+        let left = self.clients_left.get(trace);
+        let Some(left) = left.filter(|left| sent > **left + CANCEL_BOUND + MAX_TRANSIT) else { return };
+        let late = (sent - *left).as_millis();
+        let text = format!("{trace} goes to {host_name} {late} ms after its client left");
+        self.breach(now, "after-leaving", text);
+    }
+
+    /// Checks that a write was not sent elsewhere before, where it may have run and may not be repeated.
+    fn check_repeat(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
+        let ReceivedAttempt { host_name, trace, sent, .. } = *attempt;
+        let states = self.writes.entry(trace.to_owned()).or_default();
+        let may_have_run = states.iter().filter_map(|((host, _), state)| match state {
+            WriteState::MayHaveRun(sent) => Some((*sent, *host)),
+            WriteState::DidNotRun => None,
         });
-        let first = ran.min();
-        known.insert((host, link), Ran::Maybe(sent));
-        let Some((at, other)) = first else { return };
-        let (rule, allowed) = match self.window {
+        let first = may_have_run.min();
+        states.insert((attempt.host, attempt.link), WriteState::MayHaveRun(sent));
+        let Some((first_sent, first_host)) = first else { return };
+        let (rule, is_allowed) = match self.dedup_window {
             None => ("result-twice", false),
-            Some(window) => ("late-repeat", sent <= at + window + SLACK),
+            Some(window) => ("late-repeat", sent <= first_sent + window + SOCKET_SLACK),
         };
-        if !allowed {
-            let after = (sent - at).as_millis();
-            let text = format!("{trace} goes to {name} {after} ms after it may have run at host {other}");
-            self.broken(now, rule, text);
+        if !is_allowed {
+            let after = (sent - first_sent).as_millis();
+            let text =
+                format!("{trace} goes to {host_name} {after} ms after it may have run at host {first_host}");
+            self.breach(now, rule, text);
         }
     }
 
-    /// A host says that a request never ran there.
-    pub fn never_ran(&mut self, host: usize, link: u64, trace: &str) {
-        if let Some(known) = self.results.get_mut(trace) {
-            known.insert((host, link), Ran::Never);
+    /// A host states that a request did not run there.
+    pub fn did_not_run(&mut self, host: HostId, link: LinkId, trace: &str) {
+        if let Some(states) = self.writes.get_mut(trace) {
+            states.insert((host, link), WriteState::DidNotRun);
         }
     }
 
-    /// A client was served: by a copy of this time, for a request sent at that time.
-    pub fn served(&mut self, now: Instant, object: &str, born: Instant, sent: Instant) {
-        let older = |(at, holds): &&(Instant, Instant)| born < *at && sent > *holds + WAY;
-        if let Some((at, _)) = self.purges.get(object).and_then(|purges| purges.iter().find(older)) {
-            let by = (*at - born).as_millis();
-            self.broken(now, "purge", format!("{object} is served by a copy {by} ms older than its purge"));
-        }
+    /// A request that was sent at `sent` was served by a copy that the origin handed out at `handed_out`.
+    pub fn served(&mut self, now: Instant, object: &str, handed_out: Instant, sent: Instant) {
+        let is_broken =
+            |purge: &&PurgeRule| handed_out < purge.purged_at && sent > purge.holds_from + MAX_TRANSIT;
+        let purges = self.purges.get(object);
+        let Some(purge) = purges.and_then(|purges| purges.iter().find(is_broken)) else { return };
+        let age = (purge.purged_at - handed_out).as_millis();
+        self.breach(now, "purge", format!("{object} is served by a copy {age} ms older than its purge"));
     }
 
-    /// A request got its answer, or its client waits no longer: it was sent at one time with a patience.
-    pub fn answered(&mut self, now: Instant, what: &str, sent: Instant, patience: Span) {
-        let late = now - sent - patience;
-        if late > LATE + WAY {
-            self.broken(now, "late", format!("{what} is answered {} ms after its time", late.as_millis()));
+    /// A request that was sent at `sent` got its answer.
+    pub fn answered(&mut self, now: Instant, trace: &str, sent: Instant, client_timeout: Span) {
+        let late = now - sent - client_timeout;
+        if late > ANSWER_GRACE + MAX_TRANSIT {
+            self.breach(now, "late", format!("{trace} is answered {} ms after its time", late.as_millis()));
         }
     }
 }
--- a/src/sim/rules/tests.rs
+++ b/src/sim/rules/tests.rs
@@ -2,61 +2,89 @@
 
 use super::*;
 
+const FIRST: HostId = HostId(0);
+const SECOND: HostId = HostId(1);
+/// Each host has one connection.
+const FIRST_LINK: LinkId = LinkId(7);
+
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
 
-fn words(rules: &Rules) -> Vec<&'static str> {
+fn broken(rules: &Rules) -> Vec<&'static str> {
     rules.breaches.iter().map(|breach| breach.rule).collect()
 }
 
+fn attempt(host: HostId, trace: &str, sent: Instant) -> ReceivedAttempt<'_> {
+    let link = LinkId(FIRST_LINK.0 + host.0 as u64);
+    ReceivedAttempt { host, host_name: "a", link, trace, sent, is_write: false }
+}
+
+fn write(host: HostId, trace: &str, sent: Instant) -> ReceivedAttempt<'_> {
+    ReceivedAttempt { is_write: true, ..attempt(host, trace, sent) }
+}
+
 #[test]
-fn planted_breaches_are_found_and_what_is_allowed_is_not() {
+fn a_write_that_may_have_run_is_not_sent_again() {
     let mut rules = Rules::new(at(0));
-    // Never ran, and sent elsewhere: allowed. May have run, and sent again: not.
-    rules.fetched(at(1), at(1), (0, "a"), 7, "t1", true);
-    rules.never_ran(0, 7, "t1");
-    rules.fetched(at(2), at(2), (1, "b"), 8, "t1", true);
-    rules.fetched(at(3), at(3), (0, "a"), 7, "t2", false);
-    rules.fetched(at(4), at(4), (1, "b"), 8, "t2", false);
-    assert_eq!(words(&rules), [""; 0]);
-    rules.fetched(at(5), at(5), (0, "a"), 7, "t1", true);
-    assert_eq!(words(&rules), ["result-twice"]);
-    // Where repeats have a window, one within it is allowed, and one after it not.
-    let mut rules = Rules::new(at(0)).with_window(Some(Span::from_millis(600)));
-    rules.fetched(at(1), at(1), (0, "a"), 7, "t1", true);
-    rules.fetched(at(2), at(600_001) + SLACK, (1, "b"), 8, "t1", true);
-    assert_eq!(words(&rules), [""; 0]);
-    rules.fetched(at(3), at(600_002) + SLACK, (0, "a"), 7, "t1", true);
-    assert_eq!(words(&rules), ["late-repeat"]);
-    // What was under way as its client left is no breach, what begins well after it is.
+    // Did not run, and sent elsewhere: allowed. May have run, and sent again: not.
+    rules.attempt_received(at(1), &write(FIRST, "t1", at(1)));
+    rules.did_not_run(FIRST, FIRST_LINK, "t1");
+    rules.attempt_received(at(2), &write(SECOND, "t1", at(2)));
+    rules.attempt_received(at(3), &attempt(FIRST, "t2", at(3)));
+    rules.attempt_received(at(4), &attempt(SECOND, "t2", at(4)));
+    assert_eq!(broken(&rules), [""; 0]);
+    rules.attempt_received(at(5), &write(FIRST, "t1", at(5)));
+    assert_eq!(broken(&rules), ["result-twice"]);
+}
+
+#[test]
+fn a_write_with_a_key_is_repeated_within_its_window_only() {
+    let mut rules = Rules::new(at(0)).with_dedup_window(Some(Span::from_millis(600)));
+    rules.attempt_received(at(1), &write(FIRST, "t1", at(1)));
+    rules.attempt_received(at(2), &write(SECOND, "t1", at(600_001) + SOCKET_SLACK));
+    assert_eq!(broken(&rules), [""; 0]);
+    rules.attempt_received(at(3), &write(FIRST, "t1", at(600_002) + SOCKET_SLACK));
+    assert_eq!(broken(&rules), ["late-repeat"]);
+}
+
+#[test]
+fn no_attempt_begins_well_after_its_client_left() {
     let mut rules = Rules::new(at(0));
     rules.client_left(at(1000), "t1");
-    rules.fetched(at(2), at(1000) + LEFT + WAY, (0, "a"), 7, "t1", false);
-    assert_eq!(words(&rules), [""; 0]);
-    rules.fetched(at(3), at(1001) + LEFT + WAY, (0, "a"), 7, "t1", false);
-    assert_eq!(words(&rules), ["after-leaving"]);
-    // Within a second of the drain a host may still be sent to; and again once it is back.
+    rules.attempt_received(at(2), &attempt(FIRST, "t1", at(1000) + CANCEL_BOUND + MAX_TRANSIT));
+    assert_eq!(broken(&rules), [""; 0]);
+    rules.attempt_received(at(3), &attempt(FIRST, "t1", at(1001) + CANCEL_BOUND + MAX_TRANSIT));
+    assert_eq!(broken(&rules), ["after-leaving"]);
+}
+
+#[test]
+fn a_drained_host_is_sent_to_within_the_bound_only_and_again_once_it_is_back() {
     let mut rules = Rules::new(at(0));
-    rules.left(0, at(0));
-    rules.fetched(at(0) + DRAIN + WAY, at(0) + DRAIN, (0, "a"), 7, "t", false);
-    rules.came(0);
-    rules.fetched(at(0) + 9 * DRAIN, at(0) + 9 * DRAIN, (0, "a"), 7, "t", false);
-    assert_eq!(words(&rules), [""; 0]);
-    rules.left(0, at(0));
+    rules.host_left(FIRST, at(0));
+    rules.attempt_received(at(0) + DRAIN_BOUND + MAX_TRANSIT, &attempt(FIRST, "t", at(0) + DRAIN_BOUND));
+    rules.host_returned(FIRST);
+    rules.attempt_received(at(0) + 9 * DRAIN_BOUND, &attempt(FIRST, "t", at(0) + 9 * DRAIN_BOUND));
+    assert_eq!(broken(&rules), [""; 0]);
+    rules.host_left(FIRST, at(0));
     rules.feed_cut(at(0), at(500_000));
-    rules.fetched(at(500_000) + DRAIN + WAY, at(500_000) + DRAIN, (0, "a"), 7, "t", false);
-    assert_eq!(words(&rules), [""; 0], "the feed was cut off");
-    rules.fetched(at(500_001) + DRAIN, at(500_001) + DRAIN, (0, "a"), 7, "t", false);
-    assert_eq!(words(&rules), ["drain"]);
+    let (in_time, late) = (at(500_000) + DRAIN_BOUND, at(500_001) + DRAIN_BOUND);
+    rules.attempt_received(in_time + MAX_TRANSIT, &attempt(FIRST, "t", in_time));
+    assert_eq!(broken(&rules), [""; 0], "the feed was cut off");
+    rules.attempt_received(late, &attempt(FIRST, "t", late));
+    assert_eq!(broken(&rules), ["drain"]);
+}
+
+#[test]
+fn a_copy_older_than_its_purge_and_a_late_answer_are_breaches() {
     let mut rules = Rules::new(at(0));
-    rules.purged("o", at(100), at(110), Span::from_micros(500));
-    rules.served(at(9), "o", at(50), at(610) + WAY);
+    rules.purged("o", PurgeRule { purged_at: at(100), holds_from: at(110) + Span::from_micros(500) });
+    rules.served(at(9), "o", at(50), at(610) + MAX_TRANSIT);
     rules.served(at(9), "o", at(100), at(99_999_999));
     rules.served(at(9), "p", at(50), at(99_999_999));
-    rules.answered(at(1000) + LATE + WAY, "r", at(0), Span::from_millis(1));
-    assert_eq!(words(&rules), [""; 0]);
-    rules.served(at(9), "o", at(99), at(611) + WAY);
-    rules.answered(at(1001) + LATE + WAY, "r", at(0), Span::from_millis(1));
-    assert_eq!(words(&rules), ["purge", "late"]);
+    rules.answered(at(1000) + ANSWER_GRACE + MAX_TRANSIT, "r", at(0), Span::from_millis(1));
+    assert_eq!(broken(&rules), [""; 0]);
+    rules.served(at(9), "o", at(99), at(611) + MAX_TRANSIT);
+    rules.answered(at(1001) + ANSWER_GRACE + MAX_TRANSIT, "r", at(0), Span::from_millis(1));
+    assert_eq!(broken(&rules), ["purge", "late"]);
 }
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -1,152 +1,111 @@
 //! Plays many seeds in parallel, and shrinks the script of one that fails to the faults that it needs.
 
-use super::faults::{Fault, Plan};
-use super::world::{run, Outcome, Sabotage};
+mod summary;
+
+pub use summary::{Failure, Summary};
+
+use super::rules::Breach;
+use super::world::{run, AnswerCounts, RunOutcome, Sabotage};
 use crate::caught;
 use crate::interface::Span;
+use crate::standin::faults::{Fault, RunPlan};
 use rayon::prelude::*;
-use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt;
 use std::ops::Range;
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::time::{Duration, Instant};
-
-/// A seed that broke a rule.
-#[derive(Clone, Debug, Serialize)]
-pub struct Failure {
-    /// The seed.
-    pub seed: u64,
-    /// The rule that the shrunk run breaks first.
-    pub rule: String,
-    /// What happened, and when, ms from the start.
-    pub text: String,
-    /// The numbers of the faults that it needs, in the seed's script.
-    pub keep: Vec<usize>,
-    /// Those faults.
-    pub faults: Vec<Fault>,
-    /// The trace number of the shrunk run.
-    pub trace: u64,
-}
-
-/// What many seeds came to.
-#[derive(Clone, Debug)]
-pub struct Summary {
-    /// Seeds that were played.
-    pub seeds: u64,
-    /// How long it took.
-    pub took: Duration,
-    /// Requests that were served, refused, failed, and that a fault excuses.
-    pub answers: [u64; 4],
-    /// Things that happened on the network.
-    pub steps: u64,
-    /// Moments at which something came and something fell due at once.
-    pub ties: u64,
-    /// By rule: how many seeds broke it first.
-    pub broken: BTreeMap<String, u64>,
-    /// The first failures by seed, shrunk.
-    pub failures: Vec<Failure>,
-}
+use std::time::Instant;
 
 /// Plays one seed with some of its faults; a panic counts as a broken rule.
-pub fn play(plan: &Plan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> Outcome {
+pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> RunOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, sabotage)));
     played.unwrap_or_else(|panic| {
-        let breach = super::rules::Breach { rule: "panic", at: Span::ZERO, text: caught::text(&*panic) };
-        Outcome { breaches: vec![breach], trace: 0, steps: 0, answers: [0; 4], ties: 0, processes: 0 }
+        let breach = Breach { rule: "panic", at: Span::ZERO, text: caught::text(&*panic) };
+        RunOutcome { breaches: vec![breach], ..RunOutcome::default() }
     })
 }
 
-/// Leaves out faults as long as the same rule is still broken: no one of those left can be left out.
-pub fn shrink(plan: &Plan, seed: u64, rule: &str, sabotage: Option<Sabotage>) -> Failure {
+/// Drops faults from a seed's script one by one, as long as the rule is still broken; none of those left can be dropped.
+pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, sabotage: Option<Sabotage>) -> Failure {
     let script = plan.script(seed);
+    let pick = |keep: &[usize]| -> Vec<Fault> { keep.iter().map(|n| script[*n].clone()).collect() };
+    let play_kept = |keep: &[usize]| play(plan, seed, &pick(keep), sabotage);
+    let is_broken = |keep: &Vec<usize>| play_kept(keep).breach_of(rule).is_some();
     let mut keep: Vec<usize> = (0..script.len()).collect();
-    let pick = |keep: &[usize]| keep.iter().map(|n| script[*n].clone()).collect::<Vec<_>>();
-    let breaks = |keep: &[usize]| {
-        let outcome = play(plan, seed, &pick(keep), sabotage);
-        outcome.breaches.iter().any(|breach| breach.rule == rule)
-    };
     loop {
-        let fewer = (0..keep.len()).map(|n| {
-            let mut fewer = keep.clone();
-            fewer.remove(n);
-            fewer
-        });
-        match fewer.into_iter().find(|fewer| breaks(fewer)) {
-            Some(fewer) => keep = fewer,
-            None => break,
+        let fewer = without_each(&keep).find(is_broken);
+        let Some(fewer) = fewer else { break };
+        keep = fewer;
+    }
+    let outcome = play_kept(&keep);
+    let describe = |breach: &Breach| format!("at {} ms: {}", breach.at.as_millis(), breach.text);
+    Failure {
+        seed,
+        rule: rule.to_owned(),
+        text: outcome.breach_of(rule).map(describe).unwrap_or_default(),
+        faults: pick(&keep),
+        keep,
+        trace: outcome.trace,
+    }
+}
+
+/// The list without its first element, without its second, and so on.
+fn without_each(list: &[usize]) -> impl Iterator<Item = Vec<usize>> + '_ {
+    (0..list.len()).map(|n| {
+        let mut fewer = list.to_vec();
+        fewer.remove(n);
+        fewer
+    })
+}
+
+/// What several runs came to.
+#[derive(Default)]
+struct Totals {
+    answers: AnswerCounts,
+    steps: u64,
+    ties: u64,
+    /// By seed: the rule that it broke first.
+    failed: BTreeMap<u64, &'static str>,
+}
+
+impl Totals {
+    fn of_run(seed: u64, outcome: &RunOutcome) -> Self {
+        let first = outcome.breaches.first().map(|breach| (seed, breach.rule));
+        Totals {
+            answers: outcome.answers,
+            steps: outcome.steps,
+            ties: outcome.ties,
+            failed: first.into_iter().collect(),
         }
     }
-    let outcome = play(plan, seed, &pick(&keep), sabotage);
-    let breach = outcome.breaches.iter().find(|breach| breach.rule == rule);
-    let text =
-        breach.map_or_else(String::new, |breach| format!("at {} ms: {}", breach.at.as_millis(), breach.text));
-    Failure { seed, rule: rule.to_owned(), text, faults: pick(&keep), keep, trace: outcome.trace }
+
+    fn add(mut self, other: Totals) -> Self {
+        self.answers += other.answers;
+        self.steps += other.steps;
+        self.ties += other.ties;
+        self.failed.extend(other.failed);
+        self
+    }
 }
 
-/// Plays seeds on all cores; `most` failures are shrunk and told.
-pub fn search(plan: &Plan, seeds: Range<u64>, sabotage: Option<Sabotage>, most: usize) -> Summary {
+/// Plays seeds on all cores; at most `max_failures` failures are shrunk.
+pub fn search(plan: &RunPlan, seeds: Range<u64>, sabotage: Option<Sabotage>, max_failures: usize) -> Summary {
     let begun = Instant::now();
     let count = seeds.end.saturating_sub(seeds.start);
-    let empty = || (BTreeMap::new(), [0; 4], [0; 2]);
-    let (failed, answers, [steps, ties]) = seeds
-        .into_par_iter()
-        .fold(empty, |(mut failed, mut answers, [steps, ties]), seed| {
-            let outcome = play(plan, seed, &plan.script(seed), sabotage);
-            answers.iter_mut().zip(outcome.answers).for_each(|(all, one)| *all += one);
-            if let Some(breach) = outcome.breaches.first() {
-                failed.insert(seed, breach.rule);
-            }
-            (failed, answers, [steps + outcome.steps, ties + outcome.ties])
-        })
-        .reduce(empty, |(mut failed, mut answers, [steps, ties]), (more, others, [s, t])| {
-            failed.extend(more);
-            answers.iter_mut().zip(others).for_each(|(all, one): (&mut u64, u64)| *all += one);
-            (failed, answers, [steps + s, ties + t])
-        });
+    let play_seed = |seed| Totals::of_run(seed, &play(plan, seed, &plan.script(seed), sabotage));
+    let totals = seeds.into_par_iter().map(play_seed).reduce(Totals::default, Totals::add);
     let mut broken: BTreeMap<String, u64> = BTreeMap::new();
-    failed.values().for_each(|rule| *broken.entry((*rule).to_owned()).or_default() += 1);
-    let failures = failed.iter().take(most).map(|(seed, rule)| shrink(plan, *seed, rule, sabotage)).collect();
-    Summary { seeds: count, took: begun.elapsed(), answers, steps, ties, broken, failures }
-}
-
-impl fmt::Display for Summary {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let seconds = self.took.as_secs_f64();
-        let [served, refused, failed, excused] = self.answers;
-        writeln!(
-            f,
-            "{} seeds in {seconds:.1} s, {:.0} a second",
-            self.seeds,
-            self.seeds as f64 / seconds.max(1e-9)
-        )?;
-        writeln!(
-            f,
-            "requests: {served} served, {refused} refused, {failed} failed, {excused} excused by a fault"
-        )?;
-        writeln!(
-            f,
-            "{} network steps; {} times something came as something fell due",
-            self.steps, self.ties
-        )?;
-        for failure in &self.failures {
-            writeln!(f, "seed {} breaks {} {}", failure.seed, failure.rule, failure.text)?;
-            for (number, fault) in failure.keep.iter().zip(&failure.faults) {
-                writeln!(f, "  fault {number} at {} ms: {:?}", fault.at_ms, fault.what)?;
-            }
-            let keep: Vec<String> = failure.keep.iter().map(usize::to_string).collect();
-            let keep = if keep.is_empty() { "none".to_owned() } else { keep.join(",") };
-            writeln!(
-                f,
-                "  again: dahliatrack sim --seeds {}..{} --keep {keep}",
-                failure.seed,
-                failure.seed + 1
-            )?;
-            writeln!(f, "  its trace: {:016x}", failure.trace)?;
-        }
-        let rules: Vec<String> =
-            self.broken.iter().map(|(rule, count)| format!("{rule} by {count}")).collect();
-        let rules = if rules.is_empty() { String::new() } else { format!(": {}", rules.join(", ")) };
-        write!(f, "{} seeds break a rule{rules}", self.broken.values().sum::<u64>())
+    for rule in totals.failed.values() {
+        *broken.entry((*rule).to_owned()).or_default() += 1;
+    }
+    let shrunk = totals.failed.iter().take(max_failures);
+    let failures = shrunk.map(|(seed, rule)| shrink(plan, *seed, rule, sabotage)).collect();
+    Summary {
+        seeds: count,
+        took: begun.elapsed(),
+        answers: totals.answers,
+        steps: totals.steps,
+        ties: totals.ties,
+        broken,
+        failures,
     }
 }
--- a/src/sim/customers.rs
+++ b/src/sim/site_variant.rs
@@ -1,43 +1,49 @@
-//! Customers: what differs between the sites that the program is run for, drawn by seed. One in two plays is the usual
-//! site; the others tell less or allow less, as a site's settings may (PROTOCOL, WIRE: `weights`, `limits`, `domain`).
+//! How the site of a run differs from the default one, drawn by seed. One in two runs has the default site; the others
+//! state less or allow less, as a site's settings may (protocol pages: `weights`, `limits`, `domain`).
 
 use crate::spread::mix;
 use serde_json::{json, Value};
 
-/// What a site's settings tell and allow, where it is not the usual.
+/// What a site's settings state and allow, where that is not the default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Customer {
-    /// The list's weights say nothing: all are 1, whatever the links are.
+pub struct SiteVariant {
+    /// All weights in the endpoint list are 1, whatever the links are.
     pub silent_weights: bool,
-    /// Refused clients get no advice.
+    /// Rejections carry no Retry-After.
     pub no_pause: bool,
-    /// A request has one attempt out at a time.
+    /// A request has one attempt in flight at a time.
     pub one_at_a_time: bool,
-    /// Attempts cannot be called off.
+    /// Attempts cannot be cancelled.
     pub no_cancel: bool,
-    /// Answers tell nothing of how they came about.
+    /// Answers do not state how they came about.
     pub no_notes: bool,
-    /// Answers tell only how a served request came about: a failed fill does not say whose fault it is.
+    /// Answers state only how a served request came about: a failed fill does not say which host is at fault.
     pub sparse_notes: bool,
-    /// Any cache may be the source of a fill, and requests may join a fill that is under way.
+    /// Any cache may be the source of a fill, and requests may join a fill in flight.
     pub shared_fills: bool,
-    /// Requests do not go straight to a parent or the origin.
+    /// Requests are not sent directly to a parent or the origin.
     pub no_direct: bool,
     /// A request has two attempts at most.
     pub few_attempts: bool,
-    /// A write may be repeated under its key for [`WINDOW_MS`].
+    /// A write may be repeated under its idempotency key for [`DEDUP_WINDOW_MS`].
     pub keyed_writes: bool,
 }
 
-/// How long a keyed write may be repeated, ms.
-pub const WINDOW_MS: i64 = 600;
+/// How long a write may be repeated under its idempotency key, ms.
+pub const DEDUP_WINDOW_MS: i64 = 600;
 
-impl Customer {
-    /// A site by seed: even ones are the usual site.
+/// Keeps the variant of a seed apart from what else the seed decides.
+const VARIANT_SALT: u64 = 0x00c0_5703;
+
+/// The place of the class `result`, which writes, among the classes of a made-up site.
+pub const WRITE_CLASS: usize = 3;
+
+impl SiteVariant {
+    /// The site of a seed: even seeds have the default one.
     pub fn draw(seed: u64) -> Self {
-        let bits = if seed.is_multiple_of(2) { 0 } else { mix(seed ^ 0x00c0_5703) };
+        let bits = if seed.is_multiple_of(2) { 0 } else { mix(seed ^ VARIANT_SALT) };
         let bit = |n: u32| bits >> n & 1 == 1;
-        Customer {
+        SiteVariant {
             silent_weights: bit(0),
             no_pause: bit(1),
             one_at_a_time: bit(2),
@@ -51,8 +57,8 @@
         }
     }
 
-    /// Words it in the settings and in the hosts of the first list.
-    pub fn word(self, settings: &mut Value, hosts: &mut Value) {
+    /// Changes the settings and the hosts of the first endpoint list accordingly.
+    pub fn apply(self, settings: &mut Value, hosts: &mut Value) {
         let mut set = |on: bool, path: [&str; 2], value: Value| {
             if on {
                 settings[path[0]][path[1]] = value;
@@ -68,8 +74,8 @@
         set(self.shared_fills, ["domain", "collapses"], json!(true));
         set(self.no_direct, ["domain", "straight"], json!(false));
         if self.keyed_writes {
-            settings["grades"][3]["effect"] = json!("token");
-            settings["grades"][3]["window"] = json!(WINDOW_MS);
+            settings["grades"][WRITE_CLASS]["effect"] = json!("token");
+            settings["grades"][WRITE_CLASS]["window"] = json!(DEDUP_WINDOW_MS);
         }
         if self.silent_weights {
             settings["weights"] = json!("silent");
--- a/src/sim/customers/tests.rs
+++ b/src/sim/site_variant/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of `customers`.
+//! Tests of `site_variant`.
 
 use super::*;
 
 #[test]
-fn half_of_the_plays_are_the_usual_site_and_every_difference_is_drawn() {
-    let usual = Customer::draw(0);
-    assert!((0..100).step_by(2).all(|seed| Customer::draw(seed) == usual));
-    let all: Vec<Customer> = (1..200).step_by(2).map(Customer::draw).collect();
-    let seen = |of: fn(&Customer) -> bool| all.iter().filter(|c| of(c)).count();
+fn half_of_the_runs_have_the_default_site_and_every_difference_is_drawn() {
+    let usual = SiteVariant::draw(0);
+    assert!((0..100).step_by(2).all(|seed| SiteVariant::draw(seed) == usual));
+    let all: Vec<SiteVariant> = (1..200).step_by(2).map(SiteVariant::draw).collect();
+    let seen = |of: fn(&SiteVariant) -> bool| all.iter().filter(|c| of(c)).count();
     let counts = [
         seen(|c| c.silent_weights),
         seen(|c| c.no_pause),
@@ -26,7 +26,7 @@
 #[test]
 fn silent_weights_hide_the_links() {
     let (mut settings, mut hosts) = (json!({}), json!([{"share": 4.0}, {"share": 7.5}]));
-    Customer { silent_weights: true, ..Customer::draw(0) }.word(&mut settings, &mut hosts);
+    SiteVariant { silent_weights: true, ..SiteVariant::draw(0) }.apply(&mut settings, &mut hosts);
     assert_eq!(
         (settings["weights"].as_str(), hosts),
         (Some("silent"), json!([{"share": 1.0}, {"share": 1.0}]))
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -1,158 +1,288 @@
-//! The clients: what they ask, cancel and are answered.
+//! The clients: what they request and cancel, and what they are answered.
 
+use super::agenda::ScheduledEvent;
+use super::processes::ProcessId;
 use super::*;
+use crate::sim::rules::MAX_TRANSIT;
+use crate::standin::ids::LinkId;
+use crate::standin::thrift_client::{self, Answer, Answered};
+use serde_json::json;
+use std::collections::BTreeSet;
+
+/// The group of all objects.
+pub(super) const GROUP: u32 = 17;
+/// Requests that are sent later than this after SIGTERM may not be accepted by any process.
+const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
+/// Requests that cross the end of their connection are sent this long before it at the earliest.
+const CROSSING: Span = Span::from_millis(50);
+/// A request must have its answer this long after its timeout.
+const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
+/// Connections that wait as descriptors come back are accepted by then.
+const ACCEPTED_AGAIN: Span = Span::from_millis(60);
+/// The body of requests that write.
+const WRITE_BODY: &[u8] = b"won";
+
+/// A request that has no answer yet.
+pub(super) struct OpenRequest {
+    number: RequestNumber,
+    written: Instant,
+    /// When it counts as sent: once its connection can be accepted.
+    sent: Instant,
+    /// It was sent before, on a connection that ended.
+    is_resent: bool,
+}
+
+/// A client, and its connection if it has one.
+#[derive(Default)]
+pub(super) struct Client {
+    pub(super) link: Option<LinkId>,
+    last_seqid: i32,
+    input: Vec<u8>,
+    /// By sequence number.
+    open: BTreeMap<i32, OpenRequest>,
+    /// Sequence numbers whose answers may still come.
+    cancelled: BTreeSet<i32>,
+    connected_at: Instant,
+    /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
+    accepted_by: Instant,
+}
+
+impl Client {
+    fn next_seqid(&mut self) -> i32 {
+        self.last_seqid += 1;
+        self.last_seqid
+    }
+
+    /// Forgets the connection; returns the requests that were open.
+    fn disconnect(&mut self) -> BTreeMap<i32, OpenRequest> {
+        self.link = None;
+        self.input.clear();
+        self.cancelled.clear();
+        std::mem::take(&mut self.open)
+    }
+}
 
 impl World<'_> {
-    pub(super) fn call(&mut self, number: usize, resent: bool) {
-        if self.over {
+    fn client(&mut self, client: ClientId) -> &mut Client {
+        &mut self.clients[client.0]
+    }
+
+    /// The client that has a connection.
+    pub(super) fn client_of(&self, link: LinkId) -> Option<ClientId> {
+        self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
+    }
+
+    /// A client sends a request, connecting first where it has to.
+    pub(super) fn send_request(&mut self, number: RequestNumber, is_resent: bool) {
+        if self.is_ending {
             return;
         }
-        let call = self.calls[number].clone();
-        let link = match self.clients[call.client].link {
+        let request = self.request(number).clone();
+        let link = match self.client(request.client).link {
             Some(link) => link,
-            None => {
-                let from = SocketAddr::from(([127, 0, 2, call.client as u8 + 1], 40_000));
-                let link = self.fabric.dial(from, address(FRONT));
-                let client = &mut self.clients[call.client];
-                (client.link, client.dialled, client.accepted_by) = (Some(link), self.now, self.now);
-                self.accepted_later(call.client);
-                link
-            }
+            None => self.connect_client(request.client),
         };
-        let client = &mut self.clients[call.client];
-        client.seqid += 1;
-        let seqid = client.seqid;
-        let (patience, part, group) =
-            (call.patience.as_millis().to_string(), call.part.to_string(), GROUP.to_string());
-        let fields = [
-            ("route", call.class),
-            ("trace", &call.trace),
-            ("patience", &patience),
-            ("entity", &call.object),
-            ("slice", &part),
-            ("set", &group),
-        ];
-        let body: &[u8] = if call.class == "result" { b"won" } else { b"" };
-        self.fabric.send(link, &thrift_client::invoke(seqid, &fields, body));
-        let sent = self.now.max(client.accepted_by);
-        client.open.insert(seqid, Open { call: number, written: self.now, sent, resent });
-        self.schedule(self.now + call.patience + Span::from_secs(2), Event::Overdue(call.client, seqid));
-        if let Some(after) = call.abort {
-            self.schedule(self.now + after, Event::Abort(call.client, seqid));
+        let now = self.now;
+        let client = self.client(request.client);
+        let seqid = client.next_seqid();
+        let sent = now.max(client.accepted_by);
+        client.open.insert(seqid, OpenRequest { number, written: now, sent, is_resent });
+        self.fabric.send(link.0, &invoke_frame(seqid, &request));
+        let answered_by = request.client_timeout + MAX_ANSWER_DELAY;
+        self.schedule_in(answered_by, ScheduledEvent::CheckAnswered(request.client, seqid));
+        if let Some(after) = request.cancelled_after {
+            self.schedule_in(after, ScheduledEvent::CancelRequest(request.client, seqid));
         }
     }
 
-    pub(super) fn abort(&mut self, number: usize, seqid: i32) {
-        let client = &mut self.clients[number];
+    fn connect_client(&mut self, id: ClientId) -> LinkId {
+        let from = SocketAddr::from(([127, 0, 2, id.0 as u8 + 1], 40_000));
+        let link = LinkId(self.fabric.dial(from, numbered_address(FRONT)));
+        let now = self.now;
+        let client = self.client(id);
+        client.link = Some(link);
+        client.connected_at = now;
+        client.accepted_by = now;
+        self.delay_acceptance(id);
+        link
+    }
+
+    /// A client that connects while there are no descriptors is accepted once there are.
+    pub(super) fn delay_acceptance(&mut self, id: ClientId) {
+        let DescriptorShortage { since, until } = self.descriptor_shortage;
+        let client = self.client(id);
+        let connected_before = client.connected_at + MAX_TRANSIT < since;
+        let connected_after = until + ACCEPTED_AGAIN < client.connected_at;
+        if client.link.is_none() || connected_before || connected_after {
+            return;
+        }
+        client.accepted_by = client.accepted_by.max(until + ACCEPTED_AGAIN);
+        for open in client.open.values_mut() {
+            open.sent = open.sent.max(client.accepted_by);
+        }
+    }
+
+    pub(super) fn check_answered(&mut self, client: ClientId, seqid: i32) {
+        let Some(open) = self.clients[client.0].open.get(&seqid) else { return };
+        let text = format!("{} got no answer", self.request(open.number).trace);
+        self.rules.breach(self.now, "unanswered", text);
+    }
+
+    /// A client cancels a request, if that is still open.
+    pub(super) fn cancel_request(&mut self, id: ClientId, seqid: i32) {
+        let client = self.client(id);
         let Some(link) = client.link else { return };
         let Some(open) = client.open.remove(&seqid) else { return };
-        self.rules.client_left(self.now, &self.calls[open.call].trace);
-        let client = &mut self.clients[number];
-        client.aborted.insert(seqid);
-        client.seqid += 1;
-        let frame = thrift_client::abort(client.seqid, seqid);
+        client.cancelled.insert(seqid);
+        let frame = thrift_client::abort(client.next_seqid(), seqid);
+        self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
         if self.sabotage != Some(Sabotage::DeafToClients) {
-            self.fabric.send(link, &frame);
+            self.fabric.send(link.0, &frame);
         }
-        self.answers[3] += 1;
+        self.answers.excused += 1;
     }
 
-    /// A client leaves with requests open; gives its connection.
-    pub(super) fn client_leaves(&mut self, number: usize) -> Option<u64> {
-        let client = &mut self.clients[number];
-        let link = client.link?;
-        let open = std::mem::take(&mut client.open);
-        for open in open.values() {
-            self.rules.client_left(self.now, &self.calls[open.call].trace);
+    /// A client resets its connection.
+    pub(super) fn reset_client(&mut self, client: ClientId) {
+        if let Some(link) = self.client_leaves(client) {
+            self.fabric.reset(link.0);
+        }
+    }
+
+    /// A client closes its connection.
+    pub(super) fn close_client(&mut self, client: ClientId) {
+        if let Some(link) = self.client_leaves(client) {
+            self.fabric.close(link.0);
         }
-        self.answers[3] += open.len() as u64;
+    }
+
+    /// A client leaves with requests open; returns the connection that it ends.
+    fn client_leaves(&mut self, id: ClientId) -> Option<LinkId> {
+        let link = self.client(id).link?;
         if self.sabotage == Some(Sabotage::DeafToClients) {
-            client.aborted.extend(open.into_keys());
+            let open = std::mem::take(&mut self.client(id).open);
+            self.excuse_left(&open);
+            self.client(id).cancelled.extend(open.into_keys());
             return None;
         }
-        (client.link, client.input) = (None, Vec::new());
-        client.aborted.clear();
+        let open = self.client(id).disconnect();
+        self.excuse_left(&open);
         Some(link)
     }
 
-    pub(super) fn client_got(&mut self, number: usize, bytes: &[u8]) {
-        self.clients[number].input.extend_from_slice(bytes);
+    fn excuse_left(&mut self, open: &BTreeMap<i32, OpenRequest>) {
+        for open in open.values() {
+            self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
+        }
+        self.answers.excused += open.len() as u64;
+    }
+
+    /// Bytes have reached a client.
+    pub(super) fn client_received(&mut self, id: ClientId, bytes: &[u8]) {
+        self.client(id).input.extend_from_slice(bytes);
         loop {
-            let got = match thrift_client::take_answer(&mut self.clients[number].input) {
-                Ok(Some(got)) => got,
+            match thrift_client::take_answer(&mut self.client(id).input) {
+                Ok(Some(answer)) => self.client_answered(id, &answer),
                 Ok(None) => return,
-                Err(error) => return self.rules.broken(self.now, "unreadable", error.to_owned()),
-            };
-            let client = &mut self.clients[number];
-            let Some(open) = client.open.remove(&got.seqid) else {
-                if !client.aborted.contains(&got.seqid) {
-                    let text = format!("client {number} has a second answer to {}", got.seqid);
-                    self.rules.broken(self.now, "second-answer", text);
-                }
-                continue;
-            };
-            let call = &self.calls[open.call];
-            self.rules.answered(self.now, &call.trace, open.sent, call.patience);
-            match got.kind {
-                Answered::Served => {
-                    self.answers[0] += 1;
-                    let text = String::from_utf8_lossy(&got.body).into_owned();
-                    let wanted = if call.class == "result" {
-                        format!("done:{};", call.trace)
-                    } else {
-                        format!("{}:{}:", call.object, call.part)
-                    };
-                    let Some(rest) = text.strip_prefix(&wanted) else {
-                        let text = format!("{} is served {:.60}, not {wanted}", call.trace, text);
-                        self.rules.broken(self.now, "wrong-bytes", text);
-                        continue;
-                    };
-                    let born =
-                        rest.split(';').next().and_then(|born| born.parse().ok()).map(Instant::from_micros);
-                    if let Some(born) = born.filter(|_| call.class != "result") {
-                        self.rules.served(self.now, &call.object, born, open.sent);
-                    }
-                }
-                Answered::Refused => {
-                    self.answers[1] += 1;
-                    let pause = got.fields.iter().find(|(name, _)| name == "pause");
-                    let pause = pause.and_then(|(_, ms)| ms.parse::<i64>().ok()).unwrap_or(0);
-                    let advised = self.base["settings"]["limits"]["retry_after"] == json!(true);
-                    if (pause > 0) != advised {
-                        let text = format!("{} is refused with {pause}, advised: {advised}", call.trace);
-                        self.rules.broken(self.now, "no-pause", text);
-                    }
-                }
-                Answered::Failed => self.answers[2] += 1,
+                Err(error) => return self.rules.breach(self.now, "unreadable", error.to_string()),
             }
         }
     }
 
-    /// A client's connection has ended: what is open there was taken and lost, unless something excuses it.
-    pub(super) fn client_lost(&mut self, number: usize, link: u64) {
-        let client = &mut self.clients[number];
-        if client.link != Some(link) {
+    fn client_answered(&mut self, id: ClientId, answer: &Answer) {
+        let client = self.client(id);
+        let Some(open) = client.open.remove(&answer.seqid) else {
+            if !client.cancelled.contains(&answer.seqid) {
+                let text = format!("client {id} has a second answer to {}", answer.seqid);
+                self.rules.breach(self.now, "second-answer", text);
+            }
             return;
+        };
+        let request = self.request(open.number).clone();
+        self.rules.answered(self.now, &request.trace, open.sent, request.client_timeout);
+        match answer.kind {
+            Answered::Served => {
+                self.answers.served += 1;
+                self.check_served(&request, open.sent, &answer.body);
+            }
+            Answered::Refused => {
+                self.answers.rejected += 1;
+                self.check_retry_after(&request, answer);
+            }
+            Answered::Failed => self.answers.failed += 1,
         }
-        (client.link, client.input) = (None, Vec::new());
-        let open = std::mem::take(&mut client.open);
-        client.aborted.clear();
-        let process = self.fabric.process_of(link).unwrap_or(0);
-        let told_to_stop = self.terminated.get(&process).copied();
+    }
+
+    /// Checks that what was served is what was requested, and new enough.
+    fn check_served(&mut self, request: &PlannedRequest, sent: Instant, body: &[u8]) {
+        let text = String::from_utf8_lossy(body);
+        let wanted = if request.is_write() {
+            format!("done:{};", request.trace)
+        } else {
+            format!("{}:{}:", request.object, request.part)
+        };
+        let Some(rest) = text.strip_prefix(&wanted) else {
+            let text = format!("{} is served {:.60}, not {wanted}", request.trace, text);
+            return self.rules.breach(self.now, "wrong-bytes", text);
+        };
+        let handed_out = rest.split(';').next().and_then(|micros| micros.parse().ok());
+        if let Some(handed_out) = handed_out.filter(|_| !request.is_write()) {
+            self.rules.served(self.now, &request.object, Instant::from_micros(handed_out), sent);
+        }
+    }
+
+    /// Checks that a rejection carries a Retry-After where the site has it.
+    fn check_retry_after(&mut self, request: &PlannedRequest, answer: &Answer) {
+        let field = answer.fields.iter().find(|(name, _)| name == "pause");
+        let pause = field.and_then(|(_, ms)| ms.parse::<i64>().ok()).unwrap_or(0);
+        let advised = self.base_config["settings"]["limits"]["retry_after"] == json!(true);
+        if (pause > 0) != advised {
+            let text = format!("{} is refused with {pause}, advised: {advised}", request.trace);
+            self.rules.breach(self.now, "no-pause", text);
+        }
+    }
+
+    /// A client's connection has ended: its open requests are lost, unless a fault excuses that.
+    pub(super) fn client_disconnected(&mut self, id: ClientId, link: LinkId) {
+        let open = self.client(id).disconnect();
+        let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
-            let trace = self.calls[open.call].trace.clone();
-            let nobody = process == 0 || self.killed.contains(&process);
-            let after_term = told_to_stop.is_some_and(|at| open.written > at + TAKEN_AFTER_TERM - WAY);
-            let crossed = open.written > self.now - 2 * WAY - Span::from_millis(50);
-            self.answers[3] += 1;
-            if nobody || after_term {
+            self.answers.excused += 1;
+            if self.was_never_accepted(&open, process) {
                 continue;
             }
-            if crossed && !open.resent {
-                self.call(open.call, true);
+            let crossed_end = open.written > self.now - 2 * MAX_TRANSIT - CROSSING;
+            if crossed_end && !open.is_resent {
+                self.send_request(open.number, true);
             } else {
-                self.rules.broken(self.now, "lost", format!("{trace} is open as its connection ends"));
+                let text = format!("{} is open as its connection ends", self.request(open.number).trace);
+                self.rules.breach(self.now, "lost", text);
             }
         }
     }
+
+    /// Whether no process owes an answer to a request on a connection that has ended.
+    fn was_never_accepted(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
+        let Some(process) = process.filter(|process| !self.processes.was_killed(*process)) else {
+            return true;
+        };
+        let terminated_at = self.processes.terminated_at(process);
+        terminated_at.is_some_and(|at| open.written > at + ACCEPTED_AFTER_SIGTERM - MAX_TRANSIT)
+    }
+}
+
+/// The frame with which a client sends a request.
+fn invoke_frame(seqid: i32, request: &PlannedRequest) -> Vec<u8> {
+    let client_timeout = request.client_timeout.as_millis().to_string();
+    let (part, group) = (request.part.to_string(), GROUP.to_string());
+    let fields = [
+        ("route", request.class),
+        ("trace", &request.trace),
+        ("patience", &client_timeout),
+        ("entity", &request.object),
+        ("slice", &part),
+        ("set", &group),
+    ];
+    let body = if request.is_write() { WRITE_BODY } else { b"" };
+    thrift_client::invoke(seqid, &fields, body)
 }
--- /dev/null
+++ b/src/sim/world/faults/feed.rs
@@ -0,0 +1,55 @@
+//! Faults of the control feed, and the purges that it states.
+
+use crate::interface::{Instant, Span};
+use crate::net::fabric::HostBehaviour;
+use crate::sim::rules::PurgeRule;
+use crate::sim::world::agenda::ScheduledEvent;
+use crate::sim::world::clients::GROUP;
+use crate::sim::world::traffic::object_id;
+use crate::sim::world::{numbered_address, World, FEED};
+use crate::standin::host::unix_ms;
+use serde_json::json;
+
+/// A purge takes effect this long after it was stated (protocol page).
+const PURGE_GRACE: Span = Span::from_millis(500);
+/// By this long after a purge all hosts have dropped older copies, where the settings do not say, ms.
+const DEFAULT_PURGE_SETTLES_MS: f64 = 6000.0;
+
+impl World<'_> {
+    pub(super) fn silence_feed(&mut self, until: Instant) {
+        self.fabric.set_reach(numbered_address(FEED), HostBehaviour::SilentUntil(until));
+        self.cut_feed(until);
+    }
+
+    pub(super) fn reset_feed(&mut self) {
+        for link in self.feed.disconnect_all() {
+            self.fabric.reset(link.0);
+        }
+        self.cut_feed(self.now);
+    }
+
+    pub(super) fn lose_polls(&mut self) {
+        self.feed.lose_polls();
+        self.cut_feed(self.now);
+    }
+
+    /// Publishes a purge of an object, or of the group of all.
+    pub(super) fn purge(&mut self, object: Option<String>) {
+        let at_ms = unix_ms(self.now);
+        let purged_at = Instant::from_micros(at_ms * 1000);
+        let purge = match &object {
+            Some(object) => json!({"key": object, "at": at_ms}),
+            None => json!({"group": GROUP, "at": at_ms}),
+        };
+        let stated = self.publish(json!({"purge": purge}));
+        let rule = PurgeRule { purged_at, holds_from: stated + PURGE_GRACE };
+        for id in (0..self.plan.objects).map(|number| object_id(number as u64)) {
+            if object.as_ref().is_none_or(|object| *object == id) {
+                self.rules.purged(&id, rule);
+            }
+        }
+        let settles_ms = self.base_config["settings"]["domain"]["purge_settles"].as_f64();
+        let settles = Span::from_micros_f64(settles_ms.unwrap_or(DEFAULT_PURGE_SETTLES_MS) * 1000.0);
+        self.schedule_in(settles, ScheduledEvent::PurgeSettles(object, purged_at));
+    }
+}
--- /dev/null
+++ b/src/sim/world/faults/host.rs
@@ -0,0 +1,64 @@
+//! Faults of hosts and of connections to them.
+
+use crate::interface::{Instant, Span};
+use crate::net::fabric::HostBehaviour;
+use crate::sim::world::agenda::ScheduledEvent;
+use crate::sim::world::{host_address, World};
+use crate::standin::faults::system_error::SystemError;
+use crate::standin::ids::{HostId, LinkId};
+
+/// The process of a removed host ends this long after its removal was stated.
+const REMOVED_HOST_RUNS: Span = Span::from_secs(1);
+
+impl World<'_> {
+    pub(super) fn silence_host(&mut self, host: HostId, until: Instant) {
+        if !self.fleet[host].dead {
+            self.fabric.set_reach(host_address(host), HostBehaviour::SilentUntil(until));
+        }
+    }
+
+    pub(super) fn kill_host_until(&mut self, host: HostId, until: Instant) {
+        self.kill_host(host);
+        self.agenda.schedule(until, ScheduledEvent::HostRestarts(host));
+    }
+
+    pub(super) fn drain_host(&mut self, host: HostId) {
+        let stated = self.publish_health(host, "draining");
+        self.rules.host_left(host, stated);
+    }
+
+    pub(super) fn remove_host(&mut self, host: HostId) {
+        let stated = self.publish_health(host, "removed");
+        self.rules.host_left(host, stated);
+        self.schedule_in(REMOVED_HOST_RUNS, ScheduledEvent::HostDies(host));
+    }
+
+    /// A host is up again; its process is started, if it has ended.
+    pub(super) fn return_host(&mut self, host: HostId) {
+        self.restart_host(host);
+        self.rules.host_returned(host);
+        self.publish_health(host, "up");
+    }
+
+    pub(super) fn delay_dials(&mut self, host: HostId, late_ms: i64, until: Instant) {
+        self.fabric.delay_dials(host_address(host), Span::from_millis(late_ms), until);
+    }
+
+    /// A host closes its idle connections. What is on its way on them is not read.
+    pub(super) fn close_idle_links(&mut self, id: HostId) {
+        let host = &mut self.fleet[id];
+        let is_open = |link: &LinkId| host.open.keys().any(|(open_link, _)| open_link == link);
+        let idle: Vec<LinkId> = host.links.keys().copied().filter(|link| !is_open(link)).collect();
+        for link in idle {
+            host.links.remove(&link);
+            self.fabric.close(link.0);
+        }
+    }
+
+    /// All connections of a host fail with an error that is no reset.
+    pub(super) fn fail_links(&mut self, host: HostId, error: SystemError) {
+        for link in self.forget_links(host) {
+            self.fabric.fail(link.0, error.errno());
+        }
+    }
+}
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,107 +1,200 @@
-//! The caches, parents and the origin: what they are sent and answer.
+//! The caches, parents and the origin: what they receive and answer.
 
+use super::agenda::ScheduledEvent;
 use super::*;
+use crate::net::fabric::HostBehaviour;
+use crate::sim::rules::ReceivedAttempt;
+use crate::standin::host::{PartialInput, Tier};
+use crate::standin::ids::LinkId;
+use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, GARBLED_ANSWER, HEALTHY};
 
-/// A second answer comes this long after the first.
-const SECOND_ANSWER: Span = Span::from_millis(8);
+/// A second answer is sent this long after the first.
+const REPEATED_ANSWER_DELAY: Span = Span::from_millis(8);
+/// A source that is not reachable is given up after this.
+const SOURCE_TIMEOUT: Span = Span::from_millis(300);
+/// A request takes a host this long, ms.
+const SERVICE_TIME_MS: std::ops::RangeInclusive<i64> = 2..=12;
+/// What a request costs a host that is warming up, s.
+const WARM_UP_COST_S: f64 = 0.02;
 
 impl World<'_> {
-    pub(super) fn host_got(&mut self, number: usize, link: u64, bytes: &[u8], sent: Instant) {
-        let host = &mut self.fleet.hosts[number];
-        let Some((input, began)) = host.links.get_mut(&link).filter(|_| !host.dead) else { return };
-        // What is left of the piece before began with it.
-        let first = if input.is_empty() { sent } else { *began };
-        *began = sent;
-        input.extend_from_slice(bytes);
-        let lines = match lines(input) {
+    pub(super) fn host_connected(&mut self, host: HostId, link: LinkId) {
+        let input = PartialInput { bytes: Vec::new(), first_sent: self.now };
+        self.fleet[host].links.insert(link, input);
+    }
+
+    /// The host that has a connection.
+    pub(super) fn host_of(&self, link: LinkId) -> Option<HostId> {
+        self.fleet.hosts.iter().position(|host| host.links.contains_key(&link)).map(HostId)
+    }
+
+    pub(super) fn host_disconnected(&mut self, link: LinkId) {
+        for host in &mut self.fleet.hosts {
+            if host.links.remove(&link).is_some() {
+                host.open.retain(|(open_link, _), _| *open_link != link);
+            }
+        }
+    }
+
+    /// Bytes that were sent at `sent` have reached a host.
+    pub(super) fn host_received(&mut self, id: HostId, link: LinkId, bytes: &[u8], sent: Instant) {
+        let host = &mut self.fleet[id];
+        let Some(input) = host.links.get_mut(&link).filter(|_| !host.dead) else { return };
+        // What is left over began with the bytes before.
+        let first_sent = if input.bytes.is_empty() { sent } else { input.first_sent };
+        input.first_sent = sent;
+        input.bytes.extend_from_slice(bytes);
+        let lines = match take_lines(&mut input.bytes) {
             Ok(lines) => lines,
-            Err(error) => return self.rules.broken(self.now, "host-protocol", error),
+            Err(error) => return self.rules.breach(self.now, "host-protocol", error.to_string()),
         };
         for line in lines {
             match line {
-                Line::Fetch(fetch) => self.fetched(number, link, fetch, first),
-                Line::Abort(id) => drop(self.fleet.hosts[number].open.remove(&(link, id))),
-                Line::Probe(tag) => self.fabric.send(link, &answer(&tag, "status", "", b"")),
+                HostLine::Fetch(request) => self.attempt_received(id, link, request, first_sent),
+                HostLine::Cancel(attempt) => drop(self.fleet[id].open.remove(&(link, attempt))),
+                HostLine::HealthCheck(tag) => self.fabric.send(link.0, &HEALTHY.encode(&tag)),
             }
         }
     }
 
-    pub(super) fn fetched(&mut self, number: usize, link: u64, fetch: Fetch, sent: Instant) {
-        let is_result = fetch.class == "result";
-        let name = self.fleet.hosts[number].name.clone();
-        self.rules.fetched(self.now, sent, (number, &name), link, &fetch.id, is_result);
-        if self.fleet.hosts[number].open.contains_key(&(link, fetch.id.clone())) {
-            self.rules.broken(self.now, "same-id", format!("{} comes twice on one connection", fetch.id));
+    fn attempt_received(&mut self, id: HostId, link: LinkId, request: FetchRequest, sent: Instant) {
+        let host = &self.fleet[id];
+        let attempt = ReceivedAttempt {
+            host: id,
+            host_name: &host.name,
+            link,
+            trace: &request.id,
+            sent,
+            is_write: request.is_write(),
+        };
+        self.rules.attempt_received(self.now, &attempt);
+        if host.open.contains_key(&(link, request.id.clone())) {
+            let text = format!("{} comes twice on one connection", request.id);
+            self.rules.breach(self.now, "same-id", text);
         }
-        self.cold(number);
-        let mut after = self.service(number);
-        if is_result || self.fleet.hosts[number].holds(&fetch, self.now).is_none() {
-            if let Some(source) = fetch.from.as_ref().and_then(|from| self.fleet.named(from)) {
-                after += if self.is_there(source) { self.service(source) } else { SOURCE_LOST };
-            }
+        self.check_warm_up(id);
+        let answered_after = self.answering_time(id, &request);
+        let attempt = request.id.clone();
+        self.fleet[id].open.insert((link, attempt.clone()), request);
+        self.schedule_in(answered_after, ScheduledEvent::HostAnswers(id, link, attempt));
+    }
+
+    /// How long a host takes to answer a request, with a fill where it needs one.
+    fn answering_time(&mut self, host: HostId, request: &FetchRequest) -> Span {
+        let own = self.service_time(host);
+        if !self.fleet[host].needs_source(request, self.now) {
+            return own;
         }
-        let id = fetch.id.clone();
-        self.fleet.hosts[number].open.insert((link, id.clone()), fetch);
-        self.schedule(self.now + after, Event::Answer(number, link, id));
+        match self.fleet.source(request) {
+            None => own,
+            Some(source) if self.is_reachable(source) => own + self.service_time(source),
+            Some(_) => own + SOURCE_TIMEOUT,
+        }
+    }
+
+    fn service_time(&mut self, host: HostId) -> Span {
+        let usual = Span::from_millis(self.random.random_range(SERVICE_TIME_MS));
+        self.fleet[host].service_time(usual, self.now)
     }
 
-    /// A cold host falls over if it is sent more than its rule allows; what one request costs is taken as 20 ms.
-    pub(super) fn cold(&mut self, number: usize) {
-        let (now, rules) = (self.now, &self.base["settings"]["rules"]);
+    /// Checks that a host that is warming up is sent no more than its rule allows; more would overload it.
+    fn check_warm_up(&mut self, id: HostId) {
+        let rules = &self.base_config["settings"]["rules"];
         let figure = |name: &str| rules[name].as_f64().unwrap_or(0.0);
-        let host = &mut self.fleet.hosts[number];
-        let Some(born) =
-            host.born.filter(|born| now - *born < Span::from_micros_f64(figure("warm_after") * 1000.0))
-        else {
+        let now = self.now;
+        let warm_up_us = figure("warm_after") * 1000.0;
+        let host = &mut self.fleet[id];
+        let started = host.started.filter(|started| now - *started < Span::from_micros_f64(warm_up_us));
+        let Some(started) = started else { return };
+        let elapsed = (now - started).as_micros_f64() / warm_up_us;
+        let warmth = figure("cold_share") + (1.0 - figure("cold_share")) * elapsed;
+        let window = Span::from_micros_f64(figure("overload_for") * 1000.0);
+        host.warm_up_requests.retain(|at| *at > now - window);
+        host.warm_up_requests.push(now);
+        let max_work = figure("fall_multiple") * warmth * host.link * window.as_micros_f64() / 1e6;
+        let work = host.warm_up_requests.len() as f64 * WARM_UP_COST_S;
+        if work > max_work {
+            let (name, window_us) = (&host.name, window.as_micros());
+            let text = format!("{name} is sent {work:.2} s of work in {window_us} us, of {max_work:.2}");
+            self.rules.breach(now, "cold", text);
+        }
+    }
+
+    /// Whether a host's process runs and other hosts reach it.
+    fn is_reachable(&self, host: HostId) -> bool {
+        is_reachable(&self.fabric, self.now, &self.fleet, host)
+    }
+
+    /// A host answers an attempt, unless that was cancelled.
+    pub(super) fn answer_attempt(&mut self, id: HostId, link: LinkId, attempt: &str) {
+        let Some(request) = self.fleet[id].open.remove(&(link, attempt.to_owned())) else { return };
+        if self.fleet[id].dead {
             return;
-        };
-        let part = (now - born).as_micros_f64() / (figure("warm_after") * 1000.0);
-        let warmth = figure("cold_share") + (1.0 - figure("cold_share")) * part;
-        let span = Span::from_micros_f64(figure("overload_for") * 1000.0);
-        host.sends.retain(|at| *at > now - span);
-        host.sends.push(now);
-        let most = figure("fall_multiple") * warmth * host.link * span.as_micros_f64() / 1e6;
-        let work = host.sends.len() as f64 * 0.02;
-        if work > most {
-            let text =
-                format!("{} is sent {work:.2} s of work in {} us, of {most:.2}", host.name, span.as_micros());
-            self.rules.broken(now, "cold", text);
+        }
+        if std::mem::take(&mut self.fleet[id].garbles_next) {
+            return self.fabric.send(link.0, GARBLED_ANSWER);
+        }
+        let (fabric, now) = (&self.fabric, self.now);
+        let is_reachable = |fleet: &Fleet, host: HostId| is_reachable(fabric, now, fleet, host);
+        let answer = self.fleet.answer(id, &request, now, &is_reachable);
+        if answer.proves_not_run() {
+            self.rules.did_not_run(id, link, attempt);
+        }
+        let bytes = answer.encode(attempt);
+        self.fabric.send(link.0, &bytes);
+        if std::mem::take(&mut self.fleet[id].repeats_next) {
+            self.schedule_in(REPEATED_ANSWER_DELAY, ScheduledEvent::HostRepeats(link, bytes));
         }
     }
 
-    pub(super) fn service(&mut self, number: usize) -> Span {
-        let usual = Span::from_millis(self.random.random_range(2..=12));
-        let (times, until) = self.fleet.hosts[number].slow;
-        if until > self.now {
-            usual * times
-        } else {
-            usual
+    /// Drops the copies of an object, or of all objects, that are older than a purge.
+    pub(super) fn drop_copies(&mut self, object: Option<&str>, purged_at: Instant) {
+        for host in &mut self.fleet.hosts {
+            host.copies.retain(|item, handed_out| {
+                *handed_out >= purged_at || object.is_some_and(|object| object != item.object)
+            });
         }
     }
 
-    /// Whether another host reaches it.
-    pub(super) fn is_there(&self, number: usize) -> bool {
-        is_there(&self.fabric, self.now, &self.fleet, number)
+    /// A host's process ends: its connections are reset and its copies lost.
+    pub(super) fn kill_host(&mut self, host: HostId) {
+        self.reset_links(host);
+        self.fleet[host].copies.clear();
+        self.fleet[host].dead = true;
+        self.fabric.set_reach(host_address(host), HostBehaviour::Refusing);
     }
 
-    pub(super) fn answer(&mut self, number: usize, link: u64, id: &str) {
-        let Some(fetch) = self.fleet.hosts[number].open.remove(&(link, id.to_owned())) else { return };
-        if self.fleet.hosts[number].dead {
+    /// Starts a host's process, unless it runs or is removed from the endpoint list.
+    pub(super) fn restart_host(&mut self, id: HostId) {
+        let host = &mut self.fleet[id];
+        let is_removed = host.entry["health"] == "removed";
+        let restarted_now = host.started.is_none_or(|started| started == self.now);
+        if !host.dead || is_removed && restarted_now {
             return;
         }
-        if std::mem::take(&mut self.fleet.hosts[number].garbled) {
-            return self.fabric.send(link, b"no line of the protocol at all\r\n");
+        host.restart(self.now);
+        let publishes = host.entry["health"] == "up" && host.tier != Tier::Origin;
+        self.fabric.set_reach(host_address(id), HostBehaviour::Up);
+        if publishes {
+            self.publish_health(id, "up");
         }
-        let (fabric, now) = (self.fabric.clone(), self.now);
-        let is_there = |fleet: &Fleet, host: usize| is_there(&fabric, now, fleet, host);
-        let (word, fields, body) = self.fleet.outcome(number, &fetch, now, &is_there);
-        if matches!(word, "404" | "503" | "504") {
-            self.rules.never_ran(number, link, id);
-        }
-        let answer = answer(id, word, &fields, &body);
-        self.fabric.send(link, &answer);
-        if std::mem::take(&mut self.fleet.hosts[number].twice) {
-            self.schedule(self.now + SECOND_ANSWER, Event::SecondAnswer(link, answer));
+    }
+
+    pub(super) fn reset_links(&mut self, host: HostId) {
+        for link in self.forget_links(host) {
+            self.fabric.reset(link.0);
         }
     }
+
+    /// Forgets a host's connections and what is open there; returns the connections.
+    pub(super) fn forget_links(&mut self, host: HostId) -> Vec<LinkId> {
+        let host = &mut self.fleet[host];
+        host.open.clear();
+        std::mem::take(&mut host.links).into_keys().collect()
+    }
+}
+
+/// Whether a host's process runs and can be reached.
+fn is_reachable(fabric: &Fabric, now: Instant, fleet: &Fleet, host: HostId) -> bool {
+    !fleet[host].dead && fabric.silent_until(host_address(host)) <= now
 }
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -1,60 +1,62 @@
-//! What comes on the network, told to clients, hosts and the feed.
+//! Passes what arrives on the network to clients, hosts and the feed.
 
-use super::*;
+use super::{numbered_address, ClientId, World, FEED};
+use crate::net::fabric::ActorEvent;
+use crate::standin::ids::LinkId;
 
 impl World<'_> {
-    /// Tells the actors what came on the network.
+    /// Passes on all that has arrived.
     pub(super) fn deliver(&mut self) {
-        for signal in self.fabric.signals() {
-            let link = match &signal {
-                ActorEvent::Opened { link, .. } | ActorEvent::Bytes { link, .. } => *link,
-                ActorEvent::Closed { link } | ActorEvent::Broken { link } => *link,
-            };
-            if let Some(client) = self.clients.iter().position(|client| client.link == Some(link)) {
-                match signal {
-                    ActorEvent::Bytes { bytes, .. } => self.client_got(client, &bytes),
-                    ActorEvent::Closed { .. } => {
-                        self.fabric.close(link);
-                        self.client_lost(client, link);
-                    }
-                    ActorEvent::Broken { .. } => self.client_lost(client, link),
-                    ActorEvent::Opened { .. } => {}
-                }
-                continue;
+        for event in self.fabric.signals() {
+            match self.client_of(link_of(&event)) {
+                Some(client) => self.deliver_to_client(client, event),
+                None => self.deliver_to_server(event),
             }
-            match signal {
-                ActorEvent::Opened { host, .. } if host == address(FEED) => {
-                    self.feed.links.insert(link, Vec::new());
-                }
-                ActorEvent::Opened { host, .. } => {
-                    if let Some(number) = self.numbers.get(&host) {
-                        self.fleet.hosts[*number].links.insert(link, (Vec::new(), self.now));
-                    }
-                }
-                ActorEvent::Bytes { bytes, sent, .. } => {
-                    if self.feed.links.contains_key(&link) {
-                        self.feed_got(link, &bytes);
-                    } else if let Some(host) =
-                        self.fleet.hosts.iter().position(|host| host.links.contains_key(&link))
-                    {
-                        self.host_got(host, link, &bytes, sent);
-                    }
+        }
+    }
+
+    fn deliver_to_client(&mut self, client: ClientId, event: ActorEvent) {
+        match event {
+            ActorEvent::Bytes { bytes, .. } => self.client_received(client, &bytes),
+            ActorEvent::Closed { link } => {
+                self.fabric.close(link);
+                self.client_disconnected(client, LinkId(link));
+            }
+            ActorEvent::Broken { link } => self.client_disconnected(client, LinkId(link)),
+            ActorEvent::Opened { .. } => {}
+        }
+    }
+
+    /// Passes an event to the feed or a host.
+    fn deliver_to_server(&mut self, event: ActorEvent) {
+        let link = link_of(&event);
+        match event {
+            ActorEvent::Opened { host, .. } if host == numbered_address(FEED) => self.feed.connected(link),
+            ActorEvent::Opened { host, .. } => {
+                if let Some(host) = self.host_ids.get(&host).copied() {
+                    self.host_connected(host, link);
                 }
-                ActorEvent::Closed { .. } | ActorEvent::Broken { .. } => {
-                    self.feed.links.remove(&link);
-                    self.feed.polls.remove(&link);
-                    for host in &mut self.fleet.hosts {
-                        if host.links.remove(&link).is_some() {
-                            host.open.retain(|(on, _), _| *on != link);
-                        }
-                    }
+            }
+            ActorEvent::Bytes { bytes, .. } if self.feed.is_connected(link) => {
+                self.feed_received(link, &bytes);
+            }
+            ActorEvent::Bytes { bytes, sent, .. } => {
+                if let Some(host) = self.host_of(link) {
+                    self.host_received(host, link, &bytes, sent);
                 }
             }
+            ActorEvent::Closed { .. } | ActorEvent::Broken { .. } => {
+                self.feed.disconnected(link);
+                self.host_disconnected(link);
+            }
         }
     }
 }
 
-/// Whether a host's process is there and not cut off.
-pub(super) fn is_there(fabric: &Fabric, now: Instant, fleet: &Fleet, number: usize) -> bool {
-    !fleet.hosts[number].dead && fabric.silent_until(address(number as u16)) <= now
+fn link_of(event: &ActorEvent) -> LinkId {
+    let (ActorEvent::Opened { link, .. }
+    | ActorEvent::Bytes { link, .. }
+    | ActorEvent::Closed { link }
+    | ActorEvent::Broken { link }) = event;
+    LinkId(*link)
 }
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -1,33 +1,83 @@
-//! The site of a run and its requests, drawn from the seed.
+//! The site of a run and its hosts.
 
+use super::agenda::ScheduledEvent;
+use super::clients::Client;
+use super::processes::Processes;
 use super::*;
+use crate::net::fabric::HostBehaviour;
+use crate::sim::site_variant::{SiteVariant, DEDUP_WINDOW_MS, WRITE_CLASS};
+use crate::standin::host::{Host, Tier};
+use crate::standin::site::{config, Shape};
+use serde_json::json;
 
-impl<'a> World<'a> {
-    pub(super) fn new(plan: &'a Plan, seed: u64, sabotage: Option<Sabotage>) -> Self {
+/// The shortest and the longest delay of a connection, one way.
+const DELAYS: (Span, Span) = (Span::from_millis(1), Span::from_millis(20));
+/// Keeps the network's random numbers apart from those of the traffic.
+const NETWORK_SALT: u64 = 0x5eed;
+/// The run ends this long after the last request at the earliest.
+const LAST_ANSWERS: Span = Span::from_secs(1);
+/// The window that the edge proxy is told by `Sabotage::LongWindow`, ms.
+const SABOTAGED_WINDOW_MS: i64 = 60_000;
+
+/// The site of a run.
+struct Site {
+    /// The configuration of its edge proxy.
+    config: Value,
+    /// The event with the first endpoint list.
+    first_event: Value,
+    /// The full-pace answers that each host's link bears.
+    links: Vec<f64>,
+    /// For how long a write may be repeated.
+    dedup_window: Option<Span>,
+    variant: SiteVariant,
+}
+
+impl Site {
+    fn draw(plan: &RunPlan, seed: u64, sabotage: Option<Sabotage>) -> Self {
         let shape =
             Shape { points: 1, proxies: 1, caches: plan.caches, hubs: 1, parents: plan.parents, seed };
-        let mut base = config(&shape, &address(FEED).to_string(), |n| address(n as u16).to_string());
-        base["listen"] = address(FRONT).to_string().into();
-        base["limits"] = json!({"cores": 1.0, "memory_mb": 48, "sockets": 128});
+        let feed = numbered_address(FEED).to_string();
+        let mut config = config(&shape, &feed, |number| host_address(HostId(number)).to_string());
+        config["listen"] = numbered_address(FRONT).to_string().into();
+        config["limits"] = json!({"cores": 1.0, "memory_mb": 48, "sockets": 128});
         // A second `result` is a second effect.
-        base["settings"]["grades"][3]["effect"] = "side_effect".into();
-        let mut first = base["known"]["events"][0].clone();
-        let hosts = &mut first["members"]["hosts"];
+        config["settings"]["grades"][WRITE_CLASS]["effect"] = "side_effect".into();
+        let mut first_event = config["known"]["events"][0].clone();
+        let hosts = &mut first_event["members"]["hosts"];
         let link = |entry: &Value| entry["share"].as_f64().unwrap_or(1.0);
         let links: Vec<f64> = hosts.as_array().into_iter().flatten().map(link).collect();
-        let customer = Customer::draw(seed);
-        customer.word(&mut base["settings"], hosts);
-        let mut window = customer.keyed_writes.then_some(Span::from_millis(WINDOW_MS));
+        let variant = SiteVariant::draw(seed);
+        variant.apply(&mut config["settings"], hosts);
+        let dedup_window = variant.keyed_writes.then_some(Span::from_millis(DEDUP_WINDOW_MS));
+        let mut site = Site { config, first_event, links, dedup_window, variant };
+        site.plant_bug(sabotage);
+        site
+    }
+
+    /// Plants a bug that lies in the settings.
+    fn plant_bug(&mut self, sabotage: Option<Sabotage>) {
+        let write_class = &mut self.config["settings"]["grades"][WRITE_CLASS];
         match sabotage {
             Some(Sabotage::ResultTwice) => {
-                base["settings"]["grades"][3]["effect"] = "pure".into();
-                window = None;
+                write_class["effect"] = "pure".into();
+                self.dedup_window = None;
             }
-            Some(Sabotage::LongWindow) => base["settings"]["grades"][3]["window"] = json!(60_000),
+            Some(Sabotage::LongWindow) => write_class["window"] = json!(SABOTAGED_WINDOW_MS),
             _ => {}
         }
-        let entries = hosts.as_array().cloned().unwrap_or_default();
-        let fabric = Fabric::new(START, seed ^ 0x5eed, DELAYS);
+    }
+
+    /// The hosts' entries in the first endpoint list.
+    fn entries(&self) -> Vec<Value> {
+        self.first_event["members"]["hosts"].as_array().cloned().unwrap_or_default()
+    }
+}
+
+impl<'a> World<'a> {
+    /// The world of a run at its start, with all requests and the end of the run scheduled.
+    pub(super) fn new(plan: &'a RunPlan, seed: u64, sabotage: Option<Sabotage>) -> Self {
+        let site = Site::draw(plan, seed, sabotage);
+        let fabric = Fabric::new(START, seed ^ NETWORK_SALT, DELAYS);
         if sabotage == Some(Sabotage::WallDeadlines) {
             fabric.run_deadlines_on_wall_clock();
         }
@@ -35,69 +85,40 @@
             plan,
             sabotage,
             seed,
+            fabric,
             now: START,
             random: ChaCha8Rng::seed_from_u64(seed),
-            agenda: BTreeMap::new(),
-            count: 0,
-            calls: Vec::new(),
+            agenda: Agenda::default(),
+            requests: Vec::new(),
             clients: (0..plan.clients).map(|_| Client::default()).collect(),
-            fleet: Fleet { sparse_notes: customer.sparse_notes, ..Fleet::default() },
-            numbers: BTreeMap::new(),
-            feed: FeedHost::default(),
-            base,
-            servers: BTreeMap::new(),
-            processes: 0,
-            terminated: BTreeMap::new(),
-            killed: BTreeSet::new(),
-            exhausted: (Instant::ZERO, Instant::ZERO),
-            rules: Rules::new(START).with_window(window),
-            answers: [0; 4],
-            over: false,
-            fabric,
+            fleet: Fleet { sparse_notes: site.variant.sparse_notes, ..Fleet::default() },
+            host_ids: BTreeMap::new(),
+            feed: Feed::default(),
+            processes: Processes::default(),
+            descriptor_shortage: DescriptorShortage::default(),
+            rules: Rules::new(START).with_dedup_window(site.dedup_window),
+            answers: AnswerCounts::default(),
+            is_ending: false,
+            base_config: Value::Null,
         };
-        for (n, entry) in entries.into_iter().enumerate() {
-            let tier = match n {
-                n if n < plan.caches => Tier::Cache,
-                n if n < plan.caches + plan.parents => Tier::Parent,
-                _ => Tier::Origin,
-            };
-            world.fabric.set_reach(address(n as u16), HostBehaviour::Up);
-            world.numbers.insert(address(n as u16), n);
-            let name = entry["host"].as_str().unwrap_or_default().to_owned();
-            world.fleet.hosts.push(Host { link: links[n], ..Host::new(&name, tier, entry) });
-        }
-        world.fabric.set_reach(address(FEED), HostBehaviour::Up);
-        world.feed.events.push(first);
-        world.draw_calls();
-        world.start();
-        let end = START + Span::from_millis(plan.ms) + Span::from_secs(1);
-        world.schedule(end, Event::TerminateAll);
+        world.add_hosts(&site);
+        world.base_config = site.config;
+        world.feed.events.push(site.first_event);
+        world.draw_requests();
+        world.start_process();
+        let end = START + Span::from_millis(plan.ms) + LAST_ANSWERS;
+        world.agenda.schedule(end, ScheduledEvent::EndRun);
         world
     }
-}
 
-impl World<'_> {
-    pub(super) fn draw_calls(&mut self) {
-        let mut random = ChaCha8Rng::seed_from_u64(self.seed);
-        random.set_stream(2);
-        for n in 0..self.plan.requests {
-            let at = START + Span::from_millis(random.random_range(50..self.plan.ms.max(51)));
-            let (class, deadline) = [("piece", 900), ("replay", 4500), ("standing", 1800), ("result", 2400)]
-                [[0, 0, 0, 1, 2, 3, 3][random.random_range(0..7)]];
-            // Squared: a few objects are asked for again and again.
-            let part = random.random_range(0.0..1.0_f64);
-            let object = (part * part * self.plan.objects as f64) as u64;
-            self.calls.push(Call {
-                client: random.random_range(0..self.plan.clients),
-                class,
-                object: format!("{:016x}", 0xab00 + object),
-                part: random.random_range(0..2),
-                patience: Span::from_millis(random.random_range(200..=deadline)),
-                trace: format!("{:016x}", (self.seed << 20) + n as u64),
-                abort: (random.random_range(0..20) == 0)
-                    .then(|| Span::from_millis(random.random_range(1..200))),
-            });
-            self.schedule(at, Event::Call(n));
+    fn add_hosts(&mut self, site: &Site) {
+        for (number, entry) in site.entries().into_iter().enumerate() {
+            let host = HostId(number);
+            let tier = Tier::of(host, self.plan.caches, self.plan.parents);
+            self.fabric.set_reach(host_address(host), HostBehaviour::Up);
+            self.host_ids.insert(host_address(host), host);
+            self.fleet.hosts.push(Host { link: site.links[number], ..Host::new(tier, entry) });
         }
+        self.fabric.set_reach(numbered_address(FEED), HostBehaviour::Up);
     }
 }
--- /dev/null
+++ b/src/standin/faults/plan.rs
@@ -0,0 +1,123 @@
+//! The size of a run and what may go wrong in it.
+
+use super::host_faults::{HOST_FAULTS, NOT_OF_HOSTS};
+use super::system_faults::SYSTEM_FAULTS;
+use crate::config::located::{Doc, DocError, Place, Reader};
+
+/// The largest weight of a kind.
+const MAX_WEIGHT: f64 = 1000.0;
+
+/// A run's size and what may go wrong in it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RunPlan {
+    /// Table caches at the one point.
+    pub caches: usize,
+    /// Parents at its hub.
+    pub parents: usize,
+    /// Clients.
+    pub clients: usize,
+    /// Requests.
+    pub requests: usize,
+    /// Objects that are requested.
+    pub objects: usize,
+    /// How long requests come, ms.
+    pub ms: i64,
+    /// The most faults.
+    pub faults: usize,
+    /// How often each kind of fault is drawn, in the order of the kinds.
+    pub weights: Vec<f64>,
+    /// The same of the faults of the processes' own machine.
+    pub system_weights: Vec<f64>,
+}
+
+impl Default for RunPlan {
+    fn default() -> Self {
+        RunPlan {
+            caches: 4,
+            parents: 2,
+            clients: 4,
+            requests: 60,
+            objects: 8,
+            ms: 6000,
+            faults: 8,
+            weights: HOST_FAULTS.iter().map(|kind| kind.weight).collect(),
+            system_weights: SYSTEM_FAULTS.iter().map(|kind| kind.weight).collect(),
+        }
+    }
+}
+
+impl RunPlan {
+    /// Reads a faults file: one `sim` block with `caches`, `parents`, `clients`, `requests`, `objects`, `ms`, `faults`,
+    /// and one `weights` block within it, whose keys are the kinds of faults.
+    ///
+    /// # Errors
+    ///
+    /// Text that is not HCL, an unknown key, a value out of its range; with line and column.
+    pub fn parse(doc: Doc<'_>) -> Result<Self, DocError> {
+        let body = doc.body()?;
+        let mut reader = doc.reader(&body);
+        let block = reader.block("sim")?;
+        let start = Place { line: 1, column: 1 };
+        let block = block.ok_or_else(|| doc.error(start, "no sim block"))?;
+        reader.finish()?;
+        let mut reader = doc.reader(&block.body);
+        let mut plan = RunPlan::read_sizes(&mut reader)?;
+        if let Some(weights) = reader.block("weights")? {
+            let mut reader = doc.reader(&weights.body);
+            plan.read_weights(&mut reader)?;
+            reader.finish()?;
+        }
+        reader.finish()?;
+        if plan.faults > 0 && plan.weights.iter().chain(&plan.system_weights).sum::<f64>() <= 0.0 {
+            return Err(doc.error(start, "all kinds of faults have weight 0"));
+        }
+        Ok(plan)
+    }
+
+    fn read_sizes(reader: &mut Reader<'_>) -> Result<Self, DocError> {
+        let default = RunPlan::default();
+        let mut whole = |key: &str, default: usize, min: u64, max: u64| {
+            let read = reader.whole(key, min, max)?;
+            Ok::<_, DocError>(read.map_or(default, |number| number.value as usize))
+        };
+        Ok(RunPlan {
+            caches: whole("caches", default.caches, 1, 50)?,
+            parents: whole("parents", default.parents, 0, 10)?,
+            clients: whole("clients", default.clients, 1, 100)?,
+            requests: whole("requests", default.requests, 0, 100_000)?,
+            objects: whole("objects", default.objects, 1, 10_000)?,
+            ms: whole("ms", default.ms as usize, 100, 3_600_000)? as i64,
+            faults: whole("faults", default.faults, 0, 1000)?,
+            weights: default.weights,
+            system_weights: default.system_weights,
+        })
+    }
+
+    fn read_weights(&mut self, reader: &mut Reader<'_>) -> Result<(), DocError> {
+        let host_weights = HOST_FAULTS.iter().map(|kind| kind.name).zip(&mut self.weights);
+        let system_weights = SYSTEM_FAULTS.iter().map(|kind| kind.name).zip(&mut self.system_weights);
+        for (name, weight) in host_weights.chain(system_weights) {
+            if let Some(read) = reader.number(name, 0.0, MAX_WEIGHT)? {
+                *weight = read.value;
+            }
+        }
+        Ok(())
+    }
+
+    /// The same plan with faults of hosts alone, and what the feed states of them: none of the feed's connections, of
+    /// clients, processes and their machine.
+    pub fn only_host_faults(mut self) -> Self {
+        for (kind, weight) in HOST_FAULTS.iter().zip(&mut self.weights) {
+            if NOT_OF_HOSTS.contains(&kind.name) {
+                *weight = 0.0;
+            }
+        }
+        self.without_system_faults()
+    }
+
+    /// The same plan without the faults of the processes' own machine.
+    pub fn without_system_faults(mut self) -> Self {
+        self.system_weights.fill(0.0);
+        self
+    }
+}
--- /dev/null
+++ b/src/standin/thrift_client.rs
@@ -0,0 +1,240 @@
+//! A client of the Thrift front: framed transport, strict binary protocol, as far as it takes to ping, invoke, abort
+//! and tell the kinds of answer apart.
+
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+
+/// Types of fields on the wire.
+mod field_type {
+    pub const STOP: u8 = 0;
+    pub const BOOL: u8 = 2;
+    pub const I32: u8 = 8;
+    pub const STRING: u8 = 11;
+    pub const STRUCT: u8 = 12;
+    pub const MAP: u8 = 13;
+}
+
+/// Protocol version 1 and the type of the message.
+const CALL: [u8; 4] = [0x80, 1, 0, 1];
+const REPLY: [u8; 4] = [0x80, 1, 0, 2];
+const EXCEPTION_TYPE: u8 = 3;
+const ONEWAY_TYPE: u8 = 4;
+/// The place of the message's type in a frame: behind the frame's length, last of the version's bytes.
+const MESSAGE_TYPE_AT: usize = 7;
+/// The largest answer that is read from a stream.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+
+/// The kind of an answer, by the field of the result struct that it sets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Answered {
+    /// `Answer` of `invoke`, or of `ping`.
+    Served,
+    /// `Trylater`: rejected, retrying is harmless.
+    Refused,
+    /// `Aborted`, or an application exception.
+    Failed,
+}
+
+impl Answered {
+    /// By the number of the result's field.
+    fn by_field(number: u8) -> Self {
+        match number {
+            0 => Answered::Served,
+            1 => Answered::Refused,
+            _ => Answered::Failed,
+        }
+    }
+}
+
+fn put_length(bytes: &mut Vec<u8>, length: usize) {
+    bytes.extend((length as i32).to_be_bytes());
+}
+
+fn put_string(bytes: &mut Vec<u8>, string: &[u8]) {
+    put_length(bytes, string.len());
+    bytes.extend(string);
+}
+
+fn message(name: &str, seqid: i32, arguments: &[u8]) -> Vec<u8> {
+    let mut message = CALL.to_vec();
+    put_string(&mut message, name.as_bytes());
+    message.extend(seqid.to_be_bytes());
+    message.extend(arguments);
+    message.push(field_type::STOP);
+    let mut frame = Vec::new();
+    put_string(&mut frame, &message);
+    frame
+}
+
+/// The frame of a `ping`.
+pub fn ping(seqid: i32) -> Vec<u8> {
+    message("ping", seqid, &[field_type::BOOL, 0, 1, 0])
+}
+
+/// The frame of an `invoke` with these fields and body.
+pub fn invoke(seqid: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let mut arguments = vec![field_type::MAP, 0, 1, field_type::STRING, field_type::STRING];
+    put_length(&mut arguments, fields.len());
+    for (name, value) in fields {
+        put_string(&mut arguments, name.as_bytes());
+        put_string(&mut arguments, value.as_bytes());
+    }
+    arguments.extend([field_type::STRING, 0, 2]);
+    put_string(&mut arguments, body);
+    message("invoke", seqid, &arguments)
+}
+
+/// The frame of an `abort` of another message.
+pub fn abort(seqid: i32, of: i32) -> Vec<u8> {
+    let mut frame = message("abort", seqid, &[&[field_type::I32, 0, 1][..], &of.to_be_bytes()].concat());
+    frame[MESSAGE_TYPE_AT] = ONEWAY_TYPE;
+    frame
+}
+
+/// A complete answer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Answer {
+    /// The sequence number of its request.
+    pub seqid: i32,
+    /// Its kind.
+    pub kind: Answered,
+    /// The served bytes.
+    pub body: Vec<u8>,
+    /// Its fields.
+    pub fields: Vec<(String, String)>,
+}
+
+/// Why a frame is no answer of the Thrift front.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum AnswerError {
+    /// A length is negative.
+    #[error("a negative length")]
+    NegativeLength,
+    /// The frame ends within a value.
+    #[error("cut off")]
+    CutOff,
+    /// The result has no struct.
+    #[error("no struct in the result")]
+    NoStruct,
+    /// A field is of a type that answers do not have.
+    #[error("a field of no known type")]
+    FieldType,
+    /// A text is not UTF-8.
+    #[error("not UTF-8")]
+    NotUtf8,
+}
+
+/// Removes the next complete answer from the received bytes; `None`: it is not complete yet.
+///
+/// # Errors
+///
+/// The frame is no answer of the Thrift front.
+pub fn take_answer(input: &mut Vec<u8>) -> Result<Option<Answer>, AnswerError> {
+    let Some(length) = input.first_chunk::<4>().map(|length| i32::from_be_bytes(*length)) else {
+        return Ok(None);
+    };
+    let length = usize::try_from(length).map_err(|_| AnswerError::NegativeLength)?;
+    if input.len() < 4 + length {
+        return Ok(None);
+    }
+    let frame: Vec<u8> = input.drain(..4 + length).skip(4).collect();
+    FrameReader(&frame).answer().map(Some)
+}
+
+/// Reads a frame from front to back.
+struct FrameReader<'a>(&'a [u8]);
+
+impl<'a> FrameReader<'a> {
+    fn answer(&mut self) -> Result<Answer, AnswerError> {
+        let version = self.bytes(4)?;
+        self.text()?;
+        let seqid = self.number()?;
+        let mut answer = Answer { seqid, kind: Answered::Failed, body: Vec::new(), fields: Vec::new() };
+        if version != REPLY {
+            return Ok(answer); // an application exception
+        }
+        let &[field_type::STRUCT, 0, field] = self.bytes(3)? else { return Err(AnswerError::NoStruct) };
+        answer.kind = Answered::by_field(field);
+        while self.struct_field(&mut answer)? {}
+        Ok(answer)
+    }
+
+    /// Reads one field of the result's struct; `false`: the struct ends.
+    fn struct_field(&mut self, answer: &mut Answer) -> Result<bool, AnswerError> {
+        let kind = self.byte()?;
+        if kind == field_type::STOP {
+            return Ok(false);
+        }
+        let _number = self.bytes(2)?;
+        match kind {
+            field_type::BOOL => drop(self.byte()?),
+            field_type::STRING => answer.body = self.string()?.to_vec(),
+            field_type::MAP => {
+                let _types = self.bytes(2)?;
+                for _ in 0..self.number()? {
+                    answer.fields.push((self.text()?, self.text()?));
+                }
+            }
+            _ => return Err(AnswerError::FieldType),
+        }
+        Ok(true)
+    }
+
+    fn bytes(&mut self, count: usize) -> Result<&'a [u8], AnswerError> {
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(AnswerError::CutOff)?;
+        self.0 = rest;
+        Ok(taken)
+    }
+
+    fn byte(&mut self) -> Result<u8, AnswerError> {
+        let (byte, rest) = self.0.split_first().ok_or(AnswerError::CutOff)?;
+        self.0 = rest;
+        Ok(*byte)
+    }
+
+    fn number(&mut self) -> Result<i32, AnswerError> {
+        let bytes = self.bytes(4)?.first_chunk::<4>().ok_or(AnswerError::CutOff)?;
+        Ok(i32::from_be_bytes(*bytes))
+    }
+
+    fn string(&mut self) -> Result<&'a [u8], AnswerError> {
+        let length = usize::try_from(self.number()?).map_err(|_| AnswerError::NegativeLength)?;
+        self.bytes(length)
+    }
+
+    fn text(&mut self) -> Result<String, AnswerError> {
+        String::from_utf8(self.string()?.to_vec()).map_err(|_| AnswerError::NotUtf8)
+    }
+}
+
+/// Reads one answer: its sequence number and kind.
+///
+/// # Errors
+///
+/// The connection ended or broke, or the frame is not an answer.
+pub fn answer(stream: &mut TcpStream) -> io::Result<(i32, Answered)> {
+    let mut length = [0; 4];
+    stream.read_exact(&mut length)?;
+    let length = usize::try_from(i32::from_be_bytes(length)).map_err(|_| io::ErrorKind::InvalidData)?;
+    let mut frame = vec![0; length.min(MAX_ANSWER_BYTES)];
+    stream.read_exact(&mut frame)?;
+    let bad = || io::Error::from(io::ErrorKind::InvalidData);
+    let name = frame.get(4..8).ok_or_else(bad)?;
+    let name = u32::from_be_bytes(name.try_into().map_err(|_| bad())?) as usize;
+    let rest = frame.get(8 + name..).filter(|rest| rest.len() >= 7).ok_or_else(bad)?;
+    let seqid = i32::from_be_bytes(rest[..4].try_into().map_err(|_| bad())?);
+    let kind = match frame[3] {
+        EXCEPTION_TYPE => Answered::Failed,
+        _ => Answered::by_field(rest[6]),
+    };
+    Ok((seqid, kind))
+}
+
+/// Writes a frame.
+///
+/// # Errors
+///
+/// The connection broke.
+pub fn send(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
+    stream.write_all(frame)
+}
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -6,12 +6,12 @@
 use dahliatrack::control::service::{ControlError, Running};
 use dahliatrack::control::session::Variant;
 use dahliatrack::interface::Span;
-use dahliatrack::lab::feed::StandInFeed;
-use dahliatrack::lab::site::{config, Shape};
 use dahliatrack::lab::views::{check, drain_delays, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
 use dahliatrack::lab::xds::{
     log_time, measure, run_client, ClientPlan, ClientState, ClientStream, MeasurePlan, SiteSetup, StartedSite,
 };
+use dahliatrack::standin::feed::StandInFeed;
+use dahliatrack::standin::site::{config, Shape};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -130,14 +130,14 @@
         let host = &caches(&hosts, "north")[n];
         let at = log_time();
         feed_events.push(FeedEvent { at, change: FeedChange::ServerLeft(name(host)) });
-        feed.tell_health(host, health);
+        feed.publish_health(host, health);
         logs.until(ResourceType::Endpoints, 24, |view| !view.servers.contains(&name(host))).await;
         logs.until(ResourceType::Routes, 24, |view| !view.servers.contains(&name(host))).await;
     }
     let ms = log_time().as_micros() / 1000;
     let change = FeedChange::Purged { what: "17".into(), at_ms: ms };
     feed_events.push(FeedEvent { at: log_time(), change });
-    feed.tell(json!({"purge": {"group": 17, "at": ms}}));
+    feed.publish(json!({"purge": {"group": 17, "at": ms}}));
     logs.until(ResourceType::Routes, 24, |view| {
         view.newer_than_ms.get("17").is_some_and(|newer| *newer > ms)
     })
@@ -159,7 +159,7 @@
         let mut stream = ClientStream::open(&plan(&first, "a", "north", variant)).await.expect("a stream");
         stream.subscribe(ResourceType::Endpoints, &state).await;
         assert!(view(&mut stream, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)));
-        feed.tell_health(cache, "draining");
+        feed.publish_health(cache, "draining");
         assert!(!view(&mut stream, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)));
         drop(stream);
         // A run that starts from the old list, and whose feed says nothing yet.
@@ -220,14 +220,14 @@
         before.subscribe(ResourceType::Routes, &state).await;
         before.subscribe(ResourceType::Endpoints, &state).await;
         let ms = log_time().as_micros() / 1000;
-        feed.tell(json!({"purge": {"group": 17, "at": ms}}));
+        feed.publish(json!({"purge": {"group": 17, "at": ms}}));
         while !view(&mut before, &mut state, ResourceType::Routes).await.newer_than_ms.contains_key("17") {}
         offset_s.store(step_s, Ordering::SeqCst);
         // A drain is told at once, a return when it has become quiet; a client that comes after both is told of the
         // purge.
-        feed.tell_health(cache, "draining");
+        feed.publish_health(cache, "draining");
         while view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)) {}
-        feed.tell_health(cache, "up");
+        feed.publish_health(cache, "up");
         while !view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)) {}
         let mut after = ClientStream::open(&plan(&running, "after", "north", Variant::Incremental))
             .await
@@ -251,13 +251,13 @@
         logs.start(plan(&running, &format!("plain-{n}"), "north", variant));
     }
     logs.until(ResourceType::Endpoints, 4, |_| true).await;
-    feed.tell_health(&north[0], "draining");
+    feed.publish_health(&north[0], "draining");
     logs.until(ResourceType::Endpoints, 2, |view| !view.servers.contains(&name(&north[0]))).await;
     while running.metrics.nacks.load(Ordering::SeqCst) < 2 {
         tokio::task::yield_now().await;
     }
     // The last good view stays in force there until one comes that differs.
-    feed.tell_health(&north[1], "draining");
+    feed.publish_health(&north[1], "draining");
     logs.until(ResourceType::Endpoints, 4, |view| !view.servers.contains(&name(&north[1]))).await;
     assert_eq!(running.metrics.nacks.load(Ordering::SeqCst), 2);
     let log = logs.end(running).await;
@@ -290,7 +290,7 @@
         .expect("a stream");
     other.subscribe(ResourceType::Endpoints, &other_state).await;
     view(&mut other, &mut other_state, ResourceType::Endpoints).await;
-    feed.tell_health(&north[0], "draining");
+    feed.publish_health(&north[0], "draining");
     let newer = view(&mut other, &mut other_state, ResourceType::Endpoints).await;
     let got = view(&mut back, &mut ClientState::default(), ResourceType::Endpoints).await;
     assert_eq!((&got.version, got.servers.contains(&name(&north[0]))), (&newer.version, false));
@@ -317,7 +317,7 @@
     for n in 0..12 {
         let host = &north[n % 3];
         let gone = n / 3 % 2 == 0;
-        feed.tell_health(host, if gone { "draining" } else { "up" });
+        feed.publish_health(host, if gone { "draining" } else { "up" });
         while newest.servers.contains(&name(host)) == gone {
             newest = view(&mut other, &mut other_state, ResourceType::Endpoints).await;
         }
@@ -364,7 +364,7 @@
     let full = ClientStream::open(&good).await.err().expect("no place");
     assert_eq!(full.code(), tonic::Code::ResourceExhausted, "{full:?}");
     drop(second);
-    feed.tell_health(&caches(&hosts, "north")[0], "draining");
+    feed.publish_health(&caches(&hosts, "north")[0], "draining");
     let next = view(&mut stream, &mut state, ResourceType::Endpoints).await;
     assert!(!next.servers.contains(&name(&caches(&hosts, "north")[0])));
     running.stop().await.expect("it ends well");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::{Mode, Relay};
 use crate::stand_ins::*;
-use dahliatrack::lab::thrift_client::{answer, invoke, send, Answered};
+use dahliatrack::standin::thrift_client::{answer, invoke, send, Answered};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
