--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -4,7 +4,7 @@
 use super::CommandError;
 use dahliatrack::config::located::Doc;
 use dahliatrack::config::read_text;
-use dahliatrack::sim::faults::{Fault, Plan};
+use dahliatrack::standin::faults::{Fault, RunPlan};
 use dahliatrack::sim::runner;
 use dahliatrack::sim::world::Sabotage;
 use std::ops::Range;
@@ -50,7 +50,7 @@
         print(&summary);
         return fail_if(!summary.broken.is_empty());
     }
-    let plan = args.faults.as_deref().map_or_else(|| Ok(Plan::default()), read_plan)?;
+    let plan = args.faults.as_deref().map_or_else(|| Ok(RunPlan::default()), read_plan)?;
     match args.keep {
         Some(numbers) => replay(&plan, args.seeds.start, &numbers, args.sabotage),
         None => {
@@ -63,7 +63,7 @@
 
 /// Plays one seed with some of its faults, and prints all that came of it.
 fn replay(
-    plan: &Plan,
+    plan: &RunPlan,
     seed: u64,
     FaultNumbers(numbers): &FaultNumbers,
     sabotage: Option<Sabotage>,
@@ -82,10 +82,10 @@
     Ok(())
 }
 
-fn read_plan(path: &Path) -> Result<Plan, CommandError> {
+fn read_plan(path: &Path) -> Result<RunPlan, CommandError> {
     let text = read_text(path)?;
     let file = path.display().to_string();
-    Ok(Plan::parse(Doc { file: &file, text: &text })?)
+    Ok(RunPlan::parse(Doc { file: &file, text: &text })?)
 }
 
 #[derive(Debug, thiserror::Error)]
