--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -5,9 +5,9 @@
 use dahliatrack::config::located::Doc;
 use dahliatrack::config::read_text;
 use dahliatrack::lab::made::{self, Made};
-use dahliatrack::lab::replay::{self, Replay, ReplayError};
-use dahliatrack::lab::site::Shape;
-use dahliatrack::sim::faults::Plan;
+use dahliatrack::lab::replay::{self, ReplayError, ReplayPlan};
+use dahliatrack::standin::faults::RunPlan;
+use dahliatrack::standin::site::Shape;
 use dahliatrack::trace::{self, Trace};
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -103,8 +103,8 @@
 fn play(trace: &Trace, args: PlayArgs) -> Result<(), CommandError> {
     let caches = args.caches as usize;
     let length_ms = (trace.length.as_millis_f64() / args.speed.max(MIN_SPEED)) as i64;
-    let plan = Plan { caches, parents: PARENTS, ms: length_ms, ..Plan::default() }.of_hosts();
-    let replay = Replay {
+    let plan = RunPlan { caches, parents: PARENTS, ms: length_ms, ..RunPlan::default() }.only_host_faults();
+    let replay = ReplayPlan {
         program: std::env::current_exe().map_err(ReplayError::from)?,
         shape: Shape { points: 1, proxies: 1, caches, hubs: 1, parents: PARENTS, seed: args.seed },
         connections: args.connections as usize,
--- a/src/commands/lab/site.rs
+++ b/src/commands/lab/site.rs
@@ -1,7 +1,7 @@
 //! `dahliatrack lab site`: makes up a site.
 
 use crate::commands::output::print;
-use dahliatrack::lab::site::{self, Shape};
+use dahliatrack::standin::site::{self, Shape};
 
 /// The address of the made-up site's feed.
 const FEED_ADDRESS: &str = "127.0.0.1:7070";
--- a/src/commands/lab/xds.rs
+++ b/src/commands/lab/xds.rs
@@ -3,8 +3,8 @@
 use crate::commands::output::print;
 use crate::commands::CommandError;
 use dahliatrack::control::service::ControlError;
-use dahliatrack::lab::site::Shape;
 use dahliatrack::lab::xds::{self, MeasurePlan};
+use dahliatrack::standin::site::Shape;
 use std::time::Duration;
 
 const HUBS: usize = 4;
--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -4,9 +4,9 @@
 use super::CommandError;
 use dahliatrack::config::located::Doc;
 use dahliatrack::config::read_text;
-use dahliatrack::standin::faults::{Fault, RunPlan};
 use dahliatrack::sim::runner;
 use dahliatrack::sim::world::Sabotage;
+use dahliatrack::standin::faults::{Fault, RunPlan};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -105,7 +105,8 @@
             // It can't connect to the feed before.
             self.cut_feed(self.descriptor_shortage.until);
         }
-        let started = Config::parse(config.to_string().as_bytes()).and_then(|config| {
+        let parsed = Config::parse(config.to_string().as_bytes()).map_err(|error| error.to_string());
+        let started = parsed.and_then(|config| {
             Server::start_on(&self.fabric, process.0, config).map_err(|error| error.to_string())
         });
         match started {
