--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_step_of_the_simulated_wall_clock_leaves_the_monotonic_one_alone() {
     let fabric =
-        Fabric::new(Instant::ZERO + Span::from_secs(5), 1, (Span::from_millis(1), Span::from_millis(1)));
+        Fabric::new(Instant::ZERO + Span::from_secs(5), 1, Span::from_millis(1)..=Span::from_millis(1));
     let (clock, wall) = (Clock::of(&fabric), WallClock::of(&fabric));
     let both = || (clock.now(), wall.now());
     let at = |since_zero, unix| (Instant::ZERO + Span::from_secs(since_zero), UnixTime::from_secs(unix));
--- a/src/net/fabric/endpoint.rs
+++ b/src/net/fabric/endpoint.rs
@@ -1,14 +1,16 @@
-//! A process's ends of the network: its listeners and its connections.
+//! A process's ends of the network: its listeners and its connections, with the calls of sockets.
 
-use super::state::{Due, State};
+use super::events::NetworkEvent;
+use super::link::{Direction, Link};
+use super::state::NetworkState;
 use super::Fabric;
 use crate::net::Reason;
 use std::io::{self, ErrorKind, IoSlice};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Bytes that may be under way to a peer on one connection.
-pub(super) const WINDOW: usize = 256 * 1024;
+/// The most bytes in flight to an actor on one connection.
+pub(super) const WINDOW_BYTES: usize = 256 * 1024;
 
 /// A listener of a process.
 #[derive(Debug)]
@@ -24,27 +26,29 @@
         self.addr
     }
 
-    /// Takes the next connection.
+    /// Accepts the next connection.
     ///
-    /// # Errors
+    /// # PlannedErrors
     ///
     /// `WouldBlock`: none waits; the error of one that was aborted; an error that was planned.
     pub fn accept(&self) -> io::Result<(VirtualStream, SocketAddr)> {
         let mut state = self.fabric.state();
         let now = state.now;
-        state.errors.call(now)?;
-        let waits = |state: &State| {
+        state.errors.check_interrupted(now)?;
+        let has_backlog = |state: &NetworkState| {
             let process = state.processes.get(&self.process);
-            process.and_then(|process| process.ports.get(&self.addr)).is_some_and(|(_, all)| !all.is_empty())
+            process
+                .and_then(|process| process.ports.get(&self.addr))
+                .is_some_and(|port| !port.backlog.is_empty())
         };
-        if waits(&state) {
-            state.errors.exhausted(now)?;
+        if has_backlog(&state) {
+            state.errors.check_exhausted(now)?;
         }
         let process = state.processes.get_mut(&self.process);
-        let waiting = process.and_then(|process| process.ports.get_mut(&self.addr)?.1.pop_front());
+        let waiting = process.and_then(|process| process.ports.get_mut(&self.addr)?.backlog.pop_front());
         let id = waiting.ok_or(ErrorKind::WouldBlock)?;
         let link = state.links.get(&id).ok_or(ErrorKind::ConnectionAborted)?;
-        if link.aborted {
+        if link.is_aborted {
             return Err(link.error.into());
         }
         let peer = link.host.ok_or(ErrorKind::ConnectionAborted)?;
@@ -56,11 +60,10 @@
     fn drop(&mut self) {
         let mut state = self.fabric.state();
         let process = state.processes.get_mut(&self.process);
-        let Some((_, waiting)) = process.and_then(|process| process.ports.remove(&self.addr)) else { return };
-        for id in waiting {
-            // Nobody accepted it: the system breaks it.
-            let at = state.arrival(id, 1);
-            state.plan(at, Due::BreakAtActor(id));
+        let Some(port) = process.and_then(|process| process.ports.remove(&self.addr)) else { return };
+        // The system resets connections that nobody accepted.
+        for id in port.backlog {
+            state.plan_break_at_actor(id);
         }
     }
 }
@@ -70,16 +73,18 @@
 pub struct VirtualStream {
     fabric: Fabric,
     id: u64,
-    passed: AtomicBool,
+    /// It was handed over to another process.
+    was_handed_over: AtomicBool,
 }
 
 impl VirtualStream {
-    /// Watches it under a token; what it has already is told at once.
+    /// Watches it under a token. What happened before makes it ready at once.
     pub fn register(&self, token: usize) {
         let mut state = self.fabric.state();
         let Some(link) = state.links.get_mut(&self.id) else { return };
         link.token = Some(token);
-        let (read, write) = (!link.input.is_empty() || link.ended || link.broken, link.up || link.refused);
+        let (read, write) =
+            (!link.input.is_empty() || link.has_ended || link.is_broken, link.is_up || link.is_refused);
         if read || write {
             state.wake(self.id, read, write);
         }
@@ -87,37 +92,37 @@
 
     /// Whether it is up.
     ///
-    /// # Errors
+    /// # PlannedErrors
     ///
     /// Refused, or reset after it was up.
     pub fn connected(&self) -> Result<bool, Reason> {
         let state = self.fabric.state();
         match state.links.get(&self.id) {
-            Some(link) if link.refused => Err(Reason::ConnectRefused),
-            Some(link) if link.broken => Err(Reason::PeerReset),
-            Some(link) => Ok(link.up),
+            Some(link) if link.is_refused => Err(Reason::ConnectRefused),
+            Some(link) if link.is_broken => Err(Reason::PeerReset),
+            Some(link) => Ok(link.is_up),
             None => Err(Reason::PeerReset),
         }
     }
 
     /// Reads.
     ///
-    /// # Errors
+    /// # PlannedErrors
     ///
     /// `WouldBlock`: nothing is there; `ConnectionReset` or another error: it broke; `Interrupted`: to be repeated.
     pub fn read(&self, into: &mut [u8]) -> io::Result<usize> {
         let mut state = self.fabric.state();
         let now = state.now;
-        state.errors.call(now)?;
-        let most = state.errors.most(now);
+        state.errors.check_interrupted(now)?;
+        let max_bytes = state.errors.max_io_bytes(now);
         let Some(link) = state.links.get_mut(&self.id) else { return Err(ErrorKind::ConnectionReset.into()) };
-        if link.broken || link.refused {
+        if link.is_broken || link.is_refused {
             return Err(link.error.into());
         }
         if link.input.is_empty() {
-            return if link.ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) };
+            return if link.has_ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) };
         }
-        let count = into.len().min(link.input.len()).min(most);
+        let count = into.len().min(link.input.len()).min(max_bytes);
         for (to, byte) in into.iter_mut().zip(link.input.drain(..count)) {
             *to = byte;
         }
@@ -126,47 +131,45 @@
 
     /// Writes.
     ///
-    /// # Errors
+    /// # PlannedErrors
     ///
-    /// `NotConnected`: not up yet; `WouldBlock`: as much as may be is under way; `ConnectionReset` or another error: it
+    /// `NotConnected`: not up yet; `WouldBlock`: as much as may be is in flight; `ConnectionReset` or another error: it
     /// broke; `Interrupted`: to be repeated.
     pub fn write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         let mut state = self.fabric.state();
         let now = state.now;
-        state.errors.call(now)?;
-        let most = state.errors.most(now);
+        state.errors.check_interrupted(now)?;
+        let max_bytes = state.errors.max_io_bytes(now);
         let Some(link) = state.links.get_mut(&self.id) else { return Err(ErrorKind::ConnectionReset.into()) };
-        if link.broken || link.refused || link.shut {
+        if link.is_broken || link.is_refused || link.is_shut_down {
             return Err(link.error.into());
         }
-        if !link.up {
+        if !link.is_up {
             return Err(ErrorKind::NotConnected.into());
         }
-        let room = WINDOW.saturating_sub(link.under_way);
-        if room == 0 {
-            link.blocked = true;
+        let capacity = WINDOW_BYTES.saturating_sub(link.in_flight_bytes);
+        if capacity == 0 {
+            link.is_blocked = true;
             return Err(ErrorKind::WouldBlock.into());
         }
         let bytes: Vec<u8> =
-            slices.iter().flat_map(|slice| slice.iter().copied()).take(room.min(most)).collect();
+            slices.iter().flat_map(|slice| slice.iter().copied()).take(capacity.min(max_bytes)).collect();
         let count = bytes.len();
-        link.under_way += count;
-        let at = state.arrival(self.id, 1);
+        link.in_flight_bytes += count;
+        let at = state.arrival(self.id, Direction::ToActor);
         let sent = state.now;
-        state.plan(at, Due::ToActor(self.id, bytes, sent));
+        state.plan(at, NetworkEvent::BytesAtActor(self.id, bytes, sent));
         Ok(count)
     }
 
-    /// Writes nothing more.
+    /// Shuts the write side down.
     pub fn shutdown(&self) {
         let mut state = self.fabric.state();
-        let up = state.links.get(&self.id).is_some_and(|link| link.up && !link.shut && !link.broken);
-        if up {
-            if let Some(link) = state.links.get_mut(&self.id) {
-                link.shut = true;
-            }
-            let at = state.arrival(self.id, 1);
-            state.plan(at, Due::EndToActor(self.id));
+        let can_shut_down = |link: &&mut Link| link.is_up && !link.is_shut_down && !link.is_broken;
+        if let Some(link) = state.links.get_mut(&self.id).filter(can_shut_down) {
+            link.is_shut_down = true;
+            let at = state.arrival(self.id, Direction::ToActor);
+            state.plan(at, NetworkEvent::EndAtActor(self.id));
         }
     }
 
@@ -175,22 +178,22 @@
         self.fabric.state().links.get(&self.id).and_then(|link| link.host)
     }
 
-    /// The same connection for another process: this end no longer is one, and nothing is said to the peer.
+    /// Hands the connection over to another process: this end becomes inert, and the peer notices nothing.
     pub fn pass(&self, to: u32) -> VirtualStream {
-        self.passed.store(true, Ordering::SeqCst);
+        self.was_handed_over.store(true, Ordering::SeqCst);
         self.fabric.adopt(self.id, to);
         VirtualStream::new(&self.fabric, self.id)
     }
 
     pub(super) fn new(fabric: &Fabric, id: u64) -> VirtualStream {
-        VirtualStream { fabric: fabric.clone(), id, passed: AtomicBool::new(false) }
+        VirtualStream { fabric: fabric.clone(), id, was_handed_over: AtomicBool::new(false) }
     }
 }
 
 impl Drop for VirtualStream {
     fn drop(&mut self) {
-        if !self.passed.load(Ordering::SeqCst) {
-            self.fabric.state().give_up(self.id);
+        if !self.was_handed_over.load(Ordering::SeqCst) {
+            self.fabric.state().drop_process_end(self.id);
         }
     }
 }
--- /dev/null
+++ b/src/net/fabric/events.rs
@@ -0,0 +1,180 @@
+//! What happens on the network by itself, and the effect of each kind of event.
+
+use super::link::{Direction, Link};
+use super::state::{NetworkState, Process};
+use super::trace::entry;
+use super::{ActorEvent, HostBehaviour};
+use crate::interface::{Instant, Span};
+use std::net::SocketAddr;
+
+/// What a silent host held back arrives this long after the host is back.
+const RESEND_DELAY: Span = Span::from_millis(1);
+
+/// A planned event. Connections are named by their id.
+pub(super) enum NetworkEvent {
+    /// A process's connection comes up, or is refused.
+    ConnectCompletes(u64),
+    /// A client's connection reaches the process.
+    ClientArrives(u64),
+    /// Bytes reach the process.
+    BytesAtProcess(u64, Vec<u8>),
+    /// Bytes that were sent at a time reach the actor.
+    BytesAtActor(u64, Vec<u8>, Instant),
+    /// The end of what the actor writes reaches the process.
+    EndAtProcess(u64),
+    /// The end of what the process writes reaches the actor.
+    EndAtActor(u64),
+    /// The connection breaks at the process.
+    BreakAtProcess(u64),
+    /// The connection breaks at the actor.
+    BreakAtActor(u64),
+    /// A process's source becomes ready.
+    SourceReady { process: u32, source: usize },
+}
+
+impl NetworkEvent {
+    /// The connection whose host holds the event back while it is silent.
+    fn delayable_link(&self) -> Option<u64> {
+        match self {
+            NetworkEvent::ConnectCompletes(link)
+            | NetworkEvent::ClientArrives(link)
+            | NetworkEvent::BytesAtProcess(link, _)
+            | NetworkEvent::BytesAtActor(link, ..)
+            | NetworkEvent::EndAtProcess(link)
+            | NetworkEvent::EndAtActor(link) => Some(*link),
+            NetworkEvent::BreakAtProcess(_)
+            | NetworkEvent::BreakAtActor(_)
+            | NetworkEvent::SourceReady { .. } => None,
+        }
+    }
+}
+
+impl NetworkState {
+    /// Applies an event, or plans it again for when its host is no longer silent.
+    pub fn apply(&mut self, event: NetworkEvent) {
+        if let Some(until) = event.delayable_link().and_then(|link| self.silent_until(link)) {
+            return self.plan(until + RESEND_DELAY, event);
+        }
+        match event {
+            NetworkEvent::ConnectCompletes(id) => self.complete_connect(id),
+            NetworkEvent::ClientArrives(id) => self.client_arrives(id),
+            NetworkEvent::BytesAtProcess(id, bytes) => self.bytes_at_process(id, bytes),
+            NetworkEvent::BytesAtActor(id, bytes, sent) => self.bytes_at_actor(id, bytes, sent),
+            NetworkEvent::EndAtProcess(id) => self.end_at_process(id),
+            NetworkEvent::EndAtActor(id) => {
+                self.note((entry::END_AT_ACTOR, id));
+                self.actor_events.push_back(ActorEvent::Closed { link: id });
+            }
+            NetworkEvent::BreakAtProcess(id) => self.break_at_process(id),
+            NetworkEvent::BreakAtActor(id) => {
+                self.note((entry::BREAK_AT_ACTOR, id));
+                self.break_for_actor(id);
+            }
+            NetworkEvent::SourceReady { process, source } => self.source_ready(process, source),
+        }
+    }
+
+    /// A process's connection comes up, or is refused.
+    fn complete_connect(&mut self, id: u64) {
+        let Some(link) = self.links.get(&id).filter(|link| !link.is_dropped) else { return };
+        let Some(host) = link.host else { return };
+        let error = self.errors.late_connect_error(self.now, host);
+        let behaviour = self.host_behaviours.get(&host);
+        let is_refused =
+            error.is_some() || behaviour.is_none_or(|behaviour| *behaviour == HostBehaviour::Refusing);
+        self.note((entry::CONNECT_COMPLETES, id, is_refused));
+        if let Some(link) = self.links.get_mut(&id) {
+            (link.is_up, link.is_refused) = (!is_refused, is_refused);
+            link.error = error.unwrap_or(link.error);
+        }
+        if !is_refused {
+            self.actor_events.push_back(ActorEvent::Opened { link: id, host });
+        }
+        self.wake(id, is_refused, true);
+    }
+
+    /// A client's connection reaches one of the processes that listen on its port, or is refused.
+    fn client_arrives(&mut self, id: u64) {
+        let Some(dialed) = self.links.get(&id).and_then(|link| link.dialed) else { return };
+        let listeners = self.listeners(dialed.port);
+        self.note((entry::CLIENT_ARRIVES, id, listeners.len()));
+        let selected = (dialed.draw % listeners.len().max(1) as u64) as usize;
+        let Some((process, addr)) = listeners.get(selected).copied() else {
+            return self.break_for_actor(id);
+        };
+        if let Some(link) = self.links.get_mut(&id) {
+            (link.process, link.is_up) = (process, true);
+        }
+        let Some(process) = self.processes.get_mut(&process) else { return };
+        if let Some(port) = process.ports.get_mut(&addr) {
+            port.backlog.push_back(id);
+            process.ready_sources.insert(port.source);
+        }
+    }
+
+    /// The processes that listen on a port, with the address on which they do.
+    fn listeners(&self, port: u16) -> Vec<(u32, SocketAddr)> {
+        let listening = |(number, process): (&u32, &Process)| {
+            let addr = process.ports.keys().find(|addr| addr.port() == port)?;
+            process.is_alive.then_some((*number, *addr))
+        };
+        self.processes.iter().filter_map(listening).collect()
+    }
+
+    fn bytes_at_process(&mut self, id: u64, bytes: Vec<u8>) {
+        self.note((entry::BYTES_AT_PROCESS, id, &bytes));
+        let can_receive = |link: &&mut Link| !link.is_broken && !link.is_dropped;
+        if let Some(link) = self.links.get_mut(&id).filter(can_receive) {
+            link.input.extend(bytes);
+            self.wake(id, true, false);
+        }
+    }
+
+    fn bytes_at_actor(&mut self, id: u64, bytes: Vec<u8>, sent: Instant) {
+        self.note((entry::BYTES_AT_ACTOR, id, &bytes));
+        let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_broken) else { return };
+        link.in_flight_bytes = link.in_flight_bytes.saturating_sub(bytes.len());
+        let was_blocked = std::mem::take(&mut link.is_blocked);
+        self.actor_events.push_back(ActorEvent::Bytes { link: id, bytes, sent });
+        if was_blocked {
+            self.wake(id, false, true);
+        }
+    }
+
+    fn end_at_process(&mut self, id: u64) {
+        self.note((entry::END_AT_PROCESS, id));
+        if let Some(link) = self.links.get_mut(&id) {
+            link.has_ended = true;
+        }
+        self.wake(id, true, false);
+    }
+
+    fn break_at_process(&mut self, id: u64) {
+        self.note((entry::BREAK_AT_PROCESS, id));
+        if let Some(link) = self.links.get_mut(&id) {
+            link.is_broken = true;
+            link.input.clear();
+        }
+        self.wake(id, true, true);
+    }
+
+    fn break_for_actor(&mut self, id: u64) {
+        if let Some(link) = self.links.get_mut(&id) {
+            link.is_broken = true;
+        }
+        self.actor_events.push_back(ActorEvent::Broken { link: id });
+    }
+
+    fn source_ready(&mut self, process: u32, source: usize) {
+        self.note((entry::SOURCE_READY, process, source));
+        if let Some(process) = self.processes.get_mut(&process) {
+            process.ready_sources.insert(source);
+        }
+    }
+
+    /// Plans that a connection breaks at the actor, as soon as word of it can get there.
+    pub fn plan_break_at_actor(&mut self, id: u64) {
+        let at = self.arrival(id, Direction::ToActor);
+        self.plan(at, NetworkEvent::BreakAtActor(id));
+    }
+}
--- /dev/null
+++ b/src/net/fabric/processes.rs
@@ -0,0 +1,107 @@
+//! Processes, and their listeners and connections.
+
+use super::events::NetworkEvent;
+use super::state::{ListeningPort, NetworkState, Process, ReadySet};
+use super::{trace, Fabric, VirtualListener, VirtualStream};
+use crate::interface::Span;
+use std::collections::{BTreeSet, VecDeque};
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+
+impl Fabric {
+    /// Starts a process.
+    pub fn start_process(&self, process: u32) {
+        let mut state = self.state();
+        state.processes.insert(process, Process { is_alive: true, ..Process::default() });
+    }
+
+    /// Ends a process, whether it stopped or crashed: its connections break.
+    pub fn end_process(&self, process: u32) {
+        let mut state = self.state();
+        state.note((trace::entry::PROCESS_ENDS, process));
+        let Some(ended) = state.processes.get_mut(&process) else { return };
+        ended.is_alive = false;
+        for id in state.links_of(process) {
+            state.plan_break_at_actor(id);
+            if let Some(link) = state.links.get_mut(&id) {
+                link.is_dropped = true;
+            }
+        }
+        state.process_addresses.retain(|_, holder| *holder != process);
+        // Connections that were handed over to it and not taken are dropped with its messages, which locks the state.
+        let messages = state.processes.get_mut(&process).map(|ended| std::mem::take(&mut ended.messages));
+        drop(state);
+        drop(messages);
+    }
+
+    /// Whether a process is alive.
+    pub fn is_alive(&self, process: u32) -> bool {
+        self.state().processes.get(&process).is_some_and(|process| process.is_alive)
+    }
+
+    /// The process at the other end of a connection.
+    pub fn process_of(&self, link: u64) -> Option<u32> {
+        self.state().links.get(&link).map(|link| link.process)
+    }
+
+    /// How many connections a process holds.
+    pub fn held(&self, process: u32) -> usize {
+        let state = self.state();
+        let of_process = state.links.values().filter(|link| link.process == process);
+        of_process.filter(|link| link.token.is_some() && !link.is_dropped).count()
+    }
+
+    /// Listens on an address; the listener becomes ready as `source`.
+    pub(in crate::net) fn listen(
+        &self,
+        process: u32,
+        addr: SocketAddr,
+        source: usize,
+    ) -> io::Result<VirtualListener> {
+        let mut state = self.state();
+        let Some(holder) = state.processes.get_mut(&process) else { return Err(ErrorKind::NotFound.into()) };
+        holder.ports.insert(addr, ListeningPort { source, backlog: VecDeque::new() });
+        Ok(VirtualListener { fabric: self.clone(), process, addr })
+    }
+
+    /// Takes what is ready for a process.
+    pub(in crate::net) fn take_ready(&self, process: u32) -> ReadySet {
+        let mut state = self.state();
+        let Some(process) = state.processes.get_mut(&process) else { return ReadySet::default() };
+        let sources = std::mem::take(&mut process.ready_sources);
+        let connections = std::mem::take(&mut process.ready_connections);
+        ReadySet { sources: sources.into_iter().collect(), connections: connections.into_values().collect() }
+    }
+
+    /// Begins to connect to a host.
+    pub(in crate::net) fn connect(&self, process: u32, host: SocketAddr) -> io::Result<VirtualStream> {
+        let mut state = self.state();
+        let now = state.now;
+        state.errors.check_interrupted(now)?;
+        state.errors.check_connect(now, host)?;
+        let id = state.new_link(process, host);
+        let late = state.connect_delays.get(&host).filter(|late| now < late.until);
+        let late = late.map_or(Span::ZERO, |late| late.delay);
+        let round_trip = 2 * state.links[&id].delay;
+        state.plan(now + round_trip + late, NetworkEvent::ConnectCompletes(id));
+        Ok(VirtualStream::new(self, id))
+    }
+
+    /// Makes a connection that was handed over another process's.
+    pub(super) fn adopt(&self, id: u64, process: u32) {
+        if let Some(link) = self.state().links.get_mut(&id) {
+            (link.process, link.token) = (process, None);
+        }
+    }
+}
+
+impl NetworkState {
+    /// The connections of a process that are not broken, and those that wait to be accepted there.
+    fn links_of(&self, process: u32) -> BTreeSet<u64> {
+        let ports = self.processes.get(&process).into_iter().flat_map(|process| process.ports.values());
+        let waiting = ports.flat_map(|port| port.backlog.iter().copied());
+        let of_process = self.links.iter().filter(|(_, link)| link.process == process);
+        let held = of_process.filter(|(_, link)| link.is_up && !link.is_dropped && !link.is_broken);
+        held.map(|(id, _)| *id).chain(waiting).collect()
+    }
+}
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,321 +1,172 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
-use super::errors::Errors;
+use super::events::NetworkEvent;
+use super::link::{Direction, Link};
+use super::planned_errors::PlannedErrors;
+use super::trace::Trace;
 use super::{ActorEvent, HostBehaviour, ProcessMessage};
 use crate::interface::{Instant, Span, UnixTime};
 use crate::spread::next;
-use rustix::io::Errno;
-use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Data of a held connection is tried again this long after its host is back.
-const RESEND: Span = Span::from_millis(1);
-
-pub(super) enum Due {
-    /// A process's connection comes up, or is refused.
-    Up(u64),
-    /// A client's connection reaches the process.
-    Arrives(u64),
-    /// Bytes reach the process's end, or the actor's.
-    ToProcess(u64, Vec<u8>),
-    ToActor(u64, Vec<u8>, Instant),
-    /// The end of what is written, in either direction.
-    EndToProcess(u64),
-    EndToActor(u64),
-    /// The connection breaks at either end.
-    BreakAtProcess(u64),
-    BreakAtActor(u64),
-    /// Messages wait for a process under this number.
-    Mail(u32, usize),
-}
-
-#[derive(Debug)]
-pub(super) struct Link {
-    pub process: u32,
-    pub token: Option<usize>,
-    /// The actor's address; for a client's connection the client's.
-    pub host: Option<SocketAddr>,
-    pub up: bool,
-    pub refused: bool,
-    pub broken: bool,
-    /// The process's end was given up.
-    pub dropped: bool,
-    pub input: VecDeque<u8>,
-    pub ended: bool,
-    pub shut: bool,
-    pub under_way: usize,
-    pub blocked: bool,
-    pub delay: Span,
-    /// Nothing overtakes what was sent before it: the last time of arrival in either direction.
-    pub last: [Instant; 2],
-    /// A client's: the port that it is for, and which of the processes that listen there gets it.
-    pub wants: Option<(u16, u64)>,
-    /// A client's that is gone before it is accepted.
-    pub aborted: bool,
-    /// What the process is told of a connection that is broken or was refused.
-    pub error: Errno,
-}
-
-impl Link {
-    fn new(process: u32, host: SocketAddr, delay: Span) -> Self {
-        Link {
-            process,
-            token: None,
-            host: Some(host),
-            up: false,
-            refused: false,
-            broken: false,
-            dropped: false,
-            input: VecDeque::new(),
-            ended: false,
-            shut: false,
-            under_way: 0,
-            blocked: false,
-            delay,
-            last: [Instant::ZERO; 2],
-            wants: None,
-            aborted: false,
-            error: Errno::CONNRESET,
-        }
-    }
-}
+/// Delays of connections are multiples of this many microseconds. Whole milliseconds make it more frequent than chance
+/// that something arrives just as something else falls due.
+const DELAY_STEP_MICROS: i64 = 1_000;
 
 /// A connection of a process on which something has happened.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReadyConn {
+pub struct ReadyConnection {
     /// The number under which the process watches it.
     pub token: usize,
-    /// It may be read from.
+    /// It may be readable.
     pub read: bool,
-    /// It may be written to.
+    /// It may be writable.
     pub write: bool,
     /// The actor writes nothing more.
     pub closed: bool,
 }
 
+/// What a process finds ready.
+#[derive(Clone, Debug, Default)]
+pub struct ReadySet {
+    /// Listeners and other sources, by number.
+    pub sources: Vec<usize>,
+    /// Connections, by token.
+    pub connections: Vec<ReadyConnection>,
+}
+
+/// A port that a process listens on.
+#[derive(Debug)]
+pub(super) struct ListeningPort {
+    /// The number under which the process watches it.
+    pub source: usize,
+    /// Connections that wait to be accepted.
+    pub backlog: VecDeque<u64>,
+}
+
+/// A process of an edge proxy.
 #[derive(Debug, Default)]
 pub(super) struct Process {
-    pub alive: bool,
-    /// By number: a listener or another source that is ready.
-    pub sources: BTreeSet<usize>,
-    /// By token: connections on which something has happened.
-    pub conns: BTreeMap<usize, ReadyConn>,
-    /// By listener's address: its number, and connections that wait there.
-    pub ports: BTreeMap<SocketAddr, (usize, VecDeque<u64>)>,
-    pub mail: BTreeMap<u32, VecDeque<ProcessMessage>>,
+    pub is_alive: bool,
+    /// The numbers of listeners and other sources that are ready.
+    pub ready_sources: BTreeSet<usize>,
+    /// Connections on which something has happened, by token.
+    pub ready_connections: BTreeMap<usize, ReadyConnection>,
+    pub ports: BTreeMap<SocketAddr, ListeningPort>,
+    /// Messages that it has not taken yet, by their sender.
+    pub messages: BTreeMap<u32, VecDeque<ProcessMessage>>,
+}
+
+/// By how much connections to a host come up late.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ConnectDelay {
+    pub delay: Span,
+    pub until: Instant,
 }
 
+/// All that the clones of a network share.
 #[derive(Default)]
-pub(super) struct State {
+pub(super) struct NetworkState {
     pub now: Instant,
-    /// The processes' wall clock is ahead by so much.
+    /// By how much the processes' wall clock is ahead.
     pub wall_offset: Span,
-    /// With deadlines on the wall clock, a planted bug: the latest time that it has told.
+    /// With the planted bug that deadlines run on the wall clock: the latest time that was read from it.
     pub latest_wall: Option<UnixTime>,
-    pub count: u64,
-    pub agenda: BTreeMap<(Instant, u64), Due>,
+    /// Events planned so far; orders those of one time.
+    pub planned_events: u64,
+    pub agenda: BTreeMap<(Instant, u64), NetworkEvent>,
     pub links: BTreeMap<u64, Link>,
-    pub next_link: u64,
-    pub reach: BTreeMap<SocketAddr, HostBehaviour>,
-    /// By host: how late connections to it come up, and until when that holds.
-    pub dial_delays: BTreeMap<SocketAddr, (Span, Instant)>,
+    pub last_link: u64,
+    pub host_behaviours: BTreeMap<SocketAddr, HostBehaviour>,
+    pub connect_delays: BTreeMap<SocketAddr, ConnectDelay>,
     pub processes: BTreeMap<u32, Process>,
-    /// Where the process that serves an address is found by the next one.
-    pub places: BTreeMap<SocketAddr, u32>,
-    pub signals: VecDeque<ActorEvent>,
-    /// Draws the delays of connections: between these.
-    pub delays: (Span, Span),
+    /// Addresses at which the process that serves there is found by the next one.
+    pub process_addresses: BTreeMap<SocketAddr, u32>,
+    pub actor_events: VecDeque<ActorEvent>,
+    /// The shortest and the longest delay of a connection.
+    pub min_delay: Span,
+    pub max_delay: Span,
+    /// State of the random numbers.
     pub random: u64,
     /// Errors of system calls that are planned.
-    pub errors: Errors,
-    pub trace: DefaultHasher,
-    pub steps: u64,
+    pub errors: PlannedErrors,
+    pub trace: Trace,
 }
 
-impl State {
-    pub(super) fn plan(&mut self, at: Instant, due: Due) {
-        self.count += 1;
-        self.agenda.insert((at.max(self.now), self.count), due);
+impl NetworkState {
+    /// Plans an event, not before now.
+    pub fn plan(&mut self, at: Instant, event: NetworkEvent) {
+        self.planned_events += 1;
+        self.agenda.insert((at.max(self.now), self.planned_events), event);
     }
 
-    /// The processes' wall clock: it tells the network's own time as Unix time until it is stepped.
-    pub(super) fn wall_time(&self) -> UnixTime {
+    /// The processes' wall clock: the network's own time as Unix time until it is stepped.
+    pub fn wall_time(&self) -> UnixTime {
         UnixTime::from_micros((self.now + self.wall_offset).as_micros())
     }
 
-    /// When something sent now on a connection arrives: 0 to the process, 1 to the actor.
-    pub(super) fn arrival(&mut self, link: u64, way: usize) -> Instant {
+    /// When something sent now on a connection arrives.
+    pub fn arrival(&mut self, link: u64, direction: Direction) -> Instant {
         let now = self.now;
-        let Some(link) = self.links.get_mut(&link) else { return now };
-        link.last[way] = link.last[way].max(now + link.delay);
-        link.last[way]
+        self.links.get_mut(&link).map_or(now, |link| link.arrival(now, direction))
     }
 
-    pub(super) fn note(&mut self, what: impl Hash) {
-        (self.now, what).hash(&mut self.trace);
-        self.steps += 1;
+    /// Adds an entry to the trace.
+    pub fn note(&mut self, what: impl Hash) {
+        self.trace.note(self.now, what);
     }
 
     /// Until when nothing reaches a connection's host.
-    pub(super) fn silent(&self, link: u64) -> Option<Instant> {
+    pub fn silent_until(&self, link: u64) -> Option<Instant> {
         let host = self.links.get(&link)?.host?;
-        match self.reach.get(&host) {
+        match self.host_behaviours.get(&host) {
             Some(HostBehaviour::SilentUntil(until)) if *until > self.now => Some(*until),
             _ => None,
         }
     }
 
-    pub(super) fn wake(&mut self, link: u64, read: bool, write: bool) {
-        let Some(one) = self.links.get(&link).filter(|one| !one.dropped) else { return };
-        let (process, token, closed) = (one.process, one.token, one.ended || one.broken);
-        if let (Some(process), Some(token)) = (self.processes.get_mut(&process), token) {
-            let flags = process.conns.entry(token).or_insert(ReadyConn { token, ..ReadyConn::default() });
-            flags.read |= read;
-            flags.write |= write;
-            flags.closed |= closed;
-        }
-    }
-
-    pub(super) fn draw(&mut self) -> u64 {
-        // It has to repeat, not to be good.
-        next(&mut self.random)
-    }
-
-    pub(super) fn new_link(&mut self, process: u32, host: SocketAddr) -> u64 {
-        self.next_link += 1;
-        let (least, most) = (self.delays.0.as_micros(), self.delays.1.as_micros());
-        // Whole milliseconds, so that what comes and what falls due meet more often than chance would have it.
-        let delay = (least + (self.draw() % (most - least + 1).max(1) as u64) as i64) / 1000 * 1000;
-        let delay = Span::from_micros(delay);
-        self.links.insert(self.next_link, Link::new(process, host, delay));
-        self.next_link
-    }
-
-    pub(super) fn happen(&mut self, due: Due) {
-        let link = match &due {
-            Due::Up(link) | Due::Arrives(link) | Due::ToProcess(link, _) | Due::ToActor(link, ..) => {
-                Some(*link)
-            }
-            Due::EndToProcess(link) | Due::EndToActor(link) => Some(*link),
-            Due::BreakAtProcess(_) | Due::BreakAtActor(_) | Due::Mail(..) => None,
+    /// Marks a connection as ready for its process.
+    pub fn wake(&mut self, link: u64, read: bool, write: bool) {
+        let Some(link) = self.links.get(&link).filter(|link| !link.is_dropped) else { return };
+        let closed = link.has_ended || link.is_broken;
+        let (Some(process), Some(token)) = (self.processes.get_mut(&link.process), link.token) else {
+            return;
         };
-        if let Some(until) = link.and_then(|link| self.silent(link)) {
-            return self.plan(until + RESEND, due);
-        }
-        match due {
-            Due::Up(id) => self.up(id),
-            Due::Arrives(id) => self.arrives(id),
-            Due::ToProcess(id, bytes) => {
-                self.note((1, id, &bytes));
-                if let Some(link) = self.links.get_mut(&id).filter(|link| !link.broken && !link.dropped) {
-                    link.input.extend(bytes);
-                    self.wake(id, true, false);
-                }
-            }
-            Due::ToActor(id, bytes, sent) => {
-                self.note((2, id, &bytes));
-                let Some(link) = self.links.get_mut(&id).filter(|link| !link.broken) else { return };
-                link.under_way = link.under_way.saturating_sub(bytes.len());
-                let wake = std::mem::take(&mut link.blocked);
-                self.signals.push_back(ActorEvent::Bytes { link: id, bytes, sent });
-                if wake {
-                    self.wake(id, false, true);
-                }
-            }
-            Due::EndToProcess(id) => {
-                self.note((3, id));
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.ended = true;
-                }
-                self.wake(id, true, false);
-            }
-            Due::EndToActor(id) => {
-                self.note((4, id));
-                self.signals.push_back(ActorEvent::Closed { link: id });
-            }
-            Due::BreakAtProcess(id) => {
-                self.note((5, id));
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.broken = true;
-                    link.input.clear();
-                }
-                self.wake(id, true, true);
-            }
-            Due::BreakAtActor(id) => {
-                self.note((6, id));
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.broken = true;
-                }
-                self.signals.push_back(ActorEvent::Broken { link: id });
-            }
-            Due::Mail(process, number) => {
-                self.note((7, process, number));
-                if let Some(process) = self.processes.get_mut(&process) {
-                    process.sources.insert(number);
-                }
-            }
-        }
+        let none = ReadyConnection { token, ..ReadyConnection::default() };
+        let ready = process.ready_connections.entry(token).or_insert(none);
+        ready.read |= read;
+        ready.write |= write;
+        ready.closed |= closed;
     }
 
-    pub(super) fn up(&mut self, id: u64) {
-        let Some(link) = self.links.get(&id).filter(|link| !link.dropped) else { return };
-        let Some(host) = link.host else { return };
-        let error = self.errors.late_connect(self.now, host);
-        let refused =
-            error.is_some() || self.reach.get(&host).is_none_or(|reach| *reach == HostBehaviour::Refusing);
-        self.note((8, id, refused));
-        if let Some(link) = self.links.get_mut(&id) {
-            (link.up, link.refused) = (!refused, refused);
-            link.error = error.unwrap_or(link.error);
-        }
-        if !refused {
-            self.signals.push_back(ActorEvent::Opened { link: id, host });
-        }
-        self.wake(id, refused, true);
+    /// Draws a random number, which has to repeat with the seed and need not be good.
+    pub fn draw(&mut self) -> u64 {
+        next(&mut self.random)
     }
 
-    /// A client's connection reaches one of the processes that listen, or is refused.
-    pub(super) fn arrives(&mut self, id: u64) {
-        let Some((port, draw)) = self.links.get(&id).and_then(|link| link.wants) else { return };
-        let listening = |(number, process): (&u32, &Process)| {
-            let port = process.ports.keys().find(|addr| addr.port() == port)?;
-            process.alive.then_some((*number, *port))
-        };
-        let open: Vec<(u32, SocketAddr)> = self.processes.iter().filter_map(listening).collect();
-        self.note((9, id, open.len()));
-        let Some((process, addr)) = open.get((draw % open.len().max(1) as u64) as usize).copied() else {
-            if let Some(link) = self.links.get_mut(&id) {
-                link.broken = true;
-            }
-            return self.signals.push_back(ActorEvent::Broken { link: id });
-        };
-        if let Some(link) = self.links.get_mut(&id) {
-            (link.process, link.up) = (process, true);
-        }
-        if let Some(process) = self.processes.get_mut(&process) {
-            if let Some((number, waiting)) = process.ports.get_mut(&addr) {
-                waiting.push_back(id);
-                process.sources.insert(*number);
-            }
-        }
+    /// Adds a connection that is not up yet; returns its id.
+    pub fn new_link(&mut self, process: u32, host: SocketAddr) -> u64 {
+        self.last_link += 1;
+        let (min, max) = (self.min_delay.as_micros(), self.max_delay.as_micros());
+        let span = (max - min + 1).max(1) as u64;
+        let delay = (min + (self.draw() % span) as i64) / DELAY_STEP_MICROS * DELAY_STEP_MICROS;
+        self.links.insert(self.last_link, Link::new(process, host, Span::from_micros(delay)));
+        self.last_link
     }
 
-    /// The process's end is given up: the peer sees an end, or a break where bytes were left unread.
-    pub(super) fn give_up(&mut self, id: u64) {
-        let Some(link) = self.links.get_mut(&id).filter(|link| !link.dropped) else { return };
-        link.dropped = true;
-        let (unread, known) = (!link.input.is_empty(), link.up && !link.broken && !link.shut);
-        if !link.up && !link.refused {
-            return; // it never came up: nobody there knows of it
-        }
-        if unread && known {
-            let at = self.arrival(id, 1);
-            self.plan(at, Due::BreakAtActor(id));
-        } else if known {
-            let at = self.arrival(id, 1);
-            self.plan(at, Due::EndToActor(id));
+    /// The process closes its end: the actor sees an end, or a break where bytes were left unread.
+    pub fn drop_process_end(&mut self, id: u64) {
+        let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_dropped) else { return };
+        link.is_dropped = true;
+        let is_known_to_actor = link.is_up && !link.is_broken && !link.is_shut_down;
+        if !is_known_to_actor {
+            return;
         }
+        let has_unread = !link.input.is_empty();
+        let at = self.arrival(id, Direction::ToActor);
+        let event = if has_unread { NetworkEvent::BreakAtActor(id) } else { NetworkEvent::EndAtActor(id) };
+        self.plan(at, event);
     }
 }
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -1,14 +1,14 @@
-//! Connections, refusals and ends as a socket would show them.
+//! Tests of `fabric`: connections, refusals and ends as a socket would show them.
 
-use super::endpoint::WINDOW;
+use super::endpoint::WINDOW_BYTES;
 use super::*;
-use std::io::IoSlice;
+use std::io::{ErrorKind, IoSlice};
 
 const MS: Span = Span::from_millis(1);
 
 /// A network with one process, whose connections take 1 ms each way.
 fn fabric() -> Fabric {
-    let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
+    let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     fabric
 }
@@ -19,13 +19,13 @@
 
 fn pass(fabric: &Fabric, to: Instant) -> Vec<ActorEvent> {
     fabric.advance(to);
-    fabric.happen();
-    fabric.signals()
+    fabric.run_due_events();
+    fabric.take_actor_events()
 }
 
 /// What is ready of connections: the number, and whether to read and to write.
-fn conns(fabric: &Fabric) -> Vec<(usize, bool, bool)> {
-    fabric.ready(1).1.into_iter().map(|conn| (conn.token, conn.read, conn.write)).collect()
+fn ready_connections(fabric: &Fabric) -> Vec<(usize, bool, bool)> {
+    fabric.take_ready(1).connections.into_iter().map(|conn| (conn.token, conn.read, conn.write)).collect()
 }
 
 fn read(end: &VirtualStream) -> Result<String, ErrorKind> {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_come_in_order_and_a_silent_host_holds_them_back() {
+fn bytes_arrive_in_order_and_a_silent_host_holds_them_back() {
     let (fabric, there) = (fabric(), host(1));
     fabric.set_reach(there, HostBehaviour::Up);
     let end = fabric.connect(1, there).expect("begun");
@@ -43,7 +43,7 @@
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::NotConnected));
     assert_eq!(pass(&fabric, at(Span::from_micros(1999))), []);
     assert_eq!(pass(&fabric, at(2 * MS)), [ActorEvent::Opened { link: 1, host: there }]);
-    assert_eq!((conns(&fabric), end.connected()), (vec![(7, false, true)], Ok(true)));
+    assert_eq!((ready_connections(&fabric), end.connected()), (vec![(7, false, true)], Ok(true)));
     end.write(&[IoSlice::new(b"a"), IoSlice::new(b"b")]).expect("written");
     fabric.send(1, b"x");
     fabric.send(1, b"y");
@@ -51,7 +51,7 @@
         pass(&fabric, at(3 * MS)),
         [ActorEvent::Bytes { link: 1, bytes: b"ab".to_vec(), sent: at(2 * MS) }]
     );
-    assert_eq!((conns(&fabric), read(&end)), (vec![(7, true, false)], Ok("xy".into())));
+    assert_eq!((ready_connections(&fabric), read(&end)), (vec![(7, true, false)], Ok("xy".into())));
     assert_eq!(read(&end), Err(ErrorKind::WouldBlock));
     fabric.set_reach(there, HostBehaviour::SilentUntil(at(50 * MS)));
     fabric.send(1, b"z");
@@ -85,12 +85,12 @@
         (refused.connected(), read(&refused)),
         (Err(crate::net::Reason::ConnectRefused), Err(ErrorKind::ConnectionReset))
     );
-    let much = vec![0; WINDOW + 5];
-    assert_eq!(end.write(&[IoSlice::new(&much)]).ok(), Some(WINDOW));
+    let much = vec![0; WINDOW_BYTES + 5];
+    assert_eq!(end.write(&[IoSlice::new(&much)]).ok(), Some(WINDOW_BYTES));
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::WouldBlock));
-    fabric.ready(1);
+    fabric.take_ready(1);
     pass(&fabric, at(3 * MS));
-    assert_eq!(conns(&fabric), [(8, false, true)], "there is room again");
+    assert_eq!(ready_connections(&fabric), [(8, false, true)], "there is room again");
     fabric.reset(2);
     pass(&fabric, at(4 * MS));
     assert_eq!(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_connection_that_is_passed_on_outlives_the_process_that_had_it() {
+fn a_connection_that_is_handed_over_outlives_the_process_that_had_it() {
     let fabric = fabric();
     fabric.start_process(2);
     let front = host(9);
@@ -108,14 +108,14 @@
     let link = fabric.dial("127.0.2.1:40000".parse().expect("an address"), front);
     fabric.send(link, b"ping");
     pass(&fabric, at(MS));
-    assert_eq!(fabric.ready(1).0, [0]);
+    assert_eq!(fabric.take_ready(1).sources, [0]);
     let (end, _) = port.accept().expect("one waits");
     assert!(fabric.send_message(1, 2, 5, ProcessMessage::Connection(end.pass(2), b"pi".to_vec())).is_ok());
     drop(end);
     drop(port);
     fabric.end_process(1);
     assert_eq!(pass(&fabric, at(2 * MS)), [], "the client notices nothing");
-    assert_eq!(fabric.ready(2).0, [5]);
+    assert_eq!(fabric.take_ready(2).sources, [5]);
     let [ProcessMessage::Connection(end, unused)] = &fabric.take_messages(1, 2)[..] else {
         panic!("one message")
     };
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -74,15 +74,15 @@
             Poller::Mio { poll, events } => (poll, events),
             Poller::Virtual { fabric, process } => {
                 // Whoever owns the network moves its clock; nothing is waited for here.
-                let (sources, conns) = fabric.ready(*process);
-                ready.extend(sources.into_iter().map(Ready::Source));
-                let conn = |fabric::ReadyConn { token, read, write, closed }| Ready::Conn {
+                let found = fabric.take_ready(*process);
+                ready.extend(found.sources.into_iter().map(Ready::Source));
+                let conn = |fabric::ReadyConnection { token, read, write, closed }| Ready::Conn {
                     key: Key::from_number(token as u64),
                     read,
                     write,
                     closed,
                 };
-                ready.extend(conns.into_iter().map(conn));
+                ready.extend(found.connections.into_iter().map(conn));
                 return Ok(());
             }
         };
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -15,7 +15,7 @@
 
 /// A network in which process 1 listens, with its table of connections.
 fn listening() -> (Fabric, Net, Listener) {
-    let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
+    let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     let mut net = Net::on(&fabric, 1);
     let listener = net.listen(host(FRONT), true, 0).expect("a listener");
@@ -28,8 +28,8 @@
 
 fn pass(fabric: &Fabric, to: Instant) -> Vec<ActorEvent> {
     fabric.advance(to);
-    fabric.happen();
-    fabric.signals()
+    fabric.run_due_events();
+    fabric.take_actor_events()
 }
 
 /// A connection from the process to host 1, which is up.
--- a/src/server/accept/tests.rs
+++ b/src/server/accept/tests.rs
@@ -22,7 +22,7 @@
 
 impl Rig {
     fn new() -> Self {
-        let fabric = Fabric::new(START, 1, (MS, MS));
+        let fabric = Fabric::new(START, 1, MS..=MS);
         fabric.start_process(1);
         let shape = Shape { points: 1, proxies: 1, caches: 1, hubs: 1, parents: 0, seed: 1 };
         let mut text = config(&shape, &host(900).to_string(), |n| host(n as u16).to_string());
@@ -39,7 +39,7 @@
             let next = self.fabric.next().into_iter().chain(self.server.next_due()).min();
             let Some(next) = next.filter(|next| *next <= until) else { break };
             self.fabric.advance(next);
-            self.fabric.happen();
+            self.fabric.run_due_events();
             self.server.turn(&mut ready).expect("a turn");
             self.turns += 1;
         }
@@ -57,7 +57,7 @@
         ActorEvent::Opened { link: of, .. } | ActorEvent::Bytes { link: of, .. } => *of == link,
         ActorEvent::Closed { link: of } | ActorEvent::Broken { link: of } => *of == link,
     };
-    fabric.signals().into_iter().filter(concerns).collect()
+    fabric.take_actor_events().into_iter().filter(concerns).collect()
 }
 
 fn client(number: u16) -> SocketAddr {
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -22,7 +22,7 @@
 use crate::lab::feed::number;
 use crate::lab::site::{config, Shape};
 use crate::lab::thrift_client::{self, Answered};
-use crate::net::fabric::{host as address, ActorEvent, Fabric, HostBehaviour};
+use crate::net::fabric::{host as address, ActorEvent, Fabric, HostBehaviour, TraceSummary};
 use crate::net::Ready;
 use crate::server::{Server, SIBLINGS};
 use rand::{Rng, SeedableRng};
@@ -174,7 +174,7 @@
         world.schedule(START + Span::from_millis(fault.at_ms), Event::Fault(fault.what));
     }
     let ties = world.play();
-    let (trace, steps) = world.fabric.trace();
+    let TraceSummary { digest: trace, steps } = world.fabric.trace();
     Outcome {
         breaches: world.rules.breaches,
         trace,
@@ -214,7 +214,7 @@
                 let what = entry.remove();
                 self.happen(what);
             }
-            self.fabric.happen();
+            self.fabric.run_due_events();
             self.deliver();
             self.turn(&mut ready);
             self.deliver();
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -5,7 +5,7 @@
 impl World<'_> {
     /// Tells the actors what came on the network.
     pub(super) fn deliver(&mut self) {
-        for signal in self.fabric.signals() {
+        for signal in self.fabric.take_actor_events() {
             let link = match &signal {
                 ActorEvent::Opened { link, .. } | ActorEvent::Bytes { link, .. } => *link,
                 ActorEvent::Closed { link } | ActorEvent::Broken { link } => *link,
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -27,7 +27,7 @@
             _ => {}
         }
         let entries = hosts.as_array().cloned().unwrap_or_default();
-        let fabric = Fabric::new(START, seed ^ 0x5eed, DELAYS);
+        let fabric = Fabric::new(START, seed ^ 0x5eed, DELAYS.0..=DELAYS.1);
         if sabotage == Some(Sabotage::WallDeadlines) {
             fabric.run_deadlines_on_wall_clock();
         }
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -28,7 +28,7 @@
 
 /// How a job ends whose connect call fails at once with an error.
 fn job_end(error: Errno) -> JobEnd {
-    let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
+    let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     fabric.fail_connects(host(1), error, true, Instant::ZERO + 100 * MS);
     let (mut net, mut deadlines) = (Net::on(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -303,7 +303,7 @@
     const LINK: u64 = 1;
 
     fn new() -> Self {
-        let fabric = Fabric::new(Instant::ZERO, 1, (MS, MS));
+        let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
         fabric.start_process(1);
         fabric.set_reach(host(1), HostBehaviour::Up);
         let limits = PoolLimits {
@@ -333,7 +333,7 @@
     fn pass(&mut self, to: Instant) -> String {
         self.now = to;
         self.fabric.advance(to);
-        self.fabric.happen();
+        self.fabric.run_due_events();
         let mut ready = Vec::new();
         self.net.poll(None, &mut ready).expect("no poll to break");
         for one in ready {
@@ -341,7 +341,7 @@
                 self.upstream.ready(to, key, read, write, &mut self.net, &mut self.deadlines);
             }
         }
-        let bytes = self.fabric.signals().into_iter().filter_map(|signal| match signal {
+        let bytes = self.fabric.take_actor_events().into_iter().filter_map(|signal| match signal {
             ActorEvent::Bytes { bytes, .. } => Some(String::from_utf8(bytes).expect("text")),
             _ => None,
         });
