--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -23,7 +23,7 @@
 
 use super::rules::Rules;
 use crate::interface::{Instant, Span};
-use crate::net::fabric::{host as numbered_address, Fabric};
+use crate::net::fabric::{host as numbered_address, Fabric, TraceSummary};
 use crate::net::Ready;
 use crate::standin::faults::{Fault, RunPlan};
 use crate::standin::fleet::Fleet;
@@ -101,7 +101,7 @@
         world.agenda.schedule(at, ScheduledEvent::Fault(fault.kind));
     }
     let ties = world.play();
-    let (trace, steps) = world.fabric.trace();
+    let TraceSummary { digest: trace, steps } = world.fabric.trace();
     RunOutcome {
         breaches: world.rules.breaches,
         trace,
@@ -176,7 +176,7 @@
         while let Some(event) = self.agenda.take_due(self.now) {
             self.handle(event);
         }
-        self.fabric.happen();
+        self.fabric.run_due_events();
         self.deliver();
         self.turn_processes(ready);
         self.deliver();
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -7,7 +7,7 @@
 impl World<'_> {
     /// Passes on all that has arrived.
     pub(super) fn deliver(&mut self) {
-        for event in self.fabric.signals() {
+        for event in self.fabric.take_actor_events() {
             match self.client_of(link_of(&event)) {
                 Some(client) => self.deliver_to_client(client, event),
                 None => self.deliver_to_server(event),
