--- /dev/null
+++ b/src/server/admin_calls.rs
@@ -0,0 +1,67 @@
+//! The calls of operators on the admin endpoint.
+
+use super::Server;
+use crate::front::admin::{self, AdminCall};
+use crate::net::{ConnectionKey, Role};
+
+/// Type of a body in JSON.
+const JSON: &str = "application/json";
+
+/// The answer to an operator's call.
+struct AdminAnswer {
+    status: u16,
+    content_type: &'static str,
+    body: String,
+}
+
+impl AdminAnswer {
+    fn text(status: u16, body: impl Into<String>) -> Self {
+        AdminAnswer { status, content_type: admin::TEXT, body: body.into() }
+    }
+}
+
+impl Server {
+    /// Accepts the callers that wait. Each is read from at once, since its call has usually arrived already.
+    pub(super) fn accept_admin_callers(&mut self) {
+        while let Some(conn) = self.accept_one(Role::Admin) {
+            if let Some(admin) = &mut self.admin {
+                admin.open(self.now, conn, &mut self.net, &mut self.due);
+            }
+            self.on_admin_ready(conn);
+        }
+    }
+
+    /// Answers a caller's call, if it has arrived in full.
+    pub(super) fn on_admin_ready(&mut self, conn: ConnectionKey) {
+        let Some(admin) = &mut self.admin else { return };
+        let Some(call) = admin.ready(self.now, conn, &mut self.net, &mut self.due) else { return };
+        let AdminAnswer { status, content_type, body } = self.answer_admin_call(call);
+        if let Some(admin) = &mut self.admin {
+            admin.answer(self.now, conn, status, (content_type, &body), &mut self.net, &mut self.due);
+        }
+    }
+
+    /// Whether a connection is an operator's.
+    pub(super) fn is_admin_caller(&self, conn: ConnectionKey) -> bool {
+        self.admin.as_ref().is_some_and(|admin| admin.owns(conn))
+    }
+
+    fn answer_admin_call(&self, call: AdminCall) -> AdminAnswer {
+        match call {
+            AdminCall::Healthcheck if self.takes_clients() => AdminAnswer::text(200, "ok\n"),
+            AdminCall::Healthcheck if self.phase.is_shutting_down() => AdminAnswer::text(503, "stopping\n"),
+            AdminCall::Healthcheck => AdminAnswer::text(503, "starting\n"),
+            AdminCall::Stats => AdminAnswer::text(200, self.metrics()),
+            AdminCall::Federation => match self.federation.json() {
+                Some(body) => AdminAnswer { status: 200, content_type: JSON, body },
+                None => AdminAnswer { status: 404, content_type: JSON, body: String::new() },
+            },
+        }
+    }
+
+    /// Whether clients should come here: not during a shutdown, and not before there is an endpoint list, without
+    /// which their requests would be rejected.
+    pub(super) fn takes_clients(&self) -> bool {
+        self.endpoints.has_full_list && !self.phase.is_shutting_down()
+    }
+}
--- /dev/null
+++ b/src/server/admission.rs
@@ -0,0 +1,166 @@
+//! Admission of new connections: asks [`crate::admission::Admission`] about each new client's connection, rejects
+//! those that it refuses, and reports to it which connections are in good standing and which have ended. The
+//! decisions are all [`crate::admission`]'s.
+
+use super::budget::OTHER_DESCRIPTORS;
+use super::refused_connections::{RefusalLog, RefusedConnection};
+use super::Server;
+use crate::admission::{Admission, AdmissionSettings, Refusal, Room, Verdict};
+use crate::interface::{Instant, Span};
+use crate::net::{ConnectionKey, Role};
+use std::collections::BTreeMap;
+use std::fs::File;
+use tracing::info;
+
+/// The server's state for admission.
+pub(super) struct AdmissionControl {
+    /// Decides which connections are admitted.
+    pub rules: Admission,
+    /// Connections of the Thrift front that were refused and are still open: each request there is rejected.
+    pub refused: BTreeMap<ConnectionKey, RefusedConnection>,
+    /// A descriptor that is given up, when there are no others, to accept one connection and refuse it.
+    pub spare_descriptor: Option<File>,
+    /// Since when connections of the Thrift front may wait in the system's queue because accepting fails.
+    pub accepts_fail_since: Option<Instant>,
+    /// Descriptors that are no connection (listeners, poll, signals, standard streams), once they were counted.
+    other_descriptors: Option<usize>,
+    refusal_log: RefusalLog,
+}
+
+impl AdmissionControl {
+    /// Begins with no connections.
+    pub fn new(settings: AdmissionSettings) -> Self {
+        let mut control = AdmissionControl {
+            rules: Admission::new(settings),
+            refused: BTreeMap::new(),
+            spare_descriptor: None,
+            accepts_fail_since: None,
+            other_descriptors: None,
+            refusal_log: RefusalLog::default(),
+        };
+        control.open_spare_descriptor();
+        control
+    }
+
+    /// Adopts settings that were read again.
+    pub fn reconfigure(&mut self, settings: AdmissionSettings) {
+        self.rules.reconfigure(settings);
+        self.other_descriptors = None;
+        if !self.wants_spare_descriptor() {
+            self.spare_descriptor = None;
+        }
+        self.open_spare_descriptor();
+    }
+
+    fn wants_spare_descriptor(&self) -> bool {
+        self.rules.is_on() && self.rules.settings().spare_descriptor
+    }
+
+    /// Opens the spare descriptor where one is wanted and none is open; that may fail while descriptors are exhausted.
+    fn open_spare_descriptor(&mut self) {
+        if self.wants_spare_descriptor() && self.spare_descriptor.is_none() {
+            self.spare_descriptor = File::open("/dev/null").ok();
+        }
+    }
+
+    /// Descriptors that the process may still open, by its soft limit and what it has open. What is no connection is
+    /// counted in `/proc/self/fd` once, and taken as the budget's figure where that cannot be read.
+    fn free_descriptors(&mut self, connections: usize) -> Option<usize> {
+        let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current?;
+        let spare = usize::from(self.spare_descriptor.is_some());
+        let others = *self.other_descriptors.get_or_insert_with(|| {
+            let open = std::fs::read_dir("/proc/self/fd").map(Iterator::count);
+            // The directory's own descriptor is counted too.
+            open.map_or(OTHER_DESCRIPTORS, |open| open.saturating_sub(connections + spare + 1))
+        });
+        Some(usize::try_from(limit).unwrap_or(usize::MAX).saturating_sub(connections + others + spare))
+    }
+}
+
+impl Server {
+    /// Decides on a connection that was just accepted; `false` if it was refused, and its client told so.
+    pub(super) fn admit(&mut self, role: Role, conn: ConnectionKey) -> bool {
+        let Some(address) = self.net.address(conn) else { return false };
+        let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
+        let free = self.free_descriptors();
+        let room = Room { clients, budget: self.budget.clients, free };
+        match self.admission.rules.admit(self.now, conn.number(), address, room) {
+            Verdict::Refuse { why, pause } => {
+                self.refuse_new_connection(role, conn, why, pause, free);
+                false
+            }
+            _ => true,
+        }
+    }
+
+    /// Refuses a connection that was accepted with the spare descriptor.
+    pub(super) fn shed_connection(&mut self, role: Role, conn: ConnectionKey) {
+        if self.net.address(conn).is_none() {
+            return;
+        }
+        let retry_after = self.admission.rules.settings().pause();
+        let free = self.free_descriptors();
+        self.refuse_new_connection(role, conn, Refusal::Descriptors, retry_after, free);
+    }
+
+    fn free_descriptors(&mut self) -> Option<usize> {
+        let connections = self.net.total();
+        if self.admission.rules.is_on() {
+            self.admission.free_descriptors(connections)
+        } else {
+            None
+        }
+    }
+
+    fn refuse_new_connection(
+        &mut self,
+        role: Role,
+        conn: ConnectionKey,
+        why: Refusal,
+        retry_after: Span,
+        free_descriptors: Option<usize>,
+    ) {
+        let retry_after = if self.config.sends_retry_after() { retry_after } else { Span::ZERO };
+        if let Some(suppressed) = self.admission.refusal_log.next_line(self.now) {
+            let address = self.net.address(conn).map_or_else(String::new, |address| address.to_string());
+            info!(
+                "conn={conn} refused: {} from {address} ({suppressed} more since the last such line)",
+                why.code()
+            );
+        }
+        let stays_open = self.admission.rules.answers_refusal(self.admission.refused.len(), free_descriptors);
+        self.refuse_connection(role, conn, retry_after, stays_open);
+    }
+
+    /// The edge proxy answered a call of this connection: it is in good standing.
+    pub(super) fn mark_good_standing(&mut self, conn: ConnectionKey) {
+        self.admission.rules.good(self.now, conn.number());
+    }
+
+    /// Forgets the connections that have ended.
+    pub(super) fn forget_closed_connections(&mut self) {
+        let closed = self.net.take_closed();
+        if closed.is_empty() {
+            return; // no descriptor came free, so the spare cannot be opened now either
+        }
+        for number in closed {
+            self.admission.rules.closed(number);
+            self.admission.refused.remove(&ConnectionKey::from_number(number));
+        }
+        self.admission.open_spare_descriptor();
+    }
+
+    /// Passes the metrics of admission to `line`, by key.
+    pub(super) fn admission_metrics(&self, line: &mut dyn FnMut(&str, u64)) {
+        let counts = self.admission.rules.counts();
+        line("admission_admitted", counts.admitted);
+        line("admission_good", counts.good);
+        for (why, count) in Refusal::ALL.iter().zip(counts.refused) {
+            line(&format!("admission_refused.{}", why.code()), count);
+        }
+        line("admission_refusing", self.admission.refused.len() as u64);
+        let exhaustion = &self.admission.rules.exhaustion;
+        line("descriptor_episodes", exhaustion.episodes);
+        line("descriptor_shed", exhaustion.shed);
+    }
+}
--- /dev/null
+++ b/src/server/attempt_encoder.rs
@@ -0,0 +1,36 @@
+//! Encodes attempts for the servers' wire at the moment of their writing.
+
+use super::deadline::ServerDeadline;
+use super::pending::PendingRequests;
+use super::translate;
+use crate::config::settings::SiteNames;
+use crate::core::Core;
+use crate::deadlines::Deadlines;
+use crate::interface::Instant;
+use crate::server_names::ServerNames;
+use crate::slots::Key;
+use crate::upstream::lines::WireRequest;
+use crate::upstream::RequestEncoder;
+
+/// What the encoding of an attempt needs of the server.
+pub(super) struct AttemptEncoder<'a> {
+    pub now: Instant,
+    pub core: &'a mut Core,
+    pub servers: &'a ServerNames,
+    pub pending: &'a PendingRequests,
+    pub names: &'a SiteNames,
+}
+
+impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
+    fn encode(&mut self, job: u64, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
+        let attempt = self.core.write_attempt(self.now, Key::from_number(job), due)?;
+        let request = self.pending.get(attempt.request)?;
+        let class = self.names.classes.get(usize::from(request.class.0))?;
+        let fill_source = attempt.fill_source.and_then(|source| self.servers.name(source));
+        Some(translate::wire_request(&attempt, class, fill_source, request))
+    }
+
+    fn not_written(&mut self, job: u64) {
+        self.core.attempt_not_written(Key::from_number(job));
+    }
+}
--- /dev/null
+++ b/src/server/budget.rs
@@ -0,0 +1,74 @@
+//! What the configured limits on memory and descriptors leave for which purpose.
+
+use crate::config::settings::SiteNames;
+use crate::config::ProcessLimits;
+use crate::upstream::PoolLimits;
+
+/// Descriptors besides clients' and servers' connections: listeners, poll, signals, standard streams, feed.
+pub(super) const OTHER_DESCRIPTORS: usize = 24;
+/// Usual clients hold up to a third of the descriptors. One part in so many of the rest is for further connections,
+/// which may stay silent until one of them is evicted for the next.
+const SPARE_CLIENTS_DIVISOR: usize = 4;
+/// Bytes of a megabyte, as the configuration counts memory.
+const BYTES_PER_MB: f64 = 1e6;
+/// Part of the memory above which new requests of slow readers are rejected, so that those do not fill it for others.
+const SLOW_READERS_REJECTED_ABOVE: f64 = 0.25;
+/// Part of the memory above which all new requests are rejected.
+const ALL_REJECTED_ABOVE: f64 = 0.32;
+/// Part of the memory above which no answer is buffered.
+const ANSWERS_DROPPED_ABOVE: f64 = 0.4;
+/// A client is a slow reader while so many bytes of answers wait for it: the longest answer.
+const SLOW_READER_BYTES: usize = 240_000;
+
+/// What the limits leave for which purpose.
+pub(super) struct ResourceBudget {
+    /// Connections of clients, including those that have sent no request yet.
+    pub clients: usize,
+    /// Connections to servers.
+    pub servers: usize,
+    /// Held bytes above which new requests of slow readers are rejected.
+    max_bytes_for_slow_readers: usize,
+    /// Held bytes above which all new requests are rejected.
+    max_bytes_for_requests: usize,
+    /// Held bytes above which no answer is buffered.
+    max_bytes_for_answers: usize,
+}
+
+impl ResourceBudget {
+    /// What the limits leave to one of so many processes that serve as one edge proxy. Clients' connections are counted
+    /// together, since the system decides which process gets them; the rest is divided.
+    pub fn new(limits: &ProcessLimits, processes: usize) -> Self {
+        let memory = limits.memory_mb as f64 * BYTES_PER_MB / processes as f64;
+        let sockets = limits.sockets.saturating_sub(OTHER_DESCRIPTORS * processes);
+        let usual_clients = limits.sockets.div_ceil(3).min(sockets / 2 + 1);
+        let clients = usual_clients + (sockets - usual_clients) / SPARE_CLIENTS_DIVISOR;
+        ResourceBudget {
+            clients,
+            servers: sockets.saturating_sub(clients) / processes,
+            max_bytes_for_slow_readers: (memory * SLOW_READERS_REJECTED_ABOVE) as usize,
+            max_bytes_for_requests: (memory * ALL_REJECTED_ABOVE) as usize,
+            max_bytes_for_answers: (memory * ANSWERS_DROPPED_ABOVE) as usize,
+        }
+    }
+
+    /// Whether a new request is rejected, with so many bytes held in all and so many that wait for its client.
+    pub fn is_full(&self, held_bytes: usize, bytes_for_client: usize) -> bool {
+        let is_slow_reader = bytes_for_client >= SLOW_READER_BYTES;
+        let max = if is_slow_reader { self.max_bytes_for_slow_readers } else { self.max_bytes_for_requests };
+        held_bytes > max
+    }
+
+    /// The limits of the connections to servers.
+    pub fn pool_limits(&self, names: &SiteNames) -> PoolLimits {
+        PoolLimits {
+            connect_timeout: names.connect_timeout,
+            idle_timeout: names.conn_idle,
+            max_jobs_per_connection: names.streams_per_conn,
+            max_connections: self.servers,
+            max_buffered_bytes: self.max_bytes_for_answers,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/server/budget/tests.rs
@@ -0,0 +1,34 @@
+//! Tests of `budget`.
+
+use super::*;
+
+/// Clients that read their answers slowly would else have all others rejected.
+#[test]
+fn slow_readers_are_rejected_before_others() {
+    let budget = ResourceBudget::new(&ProcessLimits { memory_mb: 48, sockets: 384 }, 1);
+    for (held, slow, others) in
+        [(11_000_000, false, false), (13_000_000, true, false), (16_000_000, true, true)]
+    {
+        let full = (budget.is_full(held, SLOW_READER_BYTES), budget.is_full(held, SLOW_READER_BYTES - 1));
+        assert_eq!(full, (slow, others), "{held}");
+    }
+    assert!(
+        budget.max_bytes_for_requests < budget.max_bytes_for_answers,
+        "an admitted request can be answered"
+    );
+}
+
+/// Two processes count as one edge proxy.
+#[test]
+fn two_processes_together_keep_to_the_limits_of_one() {
+    for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
+        let limits = ProcessLimits { memory_mb, sockets };
+        let (one, two) = (ResourceBudget::new(&limits, 1), ResourceBudget::new(&limits, 2));
+        assert!(one.clients + one.servers + OTHER_DESCRIPTORS <= sockets);
+        // Clients' connections are counted together.
+        assert!(two.clients + 2 * (two.servers + OTHER_DESCRIPTORS) <= sockets, "{sockets}");
+        assert!(two.clients >= sockets.div_ceil(3), "usual clients hold up to a third");
+        assert!(2 * two.max_bytes_for_answers <= one.max_bytes_for_answers);
+        assert!(2 * two.max_bytes_for_requests <= one.max_bytes_for_requests);
+    }
+}
--- /dev/null
+++ b/src/server/commands.rs
@@ -0,0 +1,113 @@
+//! The exchange between the core and the upstream side: the core's commands are carried out, and the ends of attempts
+//! are reported to it.
+
+use super::attempt_encoder::AttemptEncoder;
+use super::pending::Client;
+use super::{translate, Server};
+use crate::core::{AttemptKey, Command, RequestKey};
+use crate::interface::{CacheStatus, ServerId, Span};
+use crate::slots::Key;
+use crate::upstream::{JobEnd, UpstreamEvent};
+use tracing::info;
+
+impl Server {
+    /// Carries out commands and reports events until there are none; writes no attempt.
+    pub(super) fn settle(&mut self) {
+        while self.settle_once() {}
+    }
+
+    /// The same, and writes the attempts that connections take.
+    pub(super) fn pump(&mut self) {
+        loop {
+            self.settle();
+            self.write_attempts();
+            // The policy decides anew on an attempt that may not be written any more.
+            if !self.settle_once() {
+                return;
+            }
+        }
+    }
+
+    /// Returns whether there was a command or an event.
+    fn settle_once(&mut self) -> bool {
+        let events = self.upstream.take_events();
+        let mut is_busy = !events.is_empty();
+        events.into_iter().for_each(|event| self.on_upstream_event(event));
+        while let Some(command) = self.core.next_command() {
+            is_busy = true;
+            self.carry_out(command);
+        }
+        is_busy
+    }
+
+    fn write_attempts(&mut self) {
+        // The times of attempts count from the writing itself.
+        self.now = self.clock.now();
+        let mut encoder = AttemptEncoder {
+            now: self.now,
+            core: &mut self.core,
+            servers: &self.endpoints.names,
+            pending: &self.pending,
+            names: &self.config.settings.names,
+        };
+        self.upstream.dispatch(self.now, &mut self.net, &mut self.due, &mut encoder);
+    }
+
+    fn on_upstream_event(&mut self, event: UpstreamEvent) {
+        match event {
+            UpstreamEvent::JobEnded { job, end } => self.on_attempt_ended(Key::from_number(job), end),
+            UpstreamEvent::HealthChecked { host, ending, elapsed } => {
+                self.on_health_checked(ServerId(host), ending, elapsed);
+            }
+        }
+    }
+
+    fn on_attempt_ended(&mut self, attempt: AttemptKey, end: JobEnd) {
+        let end = translate::attempt_end(end, &self.config.settings.names);
+        // Only a copy that was fetched from the origin for this attempt bounds the wall clock.
+        let is_new_copy = end.cache_status == Some(CacheStatus::FilledByOrigin);
+        let written_at = self.core.written_at(attempt).filter(|_| is_new_copy);
+        self.endpoints.unix_time.observe_copy(self.now, end.copy.generated_at_ms, written_at);
+        self.core.attempt_ended(self.now, attempt, end, &mut self.due);
+    }
+
+    fn on_health_checked(&mut self, server: ServerId, end: JobEnd, elapsed: Span) {
+        let end = translate::attempt_end(end, &self.config.settings.names);
+        self.core.health_checked(self.now, server, end.result, elapsed, end.load_report, &mut self.due);
+    }
+
+    fn carry_out(&mut self, command: Command) {
+        match command {
+            Command::SendAttempt { attempt, request, server } => self.queue_attempt(attempt, request, server),
+            Command::AbandonAttempt(attempt) => {
+                self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.due);
+            }
+            Command::AnswerRequest(request) => self.answer_request(request),
+            Command::HealthCheck(server) => self.upstream.health_check(self.now, server.0),
+            Command::CloseIdleConnections(server) => {
+                self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.due);
+            }
+            Command::Log(line) => info!("module: {line}"),
+        }
+    }
+
+    fn queue_attempt(&mut self, attempt: AttemptKey, request: RequestKey, server: ServerId) {
+        let pending = self.pending.get(request);
+        let (trace_id, class) = pending.map_or_else(Default::default, |p| (p.trace_id.clone(), p.class.0));
+        let is_write = self.config.settings.names.writes.get(usize::from(class)).is_some_and(|write| *write);
+        let counted_class = Some(class).filter(|_| self.core.is_cache(server));
+        self.upstream.queue(self.now, server.0, attempt.number(), trace_id, is_write, counted_class);
+    }
+
+    fn answer_request(&mut self, request: RequestKey) {
+        match self.pending.get(request).map(|pending| pending.client) {
+            Some(Client::Thrift { conn, seqid }) => {
+                let Some(answer) = self.core.answer_now(self.now, request) else { return };
+                self.on_answer_begun(request);
+                self.answer_call(conn, seqid, translate::thrift_reply(answer));
+            }
+            Some(Client::Signed { conn }) => self.write_signed_answers(conn),
+            None => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/server/endpoint_list.rs
@@ -0,0 +1,96 @@
+//! Watch events of the control feed: changes of the endpoint list, and purges.
+
+use super::unix_time::{Reception, UnixTimeConverter};
+use super::Server;
+use crate::config::events::{FeedBatch, FeedEvent, FeedServer};
+use crate::interface::{Endpoint, Instant, ListUpdate, ObjectId, Purge, ServerId, ServerState, UnixTime};
+use crate::server_names::ServerNames;
+use crate::GroupId;
+use tracing::{info, warn};
+
+/// What is known of the endpoints besides what the core knows.
+pub(super) struct EndpointRegistry {
+    /// The servers by name.
+    pub names: ServerNames,
+    /// Converts the feed's Unix times.
+    pub unix_time: UnixTimeConverter,
+    /// Whether a full list has arrived.
+    pub has_full_list: bool,
+}
+
+impl EndpointRegistry {
+    /// Knows no endpoint; the clocks read this.
+    pub fn new(now: Instant, unix: UnixTime) -> Self {
+        EndpointRegistry {
+            names: ServerNames::default(),
+            unix_time: UnixTimeConverter::new(now, unix),
+            has_full_list: false,
+        }
+    }
+
+    /// Forgets a server that was removed.
+    fn forget(&mut self, server: ServerId) {
+        self.names.forget(server);
+        self.unix_time.forget(server);
+    }
+}
+
+impl Server {
+    /// Applies events of the control feed, in their order.
+    pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
+        // Events known at the start, or the first list of the feed, may be of any age.
+        let is_first = self.feed.polls()[1] == 0 || !self.endpoints.has_full_list;
+        let reception = Reception { now: self.now, unix: self.net.unix_time(), is_first };
+        for purge in batch.events.iter().filter_map(|event| event.purge.as_ref()) {
+            self.endpoints.unix_time.observe_stamp(self.now, purge.made_at());
+        }
+        for FeedEvent { n, members, purge } in batch.events {
+            if let Some(change) = members {
+                self.endpoints.has_full_list |= change.whole;
+                let update = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
+                self.on_endpoints(n, update, &change.hosts, reception);
+            }
+            if let Some(purge) = purge {
+                let object = purge.key.as_deref().map(|key| u64::from_str_radix(key, 16));
+                let target = match (object, purge.group) {
+                    (Some(Ok(object)), _) => Purge::Object(ObjectId(object)),
+                    (None, Some(group)) => Purge::Group(GroupId(group)),
+                    _ => {
+                        warn!("event {n} purges nothing that can be read");
+                        continue;
+                    }
+                };
+                let made_at = self.endpoints.unix_time.purge(reception, purge.made_at());
+                self.core.purge(self.now, target, made_at, &mut self.due);
+            }
+        }
+    }
+
+    fn on_endpoints(&mut self, event: u64, update: ListUpdate, servers: &[FeedServer], reception: Reception) {
+        let mut endpoints = Vec::with_capacity(servers.len());
+        for server in servers {
+            endpoints.push(self.on_endpoint(server, reception));
+            info!("event {event}: {} is {:?}", server.host, server.health);
+        }
+        let removed = endpoints.iter().filter(|endpoint| endpoint.state == ServerState::Removed);
+        let removed: Vec<ServerId> = removed.map(|endpoint| endpoint.server).collect();
+        self.core.update_endpoints(self.now, update, endpoints, &mut self.due);
+        removed.into_iter().for_each(|server| self.endpoints.forget(server));
+    }
+
+    /// Adds, changes or removes the connections' target for an entry of the list.
+    fn on_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
+        let mut endpoint = self.endpoints.names.endpoint(server, &self.config.settings.names);
+        let id = endpoint.server;
+        let started_at = server.started_at();
+        endpoint.started_at = started_at.map(|unix| self.endpoints.unix_time.start(reception, id, unix));
+        match server.dial.filter(|_| endpoint.state != ServerState::Removed) {
+            Some(addr) => {
+                let started_at = endpoint.started_at;
+                self.upstream.set_host(self.now, id.0, addr, started_at, &mut self.net, &mut self.due);
+            }
+            None => self.upstream.remove_host(self.now, id.0, &mut self.net, &mut self.due),
+        }
+        endpoint
+    }
+}
--- /dev/null
+++ b/src/server/handover/simulated.rs
@@ -0,0 +1,105 @@
+//! The handover between processes of a simulated network.
+
+use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::EventSource;
+use crate::net::fabric::{Fabric, ProcessMessage};
+use crate::net::{Net, Stream};
+use std::net::SocketAddr;
+
+/// Another process of the simulated network.
+pub(super) struct SimulatedSibling {
+    fabric: Fabric,
+    /// The number of this process.
+    this: u32,
+    /// The number of the other process.
+    other: u32,
+    /// The source under which the other process watches this one.
+    source_at_other: EventSource,
+    clients: usize,
+}
+
+impl SimulatedSibling {
+    fn send(&self, message: ProcessMessage) -> bool {
+        self.fabric.send_message(self.this, self.other, self.source_at_other.number(), message).is_ok()
+    }
+
+    fn is_alive(&self) -> bool {
+        self.fabric.is_alive(self.other)
+    }
+}
+
+impl Sibling for SimulatedSibling {
+    fn clients(&self) -> usize {
+        self.clients
+    }
+
+    fn receive(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
+        for message in self.fabric.take_messages(self.other, self.this) {
+            match message {
+                ProcessMessage::Clients(clients) => self.clients = clients,
+                ProcessMessage::Connection(stream, unused) => {
+                    let stream = InheritedStream::Virtual(stream);
+                    inherited.push(InheritedConnection { stream, unused });
+                }
+            }
+        }
+        self.is_alive()
+    }
+
+    fn send_client_count(&mut self, clients: usize) -> bool {
+        self.send(ProcessMessage::Clients(clients))
+    }
+
+    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+        let Stream::Virtual(stream) = stream else { return false };
+        // A connection that is passed on to an ended process would be lost.
+        self.is_alive() && self.send(ProcessMessage::Connection(stream.pass(self.other), unused.to_vec()))
+    }
+}
+
+/// The register of processes of the simulated network.
+pub(super) struct SimulatedRendezvous {
+    fabric: Fabric,
+    process: u32,
+    addr: SocketAddr,
+}
+
+impl SimulatedRendezvous {
+    /// Registers this process for an address, and returns the one that was registered before.
+    pub fn open(addr: SocketAddr, fabric: &Fabric, process: u32) -> (Self, Option<SimulatedSibling>) {
+        let rendezvous = SimulatedRendezvous { fabric: fabric.clone(), process, addr };
+        let older = fabric.take_place(addr, process).map(|older| {
+            fabric.wake_source(older, EventSource::HandoverListener.number());
+            rendezvous.sibling(older, EventSource::NewerProcess)
+        });
+        (rendezvous, older)
+    }
+
+    fn sibling(&self, other: u32, source_at_other: EventSource) -> SimulatedSibling {
+        SimulatedSibling {
+            fabric: self.fabric.clone(),
+            this: self.process,
+            other,
+            source_at_other,
+            clients: 0,
+        }
+    }
+}
+
+impl Rendezvous for SimulatedRendezvous {
+    fn publish(&mut self, _: &mut Net) {
+        self.fabric.take_place(self.addr, self.process);
+    }
+
+    fn accept_newer(&mut self, has_newer: bool, _: &mut Net) -> Option<Box<dyn Sibling>> {
+        let newer = self.fabric.at_place(self.addr).filter(|newer| *newer != self.process && !has_newer)?;
+        Some(Box::new(self.sibling(newer, EventSource::OlderProcess)))
+    }
+
+    fn missed_newer(&self) -> bool {
+        false
+    }
+
+    // The network forgets a process that has ended.
+    fn close(&mut self) {}
+}
--- /dev/null
+++ b/src/server/handover/socket.rs
@@ -0,0 +1,248 @@
+//! The handover between processes of one machine, over a Unix socket in `$TMPDIR` that is named after the clients'
+//! address. The end of a process shows as the end of the stream; connections are passed on by SCM_RIGHTS.
+
+use super::message::{self, Message};
+use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::EventSource;
+use crate::net::{Net, Stream};
+use mio::net::{UnixListener, UnixStream};
+use rustix::io::Errno;
+use rustix::net::{recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Write};
+use std::mem::MaybeUninit;
+use std::net::{SocketAddr, TcpStream};
+use std::os::fd::{AsFd, OwnedFd};
+use std::path::PathBuf;
+use tracing::{info, warn};
+
+/// Bytes that one read takes.
+const READ_BYTES: usize = 4096;
+/// Descriptors that one read takes.
+const MAX_DESCRIPTORS_PER_READ: usize = 16;
+
+/// The stream to another process.
+pub(super) struct SocketSibling {
+    stream: UnixStream,
+    clients: usize,
+    /// Bytes that have arrived and are no full message yet.
+    received: Vec<u8>,
+    /// Descriptors that have arrived and whose message has not.
+    descriptors: VecDeque<OwnedFd>,
+    /// The rest of a message that was sent in part.
+    unsent: Vec<u8>,
+}
+
+/// What a read from the stream came to.
+enum Received {
+    Some,
+    NothingNow,
+    Ended,
+}
+
+impl SocketSibling {
+    fn new(mut stream: UnixStream, source: EventSource, net: &mut Net) -> io::Result<Self> {
+        net.watch(&mut stream, source.number())?;
+        Ok(SocketSibling {
+            stream,
+            clients: 0,
+            received: Vec::new(),
+            descriptors: VecDeque::new(),
+            unsent: Vec::new(),
+        })
+    }
+
+    /// Reads bytes and descriptors once.
+    fn read_once(&mut self) -> Received {
+        let mut bytes = [0; READ_BYTES];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let flags = RecvFlags::CMSG_CLOEXEC;
+        let length = loop {
+            match recvmsg(&self.stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags) {
+                Ok(message) if message.bytes == 0 => return Received::Ended,
+                Ok(message) => break message.bytes,
+                Err(Errno::INTR) => {}
+                Err(Errno::AGAIN) => return Received::NothingNow,
+                Err(_) => return Received::Ended,
+            }
+        };
+        self.received.extend_from_slice(&bytes[..length]);
+        for message in control.drain() {
+            if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+                self.descriptors.extend(descriptors);
+            }
+        }
+        Received::Some
+    }
+
+    /// Handles the messages that have arrived in full; `false` if the other process sent something else.
+    fn handle_messages(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
+        loop {
+            match message::decode(&mut self.received) {
+                Ok(None) => return true,
+                Ok(Some(Message::ClientCount(clients))) => self.clients = clients,
+                Ok(Some(Message::Connection { unused })) => {
+                    // A descriptor arrives no later than the first byte of its message.
+                    let Some(descriptor) = self.descriptors.pop_front() else { return false };
+                    let stream = InheritedStream::Tcp(TcpStream::from(descriptor));
+                    inherited.push(InheritedConnection { stream, unused });
+                }
+                Err(_) => return false,
+            }
+        }
+    }
+
+    /// Sends the rest of the last message; `false` if some of it is still unsent.
+    fn flush(&mut self) -> bool {
+        while !self.unsent.is_empty() {
+            match self.stream.write(&self.unsent) {
+                Ok(n) => drop(self.unsent.drain(..n)),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return false,
+            }
+        }
+        true
+    }
+
+    /// Sends a message, with a descriptor where one is given; `false` if nothing of it was sent.
+    fn send(&mut self, header: &[u8], unused: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
+        if !self.flush() {
+            return false;
+        }
+        let descriptors: Vec<_> = descriptor.iter().map(|stream| stream.as_fd()).collect();
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
+            return false;
+        }
+        let parts = [IoSlice::new(header), IoSlice::new(unused)];
+        let sent = loop {
+            match sendmsg(&self.stream, &parts, &mut control, SendFlags::NOSIGNAL) {
+                Ok(sent) => break sent,
+                Err(Errno::INTR) => {}
+                Err(_) => return false,
+            }
+        };
+        self.unsent = [header, unused].concat().split_off(sent);
+        true
+    }
+}
+
+impl Sibling for SocketSibling {
+    fn clients(&self) -> usize {
+        self.clients
+    }
+
+    fn receive(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
+        loop {
+            match self.read_once() {
+                Received::Some if self.handle_messages(inherited) => {}
+                Received::NothingNow => return true,
+                Received::Some | Received::Ended => return false,
+            }
+        }
+    }
+
+    fn send_client_count(&mut self, clients: usize) -> bool {
+        self.send(&message::client_count(clients), &[], None)
+    }
+
+    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+        let Stream::Tcp(stream) = stream else { return false };
+        self.send(&message::connection_header(unused), unused, Some(stream))
+    }
+}
+
+/// The path at which the next process finds this one.
+pub(super) struct SocketRendezvous {
+    path: PathBuf,
+    /// Accepts the next process; none while there is one.
+    listener: Option<UnixListener>,
+    missed_newer: bool,
+}
+
+impl SocketRendezvous {
+    /// Connects to the process that serves an address now, and listens in its place.
+    pub fn open(addr: SocketAddr, net: &mut Net) -> (Self, Option<SocketSibling>) {
+        // Short, since the system takes about a hundred bytes of such a path. Its number is that of the messages' form.
+        let path = std::env::temp_dir().join(format!("dt1-{}-{}", addr.ip(), addr.port()));
+        let mut rendezvous = SocketRendezvous { path, listener: None, missed_newer: false };
+        let older = rendezvous.connect_to_older(net);
+        rendezvous.publish(net);
+        (rendezvous, older)
+    }
+
+    fn connect_to_older(&self, net: &mut Net) -> Option<SocketSibling> {
+        let connected = UnixStream::connect(&self.path)
+            .and_then(|stream| SocketSibling::new(stream, EventSource::OlderProcess, net));
+        match connected {
+            Ok(older) => Some(older),
+            // A path without a listener is left from a process that was killed; without a path this process is the first.
+            Err(error) if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::NotFound) => None,
+            Err(error) => {
+                warn!("{}: {error}; an older process is not looked for", self.path.display());
+                None
+            }
+        }
+    }
+
+    /// Listens at a path of this process and moves it to the common one, which thus always exists.
+    fn listen(&self, net: &mut Net) -> io::Result<UnixListener> {
+        let own_path = PathBuf::from(format!("{}.{}", self.path.display(), std::process::id()));
+        // A process of the same id may have been killed here.
+        let _ = std::fs::remove_file(&own_path);
+        let mut listener = UnixListener::bind(&own_path)?;
+        std::fs::rename(&own_path, &self.path)?;
+        net.watch(&mut listener, EventSource::HandoverListener.number())?;
+        Ok(listener)
+    }
+
+    fn accept(&mut self) -> Option<UnixStream> {
+        let listener = self.listener.as_ref()?;
+        self.missed_newer = false;
+        loop {
+            match listener.accept() {
+                Ok((stream, _)) => return Some(stream),
+                Err(error) => match error.kind() {
+                    ErrorKind::WouldBlock => return None,
+                    ErrorKind::Interrupted | ErrorKind::ConnectionAborted => {}
+                    _ => {
+                        warn!("{}: {error}; a newer process is looked for again", self.path.display());
+                        self.missed_newer = true;
+                        return None;
+                    }
+                },
+            }
+        }
+    }
+}
+
+impl Rendezvous for SocketRendezvous {
+    fn publish(&mut self, net: &mut Net) {
+        let listener = self.listen(net);
+        self.listener = listener.map_err(|error| warn!("{}: {error}; no upgrade", self.path.display())).ok();
+    }
+
+    fn accept_newer(&mut self, _: bool, net: &mut Net) -> Option<Box<dyn Sibling>> {
+        let stream = self.accept()?;
+        let newer = SocketSibling::new(stream, EventSource::NewerProcess, net).ok()?;
+        info!("a newer process takes over");
+        // The process after that one finds the newer process.
+        if let Some(mut listener) = self.listener.take() {
+            let _ = net.unwatch(&mut listener); // closing the listener ends the watch too
+        }
+        Some(Box::new(newer))
+    }
+
+    fn missed_newer(&self) -> bool {
+        self.missed_newer
+    }
+
+    fn close(&mut self) {
+        if self.listener.take().is_some() {
+            let _ = std::fs::remove_file(&self.path); // the next process replaces a stale path
+        }
+    }
+}
--- /dev/null
+++ b/src/server/metrics.rs
@@ -0,0 +1,60 @@
+//! The metrics that the admin endpoint reports. They are read where they are counted; only their keys are here.
+
+use super::Server;
+use crate::interface::ClassId;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Counts of a class, over all the numbers that its name has had.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct ClassMetrics {
+    success: u64,
+    overload: u64,
+    error: u64,
+    dispatches: u64,
+}
+
+impl Server {
+    /// All metrics, a line each.
+    pub(super) fn metrics(&self) -> String {
+        let classes = self.class_metrics();
+        let mut text = String::new();
+        let mut line = |key: &str, value: u64| {
+            let _ = writeln!(text, "{key}={value}"); // writing to a string does not fail
+        };
+        for (name, class) in &classes {
+            line(&format!("replies.{name}.success"), class.success);
+            line(&format!("replies.{name}.overload"), class.overload);
+            line(&format!("replies.{name}.error"), class.error);
+            line(&format!("replies.{name}.dispatches"), class.dispatches);
+        }
+        for rejections in self.core.rejections() {
+            line(&format!("refused.{}", rejections.reason), rejections.count);
+        }
+        let caches = self.core.cache_counts();
+        line("dispatches", classes.values().map(|class| class.dispatches).sum());
+        line("concurrent", self.pending.len() as u64);
+        line("targets", caches.listed as u64);
+        line("targets_disabled", caches.avoided as u64);
+        line("reload_success", self.reloads.succeeded);
+        line("reload_failure", self.reloads.failed);
+        self.admission_metrics(&mut line);
+        self.federation.metrics(&mut line);
+        text
+    }
+
+    /// The counts by class name. A class whose rules were changed has had several numbers.
+    fn class_metrics(&self) -> BTreeMap<&str, ClassMetrics> {
+        let mut classes: BTreeMap<&str, ClassMetrics> = BTreeMap::new();
+        for (number, name) in self.config.settings.names.classes.iter().enumerate() {
+            let class = ClassId(number as u16);
+            let answered = self.core.answer_counts(class);
+            let sums = classes.entry(name).or_default();
+            sums.success += answered.success;
+            sums.overload += answered.overload;
+            sums.error += answered.error;
+            sums.dispatches += self.upstream.written(class.0);
+        }
+        classes
+    }
+}
--- /dev/null
+++ b/src/server/refused_connections.rs
@@ -0,0 +1,87 @@
+//! Connections that were refused: their requests are rejected with a time to come back, and then they are closed.
+
+use super::Server;
+use crate::front::thrift::codec::ThriftReply;
+use crate::interface::{ClassId, Instant, Span};
+use crate::net::{ConnectionKey, Ready, Reason, Role};
+
+/// At most one line is logged in this time, so that a flood of connections does not flood the log.
+const LOG_INTERVAL: Span = Span::from_secs(1);
+
+/// A connection of the Thrift front that was refused. Pings are answered there as anywhere.
+pub(super) struct RefusedConnection {
+    /// When its client may come back.
+    retry_after: Span,
+    /// Whether a request there was rejected.
+    has_rejected: bool,
+}
+
+/// Limits the lines about refused connections in the log.
+#[derive(Default)]
+pub(super) struct RefusalLog {
+    last_line: Option<Instant>,
+    suppressed: u64,
+}
+
+impl RefusalLog {
+    /// Whether a refusal is logged now, with the number of refusals since the last line; `None`: it is only counted.
+    pub fn next_line(&mut self, now: Instant) -> Option<u64> {
+        if self.last_line.is_some_and(|last| now - last < LOG_INTERVAL) {
+            self.suppressed += 1;
+            return None;
+        }
+        self.last_line = Some(now);
+        Some(std::mem::take(&mut self.suppressed))
+    }
+}
+
+impl Server {
+    /// Refuses a new connection: what its client has sent by now is rejected, and what it sends next if the connection
+    /// `stays_open`.
+    pub(super) fn refuse_connection(
+        &mut self,
+        role: Role,
+        conn: ConnectionKey,
+        retry_after: Span,
+        stays_open: bool,
+    ) {
+        if role == Role::Thrift {
+            self.thrift.open(self.now, conn, &mut self.due);
+            self.admission.refused.insert(conn, RefusedConnection { retry_after, has_rejected: false });
+            self.on_ready(Ready::readable(conn));
+            if !stays_open {
+                self.thrift.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+            }
+        } else if let Some(signed) = &mut self.signed {
+            signed.front.open(self.now, conn, &mut self.due);
+            let seconds = retry_after.as_secs_rounded_up();
+            signed.front.refuse_all(self.now, conn, seconds, &mut self.net, &mut self.due);
+            if !stays_open {
+                signed.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+            }
+        }
+    }
+
+    /// The rejection of a call, if it came on a refused connection.
+    pub(super) fn reject_if_refused(
+        &mut self,
+        conn: ConnectionKey,
+        class: Option<ClassId>,
+    ) -> Option<ThriftReply> {
+        let refused = self.admission.refused.get_mut(&conn)?;
+        refused.has_rejected = true;
+        let retry_after = refused.retry_after;
+        Some(self.reject(class, retry_after))
+    }
+
+    /// Closes a refused connection once a request there was rejected and all is answered. A ping alone does not count,
+    /// since its client is about to send a request that would cross the end.
+    pub(super) fn close_if_refused(&mut self, conn: ConnectionKey) {
+        if self.admission.refused.get(&conn).is_some_and(|refused| refused.has_rejected) {
+            self.thrift.end_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -1,142 +1,96 @@
-//! What a configuration allows, and what of a new one takes effect at SIGHUP: `feed`, `limits`, `settings` and the
-//! operator's file. The rest holds until the next start.
+//! The reload at SIGHUP: `feed`, `limits`, `settings` and the operator's files take effect at once, the rest at the
+//! next start.
 
-use super::{route_classes, Server, ServerError};
-use crate::config::settings::{SiteNames, SiteSettings};
-use crate::config::{Config, ConfigError, ProcessLimits};
-use crate::upstream::PoolLimits;
+use super::budget::ResourceBudget;
+use super::federation::CheckedSettings;
+use super::signed_endpoint::{route_classes, RouteClass};
+use super::{Server, ServerError};
+use crate::admission::AdmissionSettings;
+use crate::config::settings::SiteSettings;
+use crate::config::signed::SignedConfig;
+use crate::config::{Config, ConfigError, Files, ProcessLimits};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Descriptors besides clients' and servers' connections: listeners, poll, signals, standard streams, feed.
-pub(super) const OTHER_SOCKETS: usize = 24;
-/// Usual clients hold up to a third. This part of the rest is for more that connect: so many may say nothing before
-/// one has to go for the next.
-const NEWCOMERS: usize = 4;
-/// Parts of the memory limit: above the first, new requests are refused where answers wait for a client that takes them
-/// slowly, above the second everywhere, above the third no answer is kept. So slow readers do not fill it for others.
-const FULL: f64 = 0.25;
-const FULL_FOR_ALL: f64 = 0.32;
-const NO_ROOM: f64 = 0.4;
-/// Bytes of answers that wait for a client from which on it is slow: the longest answer.
-const SLOW: usize = 240_000;
-
-/// What the limits leave for whom.
-pub(super) struct ResourceBudget {
-    /// Connections of clients, those that have not asked yet included.
-    pub clients: usize,
-    /// Connections to servers.
-    pub servers: usize,
-    /// Bytes in all above which new requests of slow clients are refused, and those of all.
-    requests: [usize; 2],
-    /// Bytes in all above which no answer is kept.
-    pub answers: usize,
-}
-
-impl ResourceBudget {
-    /// What the limits leave to one of so many processes that serve as one edge proxy. Clients' connections are counted
-    /// together, since nobody says which process gets them; the rest is divided.
-    pub fn of(limits: &ProcessLimits, processes: usize) -> Self {
-        let memory = limits.memory_mb as f64 * 1e6 / processes as f64;
-        let sockets = limits.sockets.saturating_sub(OTHER_SOCKETS * processes);
-        let usual = limits.sockets.div_ceil(3).min(sockets / 2 + 1);
-        let clients = usual + (sockets - usual) / NEWCOMERS;
-        let servers = sockets.saturating_sub(clients) / processes;
-        let requests = [FULL, FULL_FOR_ALL].map(|part| (memory * part) as usize);
-        ResourceBudget { clients, servers, requests, answers: (memory * NO_ROOM) as usize }
-    }
-
-    /// Whether a new request is refused, with so many bytes held in all and so many that wait for its client.
-    pub fn is_full(&self, held: usize, waiting: usize) -> bool {
-        held > self.requests[usize::from(waiting < SLOW)]
-    }
-
-    /// What connections to servers go by.
-    pub fn pool_limits(&self, names: &SiteNames) -> PoolLimits {
-        PoolLimits {
-            connect_timeout: names.connect_timeout,
-            idle_timeout: names.conn_idle,
-            max_jobs_per_connection: names.streams_per_conn,
-            max_connections: self.servers,
-            max_buffered_bytes: self.answers,
-        }
-    }
+/// Reloads since the start, by outcome.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct ReloadCounters {
+    /// The new configuration took effect.
+    pub succeeded: u64,
+    /// The new configuration was rejected and the old one kept.
+    pub failed: u64,
 }
 
-/// The configuration that holds, as far as a new one is compared with it.
-pub(super) struct ActiveConfig {
-    name: String,
-    listen: SocketAddr,
+/// A new configuration that has passed all checks.
+struct CheckedConfig {
+    admission: AdmissionSettings,
+    federation: CheckedSettings,
+    signed: Option<(Vec<RouteClass>, SignedConfig)>,
     keys: BTreeSet<String>,
     limits: ProcessLimits,
+    feed: SocketAddr,
     settings: SiteSettings,
-}
-
-impl ActiveConfig {
-    /// Whether refusals may tell clients when to come back.
-    pub fn retry_after(&self) -> bool {
-        self.settings.settings.limits.retry_after
-    }
-
-    pub fn of(config: &Config) -> Self {
-        let (name, keys, settings) = (config.name.clone(), config.keys.clone(), config.settings.clone());
-        ActiveConfig { name, listen: config.listen, keys, limits: config.limits, settings }
-    }
+    /// Whether some of it takes effect at the next start only.
+    needs_restart: bool,
 }
 
 impl Server {
-    /// Reads the files again. One that can't be used changes nothing, and nothing that is open is disturbed: a request
-    /// goes on by the rules under which it came.
+    /// Reads the files again. If one of them is unusable, nothing changes. Open requests are not disturbed: each goes
+    /// on by the rules under which it came.
     pub(super) fn reload(&mut self) {
-        match self.take_over() {
-            Ok(()) => self.reloads[0] += 1,
+        let Some(files) = &self.config.files else { return };
+        match self.check_files(files) {
+            Ok(checked) => {
+                self.apply(checked);
+                self.reloads.succeeded += 1;
+            }
             Err(error) => {
-                self.reloads[1] += 1;
+                self.reloads.failed += 1;
                 warn!("reload: {error}; the old configuration stays");
             }
         }
     }
 
-    /// Keeps to this process's share of the limits.
+    /// Adopts this process's share of the limits.
     pub(super) fn update_process_share(&mut self) {
-        let (processes, place) = self.handover.processes();
-        self.budget = ResourceBudget::of(&self.started.limits, processes);
-        self.upstream.set_limits(self.budget.pool_limits(&self.names));
+        let share = self.handover.process_share();
+        self.budget = ResourceBudget::new(&self.config.limits, share.processes);
+        self.upstream.set_limits(self.budget.pool_limits(&self.config.settings.names));
         self.upstream.trim(self.now, &mut self.net, &mut self.due);
-        self.core.set_process_share(processes as u32, place as u32);
+        self.core.set_process_share(share.processes as u32, share.position as u32);
     }
 
-    /// All that can fail comes first, so that nothing is taken over in part.
-    fn take_over(&mut self) -> Result<(), ServerError> {
-        let admission = self.files.admission()?;
-        let federation = self.federation.check(&self.files)?;
-        let (config, signed) = self.files.read()?;
-        let unusable = |text: String| ConfigError::form(&self.files.config, text);
-        if let Some(key) = self.started.keys.difference(&config.keys).next() {
+    /// Reads and checks all files, so that [`Server::apply`] cannot fail halfway.
+    fn check_files(&self, files: &Files) -> Result<CheckedConfig, ServerError> {
+        let admission = files.admission()?;
+        let federation = self.federation.check(files)?;
+        let (config, signed) = files.read()?;
+        let unusable = |text: String| ConfigError::form(&files.config, text);
+        if let Some(key) = self.config.keys.difference(&config.keys).next() {
             return Err(unusable(format!("{key} is missing")).into());
         }
         let Config { name, listen, limits, feed, keys, settings, .. } = config;
-        let (settings, moved) = settings.following(&self.started.settings).map_err(unusable)?;
-        let routes = signed.map(|signed| route_classes(&signed, &settings).map(|routes| (routes, signed)));
-        let routes = routes.transpose()?;
-        let waits = moved || (&name, listen) != (&self.started.name, self.started.listen);
-        let (name, listen) = (self.started.name.clone(), self.started.listen);
+        let (settings, moved) = settings.following(&self.config.settings).map_err(unusable)?;
+        let needs_restart = moved || name != self.config.name || listen != self.config.listen;
+        let signed = signed.map(|signed| route_classes(&signed, &settings).map(|routes| (routes, signed)));
+        let signed = signed.transpose()?;
+        Ok(CheckedConfig { admission, federation, signed, keys, limits, feed, settings, needs_restart })
+    }
+
+    fn apply(&mut self, checked: CheckedConfig) {
+        let CheckedConfig { admission, federation, signed, keys, limits, feed, settings, needs_restart } =
+            checked;
         self.core.reconfigure(settings.settings.clone());
-        self.admitting.reconfigure(admission);
+        self.admission.reconfigure(admission);
         self.federation.reload(federation);
-        self.names = settings.names.clone();
-        self.started = ActiveConfig { name, listen, keys, limits, settings };
+        self.config.adopt(keys, limits, settings);
         self.update_process_share();
-        if let (Some(links), Some((classes, signed))) = (&mut self.links, routes) {
-            links.classes = classes;
-            links.front.reload(signed);
+        if let (Some(endpoint), Some((routes, signed))) = (&mut self.signed, signed) {
+            endpoint.routes = routes;
+            endpoint.front.reload(signed);
         }
-        info!("reloaded: feed {feed}{}", if waits { "; the rest waits for a start" } else { "" });
+        info!("reloaded: feed {feed}{}", if needs_restart { "; the rest waits for a start" } else { "" });
         self.feed.move_to(self.now, feed, &mut self.net, &mut self.due);
-        Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/src/server/signed_requests.rs
@@ -0,0 +1,110 @@
+//! Requests of the signed front, which has checked the clients' credentials: submitted to the core, and answered in the
+//! order in which they came on their connection.
+
+use super::pending::{Client, PendingRequest};
+use super::requests::proxy_full;
+use super::signed_endpoint::RouteClass;
+use super::translate;
+use super::Server;
+use crate::core::ClientRequest;
+use crate::front::signed::route::RequestTarget;
+use crate::front::signed::SignedEvent;
+use crate::interface::{ClassId, ObjectId};
+use crate::net::ConnectionKey;
+use crate::slots::Key;
+use crate::GroupId;
+use bytes::Bytes;
+
+impl Server {
+    /// Whether a connection is one of the signed front.
+    pub(super) fn is_signed_client(&self, conn: ConnectionKey) -> bool {
+        self.signed.as_ref().is_some_and(|signed| signed.front.owns(conn))
+    }
+
+    /// Handles an event of a connection of the signed front.
+    pub(super) fn on_signed_ready(&mut self, conn: ConnectionKey, closed: bool) {
+        match self.signed.as_mut().filter(|_| closed) {
+            Some(signed) => signed.front.closed(self.now, conn, &mut self.net, &mut self.due),
+            None => self.read_signed_requests(conn),
+        }
+        self.write_signed_answers(conn);
+    }
+
+    /// Writes the answers of a connection whose turn it is, each as it is when its first byte is written.
+    pub(super) fn write_signed_answers(&mut self, conn: ConnectionKey) {
+        self.write_ready_answers(conn);
+        if self.signed.as_ref().is_some_and(|signed| signed.front.has_more(conn)) {
+            self.read_signed_requests(conn);
+            return self.write_signed_answers(conn);
+        }
+        if let Some(signed) = &mut self.signed {
+            signed.front.finish(self.now, conn, &mut self.net, &mut self.due);
+            let cancelled = signed.front.take_cancelled();
+            cancelled.into_iter().for_each(|number| self.on_request_cancelled(number));
+        }
+    }
+
+    fn write_ready_answers(&mut self, conn: ConnectionKey) {
+        while let Some(signed) = &mut self.signed {
+            let Some(number) = signed.front.next(self.now, conn, &mut self.net, &mut self.due) else { break };
+            let request = Key::from_number(number);
+            let Some(answer) = self.core.answer_now(self.now, request) else { break };
+            let etags = self.pending.get(request).map(|pending| &pending.etags[..]).unwrap_or_default();
+            let answer = translate::http_answer(answer, etags, self.net.unix_time());
+            if !signed.front.begin(self.now, conn, answer, &mut self.net, &mut self.due) {
+                break;
+            }
+            self.on_answer_begun(request);
+        }
+    }
+
+    fn read_signed_requests(&mut self, conn: ConnectionKey) {
+        let Some(signed) = &mut self.signed else { return };
+        let events = signed.front.ready(self.now, conn, &mut self.net, &mut self.due);
+        events.into_iter().for_each(|event| self.on_signed_request(event));
+    }
+
+    fn on_signed_request(
+        &mut self,
+        SignedEvent::Request { conn, number, place, tags, expires }: SignedEvent,
+    ) {
+        let is_full = self.is_full(conn);
+        let Some(signed) = self.signed.as_mut().filter(|signed| signed.front.is_open(conn, number)) else {
+            return;
+        };
+        let RequestTarget { route, object, group, part } = place;
+        let Some(RouteClass { class, timeout }) = signed.routes.get(route).copied() else { return };
+        if is_full {
+            return self.reject_signed_request(conn, number, class);
+        }
+        let request = ClientRequest {
+            class,
+            object: ObjectId(object),
+            part,
+            group: GroupId(group),
+            timeout,
+            authorized_until: Some(expires),
+        };
+        let key = self.core.submit(self.now, request, &mut self.due);
+        signed.front.bind(conn, number, key.number());
+        let pending = PendingRequest {
+            client: Client::Signed { conn },
+            etags: tags,
+            class,
+            trace_id: signed.trace_id(key.number()),
+            object_name: format!("{object:016x}"),
+            idempotency_key: None,
+            body: Bytes::new(),
+        };
+        self.pending.insert(key, pending);
+    }
+
+    fn reject_signed_request(&mut self, conn: ConnectionKey, number: u64, class: ClassId) {
+        let rejected = proxy_full(self.core.retry_after(class));
+        self.core.count_answer(class, &rejected);
+        let answer = translate::http_answer(rejected, &[], self.net.unix_time());
+        if let Some(signed) = &mut self.signed {
+            signed.front.say(conn, number, answer);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/thrift_requests.rs
@@ -0,0 +1,140 @@
+//! Requests of the Thrift front: checked, submitted to the core, and answered.
+
+use super::pending::{Client, PendingRequest};
+use super::translate::{self, InvalidRequest, RequestFields};
+use super::Server;
+use crate::core::{ClientRequest, FinalAnswer};
+use crate::front::thrift::codec::ThriftReply;
+use crate::front::thrift::{ThriftEvent, MOST_BODY};
+use crate::interface::{ClassId, Instant, Span};
+use crate::net::ConnectionKey;
+use bytes::Bytes;
+use std::collections::BTreeMap;
+
+/// A client counts its deadline from when it sends; until the request is read, about this long passes.
+const CLIENT_TO_PROXY: Span = Span::from_millis(12);
+/// The shortest time-out that the core takes.
+const MIN_TIMEOUT: Span = Span::from_micros(1);
+/// Thrift's code of an application exception for a protocol error.
+const EXCEPTION_PROTOCOL_ERROR: i32 = 7;
+
+/// A call on the Thrift front.
+#[derive(Clone, Copy)]
+struct CallId {
+    conn: ConnectionKey,
+    seqid: i32,
+}
+
+impl Server {
+    /// Handles what clients have sent.
+    pub(super) fn on_thrift_events(&mut self, events: Vec<ThriftEvent>) {
+        for event in events {
+            match event {
+                ThriftEvent::Request { conn, seqid, fields, body, arrived } => {
+                    self.on_thrift_request(CallId { conn, seqid }, &fields, body, arrived);
+                }
+                ThriftEvent::RequestOverLimit { conn, seqid, fields } => {
+                    let class = translate::request_class(&fields, &self.config.settings.names);
+                    let reply =
+                        self.reject_if_refused(conn, class).unwrap_or_else(|| self.reject_unseen(class));
+                    self.answer_untracked_call(conn, seqid, reply);
+                }
+                ThriftEvent::Ping { conn, seqid } => {
+                    if !self.admission.refused.contains_key(&conn) {
+                        self.mark_good_standing(conn);
+                    }
+                    self.answer_untracked_call(conn, seqid, ThriftReply::Pong(self.takes_clients()));
+                }
+                ThriftEvent::Cancelled(number) => self.on_request_cancelled(number),
+            }
+        }
+    }
+
+    fn on_thrift_request(
+        &mut self,
+        call: CallId,
+        fields: &BTreeMap<String, String>,
+        body: Bytes,
+        arrived: Instant,
+    ) {
+        let class = translate::request_class(fields, &self.config.settings.names);
+        if let Some(rejection) = self.reject_if_refused(call.conn, class) {
+            return self.answer_call(call.conn, call.seqid, rejection);
+        }
+        if !self.thrift.is_open(call.conn, call.seqid) {
+            return;
+        }
+        match self.check_request(fields, &body) {
+            Err(invalid) => self.answer_invalid_request(call, class, &invalid),
+            Ok(_) if self.is_full(call.conn) => {
+                let rejection = self.reject_unseen(class);
+                self.answer_call(call.conn, call.seqid, rejection);
+            }
+            Ok(request) => self.submit_thrift_request(call, request, &body, arrived),
+        }
+    }
+
+    fn check_request(
+        &self,
+        fields: &BTreeMap<String, String>,
+        body: &Bytes,
+    ) -> Result<RequestFields, InvalidRequest> {
+        let request = translate::parse_request(fields, &self.config.settings.names)?;
+        if body.len() > MOST_BODY {
+            return Err(InvalidRequest::BodyTooLong);
+        }
+        if self.pending.has_trace_id(&request.trace_id) {
+            return Err(InvalidRequest::TraceIdInUse);
+        }
+        Ok(request)
+    }
+
+    fn answer_invalid_request(&mut self, call: CallId, class: Option<ClassId>, invalid: &InvalidRequest) {
+        if let Some(class) = class {
+            self.core.count_answer(class, &FinalAnswer::Failed { late: false });
+        }
+        let (name, text) = ("invoke".into(), invalid.to_string());
+        let reply = ThriftReply::Exception { name, kind: EXCEPTION_PROTOCOL_ERROR, text };
+        self.answer_call(call.conn, call.seqid, reply);
+    }
+
+    fn submit_thrift_request(
+        &mut self,
+        CallId { conn, seqid }: CallId,
+        request: RequestFields,
+        body: &Bytes,
+        arrived: Instant,
+    ) {
+        self.mark_good_standing(conn);
+        let RequestFields { class, object, part, group, client_timeout, .. } = request;
+        // The client's deadline runs since the request arrived, which may have waited to be read.
+        let waited = self.now - arrived;
+        let timeout = (client_timeout - waited - CLIENT_TO_PROXY).max(MIN_TIMEOUT);
+        let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
+        let key = self.core.submit(self.now, submitted, &mut self.due);
+        self.thrift.bind(conn, seqid, key.number());
+        let pending = PendingRequest {
+            client: Client::Thrift { conn, seqid },
+            etags: Vec::from_iter(request.etag),
+            class,
+            trace_id: request.trace_id,
+            object_name: request.object_name,
+            idempotency_key: request.idempotency_key,
+            // A copy: a slice would keep the whole buffer in which the frame came.
+            body: Bytes::copy_from_slice(body),
+        };
+        self.pending.insert(key, pending);
+    }
+
+    /// Answers an open call.
+    pub(super) fn answer_call(&mut self, conn: ConnectionKey, seqid: i32, reply: ThriftReply) {
+        let events = self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
+        self.on_thrift_events(events);
+    }
+
+    /// Answers a call that the front does not track as open.
+    fn answer_untracked_call(&mut self, conn: ConnectionKey, seqid: i32, reply: ThriftReply) {
+        let events = self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
+        self.on_thrift_events(events);
+    }
+}
--- /dev/null
+++ b/src/server/translate/answers.rs
@@ -0,0 +1,43 @@
+//! A final answer as each front's clients get it.
+
+use crate::core::{CachedCopy, FinalAnswer};
+use crate::front::signed::http::HttpAnswer;
+use crate::front::thrift::codec::ThriftReply;
+use crate::interface::UnixTime;
+
+/// A final answer as clients of the Thrift front get it.
+pub(in crate::server) fn thrift_reply(answer: FinalAnswer) -> ThriftReply {
+    match answer {
+        FinalAnswer::Served(copy) => {
+            let fields = if copy.not_modified { vec![("current", "1".to_owned())] } else { Vec::new() };
+            ThriftReply::Answer { body: copy.body, fields }
+        }
+        FinalAnswer::Rejected { retry_after, .. } => ThriftReply::Rejected { pause: retry_after.as_millis() },
+        FinalAnswer::Failed { .. } | FinalAnswer::Denied => ThriftReply::Failed,
+    }
+}
+
+/// A final answer as clients of the signed front get it, at a Unix time; `etags` are those of the client's copies.
+pub(in crate::server) fn http_answer(answer: FinalAnswer, etags: &[String], now: UnixTime) -> HttpAnswer {
+    match answer {
+        FinalAnswer::Served(copy) => served(copy, etags, now),
+        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => {
+            HttpAnswer::bare(504)
+        }
+        FinalAnswer::Rejected { retry_after, .. } => {
+            // Whole seconds, rounded up: a client that keeps to them is never early.
+            let seconds = retry_after.as_secs_rounded_up();
+            HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
+        }
+        FinalAnswer::Failed { late: false } => HttpAnswer::bare(502),
+        FinalAnswer::Denied => HttpAnswer::bare(403),
+    }
+}
+
+fn served(copy: CachedCopy, etags: &[String], now: UnixTime) -> HttpAnswer {
+    let tag = Some(copy.etag).filter(|tag| !tag.is_empty());
+    let client_has_copy = copy.not_modified || tag.as_ref().is_some_and(|tag| etags.contains(tag));
+    let generated_at_ms = i64::try_from(copy.generated_at_ms).ok().filter(|ms| *ms > 0);
+    let age = generated_at_ms.map(|generated_at_ms| (now.as_millis() - generated_at_ms).max(0) / 1000);
+    HttpAnswer { body: copy.body, tag, age, ..HttpAnswer::bare(if client_has_copy { 304 } else { 200 }) }
+}
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -1,8 +1,15 @@
-//! Tables of what one part's words mean in another's.
+//! Tables of what the messages of one part mean in another.
 
 use super::*;
-use crate::core::CachedCopy;
-use crate::interface::RejectionReason;
+use crate::config::settings::SiteNames;
+use crate::core::{CachedCopy, FinalAnswer};
+use crate::interface::{
+    AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, RejectionReason, Span, UnixTime,
+};
+use crate::upstream::lines::WireAnswer;
+use crate::upstream::JobEnd;
+use bytes::Bytes;
+use std::collections::BTreeMap;
 
 const MS: Span = Span::from_millis(1);
 
@@ -37,14 +44,14 @@
 }
 
 #[test]
-fn a_requests_fields_are_read_as_the_table_says() {
-    let read = form(&fields(&[]), &names()).expect("a form");
+fn request_fields_are_parsed_and_invalid_ones_named() {
+    let read = parse_request(&fields(&[]), &names()).expect("valid");
     assert_eq!((read.class, read.object, read.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
-    assert_eq!((read.group, read.patience, read.seen), (GroupId(17), 1500 * MS, None));
-    let bare =
-        form(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names()).expect("a form");
-    assert_eq!((bare.part, bare.group, bare.seen.as_deref()), (0, GroupId(0), Some("t")));
-    let keyed = form(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("a form");
+    assert_eq!((read.group, read.client_timeout, read.etag), (GroupId(17), 1500 * MS, None));
+    let bare = parse_request(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names())
+        .expect("valid");
+    assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
+    let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("valid");
     assert_eq!((bare.idempotency_key, keyed.idempotency_key.as_deref()), (None, Some("4be0c192-7d")));
     for (name, value) in [
         ("nonce", Some("")),
@@ -69,13 +76,13 @@
         ("set", Some("x")),
         ("set", Some("256")),
     ] {
-        let error = form(&fields(&[(name, value)]), &names()).expect_err("no form");
-        assert!(error.contains(name), "{name} {value:?}: {error}");
+        let error = parse_request(&fields(&[(name, value)]), &names()).expect_err("invalid");
+        assert!(error.to_string().contains(name), "{name} {value:?}: {error}");
     }
 }
 
 #[test]
-fn each_ending_proves_what_the_table_says() {
+fn each_end_on_the_wire_has_its_attempt_result() {
     use AttemptResult::*;
     let answer = |word: &str, dropped| {
         let fields = vec![("tell".into(), "cut_off".into()), ("waited".into(), "12.5".into())];
@@ -101,7 +108,7 @@
         (answer("whatever", false), Error),
     ] {
         let told = matches!(ending, JobEnd::Answer(_));
-        let end = end(ending, &names());
+        let end = attempt_end(ending, &names());
         assert_eq!(end.result, result);
         assert_eq!(
             (end.cache_status, end.fill_wait),
@@ -115,7 +122,7 @@
 }
 
 #[test]
-fn each_final_answer_has_its_status() {
+fn each_final_answer_has_its_http_status() {
     let copy = |same| CachedCopy {
         body: Bytes::from_static(b"x"),
         etag: "a".into(),
@@ -173,7 +180,7 @@
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
         let served = matches!(given, FinalAnswer::Served(_));
-        let said = answer(given.clone(), &tags, now);
+        let said = http_answer(given.clone(), &tags, now);
         assert_eq!((said.status, said.retry_after), (status, retry_after), "{given:?}");
         assert_eq!(said.age, served.then_some(2), "{given:?}");
         assert_eq!(said.tag.is_some() || !said.body.is_empty(), served, "{given:?}");
--- /dev/null
+++ b/src/server/unix_time/tests.rs
@@ -0,0 +1,129 @@
+//! Tests of `unix_time`.
+
+use super::*;
+
+const MS: Span = Span::from_millis(1);
+const SECOND: Span = Span::from_secs(1);
+const HOUR: Span = Span::from_secs(3600);
+/// The true Unix time at the monotonic clock's second 100_000.
+const NOW: Instant = Instant::from_micros(100_000_000_000);
+const UNIX: UnixTime = UnixTime::from_secs(1_700_000_000);
+const SERVER: ServerId = ServerId(7);
+/// Steps of the wall clock.
+const STEPS: [Span; 8] = [
+    SECOND,
+    Span::from_secs(2),
+    Span::from_secs(5),
+    HOUR,
+    Span::from_secs(-1),
+    Span::from_secs(-2),
+    Span::from_secs(-5),
+    Span::from_secs(-3600),
+];
+
+/// A reception in service, with the wall clock this much ahead.
+fn in_service(ahead: Span) -> Reception {
+    Reception { now: NOW, unix: UNIX + ahead, is_first: false }
+}
+
+/// A reception at the start.
+fn at_start(ahead: Span) -> Reception {
+    Reception { is_first: true, ..in_service(ahead) }
+}
+
+/// The converter of a process that started with the wall clock this much ahead.
+fn started(ahead: Span) -> UnixTimeConverter {
+    UnixTimeConverter::new(NOW - 9 * SECOND, UNIX + ahead - 9 * SECOND)
+}
+
+/// The same, which has observed a copy that the origin generated 3 ms before, for a request sent 8 ms before.
+fn with_bounds(ahead: Span) -> UnixTimeConverter {
+    let mut converter = started(ahead);
+    converter.observe_copy(NOW, (UNIX.as_millis() - 3) as u64, Some(NOW - 8 * MS));
+    converter
+}
+
+#[test]
+fn on_a_steady_clock_times_are_exact() {
+    for mut converter in [started(Span::ZERO), with_bounds(Span::ZERO)] {
+        assert_eq!(converter.purge(in_service(Span::ZERO), UNIX - 2 * SECOND), NOW - 2 * SECOND);
+        assert_eq!(converter.start(in_service(Span::ZERO), SERVER, UNIX - 2 * SECOND), NOW - 2 * SECOND);
+    }
+    assert_eq!(
+        with_bounds(Span::ZERO).purge(in_service(Span::ZERO), UNIX - 900 * SECOND),
+        NOW - 900 * SECOND
+    );
+}
+
+#[test]
+fn a_purge_never_counts_as_older_than_it_is_if_the_clock_is_stepped_in_service() {
+    for step in STEPS {
+        for mut converter in [started(Span::ZERO), with_bounds(Span::ZERO)] {
+            let made = converter.purge(in_service(step), UNIX - 2 * SECOND);
+            assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
+            assert_eq!(
+                converter.purge(in_service(step), UNIX + 9 * HOUR),
+                NOW,
+                "step {step:?}: one to come is now"
+            );
+        }
+        let made = with_bounds(Span::ZERO).purge(in_service(step), UNIX - 2 * SECOND);
+        let certain = if step > Span::ZERO { NOW - 2 * SECOND + 3 * MS } else { made };
+        assert_eq!(made, certain, "step {step:?}: no later than the bounds say");
+    }
+}
+
+#[test]
+fn a_purge_never_counts_as_older_than_it_is_if_the_clock_was_stepped_before_the_start() {
+    for step in STEPS {
+        let made = with_bounds(step).purge(in_service(step), UNIX - 2 * SECOND);
+        assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
+        // As long as there is no bound, by a step that makes it look long ago.
+        let made = started(step).purge(in_service(step), UNIX);
+        assert!(made == NOW || (Span::ZERO..=MAX_FEED_DELAY).contains(&step), "step {step:?}: {made:?}");
+        // Known at the start: whatever the clock reads.
+        assert_eq!(started(step).purge(at_start(step), UNIX - 2 * SECOND), NOW, "step {step:?}");
+    }
+}
+
+#[test]
+fn of_the_purges_known_at_the_start_the_newest_counts_as_now_and_the_others_keep_their_distance() {
+    let mut converter = started(HOUR);
+    converter.observe_stamp(NOW, UNIX - 10 * SECOND);
+    let made = [30, 10].map(|ago| converter.purge(at_start(HOUR), UNIX - ago * SECOND));
+    assert_eq!(made, [NOW - 20 * SECOND, NOW]);
+}
+
+#[test]
+fn a_start_is_converted_once_and_one_stated_in_service_counts_as_no_earlier_than_certain() {
+    // At the start: by the wall clock, whatever it reads.
+    let mut converter = started(Span::ZERO);
+    assert_eq!(converter.start(at_start(Span::ZERO), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
+    // Stated again, after a step: the same instant.
+    assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
+    // A start to come counts as now.
+    assert_eq!(started(Span::ZERO).start(at_start(-HOUR), SERVER, UNIX), NOW);
+    // A new start, which a stepped clock makes look long ago, with and without a bound.
+    for before in [Span::ZERO, HOUR] {
+        let mut converter = started(before);
+        assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
+        // A server that came back is converted anew.
+        converter.forget(SERVER);
+        assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
+        let certain = NOW - SECOND + 3 * MS;
+        assert_eq!(with_bounds(before).start(in_service(HOUR), SERVER, UNIX - SECOND), certain);
+    }
+}
+
+#[test]
+fn impossible_stamps_are_harmless() {
+    let [earliest, latest] = [i64::MIN, i64::MAX].map(UnixTime::from_micros);
+    let mut converter = started(Span::ZERO);
+    converter.observe_copy(NOW, 0, Some(NOW));
+    converter.observe_copy(NOW, u64::MAX, Some(NOW));
+    assert_eq!(converter.purge(in_service(Span::ZERO), latest), NOW);
+    assert!(converter.purge(in_service(Span::ZERO), earliest) <= NOW);
+    assert!(
+        converter.start(Reception { unix: UnixTime::EPOCH, ..in_service(Span::ZERO) }, SERVER, latest) <= NOW
+    );
+}
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -56,7 +56,7 @@
             if let Err(error) = server.turn(ready) {
                 self.rules.broken(self.now, "poll", error.to_string());
             }
-            let (held, open) = server.load();
+            let crate::server::ServerLoad { held_bytes: held, open_requests: open } = server.load();
             let most = (48.0e6 * 0.45) as usize;
             if held > most || open > 1000 {
                 self.rules.broken(self.now, "memory", format!("{held} bytes and {open} requests are held"));
