--- a/src/server/acceptor.rs
+++ b/src/server/acceptor.rs
@@ -57,7 +57,7 @@
 impl Server {
     /// Accepts at a time without an event.
     pub(super) fn accept_at(&mut self, at: Instant) {
-        self.accept_timer.schedule(at, &mut self.due);
+        self.accept_timer.schedule(at, &mut self.deadlines);
     }
 
     /// Accepts on all listeners: the timer has fired.
@@ -102,10 +102,10 @@
             return;
         }
         if role == Role::Thrift {
-            self.thrift.open(self.now, conn, &mut self.due);
+            self.thrift.open(self.now, conn, &mut self.deadlines);
             self.read_delayed_requests(conn);
         } else if let Some(signed) = &mut self.signed {
-            signed.front.open(self.now, conn, &mut self.due);
+            signed.front.open(self.now, conn, &mut self.deadlines);
         }
     }
 
--- a/src/server/acceptor/tests.rs
+++ b/src/server/acceptor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `accept`, on a simulated network whose system calls fail.
+//! Tests of `acceptor`, on a simulated network whose system calls fail.
 
 use crate::config::Config;
 use crate::interface::{Instant, Span};
@@ -14,13 +14,13 @@
 const START: Instant = Instant::from_micros(1_000_000);
 const CLIENTS: u16 = 20;
 
-struct Rig {
+struct SimulatedServer {
     fabric: Fabric,
     server: Server,
     turns: usize,
 }
 
-impl Rig {
+impl SimulatedServer {
     fn new() -> Self {
         let fabric = Fabric::new(START, 1, (MS, MS));
         fabric.start_process(1);
@@ -29,11 +29,11 @@
         text["listen"] = host(FRONT).to_string().into();
         let config = Config::parse(text.to_string().as_bytes()).expect("usable");
         let server = Server::start_on(&fabric, 1, config).expect("started");
-        Rig { fabric, server, turns: 0 }
+        SimulatedServer { fabric, server, turns: 0 }
     }
 
-    /// Lets everything happen until a time, and the process have its turns.
-    fn pass(&mut self, until: Instant) {
+    /// Runs the network and the process until a time.
+    fn run_until(&mut self, until: Instant) {
         let mut ready = Vec::new();
         loop {
             let next = self.fabric.next().into_iter().chain(self.server.next_due()).min();
@@ -51,8 +51,8 @@
     }
 }
 
-/// What clients were told, but for the feed's connections.
-fn told(fabric: &Fabric, link: u64) -> Vec<ActorEvent> {
+/// What a client's connection has received.
+fn received(fabric: &Fabric, link: u64) -> Vec<ActorEvent> {
     let concerns = |signal: &ActorEvent| match signal {
         ActorEvent::Opened { link: of, .. } | ActorEvent::Bytes { link: of, .. } => *of == link,
         ActorEvent::Closed { link: of } | ActorEvent::Broken { link: of } => *of == link,
@@ -67,48 +67,52 @@
 #[test]
 fn a_client_is_accepted_at_once_behind_one_that_failed() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        let mut rig = Rig::new();
-        rig.fabric.dial_aborted(client(1), host(FRONT), error);
-        rig.fabric.dial(client(2), host(FRONT));
-        rig.pass(START + MS);
-        assert_eq!(rig.clients(), 1, "{error}");
+        let mut simulated = SimulatedServer::new();
+        simulated.fabric.dial_aborted(client(1), host(FRONT), error);
+        simulated.fabric.dial(client(2), host(FRONT));
+        simulated.run_until(START + MS);
+        assert_eq!(simulated.clients(), 1, "{error}");
     }
 }
 
 #[test]
 fn exhaustion_pauses_accepting_without_a_spin_and_loses_nobody() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
-        let mut rig = Rig::new();
-        // What the process does in a second in which nobody comes.
-        rig.pass(START + 1000 * MS);
-        let idle = rig.turns;
-        rig.fabric.exhaust(error, START + 2000 * MS);
+        let mut simulated = SimulatedServer::new();
+        // The turns of the process in a second without clients.
+        simulated.run_until(START + 1000 * MS);
+        let idle = simulated.turns;
+        simulated.fabric.exhaust(error, START + 2000 * MS);
         for number in 0..CLIENTS {
-            rig.pass(START + 1000 * MS + i64::from(number) * Span::from_micros(2_300));
-            rig.fabric.dial(client(number), host(FRONT));
+            simulated.run_until(START + 1000 * MS + i64::from(number) * Span::from_micros(2_300));
+            simulated.fabric.dial(client(number), host(FRONT));
         }
-        rig.pass(START + 1999 * MS);
-        assert_eq!(rig.clients(), 0, "{error}");
+        simulated.run_until(START + 1999 * MS);
+        assert_eq!(simulated.clients(), 0, "{error}");
         let (pauses, arrivals) = (20, usize::from(CLIENTS));
-        assert!(rig.turns <= 2 * idle + pauses + 2 * arrivals, "{error}: {} turns, idle {idle}", rig.turns);
-        rig.pass(START + 2060 * MS);
-        assert_eq!(rig.clients(), usize::from(CLIENTS), "{error}");
+        assert!(
+            simulated.turns <= 2 * idle + pauses + 2 * arrivals,
+            "{error}: {} turns, idle {idle}",
+            simulated.turns
+        );
+        simulated.run_until(START + 2060 * MS);
+        assert_eq!(simulated.clients(), usize::from(CLIENTS), "{error}");
     }
 }
 
 #[test]
 fn a_process_that_stops_without_descriptors_answers_who_waits() {
-    let mut rig = Rig::new();
-    rig.pass(START + 100 * MS);
-    rig.fabric.exhaust(Errno::MFILE, START + 1500 * MS);
-    let link = rig.fabric.dial(client(1), host(FRONT));
-    rig.fabric.send(link, &thrift_client::ping(1));
-    rig.pass(START + 200 * MS);
-    rig.server.terminate();
+    let mut simulated = SimulatedServer::new();
+    simulated.run_until(START + 100 * MS);
+    simulated.fabric.exhaust(Errno::MFILE, START + 1500 * MS);
+    let link = simulated.fabric.dial(client(1), host(FRONT));
+    simulated.fabric.send(link, &thrift_client::ping(1));
+    simulated.run_until(START + 200 * MS);
+    simulated.server.terminate();
     // The listener would be closed 0.8 s after the signal.
-    rig.pass(START + 1400 * MS);
-    assert_eq!((rig.clients(), told(&rig.fabric, link)), (0, vec![]));
-    rig.pass(START + 1600 * MS);
-    let told = told(&rig.fabric, link);
-    assert!(matches!(&told[..], [ActorEvent::Bytes { .. }, ..]), "{told:?}");
+    simulated.run_until(START + 1400 * MS);
+    assert_eq!((simulated.clients(), received(&simulated.fabric, link)), (0, vec![]));
+    simulated.run_until(START + 1600 * MS);
+    let events = received(&simulated.fabric, link);
+    assert!(matches!(&events[..], [ActorEvent::Bytes { .. }, ..]), "{events:?}");
 }
--- a/src/server/admin_calls.rs
+++ b/src/server/admin_calls.rs
@@ -25,7 +25,7 @@
     pub(super) fn accept_admin_callers(&mut self) {
         while let Some(conn) = self.accept_one(Role::Admin) {
             if let Some(admin) = &mut self.admin {
-                admin.open(self.now, conn, &mut self.net, &mut self.due);
+                admin.open(self.now, conn, &mut self.net, &mut self.deadlines);
             }
             self.on_admin_ready(conn);
         }
@@ -34,10 +34,10 @@
     /// Answers a caller's call, if it has arrived in full.
     pub(super) fn on_admin_ready(&mut self, conn: ConnectionKey) {
         let Some(admin) = &mut self.admin else { return };
-        let Some(call) = admin.ready(self.now, conn, &mut self.net, &mut self.due) else { return };
+        let Some(call) = admin.ready(self.now, conn, &mut self.net, &mut self.deadlines) else { return };
         let AdminAnswer { status, content_type, body } = self.answer_admin_call(call);
         if let Some(admin) = &mut self.admin {
-            admin.answer(self.now, conn, status, (content_type, &body), &mut self.net, &mut self.due);
+            admin.answer(self.now, conn, status, (content_type, &body), &mut self.net, &mut self.deadlines);
         }
     }
 
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -78,7 +78,7 @@
 }
 
 impl Server {
-    /// Decides on a connection that was just accepted; `false` if it was refused, and its client told so.
+    /// Decides on a connection that was just accepted; `false` if it was refused, and its client notified.
     pub(super) fn admit(&mut self, role: Role, conn: ConnectionKey) -> bool {
         let Some(address) = self.net.address(conn) else { return false };
         let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
--- a/src/server/attempt_encoder.rs
+++ b/src/server/attempt_encoder.rs
@@ -14,16 +14,21 @@
 
 /// What the encoding of an attempt needs of the server.
 pub(super) struct AttemptEncoder<'a> {
+    /// The time of the writing.
     pub now: Instant,
+    /// Says what to write, if the attempt may still be written.
     pub core: &'a mut Core,
+    /// Names fill sources.
     pub servers: &'a ServerNames,
+    /// Has the fields of requests that the core does not need.
     pub pending: &'a PendingRequests,
+    /// Names classes.
     pub names: &'a SiteNames,
 }
 
 impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
-    fn encode(&mut self, job: u64, due: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
-        let attempt = self.core.write_attempt(self.now, Key::from_number(job), due)?;
+    fn encode(&mut self, job: u64, deadlines: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
+        let attempt = self.core.write_attempt(self.now, Key::from_number(job), deadlines)?;
         let request = self.pending.get(attempt.request)?;
         let class = self.names.classes.get(usize::from(request.class.0))?;
         let fill_source = attempt.fill_source.and_then(|source| self.servers.name(source));
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -50,7 +50,7 @@
             pending: &self.pending,
             names: &self.config.settings.names,
         };
-        self.upstream.dispatch(self.now, &mut self.net, &mut self.due, &mut encoder);
+        self.upstream.dispatch(self.now, &mut self.net, &mut self.deadlines, &mut encoder);
     }
 
     fn on_upstream_event(&mut self, event: UpstreamEvent) {
@@ -68,24 +68,24 @@
         let is_new_copy = end.cache_status == Some(CacheStatus::FilledByOrigin);
         let written_at = self.core.written_at(attempt).filter(|_| is_new_copy);
         self.endpoints.unix_time.observe_copy(self.now, end.copy.generated_at_ms, written_at);
-        self.core.attempt_ended(self.now, attempt, end, &mut self.due);
+        self.core.attempt_ended(self.now, attempt, end, &mut self.deadlines);
     }
 
     fn on_health_checked(&mut self, server: ServerId, end: JobEnd, elapsed: Span) {
         let end = translate::attempt_end(end, &self.config.settings.names);
-        self.core.health_checked(self.now, server, end.result, elapsed, end.load_report, &mut self.due);
+        self.core.health_checked(self.now, server, end.result, elapsed, end.load_report, &mut self.deadlines);
     }
 
     fn carry_out(&mut self, command: Command) {
         match command {
             Command::SendAttempt { attempt, request, server } => self.queue_attempt(attempt, request, server),
             Command::AbandonAttempt(attempt) => {
-                self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.due);
+                self.upstream.abandon(self.now, attempt.number(), &mut self.net, &mut self.deadlines);
             }
             Command::AnswerRequest(request) => self.answer_request(request),
             Command::HealthCheck(server) => self.upstream.health_check(self.now, server.0),
             Command::CloseIdleConnections(server) => {
-                self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.due);
+                self.upstream.close_idle(self.now, server.0, &mut self.net, &mut self.deadlines);
             }
             Command::Log(line) => info!("module: {line}"),
         }
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -55,7 +55,7 @@
         for conn in connections {
             let handover = &mut self.handover;
             if self.net.hand_over(self.now, conn, |stream, unused| handover.pass_on(stream, unused)) {
-                self.thrift.handed_over(conn, &mut self.due);
+                self.thrift.handed_over(conn, &mut self.deadlines);
             }
         }
     }
@@ -65,7 +65,7 @@
             // What has come meanwhile is still answered.
             self.on_ready(Ready::readable(conn));
             self.pump();
-            self.thrift.end_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.due);
+            self.thrift.end_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.deadlines);
         }
     }
 
@@ -81,7 +81,7 @@
             Ok(conn) => conn,
             Err(error) => return warn!("a connection that was handed on: {error}"),
         };
-        self.thrift.adopt(self.now, conn, &mut self.net, &mut self.due);
+        self.thrift.adopt(self.now, conn, &mut self.net, &mut self.deadlines);
         if let Some(address) = self.net.address(conn) {
             self.admission.rules.adopted(self.now, conn.number(), address);
         }
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -61,7 +61,7 @@
                     }
                 };
                 let made_at = self.endpoints.unix_time.purge(reception, purge.made_at());
-                self.core.purge(self.now, target, made_at, &mut self.due);
+                self.core.purge(self.now, target, made_at, &mut self.deadlines);
             }
         }
     }
@@ -74,7 +74,7 @@
         }
         let removed = endpoints.iter().filter(|endpoint| endpoint.state == ServerState::Removed);
         let removed: Vec<ServerId> = removed.map(|endpoint| endpoint.server).collect();
-        self.core.update_endpoints(self.now, update, endpoints, &mut self.due);
+        self.core.update_endpoints(self.now, update, endpoints, &mut self.deadlines);
         removed.into_iter().for_each(|server| self.endpoints.forget(server));
     }
 
@@ -87,9 +87,9 @@
         match server.dial.filter(|_| endpoint.state != ServerState::Removed) {
             Some(addr) => {
                 let started_at = endpoint.started_at;
-                self.upstream.set_host(self.now, id.0, addr, started_at, &mut self.net, &mut self.due);
+                self.upstream.set_host(self.now, id.0, addr, started_at, &mut self.net, &mut self.deadlines);
             }
-            None => self.upstream.remove_host(self.now, id.0, &mut self.net, &mut self.due),
+            None => self.upstream.remove_host(self.now, id.0, &mut self.net, &mut self.deadlines),
         }
         endpoint
     }
--- a/src/server/eviction.rs
+++ b/src/server/eviction.rs
@@ -14,14 +14,14 @@
             || self.evict_signed_connection()
     }
 
-    /// Evicts the connection that is missed least. What its client has sent by now is read first, and if that is a
+    /// Evicts the connection that is least in use. What its client has sent by now is read first, and if that is a
     /// request it stays.
     fn evict_thrift_connection(&mut self) -> bool {
         for _ in 0..MAX_CANDIDATES {
             let Some(conn) = self.thrift.least_missed(&self.net) else { break };
             self.on_ready(Ready::readable(conn));
             if self.thrift.least_missed(&self.net) == Some(conn) {
-                self.thrift.close(self.now, conn, Reason::Evicted, &mut self.net, &mut self.due);
+                self.thrift.close(self.now, conn, Reason::Evicted, &mut self.net, &mut self.deadlines);
                 return true;
             }
             let client_has_closed = !self.thrift.owns(conn);
@@ -40,7 +40,7 @@
             let is_still_candidate = self.signed_eviction_candidate() == Some(conn);
             let Some(signed) = &mut self.signed else { break };
             if is_still_candidate {
-                signed.front.close(self.now, conn, Reason::Evicted, &mut self.net, &mut self.due);
+                signed.front.close(self.now, conn, Reason::Evicted, &mut self.net, &mut self.deadlines);
             }
             if !signed.front.owns(conn) {
                 return true;
--- a/src/server/federation/disabled.rs
+++ b/src/server/federation/disabled.rs
@@ -5,7 +5,7 @@
 
 /// No member.
 #[derive(Default)]
-pub(in crate::server) struct FederationHandle;
+pub(in crate::server) struct FederationHandle {}
 
 /// No file.
 pub(in crate::server) struct CheckedSettings;
@@ -18,7 +18,7 @@
 
     /// Starts no member.
     pub fn start(_: CheckedSettings, _: u64) -> io::Result<Self> {
-        Ok(FederationHandle)
+        Ok(FederationHandle {})
     }
 
     /// Reads no file.
--- a/src/server/handover/message.rs
+++ b/src/server/handover/message.rs
@@ -1,5 +1,5 @@
-//! The messages between two processes of one edge proxy: a kind, a number in four bytes (most significant first), and
-//! for a connection as many bytes as the number says. The form is fixed, since the processes may be of different versions.
+//! The messages between two processes of one edge proxy: a kind, a number in four bytes in network order, and for a
+//! connection as many bytes as the number says. The form is fixed, since the processes may be of different versions.
 
 /// Bytes of a message's header: its kind and its number.
 const HEADER: usize = 5;
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -37,7 +37,7 @@
     rendezvous: Box<dyn Rendezvous>,
     older: Option<Box<dyn Sibling>>,
     newer: Option<Box<dyn Sibling>>,
-    /// The count of clients' connections that the others were last told.
+    /// The count of clients' connections that was last sent to the others.
     announced_clients: Option<usize>,
 }
 
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -179,7 +179,7 @@
             .and_then(|stream| SocketSibling::new(stream, EventSource::OlderProcess, net));
         match connected {
             Ok(older) => Some(older),
-            // A path without a listener is left from a process that was killed; without a path this process is the first.
+            // A path without a listener was left by a process that was killed; without a path this is the first.
             Err(error) if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::NotFound) => None,
             Err(error) => {
                 warn!("{}: {error}; an older process is not looked for", self.path.display());
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Instant, Span};
 
-/// Once all is answered, clients that were told of the end have this long to close their connections: closing first
+/// Once all is answered, clients that were notified of the end have this long to close their connections: closing first
 /// could reset a connection whose last answer is not read yet.
 const CLIENTS_CLOSE_WITHIN: Span = Span::from_millis(500);
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -12,9 +12,9 @@
 //! - `connection_handover`: connections that pass between processes; `handover` reaches the other process.
 //!
 //! The state is in parts that know nothing of the server: `active_config`, `budget`, `lifecycle`, `listeners`,
-//! `pending`, `signed_endpoint`, `federation`. `translate` converts messages of the wires to types of the core and back;
-//! `event_source`, `deadline` and `precedence` are types of the loop; `start` builds the server; `error` says why that
-//! failed; `load` is what the simulator checks against the limits.
+//! `pending`, `signed_endpoint`, `federation`. `translate` converts messages of the wires to types of the core and
+//! back; `event_source`, `deadline` and `precedence` are types of the loop; `start` builds the server; `error` says
+//! why that failed; `load` is what the simulator checks against the limits.
 
 mod acceptor;
 mod active_config;
@@ -85,7 +85,7 @@
     clock: Clock,
     now: Instant,
     net: Net,
-    due: Deadlines<ServerDeadline>,
+    deadlines: Deadlines<ServerDeadline>,
     /// None in the simulator, which calls the handlers itself.
     signals: Option<Signals>,
     core: Core,
@@ -127,7 +127,7 @@
         if self.thrift.waiting_turns() + self.upstream.turns() > 0 {
             Some(self.now)
         } else {
-            self.due.next()
+            self.deadlines.next()
         }
     }
 
@@ -146,7 +146,7 @@
             self.on_ready(event);
             self.settle();
         }
-        while let Some(deadline) = self.due.pop(self.now) {
+        while let Some(deadline) = self.deadlines.pop(self.now) {
             self.on_deadline(deadline);
             self.settle();
         }
@@ -181,13 +181,13 @@
                 }
             }
             Ready::Conn { key, .. } if self.feed.owns(key) => {
-                for batch in self.feed.on_ready(self.now, &mut self.net, &mut self.due) {
+                for batch in self.feed.on_ready(self.now, &mut self.net, &mut self.deadlines) {
                     self.on_feed_batch(batch);
                 }
             }
             Ready::Conn { key, .. } if self.is_admin_caller(key) => self.on_admin_ready(key),
             Ready::Conn { key, closed, .. } if self.thrift.owns(key) => {
-                let events = self.thrift.ready(self.now, key, closed, &mut self.net, &mut self.due);
+                let events = self.thrift.ready(self.now, key, closed, &mut self.net, &mut self.deadlines);
                 self.on_thrift_events(events);
                 self.close_if_refused(key);
             }
@@ -196,7 +196,7 @@
             }
             Ready::Conn { key, read, write, .. } => {
                 self.upstream.set_bytes_held_elsewhere(self.held_bytes_besides_connections());
-                self.upstream.ready(self.now, key, read, write, &mut self.net, &mut self.due);
+                self.upstream.ready(self.now, key, read, write, &mut self.net, &mut self.deadlines);
             }
         }
     }
@@ -223,23 +223,23 @@
     }
 
     fn on_deadline(&mut self, deadline: ServerDeadline) {
-        let (now, net, due) = (self.now, &mut self.net, &mut self.due);
+        let (now, net, deadlines) = (self.now, &mut self.net, &mut self.deadlines);
         match deadline {
-            ServerDeadline::Core(deadline) => self.core.deadline_passed(now, deadline, due),
-            ServerDeadline::Upstream(deadline) => self.upstream.due(now, deadline, net, due),
-            ServerDeadline::Feed(deadline) => self.feed.deadline_passed(now, deadline, net, due),
+            ServerDeadline::Core(deadline) => self.core.deadline_passed(now, deadline, deadlines),
+            ServerDeadline::Upstream(deadline) => self.upstream.due(now, deadline, net, deadlines),
+            ServerDeadline::Feed(deadline) => self.feed.deadline_passed(now, deadline, net, deadlines),
             ServerDeadline::Thrift(deadline) => {
-                let events = self.thrift.due(now, deadline, net, due);
+                let events = self.thrift.due(now, deadline, net, deadlines);
                 self.on_thrift_events(events);
             }
             ServerDeadline::Signed(deadline) => {
                 let Some(signed) = &mut self.signed else { return };
-                let conn = signed.front.due(now, deadline, net, due);
+                let conn = signed.front.due(now, deadline, net, deadlines);
                 self.write_signed_answers(conn);
             }
             ServerDeadline::Admin(deadline) => {
                 if let Some(admin) = &mut self.admin {
-                    admin.due(now, deadline, net, due);
+                    admin.due(now, deadline, net, deadlines);
                 }
             }
             ServerDeadline::Accept => self.on_accept_timer(),
--- a/src/server/refused_connections.rs
+++ b/src/server/refused_connections.rs
@@ -5,7 +5,7 @@
 use crate::interface::{ClassId, Instant, Span};
 use crate::net::{ConnectionKey, Ready, Reason, Role};
 
-/// At most one line is logged in this time, so that a flood of connections does not flood the log.
+/// The minimum time between two lines, so that a flood of connections does not flood the log.
 const LOG_INTERVAL: Span = Span::from_secs(1);
 
 /// A connection of the Thrift front that was refused. Pings are answered there as anywhere.
@@ -46,18 +46,18 @@
         stays_open: bool,
     ) {
         if role == Role::Thrift {
-            self.thrift.open(self.now, conn, &mut self.due);
+            self.thrift.open(self.now, conn, &mut self.deadlines);
             self.admission.refused.insert(conn, RefusedConnection { retry_after, has_rejected: false });
             self.on_ready(Ready::readable(conn));
             if !stays_open {
-                self.thrift.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+                self.thrift.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
             }
         } else if let Some(signed) = &mut self.signed {
-            signed.front.open(self.now, conn, &mut self.due);
+            signed.front.open(self.now, conn, &mut self.deadlines);
             let seconds = retry_after.as_secs_rounded_up();
-            signed.front.refuse_all(self.now, conn, seconds, &mut self.net, &mut self.due);
+            signed.front.refuse_all(self.now, conn, seconds, &mut self.net, &mut self.deadlines);
             if !stays_open {
-                signed.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+                signed.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
             }
         }
     }
@@ -78,7 +78,7 @@
     /// since its client is about to send a request that would cross the end.
     pub(super) fn close_if_refused(&mut self, conn: ConnectionKey) {
         if self.admission.refused.get(&conn).is_some_and(|refused| refused.has_rejected) {
-            self.thrift.end_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.due);
+            self.thrift.end_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
         }
     }
 }
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -57,7 +57,7 @@
         let share = self.handover.process_share();
         self.budget = ResourceBudget::new(&self.config.limits, share.processes);
         self.upstream.set_limits(self.budget.pool_limits(&self.config.settings.names));
-        self.upstream.trim(self.now, &mut self.net, &mut self.due);
+        self.upstream.trim(self.now, &mut self.net, &mut self.deadlines);
         self.core.set_process_share(share.processes as u32, share.position as u32);
     }
 
@@ -91,6 +91,6 @@
             endpoint.front.reload(signed);
         }
         info!("reloaded: feed {feed}{}", if needs_restart { "; the rest waits for a start" } else { "" });
-        self.feed.move_to(self.now, feed, &mut self.net, &mut self.due);
+        self.feed.move_to(self.now, feed, &mut self.net, &mut self.deadlines);
     }
 }
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -12,14 +12,14 @@
     /// The answer to a request has begun.
     pub(super) fn on_answer_begun(&mut self, request: RequestKey) {
         self.pending.remove(request);
-        self.core.answer_begun(self.now, request, &mut self.due);
+        self.core.answer_begun(self.now, request, &mut self.deadlines);
     }
 
     /// A client has given up a request.
     pub(super) fn on_request_cancelled(&mut self, number: u64) {
         let request = Key::from_number(number);
         self.pending.remove(request);
-        self.core.cancel(self.now, request, &mut self.due);
+        self.core.cancel(self.now, request, &mut self.deadlines);
     }
 
     /// Bytes that the core and pending requests hold, beside connections' buffers.
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -37,7 +37,7 @@
         if self.handover.has_newer() {
             self.stop_accepting();
         } else {
-            self.due.add(self.shutdown_schedule().stop_accepting_at(), ServerDeadline::ShutdownCheck);
+            self.deadlines.add(self.shutdown_schedule().stop_accepting_at(), ServerDeadline::ShutdownCheck);
         }
     }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Closes the listeners. Connections in a listener's queue would be reset with it, so the queue is emptied first, or
-    /// later if there are no descriptors for it.
+    /// Closes the listeners. Connections in a listener's queue would be reset with it, so the queue is emptied first,
+    /// or later if there are no descriptors for it.
     fn stop_accepting(&mut self) {
         for role in [Role::Thrift, Role::Signed] {
             while let Some(conn) = self.accept_one(role) {
@@ -59,7 +59,7 @@
             }
         }
         if self.is_exhausted() && self.now < self.shutdown_schedule().forced_end() {
-            self.due.add(self.now + CHECK_INTERVAL, ServerDeadline::ShutdownCheck);
+            self.deadlines.add(self.now + CHECK_INTERVAL, ServerDeadline::ShutdownCheck);
             return;
         }
         self.listeners.close_clients(&mut self.net);
@@ -71,9 +71,9 @@
         }
         self.thrift.retire();
         if let Some(signed) = &mut self.signed {
-            signed.front.retire(self.now, &mut self.net, &mut self.due);
+            signed.front.retire(self.now, &mut self.net, &mut self.deadlines);
         }
-        self.due.add(self.now, ServerDeadline::ShutdownCheck);
+        self.deadlines.add(self.now, ServerDeadline::ShutdownCheck);
     }
 
     /// Takes the next step of the shutdown, if it is due.
@@ -88,7 +88,7 @@
         if self.may_end() {
             self.phase.stop(self.now);
         } else {
-            self.due.add(self.now + CHECK_INTERVAL, ServerDeadline::ShutdownCheck);
+            self.deadlines.add(self.now + CHECK_INTERVAL, ServerDeadline::ShutdownCheck);
         }
     }
 
@@ -116,7 +116,7 @@
     /// then all connections are closed, since some never fall idle.
     fn answer_all(&mut self) {
         if self.handover.has_newer() {
-            return self.core.time_out_all(self.now, &mut self.due);
+            return self.core.time_out_all(self.now, &mut self.deadlines);
         }
         for conn in self.thrift.connections() {
             self.on_ready(Ready::readable(conn));
@@ -124,12 +124,12 @@
         for _ in 0..MAX_FINAL_TURNS {
             let Some(conn) = self.thrift.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
-            self.core.time_out_all(self.now, &mut self.due);
+            self.core.time_out_all(self.now, &mut self.deadlines);
             self.settle();
         }
-        self.core.time_out_all(self.now, &mut self.due);
+        self.core.time_out_all(self.now, &mut self.deadlines);
         self.settle();
-        let events = self.thrift.end_all(self.now, Reason::Stopping, &mut self.net, &mut self.due);
+        let events = self.thrift.end_all(self.now, Reason::Stopping, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
     }
 
@@ -146,14 +146,14 @@
     pub fn finish(&mut self) {
         self.handover.close(&mut self.net);
         self.federation.finish();
-        self.thrift.stop(self.now, &mut self.net, &mut self.due);
+        self.thrift.stop(self.now, &mut self.net, &mut self.deadlines);
         if let Some(signed) = &mut self.signed {
-            signed.front.stop(self.now, &mut self.net, &mut self.due);
+            signed.front.stop(self.now, &mut self.net, &mut self.deadlines);
         }
         if let Some(admin) = &mut self.admin {
-            admin.stop(self.now, &mut self.net, &mut self.due);
+            admin.stop(self.now, &mut self.net, &mut self.deadlines);
         }
-        self.upstream.stop(self.now, &mut self.net, &mut self.due);
+        self.upstream.stop(self.now, &mut self.net, &mut self.deadlines);
         info!("stopped");
     }
 }
--- a/src/server/signed_endpoint.rs
+++ b/src/server/signed_endpoint.rs
@@ -11,8 +11,9 @@
 
 /// The signed front and what its routes serve.
 pub(super) struct SignedEndpoint {
+    /// The connections and their requests.
     pub front: SignedFront,
-    /// By route number.
+    /// The classes of the routes, by route number.
     pub routes: Vec<RouteClass>,
     /// Makes the trace ids of requests differ from those of other edge proxies.
     trace_id_seed: u64,
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -24,7 +24,7 @@
     /// Handles an event of a connection of the signed front.
     pub(super) fn on_signed_ready(&mut self, conn: ConnectionKey, closed: bool) {
         match self.signed.as_mut().filter(|_| closed) {
-            Some(signed) => signed.front.closed(self.now, conn, &mut self.net, &mut self.due),
+            Some(signed) => signed.front.closed(self.now, conn, &mut self.net, &mut self.deadlines),
             None => self.read_signed_requests(conn),
         }
         self.write_signed_answers(conn);
@@ -38,7 +38,7 @@
             return self.write_signed_answers(conn);
         }
         if let Some(signed) = &mut self.signed {
-            signed.front.finish(self.now, conn, &mut self.net, &mut self.due);
+            signed.front.finish(self.now, conn, &mut self.net, &mut self.deadlines);
             let cancelled = signed.front.take_cancelled();
             cancelled.into_iter().for_each(|number| self.on_request_cancelled(number));
         }
@@ -46,12 +46,14 @@
 
     fn write_ready_answers(&mut self, conn: ConnectionKey) {
         while let Some(signed) = &mut self.signed {
-            let Some(number) = signed.front.next(self.now, conn, &mut self.net, &mut self.due) else { break };
+            let Some(number) = signed.front.next(self.now, conn, &mut self.net, &mut self.deadlines) else {
+                break;
+            };
             let request = Key::from_number(number);
             let Some(answer) = self.core.answer_now(self.now, request) else { break };
             let etags = self.pending.get(request).map(|pending| &pending.etags[..]).unwrap_or_default();
             let answer = translate::http_answer(answer, etags, self.net.unix_time());
-            if !signed.front.begin(self.now, conn, answer, &mut self.net, &mut self.due) {
+            if !signed.front.begin(self.now, conn, answer, &mut self.net, &mut self.deadlines) {
                 break;
             }
             self.on_answer_begun(request);
@@ -60,7 +62,7 @@
 
     fn read_signed_requests(&mut self, conn: ConnectionKey) {
         let Some(signed) = &mut self.signed else { return };
-        let events = signed.front.ready(self.now, conn, &mut self.net, &mut self.due);
+        let events = signed.front.ready(self.now, conn, &mut self.net, &mut self.deadlines);
         events.into_iter().for_each(|event| self.on_signed_request(event));
     }
 
@@ -85,7 +87,7 @@
             timeout,
             authorized_until: Some(expires),
         };
-        let key = self.core.submit(self.now, request, &mut self.due);
+        let key = self.core.submit(self.now, request, &mut self.deadlines);
         signed.front.bind(conn, number, key.number());
         let pending = PendingRequest {
             client: Client::Signed { conn },
--- a/src/server/start.rs
+++ b/src/server/start.rs
@@ -1,5 +1,6 @@
 //! The start of the edge proxy: reads the files, listens, and connects to an older process.
 
+use super::acceptor::AcceptTimer;
 use super::active_config::ActiveConfig;
 use super::admission::AdmissionControl;
 use super::budget::ResourceBudget;
@@ -89,7 +90,7 @@
         let mut server = Self::build(environment, configuration, open_handover)?;
         server.update_process_share();
         server.on_feed_batch(feed_events);
-        server.feed.start(server.now, &mut server.net, &mut server.due);
+        server.feed.start(server.now, &mut server.net, &mut server.deadlines);
         server.log_addresses(&name)?;
         Ok(server)
     }
@@ -125,9 +126,9 @@
             phase: Phase::Accepting,
             pending: PendingRequests::default(),
             listeners,
-            accept_timer: Default::default(),
+            accept_timer: AcceptTimer::default(),
             admission: AdmissionControl::new(admission),
-            due: Deadlines::default(),
+            deadlines: Deadlines::default(),
             clock,
             now,
             net,
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -111,7 +111,7 @@
         let waited = self.now - arrived;
         let timeout = (client_timeout - waited - CLIENT_TO_PROXY).max(MIN_TIMEOUT);
         let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
-        let key = self.core.submit(self.now, submitted, &mut self.due);
+        let key = self.core.submit(self.now, submitted, &mut self.deadlines);
         self.thrift.bind(conn, seqid, key.number());
         let pending = PendingRequest {
             client: Client::Thrift { conn, seqid },
@@ -128,13 +128,14 @@
 
     /// Answers an open call.
     pub(super) fn answer_call(&mut self, conn: ConnectionKey, seqid: i32, reply: ThriftReply) {
-        let events = self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
+        let events = self.thrift.answer(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
     }
 
     /// Answers a call that the front does not track as open.
     fn answer_untracked_call(&mut self, conn: ConnectionKey, seqid: i32, reply: ThriftReply) {
-        let events = self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.due);
+        let events =
+            self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
     }
 }
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -2,10 +2,12 @@
 
 use super::*;
 use crate::config::settings::SiteNames;
-use crate::core::{CachedCopy, FinalAnswer};
+use crate::core::{CachedCopy, FinalAnswer, OutgoingAttempt};
 use crate::interface::{
     AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, RejectionReason, Span, UnixTime,
 };
+use crate::server::pending::{Client, PendingRequest};
+use crate::slots::Key;
 use crate::upstream::lines::WireAnswer;
 use crate::upstream::JobEnd;
 use bytes::Bytes;
@@ -107,12 +109,12 @@
         (answer("500", false), Error),
         (answer("whatever", false), Error),
     ] {
-        let told = matches!(ending, JobEnd::Answer(_));
+        let has_details = matches!(ending, JobEnd::Answer(_));
         let end = attempt_end(ending, &names());
         assert_eq!(end.result, result);
         assert_eq!(
             (end.cache_status, end.fill_wait),
-            if told {
+            if has_details {
                 (Some(CacheStatus::SourceUnreachable), Span::from_micros(12_500))
             } else {
                 (None, Span::ZERO)
@@ -186,3 +188,37 @@
         assert_eq!(said.tag.is_some() || !said.body.is_empty(), served, "{given:?}");
     }
 }
+
+#[test]
+fn an_attempt_is_encoded_in_whole_milliseconds_and_with_one_entity_tag() {
+    let attempt = |max_age| OutgoingAttempt {
+        request: Key::from_number(1),
+        part: 3,
+        fill_source: None,
+        cache_rank: 0,
+        max_age,
+        join_fill: false,
+        only_if_cached: false,
+        bypass_parent_cache: false,
+        stale_while_revalidate: false,
+        timeout: Span::from_micros(900),
+    };
+    let request = |etags: &[&str]| PendingRequest {
+        client: Client::Thrift { conn: Key::from_number(1), seqid: 1 },
+        etags: etags.iter().map(|etag| etag.to_string()).collect(),
+        class: ClassId(1),
+        trace_id: "9b1f03aa5c7e2d41".into(),
+        object_name: "7f3a9c21e0b4d655".into(),
+        idempotency_key: None,
+        body: Bytes::new(),
+    };
+    for (max_age, max_age_ms) in [(Span::ZERO, 0), (Span::from_micros(200), 1), (2 * MS, 2)] {
+        let wire = wire_request(&attempt(max_age), "piece", Some("o-1"), &request(&["a"]));
+        assert_eq!((wire.max_age_ms, wire.timeout_ms), (max_age_ms, 1), "{max_age:?}");
+        assert_eq!((wire.item.as_str(), wire.fill_source.as_deref()), ("7f3a9c21e0b4d655", Some("o-1")));
+    }
+    for (etags, etag) in [(&[][..], None), (&["a"], Some("a")), (&["a", "b"], None)] {
+        let wire = wire_request(&attempt(Span::ZERO), "piece", None, &request(etags));
+        assert_eq!(wire.client_etag.as_deref(), etag, "{etags:?}");
+    }
+}
