--- /dev/null
+++ b/src/server/admin_calls.rs
@@ -0,0 +1,68 @@
+//! The calls of operators on the admin endpoint.
+
+use super::Server;
+use crate::front::admin::{self, AdminAnswer, AdminCall};
+use crate::net::{ConnectionKey, Role};
+
+/// Type of a body in JSON.
+const JSON: &str = "application/json";
+
+/// The answer to an operator's call.
+struct AdminReply {
+    status: u16,
+    content_type: &'static str,
+    body: String,
+}
+
+impl AdminReply {
+    fn text(status: u16, body: impl Into<String>) -> Self {
+        AdminReply { status, content_type: admin::TEXT, body: body.into() }
+    }
+}
+
+impl Server {
+    /// Accepts the callers that wait. Each is read from at once, since its call has usually arrived already.
+    pub(super) fn accept_admin_callers(&mut self) {
+        while let Some(conn) = self.accept_one(Role::Admin) {
+            if let Some(admin) = &mut self.admin {
+                admin.open(self.now, conn, &mut self.net, &mut self.deadlines);
+            }
+            self.on_admin_ready(conn);
+        }
+    }
+
+    /// Answers a caller's call, if it has arrived in full.
+    pub(super) fn on_admin_ready(&mut self, conn: ConnectionKey) {
+        let Some(admin) = &mut self.admin else { return };
+        let Some(call) = admin.on_ready(self.now, conn, &mut self.net, &mut self.deadlines) else { return };
+        let AdminReply { status, content_type, body } = self.answer_admin_call(call);
+        if let Some(admin) = &mut self.admin {
+            let answer = AdminAnswer { status, content_type, body: &body };
+            admin.answer(self.now, conn, answer, &mut self.net, &mut self.deadlines);
+        }
+    }
+
+    /// Whether a connection is an operator's.
+    pub(super) fn is_admin_caller(&self, conn: ConnectionKey) -> bool {
+        self.admin.as_ref().is_some_and(|admin| admin.owns(conn))
+    }
+
+    fn answer_admin_call(&self, call: AdminCall) -> AdminReply {
+        match call {
+            AdminCall::Healthcheck if self.takes_clients() => AdminReply::text(200, "ok\n"),
+            AdminCall::Healthcheck if self.phase.is_shutting_down() => AdminReply::text(503, "stopping\n"),
+            AdminCall::Healthcheck => AdminReply::text(503, "starting\n"),
+            AdminCall::Stats => AdminReply::text(200, self.metrics()),
+            AdminCall::Federation => match self.federation.json() {
+                Some(body) => AdminReply { status: 200, content_type: JSON, body },
+                None => AdminReply { status: 404, content_type: JSON, body: String::new() },
+            },
+        }
+    }
+
+    /// Whether clients should come here: not during a shutdown, and not before there is an endpoint list, without
+    /// which their requests would be rejected.
+    pub(super) fn takes_clients(&self) -> bool {
+        self.endpoints.has_full_list && !self.phase.is_shutting_down()
+    }
+}
--- /dev/null
+++ b/src/server/attempt_encoder.rs
@@ -0,0 +1,41 @@
+//! Encodes attempts for the servers' wire at the moment of their writing.
+
+use super::deadline::ServerDeadline;
+use super::pending::PendingRequests;
+use super::translate;
+use crate::config::settings::ProgramSettings;
+use crate::core::Core;
+use crate::deadlines::Deadlines;
+use crate::interface::Instant;
+use crate::server_names::ServerNames;
+use crate::slots::Key;
+use crate::upstream::lines::WireRequest;
+use crate::upstream::{JobId, RequestEncoder};
+
+/// What the encoding of an attempt needs of the server.
+pub(super) struct AttemptEncoder<'a> {
+    /// The time of the writing.
+    pub now: Instant,
+    /// Says what to write, if the attempt may still be written.
+    pub core: &'a mut Core,
+    /// Names fill sources.
+    pub servers: &'a ServerNames,
+    /// Has the fields of requests that the core does not need.
+    pub pending: &'a PendingRequests,
+    /// Names classes.
+    pub names: &'a ProgramSettings,
+}
+
+impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
+    fn encode(&mut self, job: JobId, deadlines: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
+        let attempt = self.core.write_attempt(self.now, Key::from_number(job.0), deadlines)?;
+        let request = self.pending.get(attempt.request)?;
+        let class = &self.names.class_info(request.class)?.name;
+        let fill_source = attempt.fill_source.and_then(|source| self.servers.name(source));
+        Some(translate::wire_request(&attempt, class, fill_source, request))
+    }
+
+    fn not_written(&mut self, job: JobId) {
+        self.core.attempt_not_written(Key::from_number(job.0));
+    }
+}
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -1,9 +1,18 @@
-//! Tables of what one part's words mean in another's.
+//! Tables of what the messages of one part mean in another.
 
 use super::*;
-use crate::config::settings::ClassInfo;
-use crate::core::CachedCopy;
-use crate::interface::RejectionReason;
+use crate::config::settings::{ClassInfo, ProgramSettings};
+use crate::core::{CachedCopy, FinalAnswer, OutgoingAttempt};
+use crate::front::thrift::SequenceId;
+use crate::interface::{
+    AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, RejectionReason, Span, UnixTime,
+};
+use crate::server::pending::{Client, PendingRequest};
+use crate::slots::Key;
+use crate::upstream::lines::WireAnswer;
+use crate::upstream::JobEnd;
+use bytes::Bytes;
+use std::collections::BTreeMap;
 
 const MS: Span = Span::from_millis(1);
 
@@ -41,14 +50,14 @@
 }
 
 #[test]
-fn a_requests_fields_are_read_as_the_table_says() {
-    let read = form(&fields(&[]), &names()).expect("a form");
+fn request_fields_are_parsed_and_invalid_ones_named() {
+    let read = parse_request(&fields(&[]), &names()).expect("valid");
     assert_eq!((read.class, read.object, read.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
-    assert_eq!((read.group, read.patience, read.seen), (GroupId(17), 1500 * MS, None));
-    let bare =
-        form(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names()).expect("a form");
-    assert_eq!((bare.part, bare.group, bare.seen.as_deref()), (0, GroupId(0), Some("t")));
-    let keyed = form(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("a form");
+    assert_eq!((read.group, read.client_timeout, read.etag), (GroupId(17), 1500 * MS, None));
+    let bare = parse_request(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names())
+        .expect("valid");
+    assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
+    let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("valid");
     assert_eq!((bare.idempotency_key, keyed.idempotency_key.as_deref()), (None, Some("4be0c192-7d")));
     for (name, value) in [
         ("nonce", Some("")),
@@ -73,13 +82,13 @@
         ("set", Some("x")),
         ("set", Some("256")),
     ] {
-        let error = form(&fields(&[(name, value)]), &names()).expect_err("no form");
-        assert!(error.contains(name), "{name} {value:?}: {error}");
+        let error = parse_request(&fields(&[(name, value)]), &names()).expect_err("invalid");
+        assert!(error.to_string().contains(name), "{name} {value:?}: {error}");
     }
 }
 
 #[test]
-fn each_ending_proves_what_the_table_says() {
+fn each_end_on_the_wire_has_its_attempt_result() {
     use AttemptResult::*;
     let answer = |word: &str, dropped| {
         let fields = vec![("tell".into(), "cut_off".into()), ("waited".into(), "12.5".into())];
@@ -104,12 +113,12 @@
         (answer("500", false), Error),
         (answer("whatever", false), Error),
     ] {
-        let told = matches!(ending, JobEnd::Answer(_));
-        let end = end(ending, &names());
+        let has_details = matches!(ending, JobEnd::Answer(_));
+        let end = attempt_end(ending, &names());
         assert_eq!(end.result, result);
         assert_eq!(
             (end.cache_status, end.fill_wait),
-            if told {
+            if has_details {
                 (Some(CacheStatus::SourceUnreachable), Span::from_micros(12_500))
             } else {
                 (None, Span::ZERO)
@@ -119,7 +128,7 @@
 }
 
 #[test]
-fn each_final_answer_has_its_status() {
+fn each_final_answer_has_its_http_status() {
     let copy = |same| CachedCopy {
         body: Bytes::from_static(b"x"),
         etag: "a".into(),
@@ -177,9 +186,43 @@
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
         let served = matches!(given, FinalAnswer::Served(_));
-        let said = answer(given.clone(), &tags, now);
+        let said = http_answer(given.clone(), &tags, now);
         assert_eq!((said.status, said.retry_after), (status, retry_after), "{given:?}");
         assert_eq!(said.age, served.then_some(2), "{given:?}");
         assert_eq!(said.etag.is_some() || !said.body.is_empty(), served, "{given:?}");
     }
 }
+
+#[test]
+fn an_attempt_is_encoded_in_whole_milliseconds_and_with_one_entity_tag() {
+    let attempt = |max_age| OutgoingAttempt {
+        request: Key::from_number(1),
+        part: 3,
+        fill_source: None,
+        cache_rank: 0,
+        max_age,
+        join_fill: false,
+        only_if_cached: false,
+        bypass_parent_cache: false,
+        stale_while_revalidate: false,
+        timeout: Span::from_micros(900),
+    };
+    let request = |etags: &[&str]| PendingRequest {
+        client: Client::Thrift { conn: Key::from_number(1), seqid: SequenceId(1) },
+        etags: etags.iter().map(|etag| etag.to_string()).collect(),
+        class: ClassId(1),
+        trace_id: "9b1f03aa5c7e2d41".into(),
+        object_name: "7f3a9c21e0b4d655".into(),
+        idempotency_key: None,
+        body: Bytes::new(),
+    };
+    for (max_age, max_age_ms) in [(Span::ZERO, 0), (Span::from_micros(200), 1), (2 * MS, 2)] {
+        let wire = wire_request(&attempt(max_age), "piece", Some("o-1"), &request(&["a"]));
+        assert_eq!((wire.max_age_ms, wire.timeout_ms), (max_age_ms, 1), "{max_age:?}");
+        assert_eq!((wire.item.as_str(), wire.fill_source.as_deref()), ("7f3a9c21e0b4d655", Some("o-1")));
+    }
+    for (etags, etag) in [(&[][..], None), (&["a"], Some("a")), (&["a", "b"], None)] {
+        let wire = wire_request(&attempt(Span::ZERO), "piece", None, &request(etags));
+        assert_eq!(wire.client_etag.as_deref(), etag, "{etags:?}");
+    }
+}
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -3,7 +3,7 @@
 use super::agenda::ScheduledEvent;
 use super::*;
 use crate::config::Config;
-use crate::server::{Server, SIBLINGS};
+use crate::server::{Server, ServerLoad, SIBLINGS};
 use std::collections::BTreeSet;
 
 /// A process has ended this long after SIGTERM.
@@ -159,9 +159,9 @@
     /// Checks that a process holds no more than it may.
     fn check_bounds(&mut self, process: ProcessId) {
         let Some(server) = self.processes.running.get(&process) else { return };
-        let (held, open) = server.load();
-        if held > MAX_HELD_BYTES || open > MAX_OPEN_REQUESTS {
-            let text = format!("{held} bytes and {open} requests are held");
+        let ServerLoad { held_bytes, open_requests } = server.load();
+        if held_bytes > MAX_HELD_BYTES || open_requests > MAX_OPEN_REQUESTS {
+            let text = format!("{held_bytes} bytes and {open_requests} requests are held");
             self.rules.breach(self.now, "memory", text);
         }
         let sockets = self.fabric.held(process.0);
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -9,9 +9,10 @@
 use crate::standin::host::{Host, Tier};
 use crate::standin::site::{config, Shape};
 use serde_json::json;
+use std::ops::RangeInclusive;
 
 /// The shortest and the longest delay of a connection, one way.
-const DELAYS: (Span, Span) = (Span::from_millis(1), Span::from_millis(20));
+const DELAYS: RangeInclusive<Span> = Span::from_millis(1)..=Span::from_millis(20);
 /// Keeps the network's random numbers apart from those of the traffic.
 const NETWORK_SALT: u64 = 0x5eed;
 /// The run ends this long after the last request at the earliest.
