--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -89,7 +89,7 @@
                 self.refuse_new_connection(role, conn, why, pause, free);
                 false
             }
-            _ => true,
+            Verdict::Admit => true,
         }
     }
 
