--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -4,7 +4,7 @@
 use dahliatrack::*;
 
 #[test]
-fn routers_name_the_same_parent_for_an_object_and_what_is_held_back_only_looks_there() {
+fn routers_choose_the_same_parent_for_an_object_and_limited_fetches_only_use_its_cache() {
     let source = |seed: u64| {
         let mut router = Router::new(settings(), seed, Instant::ZERO).expect("usable");
         let mut out = Vec::new();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn old_copies_do_while_no_fetch_may_go_out() {
+fn stale_copies_are_served_while_no_fetch_may_start() {
     let mut ageing = settings();
     (ageing.classes[0].fresh_for, ageing.classes[0].stale_for) = (5 * SECOND, 20 * SECOND);
     let (mut bench, out) = slowed(ageing);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_is_not_held_waits_for_a_fetch_to_end_and_is_refused_well_before_its_time() {
+fn a_miss_waits_for_a_fetch_to_end_and_is_rejected_well_before_its_deadline() {
     let (mut bench, out) = slowed(settings());
     let waiting: Vec<FillAttempt> = (300..303).map(|object| bench.get(object)).collect();
     assert!(waiting.iter().all(|get| get.only_if_cached), "what is held is still served");
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn with_many_routers_one_attempt_out_is_no_crowd() {
+fn with_many_routers_one_attempt_in_flight_is_no_overload() {
     let mut told = settings();
     (told.topology.routers, told.topology.routers_by_zone) = (240, vec![8, 0, 232]);
     let small = |server| Endpoint { weight: 4.0, ..member(server, CACHE, 0) };
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn classes_never_kept_pass_their_home_with_rank_0() {
+fn uncached_classes_pass_their_home_with_rank_0() {
     let mut never = settings();
     never.classes[0].uncached = true;
     let mut bench = Bench::new(never, fleet());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_empty_location_refuses_at_once_with_advice_within_the_limit() {
+fn an_empty_location_rejects_at_once_with_a_retry_after_within_the_limit() {
     let mut bench = Bench::new(settings(), vec![member(9, CACHE, 2), member(11, PARENT, 1)]);
     let wait = refused(&bench.ask(7).1).expect("refused");
     assert!(wait > Span::ZERO && wait <= 200 * MS);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_crowded_home_refuses_instead_of_moving_the_object() {
+fn an_overloaded_home_rejects_instead_of_moving_the_object() {
     let mut small = fleet();
     small.iter_mut().for_each(|m| m.weight = 2.0);
     let mut bench = Bench::new(settings(), small);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_class_that_is_never_kept_learns_its_own_time_and_is_not_held_for_a_crowd() {
+fn an_uncached_class_is_judged_by_its_own_time_and_not_as_overload() {
     // Its answers are all filled; when none of them counted, its first guess, a whole target, stayed for
     // good, and writes of a few milliseconds were refused at any cache that had work for its link.
     let mut told = settings();
@@ -181,7 +181,7 @@
 /// red-sucursales, 2026-12-02: its weights are "silent", which means that all are 1; that was read as a link of one
 /// full-pace answer, and 34 to 43 % of the tries were refused as a crowd at idle caches.
 #[test]
-fn a_weight_that_tells_nothing_makes_no_crowd_and_what_links_bear_is_learned() {
+fn weights_that_state_nothing_cause_no_overload_and_link_capacity_is_measured() {
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
     let fleet = || fleet().into_iter().map(one).collect::<Vec<_>>();
     let played = |weighed, bears, each| {
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_drain_told_between_two_attempts_holds_for_server_and_source() {
+fn a_drain_between_two_attempts_holds_for_server_and_source() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     let drains = |server: ServerId, kind, zone| Endpoint {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn a_request_that_must_not_run_twice_is_neither_retried_nor_rejected_once_it_may_have_run() {
     for (result, repeats) in [
         (AttemptResult::Miss, true),
         (AttemptResult::ConnectFailed, true),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_within_its_group_and_window_only() {
+fn a_request_with_an_idempotency_key_is_retried_within_its_scope_and_window_only() {
     let mut keyed = settings();
     (keyed.classes[0].idempotency, keyed.classes[0].dedup_scope) = (Idempotency::WithKey, DedupScope::Cell);
     let mut cells = fleet();
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_streaming_answer_is_neither_doubled_nor_called_off() {
+fn a_streaming_answer_is_neither_hedged_nor_cancelled() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     bench.event(Event::FirstByte { request: get.request, attempt: 0, server: get.server, elapsed: MS });
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn asked_discovery_is_subscribed_to_and_again_after_a_failure() {
+fn polled_discovery_is_subscribed_to_and_again_after_a_failure() {
     let mut asked = settings();
     asked.limits.polls_discovery = true;
     let mut bench = Bench::new(asked, fleet());
@@ -255,7 +255,7 @@
 
 /// Of what is slow for a crowd, a fifth was asked for twice: the crowd grew by it and outlived what had begun it.
 #[test]
-fn further_attempts_stay_a_small_part_of_all() {
+fn retries_stay_a_small_share_of_all_attempts() {
     let mut bench = Bench::new(settings(), fleet());
     let mut further = 0;
     for object in 0..1000 {
@@ -270,7 +270,7 @@
 
 /// Until its first answer a write was taken for as long as its whole target, and refused in every day's first seconds.
 #[test]
-fn a_write_at_the_very_start_is_not_held_for_a_crowd() {
+fn a_write_at_the_start_is_not_rejected_as_overload() {
     let mut told = settings();
     (told.classes[0].uncached, told.classes[0].objective_stretch) = (true, 0.0);
     let mut list = fleet();
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_cache_that_mostly_errs_is_left_with_trials_that_are_no_writes() {
+fn a_cache_that_mostly_errs_gets_probes_only_and_no_writes() {
     // Fast errors kept their place as home: each cost a further attempt, and a write that erred was lost.
     let mut told = settings();
     told.classes.push(Class { idempotency: Idempotency::Never, uncached: true, ..told.classes[0].clone() });
@@ -326,7 +326,7 @@
 
 /// A parent that fails some of its fills was taken again for writes with its next good one, and they were lost.
 #[test]
-fn no_write_goes_by_a_parent_that_failed_of_late() {
+fn no_write_is_filled_by_a_parent_that_failed_recently() {
     let mut told = settings();
     told.classes.push(Class { idempotency: Idempotency::Never, uncached: true, ..told.classes[0].clone() });
     let mut bench = Bench::new(told, fleet());
--- a/tests/policy/popular_directory.rs
+++ b/tests/policy/popular_directory.rs
@@ -24,7 +24,7 @@
 
 /// Delegates named a home that was shut as their source, and each time its trial was put off: it never came back.
 #[test]
-fn a_shut_cache_that_is_home_to_popular_objects_is_no_source_and_gets_its_trial() {
+fn an_ejected_home_of_popular_objects_is_no_source_and_gets_its_probe() {
     let mut bench = Bench::new(settings(), fleet());
     for object in 1..60 {
         bench.popular(object);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_delegate_that_misses_is_none_any_more_and_the_request_goes_home() {
+fn a_delegate_that_misses_ends_and_the_request_goes_home() {
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.popular(7);
     let delegate = bench.get(7);
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_silent_cache_is_left_and_what_waits_there_is_sent_elsewhere() {
+fn a_silent_cache_is_ejected_and_its_attempts_are_retried_elsewhere() {
     let mut bench = Bench::new(settings(), fleet());
     let home = bench.served(7).server;
     let waiting = [bench.get(7), bench.get(7)];
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn where_two_may_be_out_the_second_is_sent_beside_the_first() {
+fn with_parallel_attempts_an_overdue_one_is_hedged() {
     let mut parallel = settings();
     parallel.limits.parallel_attempts = true;
     let mut bench = Bench::new(parallel, fleet());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_silent_parent_is_told_from_its_caches() {
+fn a_silent_parent_is_distinguished_from_its_caches() {
     let mut bench = Bench::new(settings(), fleet());
     let mut waiting = Vec::new();
     for object in 1..40 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_failed_connection_shuts_a_cache_until_a_trial_succeeds() {
+fn a_failed_connection_ejects_a_cache_until_a_probe_succeeds() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     let again = get_of(&bench.end(&get, 0, AttemptResult::ConnectFailed, None)).expect("sent elsewhere");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_slow_origin_is_asked_for_less_and_a_quick_one_for_more_again() {
+fn the_fetch_limit_falls_with_a_slow_origin_and_rises_with_a_fast_one() {
     let at_once = |bench: &mut Bench| {
         let gets: Vec<FillAttempt> =
             (1000..1100).map(|object| bench.get(object)).take_while(|get| !get.only_if_cached).collect();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_slow_hub_parent_is_left_for_a_farther_one() {
+fn a_slow_hub_parent_is_replaced_by_a_farther_one() {
     let mut one = fleet();
     one.retain(|m| m.server.0 != 12);
     one.push(member(13, PARENT, 2));
@@ -207,7 +207,7 @@
 
 /// A client that sends what no cache can use used to get every cache left, and the fills held back.
 #[test]
-fn what_errs_everywhere_is_the_requests_fault_and_counts_against_no_cache() {
+fn errors_everywhere_are_the_requests_fault_and_count_against_no_cache() {
     let mut bench = Bench::new(settings(), fleet());
     for object in 100..200 {
         bench.served(object);
@@ -228,7 +228,7 @@
 
 /// With its share of the objects small while it is left, a cache waited for its trial for many seconds.
 #[test]
-fn a_cache_that_was_left_has_its_trial_with_the_next_of_its_own_objects() {
+fn an_ejected_cache_is_probed_with_the_next_of_its_own_objects() {
     let mut bench = Bench::new(settings(), fleet());
     let (home, own) = (bench.served(7).server, 7);
     let get = bench.get(own);
@@ -240,7 +240,7 @@
 
 /// With caches replaced all day long, what is kept of each that has gone would grow for good.
 #[test]
-fn a_server_that_is_gone_is_forgotten_once_nothing_is_out_there() {
+fn a_removed_server_is_forgotten_once_nothing_is_in_flight_there() {
     let mut bench = Bench::new(settings(), fleet());
     let get = bench.get(7);
     let home = fleet().into_iter().find(|m| m.server == get.server).expect("it is listed");
@@ -256,7 +256,7 @@
 /// Where all answers take long for a while (a shared link is full), two that are out as long as others were are no sign
 /// that their cache is silent: each such closing moved homes and made more fills (500 in a calm day of 25 s).
 #[test]
-fn what_takes_no_longer_than_others_did_is_not_silent() {
+fn attempts_within_the_usual_time_do_not_make_a_cache_silent() {
     let mut bench = Bench::new(settings(), fleet());
     let answer = |bench: &mut Bench, get: &FillAttempt, elapsed| {
         let (request, server) = (get.request, get.server);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn one_four_and_many_routers_keep_a_cold_servers_budget_and_use_it() {
+fn one_four_and_many_routers_keep_a_warming_servers_budget_and_use_it() {
     for routers in [1, 4, 240] {
         let cold = |server, kind, zone| Endpoint {
             started_at: Some(Instant::ZERO),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_than_its_budget_within_a_span() {
+fn a_warming_cache_gets_no_more_than_its_budget_within_a_window() {
     let mut cold = member(1, CACHE, 0);
     (cold.started_at, cold.weight) = (Some(Instant::ZERO), 10.0);
     let mut bench = Bench::new(settings(), vec![cold, member(21, ORIGIN, 1)]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_cold_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
+fn a_warming_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
     let mut cold = member(11, PARENT, 1);
     (cold.started_at, cold.weight) = (Some(Instant::ZERO), 20.0);
     let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), cold, member(12, PARENT, 1)]);
@@ -89,7 +89,7 @@
 
 /// Two processes of one router would else spend a cold cache's budget twice.
 #[test]
-fn processes_that_serve_as_one_router_share_a_cold_caches_budget() {
+fn processes_that_serve_as_one_router_share_a_warming_caches_budget() {
     let sent = |processes: u32| -> usize {
         let mut list = fleet();
         list.retain(|m| m.kind != CACHE || m.server == ServerId(1));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_whole_fleet_keeps_a_cold_servers_budget_however_unequal_its_routers_are() {
+fn the_whole_fleet_keeps_a_warming_servers_budget_however_unequal_its_routers_are() {
     for routers in [5, 20, 30] {
         for (case, fleet) in cold_fleets(routers, false).iter().enumerate() {
             for seed in 0..5 {
