--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -127,7 +127,7 @@
     }
 
     fn fail(&mut self, now: Instant, request: RequestId) {
-        let late = self.is_timed_out(now, request);
-        self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { late });
+        let timed_out = self.is_timed_out(now, request);
+        self.choose_answer(Key::from_number(request.0), FinalAnswer::Failed { timed_out });
     }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -53,7 +53,7 @@
     /// Failed; it may have run.
     Failed {
         /// Whether its deadline had passed.
-        late: bool,
+        timed_out: bool,
     },
     /// The client's credential expired before the answer began.
     Denied,
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -115,7 +115,7 @@
         }
         self.run_router(now, deadlines);
         if self.is_open(key) {
-            self.choose_answer(key, FinalAnswer::Failed { late: true });
+            self.choose_answer(key, FinalAnswer::Failed { timed_out: true });
             self.abandon_request(now, key, deadlines);
         }
     }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -223,7 +223,7 @@
                 reason: RejectionReason::DeadlineExceeded,
             },
         ),
-        (1, true, FinalAnswer::Failed { late: true }),
+        (1, true, FinalAnswer::Failed { timed_out: true }),
         (
             1,
             false,
@@ -264,7 +264,7 @@
         let (words, _) = bench.commands();
         assert_eq!(words, [if again { "send" } else { "answer" }], "{result:?}");
         if !again {
-            assert_eq!(bench.take(at(9 * MS), request), Some(FinalAnswer::Failed { late: false }));
+            assert_eq!(bench.take(at(9 * MS), request), Some(FinalAnswer::Failed { timed_out: false }));
         }
     }
 }
@@ -504,7 +504,7 @@
         bench.pass(at(3 * SECOND));
         let answer = bench.take(at(3 * SECOND), request);
         match written {
-            true => assert_eq!(answer, Some(FinalAnswer::Failed { late: true })),
+            true => assert_eq!(answer, Some(FinalAnswer::Failed { timed_out: true })),
             false => {
                 assert!(matches!(answer, Some(FinalAnswer::Rejected { timed_out: true, .. })), "{answer:?}")
             }
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -90,7 +90,7 @@
 
     fn answer_invalid_request(&mut self, call: CallId, class: Option<ClassId>, invalid: &InvalidRequest) {
         if let Some(class) = class {
-            self.core.count_answer(class, &FinalAnswer::Failed { late: false });
+            self.core.count_answer(class, &FinalAnswer::Failed { timed_out: false });
         }
         let (name, text) = ("invoke".into(), invalid.to_string());
         let reply = ThriftReply::Exception { name, kind: ExceptionKind::ProtocolError, text };
--- a/src/server/translate/answers.rs
+++ b/src/server/translate/answers.rs
@@ -21,7 +21,7 @@
 pub(in crate::server) fn http_answer(answer: FinalAnswer, etags: &[String], now: UnixTime) -> HttpAnswer {
     match answer {
         FinalAnswer::Served(copy) => served(copy, etags, now),
-        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { late: true } => {
+        FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { timed_out: true } => {
             HttpAnswer::bare(504)
         }
         FinalAnswer::Rejected { retry_after, .. } => {
@@ -29,7 +29,7 @@
             let seconds = retry_after.as_secs_rounded_up();
             HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
         }
-        FinalAnswer::Failed { late: false } => HttpAnswer::bare(502),
+        FinalAnswer::Failed { timed_out: false } => HttpAnswer::bare(502),
         FinalAnswer::Denied => HttpAnswer::bare(403),
     }
 }
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -180,8 +180,8 @@
             504,
             None,
         ),
-        (FinalAnswer::Failed { late: true }, &[], 504, None),
-        (FinalAnswer::Failed { late: false }, &[], 502, None),
+        (FinalAnswer::Failed { timed_out: true }, &[], 504, None),
+        (FinalAnswer::Failed { timed_out: false }, &[], 502, None),
         (FinalAnswer::Denied, &["a"], 403, None),
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -137,7 +137,7 @@
 }
 
 impl Links {
-    /// Asks for `each` new objects in every 100 ms of `span`; how many were asked for and how many refused as a crowd.
+    /// Asks for `each` new objects in every 100 ms of `span`; how many requests there were, and how many were rejected as overload.
     fn play(&mut self, bench: &mut Bench, span: Span, each: u64) -> (usize, usize) {
         const SENDING: Span = Span::from_millis(400);
         let (mut asked, mut refused, until) = (0, 0, bench.now + span);
@@ -179,7 +179,7 @@
 }
 
 /// red-sucursales, 2026-12-02: its weights are "silent", which means that all are 1; that was read as a link of one
-/// full-pace answer, and 34 to 43 % of the tries were refused as a crowd at idle caches.
+/// full-pace answer, and 34 to 43 % of the tries were rejected as overload at idle caches.
 #[test]
 fn weights_that_state_nothing_cause_no_overload_and_link_capacity_is_measured() {
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -253,7 +253,7 @@
     assert_eq!(run(), run());
 }
 
-/// Of what is slow for a crowd, a fifth was asked for twice: the crowd grew by it and outlived what had begun it.
+/// Under overload a fifth of the slow requests was retried: the overload grew by it and outlived its cause.
 #[test]
 fn retries_stay_a_small_share_of_all_attempts() {
     let mut bench = Bench::new(settings(), fleet());
--- a/tests/policy/popular_directory.rs
+++ b/tests/policy/popular_directory.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Delegates named a home that was shut as their source, and each time its trial was put off: it never came back.
+/// Delegates used to name an ejected home as their source, which postponed its probe each time: it never came back.
 #[test]
 fn an_ejected_home_of_popular_objects_is_no_source_and_gets_its_probe() {
     let mut bench = Bench::new(settings(), fleet());
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -97,7 +97,7 @@
     assert_ne!(again.server, get.server);
     assert_ne!(bench.served(7).server, get.server);
     bench.now += SECOND;
-    // Its share is small while it is late, so the trial comes with some other object.
+    // Its share of objects is small while its latency deviates, so the probe comes with another object.
     let trial = (300..900).map(|object| bench.get(object)).find(|g| g.server == get.server);
     let trial = trial.expect("one trial");
     assert!((900..1200).all(|object| bench.get(object).server != get.server), "one at a time");
@@ -205,7 +205,7 @@
     assert!((460..500).all(|object| bench.get(object).server != home));
 }
 
-/// A client that sends what no cache can use used to get every cache left, and the fills held back.
+/// A client that sends requests that no cache can serve used to get every cache ejected, and the fetch limit lowered.
 #[test]
 fn errors_everywhere_are_the_requests_fault_and_count_against_no_cache() {
     let mut bench = Bench::new(settings(), fleet());
@@ -226,7 +226,7 @@
     assert!((200..300).all(|object| !bench.served(object).only_if_cached), "and fills go on");
 }
 
-/// With its share of the objects small while it is left, a cache waited for its trial for many seconds.
+/// With its share of the objects small while it is ejected, a cache waited for its probe for many seconds.
 #[test]
 fn an_ejected_cache_is_probed_with_the_next_of_its_own_objects() {
     let mut bench = Bench::new(settings(), fleet());
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! The budget of cold servers, by all routers together.
+//! Slow start: the budget of warming servers, kept by all routers together.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -11,8 +11,8 @@
     Settings { topology, ..settings.clone() }
 }
 
-/// Plays routers that share a cold server for ten seconds; what reached it, by time in ms.
-fn sent_cold(routers: u32, list: &[Endpoint], cold: u32, source: bool) -> Vec<i64> {
+/// Plays routers that share a warming server for ten seconds; returns the times (ms) of the requests that reached it.
+fn sent_while_warming(routers: u32, list: &[Endpoint], warming: u32, source: bool) -> Vec<i64> {
     let mut told = settings();
     told.topology.routers = routers;
     told.topology.routers_by_zone = vec![routers, 0, 0];
@@ -24,7 +24,7 @@
             bench.now = Instant::ZERO + step * 250 * MS + ordinal as i64 % 250 * MS;
             let (_, actions) = bench.ask(1 + step as u64 * 1000 + ordinal as u64);
             let Some(get) = get_of(&actions) else { continue };
-            if get.server.0 == cold || (source && get.source.0 == cold) {
+            if get.server.0 == warming || (source && get.source.0 == warming) {
                 sent.push((bench.now - Instant::ZERO) / MS);
             }
             bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
@@ -33,7 +33,7 @@
     sent
 }
 
-/// Most seconds of sending (0.1 s a request) in any span of a second, over what a cold server bears then.
+/// Most seconds of sending (0.1 s a request) in any span of a second, over what a warming server can take then.
 fn most_of_the_budget(sent: &[i64], floor: f64, weight: f64) -> f64 {
     let in_span = |from: i64| sent.iter().filter(|at| (from..from + 1000).contains(*at)).count() as f64;
     let bears = |from: i64| 2.0 * weight * (floor + (1.0 - floor) * from as f64 / 10_000.0);
@@ -43,22 +43,23 @@
 #[test]
 fn one_four_and_many_routers_keep_a_warming_servers_budget_and_use_it() {
     for routers in [1, 4, 240] {
-        let cold = |server, kind, zone| Endpoint {
+        let warming = |server, kind, zone| Endpoint {
             started_at: Some(Instant::ZERO),
             weight: 10.0,
             ..member(server, kind, zone)
         };
         let parents =
-            [member(1, CACHE, 0), cold(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)];
-        let sent = sent_cold(routers, &parents, 11, true);
+            [member(1, CACHE, 0), warming(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)];
+        let sent = sent_while_warming(routers, &parents, 11, true);
         let most = most_of_the_budget(&sent, 0.1, 10.0);
         assert!(
             !sent.is_empty() && most <= 1.0,
             "parent, {routers} routers: {} sends, {most:.2}",
             sent.len()
         );
-        let caches = [cold(1, CACHE, 0), member(2, CACHE, 0), member(11, PARENT, 1), member(21, ORIGIN, 1)];
-        let sent = sent_cold(routers, &caches, 1, false);
+        let caches =
+            [warming(1, CACHE, 0), member(2, CACHE, 0), member(11, PARENT, 1), member(21, ORIGIN, 1)];
+        let sent = sent_while_warming(routers, &caches, 1, false);
         let most = most_of_the_budget(&sent, 0.25, 10.0);
         assert!(!sent.is_empty() && most <= 1.0, "cache, {routers} routers: {} sends, {most:.2}", sent.len());
     }
@@ -66,9 +67,9 @@
 
 #[test]
 fn a_warming_cache_gets_no_more_than_its_budget_within_a_window() {
-    let mut cold = member(1, CACHE, 0);
-    (cold.started_at, cold.weight) = (Some(Instant::ZERO), 10.0);
-    let mut bench = Bench::new(settings(), vec![cold, member(21, ORIGIN, 1)]);
+    let mut warming = member(1, CACHE, 0);
+    (warming.started_at, warming.weight) = (Some(Instant::ZERO), 10.0);
+    let mut bench = Bench::new(settings(), vec![warming, member(21, ORIGIN, 1)]);
     // 2 x (0.25 of 10) transfers x 1 s = 5 s of sending may reach it; means start at the target, 0.6 s.
     let sent = (0..100).filter(|object| get_of(&bench.ask(100 + object).1).is_some()).count();
     assert!((1..=50).contains(&sent), "{sent} of 0.1 s each");
@@ -79,15 +80,15 @@
 
 #[test]
 fn a_warming_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
-    let mut cold = member(11, PARENT, 1);
-    (cold.started_at, cold.weight) = (Some(Instant::ZERO), 20.0);
-    let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), cold, member(12, PARENT, 1)]);
+    let mut warming = member(11, PARENT, 1);
+    (warming.started_at, warming.weight) = (Some(Instant::ZERO), 20.0);
+    let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), warming, member(12, PARENT, 1)]);
     let named = (0..400).filter(|object| bench.served(*object).source.0 == 11).count();
     // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at the most, each fill 0.1 s and more.
     assert!(named > 0 && named <= 20, "{named}");
 }
 
-/// Two processes of one router would else spend a cold cache's budget twice.
+/// Two processes of one router would else spend a warming cache's budget twice.
 #[test]
 fn processes_that_serve_as_one_router_share_a_warming_caches_budget() {
     let sent = |processes: u32| -> usize {
@@ -105,16 +106,16 @@
     assert!(shared > 0 && 2 * shared <= alone, "{alone} alone, {shared} shared");
 }
 
-/// What a fleet sends to one server that is cold: each router's requests come as a Poisson stream of its own, and the
+/// What a fleet sends to one server that is warming up: each router's requests come as a Poisson stream of its own, and the
 /// first sees several times the mean, as an edge proxy of a busy location does.
-struct ColdFleet {
+struct WarmingFleet {
     routers: u32,
     /// The server, whether as a cache or as the source of fills.
     server: Endpoint,
     /// When it starts, or joins, and when a burst comes.
     starts: Instant,
     burst: Instant,
-    /// Each router is told that it is the only one.
+    /// Each router is configured as if it were the only one.
     undivided: bool,
 }
 
@@ -122,7 +123,7 @@
 /// A request's sending time, s: 100 KB at 1000 KB/s.
 const SENDING: f64 = 0.1;
 
-impl ColdFleet {
+impl WarmingFleet {
     /// The times of what reaches the server, in order.
     fn sends(&self, seed: u64) -> Vec<Instant> {
         let count = if self.undivided { 1 } else { self.routers };
@@ -130,10 +131,10 @@
         fleet_settings.topology.routers = count;
         fleet_settings.topology.routers_by_zone = vec![count, 0, 0];
         let told = |ordinal| with_ordinal(&fleet_settings, if self.undivided { 0 } else { ordinal });
-        let cold = Endpoint { started_at: Some(self.starts), ..self.server };
+        let warming = Endpoint { started_at: Some(self.starts), ..self.server };
         let mut list = fleet();
-        list.retain(|known| known.server != cold.server && known.kind != cold.kind);
-        list.push(Endpoint { server: ServerId(cold.server.0 + 1), started_at: None, ..cold });
+        list.retain(|known| known.server != warming.server && known.kind != warming.kind);
+        list.push(Endpoint { server: ServerId(warming.server.0 + 1), started_at: None, ..warming });
         let mut sends = Vec::new();
         for ordinal in 0..self.routers {
             let mut random = ChaCha8Rng::seed_from_u64(seed << 8 | u64::from(ordinal));
@@ -149,12 +150,12 @@
                     break;
                 }
                 if !listed && bench.now >= self.starts {
-                    bench.list(ListUpdate::Delta, vec![cold]);
+                    bench.list(ListUpdate::Delta, vec![warming]);
                     listed = true;
                 }
                 let (_, actions) = bench.ask(random.random_range(0..10_000));
                 let Some(get) = get_of(&actions) else { continue };
-                if get.server == cold.server || get.source == cold.server {
+                if get.server == warming.server || get.source == warming.server {
                     sends.push(bench.now);
                 }
                 bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
@@ -174,7 +175,7 @@
         let SlowStartRules { initial_share: share, full_after: warm, overload_multiple: multiple } =
             slow_start;
         let sends = self.sends(seed);
-        assert!(!sends.is_empty(), "it is used while it is cold");
+        assert!(!sends.is_empty(), "it is used while it warms up");
         let over = |from: &Instant| {
             let warmth = share
                 + (1.0 - share) * from.saturating_since(self.starts).as_micros_f64() / warm.as_micros_f64();
@@ -187,13 +188,13 @@
     }
 }
 
-/// Caches that join or come back cold, and parents that are asked for fills, under a burst.
-fn cold_fleets(routers: u32, undivided: bool) -> Vec<ColdFleet> {
+/// Caches that join or restart, and parents that fill, under a burst.
+fn warming_fleets(routers: u32, undivided: bool) -> Vec<WarmingFleet> {
     let cache = Endpoint { weight: 1.0, ..member(1, CACHE, 0) };
     let parent = Endpoint { weight: 2.0, ..member(11, PARENT, 1) };
     let with = |server, starts, burst| {
         let (starts, burst) = (Instant::ZERO + starts, Instant::ZERO + burst);
-        ColdFleet { routers, server, starts, burst, undivided }
+        WarmingFleet { routers, server, starts, burst, undivided }
     };
     vec![
         with(cache, Span::ZERO, 2 * SECOND),
@@ -206,7 +207,7 @@
 #[test]
 fn the_whole_fleet_keeps_a_warming_servers_budget_however_unequal_its_routers_are() {
     for routers in [5, 20, 30] {
-        for (case, fleet) in cold_fleets(routers, false).iter().enumerate() {
+        for (case, fleet) in warming_fleets(routers, false).iter().enumerate() {
             for seed in 0..5 {
                 let excess = fleet.excess(seed);
                 assert!(excess <= 0.0, "{routers} routers, case {case}, seed {seed}: {excess:.1} calls over");
@@ -219,7 +220,7 @@
 #[test]
 fn a_budget_that_is_not_divided_is_exceeded() {
     for routers in [5, 20, 30] {
-        for (case, fleet) in cold_fleets(routers, true).iter().enumerate() {
+        for (case, fleet) in warming_fleets(routers, true).iter().enumerate() {
             let worst = (0..5).map(|seed| fleet.excess(seed)).fold(f64::MIN, f64::max);
             assert!(worst > 0.0, "{routers} routers, case {case}: {worst:.1}");
         }
