--- a/src/config/key_paths/tests.rs
+++ b/src/config/key_paths/tests.rs
@@ -4,7 +4,7 @@
 
 /// A class that need not have a key was taken for one of a file cut off, where all classes before it had the key.
 #[test]
-fn keys_that_may_be_absent_are_not_missed() {
+fn optional_keys_are_not_reported_as_missing() {
     let keys = |text: &str| key_paths(&serde_json::from_str(text).expect("JSON"));
     let all = keys(r#"{"admin": 1, "grades": [{"name": 1, "aim_stretch": 2}]}"#);
     let fewer = keys(r#"{"grades": [{"name": 1, "aim_stretch": 2}, {"name": 1}]}"#);
--- a/src/expect/decisions.rs
+++ b/src/expect/decisions.rs
@@ -1,4 +1,4 @@
-//! What the decision module decided in one exploration.
+//! The decisions of the decision module in one exploration.
 
 use super::expectation::Answer;
 use crate::interface::{ObjectId, ServerId};
@@ -11,15 +11,15 @@
     pub request: usize,
     /// The attempt's number, from 0.
     pub attempt: u8,
-    /// Who is asked.
+    /// The server that gets the attempt.
     pub server: ServerId,
-    /// Who fills a miss, if anybody.
+    /// The server that fills a miss, if one does.
     pub source: Option<ServerId>,
-    /// The rank at which a copy is kept; 0: none is.
+    /// The rank at which a copy is cached; 0: none is.
     pub rank: u8,
 }
 
-/// What one exploration asked, and what the module decided.
+/// The requests of one exploration, and the module's decisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
     /// The object of each request, by number.
@@ -28,7 +28,7 @@
     pub judged_from: usize,
     /// The attempts, in the order of decision.
     pub decisions: Vec<Decision>,
-    /// The final answer of each request; `None`: it got none within half a minute.
+    /// The final answer of each request; `None`: it got none before the exploration ended.
     pub answers: Vec<Option<Answer>>,
 }
 
--- a/src/expect/expectation.rs
+++ b/src/expect/expectation.rs
@@ -1,10 +1,13 @@
 //! Expectations, the scenarios they hold under, and the rules they are made of.
 
-use super::site::Selector;
+use super::selector::Selector;
 use crate::config::located::{Located, Place};
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
 
-/// How widely the decision module is asked.
+/// The maximum of seeds.
+pub const MAX_SEEDS: u64 = 1000;
+
+/// How many questions the decision module is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Breadth {
     /// The first seed.
@@ -26,7 +29,7 @@
 /// A file of expectations, all names resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suite {
-    /// How widely to ask.
+    /// How many questions to ask.
     pub breadth: Breadth,
     /// The expectations, in the file's order.
     pub expectations: Vec<Expectation>,
@@ -56,52 +59,52 @@
 /// What must hold for every request that is asked about.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rule {
-    /// Whoever is asked is one of these; a class that is never kept may be carried by another to where it runs.
+    /// All attempts go to these; those of an uncached class may pass through another server to the origin.
     GoesTo(Vec<Selector>),
-    /// None of these is asked.
+    /// No attempt goes to these.
     NeverGoesTo(Vec<Selector>),
     /// A miss is filled from one of these.
     FillsFrom(Vec<Selector>),
     /// No miss is filled from one of these.
     NeverFillFrom(Vec<Selector>),
     /// The final answer.
-    Final(Answer),
-    /// Most attempts for one request.
-    AttemptsAtMost(u64),
-    /// Most caches that one object's requests go to.
-    CachesAtMost(u64),
-    /// The least rank at which a copy is kept.
-    RankAtLeast(u64),
-    /// The greatest rank at which a copy is kept; 0: no copy is.
-    RankAtMost(u64),
-    /// The greatest part of the objects that have one cache as their home.
-    ShareAtMost(f64),
-    /// The greatest part of the objects whose home changes though it is still ready.
-    MovesAtMost(f64),
+    Answer(Answer),
+    /// The maximum of attempts for one request.
+    MaxAttempts(u64),
+    /// The maximum of caches that serve one object's requests.
+    MaxCaches(u64),
+    /// The minimum rank at which a copy is cached.
+    MinRank(u64),
+    /// The maximum rank at which a copy is cached; 0: no copy is.
+    MaxRank(u64),
+    /// The maximum share of the objects that have one cache as their home.
+    MaxHomeShare(f64),
+    /// The maximum share of the objects whose home changes though it is still ready.
+    MaxMigratedShare(f64),
     /// No fills of one object go in a circle.
     Acyclic,
 }
 
 impl Rule {
-    /// Whether it is about which servers are asked or fill misses.
+    /// Whether it restricts which servers get attempts or fill misses.
     pub fn is_about_servers(&self) -> bool {
         matches!(self, Rule::GoesTo(_) | Rule::NeverGoesTo(_) | Rule::FillsFrom(_) | Rule::NeverFillFrom(_))
     }
 
-    /// The rule's word in the file.
+    /// The rule's key in the file.
     pub fn word(&self) -> &'static str {
         match self {
             Rule::GoesTo(_) => "goes_to",
             Rule::NeverGoesTo(_) => "never_goes_to",
             Rule::FillsFrom(_) => "fills_from",
             Rule::NeverFillFrom(_) => "never_fill_from",
-            Rule::Final(_) => "answer",
-            Rule::AttemptsAtMost(_) => "attempts_at_most",
-            Rule::CachesAtMost(_) => "caches_at_most",
-            Rule::RankAtLeast(_) => "rank_at_least",
-            Rule::RankAtMost(_) => "rank_at_most",
-            Rule::ShareAtMost(_) => "share_at_most",
-            Rule::MovesAtMost(_) => "moves_at_most",
+            Rule::Answer(_) => "answer",
+            Rule::MaxAttempts(_) => "attempts_at_most",
+            Rule::MaxCaches(_) => "caches_at_most",
+            Rule::MinRank(_) => "rank_at_least",
+            Rule::MaxRank(_) => "rank_at_most",
+            Rule::MaxHomeShare(_) => "share_at_most",
+            Rule::MaxMigratedShare(_) => "moves_at_most",
             Rule::Acyclic => "acyclic",
         }
     }
@@ -113,38 +116,47 @@
     /// Served.
     Served,
     /// Rejected: a retry is harmless.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
 }
 
 impl Answer {
-    /// The answer's word.
+    /// The answer's name in the file.
     pub fn word(self) -> &'static str {
         match self {
             Answer::Served => "served",
-            Answer::Refused => "refused",
+            Answer::Rejected => "refused",
             Answer::Failed => "failed",
         }
     }
 }
 
+/// A server's weight in a scenario.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Reweighting {
+    /// The server.
+    pub server: ServerId,
+    /// Its weight.
+    pub weight: f64,
+}
+
 /// What happens to the site between the requests before and those that are judged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
     /// In words; empty where nothing happens.
     pub label: String,
-    /// Told to drain.
+    /// Draining.
     pub drained: Vec<ServerId>,
     /// Removed from the list.
     pub removed: Vec<ServerId>,
-    /// Still listed, but nobody is there: no connection comes up.
+    /// Still listed, but every connection to them fails.
     pub down: Vec<ServerId>,
-    /// Started anew just now.
+    /// Restarted at this moment, without copies.
     pub cold: Vec<ServerId>,
-    /// Given another weight.
-    pub reweighted: Vec<(ServerId, f64)>,
-    /// Whether part of the edge proxies have not heard of it: both views are in force.
+    /// Listed with another weight.
+    pub reweighted: Vec<Reweighting>,
+    /// Whether some edge proxies still have the endpoint list of before: both lists are in use.
     pub late: bool,
 }
 
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -1,8 +1,8 @@
-//! Asks the decision module what it would do: a [`Router`] on a clock of its own, given the list, requests, and
-//! the endings of its attempts in a world where some servers are not there. No socket, no thread, no real time.
+//! Asks the decision module what it would do: a [`Router`] on a virtual clock gets the endpoint list, requests, and
+//! the results of its attempts in a world where some servers are down. No socket, no thread, no real time.
 
 use super::decisions::Trace;
-use super::expectation::Scenario;
+use super::expectation::{Reweighting, Scenario};
 use super::site::Site;
 use super::world::{Next, World};
 use crate::interface::{
@@ -12,19 +12,19 @@
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 
-/// The time between two requests: none crowds, and what was asked for has come.
+/// The time between two requests, in which the first one is answered.
 const REQUEST_INTERVAL: Span = Span::from_millis(100);
-/// An exploration goes on for this long after the last request.
-const AFTERWARDS: Span = Span::from_secs(30);
-/// Asked for first, so that the module has seen how long an answer of the class takes by itself. Without that it would
-/// take whichever cache has answered least for the slowest one.
+/// How long an exploration continues after the last request.
+const AFTER_LAST_REQUEST: Span = Span::from_secs(30);
+/// Requested first, so that the module has measured how long an answer of the class takes. Without that it would
+/// consider the cache with the fewest answers the slowest.
 const PRIMER: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
 /// Requests for the primer.
 const PRIMER_REQUESTS: usize = 2;
-/// The most events of one exploration: more mean that something goes in a circle.
+/// Events of one exploration, against an endless loop.
 const MAX_EVENTS: usize = 2_000_000;
 
-/// What is asked for in one exploration.
+/// The requests of one exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
     /// The point whose edge proxy decides.
@@ -33,13 +33,13 @@
     pub class: ClassId,
     /// The objects.
     pub objects: &'a [ObjectId],
-    /// How often each is asked for, before the change and after it.
+    /// Requests for each, before the change and after it.
     pub repeats: usize,
     /// The seed of the module's random choices.
     pub seed: u64,
 }
 
-/// The list as it stands once a scenario's change was told.
+/// The endpoint list after a scenario's change.
 pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
     let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
@@ -48,7 +48,7 @@
     for server in &scenario.cold {
         change(server, &|member| member.started_at = Some(site.now));
     }
-    for (server, weight) in &scenario.reweighted {
+    for Reweighting { server, weight } in &scenario.reweighted {
         change(server, &|member| member.weight = *weight);
     }
     for server in &scenario.drained {
@@ -75,7 +75,7 @@
         removed: kept(&scenario.removed),
         down: kept(&scenario.down),
         cold: kept(&scenario.cold),
-        reweighted: scenario.reweighted.iter().filter(|(server, _)| counts(server)).copied().collect(),
+        reweighted: scenario.reweighted.iter().filter(|changed| counts(&changed.server)).copied().collect(),
         late: scenario.late,
     };
     // With nothing to be late about, all views are one.
@@ -110,7 +110,7 @@
     Ok(world.into_trace())
 }
 
-/// Applies a scenario's change to the world; returns what the router hears of it.
+/// Applies a scenario's change to the world; returns the router's event.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
     let servers = changed(site, scenario).into_values();
     let is_new = |member: &Endpoint| site.servers.get(&member.server) != Some(member);
@@ -119,12 +119,12 @@
     Event::EndpointList { update: ListUpdate::Delta, endpoints: entries }
 }
 
-/// When what is asked, in one exploration.
+/// The times of one exploration.
 struct Plan<'a> {
     asked: Asked<'a>,
     /// When the router starts.
     start: Instant,
-    /// When the scenario's change comes: at the site's `now`, so that a cold start is one of this moment.
+    /// When the scenario's change comes: at the site's `now`, which is when its cold servers start.
     change: Instant,
     end: Instant,
 }
@@ -137,11 +137,11 @@
             asked,
             start: change - phase - 4 * REQUEST_INTERVAL,
             change,
-            end: change + REQUEST_INTERVAL + phase + AFTERWARDS,
+            end: change + REQUEST_INTERVAL + phase + AFTER_LAST_REQUEST,
         }
     }
 
-    /// The objects of one phase, in the order in which they are asked for.
+    /// The objects of one phase, in the order of their requests.
     fn phase(&self) -> impl Iterator<Item = ObjectId> + '_ {
         let objects = self.asked.objects.iter();
         objects.flat_map(|object| std::iter::repeat_n(*object, self.asked.repeats))
--- a/src/expect/language.rs
+++ b/src/expect/language.rs
@@ -3,46 +3,72 @@
 mod rules;
 mod scenarios;
 
-use super::expectation::{Breadth, Expectation, Scenario, Suite};
-use super::site::{Selector, Site};
+use super::expectation::{Breadth, Expectation, Scenario, Suite, MAX_SEEDS};
+use super::selector::Selector;
+use super::site::Site;
 use crate::config::located::{Doc, DocError, Located, Place, Reader};
 use crate::interface::{ClassId, ZoneId};
-use hcl_edit::structure::Block;
+use hcl_edit::structure::{Block, Body};
+
+const MAX_OBJECTS: u64 = 4000;
+const MIN_REPEATS: u64 = 2;
+const MAX_REPEATS: u64 = 1000;
 
 /// Reads a file of expectations against a site.
 ///
 /// # Errors
 ///
-/// Text that is not HCL, or all that the expectations name wrongly: keys, values, and points, classes and servers
-/// that the site does not have. Each names its line and column.
+/// Text that is not HCL, or every block that cannot be used: unknown keys, values out of range, and points, classes
+/// and servers that the site does not have. Each error names its line and column.
 pub fn parse(doc: Doc<'_>, site: &Site) -> Result<Suite, Vec<DocError>> {
     let body = doc.body().map_err(|error| vec![error])?;
-    let mut reader = doc.reader(&body);
-    let mut errors = Vec::new();
-    let breadth = read_breadth(doc, &mut reader).unwrap_or_else(|error| {
-        errors.push(error);
-        Breadth::default()
-    });
-    let mut expectations: Vec<Expectation> = Vec::new();
-    for block in reader.blocks("expect") {
-        match read_expectation(doc, block, site) {
-            Ok(read) => {
-                if expectations.iter().any(|known| known.name == read.name) {
-                    errors.push(doc.error(read.at, format!("expectation {:?} comes twice", read.name)));
-                }
-                expectations.push(read);
+    let mut parser = SuiteParser { doc, site, expectations: Vec::new(), errors: Vec::new() };
+    let breadth = parser.parse(&body);
+    parser.finish(breadth)
+}
+
+/// Reads a file, and collects what is wrong with it.
+struct SuiteParser<'a> {
+    doc: Doc<'a>,
+    site: &'a Site,
+    expectations: Vec<Expectation>,
+    errors: Vec<DocError>,
+}
+
+impl<'a> SuiteParser<'a> {
+    fn parse(&mut self, body: &'a Body) -> Breadth {
+        let mut reader = self.doc.reader(body);
+        let breadth = read_breadth(self.doc, &mut reader).unwrap_or_else(|error| {
+            self.errors.push(error);
+            Breadth::default()
+        });
+        for block in reader.blocks("expect") {
+            match read_expectation(self.doc, block, self.site) {
+                Ok(expectation) => self.add(expectation),
+                Err(error) => self.errors.push(error),
             }
-            Err(error) => errors.push(error),
         }
+        self.errors.extend(reader.finish().err());
+        breadth
     }
-    errors.extend(reader.finish().err());
-    if expectations.is_empty() && errors.is_empty() {
-        errors.push(doc.error(Place { line: 1, column: 1 }, "no expect block"));
+
+    fn add(&mut self, expectation: Expectation) {
+        if self.expectations.iter().any(|known| known.name == expectation.name) {
+            let text = format!("expectation {:?} comes twice", expectation.name);
+            self.errors.push(self.doc.error(expectation.at, text));
+        }
+        self.expectations.push(expectation);
     }
-    errors.sort_by_key(|error| error.at);
-    if errors.is_empty() {
-        Ok(Suite { breadth, expectations })
-    } else {
+
+    fn finish(self, breadth: Breadth) -> Result<Suite, Vec<DocError>> {
+        let SuiteParser { doc, expectations, mut errors, .. } = self;
+        if expectations.is_empty() && errors.is_empty() {
+            errors.push(doc.error(Place { line: 1, column: 1 }, "no expect block"));
+        }
+        if errors.is_empty() {
+            return Ok(Suite { breadth, expectations });
+        }
+        errors.sort_by_key(|error| error.at);
         Err(errors)
     }
 }
@@ -52,9 +78,9 @@
     let Some(block) = reader.block("explore")? else { return Ok(default) };
     let mut reader = doc.reader(&block.body);
     let seed = reader.whole("seed", 0, u64::MAX)?;
-    let seeds = reader.whole("seeds", 1, 1000)?;
-    let objects = reader.whole("objects", 1, 4000)?;
-    let repeats = reader.whole("repeats", 2, 1000)?;
+    let seeds = reader.whole("seeds", 1, MAX_SEEDS)?;
+    let objects = reader.whole("objects", 1, MAX_OBJECTS)?;
+    let repeats = reader.whole("repeats", MIN_REPEATS, MAX_REPEATS)?;
     reader.finish()?;
     Ok(Breadth {
         seed: seed.map_or(default.seed, |seed| seed.value),
@@ -87,7 +113,7 @@
     Ok(Expectation { name, at, points, classes, objects, popular, scenarios, rules })
 }
 
-/// The points that are named, or else all.
+/// The points that the block names; all, if it names none.
 fn read_points(doc: Doc<'_>, reader: &mut Reader<'_>, site: &Site) -> Result<Vec<ZoneId>, DocError> {
     let names = reader.strings("from_point")?;
     if names.is_empty() {
@@ -104,7 +130,7 @@
     Err(doc.error(name.at, format!("{:?} is no point: it has no edge proxies", name.value)))
 }
 
-/// The classes that are named, or else all.
+/// The classes that the block names; all, if it names none.
 fn read_classes(doc: Doc<'_>, reader: &mut Reader<'_>, site: &Site) -> Result<Vec<ClassId>, DocError> {
     let names = reader.strings("class")?;
     if names.is_empty() {
--- a/src/expect/language/rules.rs
+++ b/src/expect/language/rules.rs
@@ -3,7 +3,11 @@
 use super::read_selectors;
 use crate::config::located::{Doc, DocError, Located, Reader};
 use crate::expect::expectation::{Answer, Rule};
-use crate::expect::site::{Selector, Site};
+use crate::expect::selector::Selector;
+use crate::expect::site::Site;
+
+/// The highest rank of a cached copy.
+const MAX_RANK: u64 = 3;
 
 /// Makes a rule of its value.
 type MakeRule<T> = fn(T) -> Rule;
@@ -16,17 +20,24 @@
     ("never_fill_from", Rule::NeverFillFrom),
 ];
 
-/// The rules about counts, by key, with the least and the greatest value.
-const COUNT_RULES: [(&str, u64, u64, MakeRule<u64>); 4] = [
-    ("attempts_at_most", 1, 255, Rule::AttemptsAtMost),
-    ("caches_at_most", 1, 100_000, Rule::CachesAtMost),
-    ("rank_at_least", 0, 3, Rule::RankAtLeast),
-    ("rank_at_most", 0, 3, Rule::RankAtMost),
+/// A rule about a count.
+struct CountRule {
+    key: &'static str,
+    min: u64,
+    max: u64,
+    rule: MakeRule<u64>,
+}
+
+const COUNT_RULES: [CountRule; 4] = [
+    CountRule { key: "attempts_at_most", min: 1, max: 255, rule: Rule::MaxAttempts },
+    CountRule { key: "caches_at_most", min: 1, max: 100_000, rule: Rule::MaxCaches },
+    CountRule { key: "rank_at_least", min: 0, max: MAX_RANK, rule: Rule::MinRank },
+    CountRule { key: "rank_at_most", min: 0, max: MAX_RANK, rule: Rule::MaxRank },
 ];
 
-/// The rules about parts of a whole, by key.
-const PART_RULES: [(&str, MakeRule<f64>); 2] =
-    [("share_at_most", Rule::ShareAtMost), ("moves_at_most", Rule::MovesAtMost)];
+/// The rules about shares, from 0 to 1, by key.
+const SHARE_RULES: [(&str, MakeRule<f64>); 2] =
+    [("share_at_most", Rule::MaxHomeShare), ("moves_at_most", Rule::MaxMigratedShare)];
 
 /// Reads all rules, in the file's order.
 pub(super) fn read(
@@ -41,13 +52,13 @@
             rules.push(Located { value, at });
         }
     }
-    for (key, least, most, rule) in COUNT_RULES {
-        let count = reader.whole(key, least, most)?;
+    for CountRule { key, min, max, rule } in COUNT_RULES {
+        let count = reader.whole(key, min, max)?;
         rules.extend(count.map(|count| Located { value: rule(count.value), at: count.at }));
     }
-    for (key, rule) in PART_RULES {
-        let part = reader.number(key, 0.0, 1.0)?;
-        rules.extend(part.map(|part| Located { value: rule(part.value), at: part.at }));
+    for (key, rule) in SHARE_RULES {
+        let share = reader.number(key, 0.0, 1.0)?;
+        rules.extend(share.map(|share| Located { value: rule(share.value), at: share.at }));
     }
     rules.extend(read_answer(doc, reader)?);
     rules.extend(read_acyclic(doc, reader)?);
@@ -57,10 +68,10 @@
 
 fn read_answer(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Option<Located<Rule>>, DocError> {
     let Some(word) = reader.string("answer")? else { return Ok(None) };
-    let mut answers = [Answer::Served, Answer::Refused, Answer::Failed].into_iter();
+    let mut answers = [Answer::Served, Answer::Rejected, Answer::Failed].into_iter();
     let answer = answers.find(|answer| answer.word() == word.value);
     let answer = answer.ok_or_else(|| doc.error(word.at, "answer is served, refused or failed"))?;
-    Ok(Some(Located { value: Rule::Final(answer), at: word.at }))
+    Ok(Some(Located { value: Rule::Answer(answer), at: word.at }))
 }
 
 fn read_acyclic(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Option<Located<Rule>>, DocError> {
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -3,23 +3,30 @@
 
 use super::read_selectors;
 use crate::config::located::{Doc, DocError, NamedNumber, Reader};
-use crate::expect::expectation::Scenario;
-use crate::expect::site::{Selector, Site};
+use crate::expect::expectation::{Reweighting, Scenario};
+use crate::expect::selector::Selector;
+use crate::expect::site::Site;
 use crate::interface::ServerId;
 use hcl_edit::structure::Block;
 
-/// A label names at most so many servers of a list.
-const NAMED_SERVERS: usize = 4;
-/// How a label says that part of the edge proxies have not heard of the change.
+/// Servers of a list that a label names.
+const MAX_NAMED_SERVERS: usize = 4;
+/// How a label says that some edge proxies still have the list of before.
 const LATE: &str = "some edge proxies not knowing";
 
-/// What one server undergoes in a scenario of its own: its key, and the list that the server joins.
-type EachKey = (&'static str, fn(&mut Scenario) -> &mut Vec<ServerId>);
+/// A key of servers that have a scenario of their own each.
+struct EachKey {
+    key: &'static str,
+    /// What happens to the server, as the label says it.
+    change: &'static str,
+    /// The list of the scenario that the server joins.
+    list: fn(&mut Scenario) -> &mut Vec<ServerId>,
+}
 
 const EACH_KEYS: [EachKey; 3] = [
-    ("each_drained", |scenario| &mut scenario.drained),
-    ("each_down", |scenario| &mut scenario.down),
-    ("each_removed", |scenario| &mut scenario.removed),
+    EachKey { key: "each_drained", change: "drained", list: |scenario| &mut scenario.drained },
+    EachKey { key: "each_down", change: "down", list: |scenario| &mut scenario.down },
+    EachKey { key: "each_removed", change: "removed", list: |scenario| &mut scenario.removed },
 ];
 
 /// Reads the block's scenarios.
@@ -70,9 +77,7 @@
     fn read_servers(&mut self, key: &str) -> Result<Vec<ServerId>, DocError> {
         let Some(at) = self.reader.place_of(key) else { return Ok(Vec::new()) };
         let selectors = read_selectors(self.doc, &mut self.reader, self.site, key)?;
-        let depends_on_point =
-            |selector: &Selector| matches!(selector, Selector::OwnCache | Selector::OwnHub);
-        if selectors.iter().any(depends_on_point) {
+        if selectors.iter().any(Selector::depends_on_point) {
             let text = "own-cache and own-hub depend on the point: name the zone";
             return Err(self.doc.error(at, text));
         }
@@ -103,7 +108,7 @@
             let Selector::Server(server) = selector else {
                 return Err(self.doc.error(name.at, "reweighted names servers"));
             };
-            self.base.reweighted.push((server, weight));
+            self.base.reweighted.push(Reweighting { server, weight });
             self.words.push(format!("{} of weight {weight}", name.value));
         }
         Ok(())
@@ -112,13 +117,13 @@
     /// One scenario for each server of an `each_...` key.
     fn read_each(&mut self) -> Result<Vec<Scenario>, DocError> {
         let mut scenarios = Vec::new();
-        for (key, list) in EACH_KEYS {
+        for EachKey { key, change, list } in EACH_KEYS {
             for selector in read_selectors(self.doc, &mut self.reader, self.site, key)? {
                 for server in self.site.selected(&[selector], self.site.settings.topology.zone) {
                     let mut scenario = self.base.clone();
                     list(&mut scenario).push(server);
-                    let word = format!("{} {}", key.trim_start_matches("each_"), self.site.name(server));
-                    scenario.label = label(&self.words, Some(&word), scenario.late);
+                    let words = format!("{change} {}", self.site.name(server));
+                    scenario.label = label(&self.words, Some(&words), scenario.late);
                     scenarios.push(scenario);
                 }
             }
@@ -136,9 +141,9 @@
 
 /// The first few names of a list of servers.
 fn some_names(site: &Site, servers: &[ServerId]) -> String {
-    let names: Vec<&str> = servers.iter().take(NAMED_SERVERS).map(|server| site.name(*server)).collect();
+    let names: Vec<&str> = servers.iter().take(MAX_NAMED_SERVERS).map(|server| site.name(*server)).collect();
     let names = names.join(", ");
-    match servers.len().saturating_sub(NAMED_SERVERS) {
+    match servers.len().saturating_sub(MAX_NAMED_SERVERS) {
         0 => names,
         more => format!("{names} and {more} more"),
     }
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -1,12 +1,12 @@
-//! What is wrong with a configuration whatever is expected of it: a point with nobody to ask, a hub that nobody
-//! can fill from, a list that contradicts itself.
+//! Faults of a configuration that need no expectation to be found: a point without caches, a hub without parents, an
+//! endpoint list that contradicts itself.
 
 use super::site::Site;
 use crate::interface::{Class, Endpoint, Idempotency, ServerState, Span, ZoneId};
 use serde::Serialize;
 
-/// A finding names at most so many servers.
-const NAMED_SERVERS: usize = 4;
+/// Servers that a finding names.
+const MAX_NAMED_SERVERS: usize = 4;
 
 /// How bad a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -43,7 +43,7 @@
         findings.extend(class_findings(name, class));
     }
     findings.extend(weightless_servers(site));
-    findings.extend(site.oddities.iter().map(|text| warning("list-odd", text.clone())));
+    findings.extend(site.contradictions.iter().map(|text| warning("list-odd", text.clone())));
     findings
 }
 
@@ -63,7 +63,7 @@
     members.iter().any(|member| is_ready(member))
 }
 
-/// Nobody can fill a miss.
+/// No server can fill a miss.
 fn no_source(site: &Site, parents: &[&Endpoint]) -> Option<Finding> {
     let origins = site.servers.values().filter(|member| site.is_origin(member));
     let sources: Vec<&Endpoint> = origins.chain(parents.iter().copied()).collect();
@@ -98,7 +98,7 @@
     if any_ready(&at_hub) {
         return None;
     }
-    let classes = kept_classes(site);
+    let classes = cached_classes(site);
     let point = site.zone_name(point);
     let hub = site.zone_name(hub);
     let states = states(site, &at_hub);
@@ -142,12 +142,12 @@
     })
 }
 
-/// The classes that are filled, in words.
-fn kept_classes(site: &Site) -> String {
+/// The cached classes, for a finding.
+fn cached_classes(site: &Site) -> String {
     let classes = site.classes.iter().zip(&site.settings.classes);
-    let kept = classes.filter(|(_, class)| !class.uncached);
-    let kept: Vec<&str> = kept.map(|(name, _)| name.as_str()).collect();
-    format!("{} {}", if kept.len() == 1 { "class" } else { "classes" }, kept.join(", "))
+    let cached = classes.filter(|(_, class)| !class.uncached);
+    let cached: Vec<&str> = cached.map(|(name, _)| name.as_str()).collect();
+    format!("{} {}", if cached.len() == 1 { "class" } else { "classes" }, cached.join(", "))
 }
 
 /// The first few servers that are not ready, in brackets.
@@ -160,7 +160,7 @@
         ServerState::Draining => Some(format!("{} is draining", site.name(member.server))),
         ServerState::Removed => Some(format!("{} is gone", site.name(member.server))),
     };
-    let words: Vec<String> = members.iter().filter_map(word).take(NAMED_SERVERS).collect();
+    let words: Vec<String> = members.iter().filter_map(word).take(MAX_NAMED_SERVERS).collect();
     format!(" ({})", words.join(", "))
 }
 
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -1,10 +1,16 @@
-//! Routing expectations as tests: what operators expect of a configuration, held against what the decision module
-//! itself decides, without a socket and without traffic. See docs/expectations.md.
+//! Routing expectations as tests: what operators expect of a configuration is compared with what the decision module
+//! itself decides, without sockets or traffic. See docs/expectations.md.
 //!
-//! [`site`] is the configuration as the list leaves it, [`expectation`] what operators expect and [`language`] the file
-//! in which they write it; [`explore`] asks the module on a clock of its own, [`mod@judge`] compares and gives
-//! [`verdict`]s, [`mod@lint`] looks for what is wrong whatever is expected.
+//! - `site`: the configuration with the servers of its list; `names`, `selector`: how expectations name its parts.
+//! - `expectation`: what operators expect; `language`: the file in which they write it.
+//! - `judge`: asks the decision module and gives a verdict for each expectation. `question`: what is asked, once for
+//!   all expectations; `answered`: the explorations of a question; `rules`, `fill_cycle`: what violates a rule.
+//! - `explore`: one exploration, on a virtual clock; `world`, `planned_end`: how attempts end in it; `decisions`: its
+//!   result.
+//! - `lint`: faults of a configuration that need no expectation.
+//! - `verdict`, `report`: the results.
 
+mod answered;
 pub mod decisions;
 pub mod expectation;
 pub mod explore;
@@ -12,8 +18,12 @@
 pub mod judge;
 pub mod language;
 pub mod lint;
+mod names;
+mod planned_end;
+mod question;
 pub mod report;
 mod rules;
+pub mod selector;
 pub mod site;
 pub mod verdict;
 mod world;
@@ -23,7 +33,7 @@
 
 use crate::config::located::{Doc, DocError};
 use crate::config::{read_text, Config, ConfigError};
-use expectation::{Breadth, Suite};
+use expectation::{Breadth, Suite, MAX_SEEDS};
 use judge::judge;
 use language::parse;
 use lint::{lint, Severity};
@@ -31,7 +41,7 @@
 use site::Site;
 use std::path::Path;
 
-/// Why nothing could be checked.
+/// Why a check cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ExpectError {
     /// The configuration cannot be read or used.
@@ -43,9 +53,6 @@
     /// No router starts with these settings at some point.
     #[error("settings: {0}")]
     Settings(#[from] crate::SettingsError),
-    /// Another file of the operator's cannot be used.
-    #[error(transparent)]
-    File(#[from] DocError),
     /// `--only` names no expectation.
     #[error("no expectation {0:?}")]
     Only(String),
@@ -71,20 +78,25 @@
     let site = Site::of(&Config::read(config)?);
     let text = read_text(expectations)?;
     let file = expectations.display().to_string();
-    let mut suite = parse(Doc { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
+    let suite = parse(Doc { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
+    Ok(check_site(&site, &overridden(suite, overrides)?, &file)?)
+}
+
+/// A suite as the command line overrides it.
+fn overridden(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
     if let Some(only) = &overrides.only {
         suite.expectations.retain(|wanted| wanted.name == *only);
         if suite.expectations.is_empty() {
             return Err(ExpectError::Only(only.clone()));
         }
     }
-    let usual = suite.breadth;
+    let file = suite.breadth;
     suite.breadth = Breadth {
-        seed: overrides.seed.unwrap_or(usual.seed),
-        seeds: overrides.seeds.unwrap_or(usual.seeds).clamp(1, 1000),
-        ..usual
+        seed: overrides.seed.unwrap_or(file.seed),
+        seeds: overrides.seeds.unwrap_or(file.seeds).clamp(1, MAX_SEEDS),
+        ..file
     };
-    Ok(check_site(&site, &suite, &file)?)
+    Ok(suite)
 }
 
 /// Checks a site against expectations that were read.
--- a/src/expect/rules.rs
+++ b/src/expect/rules.rs
@@ -1,26 +1,27 @@
-//! Holds the decisions of an exploration against one rule, and says what breaks it.
+//! Checks the decisions of an exploration by one rule.
 
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Rule};
-use super::site::{Selector, Site};
+use super::selector::Selector;
+use super::site::Site;
 use crate::interface::{ClassId, Endpoint, ObjectId, ServerId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One thing that breaks a rule.
-pub(super) struct Fault {
-    /// The object that it is about, if it is about one.
+/// A violation of a rule.
+pub(super) struct Violation {
+    /// The object, where the rule is about single ones.
     pub(super) object: Option<ObjectId>,
     /// The server at fault, if one is.
     pub(super) server: Option<ServerId>,
-    /// How it breaks the rule.
+    /// What happens that the rule forbids.
     pub(super) how: String,
 }
 
-/// One attempt, as far as a rule about servers or ranks looks at it.
+/// One attempt, as far as a rule about servers or ranks depends on it.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) server: ServerId,
-    /// Who fills a miss, if anybody.
+    /// Which server fills a miss, if one does.
     pub(super) source: Option<ServerId>,
     /// The rank at which a copy is cached.
     pub(super) rank: u8,
@@ -32,7 +33,7 @@
     }
 }
 
-/// What rules are checked with: the requests' point and class.
+/// Checks the requests of one point and class.
 pub(super) struct RuleChecker<'a> {
     pub(super) site: &'a Site,
     pub(super) point: ZoneId,
@@ -40,14 +41,14 @@
 }
 
 impl RuleChecker<'_> {
-    /// The first thing in an exploration that breaks a rule.
-    pub(super) fn fault(&self, rule: &Rule, trace: &Trace) -> Option<Fault> {
+    /// The first violation of a rule in an exploration.
+    pub(super) fn violation(&self, rule: &Rule, trace: &Trace) -> Option<Violation> {
         match rule {
-            Rule::Final(wanted) => self.wrong_answer(*wanted, trace),
-            Rule::AttemptsAtMost(most) => self.too_many_attempts(*most, trace),
-            Rule::CachesAtMost(most) => self.too_many_servers(*most, trace),
-            Rule::ShareAtMost(most) => self.too_large_share(*most, trace),
-            Rule::MovesAtMost(most) => self.too_many_moves(*most, trace),
+            Rule::Answer(wanted) => self.wrong_answer(*wanted, trace),
+            Rule::MaxAttempts(max) => self.too_many_attempts(*max, trace),
+            Rule::MaxCaches(max) => self.too_many_servers(*max, trace),
+            Rule::MaxHomeShare(max) => self.too_large_share(*max, trace),
+            Rule::MaxMigratedShare(max) => self.too_many_migrations(*max, trace),
             rule => trace.judged().find_map(|decision| self.wrong_decision(rule, trace, decision)),
         }
     }
@@ -63,19 +64,19 @@
                 let source = source.filter(|source| self.is_in(set, *source))?;
                 Some(self.filled_from(server, source))
             }
-            Rule::RankAtLeast(least) if u64::from(rank) < *least => Some(self.kept_at(server, rank)),
-            Rule::RankAtMost(most) if u64::from(rank) > *most => Some(self.kept_at(server, rank)),
+            Rule::MinRank(min) if u64::from(rank) < *min => Some(self.cached_at(server, rank)),
+            Rule::MaxRank(max) if u64::from(rank) > *max => Some(self.cached_at(server, rank)),
             _ => None,
         }
     }
 
-    fn wrong_decision(&self, rule: &Rule, trace: &Trace, decision: &Decision) -> Option<Fault> {
+    fn wrong_decision(&self, rule: &Rule, trace: &Trace, decision: &Decision) -> Option<Violation> {
         let how = self.wrong_attempt(rule, decision.into())?;
         let is_about_fills = matches!(rule, Rule::FillsFrom(_) | Rule::NeverFillFrom(_));
         let source = decision.source.filter(|_| is_about_fills);
         let request = decision.request - trace.judged_from + 1;
         let attempt = decision.attempt + 1;
-        Some(Fault {
+        Some(Violation {
             object: Some(trace.object_of(decision)),
             server: source.or(Some(decision.server)),
             how: format!("{how} (request {request} attempt {attempt})"),
@@ -91,7 +92,7 @@
         }
     }
 
-    fn wrong_answer(&self, wanted: Answer, trace: &Trace) -> Option<Fault> {
+    fn wrong_answer(&self, wanted: Answer, trace: &Trace) -> Option<Violation> {
         let mut judged = trace.answers.iter().enumerate().skip(trace.judged_from);
         let (request, answer) = judged.find(|(_, answer)| **answer != Some(wanted))?;
         let decisions = trace.decisions.iter().filter(|decision| decision.request == request);
@@ -102,33 +103,33 @@
         } else {
             format!("it is {word} after {}", self.describe_all(&servers))
         };
-        Some(Fault { object: Some(trace.objects[request]), server: None, how })
+        Some(Violation { object: Some(trace.objects[request]), server: None, how })
     }
 
-    fn too_many_attempts(&self, most: u64, trace: &Trace) -> Option<Fault> {
-        let decision = trace.judged().find(|decision| u64::from(decision.attempt) >= most)?;
+    fn too_many_attempts(&self, max: u64, trace: &Trace) -> Option<Violation> {
+        let decision = trace.judged().find(|decision| u64::from(decision.attempt) >= max)?;
         let server = self.site.describe(decision.server);
-        Some(Fault {
+        Some(Violation {
             object: Some(trace.object_of(decision)),
             server: Some(decision.server),
             how: format!("attempt {} of one request goes to {server}", decision.attempt + 1),
         })
     }
 
-    fn too_many_servers(&self, most: u64, trace: &Trace) -> Option<Fault> {
+    fn too_many_servers(&self, max: u64, trace: &Trace) -> Option<Violation> {
         let mut servers_by_object: BTreeMap<ObjectId, BTreeSet<ServerId>> = BTreeMap::new();
         for decision in trace.judged() {
             servers_by_object.entry(trace.object_of(decision)).or_default().insert(decision.server);
         }
         let mut objects = servers_by_object.into_iter();
-        let (object, servers) = objects.find(|(_, servers)| servers.len() as u64 > most)?;
+        let (object, servers) = objects.find(|(_, servers)| servers.len() as u64 > max)?;
         let servers: Vec<ServerId> = servers.into_iter().collect();
         let names = self.describe_all(&servers);
         let how = format!("its requests go to {} servers: {names}", servers.len());
-        Some(Fault { object: Some(object), server: None, how })
+        Some(Violation { object: Some(object), server: None, how })
     }
 
-    fn too_large_share(&self, most: f64, trace: &Trace) -> Option<Fault> {
+    fn too_large_share(&self, max: f64, trace: &Trace) -> Option<Violation> {
         let homes = trace.homes_after();
         let mut counts: BTreeMap<ServerId, usize> = BTreeMap::new();
         for server in homes.values() {
@@ -136,34 +137,34 @@
         }
         let (server, count) = counts.into_iter().max_by_key(|(_, count)| *count)?;
         let share = count as f64 / homes.len() as f64;
-        if share <= most {
+        if share <= max {
             return None;
         }
         let name = self.site.describe(server);
         let how = format!("{name} is home to {count} of {} objects ({share:.3} of them)", homes.len());
-        Some(Fault { object: None, server: Some(server), how })
+        Some(Violation { object: None, server: Some(server), how })
     }
 
-    fn too_many_moves(&self, most: f64, trace: &Trace) -> Option<Fault> {
+    fn too_many_migrations(&self, max: f64, trace: &Trace) -> Option<Violation> {
         let after = trace.homes_after();
         let mut before = trace.homes_before();
         before.retain(|object, _| after.contains_key(object));
         let stays = |home: ServerId| after.values().any(|server| *server == home);
-        let moved = before.iter().filter(|(object, home)| stays(**home) && after[*object] != **home);
-        let moved: Vec<(&ObjectId, &ServerId)> = moved.collect();
-        let (object, home) = moved.first()?;
-        let share = moved.len() as f64 / before.len() as f64;
-        if share <= most {
+        let migrated = before.iter().filter(|(object, home)| stays(**home) && after[*object] != **home);
+        let migrated: Vec<(&ObjectId, &ServerId)> = migrated.collect();
+        let (object, home) = migrated.first()?;
+        let share = migrated.len() as f64 / before.len() as f64;
+        if share <= max {
             return None;
         }
         let how = format!(
             "{} of {} objects leave a home that stays; this one goes from {} to {}",
-            moved.len(),
+            migrated.len(),
             before.len(),
             self.site.describe(**home),
             self.site.describe(after[*object])
         );
-        Some(Fault { object: Some(**object), server: Some(**home), how })
+        Some(Violation { object: Some(**object), server: Some(**home), how })
     }
 
     fn is_in(&self, set: &[Selector], server: ServerId) -> bool {
@@ -171,17 +172,18 @@
         set.iter().any(|selector| self.site.selects(selector, member, self.point))
     }
 
-    /// Whether a request goes to one of these: one is asked, or the request is only carried to where it runs.
+    /// Whether an attempt goes to one of these, or passes through an upstream server to the origin, which is one of
+    /// these.
     fn reaches(&self, set: &[Selector], attempt: Attempt) -> bool {
         if self.is_in(set, attempt.server) {
             return true;
         }
         let never_cached = self.site.settings.classes[usize::from(self.class.0)].uncached;
         let is_upstream = |server: ServerId| self.member_is(server, |site, member| !site.is_cache(member));
-        let is_carried = never_cached
+        let passes_through = never_cached
             && attempt.rank == 0
             && (is_upstream(attempt.server) || attempt.source.is_some_and(is_upstream));
-        is_carried && set.contains(&Selector::Origin)
+        passes_through && set.contains(&Selector::Origin)
     }
 
     fn member_is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
@@ -198,7 +200,7 @@
         format!("a miss at {server} is filled from {}", self.site.describe(source))
     }
 
-    fn kept_at(&self, server: ServerId, rank: u8) -> String {
+    fn cached_at(&self, server: ServerId, rank: u8) -> String {
         format!("a copy at {} is kept at rank {rank}", self.site.describe(server))
     }
 
--- /dev/null
+++ b/src/expect/selector.rs
@@ -0,0 +1,110 @@
+//! Selectors: how expectations name sets of servers.
+
+use super::names::{index_of, NameError};
+use super::site::Site;
+use crate::interface::{Endpoint, ServerId, ZoneId};
+use std::collections::BTreeSet;
+
+/// A set of servers, as an expectation names it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Selector {
+    /// `origin`.
+    Origin,
+    /// `hub`: all parents.
+    Hub,
+    /// `hub:ZONE`: the parents that stand in a zone.
+    HubIn(ZoneId),
+    /// `own-hub`: the parents of the point's hub.
+    OwnHub,
+    /// `cache`: all table caches.
+    Cache,
+    /// `cache:ZONE`: the table caches of a point.
+    CacheIn(ZoneId),
+    /// `own-cache`: the table caches of the request's point.
+    OwnCache,
+    /// `zone:ZONE`: whatever stands in a zone.
+    Zone(ZoneId),
+    /// `kind:KIND`: all machines of a kind.
+    Kind(u16),
+    /// `cell:NUMBER`: all machines of a cell.
+    Cell(u16),
+    /// A server by its name.
+    Server(ServerId),
+}
+
+impl Selector {
+    /// Whether it names other servers at each point.
+    pub fn depends_on_point(&self) -> bool {
+        matches!(self, Selector::OwnHub | Selector::OwnCache)
+    }
+}
+
+impl Site {
+    /// Reads a selector.
+    ///
+    /// # Errors
+    ///
+    /// A name that the site does not have, or a set with no server in it.
+    pub fn selector(&self, text: &str) -> Result<Selector, NameError> {
+        let selector = match text.split_once(':') {
+            Some((set, name)) => self.named_set(set, name, text)?,
+            None => self.plain_set(text)?,
+        };
+        if selector.depends_on_point() {
+            return Ok(selector);
+        }
+        let point = self.settings.topology.zone;
+        if self.servers.values().any(|member| self.selects(&selector, member, point)) {
+            return Ok(selector);
+        }
+        Err(NameError::Empty(text.to_owned()))
+    }
+
+    /// A selector without a colon.
+    fn plain_set(&self, text: &str) -> Result<Selector, NameError> {
+        Ok(match text {
+            "origin" => Selector::Origin,
+            "hub" => Selector::Hub,
+            "own-hub" => Selector::OwnHub,
+            "cache" => Selector::Cache,
+            "own-cache" => Selector::OwnCache,
+            name => Selector::Server(self.server(name)?),
+        })
+    }
+
+    /// A selector of a kind of set and a name; a server's name may have a colon too.
+    fn named_set(&self, set: &str, name: &str, text: &str) -> Result<Selector, NameError> {
+        Ok(match set {
+            "hub" => Selector::HubIn(self.zone(name)?),
+            "cache" => Selector::CacheIn(self.zone(name)?),
+            "zone" => Selector::Zone(self.zone(name)?),
+            "kind" => Selector::Kind(index_of("kind", name, &self.kinds)?),
+            "cell" => Selector::Cell(name.parse().map_err(|_| NameError::Cell(name.to_owned()))?),
+            _ => Selector::Server(self.server(text)?),
+        })
+    }
+
+    /// Whether a selector names a server, for a request at a point.
+    pub fn selects(&self, selector: &Selector, member: &Endpoint, point: ZoneId) -> bool {
+        match selector {
+            Selector::Origin => self.is_origin(member),
+            Selector::Hub => self.is_parent(member),
+            Selector::HubIn(zone) => self.is_parent(member) && member.zone == *zone,
+            Selector::OwnHub => self.is_parent(member) && self.hub(point) == Some(member.zone),
+            Selector::Cache => self.is_cache(member),
+            Selector::CacheIn(zone) => self.is_cache(member) && member.zone == *zone,
+            Selector::OwnCache => self.is_cache(member) && member.zone == point,
+            Selector::Zone(zone) => member.zone == *zone,
+            Selector::Kind(kind) => member.kind == *kind,
+            Selector::Cell(cell) => member.cell == *cell,
+            Selector::Server(server) => member.server == *server,
+        }
+    }
+
+    /// The servers that any of the selectors names.
+    pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
+        let named =
+            |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
+        self.servers.values().filter(named).map(|member| member.server).collect()
+    }
+}
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -1,4 +1,4 @@
-use super::expectation::Scenario;
+use super::expectation::{Reweighting, Scenario};
 use super::explore::{at_point, explore, Asked};
 use super::lint::Finding;
 use super::verdict::{Choices, Verdict};
@@ -46,7 +46,7 @@
 const OBJECT: ObjectId = ObjectId(0x7f3a_9c21_e0b4_d655);
 
 #[test]
-fn what_fails_only_once_a_cache_drains_is_found_and_named() {
+fn an_expectation_that_fails_only_when_a_cache_drains_names_that_scenario() {
     let site = site_of(&text());
     let [home, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
     let body = format!("class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n from_point = \"north\"\n goes_to = [\"{home}\"]");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_hangs_on_a_random_choice_fails_with_its_seed_and_alike_each_time() {
+fn a_failure_by_random_choice_names_its_seed_and_repeats() {
     let site = site_of(&text());
     let [_, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |rule: &str, seeds: u64| {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_an_error_with_its_place() {
+fn unusable_expectations_are_errors_with_file_line_and_column() {
     let site = site_of(&text());
     let errors = |text: &str| check_text(&site, text).map(|report| report.passed);
     let cases = [
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn two_views_that_together_fill_in_a_circle_are_rejected() {
+fn two_endpoint_lists_whose_fills_form_a_cycle_together_are_rejected() {
     let site = site_of(&text());
     let [home, _] = homes(&site, OBJECT);
     // Part of the edge proxies know that the home shrinks to next to nothing: the next cache is home for them, and
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn drained_caches_get_nothing_though_delegates_stood_there() {
+fn drained_caches_get_no_requests_though_they_were_delegates() {
     let site = site_of(&text());
     let [_, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |when: &str| {
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn results_run_at_the_origin_whatever_carries_them() {
+fn results_run_at_the_origin_through_whichever_server() {
     let site = site_of(&text());
     let check = |rule: &str| {
         one(&site, &format!("expect \"result direct\" {{\n class = \"result\"\n {rule}\n}}")).passed
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn homes_stay_where_they_are_when_another_cache_goes() {
+fn homes_do_not_move_when_another_cache_is_removed() {
     let site = site_of(&text());
     let moves =
         "expect \"e\" {\n class = \"replay\"\n moves_at_most = 0\n when { each_removed = \"cache\" }\n}";
@@ -283,7 +283,7 @@
             removed: vec![pick(1)],
             down: vec![pick(2)],
             cold: vec![pick(3)],
-            reweighted: vec![(pick(4), 0.5)],
+            reweighted: vec![Reweighting { server: pick(4), weight: 0.5 }],
             ..Scenario::default()
         };
         let short = at_point(&site, &scenario, point);
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -1,7 +1,8 @@
-//! The world in which the decision module's attempts end: who is there, who holds a copy of what, and what comes when.
+//! The world of an exploration: which servers are down, which hold copies, and which events are due.
 
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Scenario};
+use super::planned_end::{PlannedEnd, ANSWER_TIME, CONNECT_TIMEOUT, FILL_TIME};
 use super::site::Site;
 use crate::interface::{
     Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Instant,
@@ -9,14 +10,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// An attempt's answer comes after this.
-const ANSWER_TIME: Span = Span::from_millis(5);
-/// A fill's first byte comes after this.
-const FILL_TIME: Span = Span::from_millis(10);
-/// How long a connection that does not come up is tried, as the platform's `connect_timeout`.
-const CONNECT_TIMEOUT: Span = Span::from_millis(400);
-
-/// What is due.
+/// What can be due.
 pub(super) enum Next {
     /// An event for the router.
     Event(Event),
@@ -25,65 +19,46 @@
 }
 
 /// When something is due; at one time in the order in which it was planned.
-type Slot = (Instant, u64);
-
-/// An attempt: its request, and its number from 0.
-type AttemptKey = (usize, u8);
-
-/// How an attempt ends.
-#[derive(Clone, Copy)]
-struct Ending {
-    /// How long after its start.
-    after: Span,
-    result: AttemptResult,
-    note: Option<CacheStatus>,
-    /// How long it waited for the source of its fill.
-    waited: Span,
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Slot {
+    at: Instant,
+    /// The number of things planned before it, and itself.
+    order: u64,
 }
 
-impl Ending {
-    fn of(after: Span, result: AttemptResult, note: Option<CacheStatus>) -> Self {
-        Ending { after, result, note, waited: Span::ZERO }
-    }
-
-    /// A copy was there.
-    fn hit() -> Self {
-        Ending::of(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
-    }
-
-    /// It was filled, from the origin or from a copy.
-    fn filled(note: CacheStatus, waited: Span) -> Self {
-        Ending { waited, ..Ending::of(ANSWER_TIME + waited, AttemptResult::Ok, Some(note)) }
-    }
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptKey {
+    /// The request's number in the exploration.
+    request: usize,
+    /// The attempt's number, from 0.
+    attempt: u8,
+}
 
-    /// The same, cut off by the attempt's time-out; zero: there is none.
-    fn within(self, timeout: Span) -> Self {
-        if timeout == Span::ZERO || self.after < timeout {
-            return self;
-        }
-        Ending { after: timeout, result: AttemptResult::Timeout, ..self }
+impl AttemptKey {
+    fn new(request: RequestId, attempt: u8) -> Self {
+        AttemptKey { request: request.0 as usize, attempt }
     }
 }
 
 /// The world of one exploration.
 pub(super) struct World<'a> {
     site: &'a Site,
-    /// Not there: no connection comes up, and a fill from there breaks.
+    /// Servers to which connections, and from which fills, fail.
     down: BTreeSet<ServerId>,
-    /// Who holds a copy of what.
+    /// Which server holds a copy of which object.
     copies: HashSet<(ServerId, ObjectId)>,
     due: BTreeMap<Slot, Next>,
-    /// How many things were planned so far.
+    /// How many events and changes were planned so far.
     planned: u64,
     /// Attempts of each request so far.
     attempts: Vec<u8>,
-    /// The attempts that have not ended, with what will end them.
+    /// The attempts in flight, with the slot of their end.
     open: BTreeMap<AttemptKey, Slot>,
     trace: Trace,
 }
 
 impl<'a> World<'a> {
-    /// A world where all servers are there and none holds a copy, for requests for these objects.
+    /// A world where all servers are up and none holds a copy, for requests for these objects.
     pub(super) fn new(site: &'a Site, objects: Vec<ObjectId>, judged_from: usize) -> Self {
         let requests = objects.len();
         World {
@@ -98,27 +73,27 @@
         }
     }
 
-    /// What was decided.
+    /// The decisions and answers.
     pub(super) fn into_trace(self) -> Trace {
         self.trace
     }
 
-    /// Plans what is due at a time.
+    /// Plans an event or the change.
     pub(super) fn plan(&mut self, at: Instant, next: Next) -> Slot {
         self.planned += 1;
-        let slot = (at, self.planned);
+        let slot = Slot { at, order: self.planned };
         self.due.insert(slot, next);
         slot
     }
 
-    /// Takes what is due next, if it is by `end`.
+    /// Takes what is due next, if it is due by `end`.
     pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, Next)> {
-        let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
-        let ((now, _), next) = first.remove_entry();
+        let first = self.due.first_entry().filter(|first| first.key().at <= end)?;
+        let (slot, next) = first.remove_entry();
         if let Next::Event(Event::AttemptEnded(outcome)) = &next {
-            self.open.remove(&(outcome.request.0 as usize, outcome.attempt));
+            self.open.remove(&AttemptKey::new(outcome.request, outcome.attempt));
         }
-        Some((now, next))
+        Some((slot.at, next))
     }
 
     /// Applies a scenario's change.
@@ -132,11 +107,11 @@
         match action {
             Action::SendWithFill(get) => self.start_attempt(now, &get, class),
             Action::SendCacheOnly { request, server, timeout } => {
-                self.start_attempt(now, &sent(request, server, timeout), class);
+                self.start_attempt(now, &forwarded(request, server, timeout), class);
             }
-            Action::Reject { request, .. } => self.answer(request, Answer::Refused),
+            Action::Reject { request, .. } => self.answer(request, Answer::Rejected),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => self.cancel(now, (request.0 as usize, attempt)),
+            Action::Cancel { request, attempt } => self.cancel(now, AttemptKey::new(request, attempt)),
             Action::Timer { token, after } => {
                 self.plan(now + after, Next::Event(Event::Timer(token)));
             }
@@ -157,31 +132,31 @@
         let source = Some(get.source).filter(|source| *source != get.server);
         let decision = Decision { request, attempt, server: get.server, source, rank: get.cache_rank };
         self.trace.decisions.push(decision);
-        let ending = self.ending(get, class).within(get.timeout);
-        if ending.result == AttemptResult::Ok {
+        let end = self.planned_end(get, class).within(get.timeout);
+        if end.result == AttemptResult::Ok {
             self.answer(get.request, Answer::Served);
             if !class.uncached {
-                self.keep_copies(self.trace.objects[request], get.server, source);
+                self.cache_copies(self.trace.objects[request], get.server, source);
             }
         }
         let outcome = AttemptOutcome {
             request: get.request,
             attempt,
             server: get.server,
-            result: ending.result,
-            cache_status: ending.note,
-            elapsed: ending.after,
-            fill_wait: ending.waited,
+            result: end.result,
+            cache_status: end.cache_status,
+            elapsed: end.elapsed,
+            fill_wait: end.fill_wait,
             transfer_time: Span::ZERO,
-            finished: ending.result == AttemptResult::Ok,
+            finished: end.result == AttemptResult::Ok,
             load_report: Vec::new(),
         };
-        let slot = self.plan(now + ending.after, Next::Event(Event::AttemptEnded(outcome)));
-        self.open.insert((request, attempt), slot);
+        let slot = self.plan(now + end.elapsed, Next::Event(Event::AttemptEnded(outcome)));
+        self.open.insert(AttemptKey { request, attempt }, slot);
     }
 
-    /// The server that answered holds a copy from now on, and the parent from which it was filled.
-    fn keep_copies(&mut self, object: ObjectId, server: ServerId, source: Option<ServerId>) {
+    /// The server that answered gets a copy, and so does the parent from which it was filled.
+    fn cache_copies(&mut self, object: ObjectId, server: ServerId, source: Option<ServerId>) {
         self.copies.insert((server, object));
         let parent = source.filter(|source| self.is(*source, Site::is_parent));
         self.copies.extend(parent.map(|parent| (parent, object)));
@@ -191,8 +166,7 @@
     fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
         let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
-        let (ends_at, _) = slot;
-        let started_at = ends_at - outcome.elapsed;
+        let started_at = slot.at - outcome.elapsed;
         outcome.result = AttemptResult::Cancelled;
         outcome.cache_status = None;
         outcome.elapsed = now - started_at;
@@ -202,38 +176,42 @@
     }
 
     /// How an attempt ends.
-    fn ending(&self, get: &FillAttempt, class: &Class) -> Ending {
+    fn planned_end(&self, get: &FillAttempt, class: &Class) -> PlannedEnd {
         let object = self.trace.objects[get.request.0 as usize];
         let holds = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
         if self.down.contains(&get.server) {
-            return Ending::of(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
+            return PlannedEnd::after(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
         }
         if self.is(get.server, Site::is_origin) || holds(get.server) {
-            return Ending::hit();
+            return PlannedEnd::hit();
         }
         // A parent fills by itself what it lacks, from the origin.
         if self.is(get.server, Site::is_parent) && !get.only_if_cached {
-            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
+            return PlannedEnd::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if get.source == get.server {
-            return Ending::of(ANSWER_TIME, AttemptResult::Miss, None);
+            return PlannedEnd::after(ANSWER_TIME, AttemptResult::Miss, None);
         }
         self.fill(get, holds(get.source))
     }
 
     /// How an attempt ends that is filled from its source; `held`: whether the source holds a copy.
-    fn fill(&self, get: &FillAttempt, held: bool) -> Ending {
+    fn fill(&self, get: &FillAttempt, held: bool) -> PlannedEnd {
         if self.down.contains(&get.source) {
-            return Ending::of(ANSWER_TIME, AttemptResult::Error, Some(CacheStatus::SourceUnreachable));
+            return PlannedEnd::after(
+                ANSWER_TIME,
+                AttemptResult::Error,
+                Some(CacheStatus::SourceUnreachable),
+            );
         }
         let parent_fills = self.is(get.source, Site::is_parent) && !get.only_if_cached && !held;
         if self.is(get.source, Site::is_origin) || parent_fills {
-            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
+            return PlannedEnd::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if held {
-            return Ending::filled(CacheStatus::Filled, FILL_TIME);
+            return PlannedEnd::filled(CacheStatus::Filled, FILL_TIME);
         }
-        Ending::of(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
+        PlannedEnd::after(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
     }
 
     fn is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
@@ -242,8 +220,8 @@
     }
 }
 
-/// A request that is sent on to a server as it is: no fill, no copy.
-fn sent(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
+/// An attempt that is forwarded to a server as it is: no fill, no copy.
+fn forwarded(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
         server,
