--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -34,8 +34,8 @@
     #[arg(long, value_enum, requires = "federation")]
     plant: Option<dahliatrack::sim::federation::Planted>,
     /// Failures that are shrunk and told
-    #[arg(long, default_value_t = 3)]
-    most: usize,
+    #[arg(id = "most", long = "most", value_name = "MOST", default_value_t = 3)]
+    max_failures: usize,
 }
 
 /// Places in a seed's script of faults.
@@ -54,7 +54,7 @@
     match args.keep {
         Some(numbers) => replay(&plan, args.seeds.start, &numbers, args.sabotage),
         None => {
-            let summary = runner::search(&plan, args.seeds, args.sabotage, args.most);
+            let summary = runner::search(&plan, args.seeds, args.sabotage, args.max_failures);
             print(&summary);
             fail_if(!summary.broken.is_empty())
         }
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -29,7 +29,7 @@
     pub text: String,
 }
 
-/// Looks a site over. The findings come in an order that depends on the site alone.
+/// Checks a site. The order of the findings depends on the site alone.
 pub fn lint(site: &Site) -> Vec<Finding> {
     let parents: Vec<&Endpoint> = site.servers.values().filter(|member| site.is_parent(member)).collect();
     let mut findings = Vec::new();
@@ -103,7 +103,8 @@
     let hub = site.zone_name(hub);
     let states = states(site, &at_hub);
     let text = format!(
-        "{classes} of point {point} fill through hub {hub}, which has no ready parent{states}: they fill from farther hubs"
+        "{classes} of point {point} fill through hub {hub}, which has no ready parent{states}: \
+         they fill from farther hubs"
     );
     Some(error("hub-unready", text))
 }
--- a/src/expect/report.rs
+++ b/src/expect/report.rs
@@ -1,18 +1,18 @@
-//! What a check came to, for people as lines and for machines as JSON.
+//! The report of a check, as lines for people and as JSON for machines.
 
 use super::lint::{Finding, Severity};
 use super::verdict::{Broken, Choices, Extent, Verdict};
 use serde::Serialize;
 use std::fmt;
 
-/// What a check came to; serialized it is the JSON output.
+/// The result of a check; its serialized form is the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The file of expectations.
     pub file: String,
     /// Whether every expectation holds and nothing found is an error.
     pub passed: bool,
-    /// What is wrong whatever is expected.
+    /// Faults of the configuration that need no expectation.
     pub findings: Vec<Finding>,
     /// The expectations, in the file's order.
     pub verdicts: Vec<Verdict>,
@@ -37,7 +37,8 @@
             }
             Choices::Explored { seeds: [first, last], seen, eligible } => write!(
                 f,
-                "random choices explored by seeds {first} to {last} only, which saw {seen} of {eligible} ready caches"
+                "random choices explored by seeds {first} to {last} only, \
+                 which saw {seen} of {eligible} ready caches"
             ),
         }
     }
--- a/src/expect/verdict.rs
+++ b/src/expect/verdict.rs
@@ -1,9 +1,9 @@
-//! How expectations came out: the verdicts of a report.
+//! The results of expectations: the verdicts of a report.
 
 use crate::config::located::Place;
 use serde::{Serialize, Serializer};
 
-/// How an expectation came out.
+/// The result of one expectation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// The expectation's name.
@@ -12,17 +12,17 @@
     pub line: usize,
     /// Whether all of its rules held.
     pub passed: bool,
-    /// What it was asked for.
+    /// The number of questions behind it.
     pub asked: Extent,
-    /// Decisions that were looked at.
+    /// Decisions that were checked.
     pub decisions: usize,
     /// What is known of the module's random choices.
     pub choices: Choices,
-    /// For each rule that broke, the first thing found that breaks it.
+    /// For each rule that was broken, the first counter-example.
     pub broken: Vec<Broken>,
 }
 
-/// What an expectation was asked for; serialized as an array of the four counts.
+/// The number of questions behind a verdict; serialized as an array of the four counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "[usize; 4]")]
 pub struct Extent {
@@ -46,26 +46,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Choices {
-    /// All seeds decided alike: nothing was left to chance.
+    /// All seeds led to the same decisions.
     Fixed,
     /// They differ, and the rules hold for whichever ready cache of the point is chosen.
     Bounded {
-        /// The most caches there were to choose from.
+        /// The number of caches to choose from, of the point with most of them.
         eligible: usize,
     },
-    /// They differ, and only what these seeds chose was looked at.
+    /// They differ, and only the choices of these seeds were checked.
     Explored {
         /// The first and the last seed.
         seeds: [u64; 2],
-        /// Caches that were chosen, of the point where fewest of those to choose from were.
+        /// Caches that were chosen, of the point with the smallest share of chosen ones.
         seen: usize,
-        /// Caches there to choose from.
+        /// Caches to choose from at that point.
         eligible: usize,
     },
 }
 
 impl Choices {
-    /// Of two, the one of which less is known.
+    /// The one of two that says less of the random choices.
     pub(super) fn less_known(self, other: Choices) -> Choices {
         if other.is_less_known_than(&self) {
             other
@@ -89,7 +89,7 @@
     }
 }
 
-/// A rule that broke, with a counter-example.
+/// A rule that was broken, with a counter-example.
 #[derive(Clone, Debug, Serialize)]
 pub struct Broken {
     /// The rule's key in the file.
@@ -97,7 +97,7 @@
     /// Its place; serialized as an array of line and column.
     #[serde(serialize_with = "line_and_column")]
     pub at: Place,
-    /// In one sentence: which object, class, point and server broke it, and how.
+    /// One sentence: which object, class, point and server broke it, and how.
     pub reason: String,
     /// The class.
     pub class: String,
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Starts to log; a second start does nothing. A log that can't be written is no reason to stop serving, so
-/// errors of the writer are passed over (the subscriber's own report of them would panic on a broken pipe).
+/// Starts to log; a second start does nothing. The proxy keeps serving when its log cannot be written, so errors of
+/// the writer are ignored (the subscriber's own report of them would panic on a broken pipe).
 pub fn start(level: LevelFilter, format: LogFormat) {
     let builder = tracing_subscriber::fmt()
         .with_max_level(level)
