--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,18 +1,18 @@
 //! The two clocks of a process. Every span (deadline, window, backoff, idle time) runs on the monotonic [`Clock`];
-//! the [`WallClock`] may be stepped at any time and is read only where a page states Unix time.
+//! the [`WallClock`] may be stepped at any time and is read only where a protocol states Unix time.
 
 use super::fabric::Fabric;
 use crate::interface::{Instant, Span, UnixTime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What the monotonic clock reads at the start of a process. The figure means nothing, but it is no Unix time, and
-/// a time of 0 is long ago for every span.
-const FIRST: Instant = Instant::from_micros(1 << 49);
+/// The time on the monotonic clock at the start of a process: no Unix time, and far enough from zero that the zero
+/// instant is long ago for every span.
+const START: Instant = Instant::from_micros(1 << 49);
 
-/// The monotonic clock: it runs on whatever happens to the wall clock, and each process has a zero of its own.
+/// The monotonic clock: it is not affected by steps of the wall clock, and each process has a zero of its own.
 pub struct Clock {
     started: std::time::Instant,
-    /// The simulated network whose time it tells, in place of the system's.
+    /// The simulated network that has the time, in place of the system.
     fabric: Option<Fabric>,
 }
 
@@ -32,13 +32,13 @@
     pub fn now(&self) -> Instant {
         match &self.fabric {
             Some(fabric) => fabric.process_time(),
-            None => FIRST.saturating_add(Span::from(self.started.elapsed())),
+            None => START.saturating_add(Span::from(self.started.elapsed())),
         }
     }
 }
 
-/// The wall clock: Unix time as the system has it now. It may be stepped forward or back, so the difference of two
-/// readings is no span.
+/// The wall clock: the system's Unix time. It may be stepped forward or back, so the difference of two readings is no
+/// span.
 #[derive(Clone, Default)]
 pub struct WallClock {
     fabric: Option<Fabric>,
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -6,8 +6,8 @@
 fn the_monotonic_clock_is_no_unix_time_and_does_not_go_back() {
     let (clock, wall) = (Clock::default(), WallClock::default());
     let (first, unix) = (clock.now(), wall.now());
-    assert!((FIRST..FIRST + Span::from_secs(60)).contains(&first), "{first:?}");
-    assert!(unix.as_micros() > FIRST.as_micros() + 365 * 86_400 * 1_000_000, "{unix:?}");
+    assert!((START..START + Span::from_secs(60)).contains(&first), "{first:?}");
+    assert!(unix.as_micros() > START.as_micros() + 365 * 86_400 * 1_000_000, "{unix:?}");
     assert!(clock.now() >= first);
 }
 
--- /dev/null
+++ b/src/net/connection.rs
@@ -0,0 +1,102 @@
+//! The record of one connection, and its key.
+
+use super::{Role, Stream};
+use crate::interface::Instant;
+use crate::slots::Key;
+use bytes::{Buf, Bytes, BytesMut};
+use std::collections::VecDeque;
+use std::net::{IpAddr, SocketAddr};
+
+/// Identifies a connection; never used again for another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionKey(pub(super) Key);
+
+impl ConnectionKey {
+    /// The key as a number of at least 2^32.
+    pub fn number(self) -> u64 {
+        self.0.number()
+    }
+
+    /// The key that has a number.
+    pub(super) fn from_number(number: u64) -> Self {
+        ConnectionKey(Key::from_number(number))
+    }
+}
+
+impl std::fmt::Display for ConnectionKey {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// A connection with its buffers.
+pub(super) struct Connection {
+    pub stream: Stream,
+    pub role: Role,
+    /// The peer's address and port, for the log.
+    pub peer: String,
+    pub address: IpAddr,
+    pub opened_at: Instant,
+    /// Bytes that were read and not used yet.
+    pub input: BytesMut,
+    /// Bytes that wait to be written.
+    pub output: VecDeque<Bytes>,
+    /// The length of `output`.
+    pub unwritten_bytes: usize,
+    pub read_bytes: u64,
+    pub written_bytes: u64,
+}
+
+impl Connection {
+    /// A connection with empty buffers.
+    pub fn new(now: Instant, stream: Stream, role: Role, peer: SocketAddr) -> Self {
+        Connection {
+            stream,
+            role,
+            peer: peer.to_string(),
+            address: peer.ip(),
+            opened_at: now,
+            input: BytesMut::new(),
+            output: VecDeque::new(),
+            unwritten_bytes: 0,
+            read_bytes: 0,
+            written_bytes: 0,
+        }
+    }
+
+    /// Queues bytes for writing; returns how many.
+    pub fn queue_output(&mut self, parts: impl IntoIterator<Item = Bytes>) -> usize {
+        let before = self.unwritten_bytes;
+        for part in parts.into_iter().filter(|part| !part.is_empty()) {
+            self.unwritten_bytes += part.len();
+            self.output.push_back(part);
+        }
+        self.unwritten_bytes - before
+    }
+
+    /// Removes the first `count` bytes of the output, which were written.
+    pub fn advance_output(&mut self, count: usize) {
+        self.written_bytes += count as u64;
+        self.unwritten_bytes -= count;
+        let mut left = count;
+        while let Some(front) = self.output.front_mut().filter(|_| left > 0) {
+            let part = left.min(front.len());
+            left -= part;
+            front.advance(part);
+            if front.is_empty() {
+                self.output.pop_front();
+            }
+        }
+    }
+
+    /// Discards the output; returns how many bytes that were.
+    pub fn clear_output(&mut self) -> usize {
+        self.output.clear();
+        std::mem::take(&mut self.unwritten_bytes)
+    }
+
+    /// Bytes that its buffers hold.
+    pub fn held_bytes(&self) -> usize {
+        self.input.len() + self.unwritten_bytes
+    }
+}
--- a/src/net/errors.rs
+++ b/src/net/errors.rs
@@ -1,4 +1,4 @@
-//! What the errors of system calls on sockets say, as Linux documents them: accept(2), connect(2), socket(2).
+//! What the errors of system calls on sockets mean, as Linux documents them: accept(2), connect(2), socket(2).
 
 use rustix::io::Errno;
 use std::io;
@@ -6,8 +6,8 @@
 /// The process or the system is out of descriptors, buffers or memory for now.
 const EXHAUSTED: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
 
-/// Errors of accept that concern only the connection that it was about to give: it has failed, and the next one may be
-/// there. Linux passes pending network errors of the new socket on; a firewall's word is `EPERM`.
+/// Errors of accept that concern only the connection that it would have returned; the next one may be fine. Linux
+/// returns pending network errors of the new socket, and `EPERM` where a firewall rejected it.
 const OF_ONE_CONNECTION: [Errno; 12] = [
     Errno::CONNABORTED,
     Errno::CONNRESET,
@@ -23,8 +23,8 @@
     Errno::TIMEDOUT,
 ];
 
-/// Errors of connect and socket that say something of this process or host and nothing of the peer: no port, no
-/// descriptor, no memory, no watch, not permitted here.
+/// Errors of connect and socket that have their cause in this process or host, not in the peer: no port, descriptor,
+/// memory or watch is left, or the call is not permitted here.
 const LOCAL: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -41,17 +41,17 @@
     Errno::from_io_error(error).is_some_and(|errno| list.contains(&errno))
 }
 
-/// Whether a call failed for want of descriptors, buffers or memory: later it may go through.
+/// Whether a call failed for want of descriptors, buffers or memory; it may succeed later.
 pub fn is_exhausted(error: &io::Error) -> bool {
     is_one_of(error, &EXHAUSTED)
 }
 
-/// Whether an accept failed only for the connection that it would have given.
+/// Whether accept failed only for the connection that it would have returned.
 pub fn concerns_one_connection(error: &io::Error) -> bool {
     is_one_of(error, &OF_ONE_CONNECTION)
 }
 
-/// Whether a connect that failed at once says nothing of its peer.
+/// Whether a connect call failed for a cause in this process or host, not in the peer.
 pub fn is_local(error: &io::Error) -> bool {
     is_one_of(error, &LOCAL)
 }
--- a/src/net/errors/tests.rs
+++ b/src/net/errors/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn errors_of_accept_are_of_one_connection_or_of_the_process() {
+fn accept_errors_concern_one_connection_or_the_process() {
     for error in errors(&[Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT]) {
         assert!(concerns_one_connection(&error) && !is_exhausted(&error), "{error}");
     }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn errors_of_connect_say_something_of_the_peer_or_of_this_host() {
+fn connect_errors_are_local_or_caused_by_the_peer() {
     let local = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::NOSPC];
     assert!(errors(&local).iter().all(is_local));
     let of_the_peer = [Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT];
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,13 +1,22 @@
-//! The mio loop's sockets: connection slots with bounded buffers, partial reads and writes, and one log line
-//! with a reason code for each connection that ends.
+//! The sockets of the event loop: a table of connections with bounded buffers, partial reads and writes, and one log
+//! line with a reason code for each connection that ends.
 //!
-//! `poll` waits for what is ready, `connections` opens and closes, `transfer` reads and writes; all three are parts of
-//! [`Net`].
+//! - `poll`: waiting until something is ready;
+//! - `listening`: listeners and accepted connections; `opening`: connections that are begun here or taken over;
+//!   `closing`: their ends, with `reason`, the codes of the log;
+//! - `transfer`: reading and writing;
+//! - `connection`: the record of one connection; `role`: what it is for; `stream`: its socket;
+//! - `errors`: what errors of system calls mean;
+//! - `clock`: the monotonic clock and the wall clock;
+//! - `fabric`: the simulated network.
 
 mod clock;
-mod connections;
+mod closing;
+mod connection;
 mod errors;
 pub mod fabric;
+mod listening;
+mod opening;
 mod poll;
 mod reason;
 mod role;
@@ -15,6 +24,7 @@
 mod transfer;
 
 pub use clock::{unix_time, Clock, WallClock};
+pub use connection::ConnectionKey;
 pub use errors::{is_exhausted, is_local};
 pub use poll::Ready;
 pub use reason::Reason;
@@ -22,44 +32,34 @@
 pub use stream::{Listener, Stream};
 pub use transfer::ReadProgress;
 
-use crate::interface::{Instant, UnixTime};
-use crate::slots::{Key, Slots};
-use bytes::{Bytes, BytesMut};
+use crate::interface::UnixTime;
+use crate::slots::Slots;
+use connection::Connection;
 use fabric::Fabric;
 use mio::{Events, Poll};
 use poll::Poller;
-use std::collections::VecDeque;
+use role::RoleCounts;
 use std::io;
+use std::net::IpAddr;
 
-/// A connection of the table.
-pub type ConnectionKey = Key;
-
-/// Bytes taken from a socket at a time.
-const CHUNK: usize = 64 * 1024;
-
-struct Conn {
-    stream: Stream,
-    role: Role,
-    peer: String,
-    address: std::net::IpAddr,
-    opened: Instant,
-    input: BytesMut,
-    out: VecDeque<Bytes>,
-    out_bytes: usize,
-    read: u64,
-    wrote: u64,
-}
+/// The most bytes that one system call reads.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+
+/// The most events that one poll returns.
+const EVENT_CAPACITY: usize = 1024;
 
 /// The poll and the table of connections.
 pub struct Net {
     poller: Poller,
     wall: WallClock,
-    conns: Slots<Conn>,
-    count: [usize; 6],
+    connections: Slots<Connection>,
+    counts: RoleCounts,
+    /// The buffer of read calls.
     scratch: Vec<u8>,
-    held: usize,
-    /// Clients' connections that ended since [`Net::take_closed`] was last called, by number.
-    closed: Vec<u64>,
+    /// Bytes that all connections' buffers hold.
+    held_bytes: usize,
+    /// Clients' connections that ended since [`Net::take_closed`] was last called.
+    closed: Vec<ConnectionKey>,
 }
 
 impl Net {
@@ -67,9 +67,9 @@
     ///
     /// # Errors
     ///
-    /// No poll can be had from the system.
+    /// The system provides no poll.
     pub fn new() -> io::Result<Self> {
-        let poller = Poller::Mio { poll: Poll::new()?, events: Events::with_capacity(1024) };
+        let poller = Poller::Mio { poll: Poll::new()?, events: Events::with_capacity(EVENT_CAPACITY) };
         Ok(Self::with(poller, WallClock::default()))
     }
 
@@ -79,38 +79,53 @@
     }
 
     fn with(poller: Poller, wall: WallClock) -> Self {
-        let (conns, scratch, closed) = (Slots::default(), vec![0; CHUNK], Vec::new());
-        Net { poller, wall, conns, count: [0; 6], scratch, held: 0, closed }
+        Net {
+            poller,
+            wall,
+            connections: Slots::default(),
+            counts: RoleCounts::default(),
+            scratch: vec![0; READ_CHUNK_BYTES],
+            held_bytes: 0,
+            closed: Vec::new(),
+        }
     }
 
-    /// Unix time, for what is stated in Unix time; see [`WallClock`].
+    /// The Unix time; see [`WallClock`].
     pub fn unix_time(&self) -> UnixTime {
         self.wall.now()
     }
 
-    /// Connections of a role.
+    /// How many connections of a role there are.
     pub fn count(&self, role: Role) -> usize {
-        self.count[role as usize]
+        self.counts.of(role)
     }
 
-    /// Connections of all roles.
+    /// How many connections of all roles there are.
     pub fn total(&self) -> usize {
-        self.count.iter().sum()
+        self.counts.total()
     }
 
     /// The address of a connection's peer.
-    pub fn address(&self, key: ConnectionKey) -> Option<std::net::IpAddr> {
-        self.conns.get(key).map(|conn| conn.address)
+    pub fn address(&self, key: ConnectionKey) -> Option<IpAddr> {
+        self.connection(key).map(|connection| connection.address)
     }
 
-    /// The numbers of clients' connections that ended since the last call, by whatever way.
-    pub fn take_closed(&mut self) -> Vec<u64> {
+    /// Takes the clients' connections that ended since the last call.
+    pub fn take_closed(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.closed)
     }
 
+    fn connection(&self, key: ConnectionKey) -> Option<&Connection> {
+        self.connections.get(key.0)
+    }
+
+    fn connection_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
+        self.connections.get_mut(key.0)
+    }
+
     /// Bytes that all connections' buffers hold.
     pub fn held_bytes(&self) -> usize {
-        self.held
+        self.held_bytes
     }
 }
 
--- a/src/net/reason.rs
+++ b/src/net/reason.rs
@@ -5,39 +5,39 @@
 pub enum Reason {
     /// The peer closed it.
     PeerClosed,
-    /// It broke.
+    /// The peer reset it, or it broke by another error.
     PeerReset,
-    /// It never came up: refused.
+    /// Connecting failed.
     ConnectRefused,
-    /// It never came up in time.
+    /// It did not come up in time.
     ConnectTimeout,
     /// It was idle for too long.
     Idle,
-    /// Its peer's bytes can't be read.
+    /// The peer sent something that can't be parsed.
     BadMessage,
     /// A message is longer than allowed.
     Oversize,
     /// A sequence number came twice.
     DuplicateSeqid,
-    /// Its peer takes no bytes.
+    /// The peer takes no bytes, or stopped within a message.
     Stalled,
-    /// A head was not whole in time.
+    /// A request head was not complete in time.
     HeadTimeout,
     /// There are too many connections.
     TooMany,
-    /// It made room for another.
+    /// It was closed in favour of another.
     Evicted,
-    /// Its peer is silent and nothing waits there any more.
+    /// The peer does not answer.
     Silent,
-    /// Its server is gone, or its address is another server's now.
+    /// The server was removed, or has another address or another process now.
     Replaced,
-    /// All was said.
+    /// Nothing more is to be sent.
     Done,
-    /// Another process of this edge proxy has it now.
+    /// It was handed over to another process of this edge proxy.
     HandedOn,
-    /// The edge proxy stops.
+    /// The edge proxy shuts down.
     Stopping,
-    /// Admission refused it: its calls were answered with a refusal, or it was closed before a byte was read.
+    /// Admission rejected it: its calls were answered with a rejection, or it was closed before a byte was read.
     Refused,
 }
 
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,15 +1,15 @@
-//! Sockets and listeners, of the system or of the simulator.
+//! Sockets and listeners, of the system or of the simulated network.
 
 use super::{fabric, Reason};
 use mio::net::{TcpListener, TcpStream};
 use std::io::{self, IoSlice, Read, Write};
 use std::net::SocketAddr;
 
-/// A connection's socket, or its end in the simulator.
+/// The socket of a connection.
 pub enum Stream {
-    /// The system's.
+    /// Of the system.
     Tcp(TcpStream),
-    /// The simulator's.
+    /// Of the simulated network.
     Virtual(fabric::VirtualStream),
 }
 
@@ -17,25 +17,25 @@
     pub(super) fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.read(into),
-            Stream::Virtual(end) => end.read(into),
+            Stream::Virtual(stream) => stream.read(into),
         }
     }
 
     pub(super) fn write_vectored(&mut self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.write_vectored(slices),
-            Stream::Virtual(end) => end.write(slices),
+            Stream::Virtual(stream) => stream.write(slices),
         }
     }
 
     pub(super) fn connected(&self) -> Result<bool, Reason> {
         let stream = match self {
             Stream::Tcp(stream) => stream,
-            Stream::Virtual(end) => return end.connected(),
+            Stream::Virtual(stream) => return stream.connected(),
         };
         match stream.take_error() {
             Ok(None) => {}
-            // It did come up, and broke before it was looked at.
+            // It did come up, and was reset before this call.
             Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset => {
                 return Err(Reason::PeerReset)
             }
@@ -49,12 +49,12 @@
     }
 }
 
-/// A listener, of the system or of the simulator.
+/// A listening socket.
 #[derive(Debug)]
 pub enum Listener {
-    /// The system's.
+    /// Of the system.
     Tcp(TcpListener),
-    /// The simulator's.
+    /// Of the simulated network.
     Virtual(fabric::VirtualListener),
 }
 
@@ -63,18 +63,20 @@
     ///
     /// # Errors
     ///
-    /// The system does not say.
+    /// The system call fails.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match self {
             Listener::Tcp(listener) => listener.local_addr(),
-            Listener::Virtual(port) => Ok(port.addr()),
+            Listener::Virtual(listener) => Ok(listener.addr()),
         }
     }
 
     pub(super) fn accept(&self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Tcp(listener) => listener.accept().map(|(stream, peer)| (Stream::Tcp(stream), peer)),
-            Listener::Virtual(port) => port.accept().map(|(end, peer)| (Stream::Virtual(end), peer)),
+            Listener::Virtual(listener) => {
+                listener.accept().map(|(stream, peer)| (Stream::Virtual(stream), peer))
+            }
         }
     }
 }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -2,7 +2,8 @@
 
 use super::fabric::{host, ActorEvent, HostBehaviour};
 use super::*;
-use crate::interface::Span;
+use crate::interface::{Instant, Span};
+use bytes::Bytes;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn accepts_that_fail_without_end_are_given_up_for_now() {
+fn accepting_stops_after_too_many_failures_in_a_row() {
     let (fabric, mut net, listener) = listening();
     (0..500).for_each(|number| fabric.dial_aborted(client(number), host(FRONT), Errno::PROTO));
     pass(&fabric, at(MS));
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn exhaustion_is_told_and_takes_no_connection_away() {
+fn exhaustion_is_an_error_and_loses_no_waiting_connection() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let (fabric, mut net, listener) = listening();
         fabric.dial(client(1), host(FRONT));
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_by_any_error_is_broken() {
+fn any_error_of_a_connection_counts_as_a_reset() {
     for error in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::NETUNREACH] {
         let (fabric, mut net, _listener) = listening();
         let key = connected(&fabric, &mut net);
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,63 +1,60 @@
-//! Bytes are read from connections and written to them, through bounded buffers.
+//! Reading from connections and writing to them, through bounded buffers.
 
-use super::{ConnectionKey, Net, Reason, CHUNK};
+use super::connection::Connection;
+use super::{ConnectionKey, Net, Reason, READ_CHUNK_BYTES};
 use bytes::{Bytes, BytesMut};
 use std::io::{self, IoSlice};
 
-/// Slices handed to one vectored write.
-const SLICES: usize = 16;
+/// The most buffers that one system call writes.
+const MAX_WRITE_SLICES: usize = 16;
 
-/// What one call of [`Net::read`] left.
+/// The result of one call of [`Net::read`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadProgress {
-    /// The buffer's limit was reached: call again once some of it is used.
+    /// The buffer is full: there may be more to read once some of it is used.
     pub more: bool,
     /// The peer writes nothing more.
     pub end: bool,
-    /// Bytes that were read.
+    /// How many bytes were read.
     pub bytes: usize,
 }
 
+/// Where a call of [`Net::read`] stopped.
+enum ReadStop {
+    BufferFull,
+    NothingLeft,
+    PeerEnded,
+}
+
 impl Net {
-    /// Reads what has come until nothing is left or the buffer holds `limit` bytes.
+    /// Reads until nothing is left or the buffer holds `limit` bytes.
     ///
     /// # Errors
     ///
     /// The connection broke.
     pub fn read(&mut self, key: ConnectionKey, limit: usize) -> Result<ReadProgress, Reason> {
-        let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
-        let before = conn.input.len();
-        let got = loop {
-            let room = limit.saturating_sub(conn.input.len()).min(CHUNK);
-            if room == 0 {
-                break Ok((true, false));
-            }
-            match conn.stream.read(&mut self.scratch[..room]) {
-                Ok(0) => break Ok((false, true)),
-                Ok(n) => {
-                    conn.input.extend_from_slice(&self.scratch[..n]);
-                    conn.read += n as u64;
-                }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break Ok((false, false)),
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => break Err(Reason::PeerReset),
-            }
-        };
-        let bytes = conn.input.len() - before;
-        self.held += bytes;
-        got.map(|(more, end)| ReadProgress { more, end, bytes })
+        let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
+        let before = connection.input.len();
+        let stop = connection.fill_input(limit, &mut self.scratch);
+        let bytes = connection.input.len() - before;
+        self.held_bytes += bytes;
+        stop.map(|stop| ReadProgress {
+            more: matches!(stop, ReadStop::BufferFull),
+            end: matches!(stop, ReadStop::PeerEnded),
+            bytes,
+        })
     }
 
-    /// Whether the peer writes nothing more; what it still wrote is dropped, a piece at a time.
+    /// Whether the peer writes nothing more; bytes that it still wrote are discarded, one call at a time.
     ///
     /// # Errors
     ///
     /// The connection broke.
     pub fn ended(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
-        let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
+        let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         loop {
-            match conn.stream.read(&mut self.scratch) {
-                Ok(n) => return Ok(n == 0),
+            match connection.stream.read(&mut self.scratch) {
+                Ok(count) => return Ok(count == 0),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Err(Reason::PeerReset),
@@ -65,29 +62,29 @@
         }
     }
 
-    /// The bytes that were read and not used yet, to be used by `with`.
+    /// Lets `with` use the bytes that were read and not used yet.
     pub fn input<T>(&mut self, key: ConnectionKey, with: impl FnOnce(&mut BytesMut) -> T) -> Option<T> {
-        let conn = self.conns.get_mut(key)?;
-        let before = conn.input.len();
-        let result = with(&mut conn.input);
-        self.held = (self.held + conn.input.len()).saturating_sub(before);
-        if conn.input.is_empty() {
-            conn.input = BytesMut::new(); // an idle connection keeps no memory
+        let connection = self.connections.get_mut(key.0)?;
+        let before = connection.input.len();
+        let result = with(&mut connection.input);
+        self.held_bytes = (self.held_bytes + connection.input.len()).saturating_sub(before);
+        if connection.input.is_empty() {
+            connection.input = BytesMut::new(); // an idle connection holds no memory
         }
         Some(result)
     }
 
     /// Bytes that wait to be written.
     pub fn unwritten(&self, key: ConnectionKey) -> usize {
-        self.conns.get(key).map_or(0, |conn| conn.out_bytes)
+        self.connection(key).map_or(0, |connection| connection.unwritten_bytes)
     }
 
-    /// Bytes that have been written so far.
+    /// Bytes that were written so far.
     pub fn wrote(&self, key: ConnectionKey) -> u64 {
-        self.conns.get(key).map_or(0, |conn| conn.wrote)
+        self.connection(key).map_or(0, |connection| connection.written_bytes)
     }
 
-    /// Writes as much as the socket takes now and keeps the rest for [`Net::flush`].
+    /// Writes as much as the socket takes now, and buffers the rest for [`Net::flush`].
     ///
     /// # Errors
     ///
@@ -97,17 +94,12 @@
         key: ConnectionKey,
         parts: impl IntoIterator<Item = Bytes>,
     ) -> Result<(), Reason> {
-        let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
-        for part in parts.into_iter().filter(|part| !part.is_empty()) {
-            conn.out_bytes += part.len();
-            self.held += part.len();
-            conn.out.push_back(part);
-        }
+        let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
+        self.held_bytes += connection.queue_output(parts);
         self.flush(key)
     }
 
-    /// Begins to write where nothing is left to be written; `false`: the socket takes no byte now, and
-    /// nothing was kept.
+    /// Writes to a connection without unwritten bytes. `false`: the socket takes no byte now, and nothing was buffered.
     ///
     /// # Errors
     ///
@@ -119,44 +111,62 @@
     ) -> Result<bool, Reason> {
         let before = self.wrote(key);
         self.write(key, parts)?;
-        let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
-        if conn.wrote > before {
+        let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
+        if connection.written_bytes > before {
             return Ok(true);
         }
-        self.held = self.held.saturating_sub(conn.out_bytes);
-        conn.out.clear();
-        conn.out_bytes = 0;
+        self.held_bytes = self.held_bytes.saturating_sub(connection.clear_output());
         Ok(false)
     }
 
-    /// Goes on writing.
+    /// Writes as much of the buffered bytes as the socket takes now.
     ///
     /// # Errors
     ///
     /// The connection broke.
     pub fn flush(&mut self, key: ConnectionKey) -> Result<(), Reason> {
-        let Some(conn) = self.conns.get_mut(key) else { return Err(Reason::PeerReset) };
-        while !conn.out.is_empty() {
-            let slices: Vec<IoSlice> = conn.out.iter().take(SLICES).map(|part| IoSlice::new(part)).collect();
-            let mut n = match conn.stream.write_vectored(&slices) {
+        let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
+        let before = connection.unwritten_bytes;
+        let result = connection.flush_output();
+        self.held_bytes = self.held_bytes.saturating_sub(before - connection.unwritten_bytes);
+        result
+    }
+}
+
+impl Connection {
+    /// Reads into the input until it holds `limit` bytes.
+    fn fill_input(&mut self, limit: usize, scratch: &mut [u8]) -> Result<ReadStop, Reason> {
+        loop {
+            let capacity = limit.saturating_sub(self.input.len()).min(READ_CHUNK_BYTES);
+            if capacity == 0 {
+                return Ok(ReadStop::BufferFull);
+            }
+            match self.stream.read(&mut scratch[..capacity]) {
+                Ok(0) => return Ok(ReadStop::PeerEnded),
+                Ok(count) => {
+                    self.input.extend_from_slice(&scratch[..count]);
+                    self.read_bytes += count as u64;
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(ReadStop::NothingLeft),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return Err(Reason::PeerReset),
+            }
+        }
+    }
+
+    /// Writes the output until the socket takes no more.
+    fn flush_output(&mut self) -> Result<(), Reason> {
+        while !self.output.is_empty() {
+            let slices: Vec<IoSlice> =
+                self.output.iter().take(MAX_WRITE_SLICES).map(|part| IoSlice::new(part)).collect();
+            match self.stream.write_vectored(&slices) {
                 Ok(0) => return Err(Reason::PeerReset),
-                Ok(n) => n,
+                Ok(count) => self.advance_output(count),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                // Not up yet: the bytes go out once it is.
+                // Not up yet: the bytes are written once it is.
                 Err(error) if error.kind() == io::ErrorKind::NotConnected => return Ok(()),
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Err(Reason::PeerReset),
-            };
-            conn.wrote += n as u64;
-            conn.out_bytes -= n;
-            self.held = self.held.saturating_sub(n);
-            while let Some(front) = conn.out.front_mut().filter(|_| n > 0) {
-                let part = n.min(front.len());
-                n -= part;
-                let _ = front.split_to(part);
-                if front.is_empty() {
-                    conn.out.pop_front();
-                }
             }
         }
         Ok(())
--- a/src/server/admit.rs
+++ b/src/server/admit.rs
@@ -167,9 +167,9 @@
         if closed.is_empty() {
             return; // no descriptor came free: the spare can't be had again now either
         }
-        for number in closed {
-            self.admitting.admission.closed(number);
-            self.admitting.refusing.remove(&crate::slots::Key::from_number(number));
+        for key in closed {
+            self.admitting.admission.closed(key.number());
+            self.admitting.refusing.remove(&key);
         }
         self.admitting.keep_spare();
     }
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -105,7 +105,7 @@
     assert!(pool.upstream.jobs[&Job::Request(JobId(7))].connection.is_none());
 }
 
-/// With caches replaced all day long, what is kept of each that has gone would grow for good.
+/// Where servers are replaced all day long, records of removed ones would pile up.
 #[test]
 fn a_removed_server_is_forgotten() {
     let mut pool = pool();
@@ -157,7 +157,7 @@
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
 }
 
-/// A write on a connection that is reset while new, or that its server gives up as idle at that moment, may have run
+/// A write on a connection that is reset while new, or that its server closes as idle at that moment, may have run
 /// and has failed: it waits for one that has stood, and takes none that was used.
 #[test]
 fn a_write_takes_an_unused_connection_that_has_been_up_for_a_while() {
