--- a/src/main.rs
+++ b/src/main.rs
@@ -117,7 +117,7 @@
         /// Plant a bug in the federation, to see that it is found
         #[cfg(feature = "federation")]
         #[arg(long, value_enum, requires = "federation")]
-        plant: Option<dahliatrack::sim::federation::Planted>,
+        plant: Option<dahliatrack::sim::federation::PlantedBug>,
         /// Failures that are shrunk and told
         #[arg(long, default_value_t = 3)]
         most: usize,
--- a/src/sim/federation/disk.rs
+++ b/src/sim/federation/disk.rs
@@ -1,6 +1,6 @@
-//! The disk of a member: it keeps steps as a store does, fails for a while, and shows planted bugs.
+//! The disk of a member: it stores steps as a store does, fails for a while, and shows planted bugs.
 
-use super::Planted;
+use super::PlantedBug;
 use crate::federation::log::{Save, Saved};
 use crate::federation::node::DurableStorage;
 use crate::federation::{MemberId, Term};
@@ -29,17 +29,17 @@
     pub fault: Option<DiskFault>,
     /// The fault lasts until the member is started anew; else until an event heals the disk.
     pub heals_at_restart: bool,
-    planted: Option<Planted>,
+    planted: Option<PlantedBug>,
 }
 
 impl Disk {
-    pub fn new(kept: Saved, planted: Option<Planted>) -> Self {
+    pub fn new(kept: Saved, planted: Option<PlantedBug>) -> Self {
         Disk { kept, unsynced: None, fault: None, heals_at_restart: true, planted }
     }
 
     /// Writes a step.
     fn write(&mut self, mut save: Save) {
-        if self.planted == Some(Planted::ForgottenVote) {
+        if self.planted == Some(PlantedBug::ForgottenVote) {
             if let Some(hard) = &mut save.hard {
                 (hard.term, hard.vote) = (Term(0), MemberId::NONE);
             }
@@ -47,7 +47,7 @@
         if let Some(before) = self.unsynced.take() {
             self.kept.apply(&before);
         }
-        if self.planted == Some(Planted::UnsyncedLog) {
+        if self.planted == Some(PlantedBug::UnsyncedLog) {
             self.unsynced = Some(save);
         } else {
             self.kept.apply(&save);
@@ -63,7 +63,7 @@
             self.write(save.clone());
         }
         match self.fault {
-            Some(fault) if self.planted != Some(Planted::UnstoredAck) => Err(DiskError(fault)),
+            Some(fault) if self.planted != Some(PlantedBug::UnstoredAck) => Err(DiskError(fault)),
             _ => Ok(()),
         }
     }
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -1,8 +1,8 @@
 //! The faults of a run: cuts between members, stalls, crashes, failing disks, and new files.
 
 use super::disk::DiskFault;
-use super::world::{Event, World};
-use super::{draw_instant, Planted, FAULTS, FIRST_FAULT, MS};
+use super::world::{FederationEvent, FederationWorld};
+use super::{draw_instant, PlantedBug, FIRST_FAULT, LAST_FAULT, MS};
 use crate::federation::log::Saved;
 use crate::federation::state::WantedMember;
 use crate::federation::MemberId;
@@ -12,55 +12,78 @@
 /// Disk faults in a run that has them.
 const DISK_FAULTS: usize = 6;
 
-impl World {
-    pub(super) fn fault(&mut self) {
-        let ids: Vec<MemberId> = self.members.keys().copied().collect();
-        let any = ids[self.random.random_range(0..ids.len())];
+impl FederationWorld {
+    /// Begins a fault of a kind that is drawn now.
+    pub(super) fn begin_fault(&mut self) {
+        let ids = self.ids();
+        let any = self.draw_member(&ids);
         let until = self.now + self.random.random_range(1..=40_i64) * 100 * MS;
         match self.random.random_range(0..10) {
-            0 | 1 => {
-                let other = ids[self.random.random_range(0..ids.len())];
-                self.cuts.insert((any, other), until);
-                if self.random.random() {
-                    self.cuts.insert((other, any), until);
-                }
-            }
-            2 | 3 => {
-                // Cut off, or not heard, or not hearing.
-                let ways = self.random.random_range(1..=3);
-                for other in ids.iter().filter(|id| **id != any) {
-                    if ways & 1 == 1 {
-                        self.cuts.insert((any, *other), until);
-                    }
-                    if ways & 2 == 2 {
-                        self.cuts.insert((*other, any), until);
-                    }
-                }
-            }
-            4 => {
-                // Whoever holds something, if anybody does.
-                let holds =
-                    |id: &&MemberId| self.members.get(id).is_some_and(|m| !m.holder.held().is_empty());
-                let any = ids.iter().find(holds).copied().unwrap_or(any);
-                if let Some(member) = self.members.get_mut(&any) {
-                    member.stalled = until;
-                }
-            }
+            0 | 1 => self.cut_pair(any, &ids, until),
+            2 | 3 => self.isolate(any, &ids, until),
+            4 => self.stall_a_holder(any, &ids, until),
             5 => self.crash(any, until),
-            6 => {
-                if let Some(member) = self.members.get_mut(&any) {
-                    (member.disk.fault, member.disk.heals_at_restart) = (Some(DiskFault::Full), true);
-                }
-                self.plan(until, Event::Restart(any));
+            6 => self.fill_disk(any, until),
+            7 => self.crash_all(&ids),
+            _ => self.new_file(),
+        }
+    }
+
+    fn ids(&self) -> Vec<MemberId> {
+        self.members.keys().copied().collect()
+    }
+
+    fn draw_member(&mut self, ids: &[MemberId]) -> MemberId {
+        ids[self.random.random_range(0..ids.len())]
+    }
+
+    /// Cuts a member off from another, in one way or both.
+    fn cut_pair(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
+        let other = self.draw_member(ids);
+        self.cuts.insert((id, other), until);
+        if self.random.random() {
+            self.cuts.insert((other, id), until);
+        }
+    }
+
+    /// Cuts a member off from all others: what it sends is lost, or what it is sent, or both.
+    fn isolate(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
+        const SENDING: u32 = 1;
+        const RECEIVING: u32 = 2;
+        let ways = self.random.random_range(1..=SENDING | RECEIVING);
+        for other in ids.iter().filter(|other| **other != id) {
+            if ways & SENDING != 0 {
+                self.cuts.insert((id, *other), until);
             }
-            7 => {
-                // All at once: nothing but the stores is left.
-                for id in ids {
-                    let back = self.now + self.random.random_range(1..=10_i64) * 100 * MS;
-                    self.crash(id, back);
-                }
+            if ways & RECEIVING != 0 {
+                self.cuts.insert((*other, id), until);
             }
-            _ => self.new_file(),
+        }
+    }
+
+    /// Stalls a member that holds a lease; the given one, if none does.
+    fn stall_a_holder(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
+        let holds =
+            |id: &&MemberId| self.members.get(id).is_some_and(|member| !member.holder.held().is_empty());
+        let id = ids.iter().find(holds).copied().unwrap_or(id);
+        if let Some(member) = self.members.get_mut(&id) {
+            member.stalled_until = until;
+        }
+    }
+
+    /// A member's disk is full until it is started anew.
+    fn fill_disk(&mut self, id: MemberId, until: Instant) {
+        if let Some(member) = self.members.get_mut(&id) {
+            (member.disk.fault, member.disk.heals_at_restart) = (Some(DiskFault::Full), true);
+        }
+        self.schedule(until, FederationEvent::Restart(id));
+    }
+
+    /// All members crash at once: nothing but their stores is left.
+    fn crash_all(&mut self, ids: &[MemberId]) {
+        for id in ids {
+            let back = self.now + self.random.random_range(1..=10_i64) * 100 * MS;
+            self.crash(*id, back);
         }
     }
 
@@ -72,31 +95,32 @@
         if let Some(member) = self.members.get_mut(&id) {
             (member.disk.fault, member.disk.heals_at_restart) = (Some(fault), false);
         }
-        self.plan(until, Event::DiskHeals(id));
+        self.schedule(until, FederationEvent::DiskHeals(id));
     }
 
     /// Plans failing disks that heal while their members try to go on. They are drawn apart from all else.
     pub(super) fn plan_disk_faults(&mut self) {
         for _ in 0..DISK_FAULTS {
-            let at = draw_instant(&mut self.disk_random, FIRST_FAULT..FAULTS);
-            self.plan(at, Event::DiskFails);
+            let at = draw_instant(&mut self.disk_random, FIRST_FAULT..LAST_FAULT);
+            self.schedule(at, FederationEvent::DiskFails);
         }
     }
 
     /// Fails the disk of some member.
     pub(super) fn fail_any_disk(&mut self) {
-        let ids: Vec<MemberId> = self.members.keys().copied().collect();
+        let ids = self.ids();
         let any = ids[self.disk_random.random_range(0..ids.len())];
         self.fail_disk(any);
     }
 
+    /// A member's process ends, and starts anew at `back`.
     pub(super) fn crash(&mut self, id: MemberId, back: Instant) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
-        if self.planted == Some(Planted::EmptyStore) {
+        if self.planted == Some(PlantedBug::EmptyStore) {
             member.disk.kept = Saved::default();
         }
-        self.plan(back, Event::Restart(id));
+        self.schedule(back, FederationEvent::Restart(id));
     }
 
     /// A new file: a member comes, goes, or gets or loses its vote. It reaches the members at different times.
@@ -121,9 +145,9 @@
         }
         self.files.push(file);
         let number = self.files.len() as u64 - 1;
-        for id in self.members.keys().copied().collect::<Vec<_>>() {
+        for id in self.ids() {
             let at = self.now + self.random.random_range(0..1000_i64) * MS;
-            self.plan(at, Event::File(id, number));
+            self.schedule(at, FederationEvent::File(id, number));
         }
     }
 }
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -1,21 +1,22 @@
-//! The duties of members: they ask for leases, renew them, and act under their fencing tokens.
+//! The members' leases: they seek and renew them, and act under their fencing tokens.
 
-use super::world::{Event, World};
-use super::{draw_span, Planted, DUTIES, SHORTEST_DELAY, TERMS, TICK};
+use super::world::{FederationEvent, FederationWorld};
+use super::{draw_span, PlantedBug, DUTIES, SHORTEST_DELAY, TERMS, TICK};
 use crate::federation::duties::LeaseTerms;
+use crate::federation::state::Command;
 use crate::federation::MemberId;
 use crate::interface::Span;
 
-impl World {
-    pub(super) fn terms(&self) -> LeaseTerms {
+impl FederationWorld {
+    pub(super) fn lease_terms(&self) -> LeaseTerms {
         match self.planted {
-            Some(Planted::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..TERMS },
+            Some(PlantedBug::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..TERMS },
             _ => TERMS,
         }
     }
 
-    /// A member asks for, renews and acts on its duties.
-    pub(super) fn duties(&mut self, id: MemberId) {
+    /// A member seeks and renews leases, and is about to act on the duties that it holds. The leader grants and ends them.
+    pub(super) fn seek_and_renew_leases(&mut self, id: MemberId) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
         let local = member.clock(now);
@@ -35,39 +36,38 @@
                 node.propose(&command);
             }
         }
-        for command in commands {
-            if leader.is_some() && !self.cut(id, leader) {
-                let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.slowest);
-                self.plan(now + delay, Event::Ask(id, leader, command));
-            }
-        }
+        self.forward_to_leader(id, leader, commands);
         for (duty, token) in held {
             let moment = draw_span(&mut self.random, Span::ZERO..TICK);
-            self.plan(now + moment, Event::Act(id, duty, token));
+            self.schedule(now + moment, FederationEvent::Act(id, duty, token));
         }
     }
 
+    fn forward_to_leader(&mut self, id: MemberId, leader: MemberId, commands: Vec<Command>) {
+        for command in commands {
+            if leader.is_some() && !self.is_cut(id, leader) {
+                let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.max_delay);
+                self.schedule(self.now + delay, FederationEvent::Forward(id, leader, command));
+            }
+        }
+    }
+
+    /// A member acts on a duty, if its process runs and the lease still holds by its clock.
     pub(super) fn act(&mut self, id: MemberId, duty: &'static str, token: u64) {
         let now = self.now;
         let Some(member) = self.members.get(&id) else { return };
         if member.node.is_none() {
             return;
         }
-        if member.stalled > now {
-            // It was stopped in the middle, and goes on there when it is woken.
-            let at = member.stalled;
-            return self.plan(at, Event::Act(id, duty, token));
+        if member.stalled_until > now {
+            // It was stopped in the middle, and continues there when it runs again.
+            let at = member.stalled_until;
+            return self.schedule(at, FederationEvent::Act(id, duty, token));
         }
         let local = member.clock(now);
-        if self.planted != Some(Planted::NoLook) && member.holder.token(local, duty) != Some(token) {
+        if self.planted != Some(PlantedBug::NoLook) && member.holder.token(local, duty) != Some(token) {
             return;
         }
-        self.acts += 1;
-        let (highest, by) = *self.acted.entry(duty).or_insert((token, id));
-        if token < highest || (token == highest && by != id) {
-            let text = format!("{id} acts on {duty} under {token}, {by} did under {highest}");
-            self.broken("stale-act", text);
-        }
-        self.acted.insert(duty, (token, id));
+        self.observe_act(id, duty, token);
     }
 }
--- /dev/null
+++ b/src/sim/federation/messages.rs
@@ -0,0 +1,105 @@
+//! What goes between members: messages, forwarded commands, and commands that keep the log growing.
+
+use super::world::{FederationEvent, FederationWorld};
+use super::{draw_span, PlantedBug, LAST_FAULT, MS, QUIET, SHORTEST_DELAY};
+use crate::federation::records::{MessageKind, MessageRecord};
+use crate::federation::state::Command;
+use crate::federation::MemberId;
+use rand::Rng;
+
+/// One message in so many is lost.
+const MESSAGES_PER_LOSS: i32 = 100;
+/// The commands without effect name members from this number on, which no member has.
+const FIRST_LOAD_MEMBER: u64 = 1_000_000;
+
+impl FederationWorld {
+    /// Whether no message gets from one member to another.
+    pub(super) fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
+        self.cuts.get(&(from, to)).is_some_and(|until| *until > self.now)
+    }
+
+    /// Sends a member's message, which may be lost.
+    pub(super) fn send(&mut self, id: MemberId, message: MessageRecord) {
+        self.maybe_crash_voting(id, &message);
+        if message.kind == MessageKind::Snapshot {
+            // Sent, as far as the sender knows: that it was lost shows in the answers.
+            if let Some(node) = self.members.get_mut(&id).and_then(|member| member.node.as_mut()) {
+                node.report_snapshot(message.to, true);
+            }
+        }
+        let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.max_delay);
+        let is_lost = self.random.random_range(0..MESSAGES_PER_LOSS) == 0 || self.is_cut(id, message.to);
+        if !is_lost {
+            let incarnation = self.members.get(&id).map_or(0, |member| member.incarnation);
+            let event = FederationEvent::Message(Box::new(message), incarnation);
+            self.schedule(self.now + delay, event);
+        }
+    }
+
+    /// A member may crash as it grants a vote.
+    fn maybe_crash_voting(&mut self, id: MemberId, message: &MessageRecord) {
+        let grants_vote = message.kind == MessageKind::VoteAnswer && !message.reject;
+        if !grants_vote || self.votes_per_crash == 0 || self.now >= LAST_FAULT {
+            return;
+        }
+        if self.random.random_range(0..self.votes_per_crash) == 0 {
+            let back = self.now + self.random.random_range(1..100_i64) * MS;
+            self.crash(id, back);
+        }
+    }
+
+    /// A message reaches a member, which may be stalled or know the sender's store for another.
+    pub(super) fn deliver(&mut self, message: Box<MessageRecord>, incarnation: u64) {
+        let (id, from) = (message.to, message.from);
+        if self.is_cut(from, id) {
+            return;
+        }
+        let Some(member) = self.members.get_mut(&id) else { return };
+        if member.stalled_until > self.now {
+            let at = member.stalled_until;
+            return self.schedule(at, FederationEvent::Message(message, incarnation));
+        }
+        let revision = member.file_revision();
+        let file_lists_sender =
+            self.files.get(member.file as usize).is_some_and(|file| file.contains_key(&from));
+        let Some(node) = &mut member.node else { return };
+        let is_listed = revision > node.state().0.revision && file_lists_sender;
+        let admits_any_store = self.planted == Some(PlantedBug::EmptyStore);
+        if !admits_any_store && node.state().0.admits(from, incarnation, is_listed).is_err() {
+            return;
+        }
+        if let Err(why) = node.step(&message) {
+            self.breach("message", format!("{why}: {message:?}"));
+        }
+        self.drive(id);
+    }
+
+    /// A member's command reaches the one that it takes for the leader.
+    pub(super) fn forward(&mut self, from: MemberId, to: MemberId, command: &Command) {
+        let member = self.members.get_mut(&to).filter(|member| member.stalled_until <= self.now);
+        let Some(node) = member.and_then(|member| member.node.as_mut()) else { return };
+        let is_listed = node.state().0.members.contains_key(&from);
+        if is_listed && node.propose(command) {
+            self.drive(to);
+        }
+    }
+
+    /// Whoever leads proposes a command without effect, which takes its place in the log all the same.
+    pub(super) fn propose_load(&mut self) {
+        self.loads += 1;
+        let id = MemberId(FIRST_LOAD_MEMBER + self.loads);
+        let command = Command::Enrol { id, incarnation: self.loads };
+        let ids: Vec<MemberId> = self.members.keys().copied().collect();
+        for id in ids {
+            let member = self.members.get_mut(&id).filter(|member| member.stalled_until <= self.now);
+            let node = member.and_then(|member| member.node.as_mut());
+            if node.is_some_and(|node| node.is_leader() && node.propose(&command)) {
+                self.drive(id);
+            }
+        }
+        let pause = self.random.random_range(50..400_i64) * MS;
+        if self.now < LAST_FAULT + QUIET / 4 {
+            self.schedule(self.now + pause, FederationEvent::ProposeLoad);
+        }
+    }
+}
--- /dev/null
+++ b/src/sim/federation/observer.rs
@@ -0,0 +1,151 @@
+//! Sees all members and checks what must hold of them together.
+
+use super::world::FederationWorld;
+use super::FederationCounts;
+use crate::federation::node::Node;
+use crate::federation::state::{Command, State};
+use crate::federation::{Leadership, LogIndex, MemberId, Term};
+use crate::interface::Instant;
+use crate::sim::rules::Breach;
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::Hash;
+
+/// What a member did in one step.
+pub(super) struct ObservedStep {
+    id: MemberId,
+    committed: Vec<(LogIndex, Command)>,
+    is_leader: bool,
+    term: Term,
+    state: State,
+    applied: LogIndex,
+}
+
+impl ObservedStep {
+    /// Takes what a node has done since it was last asked.
+    pub(super) fn take(id: MemberId, node: &mut Node) -> Self {
+        let (state, applied) = (node.state().0.clone(), node.state().1);
+        let step = ObservedStep {
+            id,
+            committed: node.take_committed(),
+            is_leader: node.is_leader(),
+            term: node.leadership().term,
+            state,
+            applied,
+        };
+        node.take_events();
+        step
+    }
+}
+
+/// The highest token under which a duty was acted on, and by whom.
+#[derive(Clone, Copy)]
+struct LastAct {
+    token: u64,
+    by: MemberId,
+}
+
+/// What all members did so far.
+#[derive(Default)]
+pub(super) struct Observer {
+    /// The first breach of each rule, in the order of time.
+    pub(super) breaches: Vec<Breach>,
+    leaders: BTreeMap<Term, MemberId>,
+    committed: BTreeMap<LogIndex, Command>,
+    states: BTreeMap<LogIndex, State>,
+    last_acts: BTreeMap<&'static str, LastAct>,
+    acts: u64,
+}
+
+impl Observer {
+    pub(super) fn breach(&mut self, now: Instant, rule: &'static str, text: String) {
+        if self.breaches.iter().all(|breach| breach.rule != rule) {
+            self.breaches.push(Breach { rule, at: now - Instant::ZERO, text });
+        }
+    }
+
+    /// The counts of a run with so many new files.
+    pub(super) fn counts(&self, files: u64) -> FederationCounts {
+        FederationCounts {
+            commands: self.committed.len() as u64,
+            leaders: self.leaders.len() as u64,
+            files,
+            acts: self.acts,
+        }
+    }
+}
+
+/// What a member of the last file knows at the end.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct FinalView {
+    leadership: Leadership,
+    applied: LogIndex,
+    revision: u64,
+    leases: usize,
+    /// Whether each member votes.
+    members: BTreeMap<MemberId, bool>,
+}
+
+impl FinalView {
+    fn of(node: &Node) -> Self {
+        let (state, applied) = node.state();
+        FinalView {
+            leadership: node.leadership(),
+            applied,
+            revision: state.revision,
+            leases: state.duties.len(),
+            members: state.members.iter().map(|(id, member)| (*id, member.voter)).collect(),
+        }
+    }
+}
+
+impl FederationWorld {
+    /// Checks a member's step against what all members did before.
+    pub(super) fn observe(&mut self, step: ObservedStep) {
+        let ObservedStep { id, committed, is_leader, term, state, applied } = step;
+        if is_leader {
+            let first = *self.observer.leaders.entry(term).or_insert(id);
+            if first != id {
+                self.breach("two-leaders", format!("{first} and {id} lead in term {term}"));
+            }
+        }
+        for (index, command) in committed {
+            (id, index).hash(&mut self.trace);
+            let first = self.observer.committed.entry(index).or_insert_with(|| command.clone()).clone();
+            if first != command {
+                self.breach("committed-twice", format!("{first:?} and {command:?} at {index}"));
+            }
+        }
+        if self.observer.states.entry(applied).or_insert_with(|| state.clone()) != &state {
+            self.breach("states-differ", format!("member {id} at {applied}"));
+        }
+    }
+
+    /// Checks that a member acts under the highest token so far, and under no other member's.
+    pub(super) fn observe_act(&mut self, id: MemberId, duty: &'static str, token: u64) {
+        self.observer.acts += 1;
+        let act = LastAct { token, by: id };
+        let LastAct { token: highest, by } = *self.observer.last_acts.entry(duty).or_insert(act);
+        if token < highest || (token == highest && by != id) {
+            let text = format!("{id} acts on {duty} under {token}, {by} did under {highest}");
+            self.breach("stale-act", text);
+        }
+        self.observer.last_acts.insert(duty, act);
+    }
+
+    /// Checks at the end, long after the last fault, that all members of the last file agree on everything.
+    pub(super) fn check_agreement(&mut self) {
+        let last = self.files.last().cloned().unwrap_or_default();
+        let nodes = last.keys().filter_map(|id| self.members.get(id)?.node.as_ref());
+        let seen: BTreeSet<FinalView> = nodes.map(FinalView::of).collect();
+        let wanted: BTreeMap<MemberId, bool> = last.iter().map(|(id, member)| (*id, member.voter)).collect();
+        let is_wanted = |view: &FinalView| {
+            view.leadership.leader.is_some()
+                && view.revision == self.files.len() as u64
+                && view.leases == 0
+                && view.members == wanted
+        };
+        if seen.len() != 1 || !seen.iter().all(is_wanted) {
+            self.breach("no-agreement", format!("wanted {wanted:?}, seen {seen:?}"));
+        }
+    }
+}
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,251 +1,174 @@
-//! The members of a run, the events between them, and the observer who checks what they do.
-
-use super::disk::Disk;
-use super::{draw_span, Planted, DRIFT, DUTIES, FAULTS, MS, QUIET, SHORTEST_DELAY, TERMS, TICK, TUNING};
-use crate::federation::duties::{Grantor, Holder};
-use crate::federation::log::Saved;
-use crate::federation::node::Node;
-use crate::federation::records::{MessageKind, MessageRecord};
-use crate::federation::state::{Command, Roster, State};
-use crate::federation::{LogIndex, MemberId, Term};
+//! A run under way: its state, its agenda, and what happens at each event.
+
+use super::members::SimulatedMember;
+use super::observer::Observer;
+use super::{
+    draw_instant, FederationOutcome, PlantedBug, FIRST_FAULT, LAST_FAULT, LAST_FAULT_LASTS, MS, QUIET,
+};
+use crate::federation::node::founding;
+use crate::federation::records::MessageRecord;
+use crate::federation::state::{Command, Roster, State, WantedMember};
+use crate::federation::MemberId;
 use crate::interface::{Instant, Span};
-use crate::sim::rules::Breach;
-use rand::Rng;
+use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::hash_map::DefaultHasher;
-use std::collections::{BTreeMap, BTreeSet};
-use std::hash::Hash;
-
-/// Pauses between the attempts of a member to open the store on a failing disk.
-const RETRY_PAUSES: std::ops::Range<Span> = Span::from_millis(50)..Span::from_secs(1);
-
-pub(super) struct Member {
-    pub disk: Disk,
-    pub node: Option<Node>,
-    pub incarnation: u64,
-    pub holder: Holder,
-    pub grantor: Grantor,
-    /// The duties that it stands for.
-    pub wants: BTreeSet<String>,
-    /// Its clock runs so much faster than the world's, and began there.
-    pub drift: f64,
-    pub began: Instant,
-    /// Its ticks are this long.
-    pub tick: Span,
-    pub stalled: Instant,
-    /// Files that it has: the newest one's number.
-    pub file: u64,
-}
-
-impl Member {
-    /// Its own clock at a time of the world's.
-    pub fn clock(&self, now: Instant) -> Instant {
-        let elapsed = now - Instant::ZERO;
-        self.began + Span::from_micros_f64(elapsed.as_micros_f64() * (1.0 + self.drift))
-    }
-}
-
-pub(super) enum Event {
+use std::collections::BTreeMap;
+use std::hash::Hasher;
+
+/// The cluster's number and the first revision of its file.
+const CLUSTER: u64 = 7;
+const FIRST_REVISION: u64 = 1;
+/// One seed in so many has disks that fail and work again while their members go on. The others play what they played
+/// before there were such faults, so that the seeds that once found a bug still look for it.
+const SEEDS_PER_DISK_FAULTS: u64 = 4;
+const FIRST_SEED_WITH_DISK_FAULTS: u64 = 1;
+
+/// Something that happens in a run.
+pub(super) enum FederationEvent {
+    /// A member's tick, by its number.
     Tick(MemberId, u64),
+    /// A message arrives, from a store of this incarnation.
     Message(Box<MessageRecord>, u64),
+    /// A fault begins.
     Fault,
     /// The disk of some member begins to fail.
     DiskFails,
+    /// The disk of a member works again.
     DiskHeals(MemberId),
+    /// A member starts, if it is not running.
     Restart(MemberId),
-    /// A member acts under a token, at which it looked a moment ago.
+    /// A member acts on a duty under a token that it found valid a moment ago.
     Act(MemberId, &'static str, u64),
-    /// A member's ask reaches the one that it takes for the leader.
-    Ask(MemberId, MemberId, Command),
-    Load,
+    /// A member's command reaches the one that it takes for the leader.
+    Forward(MemberId, MemberId, Command),
+    /// The leader proposes a command without effect.
+    ProposeLoad,
+    /// A new file, by its number, reaches a member.
     File(MemberId, u64),
 }
 
-pub(super) struct World {
-    pub now: Instant,
-    pub count: u64,
-    pub agenda: BTreeMap<(Instant, u64), Event>,
-    pub members: BTreeMap<MemberId, Member>,
-    /// From whom to whom nothing goes, and until when.
-    pub cuts: BTreeMap<(MemberId, MemberId), Instant>,
-    pub files: Vec<Roster>,
-    pub random: ChaCha8Rng,
+/// A run under way.
+pub(super) struct FederationWorld {
+    pub(super) now: Instant,
+    agenda: BTreeMap<(Instant, u64), FederationEvent>,
+    scheduled: u64,
+    pub(super) members: BTreeMap<MemberId, SimulatedMember>,
+    /// By sender and receiver: until when no message gets through.
+    pub(super) cuts: BTreeMap<(MemberId, MemberId), Instant>,
+    /// All federation files so far.
+    pub(super) files: Vec<Roster>,
+    pub(super) random: ChaCha8Rng,
     /// Draws the faults of disks that heal.
-    pub disk_random: ChaCha8Rng,
+    pub(super) disk_random: ChaCha8Rng,
     /// The longest that a message takes in this run.
-    pub slowest: Span,
-    /// Of so many votes that are given one is the last thing that its member does for a moment; 0: none.
-    pub dies_voting: u32,
-    pub planted: Option<Planted>,
-    pub breaches: Vec<Breach>,
-    pub leaders: BTreeMap<Term, MemberId>,
-    pub committed: BTreeMap<LogIndex, Command>,
-    pub states: BTreeMap<LogIndex, State>,
-    /// By duty: the highest token under which it was acted, and by whom.
-    pub acted: BTreeMap<&'static str, (u64, MemberId)>,
-    pub acts: u64,
-    pub loads: u64,
-    pub trace: DefaultHasher,
+    pub(super) max_delay: Span,
+    /// Of so many granted votes one is the last thing that its member does for a moment; 0: none.
+    pub(super) votes_per_crash: u32,
+    pub(super) planted: Option<PlantedBug>,
+    pub(super) observer: Observer,
+    /// Commands without effect that were proposed.
+    pub(super) loads: u64,
+    pub(super) trace: DefaultHasher,
 }
 
-impl World {
-    pub(super) fn plan(&mut self, at: Instant, event: Event) {
-        self.count += 1;
-        self.agenda.insert((at.max(self.now), self.count), event);
-    }
-
-    pub(super) fn broken(&mut self, rule: &'static str, text: String) {
-        if self.breaches.iter().all(|breach| breach.rule != rule) {
-            self.breaches.push(Breach { rule, at: self.now - Instant::ZERO, text });
-        }
+impl FederationWorld {
+    /// A federation at its founding, with all faults planned.
+    pub(super) fn new(seed: u64, planted: Option<PlantedBug>) -> Self {
+        let mut random = ChaCha8Rng::seed_from_u64(seed);
+        let voters = [3, 3, 5][random.random_range(0..3)];
+        let founders = voters + random.random_range(0..=2);
+        let faults = random.random_range(4..=14);
+        let max_delay = [5 * MS, 20 * MS, 100 * MS][random.random_range(0..3)];
+        let votes_per_crash = [0, 2, 5][random.random_range(0..3)];
+        let founder = |id| {
+            let member = WantedMember { site: format!("site-{id}"), voter: id <= voters };
+            (MemberId(id), member)
+        };
+        let file: Roster = (1..=founders).map(founder).collect();
+        let mut world = FederationWorld {
+            now: Instant::ZERO,
+            agenda: BTreeMap::new(),
+            scheduled: 0,
+            members: BTreeMap::new(),
+            cuts: BTreeMap::new(),
+            files: vec![file],
+            random,
+            disk_random: ChaCha8Rng::seed_from_u64(!seed),
+            max_delay,
+            votes_per_crash,
+            planted,
+            observer: Observer::default(),
+            loads: 0,
+            trace: DefaultHasher::new(),
+        };
+        world.found();
+        world.plan_events(seed, faults);
+        world
     }
 
-    pub(super) fn start(&mut self, id: MemberId) {
-        let seed = self.random.random();
-        let terms = self.terms();
-        let asks = self.random.random();
-        let wants = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
-        let wants = wants.map(|duty| (*duty).to_owned()).collect();
-        let Some(member) = self.members.get_mut(&id) else { return };
-        // Nothing of a process before is known but what its disk holds.
-        (member.holder, member.grantor) = (Holder::new(id, terms, asks), Grantor::new(terms));
-        member.wants = wants;
-        member.disk.unsynced = None;
-        let kept = &mut member.disk.kept;
-        // What the log itself shows of terms is not forgotten.
-        let log = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard.term = kept.hard.term.max(log);
-        match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
-            Ok(node) => member.node = Some(node),
-            Err(error) => self.broken("start", format!("member {id}: {error}")),
+    /// Adds the members of the first file.
+    fn found(&mut self) {
+        let founded = State::founded(CLUSTER, FIRST_REVISION, &self.files[0]);
+        let founders: Vec<MemberId> = self.files[0].keys().copied().collect();
+        for id in founders {
+            self.add(id, founding(&founded));
         }
     }
 
-    /// Starts a member that does not run, or tries again later where its disk still fails.
-    fn restart(&mut self, id: MemberId) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        if member.disk.heals_at_restart {
-            member.disk.fault = None;
-        }
-        if member.node.is_some() {
-            return;
+    fn plan_events(&mut self, seed: u64, faults: i32) {
+        for _ in 0..faults {
+            let at = draw_instant(&mut self.random, FIRST_FAULT..LAST_FAULT);
+            self.schedule(at, FederationEvent::Fault);
         }
-        if member.disk.fault.is_some() {
-            return self.plan_restart(id);
+        self.schedule(Instant::ZERO + MS, FederationEvent::ProposeLoad);
+        if seed % SEEDS_PER_DISK_FAULTS == FIRST_SEED_WITH_DISK_FAULTS {
+            self.plan_disk_faults();
         }
-        self.start(id);
-        self.drive(id);
-    }
-
-    fn plan_restart(&mut self, id: MemberId) {
-        let pause = draw_span(&mut self.disk_random, RETRY_PAUSES);
-        self.plan(self.now + pause, Event::Restart(id));
-    }
-
-    pub(super) fn add(&mut self, id: MemberId, kept: Saved) {
-        // As slow or fast as allowed, as a rule: what is between says less.
-        let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
-        let tick = Span::from_micros_f64(TICK.as_micros_f64() / (1.0 + drift));
-        let disk = Disk::new(kept, self.planted);
-        let (holder, grantor) = (Holder::new(id, TERMS, 0), Grantor::new(TERMS));
-        let (wants, began) = (BTreeSet::new(), Instant::ZERO + self.random.random_range(0..1000_i64) * MS);
-        let member = Member {
-            disk,
-            node: None,
-            incarnation: id.0 * 1000,
-            holder,
-            grantor,
-            wants,
-            drift,
-            began,
-            tick,
-            stalled: Instant::ZERO,
-            file: 0,
-        };
-        self.members.insert(id, member);
-        self.start(id);
-        let first = self.now + draw_span(&mut self.random, Span::ZERO..TICK);
-        self.plan(first, Event::Tick(id, 0));
     }
 
-    pub(super) fn cut(&self, from: MemberId, to: MemberId) -> bool {
-        self.cuts.get(&(from, to)).is_some_and(|until| *until > self.now)
+    /// Schedules an event, now at the earliest.
+    pub(super) fn schedule(&mut self, at: Instant, event: FederationEvent) {
+        self.scheduled += 1;
+        self.agenda.insert((at.max(self.now), self.scheduled), event);
     }
 
-    /// Does what a member has to do, and checks what it did.
-    pub(super) fn drive(&mut self, id: MemberId) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        let Some(node) = &mut member.node else { return };
-        let driven = node.drive(&mut member.disk);
-        member.holder.observe(node.state().0);
-        let (committed, leads, term) = (node.take_committed(), node.is_leader(), node.leadership().term);
-        let (state, applied) = (node.state().0.clone(), node.state().1);
-        node.take_events();
-        let out = match driven {
-            Ok(out) => out,
-            // As in service: the member begins anew from what was kept, once that can be.
-            Err(_) if member.disk.fault.is_some() => {
-                member.node = None;
-                if !member.disk.heals_at_restart {
-                    self.plan_restart(id);
-                }
-                return;
-            }
-            Err(error) => return self.broken("drive", format!("member {id}: {error}")),
-        };
-        if leads {
-            let first = *self.leaders.entry(term).or_insert(id);
-            if first != id {
-                self.broken("two-leaders", format!("{first} and {id} lead in term {term}"));
-            }
-        }
-        for (index, command) in committed {
-            (id, index).hash(&mut self.trace);
-            let first = self.committed.entry(index).or_insert_with(|| command.clone()).clone();
-            if first != command {
-                self.broken("committed-twice", format!("{first:?} and {command:?} at {index}"));
+    /// Plays to the end, or to the first breach: what follows from one says nothing.
+    pub(super) fn play(mut self) -> FederationOutcome {
+        let end = LAST_FAULT + LAST_FAULT_LASTS + QUIET;
+        while let Some(((at, _), event)) = self.agenda.pop_first().filter(|((at, _), _)| *at < end) {
+            self.now = at;
+            self.handle(event);
+            if !self.observer.breaches.is_empty() {
+                break;
             }
         }
-        if self.states.entry(applied).or_insert_with(|| state.clone()) != &state {
-            self.broken("states-differ", format!("member {id} at {applied}"));
+        if self.observer.breaches.is_empty() {
+            self.check_agreement();
         }
-        for message in out {
-            let votes = message.kind == MessageKind::VoteAnswer && !message.reject && self.dies_voting > 0;
-            if votes && self.now < FAULTS && self.random.random_range(0..self.dies_voting) == 0 {
-                let back = self.now + self.random.random_range(1..100_i64) * MS;
-                self.crash(id, back);
-            }
-            if message.kind == MessageKind::Snapshot {
-                // Sent, as far as the sender knows: that it was lost it learns by the answers.
-                if let Some(node) = self.members.get_mut(&id).and_then(|member| member.node.as_mut()) {
-                    node.report_snapshot(message.to, true);
-                }
-            }
-            let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.slowest);
-            let lost = self.random.random_range(0..100) == 0 || self.cut(id, message.to);
-            if !lost {
-                let from = self.members.get(&id).map_or(0, |member| member.incarnation);
-                self.plan(self.now + delay, Event::Message(Box::new(message), from));
-            }
+        FederationOutcome {
+            counts: self.observer.counts(self.files.len() as u64 - 1),
+            breaches: self.observer.breaches,
+            trace: self.trace.finish(),
         }
     }
 
-    pub(super) fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: FederationEvent) {
         match event {
-            Event::Tick(id, number) => self.tick(id, number),
-            Event::Message(message, incarnation) => self.deliver(message, incarnation),
-            Event::Ask(from, to, command) => self.forward(from, to, &command),
-            Event::Act(id, duty, token) => self.act(id, duty, token),
-            Event::Load => self.load(),
-            Event::Restart(id) => self.restart(id),
-            Event::File(id, file) => {
+            FederationEvent::Tick(id, number) => self.tick(id, number),
+            FederationEvent::Message(message, incarnation) => self.deliver(message, incarnation),
+            FederationEvent::Forward(from, to, command) => self.forward(from, to, &command),
+            FederationEvent::Act(id, duty, token) => self.act(id, duty, token),
+            FederationEvent::ProposeLoad => self.propose_load(),
+            FederationEvent::Restart(id) => self.restart(id),
+            FederationEvent::File(id, file) => {
                 if let Some(member) = self.members.get_mut(&id) {
                     member.file = member.file.max(file);
                 }
             }
-            Event::Fault => self.fault(),
-            Event::DiskFails => self.fail_any_disk(),
-            Event::DiskHeals(id) => {
+            FederationEvent::Fault => self.begin_fault(),
+            FederationEvent::DiskFails => self.fail_any_disk(),
+            FederationEvent::DiskHeals(id) => {
                 if let Some(member) = self.members.get_mut(&id) {
                     member.disk.fault = None;
                 }
@@ -253,84 +176,8 @@
         }
     }
 
-    fn tick(&mut self, id: MemberId, number: u64) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        let until = member.stalled.max(self.now + member.tick);
-        if member.stalled <= self.now {
-            let file = member.file as usize;
-            let incarnation = member.incarnation;
-            if let Some(node) = &mut member.node {
-                node.tick();
-                if let Some(wanted) = self.files.get(file) {
-                    node.reconcile(file as u64 + 1, wanted);
-                }
-                let known = node.state().0.members.get(&id).and_then(|m| m.incarnation);
-                if known.is_none() {
-                    node.propose(&Command::Enrol { id, incarnation });
-                }
-            }
-            self.duties(id);
-            // In the end all duties are left: nothing of them may stay behind.
-            if self.now > FAULTS + QUIET / 2 {
-                self.members.entry(id).and_modify(|member| member.wants.clear());
-            }
-        }
-        self.plan(until, Event::Tick(id, number + 1));
-        self.drive(id);
-    }
-
-    /// A message reaches a member.
-    fn deliver(&mut self, message: Box<MessageRecord>, incarnation: u64) {
-        let (id, from) = (message.to, message.from);
-        if self.cut(from, id) {
-            return;
-        }
-        let Some(member) = self.members.get_mut(&id) else { return };
-        if member.stalled > self.now {
-            let at = member.stalled;
-            return self.plan(at, Event::Message(message, incarnation));
-        }
-        let file = member.file as usize;
-        let lists = self.files.get(file).is_some_and(|file| file.contains_key(&from));
-        let Some(node) = &mut member.node else { return };
-        let listed = file as u64 + 1 > node.state().0.revision && lists;
-        let any_store = self.planted == Some(Planted::EmptyStore);
-        if !any_store && node.state().0.admits(from, incarnation, listed).is_err() {
-            return;
-        }
-        if let Err(why) = node.step(&message) {
-            self.broken("message", format!("{why}: {message:?}"));
-        }
-        self.drive(id);
-    }
-
-    /// A member's command reaches the one that it takes for the leader.
-    fn forward(&mut self, from: MemberId, to: MemberId, command: &Command) {
-        let Some(member) = self.members.get_mut(&to).filter(|member| member.stalled <= self.now) else {
-            return;
-        };
-        let Some(node) = &mut member.node else { return };
-        let listed = node.state().0.members.contains_key(&from);
-        if listed && node.propose(command) {
-            self.drive(to);
-        }
-    }
-
-    /// Whoever leads proposes a command that means nothing: it has its place in the log all the same.
-    fn load(&mut self) {
-        self.loads += 1;
-        let command = Command::Enrol { id: MemberId(1_000_000 + self.loads), incarnation: self.loads };
-        let ids: Vec<MemberId> = self.members.keys().copied().collect();
-        for id in ids {
-            let member = self.members.get_mut(&id).filter(|member| member.stalled <= self.now);
-            let node = member.and_then(|member| member.node.as_mut());
-            if node.is_some_and(|node| node.is_leader() && node.propose(&command)) {
-                self.drive(id);
-            }
-        }
-        let pause = self.random.random_range(50..400_i64) * MS;
-        if self.now < FAULTS + QUIET / 4 {
-            self.plan(self.now + pause, Event::Load);
-        }
+    /// Records a breach, unless the rule was broken before.
+    pub(super) fn breach(&mut self, rule: &'static str, text: String) {
+        self.observer.breach(self.now, rule, text);
     }
 }
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -267,11 +267,12 @@
 #[cfg(feature = "federation")]
 #[test]
 fn federations_keep_their_rules_repeat_by_their_seed_and_planted_bugs_are_found() {
-    use super::federation::{run, search, Planted};
+    use super::federation::{run, search, PlantedBug};
     let summary = search(0..120, None);
     assert_eq!(summary.broken, std::collections::BTreeMap::new());
-    let [commands, leaders, files, acts] = summary.counts;
-    assert!(commands > 5000 && leaders > 200 && files > 100 && acts > 50_000, "{summary}");
+    let counts = summary.counts;
+    assert!(counts.commands > 5000 && counts.leaders > 200, "{summary}");
+    assert!(counts.files > 100 && counts.acts > 50_000, "{summary}");
     for seed in 0..5 {
         assert_eq!(run(seed, None), run(seed, None), "seed {seed}");
     }
@@ -281,12 +282,12 @@
         assert_eq!(run(seed, None).breaches, [], "seed {seed}");
     }
     for (planted, rule, seeds) in [
-        (Planted::ForgottenVote, "two-leaders", 180..200),
-        (Planted::UnsyncedLog, "message", 0..50),
-        (Planted::EmptyStore, "message", 0..50),
-        (Planted::NoLook, "stale-act", 20..60),
-        (Planted::NoGuard, "stale-act", 165..205),
-        (Planted::UnstoredAck, "start", 0..60),
+        (PlantedBug::ForgottenVote, "two-leaders", 180..200),
+        (PlantedBug::UnsyncedLog, "message", 0..50),
+        (PlantedBug::EmptyStore, "message", 0..50),
+        (PlantedBug::NoLook, "stale-act", 20..60),
+        (PlantedBug::NoGuard, "stale-act", 165..205),
+        (PlantedBug::UnstoredAck, "start", 0..60),
     ] {
         let found = search(seeds, Some(planted)).broken;
         assert!(found.values().any(|breach| breach.rule == rule), "{planted:?}: {found:?}");
