--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
     store::{self, Store},
 };
 use dahliatrack::front::signed::gate::{Binding, Gate, Grant, SignError};
-use dahliatrack::lab::flood::{self, Plan};
+use dahliatrack::lab::flood::{self, FloodPlan};
 use dahliatrack::lab::replay::ReplayError;
 use dahliatrack::server::{route_classes, Server, ServerError};
 use dahliatrack::sim::runner;
@@ -472,14 +472,14 @@
                 return Err(Error::Flood("only loopback addresses are flooded".into()));
             }
             let seconds = seconds.clamp(0.1, 600.0);
-            let plan = Plan {
+            let plan = FloodPlan {
                 target,
                 known,
                 known_from,
                 flood,
                 flood_from,
                 seconds,
-                most_connections: 100_000,
+                max_connections: 100_000,
                 route,
                 flood_asks,
             };
--- /dev/null
+++ b/src/trace/map/columns.rs
@@ -0,0 +1,56 @@
+//! The columns of a trace's file: of a published format, listed by the map, or named by the file's header.
+
+use super::formats::{Format, FORMATS};
+use crate::config::located::{unknown, Doc, DocError, Reader};
+use hcl_edit::structure::Block;
+
+/// The format of a file whose columns the map names.
+const CSV: &str = "csv";
+
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+/// The format that the map names; `None`: its columns are named one by one.
+pub(super) fn read_format(
+    doc: Doc<'_>,
+    reader: &mut Reader<'_>,
+) -> Result<Option<&'static Format>, DocError> {
+    let Some(name) = reader.string("format")?.filter(|name| name.value != CSV) else { return Ok(None) };
+    let known = FORMATS.iter().find(|format| format.name == name.value);
+    let names = FORMATS.iter().map(|format| format.name).chain([CSV]);
+    let format = known.ok_or_else(|| doc.error(name.at, unknown("format", &name.value, names)))?;
+    Ok(Some(format))
+}
+
+/// The columns of a file.
+pub(super) struct Columns {
+    pub(super) names: Vec<String>,
+    /// Whether the file's first line is a header.
+    pub(super) has_header: bool,
+    /// Whether the names are those of the header.
+    pub(super) from_header: bool,
+}
+
+/// The columns that the map lists, those of the format, or those of the file's header.
+pub(super) fn read_columns(
+    doc: Doc<'_>,
+    block: &Block,
+    format: Option<&Format>,
+    reader: &mut Reader<'_>,
+    header: &[String],
+) -> Result<Columns, DocError> {
+    let listed = reader.strings("columns")?;
+    let flag = reader.flag("header")?;
+    let has_header = flag.map_or(format.is_none_or(|format| format.header), |flag| flag.value);
+    let from_header = listed.is_empty() && format.is_none();
+    if from_header && !has_header {
+        return Err(doc.error(doc.place(block), "without a header the columns have to be listed"));
+    }
+    let names = match format {
+        _ if from_header => header.to_vec(),
+        Some(format) if listed.is_empty() => owned(format.columns),
+        _ => listed.into_iter().map(|name| name.value).collect(),
+    };
+    Ok(Columns { names, has_header, from_header })
+}
--- /dev/null
+++ b/src/trace/map/reader.rs
@@ -0,0 +1,143 @@
+//! Reads the parts of a map's `trace` block, with what a named format fills in.
+
+use super::formats::Format;
+use super::rules::{ClassRule, OnlyRule, TimeRule};
+use crate::config::located::{unknown, Doc, DocError, Located, Place, Reader};
+use crate::interface::Span;
+use hcl_edit::structure::Block;
+
+/// The longest span of a map, s.
+const MAX_SECONDS: u64 = 10_000_000;
+/// The largest number that a range's bound may be.
+const MAX_BOUND: f64 = 1e300;
+
+/// Reads the `trace` block.
+pub(super) struct MapReader<'a> {
+    pub(super) doc: Doc<'a>,
+    pub(super) block: &'a Block,
+    pub(super) format: Option<&'static Format>,
+    /// The columns' names.
+    pub(super) names: Vec<String>,
+    pub(super) reader: Reader<'a>,
+}
+
+impl MapReader<'_> {
+    /// The number of a column.
+    fn column(&self, name: &str, at: Place) -> Result<usize, DocError> {
+        let number = self.names.iter().position(|known| known == name);
+        number.ok_or_else(|| {
+            let text = unknown("column", name, self.names.iter().map(String::as_str));
+            self.doc.error(at, text)
+        })
+    }
+
+    fn located_column(&self, name: &Located<String>) -> Result<usize, DocError> {
+        self.column(&name.value, name.at)
+    }
+
+    /// The number of a column that the format names.
+    fn format_column(&self, name: &str) -> Result<usize, DocError> {
+        self.column(name, self.doc.place(self.block))
+    }
+
+    /// The time of a row, as the map names it or as the format does.
+    pub(super) fn read_time(&mut self) -> Result<TimeRule, DocError> {
+        let Some(block) = self.reader.block("time")? else { return self.format_time() };
+        let mut reader = self.doc.reader(&block.body);
+        let column = reader.string("column")?;
+        let column = column.ok_or_else(|| self.doc.error(self.doc.place(block), "time names no column"))?;
+        let unit = reader.string("unit")?;
+        let minus = reader.string("minus")?;
+        reader.finish()?;
+        let unit = unit.as_ref().map_or("s", |unit| unit.value.as_str());
+        let unit = self.micros_in(unit, column.at)?;
+        let minus = minus.map(|minus| self.column(&minus.value, column.at)).transpose()?;
+        Ok(TimeRule { column: self.located_column(&column)?, unit, minus })
+    }
+
+    fn format_time(&self) -> Result<TimeRule, DocError> {
+        let at = self.doc.place(self.block);
+        let format = self.format.ok_or_else(|| self.doc.error(at, "no time block"))?;
+        let unit = self.micros_in(format.time.unit, at)?;
+        let minus = format.time.minus.map(|minus| self.format_column(minus)).transpose()?;
+        Ok(TimeRule { column: self.format_column(format.time.column)?, unit, minus })
+    }
+
+    /// The microseconds in a unit.
+    fn micros_in(&self, unit: &str, at: Place) -> Result<f64, DocError> {
+        match unit {
+            "s" => Ok(1e6),
+            "ms" => Ok(1e3),
+            "us" => Ok(1.0),
+            "ns" => Ok(1e-3),
+            other => Err(self.doc.error(at, format!("unit {other:?} is none of s, ms, us, ns"))),
+        }
+    }
+
+    /// The columns that name the object.
+    pub(super) fn read_object(&mut self) -> Result<Vec<usize>, DocError> {
+        let named = self.reader.strings("object")?;
+        if !named.is_empty() {
+            return named.iter().map(|name| self.located_column(name)).collect();
+        }
+        let at = self.doc.place(self.block);
+        let format = self.format.ok_or_else(|| self.doc.error(at, "object names no columns"))?;
+        format.object.iter().map(|name| self.format_column(name)).collect()
+    }
+
+    /// The value that rows must have, where the map or the format names one.
+    pub(super) fn read_only(&mut self) -> Result<Option<OnlyRule>, DocError> {
+        let Some(block) = self.reader.block("only")? else { return self.format_only() };
+        let mut reader = self.doc.reader(&block.body);
+        let missing = |what: &str| self.doc.error(self.doc.place(block), format!("only names no {what}"));
+        let column = reader.string("column")?.ok_or_else(|| missing("column"))?;
+        let value = reader.string("value")?.ok_or_else(|| missing("value"))?;
+        reader.finish()?;
+        Ok(Some(OnlyRule { column: self.located_column(&column)?, value: value.value }))
+    }
+
+    fn format_only(&self) -> Result<Option<OnlyRule>, DocError> {
+        let Some(only) = self.format.and_then(|format| format.only.as_ref()) else { return Ok(None) };
+        Ok(Some(OnlyRule { column: self.format_column(only.column)?, value: only.value.to_owned() }))
+    }
+
+    /// A span in whole seconds.
+    pub(super) fn read_seconds(&mut self, key: &str, default: u64, min: u64) -> Result<Span, DocError> {
+        let seconds = self.reader.whole(key, min, MAX_SECONDS)?;
+        Ok(Span::from_secs(seconds.map_or(default, |seconds| seconds.value) as i64))
+    }
+
+    /// All class rules, in the map's order.
+    pub(super) fn read_classes(&mut self) -> Result<Vec<ClassRule>, DocError> {
+        let blocks = self.reader.blocks("class");
+        blocks.into_iter().map(|block| self.read_class(block)).collect()
+    }
+
+    fn read_class(&self, block: &Block) -> Result<ClassRule, DocError> {
+        let at = self.doc.place(block);
+        let [label] = &block.labels[..] else {
+            return Err(self.doc.error(at, "a class has one name: class \"NAME\" { ... }"));
+        };
+        let mut reader = self.doc.reader(&block.body);
+        let column = reader.string("column")?.map(|name| self.located_column(&name)).transpose()?;
+        let one_of = reader.strings("one_of")?;
+        let from = reader.number("from", -MAX_BOUND, MAX_BOUND)?;
+        let below = reader.number("below", -MAX_BOUND, MAX_BOUND)?;
+        let part = reader.number("part", 0.0, 1.0)?;
+        reader.finish()?;
+        let has_range = from.is_some() || below.is_some();
+        if column.is_none() != (one_of.is_empty() && !has_range) {
+            let text = "a class names a column together with one_of, from or below, or none of them";
+            return Err(self.doc.error(at, text));
+        }
+        let start = from.map_or(f64::NEG_INFINITY, |from| from.value);
+        let end = below.map_or(f64::INFINITY, |below| below.value);
+        Ok(ClassRule {
+            class: label.as_str().to_owned(),
+            column,
+            one_of: one_of.into_iter().map(|value| value.value).collect(),
+            range: has_range.then_some(start..end),
+            part: part.map_or(1.0, |part| part.value),
+        })
+    }
+}
