--- a/src/commands/flood.rs
+++ b/src/commands/flood.rs
@@ -2,7 +2,7 @@
 
 use super::output::print;
 use super::CommandError;
-use dahliatrack::lab::flood::{self, Plan};
+use dahliatrack::lab::flood::{self, FloodPlan};
 use std::net::{IpAddr, SocketAddr};
 
 const MIN_SECONDS: f64 = 0.1;
@@ -44,14 +44,14 @@
     if ![target.ip(), known_from, flood_from].iter().all(IpAddr::is_loopback) {
         return Err(CommandError::FloodNotLoopback);
     }
-    let plan = Plan {
+    let plan = FloodPlan {
         target,
         known,
         known_from,
         flood,
         flood_from,
         seconds: seconds.clamp(MIN_SECONDS, MAX_SECONDS),
-        most_connections: MAX_CONNECTIONS_PER_CLIENT,
+        max_connections: MAX_CONNECTIONS_PER_CLIENT,
         route,
         flood_asks,
     };
--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -32,7 +32,7 @@
     /// Plant a bug in the federation, to see that it is found
     #[cfg(feature = "federation")]
     #[arg(long, value_enum, requires = "federation")]
-    plant: Option<dahliatrack::sim::federation::Planted>,
+    plant: Option<dahliatrack::sim::federation::PlantedBug>,
     /// Failures that are shrunk and told
     #[arg(id = "most", long = "most", value_name = "MOST", default_value_t = 3)]
     max_failures: usize,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -18,7 +18,7 @@
     }
 
     /// The key that has a number.
-    pub(super) fn from_number(number: u64) -> Self {
+    pub fn from_number(number: u64) -> Self {
         ConnectionKey(Key::from_number(number))
     }
 }
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -144,9 +144,9 @@
         if closed.is_empty() {
             return; // no descriptor came free, so the spare cannot be opened now either
         }
-        for number in closed {
-            self.admission.rules.closed(ConnectionId(number));
-            self.admission.refused.remove(&ConnectionKey::from_number(number));
+        for key in closed {
+            self.admission.rules.closed(ConnectionId(key.number()));
+            self.admission.refused.remove(&key);
         }
         self.admission.open_spare_descriptor();
     }
--- a/src/server/pending/tests.rs
+++ b/src/server/pending/tests.rs
@@ -1,11 +1,12 @@
 //! Tests of `pending`.
 
 use super::*;
+use crate::net::ConnectionKey;
 use crate::slots::Key;
 
 fn request(trace_id: &str, body: &'static [u8]) -> PendingRequest {
     PendingRequest {
-        client: Client::Signed { conn: Key::from_number(1) },
+        client: Client::Signed { conn: ConnectionKey::from_number(1) },
         etags: Vec::new(),
         class: ClassId(0),
         trace_id: trace_id.into(),
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -7,6 +7,7 @@
 use crate::interface::{
     AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, RejectionReason, Span, UnixTime,
 };
+use crate::net::ConnectionKey;
 use crate::server::pending::{Client, PendingRequest};
 use crate::slots::Key;
 use crate::upstream::lines::WireAnswer;
@@ -208,7 +209,7 @@
         timeout: Span::from_micros(900),
     };
     let request = |etags: &[&str]| PendingRequest {
-        client: Client::Thrift { conn: Key::from_number(1), seqid: SequenceId(1) },
+        client: Client::Thrift { conn: ConnectionKey::from_number(1), seqid: SequenceId(1) },
         etags: etags.iter().map(|etag| etag.to_string()).collect(),
         class: ClassId(1),
         trace_id: "9b1f03aa5c7e2d41".into(),
