--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -29,7 +29,7 @@
 use crate::net::{Clock, ConnectionKey, Listener, Net, Ready};
 use crate::server_names::ServerNames;
 use crate::slots::Key;
-use crate::upstream::lines::WireRequest;
+use crate::upstream::lines::{IdempotencyKey, WireRequest};
 use crate::upstream::{self, JobId, QueueKind, QueuedRequest, RequestEncoder, Upstream, UpstreamEvent};
 use crate::SettingsError;
 use bytes::Bytes;
@@ -141,7 +141,7 @@
     class: ClassId,
     trace: String,
     item: String,
-    idempotency_key: Option<String>,
+    idempotency_key: Option<IdempotencyKey>,
     body: Bytes,
 }
 
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -5,7 +5,7 @@
 use crate::front::signed::http;
 use crate::front::thrift::codec::ThriftReply;
 use crate::interface::{AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, Span, UnixTime};
-use crate::upstream::lines::{self, WireAnswer, WireRequest};
+use crate::upstream::lines::{IdempotencyKey, WireAnswer, WireRequest};
 use crate::upstream::JobEnd;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
     /// The tag of the client's copy.
     pub seen: Option<String>,
     /// The idempotency key by which servers know a repeat, as the client gave it.
-    pub idempotency_key: Option<String>,
+    pub idempotency_key: Option<IdempotencyKey>,
 }
 
 /// The class that a request names, whatever else is wrong with it.
@@ -70,11 +70,8 @@
     if group >= GROUPS {
         return Err("set is no number of its range".into());
     }
-    let idempotency_key = field("nonce").map(str::to_owned);
-    // Servers must get it as it is, or they could not tell a repeat from a new request.
-    if idempotency_key.as_ref().is_some_and(|key| !lines::is_plain(key)) {
-        return Err("nonce is no plain word".into());
-    }
+    let parse_key = |word| IdempotencyKey::parse(word).ok_or("nonce is no plain word");
+    let idempotency_key = field("nonce").map(parse_key).transpose()?;
     Ok(RequestFields {
         class: ClassId(class as u16),
         object: ObjectId(object),
@@ -95,7 +92,7 @@
     from: Option<&str>,
     item: &str,
     seen: Option<String>,
-    idempotency_key: Option<String>,
+    idempotency_key: Option<IdempotencyKey>,
     body: &Bytes,
 ) -> WireRequest {
     // Whole milliseconds: an age never rounds up, and never to 0, which would mean any age.
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -45,7 +45,10 @@
         form(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names()).expect("a form");
     assert_eq!((bare.part, bare.group, bare.seen.as_deref()), (0, GroupId(0), Some("t")));
     let keyed = form(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("a form");
-    assert_eq!((bare.idempotency_key, keyed.idempotency_key.as_deref()), (None, Some("4be0c192-7d")));
+    assert_eq!(
+        (bare.idempotency_key, keyed.idempotency_key.as_ref().map(|key| key.as_str())),
+        (None, Some("4be0c192-7d"))
+    );
     for (name, value) in [
         ("nonce", Some("")),
         ("nonce", Some("a,from=s-9")),
--- a/src/upstream/lines.rs
+++ b/src/upstream/lines.rs
@@ -10,6 +10,22 @@
 /// The longest body of an answer, in bytes: an object of the protocol has 240,000.
 pub const MAX_BODY_BYTES: usize = 1 << 18;
 
+/// The key by which servers drop repeats of a request. Servers must get it unchanged, so it is always a plain word.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IdempotencyKey(String);
+
+impl IdempotencyKey {
+    /// The key of a client's request; `None` if it could not stand in a line unchanged.
+    pub fn parse(word: &str) -> Option<Self> {
+        is_plain(word).then(|| IdempotencyKey(word.to_owned()))
+    }
+
+    /// The key as the client sent it.
+    pub fn as_str(&self) -> &str {
+        &self.0
+    }
+}
+
 /// A request to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WireRequest {
@@ -37,8 +53,8 @@
     pub stale_while_revalidate: bool,
     /// The entity tag of the client's copy; sent only if it is a plain word.
     pub client_etag: Option<String>,
-    /// The idempotency key, a plain word.
-    pub idempotency_key: Option<String>,
+    /// The idempotency key.
+    pub idempotency_key: Option<IdempotencyKey>,
     /// The request's body.
     pub body: Bytes,
 }
@@ -69,8 +85,8 @@
     if !mode.is_empty() {
         field("mode", &mode.join("+"));
     }
-    if let Some(key) = fetch.idempotency_key.as_ref().filter(|key| is_plain(key)) {
-        field("nonce", key);
+    if let Some(key) = &fetch.idempotency_key {
+        field("nonce", &key.as_str());
     }
     if let Some(seen) = fetch.client_etag.as_ref().filter(|seen| is_plain(seen)) {
         field("seen", seen);
@@ -80,7 +96,7 @@
 }
 
 /// Whether a client's word can stand in a line without breaking it.
-pub fn is_plain(word: &str) -> bool {
+fn is_plain(word: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || "_-.:".contains(c);
     (1..=MAX_WORD_BYTES).contains(&word.len()) && word.chars().all(fits)
 }
--- a/src/upstream/lines/tests.rs
+++ b/src/upstream/lines/tests.rs
@@ -68,7 +68,7 @@
         join_fill: true,
         stale_while_revalidate: true,
         client_etag: Some("t4".into()),
-        idempotency_key: Some("k7".into()),
+        idempotency_key: IdempotencyKey::parse("k7"),
         body: Bytes::from_static(b"xyz"),
         ..plain.clone()
     };
