--- a/src/server/translate/request_fields.rs
+++ b/src/server/translate/request_fields.rs
@@ -2,7 +2,7 @@
 
 use crate::config::settings::ProgramSettings;
 use crate::interface::{ClassId, GroupId, ObjectId, Span};
-use crate::upstream::lines;
+use crate::upstream::lines::IdempotencyKey;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -73,7 +73,7 @@
     /// The entity tag of the client's copy.
     pub etag: Option<String>,
     /// The key by which servers recognize a repeat.
-    pub idempotency_key: Option<String>,
+    pub idempotency_key: Option<IdempotencyKey>,
 }
 
 /// The class that a request names, even if the request is invalid otherwise.
@@ -98,11 +98,8 @@
     if group >= GROUPS {
         return Err(InvalidRequest::OutOfRange(field::GROUP));
     }
-    let idempotency_key = optional(fields, field::IDEMPOTENCY_KEY);
-    // Servers must get it unchanged, or they could not tell a repeat from a new request.
-    if idempotency_key.is_some_and(|key| !lines::is_plain(key)) {
-        return Err(InvalidRequest::InvalidIdempotencyKey);
-    }
+    let parse_key = |word| IdempotencyKey::parse(word).ok_or(InvalidRequest::InvalidIdempotencyKey);
+    let idempotency_key = optional(fields, field::IDEMPOTENCY_KEY).map(parse_key).transpose()?;
     Ok(RequestFields {
         class,
         object: ObjectId(object),
@@ -112,7 +109,7 @@
         trace_id: trace_id.to_owned(),
         object_name: object_name.to_owned(),
         etag: optional(fields, field::ETAG).map(str::to_owned),
-        idempotency_key: idempotency_key.map(str::to_owned),
+        idempotency_key,
     })
 }
 
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -59,7 +59,10 @@
         .expect("valid");
     assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
     let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("valid");
-    assert_eq!((bare.idempotency_key, keyed.idempotency_key.as_deref()), (None, Some("4be0c192-7d")));
+    assert_eq!(
+        (bare.idempotency_key, keyed.idempotency_key.as_ref().map(|key| key.as_str())),
+        (None, Some("4be0c192-7d"))
+    );
     for (name, value) in [
         ("nonce", Some("")),
         ("nonce", Some("a,from=s-9")),
