--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -76,14 +76,14 @@
     let reason = match status {
         200 => "OK",
         304 => "Not Modified",
-        400 => "HeadError Request",
+        400 => "Bad Request",
         403 => "Forbidden",
         404 => "Not Found",
         405 => "Method Not Allowed",
         408 => "Request Timeout",
         421 => "Misdirected Request",
         431 => "Request Header Fields Too Large",
-        502 => "HeadError Gateway",
+        502 => "Bad Gateway",
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
         _ => "",
@@ -96,3 +96,6 @@
 pub fn push_header(head: &mut String, name: &str, value: &dyn std::fmt::Display) {
     let _ = write!(head, "{name}: {value}\r\n"); // writing to a string cannot fail
 }
+
+#[cfg(test)]
+mod tests;
