--- a/src/server/pending.rs
+++ b/src/server/pending.rs
@@ -4,6 +4,7 @@
 use crate::front::thrift::SequenceId;
 use crate::interface::ClassId;
 use crate::net::ConnectionKey;
+use crate::upstream::lines::IdempotencyKey;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +38,7 @@
     /// The object's name on the wire.
     pub object_name: String,
     /// The key by which servers recognize a repeat.
-    pub idempotency_key: Option<String>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// The body.
     pub body: Bytes,
 }
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -7,6 +7,7 @@
 use crate::interface::{
     AttemptResult, CacheStatus, ClassId, GroupId, ObjectId, RejectionReason, Span, UnixTime,
 };
+use crate::net::ConnectionKey;
 use crate::server::pending::{Client, PendingRequest};
 use crate::slots::Key;
 use crate::upstream::lines::WireAnswer;
@@ -58,7 +59,10 @@
         .expect("valid");
     assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
     let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("valid");
-    assert_eq!((bare.idempotency_key, keyed.idempotency_key.as_deref()), (None, Some("4be0c192-7d")));
+    assert_eq!(
+        (bare.idempotency_key, keyed.idempotency_key.as_ref().map(|key| key.as_str())),
+        (None, Some("4be0c192-7d"))
+    );
     for (name, value) in [
         ("nonce", Some("")),
         ("nonce", Some("a,from=s-9")),
@@ -180,8 +184,8 @@
             504,
             None,
         ),
-        (FinalAnswer::Failed { late: true }, &[], 504, None),
-        (FinalAnswer::Failed { late: false }, &[], 502, None),
+        (FinalAnswer::Failed { timed_out: true }, &[], 504, None),
+        (FinalAnswer::Failed { timed_out: false }, &[], 502, None),
         (FinalAnswer::Denied, &["a"], 403, None),
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
@@ -208,7 +212,7 @@
         timeout: Span::from_micros(900),
     };
     let request = |etags: &[&str]| PendingRequest {
-        client: Client::Thrift { conn: Key::from_number(1), seqid: SequenceId(1) },
+        client: Client::Thrift { conn: ConnectionKey::from_number(1), seqid: SequenceId(1) },
         etags: etags.iter().map(|etag| etag.to_string()).collect(),
         class: ClassId(1),
         trace_id: "9b1f03aa5c7e2d41".into(),
