--- a/src/lab/replay/clients.rs
+++ b/src/lab/replay/clients.rs
@@ -1,15 +1,14 @@
 //! The clients of a replay: each sends its share of the requests at the trace's times on a connection of its own, and
 //! connects again when that ends.
 
+use super::connection::{ClientConnection, OpenRequest, OpenRequests};
 use super::{ClassTerms, ReplayPlan};
 use crate::standin::thrift_client::{self, Answered};
 use crate::trace::{Played, Trace};
 use indicatif::ProgressBar;
-use std::collections::BTreeMap;
-use std::io::{self, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::io;
+use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Sender};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -19,8 +18,6 @@
 const LAST_ANSWERS_PAUSE: Duration = Duration::from_millis(10);
 /// A request is written on the client's connection, or else once on a new one.
 const WRITE_ATTEMPTS: usize = 2;
-/// The bytes of one read.
-const READ_BYTES: usize = 64 * 1024;
 /// The bits of a trace id that number the requests of a replay.
 const REQUEST_BITS: u32 = 32;
 
@@ -102,70 +99,6 @@
     })
 }
 
-/// A request that has no answer yet.
-struct OpenRequest {
-    class: usize,
-    /// From the start.
-    sent: Duration,
-}
-
-/// The open requests of one connection by sequence number, which its reading thread shares.
-#[derive(Clone, Default)]
-struct OpenRequests(Arc<Mutex<BTreeMap<i32, OpenRequest>>>);
-
-impl OpenRequests {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<i32, OpenRequest>> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-/// A connection to the edge proxy.
-struct ClientConnection {
-    stream: TcpStream,
-    open: OpenRequests,
-}
-
-impl ClientConnection {
-    /// Connects, and reads answers in a thread of its own; `None`: that failed.
-    fn open(target: SocketAddr, begun: Instant, ends: &Sender<RequestEnd>) -> Option<Self> {
-        let stream = TcpStream::connect(target).ok()?;
-        stream.set_nodelay(true).ok()?;
-        let reading = stream.try_clone().ok()?;
-        let open = OpenRequests::default();
-        let (shared, ends) = (open.clone(), ends.clone());
-        thread::spawn(move || read_answers(reading, &shared, begun, &ends));
-        Some(ClientConnection { stream, open })
-    }
-
-    /// Writes a request's frame; `false`: the connection has ended.
-    fn write(&mut self, seqid: i32, request: OpenRequest, frame: &[u8]) -> bool {
-        self.open.lock().insert(seqid, request);
-        let is_written = self.stream.write_all(frame).is_ok();
-        if !is_written {
-            self.open.lock().remove(&seqid);
-        }
-        is_written
-    }
-}
-
-/// Reads answers until the connection ends.
-fn read_answers(mut stream: TcpStream, open: &OpenRequests, begun: Instant, ends: &Sender<RequestEnd>) {
-    let (mut input, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
-    while let Ok(count) = stream.read(&mut buffer) {
-        if count == 0 {
-            return;
-        }
-        input.extend_from_slice(&buffer[..count]);
-        while let Ok(Some(answer)) = thrift_client::take_answer(&mut input) {
-            let request = open.lock().remove(&answer.seqid);
-            if let Some(OpenRequest { class, sent }) = request {
-                let took = begun.elapsed().saturating_sub(sent);
-                let _ = ends.send(RequestEnd { class, sent, took, answer: Some(answer.kind) });
-            }
-        }
-    }
-}
-
 /// One client.
 struct ReplayClient<'a> {
     traffic: Traffic<'a>,
@@ -247,7 +180,7 @@
     /// Closes the connection; what is still open has no answer.
     fn end(&mut self) {
         if let Some(connection) = self.connection.take() {
-            let _ = connection.stream.shutdown(Shutdown::Both);
+            connection.close();
         }
         for open in std::mem::take(&mut self.open) {
             for request in std::mem::take(&mut *open.lock()).into_values() {
--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -1,12 +1,13 @@
-//! Replays a trace over the edge proxy's real front: stand-in hosts and feed on loopback, the edge proxy as a process of
-//! its own, and clients that send at the trace's times whatever the answers do (an open loop). Bounded in count and
-//! time.
+//! Replays a trace over the edge proxy's real front: stand-in hosts and feed on loopback, the edge proxy as a process
+//! of its own, and clients that send at the trace's times whatever the answers do (an open loop). Bounded in count
+//! and time.
 //!
 //! - `proxy`: the edge proxy's process.
-//! - `clients`: the clients, a connection each.
+//! - `clients`: the clients, with one `connection` at a time each.
 //! - `report`: what a replay came to; `render` prints it.
 
 mod clients;
+mod connection;
 mod proxy;
 mod render;
 mod report;
--- a/src/lab_commands.rs
+++ b/src/lab_commands.rs
@@ -6,8 +6,8 @@
 use dahliatrack::config::ConfigError;
 #[cfg(feature = "control")]
 use dahliatrack::control::service::ControlError;
-use dahliatrack::lab::made;
 use dahliatrack::lab::replay::{self, ReplayError, ReplayPlan};
+use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 #[cfg(feature = "control")]
 use dahliatrack::lab::xds;
 use dahliatrack::standin::faults::RunPlan;
@@ -130,11 +130,15 @@
             print(&runtime.block_on(xds::measure(&plan))?);
         }
         Lab::Trace { seconds, rate, objects, seed } => {
-            let made =
-                made::Made { seconds: seconds.clamp(1.0, 1e7), rate: rate.clamp(0.001, 1e5), objects, seed };
+            let made = SyntheticTrace {
+                seconds: seconds.clamp(1.0, 1e7),
+                rate: rate.clamp(0.001, 1e5),
+                objects,
+                seed,
+            };
             let mut out = std::io::BufWriter::new(std::io::stdout().lock());
-            made::azure(&made, &mut out)
-                .and_then(|_| std::io::Write::flush(&mut out))
+            made.write_azure(&mut out)
+                .and_then(|()| std::io::Write::flush(&mut out))
                 .map_err(ReplayError::from)?;
         }
         Lab::Replay { trace, map, how } => {
@@ -147,8 +151,8 @@
             let folder = std::env::temp_dir().join(format!("dahliatrack-demo-{}", std::process::id()));
             std::fs::create_dir_all(&folder).map_err(ReplayError::from)?;
             let path = folder.join("trace.csv");
-            let made = made::Made { seconds: seconds as f64, rate: 100.0, objects: 500, seed: how.seed };
-            let written = std::fs::File::create(&path).and_then(|mut file| made::azure(&made, &mut file));
+            let made = SyntheticTrace { seconds: seconds as f64, rate: 100.0, objects: 500, seed: how.seed };
+            let written = std::fs::File::create(&path).and_then(|mut file| made.write_azure(&mut file));
             let loaded = written
                 .map_err(ReplayError::from)
                 .map(|_| trace::load(&path, Doc { file: "demo.hcl", text: DEMO_MAP }));
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -15,7 +15,8 @@
         }
     }
 
-    /// A member seeks and renews leases, and is about to act on the duties that it holds. The leader grants and ends them.
+    /// A member seeks and renews leases, and is about to act on the duties that it holds. The leader grants and ends
+    /// them.
     pub(super) fn seek_and_renew_leases(&mut self, id: MemberId) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -1,6 +1,6 @@
 //! Federations of several members on a virtual clock: the same [`Node`](crate::federation::node::Node)s that run in
-//! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from the
-//! store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
+//! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from
+//! the store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
 //!
 //! - `world`: the run's agenda and what happens; `members`: members start, restart and take their steps.
 //! - `messages`: what goes between members; `leases`: what they do with their duties.
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -24,7 +24,8 @@
     })
 }
 
-/// Drops faults from a seed's script one by one, as long as the rule is still broken; none of those left can be dropped.
+/// Drops faults from a seed's script one by one, as long as the rule is still broken; none of those left can be
+/// dropped.
 pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, sabotage: Option<Sabotage>) -> Failure {
     let script = plan.script(seed);
     let pick = |keep: &[usize]| -> Vec<Fault> { keep.iter().map(|n| script[*n].clone()).collect() };
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -276,8 +276,8 @@
     for seed in 0..5 {
         assert_eq!(run(seed, None), run(seed, None), "seed {seed}");
     }
-    // A member that led before it applied its own removal, which its predecessor had proposed: the library gave up by a panic. And a
-    // leader with an older file that took back what one with a newer file had begun.
+    // A member that led before it applied its own removal, which its predecessor had proposed: the library gave up
+    // by a panic. And a leader with an older file that took back what one with a newer file had begun.
     for seed in [2632, 3036, 3439, 4727, 5618] {
         assert_eq!(run(seed, None).breaches, [], "seed {seed}");
     }
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -1,13 +1,16 @@
-//! The clients: what they request and cancel, and what they are answered.
+//! The clients: what they request and cancel, and how their connections end.
 
 use super::agenda::ScheduledEvent;
+use super::faults::DescriptorShortage;
 use super::processes::ProcessId;
-use super::*;
+use super::traffic::{PlannedRequest, RequestNumber};
+use super::{numbered_address, Sabotage, World, FRONT};
+use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
-use crate::standin::ids::LinkId;
-use crate::standin::thrift_client::{self, Answer, Answered};
-use serde_json::json;
-use std::collections::BTreeSet;
+use crate::standin::ids::{ClientId, LinkId};
+use crate::standin::thrift_client;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
 
 /// The group of all objects.
 pub(super) const GROUP: u32 = 17;
@@ -24,10 +27,10 @@
 
 /// A request that has no answer yet.
 pub(super) struct OpenRequest {
-    number: RequestNumber,
+    pub(super) number: RequestNumber,
     written: Instant,
     /// When it counts as sent: once its connection can be accepted.
-    sent: Instant,
+    pub(super) sent: Instant,
     /// It was sent before, on a connection that ended.
     is_resent: bool,
 }
@@ -37,11 +40,11 @@
 pub(super) struct Client {
     pub(super) link: Option<LinkId>,
     last_seqid: i32,
-    input: Vec<u8>,
+    pub(super) input: Vec<u8>,
     /// By sequence number.
-    open: BTreeMap<i32, OpenRequest>,
+    pub(super) open: BTreeMap<i32, OpenRequest>,
     /// Sequence numbers whose answers may still come.
-    cancelled: BTreeSet<i32>,
+    pub(super) cancelled: BTreeSet<i32>,
     connected_at: Instant,
     /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
     accepted_by: Instant,
@@ -63,7 +66,7 @@
 }
 
 impl World<'_> {
-    fn client(&mut self, client: ClientId) -> &mut Client {
+    pub(super) fn client(&mut self, client: ClientId) -> &mut Client {
         &mut self.clients[client.0]
     }
 
@@ -177,71 +180,6 @@
         self.answers.excused += open.len() as u64;
     }
 
-    /// Bytes have reached a client.
-    pub(super) fn client_received(&mut self, id: ClientId, bytes: &[u8]) {
-        self.client(id).input.extend_from_slice(bytes);
-        loop {
-            match thrift_client::take_answer(&mut self.client(id).input) {
-                Ok(Some(answer)) => self.client_answered(id, &answer),
-                Ok(None) => return,
-                Err(error) => return self.rules.breach(self.now, "unreadable", error.to_string()),
-            }
-        }
-    }
-
-    fn client_answered(&mut self, id: ClientId, answer: &Answer) {
-        let client = self.client(id);
-        let Some(open) = client.open.remove(&answer.seqid) else {
-            if !client.cancelled.contains(&answer.seqid) {
-                let text = format!("client {id} has a second answer to {}", answer.seqid);
-                self.rules.breach(self.now, "second-answer", text);
-            }
-            return;
-        };
-        let request = self.request(open.number).clone();
-        self.rules.answered(self.now, &request.trace, open.sent, request.client_timeout);
-        match answer.kind {
-            Answered::Served => {
-                self.answers.served += 1;
-                self.check_served(&request, open.sent, &answer.body);
-            }
-            Answered::Refused => {
-                self.answers.rejected += 1;
-                self.check_retry_after(&request, answer);
-            }
-            Answered::Failed => self.answers.failed += 1,
-        }
-    }
-
-    /// Checks that what was served is what was requested, and new enough.
-    fn check_served(&mut self, request: &PlannedRequest, sent: Instant, body: &[u8]) {
-        let text = String::from_utf8_lossy(body);
-        let wanted = if request.is_write() {
-            format!("done:{};", request.trace)
-        } else {
-            format!("{}:{}:", request.object, request.part)
-        };
-        let Some(rest) = text.strip_prefix(&wanted) else {
-            let text = format!("{} is served {:.60}, not {wanted}", request.trace, text);
-            return self.rules.breach(self.now, "wrong-bytes", text);
-        };
-        let handed_out = rest.split(';').next().and_then(|micros| micros.parse().ok());
-        if let Some(handed_out) = handed_out.filter(|_| !request.is_write()) {
-            self.rules.served(self.now, &request.object, Instant::from_micros(handed_out), sent);
-        }
-    }
-
-    /// Checks that a rejection carries a Retry-After where the site has it.
-    fn check_retry_after(&mut self, request: &PlannedRequest, answer: &Answer) {
-        let field = answer.fields.iter().find(|(name, _)| name == "pause");
-        let pause = field.and_then(|(_, ms)| ms.parse::<i64>().ok()).unwrap_or(0);
-        let advised = self.base_config["settings"]["limits"]["retry_after"] == json!(true);
-        if (pause > 0) != advised {
-            let text = format!("{} is refused with {pause}, advised: {advised}", request.trace);
-            self.rules.breach(self.now, "no-pause", text);
-        }
-    }
-
     /// A client's connection has ended: its open requests are lost, unless a fault excuses that.
     pub(super) fn client_disconnected(&mut self, id: ClientId, link: LinkId) {
         let open = self.client(id).disconnect();
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -1,11 +1,13 @@
 //! The control feed: its events and the polls that wait for them.
 
 use super::agenda::ScheduledEvent;
-use super::*;
+use super::{Sabotage, World};
+use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
 use crate::standin::feed::PollRequest;
-use crate::standin::ids::LinkId;
-use serde_json::json;
+use crate::standin::ids::{HostId, LinkId};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
 
 /// The processes have polled a feed that was cut off again this long after it is back.
 const POLLED_AGAIN: Span = Span::from_millis(2_200);
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,12 +1,15 @@
 //! The caches, parents and the origin: what they receive and answer.
 
 use super::agenda::ScheduledEvent;
-use super::*;
-use crate::net::fabric::HostBehaviour;
+use super::{host_address, World};
+use crate::interface::{Instant, Span};
+use crate::net::fabric::{Fabric, HostBehaviour};
 use crate::sim::rules::ReceivedAttempt;
+use crate::standin::fleet::Fleet;
 use crate::standin::host::{PartialInput, Tier};
-use crate::standin::ids::LinkId;
+use crate::standin::ids::{HostId, LinkId};
 use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, GARBLED_ANSWER, HEALTHY};
+use rand::Rng;
 
 /// A second answer is sent this long after the first.
 const REPEATED_ANSWER_DELAY: Span = Span::from_millis(8);
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -3,12 +3,13 @@
 //!
 //! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
 //! - `agenda`: what is scheduled besides what the network and the processes do by themselves.
-//! - `network`: passes what arrives on the network to `clients`, `hosts` and `feed`.
+//! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
 //! - `processes`: starts, turns and ends the edge proxy's processes.
 //! - `faults`: what goes wrong, by kind.
 //! - `outcome`: how a run came out.
 
 mod agenda;
+mod answers;
 mod clients;
 mod faults;
 mod feed;
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -1,10 +1,13 @@
 //! The edge proxy's processes: started, given their turns, ended and killed.
 
 use super::agenda::ScheduledEvent;
-use super::*;
+use super::{Sabotage, World};
 use crate::config::Config;
+use crate::interface::{Instant, Span};
+use crate::net::Ready;
 use crate::server::{Server, SIBLINGS};
-use std::collections::BTreeSet;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A process has ended this long after SIGTERM.
 pub(super) const MAX_SHUTDOWN: Span = Span::from_secs(31);
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -1,14 +1,24 @@
 //! The site of a run and its hosts.
 
-use super::agenda::ScheduledEvent;
+use super::agenda::{Agenda, ScheduledEvent};
 use super::clients::Client;
+use super::faults::DescriptorShortage;
+use super::feed::Feed;
 use super::processes::Processes;
-use super::*;
-use crate::net::fabric::HostBehaviour;
+use super::{host_address, numbered_address, AnswerCounts, Sabotage, World, FEED, FRONT, START};
+use crate::interface::Span;
+use crate::net::fabric::{Fabric, HostBehaviour};
+use crate::sim::rules::Rules;
 use crate::sim::site_variant::{SiteVariant, DEDUP_WINDOW_MS, WRITE_CLASS};
+use crate::standin::faults::RunPlan;
+use crate::standin::fleet::Fleet;
 use crate::standin::host::{Host, Tier};
+use crate::standin::ids::HostId;
 use crate::standin::site::{config, Shape};
-use serde_json::json;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
 
 /// The shortest and the longest delay of a connection, one way.
 const DELAYS: (Span, Span) = (Span::from_millis(1), Span::from_millis(20));
--- a/src/standin/faults/system_error.rs
+++ b/src/standin/faults/system_error.rs
@@ -20,20 +20,20 @@
 }
 
 impl SystemError {
-    /// What accept says of a connection that failed before it was given.
+    /// Errors of accept, for a connection that failed before it was accepted.
     pub const OF_ACCEPT: [SystemError; 4] =
         [SystemError::Econnaborted, SystemError::Eproto, SystemError::Ehostunreach, SystemError::Etimedout];
-    /// What every call says that wants a descriptor where there is none.
+    /// Errors of every call that needs a descriptor, when none are left.
     pub const OF_EXHAUSTION: [SystemError; 3] =
         [SystemError::Enfile, SystemError::Emfile, SystemError::Enobufs];
-    /// What connecting says at once.
+    /// Errors of the call that connects.
     pub const OF_CONNECT: [SystemError; 3] =
         [SystemError::Enobufs, SystemError::Eaddrnotavail, SystemError::Enetunreach];
-    /// What a connection says that does not come up, or breaks.
+    /// Errors of a connection that is not established, or breaks.
     pub const OF_CONNECTION: [SystemError; 3] =
         [SystemError::Etimedout, SystemError::Ehostunreach, SystemError::Enetunreach];
 
-    /// Its number.
+    /// Its number in the system.
     pub fn errno(self) -> Errno {
         match self {
             SystemError::Econnaborted => Errno::CONNABORTED,
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -4,9 +4,6 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-/// The number of a server: caches first, then parents, then the origin.
-type ServerNumber = usize;
-
 /// How large a site is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
@@ -67,7 +64,7 @@
 
 /// The configuration of the first edge proxy at the first point, as the platform writes it. `address` returns the
 /// address of each server by its number: caches first, then parents, then the origin.
-pub fn config(shape: &Shape, feed: &str, address: impl Fn(ServerNumber) -> String) -> Value {
+pub fn config(shape: &Shape, feed: &str, address: impl Fn(usize) -> String) -> Value {
     let zones = shape.zones();
     let hosts = hosts(shape, &zones, address);
     json!({
@@ -91,11 +88,11 @@
 }
 
 /// The servers' entries in the endpoint list.
-fn hosts(shape: &Shape, zones: &[String], address: impl Fn(ServerNumber) -> String) -> Vec<Value> {
+fn hosts(shape: &Shape, zones: &[String], address: impl Fn(usize) -> String) -> Vec<Value> {
     let Shape { points, caches, hubs, .. } = *shape;
     let parents_end = caches + hubs * shape.parents;
     let mut random = Pcg64Mcg::seed_from_u64(shape.seed);
-    let host = |number: ServerNumber| {
+    let host = |number: usize| {
         // The platform's names end in the server's number in hex, by which the policy knows it.
         let id = random.next_u32() >> 4 << 4 | number as u32 & 0xf;
         let (zone, class, weight) = match number {
