--- a/src/commands/federation.rs
+++ b/src/commands/federation.rs
@@ -45,7 +45,7 @@
     let (store, saved) = Store::open(&settings.store, &settings.cluster, settings.id)
         .map_err(|error| ConfigError::invalid(&settings.store, error))?;
     let last = saved.last_index();
-    let (id, term) = (store.owner().id, saved.hard.term);
+    let (id, term) = (store.owner().id, saved.hard_state.term);
     print(&format!("member {id}: usable, term {term}, log {}..{last}", saved.snapshot.index));
     Ok(())
 }
--- a/src/federation/duties/tests.rs
+++ b/src/federation/duties/tests.rs
@@ -1,44 +1,50 @@
 //! Tests of `duties`.
 
 use super::*;
+use crate::federation::state::{Command, State};
+use crate::federation::MemberId;
+use crate::interface::Instant;
 
 const TERMS: LeaseTerms =
-    LeaseTerms { span: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
+    LeaseTerms { duration: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
 
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
 
-fn wants(holder: &mut Holder, duties: &[&str]) -> Vec<Command> {
-    holder.stand_for(&duties.iter().map(|duty| (*duty).to_owned()).collect())
+fn wants(holder: &mut LeaseHolder, duties: &[&str]) -> Vec<Command> {
+    holder.set_candidacies(&duties.iter().map(|duty| (*duty).to_owned()).collect())
 }
 
 #[test]
 fn a_lease_counts_from_before_it_was_asked_for_and_ends_a_guard_early() {
-    let (mut state, mut one, mut two) =
-        (State::default(), Holder::new(MemberId(1), TERMS, 10), Holder::new(MemberId(2), TERMS, 10));
+    let (mut state, mut one, mut two) = (
+        State::default(),
+        LeaseHolder::new(MemberId(1), TERMS, 10),
+        LeaseHolder::new(MemberId(2), TERMS, 10),
+    );
     assert_eq!(wants(&mut one, &["d"]), []);
     wants(&mut two, &["d"]);
-    let asked = one.due(at(100), &state);
+    let asked = one.due_requests(at(100), &state);
     assert_eq!(asked, [Command::Acquire { duty: "d".into(), id: MemberId(1), request: 11 }]);
-    let other = two.due(at(100), &state);
+    let other = two.due_requests(at(100), &state);
     // Two proposals in one tick: the first one in the log has it.
     asked.iter().chain(&other).for_each(|command| state.apply(command));
     one.observe(&state);
     two.observe(&state);
     assert_eq!((one.token(at(100), "d"), two.token(at(100), "d")), (Some(1), None));
     assert_eq!((one.token(at(2899), "d"), one.token(at(2900), "d")), (Some(1), None), "100 + 3000 - 200");
-    assert!(two.due(at(101), &state).is_empty(), "it is held");
+    assert!(two.due_requests(at(101), &state).is_empty(), "it is held");
     // Renewed from the last third on; the renewal counts from its own request.
-    assert!(one.due(at(1899), &state).is_empty());
-    let renewal = one.due(at(1900), &state);
+    assert!(one.due_requests(at(1899), &state).is_empty());
+    let renewal = one.due_requests(at(1900), &state);
     assert_eq!(renewal, [Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 12 }]);
     state.apply(&renewal[0]);
     one.observe(&state);
     assert_eq!((one.token(at(4699), "d"), one.token(at(4700), "d")), (Some(1), None));
     // Left: the next one has it at once, with a token of its own.
     state.apply(&wants(&mut one, &[])[0]);
-    let next = two.due(at(2000), &state);
+    let next = two.due_requests(at(2000), &state);
     state.apply(&next[0]);
     two.observe(&state);
     assert_eq!((one.token(at(2000), "d"), two.token(at(2000), "d")), (None, Some(2)));
@@ -56,21 +62,21 @@
 
 #[test]
 fn an_ask_that_was_granted_too_late_or_to_another_process_is_not_held() {
-    let (mut state, mut one) = (State::default(), Holder::new(MemberId(1), TERMS, 10));
+    let (mut state, mut one) = (State::default(), LeaseHolder::new(MemberId(1), TERMS, 10));
     wants(&mut one, &["d"]);
-    let first = one.due(at(0), &state);
-    let second = one.due(at(150), &state);
+    let first = one.due_requests(at(0), &state);
+    let second = one.due_requests(at(150), &state);
     assert_eq!(second.len(), 1, "asked again");
     state.apply(&first[0]);
     one.observe(&state);
     assert_eq!(one.token(at(2799), "d").zip(one.token(at(2800), "d")), None);
     assert_eq!(one.token(at(2799), "d"), Some(1));
     // A process after it finds the lease in the log, under a request that it never made.
-    let mut after = Holder::new(MemberId(1), TERMS, 500);
+    let mut after = LeaseHolder::new(MemberId(1), TERMS, 500);
     wants(&mut after, &["d"]);
     after.observe(&state);
     assert_eq!(after.token(at(0), "d"), None);
-    let renewal = after.due(at(1000), &state);
+    let renewal = after.due_requests(at(1000), &state);
     assert_eq!(renewal, [Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 501 }]);
     state.apply(&renewal[0]);
     after.observe(&state);
@@ -79,18 +85,18 @@
 
 #[test]
 fn the_leader_ends_a_lease_after_the_drift_and_a_new_one_counts_anew() {
-    let (mut state, mut grantor) = (State::default(), Grantor::new(TERMS));
+    let (mut state, mut grantor) = (State::default(), LeaseGrantor::new(TERMS));
     assert_eq!(TERMS.expiry_timeout(), Span::from_micros(3316));
     state.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 1 });
-    assert!(grantor.due(at(1000), &state, true).is_empty());
-    assert!(grantor.due(at(4315), &state, true).is_empty());
+    assert!(grantor.due_expiries(at(1000), &state, true).is_empty());
+    assert!(grantor.due_expiries(at(4315), &state, true).is_empty());
     state.apply(&Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 2 });
-    assert!(grantor.due(at(4316), &state, true).is_empty(), "renewed meanwhile");
+    assert!(grantor.due_expiries(at(4316), &state, true).is_empty(), "renewed meanwhile");
     let expiry = Command::Expire { duty: "d".into(), token: 1, request: 2 };
-    assert_eq!(grantor.due(at(4316 + 3316), &state, true), std::slice::from_ref(&expiry));
-    assert!(grantor.due(at(4316 + 3317), &state, true).is_empty(), "not at every look");
-    assert!(grantor.due(at(9000), &state, false).is_empty());
-    assert!(grantor.due(at(9001), &state, true).is_empty(), "it leads again, and knows nothing");
+    assert_eq!(grantor.due_expiries(at(4316 + 3316), &state, true), std::slice::from_ref(&expiry));
+    assert!(grantor.due_expiries(at(4316 + 3317), &state, true).is_empty(), "not at every look");
+    assert!(grantor.due_expiries(at(9000), &state, false).is_empty());
+    assert!(grantor.due_expiries(at(9001), &state, true).is_empty(), "it leads again, and knows nothing");
     // A renewal that was in the log before the expiry saves the lease.
     state.apply(&Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 3 });
     state.apply(&expiry);
@@ -102,7 +108,7 @@
 
 #[test]
 fn a_receiver_refuses_an_act_under_an_old_token() {
-    let (mut state, mut fence) = (State::default(), Fence::default());
+    let (mut state, mut fence) = (State::default(), TokenFence::default());
     assert!(fence.admits(&state, "d", MemberId(1), 5), "the log may be behind the act");
     assert!(!fence.admits(&state, "d", MemberId(2), 4));
     assert!(fence.admits(&state, "d", MemberId(1), 5) && fence.admits(&state, "e", MemberId(2), 4));
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -66,19 +66,19 @@
 }
 
 /// A connection whose two sides have authenticated each other.
-struct Session {
+struct PeerSession {
     /// Seals what is sent.
     sending: Seal,
     /// Verifies what is received.
     receiving: Seal,
     /// When something was received last.
-    heard_at: Instant,
+    received_at: Instant,
 }
 
-impl Session {
+impl PeerSession {
     fn new(key: &Key, challenge: &Challenge, hello: &Hello, dialled: bool, now: Instant) -> Self {
         let [sending, receiving] = [dialled, !dialled].map(|way| key.seal(challenge, hello, way));
-        Session { sending, receiving, heard_at: now }
+        PeerSession { sending, receiving, received_at: now }
     }
 
     /// Sends a frame; `false`: it does not fit.
@@ -102,16 +102,16 @@
         connection: ConnectionKey,
         now: Instant,
     ) -> Result<Option<Frame>, WireError> {
-        let frame = take(net, connection, Some(&mut self.receiving))?;
+        let frame = take_message(net, connection, Some(&mut self.receiving))?;
         if frame.is_some() {
-            self.heard_at = now;
+            self.received_at = now;
         }
         Ok(frame)
     }
 }
 
 /// Takes the next message that a connection has received, if it is complete.
-fn take<T: DeserializeOwned>(
+fn take_message<T: DeserializeOwned>(
     net: &mut Net,
     connection: ConnectionKey,
     seal: Option<&mut Seal>,
@@ -120,7 +120,7 @@
 }
 
 /// What became of an attempt to take a message.
-enum Step {
+enum ReceiveStep {
     /// One was taken.
     Taken,
     /// It is not complete yet.
@@ -138,14 +138,14 @@
 }
 
 /// Decides whether the store that a connecting member comes with may speak for it.
-pub(super) type Admits<'a> = &'a dyn Fn(&Hello) -> Result<(), AdmissionError>;
+pub(super) type AdmissionCheck<'a> = &'a dyn Fn(&Hello) -> Result<(), AdmissionError>;
 
 /// The connections.
 pub(super) struct Links {
     net: Net,
     identity: Identity,
     /// A connection on which nothing is heard for so long is given up.
-    silent: Span,
+    silence_timeout: Span,
     listener: Option<Listener>,
     peers: BTreeMap<MemberId, Peer>,
     /// The connections that this member dialled, and to whom.
@@ -155,22 +155,22 @@
     /// Messages that were not sent.
     pub dropped: u64,
     /// Connections that were rejected.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl Links {
-    pub fn new(net: Net, identity: Identity, silent: Span, random: ChaCha8Rng) -> Self {
+    pub fn new(net: Net, identity: Identity, silence_timeout: Span, random: ChaCha8Rng) -> Self {
         Links {
             net,
             identity,
-            silent,
+            silence_timeout,
             listener: None,
             peers: BTreeMap::new(),
             dialled: BTreeMap::new(),
             inbound: BTreeMap::new(),
             random,
             dropped: 0,
-            refused: 0,
+            rejected: 0,
         }
     }
 
@@ -179,8 +179,8 @@
     }
 
     /// Goes by this identity from now on.
-    pub fn introduce(&mut self, identity: Identity, silent: Span) {
-        (self.identity, self.silent) = (identity, silent);
+    pub fn introduce(&mut self, identity: Identity, silence_timeout: Span) {
+        (self.identity, self.silence_timeout) = (identity, silence_timeout);
     }
 
     /// The federation's identity became known.
@@ -224,7 +224,7 @@
         &mut self,
         now: Instant,
         ready: Ready,
-        admits: Admits<'_>,
+        admits: AdmissionCheck<'_>,
         received: &mut Vec<(MemberId, Frame)>,
     ) {
         let Ready::Conn { key, read, .. } = ready else { return };
@@ -252,7 +252,7 @@
         now: Instant,
         connection: ConnectionKey,
         peer: Option<MemberId>,
-        admits: Admits<'_>,
+        admits: AdmissionCheck<'_>,
         received: &mut Vec<(MemberId, Frame)>,
     ) {
         loop {
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -1,6 +1,6 @@
 //! The connections that other members dial: each is challenged, and accepted once it has proved who it is.
 
-use super::{take, Admits, Links, Session, Step, HANDSHAKE_TIMEOUT};
+use super::{take_message, AdmissionCheck, Links, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT};
 use crate::federation::hello::{Challenge, Hello};
 use crate::federation::state::AdmissionError;
 use crate::federation::wire::{self, Frame, WireError};
@@ -18,7 +18,7 @@
     /// It was challenged then, and has not answered yet.
     Challenged { challenge: Challenge, since: Instant },
     /// It is in use by this member.
-    Established { from: MemberId, session: Session },
+    Established { from: MemberId, session: PeerSession },
 }
 
 /// Why a connection is rejected.
@@ -56,20 +56,20 @@
 }
 
 /// Why an inbound connection ends.
-enum End {
+enum InboundEnd {
     Rejected(Rejection),
     Closed(Reason),
 }
 
-impl From<Rejection> for End {
+impl From<Rejection> for InboundEnd {
     fn from(rejection: Rejection) -> Self {
-        End::Rejected(rejection)
+        InboundEnd::Rejected(rejection)
     }
 }
 
-impl From<WireError> for End {
+impl From<WireError> for InboundEnd {
     fn from(bad: WireError) -> Self {
-        End::Rejected(bad.into())
+        InboundEnd::Rejected(bad.into())
     }
 }
 
@@ -106,7 +106,7 @@
     fn reject(&mut self, now: Instant, connection: ConnectionKey, rejection: Rejection) {
         let peer = self.net.address(connection).map(|address| address.to_string()).unwrap_or_default();
         warn!(%peer, why = %rejection, "federation: a connection is refused");
-        self.refused += 1;
+        self.rejected += 1;
         self.close_inbound(now, connection, rejection.reason());
     }
 
@@ -120,7 +120,7 @@
             Inbound::Challenged { since, .. } if now - *since > HANDSHAKE_TIMEOUT => {
                 Some(Reason::HeadTimeout)
             }
-            Inbound::Established { session, .. } if now - session.heard_at > self.silent => {
+            Inbound::Established { session, .. } if now - session.received_at > self.silence_timeout => {
                 Some(Reason::Silent)
             }
             _ => None,
@@ -149,16 +149,16 @@
         &mut self,
         now: Instant,
         connection: ConnectionKey,
-        admits: Admits<'_>,
+        admits: AdmissionCheck<'_>,
         received: &mut Vec<(MemberId, Frame)>,
     ) -> bool {
         loop {
             match self.take_inbound(now, connection, admits, received) {
-                Ok(Step::Taken) => continue,
-                Ok(Step::Incomplete) => return true,
-                Ok(Step::Closed) => {}
-                Err(End::Rejected(rejection)) => self.reject(now, connection, rejection),
-                Err(End::Closed(reason)) => self.close_inbound(now, connection, reason),
+                Ok(ReceiveStep::Taken) => continue,
+                Ok(ReceiveStep::Incomplete) => return true,
+                Ok(ReceiveStep::Closed) => {}
+                Err(InboundEnd::Rejected(rejection)) => self.reject(now, connection, rejection),
+                Err(InboundEnd::Closed(reason)) => self.close_inbound(now, connection, reason),
             }
             return false;
         }
@@ -168,24 +168,24 @@
         &mut self,
         now: Instant,
         connection: ConnectionKey,
-        admits: Admits<'_>,
+        admits: AdmissionCheck<'_>,
         received: &mut Vec<(MemberId, Frame)>,
-    ) -> Result<Step, End> {
+    ) -> Result<ReceiveStep, InboundEnd> {
         match self.inbound.get_mut(&connection) {
-            None => Ok(Step::Closed),
+            None => Ok(ReceiveStep::Closed),
             Some(Inbound::Challenged { challenge, .. }) => {
                 let challenge = challenge.clone();
                 self.authenticate(now, connection, &challenge, admits)
             }
             Some(Inbound::Established { from, session }) => {
                 match session.receive(&mut self.net, connection, now)? {
-                    None => return Ok(Step::Incomplete),
+                    None => return Ok(ReceiveStep::Incomplete),
                     Some(Frame::Ping) => {
-                        session.send(&mut self.net, connection, &Frame::Pong).map_err(End::Closed)?;
+                        session.send(&mut self.net, connection, &Frame::Pong).map_err(InboundEnd::Closed)?;
                     }
                     Some(frame) => received.push((*from, frame)),
                 }
-                Ok(Step::Taken)
+                Ok(ReceiveStep::Taken)
             }
         }
     }
@@ -196,17 +196,17 @@
         now: Instant,
         connection: ConnectionKey,
         challenge: &Challenge,
-        admits: Admits<'_>,
-    ) -> Result<Step, End> {
-        let hello: Option<Hello> = take(&mut self.net, connection, None)?;
-        let Some(hello) = hello else { return Ok(Step::Incomplete) };
+        admits: AdmissionCheck<'_>,
+    ) -> Result<ReceiveStep, InboundEnd> {
+        let hello: Option<Hello> = take_message(&mut self.net, connection, None)?;
+        let Some(hello) = hello else { return Ok(ReceiveStep::Incomplete) };
         self.verify(now, challenge, &hello, admits)?;
         let key = &self.identity.key;
         let bytes = wire::encode(&key.welcome(challenge, &hello), None).unwrap_or_default();
-        let session = Session::new(key, challenge, &hello, false, now);
+        let session = PeerSession::new(key, challenge, &hello, false, now);
         self.inbound.insert(connection, Inbound::Established { from: hello.from, session });
-        self.net.write(connection, [bytes]).map_err(End::Closed)?;
-        Ok(Step::Taken)
+        self.net.write(connection, [bytes]).map_err(InboundEnd::Closed)?;
+        Ok(ReceiveStep::Taken)
     }
 
     /// Whether the member that dialled is who it says, and may be here.
@@ -215,7 +215,7 @@
         now: Instant,
         challenge: &Challenge,
         hello: &Hello,
-        admits: Admits<'_>,
+        admits: AdmissionCheck<'_>,
     ) -> Result<(), Rejection> {
         let own = &self.identity;
         if hello.cluster != own.cluster {
@@ -236,7 +236,7 @@
         admits(hello)?;
         let connected = |one: &Inbound| {
             matches!(one, Inbound::Established { from, session }
-                if *from == hello.from && now - session.heard_at < self.silent)
+                if *from == hello.from && now - session.received_at < self.silence_timeout)
         };
         if self.inbound.values().any(connected) {
             return Err(Rejection::Connected);
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -1,6 +1,8 @@
 //! The connections that this member dials: one to each peer, dialled again after a pause.
 
-use super::{take, Links, PeerAddress, Session, Step, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE};
+use super::{
+    take_message, Links, PeerAddress, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE,
+};
 use crate::federation::backoff::Backoff;
 use crate::federation::hello::{Challenge, Hello, Welcome};
 use crate::federation::wire::{self, Frame};
@@ -23,7 +25,7 @@
     /// The challenge was answered, and the peer's welcome is awaited.
     Greeted { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
     /// It is in use.
-    Established { connection: ConnectionKey, session: Session, pinged_at: Instant },
+    Established { connection: ConnectionKey, session: PeerSession, pinged_at: Instant },
 }
 
 impl Outbound {
@@ -39,15 +41,15 @@
 
 /// A member that this one dials.
 pub(super) struct Peer {
-    at: PeerAddress,
+    target: PeerAddress,
     backoff: Backoff,
     outbound: Outbound,
 }
 
 impl Peer {
-    fn new(now: Instant, at: PeerAddress) -> Self {
+    fn new(now: Instant, target: PeerAddress) -> Self {
         let backoff = Backoff::new(REDIAL_PAUSES[0], REDIAL_PAUSES[1]);
-        Peer { at, backoff, outbound: Outbound::Waiting { until: now } }
+        Peer { target, backoff, outbound: Outbound::Waiting { until: now } }
     }
 
     /// Its connection is closed; it may be dialled again then.
@@ -60,7 +62,7 @@
     /// The peers from now on.
     pub fn set_peers(&mut self, now: Instant, wanted: &BTreeMap<MemberId, PeerAddress>) {
         let stays =
-            |id: &MemberId, peer: &Peer| wanted.get(id).is_some_and(|at| at.address == peer.at.address);
+            |id: &MemberId, peer: &Peer| wanted.get(id).is_some_and(|at| at.address == peer.target.address);
         let gone: Vec<MemberId> =
             self.peers.iter().filter(|(id, peer)| !stays(id, peer)).map(|(id, _)| *id).collect();
         for id in gone {
@@ -70,7 +72,7 @@
             }
         }
         for (id, at) in wanted {
-            self.peers.entry(*id).or_insert_with(|| Peer::new(now, *at)).at = *at;
+            self.peers.entry(*id).or_insert_with(|| Peer::new(now, *at)).target = *at;
         }
     }
 
@@ -99,7 +101,7 @@
 
     fn dial(&mut self, now: Instant, to: MemberId) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
-        match self.net.connect(now, peer.at.address, Role::Federation) {
+        match self.net.connect(now, peer.target.address, Role::Federation) {
             Ok(connection) => {
                 peer.outbound = Outbound::Dialled { connection, since: now };
                 self.dialled.insert(connection, to);
@@ -135,9 +137,9 @@
     ) -> bool {
         loop {
             match self.take_from_peer(now, connection, id, received) {
-                Ok(Step::Taken) => {}
-                Ok(Step::Incomplete) => return true,
-                Ok(Step::Closed) => return false,
+                Ok(ReceiveStep::Taken) => {}
+                Ok(ReceiveStep::Incomplete) => return true,
+                Ok(ReceiveStep::Closed) => return false,
                 Err(reason) => {
                     self.lost(now, id, reason);
                     return false;
@@ -152,9 +154,9 @@
         connection: ConnectionKey,
         id: MemberId,
         received: &mut Vec<(MemberId, Frame)>,
-    ) -> Result<Step, Reason> {
+    ) -> Result<ReceiveStep, Reason> {
         match self.peers.get_mut(&id).map(|peer| &mut peer.outbound) {
-            None | Some(Outbound::Waiting { .. }) => Ok(Step::Closed),
+            None | Some(Outbound::Waiting { .. }) => Ok(ReceiveStep::Closed),
             Some(Outbound::Dialled { since, .. }) => {
                 let since = *since;
                 self.answer_challenge(connection, id, since)
@@ -163,11 +165,11 @@
             Some(Outbound::Established { session, .. }) => {
                 let frame = session.receive(&mut self.net, connection, now);
                 match frame.map_err(|_| Reason::BadMessage)? {
-                    None => return Ok(Step::Incomplete),
+                    None => return Ok(ReceiveStep::Incomplete),
                     Some(Frame::Ping | Frame::Pong) => {}
                     Some(frame) => received.push((id, frame)),
                 }
-                Ok(Step::Taken)
+                Ok(ReceiveStep::Taken)
             }
         }
     }
@@ -178,17 +180,17 @@
         connection: ConnectionKey,
         id: MemberId,
         since: Instant,
-    ) -> Result<Step, Reason> {
+    ) -> Result<ReceiveStep, Reason> {
         let challenge: Option<Challenge> =
-            take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
-        let Some(challenge) = challenge else { return Ok(Step::Incomplete) };
+            take_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
+        let Some(challenge) = challenge else { return Ok(ReceiveStep::Incomplete) };
         let hello = self.identity.hello(&challenge, id, self.random.random());
         let bytes = wire::encode(&hello, None).unwrap_or_default();
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.outbound = Outbound::Greeted { connection, since, challenge, hello };
         }
         self.net.write(connection, [bytes])?;
-        Ok(Step::Taken)
+        Ok(ReceiveStep::Taken)
     }
 
     /// Takes the welcome with which a peer proves who it is.
@@ -197,21 +199,23 @@
         now: Instant,
         connection: ConnectionKey,
         id: MemberId,
-    ) -> Result<Step, Reason> {
+    ) -> Result<ReceiveStep, Reason> {
         let welcome: Option<Welcome> =
-            take(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
-        let Some(welcome) = welcome else { return Ok(Step::Incomplete) };
-        let Some(peer) = self.peers.get_mut(&id) else { return Ok(Step::Closed) };
-        let Outbound::Greeted { challenge, hello, .. } = &peer.outbound else { return Ok(Step::Closed) };
+            take_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
+        let Some(welcome) = welcome else { return Ok(ReceiveStep::Incomplete) };
+        let Some(peer) = self.peers.get_mut(&id) else { return Ok(ReceiveStep::Closed) };
+        let Outbound::Greeted { challenge, hello, .. } = &peer.outbound else {
+            return Ok(ReceiveStep::Closed);
+        };
         let key = &self.identity.key;
         if !key.welcomes(challenge, hello, &welcome) {
             return Err(Reason::BadMessage);
         }
-        let session = Session::new(key, challenge, hello, true, now);
+        let session = PeerSession::new(key, challenge, hello, true, now);
         peer.outbound = Outbound::Established { connection, session, pinged_at: now };
         peer.backoff.reset();
         info!(peer = id.get(), "federation: a member is reached");
-        Ok(Step::Taken)
+        Ok(ReceiveStep::Taken)
     }
 
     pub(super) fn tick_peers(&mut self, now: Instant) {
@@ -223,7 +227,7 @@
         let Some(peer) = self.peers.get_mut(&id) else { return };
         match &mut peer.outbound {
             Outbound::Waiting { until } => {
-                if peer.at.eager && *until <= now {
+                if peer.target.eager && *until <= now {
                     self.dial(now, id);
                 }
             }
@@ -233,9 +237,9 @@
                 }
             }
             Outbound::Established { session, pinged_at, .. } => {
-                if now - session.heard_at > self.silent {
+                if now - session.received_at > self.silence_timeout {
                     self.lost(now, id, Reason::Silent);
-                } else if now - *pinged_at > self.silent / PINGS_PER_SILENCE {
+                } else if now - *pinged_at > self.silence_timeout / PINGS_PER_SILENCE {
                     *pinged_at = now;
                     self.send(now, id, &Frame::Ping);
                 }
--- a/src/federation/log.rs
+++ b/src/federation/log.rs
@@ -8,46 +8,46 @@
 
 /// One step that is stored atomically: all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Save {
+pub struct LogUpdate {
     /// Term, vote and commit.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// A snapshot; entries up to its index are removed, and where it `replaces` the log all others, too.
     pub snapshot: Option<SnapshotRecord>,
     /// The snapshot came from the leader, and the whole log is void.
-    pub replaces: bool,
+    pub replaces_log: bool,
     /// Entries; stored ones from the first one's index on are removed before.
     pub entries: Vec<EntryRecord>,
 }
 
-impl Save {
+impl LogUpdate {
     /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
-        self.hard.is_none() && self.snapshot.is_none() && self.entries.is_empty()
+        self.hard_state.is_none() && self.snapshot.is_none() && self.entries.is_empty()
     }
 }
 
 /// All that a member has stored.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
+pub struct StoredLog {
     /// Term, vote and commit.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The newest snapshot; index 0 for a member that has received nothing yet.
     pub snapshot: SnapshotRecord,
     /// The entries after it, without a gap.
     pub entries: Vec<EntryRecord>,
 }
 
-impl Saved {
+impl StoredLog {
     /// Applies a step, as the store does.
-    pub fn apply(&mut self, save: &Save) {
-        if let Some(hard) = save.hard {
-            self.hard = hard;
+    pub fn apply(&mut self, save: &LogUpdate) {
+        if let Some(hard) = save.hard_state {
+            self.hard_state = hard;
         }
         if let Some(snapshot) = &save.snapshot {
             let index = snapshot.index;
-            self.entries.retain(|entry| !save.replaces && entry.index > index);
+            self.entries.retain(|entry| !save.replaces_log && entry.index > index);
             self.snapshot = snapshot.clone();
-            self.hard.commit = self.hard.commit.max(index);
+            self.hard_state.commit = self.hard_state.commit.max(index);
         }
         if let Some(first) = save.entries.first() {
             self.entries.retain(|entry| entry.index < first.index);
@@ -73,13 +73,13 @@
                 return Err(LogError::OutOfPlace { found: entry.index, expected });
             }
         }
-        let (commit, last) = (self.hard.commit, self.last_index());
+        let (commit, last) = (self.hard_state.commit, self.last_index());
         if commit < self.snapshot.index || commit > last {
             return Err(LogError::CommitOutOfRange { commit, last });
         }
         let log_term = self.entries.last().map_or(self.snapshot.term, |entry| entry.term);
-        if self.hard.term < log_term {
-            return Err(LogError::TermTooOld { term: self.hard.term, log_term });
+        if self.hard_state.term < log_term {
+            return Err(LogError::TermTooOld { term: self.hard_state.term, log_term });
         }
         Ok(())
     }
@@ -116,43 +116,43 @@
 
 /// The copy in memory.
 #[derive(Debug, Default)]
-pub struct Log {
-    saved: Saved,
+pub struct CachedLog {
+    saved: StoredLog,
     /// A member needs a newer snapshot than there is.
-    asked: Cell<bool>,
+    snapshot_requested: Cell<bool>,
 }
 
-impl Log {
+impl CachedLog {
     /// The copy of what was stored.
-    pub fn new(saved: Saved) -> Self {
-        Log { saved, asked: Cell::new(false) }
+    pub fn new(saved: StoredLog) -> Self {
+        CachedLog { saved, snapshot_requested: Cell::new(false) }
     }
 
     /// Applies a step that was stored.
-    pub fn apply(&mut self, save: &Save) {
+    pub fn apply(&mut self, save: &LogUpdate) {
         self.saved.apply(save);
     }
 
     /// The log is committed up to here.
     pub fn commit(&mut self, index: LogIndex) {
-        self.saved.hard.commit = index;
+        self.saved.hard_state.commit = index;
     }
 
     /// The newest snapshot.
-    pub fn base(&self) -> &SnapshotRecord {
+    pub fn newest_snapshot(&self) -> &SnapshotRecord {
         &self.saved.snapshot
     }
 
     /// Whether a member needs a newer snapshot than there is; asked once.
-    pub fn wants_snapshot(&self) -> bool {
-        self.asked.take()
+    pub fn take_snapshot_request(&self) -> bool {
+        self.snapshot_requested.take()
     }
 }
 
-impl Storage for Log {
+impl Storage for CachedLog {
     fn initial_state(&self) -> Result<RaftState> {
         let conf_state = self.saved.snapshot.conf_state();
-        Ok(RaftState { hard_state: self.saved.hard.into(), conf_state })
+        Ok(RaftState { hard_state: self.saved.hard_state.into(), conf_state })
     }
 
     fn entries(
@@ -199,7 +199,7 @@
         let to = MemberId(to);
         let knows = base.voters.contains(&to) || base.learners.contains(&to);
         if base.index.0 < request_index || !knows {
-            self.asked.set(true);
+            self.snapshot_requested.set(true);
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
         Ok(base.into())
--- a/src/federation/membership.rs
+++ b/src/federation/membership.rs
@@ -19,7 +19,7 @@
 
 /// What the leader should do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum MembershipStep {
     /// Propose this change.
     Change(Change),
     /// Propose this command: the file's members hold.
@@ -32,23 +32,24 @@
 
 /// The next step from the state to the members that the file of this revision wants. A file that is older than the one that
 /// holds, or was begun, changes nothing: the leader may have missed a newer one.
-pub fn next(
+pub fn next_step(
     state: &State,
     revision: u64,
     wanted: &Roster,
     leader: MemberId,
     progress: &BTreeMap<MemberId, Progress>,
-) -> Step {
-    if revision <= state.revision || revision < state.begun {
-        return Step::Wait;
+) -> MembershipStep {
+    if revision <= state.revision || revision < state.started_revision {
+        return MembershipStep::Wait;
     }
-    if revision > state.begun {
-        return Step::Command(Command::Begun { revision });
+    if revision > state.started_revision {
+        return MembershipStep::Command(Command::RevisionStarted { revision });
     }
     let planner = Planner { state, wanted, leader, progress };
     // New voters before others go: there are never fewer than there need to be.
     let step = planner.add().or_else(|| planner.promote()).or_else(|| planner.retire_voter());
-    step.or_else(|| planner.remove_learner()).unwrap_or(Step::Command(Command::Settled { revision }))
+    step.or_else(|| planner.remove_learner())
+        .unwrap_or(MembershipStep::Command(Command::RevisionApplied { revision }))
 }
 
 /// Compares the members with those that are wanted; each of its steps is `None` where there is nothing to do.
@@ -73,13 +74,13 @@
     }
 
     /// Adds a new member, as a learner.
-    fn add(&self) -> Option<Step> {
+    fn add(&self) -> Option<MembershipStep> {
         let (id, member) = self.wanted.iter().find(|(id, _)| !self.state.members.contains_key(id))?;
-        Some(Step::Change(Change::Add { id: *id, site: member.site.clone() }))
+        Some(MembershipStep::Change(Change::Add { id: *id, site: member.site.clone() }))
     }
 
     /// Promotes a learner that is to vote, once it has caught up and answers.
-    fn promote(&self) -> Option<Step> {
+    fn promote(&self) -> Option<MembershipStep> {
         let learners = self.state.members.iter().filter(|(_, member)| !member.voter).map(|(id, _)| *id);
         let candidates: Vec<MemberId> = learners.filter(|id| self.wants_vote(*id)).collect();
         let ready = |id: &&MemberId| {
@@ -87,22 +88,22 @@
             active && lag <= CAUGHT_UP
         };
         match candidates.iter().find(ready) {
-            Some(id) => Some(Step::Change(Change::Promote(*id))),
-            None => (!candidates.is_empty()).then_some(Step::Wait),
+            Some(id) => Some(MembershipStep::Change(Change::Promote(*id))),
+            None => (!candidates.is_empty()).then_some(MembershipStep::Wait),
         }
     }
 
     /// Demotes or removes a voter that is not to vote, once the others have their quorum without it.
-    fn retire_voter(&self) -> Option<Step> {
+    fn retire_voter(&self) -> Option<MembershipStep> {
         let retired: Vec<MemberId> = self.voters().filter(|id| !self.wants_vote(*id)).collect();
         let Some(id) = retired.iter().copied().find(|id| self.has_quorum_without(*id)) else {
-            return (!retired.is_empty()).then_some(Step::Wait);
+            return (!retired.is_empty()).then_some(MembershipStep::Wait);
         };
         let stays = self.wanted.contains_key(&id);
         Some(self.change(id, if stays { Change::Demote(id) } else { Change::Remove(id) }))
     }
 
-    fn remove_learner(&self) -> Option<Step> {
+    fn remove_learner(&self) -> Option<MembershipStep> {
         let id = self.state.members.keys().copied().find(|id| !self.wanted.contains_key(id))?;
         Some(self.change(id, Change::Remove(id)))
     }
@@ -114,11 +115,11 @@
     }
 
     /// A change of this member, before which a leader hands over its own lead.
-    fn change(&self, id: MemberId, change: Change) -> Step {
+    fn change(&self, id: MemberId, change: Change) -> MembershipStep {
         if id == self.leader {
-            Step::TransferLeadership
+            MembershipStep::TransferLeadership
         } else {
-            Step::Change(change)
+            MembershipStep::Change(change)
         }
     }
 }
--- a/src/federation/node.rs
+++ b/src/federation/node.rs
@@ -1,6 +1,11 @@
-//! One member: ticks and messages go in, messages come out, and what they promise is stored before. Consensus is the `raft`
-//! crate's `RawNode`, with pre-vote and check-quorum: a member that was cut off does not disturb the others when it is back,
-//! and a leader that hears no quorum steps down.
+//! One Raft member without I/O: it takes ticks and messages, and returns messages whose promises are stored already.
+//! Consensus is the `raft` crate's `RawNode`, with pre-vote and check-quorum: a member that was partitioned away does not
+//! disrupt the others when it returns, and a leader that loses contact with its quorum steps down.
+//!
+//! - [`Node`]: ticks, messages, and the ready loop (store, apply, send, advance).
+//! - `proposals`: commands, membership changes and leadership transfer.
+//! - `status`: read access.
+//! - `codec`: the encoding of commands, changes and states in the log.
 
 mod codec;
 mod proposals;
@@ -9,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::log::{Log, LogError, Save, Saved};
+use super::log::{CachedLog, LogError, LogUpdate, StoredLog};
 use super::records::{
     EntryKind, EntryRecord, HardState, MessageError, MessageKind, MessageRecord, SnapshotRecord,
 };
@@ -36,14 +41,14 @@
     ///
     /// # Errors
     ///
-    /// It is not known whether the step is stored: the member must be started anew from what is.
-    fn save(&mut self, save: &Save) -> Result<(), Self::Error>;
+    /// It is unknown whether the step is stored: the member must be restarted from its store.
+    fn save(&mut self, save: &LogUpdate) -> Result<(), Self::Error>;
 }
 
-/// How a member counts its ticks.
+/// Election and heartbeat timeouts in ticks, and when the log is compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Ticks without a leader after which a member stands for election, at the least; at most twice as many.
+    /// The minimum election timeout, ticks; each timeout is drawn from here up to twice as many.
     pub election_ticks: usize,
     /// Ticks between a leader's heartbeats.
     pub heartbeat_ticks: usize,
@@ -51,7 +56,7 @@
     pub compact_after: u64,
 }
 
-/// Why a member cannot be started, or go on.
+/// Why a member cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// What is stored is not what a member can have stored.
@@ -74,41 +79,68 @@
     }
 }
 
-/// Something that an operator wants to know of.
+/// An election timeout that this module drew, and the term and role for which it holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct ElectionTimeout {
+    ticks: usize,
+    term: Term,
+    role: StateRole,
+}
+
+/// A command that was committed and applied to the state.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AppliedCommand {
+    /// Its index in the log.
+    pub index: LogIndex,
+    /// The command.
+    pub command: Command,
+}
+
+/// How far a member's log reaches.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LogIndexes {
+    /// The index of the last entry.
+    pub last: LogIndex,
+    /// The index up to which the log is committed.
+    pub committed: LogIndex,
+    /// The index of the entry that was applied last.
+    pub applied: LogIndex,
+}
+
+/// An event that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// Another leader, or none, in this term.
-    Leader(Leadership),
+    /// The leader changed, or was lost, in this term.
+    LeaderChanged(Leadership),
     /// A change of the members was applied.
-    Changed(Change),
-    /// The entry at this index is unknown to this version and was passed over.
-    Unknown(LogIndex),
+    MembersChanged(Change),
+    /// The entry at this index cannot be decoded by this version and was skipped.
+    UnknownEntry(LogIndex),
     /// The state was replaced by a snapshot of this index.
-    CaughtUp(LogIndex),
+    SnapshotInstalled(LogIndex),
 }
 
 /// A member.
 pub struct Node {
     id: MemberId,
-    raw: RawNode<Log>,
+    raw_node: RawNode<CachedLog>,
     tuning: Tuning,
-    conf: ConfState,
+    conf_state: ConfState,
     state: State,
     applied: LogIndex,
-    /// Its own removal was applied: it takes part no more. The library assumes that a leader is one of its members, and a
-    /// leader that applied its own removal would go on.
+    /// Its own removal was applied, so it is stopped: the library assumes that a leader is a member, and a leader that
+    /// applied its own removal would go on leading.
     removed: bool,
     random: ChaCha8Rng,
-    /// The election timeout that was drawn here, and for which term and role.
-    drawn: (usize, u64, StateRole),
+    election_timeout: ElectionTimeout,
     leader: Leadership,
     events: Vec<NodeEvent>,
-    /// The commands that were applied since they were last taken, with their indexes.
-    committed: Vec<(LogIndex, Command)>,
+    /// The commands that were applied since they were last taken.
+    applied_commands: Vec<AppliedCommand>,
 }
 
-/// What a founder has stored before it ever ran: the state that all founders begin with, at the first index.
-pub fn founding(state: &State) -> Saved {
+/// The log with which a founding member starts: a snapshot of the initial state at the first index.
+pub fn founding_log(state: &State) -> StoredLog {
     let ids = |voter: bool| {
         let members = state.members.iter().filter(|(_, member)| member.voter == voter);
         members.map(|(id, _)| *id).collect()
@@ -120,24 +152,24 @@
         learners: ids(false),
         data: encode(state),
     };
-    Saved {
-        hard: HardState { term: Term(1), vote: MemberId::NONE, commit: LogIndex(1) },
+    StoredLog {
+        hard_state: HardState { term: Term(1), vote: MemberId::NONE, commit: LogIndex(1) },
         snapshot,
         entries: Vec::new(),
     }
 }
 
 impl Node {
-    /// A member that goes on from what it stored.
+    /// Restores a member from its stored log.
     ///
     /// # Errors
     ///
     /// What is stored is no member's log, or the tuning makes no sense.
-    pub fn new(id: MemberId, saved: Saved, tuning: Tuning, seed: u64) -> Result<Self, NodeError> {
+    pub fn new(id: MemberId, saved: StoredLog, tuning: Tuning, seed: u64) -> Result<Self, NodeError> {
         saved.check()?;
         let state = decode_state(&saved.snapshot)?;
         let applied = saved.snapshot.index;
-        let conf = saved.snapshot.conf_state();
+        let conf_state = saved.snapshot.conf_state();
         let config = Config {
             id: id.0,
             election_tick: tuning.election_ticks,
@@ -151,57 +183,61 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, Log::new(saved), &logger)?;
+        let raw_node = RawNode::new(&config, CachedLog::new(saved), &logger)?;
         let mut node = Node {
             id,
-            raw,
+            raw_node,
             tuning,
-            conf,
+            conf_state,
             state,
             applied,
             removed: false,
             random: ChaCha8Rng::seed_from_u64(seed),
-            drawn: (0, 0, StateRole::Follower),
+            election_timeout: ElectionTimeout::default(),
             leader: Leadership::default(),
             events: Vec::new(),
-            committed: Vec::new(),
+            applied_commands: Vec::new(),
         };
-        node.settle();
+        node.after_step();
         Ok(node)
     }
 
-    /// After each step of the library: draws its election timeout and notes a new leader. The library draws from the
-    /// system's randomness; a run must repeat by its seed.
-    fn settle(&mut self) {
-        let raft = &mut self.raw.raft;
-        let (drawn, term, role) = self.drawn;
-        if (raft.randomized_election_timeout(), raft.term, raft.state) != (drawn, term, role) {
-            let most = 2 * self.tuning.election_ticks;
-            let timeout = self.random.random_range(self.tuning.election_ticks..most);
-            raft.set_randomized_election_timeout(timeout);
-            self.drawn = (timeout, raft.term, raft.state);
+    /// Runs after each step of the library: replaces a new election timeout by one from the seeded generator, since the
+    /// library draws from the system's randomness, and records a change of leader.
+    fn after_step(&mut self) {
+        let raft = &mut self.raw_node.raft;
+        let current = ElectionTimeout {
+            ticks: raft.randomized_election_timeout(),
+            term: Term(raft.term),
+            role: raft.state,
+        };
+        if current != self.election_timeout {
+            let min = self.tuning.election_ticks;
+            let ticks = self.random.random_range(min..2 * min);
+            raft.set_randomized_election_timeout(ticks);
+            self.election_timeout = ElectionTimeout { ticks, ..current };
         }
         let now = Leadership { leader: MemberId(raft.leader_id), term: Term(raft.term) };
         if now.leader != self.leader.leader || (now.leader.is_some() && now != self.leader) {
-            self.events.push(NodeEvent::Leader(now));
+            self.events.push(NodeEvent::LeaderChanged(now));
         }
         self.leader = now;
     }
 
-    /// A tick has passed.
+    /// Advances the logical clock by one tick.
     pub fn tick(&mut self) {
         if self.removed {
             return;
         }
-        self.raw.tick();
-        self.settle();
+        self.raw_node.tick();
+        self.after_step();
     }
 
-    /// A message has come from a member that was authenticated.
+    /// Handles a message from an authenticated member.
     ///
     /// # Errors
     ///
-    /// It is not for this member, or no member that keeps to the protocol sends it; it is passed over.
+    /// The message is for another member, or violates the protocol; it is ignored.
     pub fn step(&mut self, message: &MessageRecord) -> Result<(), MessageError> {
         if message.to != self.id || message.from == self.id {
             return Err(MessageError::WrongAddress);
@@ -210,46 +246,47 @@
         if self.removed {
             return Ok(());
         }
-        let log = &self.raw.raft.raft_log;
+        let log = &self.raw_node.raft.raft_log;
         if message.kind == MessageKind::Heartbeat && message.commit.0 > log.last_index() {
             return Err(MessageError::CommitsUnsent);
         }
-        // What the library passes over itself (an old term, a member that was removed) is no error here.
-        let _ = self.raw.step(message.to_library());
-        self.settle();
+        // What the library ignores itself (an old term, a removed member) is no error here.
+        let _ = self.raw_node.step(message.to_library());
+        self.after_step();
         Ok(())
     }
 
-    /// A message to a member could not be sent.
+    /// Reports that a message to a member could not be sent.
     pub fn report_unreachable(&mut self, id: MemberId) {
         if !self.removed {
-            self.raw.report_unreachable(id.0);
+            self.raw_node.report_unreachable(id.0);
         }
     }
 
-    /// A snapshot was sent to a member, or could not be: the library waits to hear.
+    /// Reports whether a snapshot was sent to a member: the library sends nothing more to it until then.
     pub fn report_snapshot(&mut self, id: MemberId, sent: bool) {
         if self.removed {
             return;
         }
         let status = if sent { raft::SnapshotStatus::Finish } else { raft::SnapshotStatus::Failure };
-        self.raw.report_snapshot(id.0, status);
+        self.raw_node.report_snapshot(id.0, status);
     }
 
-    /// Stores what must be stored, and gives the messages that may be sent after that, until there is nothing more to do.
+    /// Processes all that the consensus library has ready: stores it, applies committed entries, and returns the messages
+    /// that may be sent now that their promises are durable.
     ///
     /// # Errors
     ///
-    /// A step could not be stored, or a snapshot not be decoded: no message may be sent, and this member has to be started
-    /// anew.
+    /// A step could not be stored, or a snapshot not be decoded: no message may be sent, and this member must be
+    /// restarted.
     pub fn drive(&mut self, storage: &mut impl DurableStorage) -> Result<Vec<MessageRecord>, NodeError> {
         let mut messages = Vec::new();
-        while !self.removed && self.raw.has_ready() {
-            let ready = self.raw.ready();
+        while !self.removed && self.raw_node.has_ready() {
+            let ready = self.raw_node.ready();
             self.handle_ready(ready, storage, &mut messages)?;
         }
         if !self.removed {
-            self.settle();
+            self.after_step();
             self.compact(storage)?;
         }
         Ok(messages)
@@ -269,16 +306,16 @@
             return Ok(());
         }
         messages.extend(ready.take_persisted_messages().iter().filter_map(MessageRecord::from_library));
-        let light = self.raw.advance(ready);
+        let light = self.raw_node.advance(ready);
         self.handle_light_ready(light, messages);
         Ok(())
     }
 
     fn store_ready(&mut self, ready: &Ready, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
         let snapshot = Some(ready.snapshot()).filter(|s| !s.is_empty()).map(SnapshotRecord::from);
-        let save = Save {
-            hard: ready.hs().map(HardState::from),
-            replaces: snapshot.is_some(),
+        let save = LogUpdate {
+            hard_state: ready.hs().map(HardState::from),
+            replaces_log: snapshot.is_some(),
             snapshot,
             entries: ready.entries().iter().map(EntryRecord::from).collect(),
         };
@@ -288,9 +325,9 @@
         save.snapshot.iter().try_for_each(|snapshot| self.install(snapshot))
     }
 
-    fn store(&mut self, save: &Save, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
+    fn store(&mut self, save: &LogUpdate, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
         storage.save(save).map_err(NodeError::storage)?;
-        self.raw.mut_store().apply(save);
+        self.raw_node.mut_store().apply(save);
         Ok(())
     }
 
@@ -298,39 +335,39 @@
     fn install(&mut self, snapshot: &SnapshotRecord) -> Result<(), NodeError> {
         self.state = decode_state(snapshot)?;
         self.applied = snapshot.index;
-        self.conf = snapshot.conf_state();
-        self.events.push(NodeEvent::CaughtUp(snapshot.index));
+        self.conf_state = snapshot.conf_state();
+        self.events.push(NodeEvent::SnapshotInstalled(snapshot.index));
         Ok(())
     }
 
     fn handle_light_ready(&mut self, mut light: LightReady, messages: &mut Vec<MessageRecord>) {
         if let Some(commit) = light.commit_index() {
-            self.raw.mut_store().commit(LogIndex(commit));
+            self.raw_node.mut_store().commit(LogIndex(commit));
         }
         messages.extend(light.take_messages().iter().filter_map(MessageRecord::from_library));
         self.apply(light.take_committed_entries());
         if !self.removed {
-            self.raw.advance_apply();
+            self.raw_node.advance_apply();
         }
     }
 
     /// Replaces the log by a snapshot where it is long enough, or a member needs a newer one.
     fn compact(&mut self, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
-        let base = self.raw.store().base().index;
-        let wanted = self.raw.store().wants_snapshot() && self.applied > base;
+        let base = self.raw_node.store().newest_snapshot().index;
+        let wanted = self.raw_node.store().take_snapshot_request() && self.applied > base;
         if !wanted && self.applied.0 - base.0 < self.tuning.compact_after {
             return Ok(());
         }
-        let save = Save { snapshot: Some(self.snapshot()?), ..Save::default() };
+        let save = LogUpdate { snapshot: Some(self.snapshot()?), ..LogUpdate::default() };
         self.store(&save, storage)
     }
 
     fn snapshot(&self) -> Result<SnapshotRecord, NodeError> {
         Ok(SnapshotRecord {
             index: self.applied,
-            term: Term(self.raw.raft.raft_log.term(self.applied.0)?),
+            term: Term(self.raw_node.raft.raft_log.term(self.applied.0)?),
             data: encode(&self.state),
-            ..SnapshotRecord::of_members(&self.conf)
+            ..SnapshotRecord::of_members(&self.conf_state)
         })
     }
 
@@ -350,22 +387,22 @@
         match postcard::from_bytes(&record.data) {
             Ok(command) => {
                 self.state.apply(&command);
-                self.committed.push((record.index, command));
+                self.applied_commands.push(AppliedCommand { index: record.index, command });
             }
-            Err(_) => self.events.push(NodeEvent::Unknown(record.index)),
+            Err(_) => self.events.push(NodeEvent::UnknownEntry(record.index)),
         }
     }
 
     fn apply_change(&mut self, record: &EntryRecord) {
         let change = postcard::from_bytes::<Change>(&record.context).ok();
         let Some(change) = change.filter(|change| self.state.allows(change)) else {
-            return self.events.push(NodeEvent::Unknown(record.index));
+            return self.events.push(NodeEvent::UnknownEntry(record.index));
         };
-        if let Ok(conf) = self.raw.apply_conf_change(&conf_change(&change)) {
-            self.conf = conf;
+        if let Ok(conf_state) = self.raw_node.apply_conf_change(&conf_change(&change)) {
+            self.conf_state = conf_state;
         }
         self.state.change(&change);
         self.removed |= change == Change::Remove(self.id);
-        self.events.push(NodeEvent::Changed(change));
+        self.events.push(NodeEvent::MembersChanged(change));
     }
 }
--- a/src/federation/node/proposals.rs
+++ b/src/federation/node/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{conf_change, encode};
 use super::Node;
-use crate::federation::membership::{self, Step};
+use crate::federation::membership::{self, MembershipStep};
 use crate::federation::state::{Change, Command, Roster};
 
 /// Bytes of one command.
@@ -13,28 +13,28 @@
     pub fn propose(&mut self, command: &Command) -> bool {
         let data = encode(command);
         let fits = data.len() <= MAX_COMMAND_BYTES;
-        let proposed = self.is_leader() && fits && self.raw.propose(Vec::new(), data).is_ok();
-        self.settle();
+        let proposed = self.is_leader() && fits && self.raw_node.propose(Vec::new(), data).is_ok();
+        self.after_step();
         proposed
     }
 
     /// Proposes a change of the members; `false`: the library rejects it.
     pub(super) fn propose_change(&mut self, change: &Change) -> bool {
-        let proposed = self.raw.propose_conf_change(encode(change), conf_change(change)).is_ok();
-        self.settle();
+        let proposed = self.raw_node.propose_conf_change(encode(change), conf_change(change)).is_ok();
+        self.after_step();
         proposed
     }
 
     /// Takes the next step to the members of a file, where this member leads and the step before is over.
     pub fn reconcile(&mut self, revision: u64, wanted: &Roster) {
-        if !self.is_leader() || self.raw.raft.has_pending_conf() {
+        if !self.is_leader() || self.raw_node.raft.has_pending_conf() {
             return;
         }
-        match membership::next(&self.state, revision, wanted, self.id, &self.progress()) {
-            Step::Change(change) => drop(self.propose_change(&change)),
-            Step::Command(command) => drop(self.propose(&command)),
-            Step::TransferLeadership => drop(self.transfer_leadership()),
-            Step::Wait => {}
+        match membership::next_step(&self.state, revision, wanted, self.id, &self.progress()) {
+            MembershipStep::Change(change) => drop(self.propose_change(&change)),
+            MembershipStep::Command(command) => drop(self.propose(&command)),
+            MembershipStep::TransferLeadership => drop(self.transfer_leadership()),
+            MembershipStep::Wait => {}
         }
     }
 
@@ -44,8 +44,8 @@
         let others = self.state.members.iter().filter(|(id, member)| member.voter && **id != self.id);
         let active = others.filter_map(|(id, _)| Some((progress.get(id).filter(|p| p.active)?.lag, *id)));
         let Some((_, to)) = active.min().filter(|_| self.is_leader()) else { return false };
-        self.raw.transfer_leader(to.0);
-        self.settle();
+        self.raw_node.transfer_leader(to.0);
+        self.after_step();
         true
     }
 }
--- a/src/federation/node/status.rs
+++ b/src/federation/node/status.rs
@@ -1,8 +1,8 @@
-//! What a member tells of itself.
+//! Read access to a member: its role, leader, state, log indexes and the progress of its peers.
 
-use super::{Node, NodeEvent};
+use super::{AppliedCommand, LogIndexes, Node, NodeEvent};
 use crate::federation::membership::Progress;
-use crate::federation::state::{Command, State};
+use crate::federation::state::State;
 use crate::federation::{Leadership, LogIndex, MemberId, Term};
 use raft::StateRole;
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The commands that were applied since the last call, with their indexes.
-    pub fn take_committed(&mut self) -> Vec<(LogIndex, Command)> {
-        std::mem::take(&mut self.committed)
+    /// The commands that were applied since the last call.
+    pub fn take_applied_commands(&mut self) -> Vec<AppliedCommand> {
+        std::mem::take(&mut self.applied_commands)
     }
 
     /// This member's id.
@@ -25,21 +25,21 @@
 
     /// Whether this member leads.
     pub fn is_leader(&self) -> bool {
-        !self.removed && self.raw.raft.state == StateRole::Leader
+        !self.removed && self.raw_node.raft.state == StateRole::Leader
     }
 
     /// The leader as this member knows it, and the term. A removed member knows none: it may have been the leader itself.
     pub fn leadership(&self) -> Leadership {
-        let raft = &self.raw.raft;
+        let raft = &self.raw_node.raft;
         let leader = if self.removed { MemberId::NONE } else { MemberId(raft.leader_id) };
         Leadership { leader, term: Term(raft.term) }
     }
 
     /// This member's role, in a word.
     pub fn role(&self) -> &'static str {
-        match self.raw.raft.state {
+        match self.raw_node.raft.state {
             _ if self.removed => "removed",
-            _ if !self.raw.raft.promotable() => "learner",
+            _ if !self.raw_node.raft.promotable() => "learner",
             StateRole::Leader => "leader",
             StateRole::Follower => "follower",
             StateRole::Candidate => "candidate",
@@ -47,15 +47,19 @@
         }
     }
 
-    /// The state as far as it is applied, and the index of the entry that was applied last.
-    pub fn state(&self) -> (&State, LogIndex) {
-        (&self.state, self.applied)
+    /// The replicated state, as far as the log is applied.
+    pub fn state(&self) -> &State {
+        &self.state
     }
 
-    /// The indexes up to which the log reaches and is committed.
-    pub fn log_extent(&self) -> (LogIndex, LogIndex) {
-        let log = &self.raw.raft.raft_log;
-        (LogIndex(log.last_index()), LogIndex(log.committed))
+    /// The indexes of the log as this member has it.
+    pub fn log_indexes(&self) -> LogIndexes {
+        let log = &self.raw_node.raft.raft_log;
+        LogIndexes {
+            last: LogIndex(log.last_index()),
+            committed: LogIndex(log.committed),
+            applied: self.applied,
+        }
     }
 
     /// How far the members are, where this member leads; empty elsewhere.
@@ -63,10 +67,11 @@
         if !self.is_leader() {
             return BTreeMap::new();
         }
-        let last = self.raw.raft.raft_log.last_index();
-        let progress = |(id, p): (&u64, &raft::Progress)| {
-            (MemberId(*id), Progress { lag: last.saturating_sub(p.matched), active: p.recent_active })
+        let last = self.raw_node.raft.raft_log.last_index();
+        let progress = |(id, peer): (&u64, &raft::Progress)| {
+            let lag = last.saturating_sub(peer.matched);
+            (MemberId(*id), Progress { lag, active: peer.recent_active })
         };
-        self.raw.raft.prs().iter().map(progress).collect()
+        self.raw_node.raft.prs().iter().map(progress).collect()
     }
 }
--- a/src/federation/node/tests.rs
+++ b/src/federation/node/tests.rs
@@ -14,7 +14,7 @@
 impl DurableStorage for NoStorage {
     type Error = Infallible;
 
-    fn save(&mut self, _: &Save) -> Result<(), Infallible> {
+    fn save(&mut self, _: &LogUpdate) -> Result<(), Infallible> {
         Ok(())
     }
 }
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_leader_that_applies_its_own_removal_knows_no_leader() {
-    let saved = founding(&state(&[(1, true), (2, true)]));
+    let saved = founding_log(&state(&[(1, true), (2, true)]));
     let node = |id| (MemberId(id), Node::new(MemberId(id), saved.clone(), TUNING, id).expect("usable"));
     let mut nodes: BTreeMap<MemberId, Node> = (1..=2).map(node).collect();
     for _ in 0..MOST_TICKS {
--- /dev/null
+++ b/src/federation/records/snapshot.rs
@@ -0,0 +1,63 @@
+//! Snapshots of the replicated state.
+
+use crate::federation::{LogIndex, MemberId, Term};
+use raft::eraftpb;
+use serde::{Deserialize, Serialize};
+
+/// The state at an index of the log; it replaces all entries up to that index.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SnapshotRecord {
+    /// The last included index; 0 for no snapshot.
+    pub index: LogIndex,
+    /// The last included term.
+    pub term: Term,
+    /// The voters at that index.
+    pub voters: Vec<MemberId>,
+    /// The learners at that index.
+    pub learners: Vec<MemberId>,
+    /// The encoded state.
+    pub data: Vec<u8>,
+}
+
+impl From<&eraftpb::Snapshot> for SnapshotRecord {
+    fn from(snapshot: &eraftpb::Snapshot) -> Self {
+        let meta = snapshot.get_metadata();
+        SnapshotRecord {
+            index: LogIndex(meta.index),
+            term: Term(meta.term),
+            data: snapshot.data.to_vec(),
+            ..SnapshotRecord::of_members(meta.get_conf_state())
+        }
+    }
+}
+
+impl From<&SnapshotRecord> for eraftpb::Snapshot {
+    fn from(record: &SnapshotRecord) -> Self {
+        let mut snapshot = eraftpb::Snapshot { data: record.data.clone().into(), ..Default::default() };
+        let meta = snapshot.mut_metadata();
+        (meta.index, meta.term) = (record.index.0, record.term.0);
+        *meta.mut_conf_state() = record.conf_state();
+        snapshot
+    }
+}
+
+fn typed_ids(ids: &[u64]) -> Vec<MemberId> {
+    ids.iter().copied().map(MemberId).collect()
+}
+
+fn bare_ids(ids: &[MemberId]) -> Vec<u64> {
+    ids.iter().map(|id| id.0).collect()
+}
+
+impl SnapshotRecord {
+    /// An empty snapshot with the members that the library knows.
+    pub fn of_members(conf: &eraftpb::ConfState) -> Self {
+        let (voters, learners) = (typed_ids(&conf.voters), typed_ids(&conf.learners));
+        SnapshotRecord { voters, learners, ..SnapshotRecord::default() }
+    }
+
+    /// Its members as the library knows them.
+    pub fn conf_state(&self) -> eraftpb::ConfState {
+        (bare_ids(&self.voters), bare_ids(&self.learners)).into()
+    }
+}
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -14,7 +14,7 @@
 pub use handle::Handle;
 
 use super::links::{Identity, Links, PeerAddress, LISTENER};
-use super::log::Saved;
+use super::log::StoredLog;
 use super::settings::{FederationSettings, ListedMember};
 use super::store::{Store, StoreError};
 use super::view::View;
@@ -49,7 +49,7 @@
 /// The view that was published last.
 type SharedView = Arc<Mutex<Arc<View>>>;
 /// Opens the member's store.
-type OpenStore = Box<dyn Fn(&FederationSettings) -> Result<(Store, Saved), StoreError> + Send>;
+type OpenStore = Box<dyn Fn(&FederationSettings) -> Result<(Store, StoredLog), StoreError> + Send>;
 
 enum Phase {
     /// The member takes part.
@@ -62,7 +62,7 @@
 
 /// A member that hands over what it holds before it pauses, or ends.
 #[derive(Clone, Copy)]
-struct Leaving {
+struct HandOver {
     /// It waits for another leader no longer than that.
     until: Instant,
     /// The thread ends then.
@@ -75,7 +75,7 @@
     open_store: OpenStore,
     phase: Phase,
     outage: Outage,
-    leaving: Option<Leaving>,
+    leaving: Option<HandOver>,
     counters: Counters,
     /// Where this member listens.
     listen: Option<SocketAddr>,
@@ -96,7 +96,7 @@
     ) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ u64::from(std::process::id()));
         let identity = Identity::of(&settings, 0, 0);
-        let links = Links::new(net, identity, settings.silent, ChaCha8Rng::from_rng(&mut random));
+        let links = Links::new(net, identity, settings.silence_timeout, ChaCha8Rng::from_rng(&mut random));
         Runtime {
             membership: Membership::new(settings),
             links,
@@ -122,7 +122,7 @@
     fn run(&mut self, instructions: &Receiver<Instruction>, woken: &mut UnixStream) {
         let mut ready = Vec::new();
         loop {
-            match catch_unwind(AssertUnwindSafe(|| self.turn(instructions, woken, &mut ready))) {
+            match catch_unwind(AssertUnwindSafe(|| self.run_once(instructions, woken, &mut ready))) {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(panic) => self.halt(&HaltReason::Panic(crate::caught::text(&*panic))),
@@ -134,7 +134,7 @@
     }
 
     /// Waits for what comes next and handles it; `false`: the thread ends.
-    fn turn(
+    fn run_once(
         &mut self,
         instructions: &Receiver<Instruction>,
         woken: &mut UnixStream,
@@ -145,7 +145,7 @@
             self.halt(&HaltReason::Poll(error));
         }
         drain(woken);
-        if !self.follow(instructions) {
+        if !self.process_instructions(instructions) {
             return false;
         }
         let now = self.now();
@@ -170,7 +170,7 @@
     }
 
     /// Follows the edge proxy's instructions; `false`: there is no edge proxy any more.
-    fn follow(&mut self, instructions: &Receiver<Instruction>) -> bool {
+    fn process_instructions(&mut self, instructions: &Receiver<Instruction>) -> bool {
         loop {
             let now = self.now();
             match instructions.try_recv() {
@@ -205,7 +205,7 @@
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
         let identity = Identity::of(settings, participant.identity(), participant.incarnation());
-        self.links.introduce(identity, settings.silent);
+        self.links.introduce(identity, settings.silence_timeout);
         self.links.set_peers(now, &peers(settings));
     }
 
@@ -306,7 +306,7 @@
         if let Phase::Running(participant) = &mut self.phase {
             participant.hand_over(now, &mut self.links);
         }
-        self.leaving = Some(Leaving { until: now + HAND_OVER_TIMEOUT, ends });
+        self.leaving = Some(HandOver { until: now + HAND_OVER_TIMEOUT, ends });
     }
 
     /// Pauses or ends a member that has handed over; `true`: the thread ends now.
@@ -335,7 +335,7 @@
     fn publish(&mut self) {
         self.view = View {
             dropped: self.links.dropped,
-            refused: self.links.refused,
+            refused: self.links.rejected,
             elections: self.counters.elections,
             slowest_save_us: self.counters.slowest_save_us,
             ..std::mem::take(&mut self.view)
--- a/src/federation/runtime/handle.rs
+++ b/src/federation/runtime/handle.rs
@@ -88,7 +88,7 @@
     ///
     /// The first setting that cannot change.
     pub fn check(&self, settings: &FederationSettings) -> Result<(), FixedSetting> {
-        self.settings.fixed(settings).map_or(Ok(()), Err)
+        self.settings.first_fixed_change(settings).map_or(Ok(()), Err)
     }
 
     /// Goes on with new settings that [`Handle::check`] has passed.
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -35,7 +35,7 @@
 
 /// Kinds of failure: each is reported once in an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum FailureKind {
     /// The disk takes no writes or gives no reads.
     Disk,
     /// The store is damaged, absent, another's or in use.
@@ -46,14 +46,14 @@
 }
 
 impl HaltReason {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> FailureKind {
         match self {
             HaltReason::Store { source: StoreError::Database(_) | StoreError::File(_), .. }
-            | HaltReason::Node(NodeError::Storage(_)) => Kind::Disk,
-            HaltReason::Store { .. } | HaltReason::OtherStore => Kind::Store,
-            HaltReason::Listen { .. } | HaltReason::Poll(_) => Kind::Network,
-            HaltReason::Node(_) => Kind::Consensus,
-            HaltReason::Panic(_) => Kind::Panic,
+            | HaltReason::Node(NodeError::Storage(_)) => FailureKind::Disk,
+            HaltReason::Store { .. } | HaltReason::OtherStore => FailureKind::Store,
+            HaltReason::Listen { .. } | HaltReason::Poll(_) => FailureKind::Network,
+            HaltReason::Node(_) => FailureKind::Consensus,
+            HaltReason::Panic(_) => FailureKind::Panic,
         }
     }
 }
@@ -62,15 +62,15 @@
 #[derive(Debug)]
 pub(super) struct Outage {
     backoff: Backoff,
-    lasting: Option<Lasting>,
+    lasting: Option<OngoingOutage>,
 }
 
 #[derive(Debug)]
-struct Lasting {
+struct OngoingOutage {
     since: Instant,
     failures: u32,
     /// The kinds of failure that were reported.
-    reported: Vec<Kind>,
+    reported: Vec<FailureKind>,
     /// Since when the member runs again.
     running_since: Option<Instant>,
 }
@@ -98,7 +98,7 @@
 
     /// The member failed, or could not be started.
     pub fn failed(&mut self, now: Instant, reason: &HaltReason, random: &mut impl Rng) -> Failure {
-        let new = || Lasting { since: now, failures: 0, reported: Vec::new(), running_since: None };
+        let new = || OngoingOutage { since: now, failures: 0, reported: Vec::new(), running_since: None };
         let lasting = self.lasting.get_or_insert_with(new);
         lasting.failures += 1;
         lasting.running_since = None;
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -1,11 +1,11 @@
 //! A member that takes part: its consensus node, its open store and its leases, and what they do with messages and time.
 
 use super::outage::HaltReason;
-use crate::federation::duties::{Grantor, Holder};
+use crate::federation::duties::{LeaseGrantor, LeaseHolder};
 use crate::federation::hello::Hello;
 use crate::federation::links::Links;
-use crate::federation::log::{Save, Saved};
-use crate::federation::node::{DurableStorage, Node, NodeEvent};
+use crate::federation::log::{LogUpdate, StoredLog};
+use crate::federation::node::{DurableStorage, LogIndexes, Node, NodeEvent};
 use crate::federation::records::{MessageKind, MessageRecord};
 use crate::federation::settings::FederationSettings;
 use crate::federation::state::{AdmissionError, Command, Lease, Member, Roster};
@@ -54,7 +54,7 @@
 impl DurableStorage for TimedStore<'_> {
     type Error = StoreError;
 
-    fn save(&mut self, save: &Save) -> Result<(), StoreError> {
+    fn save(&mut self, save: &LogUpdate) -> Result<(), StoreError> {
         let begun = std::time::Instant::now();
         let done = self.store.save(save);
         *self.slowest_us = (*self.slowest_us).max(begun.elapsed().as_micros() as u64);
@@ -66,8 +66,8 @@
 pub(super) struct Participant {
     node: Node,
     store: Store,
-    holder: Holder,
-    grantor: Grantor,
+    holder: LeaseHolder,
+    grantor: LeaseGrantor,
     next_tick: Instant,
     next_enrolment: Instant,
 }
@@ -75,13 +75,13 @@
 impl Participant {
     pub fn new(
         settings: &FederationSettings,
-        (store, saved): (Store, Saved),
+        (store, saved): (Store, StoredLog),
         now: Instant,
         random: &mut impl Rng,
     ) -> Result<Self, HaltReason> {
         let node = Node::new(settings.id, saved, settings.tuning, random.random())?;
-        let holder = Holder::new(settings.id, settings.terms, random.random());
-        let grantor = Grantor::new(settings.terms);
+        let holder = LeaseHolder::new(settings.id, settings.lease_terms, random.random());
+        let grantor = LeaseGrantor::new(settings.lease_terms);
         Ok(Participant { node, store, holder, grantor, next_tick: now, next_enrolment: now })
     }
 
@@ -95,7 +95,7 @@
 
     /// The federation's identity, 0 while it is not known.
     pub fn identity(&self) -> u64 {
-        self.node.state().0.identity
+        self.node.state().identity
     }
 
     pub fn incarnation(&self) -> u64 {
@@ -104,7 +104,7 @@
 
     /// Whether the store that a connecting member comes with may speak for it.
     pub fn admits(&self, settings: &FederationSettings, hello: &Hello) -> Result<(), AdmissionError> {
-        let state = self.node.state().0;
+        let state = self.node.state();
         let listed = settings.revision > state.revision && settings.members.contains_key(&hello.from);
         state.admits(hello.from, hello.incarnation, listed)
     }
@@ -119,7 +119,7 @@
             }
             Frame::Propose(command) if speaks_for(from, &command) => {
                 let enrols = matches!(command, Command::Enrol { .. });
-                let member = self.node.state().0.members.get(&from);
+                let member = self.node.state().members.get(&from);
                 if member.is_some_and(|member| !enrols || member.incarnation.is_none()) {
                     self.node.propose(&command);
                 }
@@ -157,19 +157,19 @@
 
     /// Stands for duties where this member votes, and ends leases that ran out where it leads.
     fn renew_leases(&mut self, now: Instant, links: &mut Links) {
-        let (state, leads) = (self.node.state().0, self.node.is_leader());
+        let (state, leads) = (self.node.state(), self.node.is_leader());
         let votes = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
         let duties = votes.then(|| PUBLISH_DUTY.to_owned()).into_iter().collect();
-        let mut commands = self.holder.stand_for(&duties);
-        commands.extend(self.holder.due(now, state));
-        commands.extend(self.grantor.due(now, state, leads));
+        let mut commands = self.holder.set_candidacies(&duties);
+        commands.extend(self.holder.due_requests(now, state));
+        commands.extend(self.grantor.due_expiries(now, state, leads));
         commands.into_iter().for_each(|command| self.propose(now, links, command));
     }
 
     /// Asks for this member's store to be enrolled, where none is.
     fn enrol(&mut self, now: Instant, links: &mut Links) -> Result<(), HaltReason> {
         let (id, incarnation) = (self.node.id(), self.incarnation());
-        let Some(own) = self.node.state().0.members.get(&id) else { return Ok(()) };
+        let Some(own) = self.node.state().members.get(&id) else { return Ok(()) };
         match own.incarnation {
             None => self.propose(now, links, Command::Enrol { id, incarnation }),
             Some(enrolled) if enrolled != incarnation => return Err(HaltReason::OtherStore),
@@ -198,8 +198,8 @@
         let mut storage = TimedStore { store: &mut self.store, slowest_us: &mut counters.slowest_save_us };
         let messages = self.node.drive(&mut storage)?;
         messages.into_iter().for_each(|message| self.send(now, links, message));
-        self.node.take_committed();
-        self.holder.observe(self.node.state().0);
+        self.node.take_applied_commands();
+        self.holder.observe(self.node.state());
         links.set_identity(self.identity());
         Ok(())
     }
@@ -219,15 +219,15 @@
         let events = self.node.take_events();
         for event in &events {
             match event {
-                NodeEvent::Leader(Leadership { leader, term }) => {
+                NodeEvent::LeaderChanged(Leadership { leader, term }) => {
                     counters.elections += u64::from(leader.is_some());
                     info!(leader = leader.get(), term = term.get(), "federation: leader");
                 }
-                NodeEvent::Changed(change) => info!(?change, "federation: the members changed"),
-                NodeEvent::CaughtUp(index) => {
+                NodeEvent::MembersChanged(change) => info!(?change, "federation: the members changed"),
+                NodeEvent::SnapshotInstalled(index) => {
                     info!(index = index.get(), "federation: caught up by a snapshot")
                 }
-                NodeEvent::Unknown(index) => {
+                NodeEvent::UnknownEntry(index) => {
                     warn!(index = index.get(), "federation: an entry that can't be read is passed over")
                 }
             }
@@ -238,7 +238,7 @@
     /// Releases the duties and hands over the lead, if this member has it.
     pub fn hand_over(&mut self, now: Instant, links: &mut Links) {
         // Duties first: what was proposed before the lead goes is still in the log.
-        for command in self.holder.stand_for(&BTreeSet::new()) {
+        for command in self.holder.set_candidacies(&BTreeSet::new()) {
             self.propose(now, links, command);
         }
         self.node.transfer_leadership();
@@ -246,8 +246,7 @@
 
     /// The federation as this member sees it.
     pub fn view(&self, now: Instant, settings: &FederationSettings, links: &Links) -> View {
-        let (state, applied) = self.node.state();
-        let (last, committed) = self.node.log_extent();
+        let LogIndexes { last, committed, applied } = self.node.log_indexes();
         let Leadership { leader, term } = self.node.leadership();
         View {
             cluster: settings.cluster.clone(),
@@ -258,7 +257,7 @@
             last,
             committed,
             applied,
-            revision: state.revision,
+            revision: self.node.state().revision,
             file_revision: settings.revision,
             members: self.member_views(links),
             duties: self.duty_views(now),
@@ -280,7 +279,7 @@
                 active: progress.get(id).map(|progress| progress.active || own),
             }
         };
-        self.node.state().0.members.iter().map(view).collect()
+        self.node.state().members.iter().map(view).collect()
     }
 
     fn duty_views(&self, now: Instant) -> Vec<DutyView> {
@@ -290,7 +289,7 @@
             token: lease.token,
             held: self.holder.token(now, duty) == Some(lease.token),
         };
-        self.node.state().0.duties.iter().map(view).collect()
+        self.node.state().duties.iter().map(view).collect()
     }
 }
 
@@ -301,6 +300,6 @@
         | Command::Acquire { id, .. }
         | Command::Renew { id, .. }
         | Command::Release { id, .. } => *id == from,
-        Command::Begun { .. } | Command::Settled { .. } | Command::Expire { .. } => false,
+        Command::RevisionStarted { .. } | Command::RevisionApplied { .. } | Command::Expire { .. } => false,
     }
 }
--- a/src/federation/runtime/tests.rs
+++ b/src/federation/runtime/tests.rs
@@ -3,7 +3,7 @@
 use super::outage::{HaltReason, Outage, Recovery};
 use super::*;
 use crate::config::located::Doc;
-use crate::federation::node::founding;
+use crate::federation::node::founding_log;
 use crate::federation::store::faulty_disk::{FaultyDisk, EIO, ENOSPC};
 use crate::federation::store::{Damage, Owner};
 use std::path::PathBuf;
@@ -79,7 +79,7 @@
     for error in [ENOSPC, EIO] {
         let settings = settings();
         let disk = FaultyDisk::default();
-        disk.create_store(&Owner::new("c", MemberId(1), 77), &founding(&settings.founded()));
+        disk.create_store(&Owner::new("c", MemberId(1), 77), &founding_log(&settings.founding_state()));
         let opened = disk.clone();
         let open_store =
             move |settings: &FederationSettings| opened.open_store(&settings.cluster, settings.id);
@@ -101,6 +101,6 @@
         }
         handle.stop();
         let (_, saved) = disk.after_kill().open_store("c", MemberId(1)).expect("usable at any time");
-        assert!(saved.last_index() >= before.committed && saved.hard.term >= before.term);
+        assert!(saved.last_index() >= before.committed && saved.hard_state.term >= before.term);
     }
 }
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -66,9 +66,9 @@
     /// Elections, heartbeats, snapshots.
     pub tuning: Tuning,
     /// How long duties are leased, and by which clocks.
-    pub terms: LeaseTerms,
+    pub lease_terms: LeaseTerms,
     /// A connection on which nothing was heard for so long is given up.
-    pub silent: Span,
+    pub silence_timeout: Span,
     /// The members.
     pub members: BTreeMap<MemberId, ListedMember>,
 }
@@ -108,7 +108,7 @@
     }
 
     /// The state that the founders begin with: equal files found equal federations, and others find out by its identity.
-    pub fn founded(&self) -> State {
+    pub fn founding_state(&self) -> State {
         let mut digest = Sha256::new();
         digest.update(self.cluster.as_bytes());
         for (id, member) in &self.members {
@@ -120,14 +120,14 @@
     }
 
     /// The first setting of a new file that cannot be taken over in service, if any.
-    pub fn fixed(&self, new: &FederationSettings) -> Option<FixedSetting> {
+    pub fn first_fixed_change(&self, new: &FederationSettings) -> Option<FixedSetting> {
         let differs = [
             ("cluster", self.cluster != new.cluster),
             ("id", self.id != new.id),
             ("listen", self.listen != new.listen),
             ("store", self.store != new.store),
             ("tick_ms", self.tick != new.tick),
-            ("lease_ms, guard_ms or drift", self.terms != new.terms),
+            ("lease_ms, guard_ms or drift", self.lease_terms != new.lease_terms),
             ("election_ticks, heartbeat_ticks or compact_after", self.tuning != new.tuning),
         ];
         differs.iter().find(|(_, differs)| *differs).map(|(key, _)| FixedSetting(key))
--- a/src/federation/settings/parse.rs
+++ b/src/federation/settings/parse.rs
@@ -59,8 +59,8 @@
         revision,
         tick,
         tuning,
-        terms,
-        silent,
+        lease_terms: terms,
+        silence_timeout: silent,
         members,
     };
     Ok((settings, key_file))
@@ -105,7 +105,7 @@
         return Err(doc.error(at, "guard_ms takes half of lease_ms or more"));
     }
     let drift = reader.number("drift", 0.0, 0.5)?.map_or(DEFAULT_DRIFT, |drift| drift.value);
-    Ok(LeaseTerms { span, guard, drift })
+    Ok(LeaseTerms { duration: span, guard, drift })
 }
 
 fn parse_members(doc: &Doc<'_>, reader: &mut Reader<'_>) -> Result<Members, DocError> {
--- a/src/federation/state.rs
+++ b/src/federation/state.rs
@@ -57,12 +57,12 @@
     },
     /// From now on the members go by the file of this revision: a leader with an older one, which may have missed it, takes
     /// back nothing.
-    Begun {
+    RevisionStarted {
         /// The file's revision.
         revision: u64,
     },
     /// The members are as the file of this revision says.
-    Settled {
+    RevisionApplied {
         /// The file's revision.
         revision: u64,
     },
@@ -130,13 +130,13 @@
     /// The revision of the newest file whose members are in effect.
     pub revision: u64,
     /// The revision of the newest file that was begun to be put into effect.
-    pub begun: u64,
+    pub started_revision: u64,
     /// The members.
     pub members: BTreeMap<MemberId, Member>,
     /// The leases, by duty.
     pub duties: BTreeMap<String, Lease>,
     /// The last fencing token that was issued.
-    pub tokens: u64,
+    pub last_token: u64,
 }
 
 /// Why a store may not speak for a member.
@@ -167,8 +167,10 @@
                     member.incarnation.get_or_insert(*incarnation);
                 }
             }
-            Command::Begun { revision } => self.begun = self.begun.max(*revision),
-            Command::Settled { revision } => self.revision = self.revision.max(*revision),
+            Command::RevisionStarted { revision } => {
+                self.started_revision = self.started_revision.max(*revision)
+            }
+            Command::RevisionApplied { revision } => self.revision = self.revision.max(*revision),
             Command::Acquire { duty, id, request } => self.grant(duty, *id, *request),
             Command::Renew { duty, id, token, request } => {
                 let lease = self.duties.get_mut(duty);
@@ -189,8 +191,8 @@
     fn grant(&mut self, duty: &str, holder: MemberId, request: u64) {
         let fits = self.duties.len() < MAX_DUTIES && duty.len() <= MAX_DUTY_NAME;
         if fits && !self.duties.contains_key(duty) {
-            self.tokens += 1;
-            self.duties.insert(duty.to_owned(), Lease { holder, token: self.tokens, request });
+            self.last_token += 1;
+            self.duties.insert(duty.to_owned(), Lease { holder, token: self.last_token, request });
         }
     }
 
--- a/src/federation/store.rs
+++ b/src/federation/store.rs
@@ -21,8 +21,8 @@
 
 pub use error::{Damage, StoreError};
 
-use super::log::{Save, Saved};
-use super::node::{founding, DurableStorage};
+use super::log::{LogUpdate, StoredLog};
+use super::node::{founding_log, DurableStorage};
 use super::records::{EntryRecord, HardState, SnapshotRecord};
 use super::settings::FederationSettings;
 use super::MemberId;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The format version of the records.
-    pub form: u32,
+    pub format: u32,
     /// The federation's name.
     pub cluster: String,
     /// The member.
@@ -61,7 +61,7 @@
 impl Owner {
     /// The owner of a new store.
     pub fn new(cluster: &str, id: MemberId, incarnation: u64) -> Self {
-        Owner { form: FORMAT, cluster: cluster.to_owned(), id, incarnation }
+        Owner { format: FORMAT, cluster: cluster.to_owned(), id, incarnation }
     }
 }
 
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// There is a store already, or the disk fails.
-    pub fn create(path: &Path, owner: &Owner, saved: &Saved) -> Result<(), StoreError> {
+    pub fn create(path: &Path, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
         if path.exists() {
             return Err(StoreError::Present);
         }
@@ -101,7 +101,7 @@
         Ok(std::fs::File::open(folder)?.sync_all()?)
     }
 
-    fn initialize(database: Database, owner: &Owner, saved: &Saved) -> Result<(), StoreError> {
+    fn initialize(database: Database, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
         let transaction = begin_write(&database)?;
         write_all(&transaction, owner, saved)?;
         transaction.commit()?;
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// There is no store, it is another member's, it is damaged, or another process has it open.
-    pub fn open(path: &Path, cluster: &str, id: MemberId) -> Result<(Self, Saved), StoreError> {
+    pub fn open(path: &Path, cluster: &str, id: MemberId) -> Result<(Self, StoredLog), StoreError> {
         if !path.exists() {
             return Err(StoreError::Absent);
         }
@@ -124,7 +124,7 @@
         cluster: &str,
         id: MemberId,
         open: impl FnOnce(&mut Builder) -> Result<Database, DatabaseError>,
-    ) -> Result<(Self, Saved), StoreError> {
+    ) -> Result<(Self, StoredLog), StoreError> {
         let mut builder = Builder::new();
         builder.set_check_integrity_on_open(true);
         // Where the library panics on a damaged file, that is an error of the store and not the end of the program.
@@ -136,7 +136,7 @@
         Ok((store, saved))
     }
 
-    fn read(database: Database) -> Result<(Self, Saved), StoreError> {
+    fn read(database: Database) -> Result<(Self, StoredLog), StoreError> {
         let (owner, saved) = read_all(&database)?;
         saved.check().map_err(Damage::Log)?;
         Ok((Store { database: Some(database), owner, poisoned: false }, saved))
@@ -169,7 +169,7 @@
 ///
 /// There is a store already, or the disk fails.
 pub fn found(settings: &FederationSettings, joins: bool, incarnation: u64) -> Result<(), StoreError> {
-    let saved = if joins { Saved::default() } else { founding(&settings.founded()) };
+    let saved = if joins { StoredLog::default() } else { founding_log(&settings.founding_state()) };
     let owner = Owner::new(&settings.cluster, settings.id, incarnation);
     Store::create(&settings.store, &owner, &saved)
 }
@@ -177,13 +177,13 @@
 impl DurableStorage for Store {
     type Error = StoreError;
 
-    fn save(&mut self, save: &Save) -> Result<(), StoreError> {
+    fn save(&mut self, save: &LogUpdate) -> Result<(), StoreError> {
         self.write(|transaction| {
             let mut meta = transaction.open_table(META)?;
             let mut log = transaction.open_table(LOG)?;
             if let Some(snapshot) = &save.snapshot {
                 meta.insert(SNAPSHOT_KEY, &record::encode(snapshot)?[..])?;
-                let last = if save.replaces { u64::MAX } else { snapshot.index.0 };
+                let last = if save.replaces_log { u64::MAX } else { snapshot.index.0 };
                 log.retain_in(..=last, |_, _| false)?;
             }
             if let Some(hard) = hard_state_after(&meta, save)? {
@@ -206,8 +206,11 @@
 }
 
 /// The hard state to write with a step, if any: a step's own, or one that is committed at least up to its snapshot.
-fn hard_state_after(meta: &Table<'_, &str, &[u8]>, save: &Save) -> Result<Option<HardState>, StoreError> {
-    match (save.hard, &save.snapshot) {
+fn hard_state_after(
+    meta: &Table<'_, &str, &[u8]>,
+    save: &LogUpdate,
+) -> Result<Option<HardState>, StoreError> {
+    match (save.hard_state, &save.snapshot) {
         (Some(hard), _) => Ok(Some(hard)),
         (None, None) => Ok(None),
         (None, Some(snapshot)) => {
@@ -230,17 +233,17 @@
 }
 
 /// Writes every record.
-fn write_all(transaction: &WriteTransaction, owner: &Owner, saved: &Saved) -> Result<(), StoreError> {
+fn write_all(transaction: &WriteTransaction, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
     let mut meta = transaction.open_table(META)?;
     let mut log = transaction.open_table(LOG)?;
     meta.insert(OWNER_KEY, &record::encode(owner)?[..])?;
-    meta.insert(HARD_STATE_KEY, &record::encode(&saved.hard)?[..])?;
+    meta.insert(HARD_STATE_KEY, &record::encode(&saved.hard_state)?[..])?;
     meta.insert(SNAPSHOT_KEY, &record::encode(&saved.snapshot)?[..])?;
     insert_entries(&mut log, &saved.entries)
 }
 
 /// Reads every record.
-fn read_all(database: &Database) -> Result<(Owner, Saved), StoreError> {
+fn read_all(database: &Database) -> Result<(Owner, StoredLog), StoreError> {
     let transaction = database.begin_read()?;
     let meta = transaction.open_table(META)?;
     let stored = |key: &str, name: &'static str| -> Result<Vec<u8>, StoreError> {
@@ -248,8 +251,8 @@
         Ok(found.value().to_vec())
     };
     let owner: Owner = record::decode("the owner", &stored(OWNER_KEY, "the owner")?)?;
-    if owner.form != FORMAT {
-        return Err(StoreError::Format { found: owner.form, known: FORMAT });
+    if owner.format != FORMAT {
+        return Err(StoreError::Format { found: owner.format, known: FORMAT });
     }
     let hard = record::decode(HARD_STATE_NAME, &stored(HARD_STATE_KEY, HARD_STATE_NAME)?)?;
     let snapshot: SnapshotRecord = record::decode("the snapshot", &stored(SNAPSHOT_KEY, "the snapshot")?)?;
@@ -258,5 +261,5 @@
         let (index, bytes) = found?;
         entries.push(record::decode(&format!("entry {}", index.value()), bytes.value())?);
     }
-    Ok((owner, Saved { hard, snapshot, entries }))
+    Ok((owner, StoredLog { hard_state: hard, snapshot, entries }))
 }
--- a/src/federation/store/faulty_disk.rs
+++ b/src/federation/store/faulty_disk.rs
@@ -2,7 +2,7 @@
 //! middle of a write.
 
 use super::{Owner, Store, StoreError};
-use crate::federation::log::Saved;
+use crate::federation::log::StoredLog;
 use crate::federation::MemberId;
 use rand::Rng;
 use redb::{Builder, StorageBackend};
@@ -18,7 +18,7 @@
 
 /// A call that changes the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Call {
+pub(crate) enum DiskCall {
     Write,
     Sync,
     SetLen,
@@ -30,28 +30,28 @@
     /// The first and the end of the calls that fail, counted over all that change the disk.
     pub calls: Range<u64>,
     /// Which kind of call fails; `None`: all.
-    pub only: Option<Call>,
+    pub only: Option<DiskCall>,
     pub error: i32,
 }
 
 /// A change that was not synced yet.
 #[derive(Clone, Debug)]
-enum Change {
+enum DiskWrite {
     Write(usize, Vec<u8>),
     SetLen(usize),
 }
 
-impl Change {
+impl DiskWrite {
     fn apply(&self, bytes: &mut Vec<u8>) {
         match self {
-            Change::Write(offset, data) => {
+            DiskWrite::Write(offset, data) => {
                 let end = offset + data.len();
                 if bytes.len() < end {
                     bytes.resize(end, 0);
                 }
                 bytes[*offset..end].copy_from_slice(data);
             }
-            Change::SetLen(length) => bytes.resize(*length, 0),
+            DiskWrite::SetLen(length) => bytes.resize(*length, 0),
         }
     }
 }
@@ -63,9 +63,9 @@
     /// What is on the platter.
     durable: Vec<u8>,
     /// What is only in the page cache and will be written back.
-    dirty: Vec<Change>,
+    dirty: Vec<DiskWrite>,
     /// The calls so far that change the disk.
-    calls: Vec<Call>,
+    calls: Vec<DiskCall>,
     faults: Vec<Fault>,
     /// The call in which the process is killed: half of a write is done, and nothing after it.
     killed_at: Option<u64>,
@@ -121,7 +121,7 @@
     }
 
     /// The numbers of the calls so far of a kind, or of all.
-    pub fn calls_of(&self, only: Option<Call>) -> Vec<u64> {
+    pub fn calls_of(&self, only: Option<DiskCall>) -> Vec<u64> {
         let contents = self.contents();
         let numbered = (1..).zip(&contents.calls);
         numbered
@@ -145,20 +145,20 @@
     pub fn after_power_loss(&self, random: &mut impl Rng) -> Self {
         let contents = self.contents();
         let mut bytes = contents.durable.clone();
-        let resizes = contents.dirty.iter().filter(|change| matches!(change, Change::SetLen(_))).count();
+        let resizes = contents.dirty.iter().filter(|change| matches!(change, DiskWrite::SetLen(_))).count();
         let mut resizes_left = random.random_range(0..=resizes);
         for change in &contents.dirty {
             match change {
-                Change::SetLen(_) if resizes_left > 0 => {
+                DiskWrite::SetLen(_) if resizes_left > 0 => {
                     resizes_left -= 1;
                     change.apply(&mut bytes);
                 }
-                Change::SetLen(_) => {}
-                Change::Write(offset, data) => {
+                DiskWrite::SetLen(_) => {}
+                DiskWrite::Write(offset, data) => {
                     for (number, sector) in data.chunks(SECTOR).enumerate() {
                         let start = offset + number * SECTOR;
                         if start + sector.len() <= bytes.len() && random.random() {
-                            Change::Write(start, sector.to_vec()).apply(&mut bytes);
+                            DiskWrite::Write(start, sector.to_vec()).apply(&mut bytes);
                         }
                     }
                 }
@@ -176,13 +176,13 @@
 /// Stores on such a disk.
 impl FaultyDisk {
     /// Creates a store in place of what the disk holds.
-    pub fn create_store(&self, owner: &Owner, saved: &Saved) {
+    pub fn create_store(&self, owner: &Owner, saved: &StoredLog) {
         let database = Builder::new().create_with_backend(self.clone()).expect("a sound disk");
         Store::initialize(database, owner, saved).expect("a sound disk");
     }
 
     /// [`Store::open`] on this disk.
-    pub fn open_store(&self, cluster: &str, id: MemberId) -> Result<(Store, Saved), StoreError> {
+    pub fn open_store(&self, cluster: &str, id: MemberId) -> Result<(Store, StoredLog), StoreError> {
         Store::open_database(cluster, id, |builder| builder.create_with_backend(self.clone()))
     }
 }
@@ -193,7 +193,7 @@
     }
 
     /// Counts a call, and fails it where it is to fail.
-    fn begin(&mut self, call: Call) -> io::Result<()> {
+    fn begin(&mut self, call: DiskCall) -> io::Result<()> {
         self.calls.push(call);
         let number = self.count();
         let fails =
@@ -211,25 +211,25 @@
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: DiskWrite) {
         change.apply(&mut self.cached);
         self.dirty.push(change);
     }
 
     fn write(&mut self, offset: usize, data: &[u8]) -> io::Result<()> {
-        let done = self.begin(Call::Write);
+        let done = self.begin(DiskCall::Write);
         let after_death = self.killed_at.is_some_and(|call| self.count() > call);
         if done.is_ok() {
-            self.change(Change::Write(offset, data.to_vec()));
+            self.change(DiskWrite::Write(offset, data.to_vec()));
         } else if !after_death {
             // A write that fails, or in which the process is killed, is done in part.
-            self.change(Change::Write(offset, data[..data.len() / 2].to_vec()));
+            self.change(DiskWrite::Write(offset, data[..data.len() / 2].to_vec()));
         }
         done
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let done = self.begin(Call::Sync);
+        let done = self.begin(DiskCall::Sync);
         let dead = self.killed_at.is_some_and(|call| self.count() >= call);
         let changes = std::mem::take(&mut self.dirty);
         if done.is_ok() {
@@ -257,8 +257,8 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut contents = self.contents();
-        contents.begin(Call::SetLen)?;
-        contents.change(Change::SetLen(len as usize));
+        contents.begin(DiskCall::SetLen)?;
+        contents.change(DiskWrite::SetLen(len as usize));
         Ok(())
     }
 
--- a/src/federation/store/tests.rs
+++ b/src/federation/store/tests.rs
@@ -1,7 +1,7 @@
 //! Stores that are opened again, and stores whose disk fails, whose process is killed, whose power is lost, or whose bytes
 //! were altered: at every call that changes the disk.
 
-use super::faulty_disk::{Call, Fault, FaultyDisk, EIO, ENOSPC};
+use super::faulty_disk::{DiskCall, Fault, FaultyDisk, EIO, ENOSPC};
 use super::*;
 use crate::federation::records::SnapshotRecord;
 use crate::federation::tests::{entry, state};
@@ -9,37 +9,45 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn draw(random: &mut ChaCha8Rng, saved: &Saved) -> Save {
-    let HardState { term, commit, .. } = saved.hard;
+fn draw(random: &mut ChaCha8Rng, saved: &StoredLog) -> LogUpdate {
+    let HardState { term, commit, .. } = saved.hard_state;
     let last = saved.last_index();
     let next_term = Term(term.0 + random.random_range(0..2));
     match random.random_range(0..4) {
         0 => {
             let vote = MemberId(random.random_range(0..4));
-            Save { hard: Some(HardState { term: next_term, vote, commit }), ..Save::default() }
+            LogUpdate {
+                hard_state: Some(HardState { term: next_term, vote, commit }),
+                ..LogUpdate::default()
+            }
         }
         1 if last > commit => {
             let commit = LogIndex(random.random_range(commit.0..=last.0));
-            Save { hard: Some(HardState { commit, ..saved.hard }), ..Save::default() }
+            LogUpdate { hard_state: Some(HardState { commit, ..saved.hard_state }), ..LogUpdate::default() }
         }
         2 if commit > saved.snapshot.index => {
             let term = saved.entries[(commit.0 - saved.snapshot.index.0) as usize - 1].term;
             let (voters, learners) = ([1, 2].map(MemberId).to_vec(), vec![MemberId(3)]);
             let snapshot = SnapshotRecord { index: commit, term, voters, learners, data: vec![9; 40] };
-            Save { snapshot: Some(snapshot), ..Save::default() }
+            LogUpdate { snapshot: Some(snapshot), ..LogUpdate::default() }
         }
         3 if random.random_range(0..10) == 0 => {
             let (index, term) = (LogIndex(last.0 + 5), next_term);
             let voters = vec![MemberId(1)];
             let snapshot = SnapshotRecord { index, term, voters, ..SnapshotRecord::default() };
             let hard = Some(HardState { term, vote: MemberId::NONE, commit: index });
-            Save { hard, snapshot: Some(snapshot), replaces: true, ..Save::default() }
+            LogUpdate {
+                hard_state: hard,
+                snapshot: Some(snapshot),
+                replaces_log: true,
+                ..LogUpdate::default()
+            }
         }
         _ => {
             // Not committed ones may be overwritten.
             let first = random.random_range(commit.0 + 1..=last.0 + 1);
             let entries = (first..first + random.random_range(1..4)).map(|index| entry(index, term.0));
-            Save { entries: entries.collect(), ..Save::default() }
+            LogUpdate { entries: entries.collect(), ..LogUpdate::default() }
         }
     }
 }
@@ -50,7 +58,7 @@
     for seed in 0..6 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let path = folder.path().join(format!("{seed}.redb"));
-        let mut copy = founding(&state(&[(1, true), (2, true), (3, false)]));
+        let mut copy = founding_log(&state(&[(1, true), (2, true), (3, false)]));
         Store::create(&path, &Owner::new("c", MemberId(1), 77), &copy).expect("made");
         assert!(matches!(
             Store::create(&path, &Owner::new("c", MemberId(1), 78), &copy),
@@ -81,7 +89,7 @@
 fn a_store_that_was_altered_or_torn_is_an_error_and_never_another_store() {
     let folder = tempfile::tempdir().expect("a folder");
     let (path, broken) = (folder.path().join("good"), folder.path().join("broken"));
-    let kept = founding(&state(&[(1, true), (2, true), (3, true)]));
+    let kept = founding_log(&state(&[(1, true), (2, true), (3, true)]));
     Store::create(&path, &Owner::new("c", MemberId(1), 77), &kept).expect("made");
     let good = std::fs::read(&path).expect("read");
     let hook = std::panic::take_hook();
@@ -123,7 +131,7 @@
     disk: FaultyDisk,
     random: ChaCha8Rng,
     /// What the disk may hold: what was acknowledged, and that with the step whose storing failed or was cut off.
-    possible: Vec<Saved>,
+    possible: Vec<StoredLog>,
     /// Stores that were opened after a failure.
     recoveries: usize,
     /// Bytes of each entry, beyond those that make it differ from others.
@@ -133,7 +141,7 @@
 impl Play {
     fn new(seed: u64, padding: usize) -> Self {
         let disk = FaultyDisk::default();
-        let founded = founding(&state(&[(1, true), (2, true), (3, false)]));
+        let founded = founding_log(&state(&[(1, true), (2, true), (3, false)]));
         disk.create_store(&Owner::new("c", MemberId(1), 77), &founded);
         Play {
             disk,
@@ -209,7 +217,7 @@
 /// call; gives how many that were.
 fn at_each_call(
     (seed, padding): (u64, usize),
-    only: Option<Call>,
+    only: Option<DiskCall>,
     set_up: impl Fn(&FaultyDisk, u64),
     mut check: impl FnMut(&mut Play),
 ) -> usize {
@@ -231,9 +239,9 @@
     for (seed, padding, only, error) in [
         (1, 0, None, ENOSPC),
         (2, 0, None, EIO),
-        (3, 0, Some(Call::Write), ENOSPC),
-        (4, 0, Some(Call::Sync), EIO),
-        (5, LARGE_ENTRY, Some(Call::SetLen), ENOSPC),
+        (3, 0, Some(DiskCall::Write), ENOSPC),
+        (4, 0, Some(DiskCall::Sync), EIO),
+        (5, LARGE_ENTRY, Some(DiskCall::SetLen), ENOSPC),
     ] {
         let (mut recoveries, mut failures) = (0, 0);
         let fail =
@@ -256,7 +264,7 @@
 
 #[test]
 fn what_was_acknowledged_outlives_a_kill_and_a_loss_of_power_in_any_call() {
-    for (seed, padding, only) in [(11, 0, None), (12, 0, None), (13, LARGE_ENTRY, Some(Call::SetLen))] {
+    for (seed, padding, only) in [(11, 0, None), (12, 0, None), (13, LARGE_ENTRY, Some(DiskCall::SetLen))] {
         let calls = at_each_call((seed, padding), only, FaultyDisk::kill_at, |play| {
             drop(play.run()); // the kill may be in the closing
             assert!(play.disk.killed());
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -2,7 +2,7 @@
 
 use super::backoff::Backoff;
 use super::hello::{Challenge, Hello, Key, Welcome};
-use super::membership::{next, Progress, Step};
+use super::membership::{next_step, MembershipStep, Progress};
 use super::records::{EntryKind, EntryRecord, HardState, MessageKind, MessageRecord, SnapshotRecord};
 use super::settings::FederationSettings;
 use super::state::{Change, Command, Roster, State, WantedMember};
@@ -61,10 +61,10 @@
     let here = [(1, true), (2, true), (3, true), (4, false)];
     let all = |lag: u64, active: bool| move |id: &u64| (MemberId(*id), Progress { lag, active });
     // The file's members, who is active with which lag beyond the leader 1, and what comes next.
-    let change = Step::Change;
-    type Case<'a> = (&'a [(u64, bool)], u64, &'a [u64], Step);
+    let change = MembershipStep::Change;
+    type Case<'a> = (&'a [(u64, bool)], u64, &'a [u64], MembershipStep);
     let cases: Vec<Case> = vec![
-        (&here, 0, &[2, 3, 4], Step::Command(Command::Settled { revision: 2 })),
+        (&here, 0, &[2, 3, 4], MembershipStep::Command(Command::RevisionApplied { revision: 2 })),
         (
             &[(1, true), (2, true), (3, true), (4, false), (5, true)],
             0,
@@ -72,30 +72,34 @@
             change(Change::Add { id: MemberId(5), site: "site-5".into() }),
         ),
         (&[(1, true), (2, true), (3, true), (4, true)], 3, &[2, 3, 4], change(Change::Promote(MemberId(4)))),
-        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], Step::Wait), // it has not caught up
-        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], Step::Wait),     // it is not heard
+        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], MembershipStep::Wait), // it has not caught up
+        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], MembershipStep::Wait), // it is not heard
         (&[(1, true), (2, true), (4, false)], 0, &[2, 3, 4], change(Change::Remove(MemberId(3)))),
         (&[(1, true), (2, true), (4, false)], 0, &[2], change(Change::Remove(MemberId(3)))), // it is the one that is away
-        (&[(1, true), (2, true), (4, false)], 0, &[3], Step::Wait), // without it nothing could be committed
+        (&[(1, true), (2, true), (4, false)], 0, &[3], MembershipStep::Wait), // without it nothing could be committed
         (&[(1, true), (2, false), (3, true), (4, false)], 0, &[2, 3], change(Change::Demote(MemberId(2)))),
-        (&[(2, true), (3, true), (4, false)], 0, &[2, 3], Step::TransferLeadership),
+        (&[(2, true), (3, true), (4, false)], 0, &[2, 3], MembershipStep::TransferLeadership),
         (&[(1, true), (2, true), (3, true)], 0, &[2, 3], change(Change::Remove(MemberId(4)))),
     ];
     for (file, lag, active, wanted) in cases {
         let file = roster(file);
         let progress = active.iter().map(all(lag, true)).collect();
-        let at = |begun| State { begun, ..state(&here) };
-        assert_eq!(next(&at(2), 2, &file, MemberId(1), &progress), wanted, "{file:?} {lag} {active:?}");
-        let first = Step::Command(Command::Begun { revision: 2 });
+        let at = |begun| State { started_revision: begun, ..state(&here) };
+        assert_eq!(next_step(&at(2), 2, &file, MemberId(1), &progress), wanted, "{file:?} {lag} {active:?}");
+        let first = MembershipStep::Command(Command::RevisionStarted { revision: 2 });
         assert_eq!(
-            next(&at(1), 2, &file, MemberId(1), &progress),
+            next_step(&at(1), 2, &file, MemberId(1), &progress),
             first,
             "all know first by which file it goes"
         );
-        assert_eq!(next(&at(3), 2, &file, MemberId(1), &progress), Step::Wait, "a newer file is under way");
         assert_eq!(
-            next(&state(&here), 1, &file, MemberId(1), &progress),
-            Step::Wait,
+            next_step(&at(3), 2, &file, MemberId(1), &progress),
+            MembershipStep::Wait,
+            "a newer file is under way"
+        );
+        assert_eq!(
+            next_step(&state(&here), 1, &file, MemberId(1), &progress),
+            MembershipStep::Wait,
             "an old file changes nothing"
         );
     }
@@ -131,8 +135,8 @@
         State::default().admits(MemberId(9), 1, false).is_ok(),
         "who knows nothing yet hears whoever holds the key"
     );
-    one.apply(&Command::Settled { revision: 5 });
-    one.apply(&Command::Settled { revision: 4 });
+    one.apply(&Command::RevisionApplied { revision: 5 });
+    one.apply(&Command::RevisionApplied { revision: 4 });
     assert_eq!(one.revision, 5);
 }
 
@@ -204,12 +208,13 @@
     assert!(!key.welcomes(&challenge, &hello, &Welcome { proof: hello.proof }));
     let (mut out, mut seen) = (key.seal(&challenge, &hello, true), key.seal(&challenge, &hello, true));
     let first = encode(&Frame::Ping, Some(&mut out)).expect("short");
-    let second = encode(&Frame::Propose(Command::Settled { revision: 3 }), Some(&mut out)).expect("short");
+    let second =
+        encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out)).expect("short");
     let mut input = BytesMut::from(&[&first[..], &second[..]].concat()[..]);
     assert_eq!(decode(&mut input, Some(&mut seen)), Ok(Some(Frame::Ping)));
     assert_eq!(
         decode(&mut input, Some(&mut seen)),
-        Ok(Some(Frame::Propose(Command::Settled { revision: 3 })))
+        Ok(Some(Frame::Propose(Command::RevisionApplied { revision: 3 })))
     );
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
         let mut seal = key.seal(&challenge, &hello, way);
@@ -326,17 +331,17 @@
     let (deployed, key) = read(deployed).expect("usable");
     let (defaults, _) = read(&usual).expect("usable");
     assert_eq!(
-        (deployed.tuning, deployed.terms, deployed.tick, deployed.silent),
-        (defaults.tuning, defaults.terms, defaults.tick, defaults.silent)
+        (deployed.tuning, deployed.lease_terms, deployed.tick, deployed.silence_timeout),
+        (defaults.tuning, defaults.lease_terms, defaults.tick, defaults.silence_timeout)
     );
     assert_eq!(
-        (key.as_str(), deployed.members.len(), deployed.fixed(&defaults)),
+        (key.as_str(), deployed.members.len(), deployed.first_fixed_change(&defaults)),
         ("keys/federation.secret", 3, None)
     );
     assert_eq!(deployed.listen, deployed.members[&MemberId(1)].address);
     assert_ne!(
-        deployed.founded().identity,
-        FederationSettings { cluster: "x".into(), ..deployed.clone() }.founded().identity
+        deployed.founding_state().identity,
+        FederationSettings { cluster: "x".into(), ..deployed.clone() }.founding_state().identity
     );
     for (from, to, wanted) in [
         ("id       = 1", "id = 9", "f.hcl:6:8: there is no member 9"),
--- a/src/sim/federation.rs
+++ b/src/sim/federation.rs
@@ -13,7 +13,7 @@
 
 use super::rules::Breach;
 use crate::federation::duties::LeaseTerms;
-use crate::federation::node::{founding, Tuning};
+use crate::federation::node::{founding_log, Tuning};
 use crate::federation::state::{Roster, State, WantedMember};
 use crate::federation::MemberId;
 use crate::interface::{Instant, Span};
@@ -38,7 +38,7 @@
 /// Clocks run this much too fast or slow at most.
 const DRIFT: f64 = 0.05;
 const TERMS: LeaseTerms =
-    LeaseTerms { span: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
+    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
 /// Duties that members stand for.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
@@ -116,7 +116,7 @@
     };
     let founded = State::founded(7, 1, &file);
     for id in 1..=founders {
-        world.add(MemberId(id), founding(&founded));
+        world.add(MemberId(id), founding_log(&founded));
     }
     for _ in 0..faults {
         let at = draw_instant(&mut world.random, FIRST_FAULT..FAULTS);
--- a/src/sim/federation/checks.rs
+++ b/src/sim/federation/checks.rs
@@ -11,7 +11,7 @@
         let mut seen = BTreeSet::new();
         for id in last.keys() {
             let Some(node) = self.members.get(id).and_then(|member| member.node.as_ref()) else { continue };
-            let (state, applied) = node.state();
+            let (state, applied) = (node.state(), node.log_indexes().applied);
             let members: BTreeMap<MemberId, bool> =
                 state.members.iter().map(|(id, m)| (*id, m.voter)).collect();
             seen.insert((node.leadership(), applied, (state.revision, state.duties.len()), members));
--- a/src/sim/federation/disk.rs
+++ b/src/sim/federation/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a member: it keeps steps as a store does, fails for a while, and shows planted bugs.
 
 use super::Planted;
-use crate::federation::log::{Save, Saved};
+use crate::federation::log::{LogUpdate, StoredLog};
 use crate::federation::node::DurableStorage;
 use crate::federation::{MemberId, Term};
 
@@ -22,9 +22,9 @@
 /// The disk of a member.
 pub(super) struct Disk {
     /// What is stored.
-    pub kept: Saved,
+    pub kept: StoredLog,
     /// What a crash takes with it, where that bug is planted.
-    pub unsynced: Option<Save>,
+    pub unsynced: Option<LogUpdate>,
     /// The fault that lasts.
     pub fault: Option<DiskFault>,
     /// The fault lasts until the member is started anew; else until an event heals the disk.
@@ -33,14 +33,14 @@
 }
 
 impl Disk {
-    pub fn new(kept: Saved, planted: Option<Planted>) -> Self {
+    pub fn new(kept: StoredLog, planted: Option<Planted>) -> Self {
         Disk { kept, unsynced: None, fault: None, heals_at_restart: true, planted }
     }
 
     /// Writes a step.
-    fn write(&mut self, mut save: Save) {
+    fn write(&mut self, mut save: LogUpdate) {
         if self.planted == Some(Planted::ForgottenVote) {
-            if let Some(hard) = &mut save.hard {
+            if let Some(hard) = &mut save.hard_state {
                 (hard.term, hard.vote) = (Term(0), MemberId::NONE);
             }
         }
@@ -58,7 +58,7 @@
 impl DurableStorage for Disk {
     type Error = DiskError;
 
-    fn save(&mut self, save: &Save) -> Result<(), DiskError> {
+    fn save(&mut self, save: &LogUpdate) -> Result<(), DiskError> {
         if self.fault != Some(DiskFault::Full) {
             self.write(save.clone());
         }
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -3,7 +3,7 @@
 use super::disk::DiskFault;
 use super::world::{Event, World};
 use super::{draw_instant, Planted, FAULTS, FIRST_FAULT, MS};
-use crate::federation::log::Saved;
+use crate::federation::log::StoredLog;
 use crate::federation::state::WantedMember;
 use crate::federation::MemberId;
 use crate::interface::Instant;
@@ -94,7 +94,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
         if self.planted == Some(Planted::EmptyStore) {
-            member.disk.kept = Saved::default();
+            member.disk.kept = StoredLog::default();
         }
         self.plan(back, Event::Restart(id));
     }
@@ -110,7 +110,7 @@
                 let last = self.members.keys().next_back().copied().unwrap_or_default();
                 let id = MemberId(last.0 + 1);
                 file.insert(id, WantedMember { site: "new".to_owned(), voter: voters < 5 });
-                self.add(id, Saved::default());
+                self.add(id, StoredLog::default());
             }
             1 if file.len() > 3 && (voters > 2 || !file[&any].voter) => drop(file.remove(&any)),
             _ => {
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -20,12 +20,12 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let local = member.clock(now);
         let Some(node) = &mut member.node else { return };
-        let (state, leads) = (node.state().0.clone(), node.is_leader());
-        let mut commands = member.holder.stand_for(&member.wants);
-        commands.extend(member.holder.due(local, &state));
+        let (state, leads) = (node.state().clone(), node.is_leader());
+        let mut commands = member.holder.set_candidacies(&member.wants);
+        commands.extend(member.holder.due_requests(local, &state));
         let held = DUTIES.iter().filter_map(|duty| Some((*duty, member.holder.token(local, duty)?)));
         let held: Vec<(&'static str, u64)> = held.collect();
-        let expired = member.grantor.due(local, &state, leads);
+        let expired = member.grantor.due_expiries(local, &state, leads);
         for command in &expired {
             node.propose(command);
         }
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -2,9 +2,9 @@
 
 use super::disk::Disk;
 use super::{draw_span, Planted, DRIFT, DUTIES, FAULTS, MS, QUIET, SHORTEST_DELAY, TERMS, TICK, TUNING};
-use crate::federation::duties::{Grantor, Holder};
-use crate::federation::log::Saved;
-use crate::federation::node::Node;
+use crate::federation::duties::{LeaseGrantor, LeaseHolder};
+use crate::federation::log::StoredLog;
+use crate::federation::node::{AppliedCommand, Node};
 use crate::federation::records::{MessageKind, MessageRecord};
 use crate::federation::state::{Command, Roster, State};
 use crate::federation::{LogIndex, MemberId, Term};
@@ -23,8 +23,8 @@
     pub disk: Disk,
     pub node: Option<Node>,
     pub incarnation: u64,
-    pub holder: Holder,
-    pub grantor: Grantor,
+    pub holder: LeaseHolder,
+    pub grantor: LeaseGrantor,
     /// The duties that it stands for.
     pub wants: BTreeSet<String>,
     /// Its clock runs so much faster than the world's, and began there.
@@ -108,13 +108,13 @@
         let wants = wants.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
         // Nothing of a process before is known but what its disk holds.
-        (member.holder, member.grantor) = (Holder::new(id, terms, asks), Grantor::new(terms));
+        (member.holder, member.grantor) = (LeaseHolder::new(id, terms, asks), LeaseGrantor::new(terms));
         member.wants = wants;
         member.disk.unsynced = None;
         let kept = &mut member.disk.kept;
         // What the log itself shows of terms is not forgotten.
         let log = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard.term = kept.hard.term.max(log);
+        kept.hard_state.term = kept.hard_state.term.max(log);
         match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
             Ok(node) => member.node = Some(node),
             Err(error) => self.broken("start", format!("member {id}: {error}")),
@@ -142,12 +142,12 @@
         self.plan(self.now + pause, Event::Restart(id));
     }
 
-    pub(super) fn add(&mut self, id: MemberId, kept: Saved) {
+    pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
         // As slow or fast as allowed, as a rule: what is between says less.
         let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
         let tick = Span::from_micros_f64(TICK.as_micros_f64() / (1.0 + drift));
         let disk = Disk::new(kept, self.planted);
-        let (holder, grantor) = (Holder::new(id, TERMS, 0), Grantor::new(TERMS));
+        let (holder, grantor) = (LeaseHolder::new(id, TERMS, 0), LeaseGrantor::new(TERMS));
         let (wants, began) = (BTreeSet::new(), Instant::ZERO + self.random.random_range(0..1000_i64) * MS);
         let member = Member {
             disk,
@@ -177,9 +177,10 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
         let driven = node.drive(&mut member.disk);
-        member.holder.observe(node.state().0);
-        let (committed, leads, term) = (node.take_committed(), node.is_leader(), node.leadership().term);
-        let (state, applied) = (node.state().0.clone(), node.state().1);
+        member.holder.observe(node.state());
+        let (committed, leads, term) =
+            (node.take_applied_commands(), node.is_leader(), node.leadership().term);
+        let (state, applied) = (node.state().clone(), node.log_indexes().applied);
         node.take_events();
         let out = match driven {
             Ok(out) => out,
@@ -199,7 +200,7 @@
                 self.broken("two-leaders", format!("{first} and {id} lead in term {term}"));
             }
         }
-        for (index, command) in committed {
+        for AppliedCommand { index, command } in committed {
             (id, index).hash(&mut self.trace);
             let first = self.committed.entry(index).or_insert_with(|| command.clone()).clone();
             if first != command {
@@ -210,7 +211,7 @@
             self.broken("states-differ", format!("member {id} at {applied}"));
         }
         for message in out {
-            let votes = message.kind == MessageKind::VoteAnswer && !message.reject && self.dies_voting > 0;
+            let votes = message.kind == MessageKind::VoteResponse && !message.reject && self.dies_voting > 0;
             if votes && self.now < FAULTS && self.random.random_range(0..self.dies_voting) == 0 {
                 let back = self.now + self.random.random_range(1..100_i64) * MS;
                 self.crash(id, back);
@@ -264,7 +265,7 @@
                 if let Some(wanted) = self.files.get(file) {
                     node.reconcile(file as u64 + 1, wanted);
                 }
-                let known = node.state().0.members.get(&id).and_then(|m| m.incarnation);
+                let known = node.state().members.get(&id).and_then(|m| m.incarnation);
                 if known.is_none() {
                     node.propose(&Command::Enrol { id, incarnation });
                 }
@@ -293,9 +294,9 @@
         let file = member.file as usize;
         let lists = self.files.get(file).is_some_and(|file| file.contains_key(&from));
         let Some(node) = &mut member.node else { return };
-        let listed = file as u64 + 1 > node.state().0.revision && lists;
+        let listed = file as u64 + 1 > node.state().revision && lists;
         let any_store = self.planted == Some(Planted::EmptyStore);
-        if !any_store && node.state().0.admits(from, incarnation, listed).is_err() {
+        if !any_store && node.state().admits(from, incarnation, listed).is_err() {
             return;
         }
         if let Err(why) = node.step(&message) {
@@ -310,7 +311,7 @@
             return;
         };
         let Some(node) = &mut member.node else { return };
-        let listed = node.state().0.members.contains_key(&from);
+        let listed = node.state().members.contains_key(&from);
         if listed && node.propose(command) {
             self.drive(to);
         }
--- a/tests/federation/crashes.rs
+++ b/tests/federation/crashes.rs
@@ -30,7 +30,7 @@
 fn stored(rig: &Rig, id: u64, view: &Value) -> u64 {
     let path = rig.folder(id).join("federation.redb");
     let (_, saved) = Store::open(&path, "tests", MemberId(id)).expect("usable after a kill");
-    let (last, term) = (saved.last_index().get(), saved.hard.term.get());
+    let (last, term) = (saved.last_index().get(), saved.hard_state.term.get());
     assert!(last >= number(view, "committed") && term >= number(view, "term"), "{last} in {term}: {view}");
     last
 }
