--- a/src/commands/lab/trace.rs
+++ b/src/commands/lab/trace.rs
@@ -1,8 +1,8 @@
 //! `dahliatrack lab trace`: makes up a trace.
 
 use crate::commands::CommandError;
-use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 use dahliatrack::lab::replay::ReplayError;
+use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 use std::io::{self, Write};
 
 const MIN_SECONDS: f64 = 1.0;
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -4,8 +4,8 @@
 use super::observer::ObservedStep;
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, DRIFT, DUTIES, LAST_FAULT, MS, QUIET, TERMS, TICK, TUNING};
-use crate::federation::duties::{Grantor, Holder};
-use crate::federation::log::Saved;
+use crate::federation::duties::{LeaseGrantor, LeaseHolder};
+use crate::federation::log::StoredLog;
 use crate::federation::node::Node;
 use crate::federation::state::Command;
 use crate::federation::MemberId;
@@ -24,8 +24,8 @@
     /// `None`: its process is not running.
     pub(super) node: Option<Node>,
     pub(super) incarnation: u64,
-    pub(super) holder: Holder,
-    pub(super) grantor: Grantor,
+    pub(super) holder: LeaseHolder,
+    pub(super) grantor: LeaseGrantor,
     /// The duties for which it seeks leases.
     pub(super) wants: BTreeSet<String>,
     /// The part by which its clock runs faster than the world's.
@@ -55,15 +55,15 @@
 
 impl FederationWorld {
     /// Adds a member with what its store holds, and starts it.
-    pub(super) fn add(&mut self, id: MemberId, kept: Saved) {
+    pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
         // Mostly as slow or fast as allowed: what is between finds less.
         let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
         let member = SimulatedMember {
             disk: Disk::new(kept, self.planted),
             node: None,
             incarnation: id.0 * INCARNATIONS_PER_MEMBER,
-            holder: Holder::new(id, TERMS, 0),
-            grantor: Grantor::new(TERMS),
+            holder: LeaseHolder::new(id, TERMS, 0),
+            grantor: LeaseGrantor::new(TERMS),
             wants: BTreeSet::new(),
             drift,
             clock_start: Instant::ZERO + self.random.random_range(0..1000_i64) * MS,
@@ -86,14 +86,14 @@
         let wants = wants.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
         // Of an earlier process only what its disk holds is left.
-        member.holder = Holder::new(id, terms, asks);
-        member.grantor = Grantor::new(terms);
+        member.holder = LeaseHolder::new(id, terms, asks);
+        member.grantor = LeaseGrantor::new(terms);
         member.wants = wants;
         member.disk.unsynced = None;
         let kept = &mut member.disk.kept;
         // The terms that the log itself shows are not forgotten.
         let log_term = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard.term = kept.hard.term.max(log_term);
+        kept.hard_state.term = kept.hard_state.term.max(log_term);
         match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
             Ok(node) => member.node = Some(node),
             Err(error) => self.breach("start", format!("member {id}: {error}")),
@@ -126,7 +126,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
         let driven = node.drive(&mut member.disk);
-        member.holder.observe(node.state().0);
+        member.holder.observe(node.state());
         let step = ObservedStep::take(id, node);
         let messages = match driven {
             Ok(messages) => messages,
@@ -171,7 +171,7 @@
         if let Some(wanted) = self.files.get(file) {
             node.reconcile(revision, wanted);
         }
-        let enrolled = node.state().0.members.get(&id).and_then(|member| member.incarnation);
+        let enrolled = node.state().members.get(&id).and_then(|member| member.incarnation);
         if enrolled.is_none() {
             node.propose(&Command::Enrol { id, incarnation });
         }
--- a/src/sim/federation/messages.rs
+++ b/src/sim/federation/messages.rs
@@ -38,7 +38,7 @@
 
     /// A member may crash as it grants a vote.
     fn maybe_crash_voting(&mut self, id: MemberId, message: &MessageRecord) {
-        let grants_vote = message.kind == MessageKind::VoteAnswer && !message.reject;
+        let grants_vote = message.kind == MessageKind::VoteResponse && !message.reject;
         if !grants_vote || self.votes_per_crash == 0 || self.now >= LAST_FAULT {
             return;
         }
@@ -63,9 +63,9 @@
         let file_lists_sender =
             self.files.get(member.file as usize).is_some_and(|file| file.contains_key(&from));
         let Some(node) = &mut member.node else { return };
-        let is_listed = revision > node.state().0.revision && file_lists_sender;
+        let is_listed = revision > node.state().revision && file_lists_sender;
         let admits_any_store = self.planted == Some(PlantedBug::EmptyStore);
-        if !admits_any_store && node.state().0.admits(from, incarnation, is_listed).is_err() {
+        if !admits_any_store && node.state().admits(from, incarnation, is_listed).is_err() {
             return;
         }
         if let Err(why) = node.step(&message) {
@@ -78,7 +78,7 @@
     pub(super) fn forward(&mut self, from: MemberId, to: MemberId, command: &Command) {
         let member = self.members.get_mut(&to).filter(|member| member.stalled_until <= self.now);
         let Some(node) = member.and_then(|member| member.node.as_mut()) else { return };
-        let is_listed = node.state().0.members.contains_key(&from);
+        let is_listed = node.state().members.contains_key(&from);
         if is_listed && node.propose(command) {
             self.drive(to);
         }
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -43,7 +43,7 @@
 /// The largest part by which clocks run too fast or slow.
 const DRIFT: f64 = 0.05;
 const TERMS: LeaseTerms =
-    LeaseTerms { span: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
+    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
 /// The duties for which members seek leases.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
--- a/src/sim/federation/observer.rs
+++ b/src/sim/federation/observer.rs
@@ -2,7 +2,7 @@
 
 use super::world::FederationWorld;
 use super::FederationCounts;
-use crate::federation::node::Node;
+use crate::federation::node::{AppliedCommand, Node};
 use crate::federation::state::{Command, State};
 use crate::federation::{Leadership, LogIndex, MemberId, Term};
 use crate::interface::Instant;
@@ -13,7 +13,7 @@
 /// What a member did in one step.
 pub(super) struct ObservedStep {
     id: MemberId,
-    committed: Vec<(LogIndex, Command)>,
+    committed: Vec<AppliedCommand>,
     is_leader: bool,
     term: Term,
     state: State,
@@ -23,10 +23,10 @@
 impl ObservedStep {
     /// Takes what a node has done since it was last asked.
     pub(super) fn take(id: MemberId, node: &mut Node) -> Self {
-        let (state, applied) = (node.state().0.clone(), node.state().1);
+        let (state, applied) = (node.state().clone(), node.log_indexes().applied);
         let step = ObservedStep {
             id,
-            committed: node.take_committed(),
+            committed: node.take_applied_commands(),
             is_leader: node.is_leader(),
             term: node.leadership().term,
             state,
@@ -87,7 +87,7 @@
 
 impl FinalView {
     fn of(node: &Node) -> Self {
-        let (state, applied) = node.state();
+        let (state, applied) = (node.state(), node.log_indexes().applied);
         FinalView {
             leadership: node.leadership(),
             applied,
@@ -108,7 +108,7 @@
                 self.breach("two-leaders", format!("{first} and {id} lead in term {term}"));
             }
         }
-        for (index, command) in committed {
+        for AppliedCommand { index, command } in committed {
             (id, index).hash(&mut self.trace);
             let first = self.observer.committed.entry(index).or_insert_with(|| command.clone()).clone();
             if first != command {
