--- a/benches/federation.rs
+++ b/benches/federation.rs
@@ -1,5 +1,5 @@
-//! How long a federation of whole programs is without a leader after a fault, and what the edge proxy's requests notice of
-//! it: `cargo bench --bench federation`. A few minutes; not part of CI.
+//! How long a federation of whole programs is without a leader after a fault, and what the edge proxy's requests notice
+//! of it: `cargo bench --bench federation`. A few minutes; not part of CI.
 
 #[allow(dead_code)]
 #[path = "../tests/federation/relay.rs"]
--- a/src/control/tests/session.rs
+++ b/src/control/tests/session.rs
@@ -230,6 +230,7 @@
 /// Whatever comes in whatever order: one response of a kind is out at a time, versions only grow, what was rejected
 /// does not come again, and a client that answers ends up with the newest view.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one play with one list of rules")]
 fn streams_keep_their_rules_whatever_comes() {
     for seed in 0..100 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Whether an attempt keeps its class's rule on repeats, beside what was written for its request before. A repeat with
-    /// an idempotency key may have waited for a connection until after the window in which servers drop repeats.
+    /// Whether an attempt keeps its class's rule on repeats, beside what was written for its request before. A repeat
+    /// with an idempotency key may have waited for a connection until after the window in which servers drop repeats.
     fn may_repeat(&self, now: Instant, key: AttemptKey, attempt: &Attempt) -> bool {
         let Some(request) = self.requests.get(Key::from_number(attempt.request.0)) else { return false };
         let siblings = self.attempts.iter().filter(|(other, _)| *other != key);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: requests, their attempts and their final answers, whatever wire they come by.
 //!
-//! It feeds the decision module, [`Router`], with events and carries out its actions. It guarantees that each request gets
-//! one final answer and that each attempt ends once. It has no sockets and reads no clock: times are passed in.
+//! It feeds the decision module, [`Router`], with events and carries out its actions. It guarantees that each request
+//! gets one final answer and that each attempt ends once. It has no sockets and reads no clock: times are passed in.
 //!
 //! - `messages`: what passes between the core and the program around it;
 //! - `requests`: requests, from their arrival to the start of their answer;
--- a/src/front/signed/credentials/tests.rs
+++ b/src/front/signed/credentials/tests.rs
@@ -129,6 +129,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn tokens_are_verified_as_the_table_says() {
     let keyring = keyring();
     let url = "https://h.example/a/1?x=1";
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -132,6 +132,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn each_final_answer_has_its_http_status() {
     let copy = |same| CachedCopy {
         body: Bytes::from_static(b"x"),
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,5 +1,5 @@
-//! Spreading numbers over 64 bits, for samples and draws that have to repeat (the finalizer of SplitMix64, Steele et al.,
-//! "Fast splittable pseudorandom number generators", 2014).
+//! Spreading numbers over 64 bits, for samples and draws that have to repeat (the finalizer of SplitMix64, Steele et
+//! al., "Fast splittable pseudorandom number generators", 2014).
 
 /// SplitMix64's increment.
 const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/tests/federation/duties.rs
+++ b/tests/federation/duties.rs
@@ -1,4 +1,5 @@
-//! A duty is held by one at a time, whoever ends, stalls or is cut off, and each holder's token is higher than all before.
+//! A duty is held by one at a time, whoever ends, stalls or is cut off, and each holder's token is higher than all
+//! before.
 
 use crate::relay::Mode;
 use crate::rig::{voters, Rig};
--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -1,4 +1,5 @@
-//! One leader, whatever ends, stalls or is cut off; nothing that was committed is lost; and the edge proxies serve all along.
+//! One leader, whatever ends, stalls or is cut off; nothing that was committed is lost; and the edge proxies serve all
+//! along.
 
 use crate::relay::Mode;
 use crate::rig::{address, get, voters, Rig};
@@ -78,8 +79,8 @@
     }
 }
 
-/// Pre-vote: whoever hears the leader gives no vote, so a member that is not heard raises no term; nor does one that does
-/// not hear the leader.
+/// Pre-vote: whoever hears the leader gives no vote, so a member that is not heard raises no term; nor does one that
+/// does not hear the leader.
 #[test]
 fn a_cut_in_one_way_only_changes_no_leader() {
     for (out, back) in [(true, false), (false, true)] {
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -65,8 +65,8 @@
     rig.agree(&[1, 2, 3]);
 }
 
-/// One with another key, one of another federation, one that comes with another store under a member's name, and one whose
-/// federation was founded with other members.
+/// One with another key, one of another federation, one that comes with another store under a member's name, and one
+/// whose federation was founded with other members.
 #[test]
 fn strangers_are_refused_with_one_line_and_disturb_nobody() {
     let mut rig = Rig::new("strangers", voters(1..=3));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -519,7 +519,8 @@
     }
 }
 
-/// Links are half used at most and nothing fails: the module serves what the plainest policy does, and refuses near nothing.
+/// Links are half used at most and nothing fails: the module serves what the plainest policy does, and refuses near
+/// nothing.
 #[test]
 fn no_customer_is_served_less_than_by_the_plainest_policy_while_links_are_idle() {
     let mut nearly_none = 0;
@@ -539,9 +540,10 @@
     assert!(nearly_none >= 21, "refusals near none at {nearly_none} of 24 customers");
 }
 
-/// Fifty proxies and an origin that bears nearly three times what is new, and for 4 s a sixth of that. What its proxies gave up
-/// goes on there, and what was given up is asked for again. With fetches limited to what it bears this is over 3 s after
-/// the cause; where each proxy might always have two out, half of the requests and more stayed late or refused.
+/// Fifty proxies and an origin that bears nearly three times what is new, and for 4 s a sixth of that. What its proxies
+/// gave up goes on there, and what was given up is asked for again. With fetches limited to what it bears this is over
+/// 3 s after the cause; where each proxy might always have two out, half of the requests and more stayed late or
+/// refused.
 #[test]
 fn a_crowd_at_the_origin_ends_within_three_seconds_of_its_cause() {
     let mut sum = 0.0;
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -245,7 +245,8 @@
     }
 }
 
-/// An action as the digests have it: its text does not follow the names in the code, so that renaming keeps the digests.
+/// An action as the digests have it: its text does not follow the names in the code, so that renaming keeps the
+/// digests.
 fn recorded(action: &Action) -> String {
     match action {
         Action::SendCacheOnly { request, server, timeout } => {
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -137,7 +137,8 @@
 }
 
 impl Links {
-    /// Asks for `each` new objects in every 100 ms of `span`; how many requests there were, and how many were rejected as overload.
+    /// Asks for `each` new objects in every 100 ms of `span`; how many requests there were, and how many were rejected
+    /// as overload.
     fn play(&mut self, bench: &mut Bench, span: Span, each: u64) -> (usize, usize) {
         const SENDING: Span = Span::from_millis(400);
         let (mut asked, mut refused, until) = (0, 0, bench.now + span);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -106,8 +106,8 @@
     assert!(shared > 0 && 2 * shared <= alone, "{alone} alone, {shared} shared");
 }
 
-/// What a fleet sends to one server that is warming up: each router's requests come as a Poisson stream of its own, and the
-/// first sees several times the mean, as an edge proxy of a busy location does.
+/// What a fleet sends to one server that is warming up: each router's requests come as a Poisson stream of its own, and
+/// the first sees several times the mean, as an edge proxy of a busy location does.
 struct WarmingFleet {
     routers: u32,
     /// The server, whether as a cache or as the source of fills.
