--- a/src/expect/question.rs
+++ b/src/expect/question.rs
@@ -1,12 +1,10 @@
 //! The questions that a suite of expectations needs answered.
 
-use super::answered::{Answered, Case};
 use super::expectation::{Breadth, Expectation, Scenario};
 use super::explore::at_point;
 use super::site::Site;
 use crate::interface::{ClassId, ObjectId, ZoneId};
 use crate::spread::next;
-use crate::SettingsError;
 use std::collections::BTreeMap;
 
 /// Seeds the sampled objects of classes; the class's number is added.
@@ -21,15 +19,15 @@
     pub(super) class: ClassId,
     /// The first expectation that needs it.
     pub(super) wanted: &'a Expectation,
-    askers: Vec<Asker>,
+    pub(super) askers: Vec<Asker>,
 }
 
 /// An expectation that needs a question.
-struct Asker {
+pub(super) struct Asker {
     /// Its place in the suite.
-    expectation: usize,
+    pub(super) expectation: usize,
     /// The scenario in its own words.
-    label: String,
+    pub(super) label: String,
 }
 
 /// The questions of a suite; equal ones are one.
@@ -69,21 +67,6 @@
         }
     }
 
-    /// Asks, and judges the answer by each expectation that needs it.
-    pub(super) fn cases(
-        &self,
-        site: &Site,
-        breadth: Breadth,
-        suite: &[Expectation],
-    ) -> Result<Vec<AnsweredCase>, SettingsError> {
-        let answered = Answered::ask(site, breadth, self)?;
-        let case = |asker: &Asker| {
-            let wanted = &suite[asker.expectation];
-            AnsweredCase { expectation: asker.expectation, case: answered.case(wanted, &asker.label) }
-        };
-        Ok(self.askers.iter().map(case).collect())
-    }
-
     /// The objects that are requested.
     pub(super) fn objects(&self, breadth: Breadth) -> Vec<ObjectId> {
         if !self.wanted.objects.is_empty() {
@@ -104,10 +87,3 @@
     let mut state = SAMPLE_SEED + u64::from(class.0);
     (0..count).map(|_| ObjectId(next(&mut state))).collect()
 }
-
-/// What one question showed of an expectation.
-pub(super) struct AnsweredCase {
-    /// The expectation's place in the suite.
-    pub(super) expectation: usize,
-    pub(super) case: Case,
-}
--- a/src/lab/replay/clients.rs
+++ b/src/lab/replay/clients.rs
@@ -2,8 +2,9 @@
 //! connects again when that ends.
 
 use super::connection::{ClientConnection, OpenRequest, OpenRequests};
+use super::request_end::RequestEnd;
 use super::{ClassTerms, ReplayPlan};
-use crate::standin::thrift_client::{self, Answered};
+use crate::standin::thrift_client;
 use crate::trace::{Played, Trace};
 use indicatif::ProgressBar;
 use std::io;
@@ -21,17 +22,6 @@
 /// The bits of a trace id that number the requests of a replay.
 const REQUEST_BITS: u32 = 32;
 
-/// How a request ended, as its client saw it.
-pub(super) struct RequestEnd {
-    /// Its class, by its place in the trace's map.
-    pub(super) class: usize,
-    /// When it was sent, from the start.
-    pub(super) sent: Duration,
-    pub(super) took: Duration,
-    /// `None`: it got no answer.
-    pub(super) answer: Option<Answered>,
-}
-
 /// What the clients saw.
 pub(super) struct PlayedRequests {
     pub(super) ends: Vec<RequestEnd>,
--- a/src/lab/replay/connection.rs
+++ b/src/lab/replay/connection.rs
@@ -1,6 +1,6 @@
 //! A client's connection to the edge proxy, and the requests that are open on it.
 
-use super::clients::RequestEnd;
+use super::request_end::RequestEnd;
 use crate::standin::thrift_client;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -11,6 +11,7 @@
 mod proxy;
 mod render;
 mod report;
+mod request_end;
 
 pub use report::{ClassService, EarnedValue, Moment, Report};
 
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -1,6 +1,7 @@
 //! What a replay came to: figures by class and over time.
 
-use super::clients::{PlayedRequests, RequestEnd};
+use super::clients::PlayedRequests;
+use super::request_end::RequestEnd;
 use super::{ClassTerms, ReplayPlan};
 use crate::lab::hosts::HostCounts;
 use crate::standin::thrift_client::Answered;
--- /dev/null
+++ b/src/lab/replay/request_end.rs
@@ -0,0 +1,15 @@
+//! The ends of a replay's requests.
+
+use crate::standin::thrift_client::Answered;
+use std::time::Duration;
+
+/// How a request ended, as its client saw it.
+pub(super) struct RequestEnd {
+    /// Its class, by its place in the trace's map.
+    pub(super) class: usize,
+    /// When it was sent, from the start.
+    pub(super) sent: Duration,
+    pub(super) took: Duration,
+    /// `None`: it got no answer.
+    pub(super) answer: Option<Answered>,
+}
--- a/src/net/fabric/actors.rs
+++ b/src/net/fabric/actors.rs
@@ -1,7 +1,7 @@
 //! Hosts of the network, and the actors' ends of connections.
 
-use super::events::NetworkEvent;
 use super::link::{DialedPort, Direction};
+use super::network_event::NetworkEvent;
 use super::state::ConnectDelay;
 use super::{trace, Fabric};
 use crate::interface::{Instant, Span};
--- a/src/net/fabric/endpoint.rs
+++ b/src/net/fabric/endpoint.rs
@@ -1,7 +1,7 @@
 //! A process's ends of the network: its listeners and its connections, with the calls of sockets.
 
-use super::events::NetworkEvent;
 use super::link::{Direction, Link};
+use super::network_event::NetworkEvent;
 use super::state::NetworkState;
 use super::Fabric;
 use crate::net::Reason;
--- a/src/net/fabric/events.rs
+++ b/src/net/fabric/events.rs
@@ -1,6 +1,7 @@
 //! What happens on the network by itself, and the effect of each kind of event.
 
 use super::link::{Direction, Link};
+use super::network_event::NetworkEvent;
 use super::state::{NetworkState, Process};
 use super::trace::entry;
 use super::{ActorEvent, HostBehaviour};
@@ -10,45 +11,6 @@
 /// What a silent host held back arrives this long after the host is back.
 const RESEND_DELAY: Span = Span::from_millis(1);
 
-/// A planned event. Connections are named by their id.
-pub(super) enum NetworkEvent {
-    /// A process's connection comes up, or is refused.
-    ConnectCompletes(u64),
-    /// A client's connection reaches the process.
-    ClientArrives(u64),
-    /// Bytes reach the process.
-    BytesAtProcess(u64, Vec<u8>),
-    /// Bytes that were sent at a time reach the actor.
-    BytesAtActor(u64, Vec<u8>, Instant),
-    /// The end of what the actor writes reaches the process.
-    EndAtProcess(u64),
-    /// The end of what the process writes reaches the actor.
-    EndAtActor(u64),
-    /// The connection breaks at the process.
-    BreakAtProcess(u64),
-    /// The connection breaks at the actor.
-    BreakAtActor(u64),
-    /// A process's source becomes ready.
-    SourceReady { process: u32, source: usize },
-}
-
-impl NetworkEvent {
-    /// The connection whose host holds the event back while it is silent.
-    fn delayable_link(&self) -> Option<u64> {
-        match self {
-            NetworkEvent::ConnectCompletes(link)
-            | NetworkEvent::ClientArrives(link)
-            | NetworkEvent::BytesAtProcess(link, _)
-            | NetworkEvent::BytesAtActor(link, ..)
-            | NetworkEvent::EndAtProcess(link)
-            | NetworkEvent::EndAtActor(link) => Some(*link),
-            NetworkEvent::BreakAtProcess(_)
-            | NetworkEvent::BreakAtActor(_)
-            | NetworkEvent::SourceReady { .. } => None,
-        }
-    }
-}
-
 impl NetworkState {
     /// Applies an event, or plans it again for when its host is no longer silent.
     pub fn apply(&mut self, event: NetworkEvent) {
--- a/src/net/fabric/messages.rs
+++ b/src/net/fabric/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between the processes of one edge proxy, and how they find each other.
 
-use super::events::NetworkEvent;
+use super::network_event::NetworkEvent;
 use super::{Fabric, VirtualStream};
 use std::net::SocketAddr;
 
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -9,13 +9,14 @@
 //! - `processes`: processes, and their listeners and connections; `endpoint`: their ends of those;
 //! - `messages`: messages between the processes of one edge proxy;
 //! - `planned_errors`: errors of the processes' system calls;
-//! - `state`, `link`: the shared state; `events`: what happens by itself; `trace`: the digest of a run.
+//! - `state`, `link`: the shared state; `network_event` and `events`: what happens by itself, and its effect; `trace`: the digest of a run.
 
 mod actors;
 mod endpoint;
 mod events;
 mod link;
 mod messages;
+mod network_event;
 mod planned_errors;
 mod processes;
 mod state;
--- a/src/net/fabric/processes.rs
+++ b/src/net/fabric/processes.rs
@@ -1,6 +1,6 @@
 //! Processes, and their listeners and connections.
 
-use super::events::NetworkEvent;
+use super::network_event::NetworkEvent;
 use super::state::{ListeningPort, NetworkState, Process, ReadySet};
 use super::{trace, Fabric, VirtualListener, VirtualStream};
 use crate::interface::Span;
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,7 +1,7 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
-use super::events::NetworkEvent;
 use super::link::{Direction, Link};
+use super::network_event::NetworkEvent;
 use super::planned_errors::PlannedErrors;
 use super::trace::Trace;
 use super::{ActorEvent, HostBehaviour, ProcessMessage};
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -2,7 +2,7 @@
 
 use super::agenda::ScheduledEvent;
 use super::faults::DescriptorShortage;
-use super::processes::ProcessId;
+use super::process_id::ProcessId;
 use super::traffic::{PlannedRequest, RequestNumber};
 use super::{numbered_address, Sabotage, World, FRONT};
 use crate::interface::{Instant, Span};
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -2,7 +2,8 @@
 //! hosts and the control feed, with a script of faults. Everything that is left to chance is drawn from the seed.
 //!
 //! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
-//! - `agenda`: what is scheduled besides what the network and the processes do by themselves.
+//! - `agenda`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
+//!   it out.
 //! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
 //! - `processes`: starts, turns and ends the edge proxy's processes.
 //! - `faults`: what goes wrong, by kind.
@@ -16,7 +17,9 @@
 mod hosts;
 mod network;
 mod outcome;
+mod process_id;
 mod processes;
+mod scheduled_events;
 mod setup;
 mod traffic;
 
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -1,6 +1,7 @@
 //! The edge proxy's processes: started, given their turns, ended and killed.
 
 use super::agenda::ScheduledEvent;
+use super::process_id::ProcessId;
 use super::{Sabotage, World};
 use crate::config::Config;
 use crate::interface::{Instant, Span};
@@ -22,17 +23,6 @@
 /// Spreads the seeds of runs, so that their processes' seeds do not meet.
 const SEED_FACTOR: u64 = 31;
 
-/// The number of a process, from 1 in the order of their starts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ProcessId(pub(super) u32);
-
-impl ProcessId {
-    /// Whether it names a process; connections that no process has accepted have 0.
-    pub(super) fn is_assigned(&self) -> bool {
-        self.0 != 0
-    }
-}
-
 /// The running processes, and what became of the others.
 #[derive(Default)]
 pub(super) struct Processes {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::answers::AnswerReader;
 use super::jobs::Job;
-use super::servers::QueueKind;
+use super::queue_kind::QueueKind;
 use crate::deadlines::DeadlineHandle;
 use crate::interface::{ClassId, Instant, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -2,7 +2,8 @@
 
 use super::connection::Connection;
 use super::jobs::{Job, JobEnd};
-use super::servers::{QueueKind, Server};
+use super::queue_kind::QueueKind;
+use super::servers::Server;
 use super::Upstream;
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, ServerId, Span};
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -2,8 +2,8 @@
 
 use super::jobs::{Job, JobEnd, JobId};
 use super::lines::WireRequest;
+use super::queue_kind::QueueKind;
 use super::selection::DispatchStep;
-use super::servers::QueueKind;
 use super::{ConnectionDeadline, Upstream};
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, ServerId};
--- a/src/upstream/jobs.rs
+++ b/src/upstream/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs: requests and health checks that wait in a queue or are open on a connection, until they end.
 
 use super::lines::{self, WireAnswer};
-use super::servers::QueueKind;
+use super::queue_kind::QueueKind;
 use super::{ConnectionDeadline, Upstream};
 use crate::deadlines::Schedule;
 use crate::interface::{ClassId, Instant, ServerId, Span};
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -4,7 +4,7 @@
 //! never moves to another connection.
 //!
 //! - `jobs`: queueing, cancelling and ending jobs;
-//! - `servers`: servers, their addresses and their two queues;
+//! - `servers`: servers, their addresses and their two queues (`queue_kind`);
 //! - `dispatch`: the first jobs of all queues, in turn; `selection`: which connection takes a job; `writing`: encoding
 //!   and writing it;
 //! - `connection`: the record of one connection; `connections`: opening and closing them;
@@ -17,6 +17,7 @@
 mod dispatch;
 mod jobs;
 pub mod lines;
+mod queue_kind;
 mod reading;
 mod selection;
 mod servers;
@@ -25,7 +26,7 @@
 pub use connections::ConnectionDeadline;
 pub use dispatch::RequestEncoder;
 pub use jobs::{JobEnd, JobId, QueuedRequest, UpstreamEvent};
-pub use servers::QueueKind;
+pub use queue_kind::QueueKind;
 
 use crate::interface::{Instant, ServerId, Span};
 use crate::net::ConnectionKey;
--- a/src/upstream/selection.rs
+++ b/src/upstream/selection.rs
@@ -2,7 +2,8 @@
 
 use super::connection::{Connection, MIN_WRITE_CONNECTION_AGE};
 use super::jobs::Job;
-use super::servers::{QueueKind, ServerQueue};
+use super::queue_kind::QueueKind;
+use super::servers::ServerQueue;
 use super::Upstream;
 use crate::interface::{Instant, ServerId};
 use crate::net::{ConnectionKey, Net};
