--- a/src/control/clock.rs
+++ b/src/control/clock.rs
@@ -11,15 +11,15 @@
 use std::time::SystemTime;
 
 /// Reads the wall clock; tests pass one that they can step.
-pub type WallClock = Arc<dyn Fn() -> SystemTime + Send + Sync>;
+pub type WallClockReader = Arc<dyn Fn() -> SystemTime + Send + Sync>;
 
 /// A clock whose time only goes forward, at the rate of [`std::time::Instant`].
 #[derive(Clone)]
-pub struct Clock {
+pub struct ServiceClock {
     started: std::time::Instant,
     /// The monotonic time of `started`.
     origin: Instant,
-    wall: WallClock,
+    wall: WallClockReader,
 }
 
 /// One moment on both time lines.
@@ -44,16 +44,16 @@
     }
 }
 
-impl Clock {
+impl ServiceClock {
     /// A clock by the system's monotonic and wall clocks.
     pub fn system() -> Self {
-        Clock::with_wall_clock(Arc::new(SystemTime::now))
+        ServiceClock::with_wall_clock(Arc::new(SystemTime::now))
     }
 
     /// A clock that converts Unix times by another wall clock.
-    pub fn with_wall_clock(wall: WallClock) -> Self {
+    pub fn with_wall_clock(wall: WallClockReader) -> Self {
         let origin = Instant::from_micros(unix_time(wall()).as_micros());
-        Clock { started: std::time::Instant::now(), origin, wall }
+        ServiceClock { started: std::time::Instant::now(), origin, wall }
     }
 
     /// Monotonic time.
--- a/src/control/clock/tests.rs
+++ b/src/control/clock/tests.rs
@@ -12,11 +12,11 @@
 fn steps_of_the_wall_clock_neither_stop_nor_move_the_monotonic_time() {
     let wall_us = Arc::new(AtomicI64::new((1_000 * HOUR).as_micros()));
     let read = Arc::clone(&wall_us);
-    let wall: WallClock = Arc::new(move || {
+    let wall: WallClockReader = Arc::new(move || {
         let since_epoch = Duration::from_micros(read.load(Ordering::SeqCst) as u64);
         UNIX_EPOCH + since_epoch
     });
-    let clock = Clock::with_wall_clock(wall);
+    let clock = ServiceClock::with_wall_clock(wall);
     let start = clock.moment();
     let ahead = Span::from_micros(start.now.as_micros() - start.unix.as_micros());
     assert!((Span::ZERO..SLACK).contains(&ahead));
@@ -43,7 +43,7 @@
 
 #[test]
 fn instants_follow_the_monotonic_time() {
-    let clock = Clock::system();
+    let clock = ServiceClock::system();
     let now = clock.now();
     let later = clock.instant_at(now + HOUR);
     assert_eq!(later - clock.instant_at(now), Duration::from_secs(3600));
--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -1,6 +1,6 @@
 //! Watches the control feed: the edge proxy's own long polls, in a thread with an event loop of its own.
 
-use super::clock::Clock;
+use super::clock::ServiceClock;
 use super::version::PollNumber;
 use crate::config::events::FeedBatch;
 use crate::deadlines::Deadlines;
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// The system has no event queue or no thread left.
-    pub fn start(addr: SocketAddr, last: u64, wait: Duration, clock: Clock) -> std::io::Result<Self> {
+    pub fn start(addr: SocketAddr, last: u64, wait: Duration, clock: ServiceClock) -> std::io::Result<Self> {
         // Bounded by the feed: one poll is out at a time, and each answer leaves one update that is taken at once.
         let (sender, updates) = unbounded_channel();
         let polls_begun = PollCounter::default();
@@ -78,7 +78,7 @@
 
 /// The thread's state.
 struct Poller {
-    clock: Clock,
+    clock: ServiceClock,
     net: Net,
     deadlines: Deadlines<FeedDeadline>,
     feed: Feed,
--- a/src/control/model/routes.rs
+++ b/src/control/model/routes.rs
@@ -5,7 +5,7 @@
 use super::purges::PurgeLog;
 use super::registry::ServerRegistry;
 use super::site::Site;
-use crate::control::resource::{Holder, Route};
+use crate::control::resource::{Route, RouteCache};
 use crate::interface::{Class, ClassId, Idempotency, Purge, ServerId};
 
 /// The rank at which copies are cached unless a router says otherwise.
@@ -69,13 +69,13 @@
 }
 
 /// The caches of a placement to which requests can be sent.
-fn holders(registry: &ServerRegistry, placement: &Placement) -> Vec<Holder> {
+fn holders(registry: &ServerRegistry, placement: &Placement) -> Vec<RouteCache> {
     let name_of = |server: ServerId| registry.usable(server).map(|server| server.name.clone());
     let mut holders = Vec::new();
     for (cache, source) in &placement.caches {
         let Some(name) = name_of(*cache) else { continue };
         let fill = source.and_then(name_of);
-        holders.push(Holder { name, fill });
+        holders.push(RouteCache { name, fill });
     }
     holders
 }
--- a/src/control/resource.rs
+++ b/src/control/resource.rs
@@ -74,7 +74,7 @@
 
 /// A cache that a hot object's requests go to: its home, or a delegate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct RouteCache {
     /// The cache; all holders of an object have equal shares.
     pub name: String,
     /// Who fills a miss there: for a delegate the home; `None`: whoever fills the point's other misses.
@@ -91,7 +91,7 @@
     /// The group or object that it matches, if it announces a purge.
     pub purge: Option<Purge>,
     /// For a hot object: the caches that its requests go to.
-    pub caches: Vec<Holder>,
+    pub caches: Vec<RouteCache>,
     /// The rank at which copies are cached; 0: none is.
     pub rank: u8,
     /// Copies must be newer than this Unix millisecond; 0: any will do that the class's fresh time allows.
--- a/src/control/service/mod.rs
+++ b/src/control/service/mod.rs
@@ -12,7 +12,7 @@
 mod rejections;
 mod stream;
 
-use super::clock::Clock;
+use super::clock::ServiceClock;
 use super::feed_watch::FeedWatch;
 use super::model::Model;
 use super::settings::ControlSettings;
@@ -133,7 +133,7 @@
 ///
 /// Settings or hot objects that cannot be used, an address that cannot be listened on.
 pub async fn start(config: &Config, settings: ControlSettings) -> Result<Running, ControlError> {
-    start_with_clock(config, settings, Clock::system()).await
+    start_with_clock(config, settings, ServiceClock::system()).await
 }
 
 /// Starts a control service that goes by a given clock.
@@ -144,7 +144,7 @@
 pub async fn start_with_clock(
     config: &Config,
     settings: ControlSettings,
-    clock: Clock,
+    clock: ServiceClock,
 ) -> Result<Running, ControlError> {
     let mut model = new_model(config, &settings, &clock)?;
     let first_snapshot = model.snapshot(clock.now(), PollNumber(0));
@@ -173,7 +173,11 @@
 }
 
 /// A model to which the events that the configuration knows were applied.
-fn new_model(config: &Config, settings: &ControlSettings, clock: &Clock) -> Result<Model, ControlError> {
+fn new_model(
+    config: &Config,
+    settings: &ControlSettings,
+    clock: &ServiceClock,
+) -> Result<Model, ControlError> {
     let moment = clock.moment();
     // Another run has another epoch: runs do not start within the same microsecond.
     let epoch = Epoch(moment.unix.as_micros() as u64);
--- a/src/control/service/publisher.rs
+++ b/src/control/service/publisher.rs
@@ -1,7 +1,7 @@
 //! The task that holds the model and publishes its snapshots.
 
 use super::metrics::Metrics;
-use crate::control::clock::Clock;
+use crate::control::clock::ServiceClock;
 use crate::control::debounce::{Debounce, Urgency};
 use crate::control::feed_watch::FeedUpdate;
 use crate::control::model::Model;
@@ -20,7 +20,7 @@
 
 /// The task's state.
 pub(super) struct Publisher {
-    clock: Clock,
+    clock: ServiceClock,
     model: Model,
     debounce: Debounce,
     publish: watch::Sender<Arc<Snapshot>>,
@@ -50,7 +50,7 @@
 impl Publisher {
     /// A publisher of a model's snapshots. `updates` come from the control feed, `reloads` from the operator.
     pub(super) fn new(
-        clock: Clock,
+        clock: ServiceClock,
         model: Model,
         settings: &ControlSettings,
         publish: watch::Sender<Arc<Snapshot>>,
--- a/src/control/session/subscription.rs
+++ b/src/control/session/subscription.rs
@@ -1,4 +1,5 @@
-//! A client's subscription to one resource type: what it wants, what it has, and what it lacks.
+//! A client's subscription to one resource type: the names it subscribed to, the versions it has, and the updates it
+//! lacks.
 
 use super::message::{ClientRequest, RequestEffect, Variant};
 use crate::control::resource::Resource;
@@ -10,18 +11,19 @@
 /// The name that subscribes to all resources.
 const WILDCARD: &str = "*";
 
-/// The resources that a client wants.
+/// The resource names that a client subscribed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Wanted {
-    All,
+enum ResourceNames {
+    /// All resources of the type.
+    Wildcard,
     Named(BTreeSet<String>),
 }
 
-impl Wanted {
+impl ResourceNames {
     fn contains(&self, name: &str) -> bool {
         match self {
-            Wanted::All => true,
-            Wanted::Named(names) => names.contains(name),
+            ResourceNames::Wildcard => true,
+            ResourceNames::Named(names) => names.contains(name),
         }
     }
 }
@@ -80,7 +82,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
     /// `None`: the client has not asked for this type.
-    wanted: Option<Wanted>,
+    subscribed: Option<ResourceNames>,
     in_flight: Option<InFlight>,
     /// The newest sequence number that was sent, or that the client came with.
     sent: Option<Sequence>,
@@ -91,13 +93,13 @@
     /// Only snapshots made after this poll was answered will do: the client came with a version of another run.
     after_poll: Option<PollNumber>,
     /// Incremental: the versions of what the client has, by name; `None`: a version of another run.
-    has: BTreeMap<String, Option<Sequence>>,
+    client_versions: BTreeMap<String, Option<Sequence>>,
 }
 
 impl Subscription {
     /// Whether the client has asked for this type on this stream.
     pub(super) fn is_begun(&self) -> bool {
-        self.wanted.is_some()
+        self.subscribed.is_some()
     }
 
     /// Whether the next response may be sent from a snapshot with this newest answered poll.
@@ -123,7 +125,7 @@
         }
         for (name, version) in &request.initial_versions {
             let sequence = of_this_run(version);
-            self.has.insert(name.clone(), sequence);
+            self.client_versions.insert(name.clone(), sequence);
         }
         self.after_poll = of_other_run.then_some(next_poll);
     }
@@ -144,9 +146,9 @@
         self.rejected.set = None;
         for (name, version) in response.sent {
             if version.is_some() {
-                self.has.insert(name, version);
+                self.client_versions.insert(name, version);
             } else {
-                self.has.remove(&name);
+                self.client_versions.remove(&name);
             }
         }
         RequestEffect::Acked(response.sequence)
@@ -172,32 +174,33 @@
     fn replace_wanted(&mut self, request: &ClientRequest) {
         let names = &request.subscribe;
         let all = names.is_empty() || names.iter().any(|name| name == WILDCARD);
-        let wanted = if all { Wanted::All } else { Wanted::Named(names.iter().cloned().collect()) };
-        if self.wanted.as_ref().is_some_and(|known| *known != wanted) {
+        let wanted =
+            if all { ResourceNames::Wildcard } else { ResourceNames::Named(names.iter().cloned().collect()) };
+        if self.subscribed.as_ref().is_some_and(|known| *known != wanted) {
             self.response_due = true;
         }
-        self.wanted = Some(wanted);
+        self.subscribed = Some(wanted);
     }
 
     /// Incremental: a request holds what is added and what is taken away.
     fn change_wanted(&mut self, request: &ClientRequest) {
         let is_first = !self.is_begun();
         let names_all = request.subscribe.iter().any(|name| name == WILDCARD);
-        let wanted = self.wanted.get_or_insert_with(|| Wanted::Named(BTreeSet::new()));
+        let wanted = self.subscribed.get_or_insert_with(|| ResourceNames::Named(BTreeSet::new()));
         if names_all || (is_first && request.subscribe.is_empty()) {
-            *wanted = Wanted::All;
+            *wanted = ResourceNames::Wildcard;
         }
         match wanted {
-            Wanted::Named(names) => {
+            ResourceNames::Named(names) => {
                 names.extend(request.subscribe.iter().cloned());
                 for name in &request.unsubscribe {
                     names.remove(name);
                 }
             }
-            Wanted::All if request.unsubscribe.iter().any(|name| name == WILDCARD) => {
-                *wanted = Wanted::Named(BTreeSet::new());
+            ResourceNames::Wildcard if request.unsubscribe.iter().any(|name| name == WILDCARD) => {
+                *wanted = ResourceNames::Named(BTreeSet::new());
             }
-            Wanted::All => {}
+            ResourceNames::Wildcard => {}
         }
         // A client that subscribes to a name again is sent it again; one that unsubscribes drops it.
         request.unsubscribe.iter().for_each(|name| self.forget(name));
@@ -208,21 +211,21 @@
     }
 
     fn forget(&mut self, name: &str) {
-        self.has.remove(name);
+        self.client_versions.remove(name);
         self.rejected.resources.remove(name);
     }
 
     /// What the next response holds, if one is due.
     pub(super) fn next(&self, variant: Variant, set: &ResourceSet) -> Option<Update> {
-        let wanted = self.wanted.as_ref()?;
+        let wanted = self.subscribed.as_ref()?;
         match variant {
-            Variant::StateOfTheWorld => self.complete(wanted, set),
-            Variant::Incremental => self.difference(wanted, set),
+            Variant::StateOfTheWorld => self.state_of_the_world_update(wanted, set),
+            Variant::Incremental => self.incremental_update(wanted, set),
         }
     }
 
     /// State of the world: all that is wanted, if the client lacks this version of the set.
-    fn complete(&self, wanted: &Wanted, set: &ResourceSet) -> Option<Update> {
+    fn state_of_the_world_update(&self, wanted: &ResourceNames, set: &ResourceSet) -> Option<Update> {
         let is_newer = self.sent.is_none_or(|sent| set.version > sent);
         let is_due = self.response_due && self.sent.is_none_or(|sent| set.version >= sent);
         let is_rejected = self.rejected.set == Some(set.version);
@@ -234,19 +237,19 @@
     }
 
     /// Incremental: what the client lacks and what it has that was removed, if there is anything.
-    fn difference(&self, wanted: &Wanted, set: &ResourceSet) -> Option<Update> {
+    fn incremental_update(&self, wanted: &ResourceNames, set: &ResourceSet) -> Option<Update> {
         let is_sent = |resource: &&Arc<Resource>| wanted.contains(&resource.name) && self.lacks(resource);
         let is_gone = |name: &&String| wanted.contains(name) && !set.resources.contains_key(*name);
         let update = Update {
             resources: set.resources.values().filter(is_sent).cloned().collect(),
-            removed: self.has.keys().filter(is_gone).cloned().collect(),
+            removed: self.client_versions.keys().filter(is_gone).cloned().collect(),
         };
         (self.response_due || !update.is_empty()).then_some(update)
     }
 
     /// Whether the client has no such version of a resource, and has not rejected it.
     fn lacks(&self, resource: &Resource) -> bool {
-        let had = self.has.get(&resource.name).copied().flatten();
+        let had = self.client_versions.get(&resource.name).copied().flatten();
         let rejected = self.rejected.resources.get(&resource.name).copied();
         let is_newer = |known: Option<Sequence>| known.is_none_or(|known| known < resource.version);
         is_newer(had) && is_newer(rejected)
--- a/src/control/tests/model.rs
+++ b/src/control/tests/model.rs
@@ -2,7 +2,7 @@
 
 use super::{name, parse_settings, Fixture, HOT, SECOND, START};
 use crate::control::debounce::Urgency;
-use crate::control::resource::{Content, Holder, ResourceType, Route};
+use crate::control::resource::{Content, ResourceType, Route, RouteCache};
 use crate::control::snapshot::Snapshot;
 use crate::interface::{ObjectId, Purge, Span};
 use serde_json::{json, Value};
@@ -55,7 +55,7 @@
     assert!((1..=3).contains(&route.caches.len()), "{route:?}");
     // A delegate is filled from the object's home, a cache of the point as well.
     let caches: Vec<String> = fixture.north().into_keys().collect();
-    let own = |holder: &Holder| {
+    let own = |holder: &RouteCache| {
         holder.fill.as_ref().is_some_and(|fill| caches.contains(fill) && *fill != holder.name)
     };
     assert!(route.caches.iter().all(own), "{route:?}");
@@ -63,7 +63,7 @@
     let routes = fixture.routes();
     let place = |object: bool| routes.iter().position(|r| r.class == "piece" && r.object.is_some() == object);
     assert!(place(true) < place(false));
-    for Holder { name: cache, .. } in route.caches {
+    for RouteCache { name: cache, .. } in route.caches {
         let host = fixture.hosts.iter().find(|host| name(host) == cache).cloned().expect("listed");
         fixture.health(&host, "draining");
         let left = hot(&fixture.routes()).map(|route| route.caches).unwrap_or_default();
--- a/src/control/wire/route.rs
+++ b/src/control/wire/route.rs
@@ -1,7 +1,7 @@
 //! Routes (RDS).
 
 use super::common::{duration, server_metadata, CLASS, FRESH, FROM, GROUP, NEWER_THAN, OBJECT, RANK};
-use crate::control::resource::{Holder, Route};
+use crate::control::resource::{Route, RouteCache};
 use crate::interface::{ObjectId, Purge, Span};
 use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
 use envoy_types::pb::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
@@ -97,7 +97,7 @@
     }
 
     /// The whole cluster, or a hot object's caches as subsets of it.
-    fn targets(&self, caches: &[Holder]) -> ClusterSpecifier {
+    fn targets(&self, caches: &[RouteCache]) -> ClusterSpecifier {
         if caches.is_empty() {
             return ClusterSpecifier::Cluster(self.caches.to_owned());
         }
@@ -106,7 +106,7 @@
     }
 
     /// One cache as a subset of the cluster.
-    fn subset(&self, holder: &Holder) -> ClusterWeight {
+    fn subset(&self, holder: &RouteCache) -> ClusterWeight {
         // What a cluster's weight adds overrides what its route adds: a delegate is filled from the home.
         let fill = holder.fill.iter().map(|fill| overwrite(FROM, fill));
         ClusterWeight {
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -4,7 +4,7 @@
 use super::decisions::Trace;
 use super::expectation::Scenario;
 use super::site::Site;
-use super::world::{Next, World};
+use super::world::{ScheduledStep, World};
 use crate::interface::{
     Class, ClassId, Endpoint, Event, GroupId, Instant, ListUpdate, ObjectId, Request, RequestId, ServerId,
     ServerState, Span, ZoneId,
@@ -14,19 +14,19 @@
 
 /// The time between two requests: none crowds, and what was asked for has come.
 const REQUEST_INTERVAL: Span = Span::from_millis(100);
-/// An exploration goes on for this long after the last request.
-const AFTERWARDS: Span = Span::from_secs(30);
+/// How long an exploration continues after the last request.
+const SETTLING_TIME: Span = Span::from_secs(30);
 /// Asked for first, so that the module has seen how long an answer of the class takes by itself. Without that it would
 /// take whichever cache has answered least for the slowest one.
 const PRIMER: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
 /// Requests for the primer.
 const PRIMER_REQUESTS: usize = 2;
-/// The most events of one exploration: more mean that something goes in a circle.
+/// The maximum number of events of one exploration: more mean an endless loop.
 const MAX_EVENTS: usize = 2_000_000;
 
 /// What is asked for in one exploration.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct ExploredRequests<'a> {
     /// The point whose edge proxy decides.
     pub point: ZoneId,
     /// The class of all requests.
@@ -39,7 +39,7 @@
     pub seed: u64,
 }
 
-/// The list as it stands once a scenario's change was told.
+/// The endpoint list after a scenario's change.
 pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
     let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
@@ -88,7 +88,11 @@
 /// # Errors
 ///
 /// Settings with which no router can start.
-pub fn explore(site: &Site, scenario: &Scenario, asked: Asked<'_>) -> Result<Trace, SettingsError> {
+pub fn explore(
+    site: &Site,
+    scenario: &Scenario,
+    asked: ExploredRequests<'_>,
+) -> Result<Trace, SettingsError> {
     let mut settings = site.settings.clone();
     settings.topology.zone = asked.point;
     let class = settings.classes[usize::from(asked.class.0)].clone();
@@ -99,8 +103,8 @@
     for _ in 0..MAX_EVENTS {
         let Some((now, next)) = world.next_until(plan.end) else { break };
         let event = match next {
-            Next::Event(event) => event,
-            Next::Change => apply_change(site, scenario, &mut world),
+            ScheduledStep::Event(event) => event,
+            ScheduledStep::Change => apply_change(site, scenario, &mut world),
         };
         router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -110,7 +114,7 @@
     Ok(world.into_trace())
 }
 
-/// Applies a scenario's change to the world; returns what the router hears of it.
+/// Applies a scenario's change to the world; returns the event that the router receives.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
     let servers = changed(site, scenario).into_values();
     let is_new = |member: &Endpoint| site.servers.get(&member.server) != Some(member);
@@ -119,9 +123,9 @@
     Event::EndpointList { update: ListUpdate::Delta, endpoints: entries }
 }
 
-/// When what is asked, in one exploration.
+/// The schedule of one exploration.
 struct Plan<'a> {
-    asked: Asked<'a>,
+    asked: ExploredRequests<'a>,
     /// When the router starts.
     start: Instant,
     /// When the scenario's change comes: at the site's `now`, so that a cold start is one of this moment.
@@ -130,14 +134,14 @@
 }
 
 impl<'a> Plan<'a> {
-    fn new(site: &Site, asked: Asked<'a>) -> Self {
+    fn new(site: &Site, asked: ExploredRequests<'a>) -> Self {
         let phase = (asked.objects.len() * asked.repeats) as i64 * REQUEST_INTERVAL;
         let change = site.now;
         Plan {
             asked,
             start: change - phase - 4 * REQUEST_INTERVAL,
             change,
-            end: change + REQUEST_INTERVAL + phase + AFTERWARDS,
+            end: change + REQUEST_INTERVAL + phase + SETTLING_TIME,
         }
     }
 
@@ -157,9 +161,9 @@
         let entries = site.servers.values().copied().collect();
         world.plan(
             self.start,
-            Next::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
+            ScheduledStep::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
         );
-        world.plan(self.change, Next::Change);
+        world.plan(self.change, ScheduledStep::Change);
         for (number, object) in objects.into_iter().enumerate() {
             let (since, nth) = match number.checked_sub(judged_from) {
                 None => (self.start, number),
@@ -167,7 +171,7 @@
             };
             let at = since + (nth as i64 + 1) * REQUEST_INTERVAL;
             let request = self.request(RequestId(number as u64), object, class);
-            world.plan(at, Next::Event(Event::Request(request)));
+            world.plan(at, ScheduledStep::Event(Event::Request(request)));
         }
         world
     }
--- a/src/expect/judge.rs
+++ b/src/expect/judge.rs
@@ -2,7 +2,7 @@
 
 use super::decisions::Trace;
 use super::expectation::{Breadth, Expectation, Rule, Scenario};
-use super::explore::{at_point, changed, explore, Asked};
+use super::explore::{at_point, changed, explore, ExploredRequests};
 use super::fill_cycle;
 use super::rules::{Attempt, Fault, RuleChecker};
 use super::site::Site;
@@ -18,7 +18,7 @@
 const SAMPLE_SEED: u64 = 0x5eed_0000;
 /// Of popular objects one in so many of a sample is asked for: a few say as much as many, since each is asked for
 /// again and again.
-const POPULAR_PART: usize = 8;
+const POPULAR_SAMPLE_DIVISOR: usize = 8;
 
 /// Asks all that the expectations need, each question once, and judges them.
 ///
@@ -110,8 +110,11 @@
         if !self.wanted.objects.is_empty() {
             return self.wanted.objects.clone();
         }
-        let count =
-            if self.wanted.popular { breadth.objects.div_ceil(POPULAR_PART) } else { breadth.objects };
+        let count = if self.wanted.popular {
+            breadth.objects.div_ceil(POPULAR_SAMPLE_DIVISOR)
+        } else {
+            breadth.objects
+        };
         sample(self.class, count)
     }
 }
@@ -167,7 +170,7 @@
         let repeats = if question.wanted.popular { breadth.repeats } else { 1 };
         let seeds: Vec<u64> = (0..breadth.seeds).map(|offset| breadth.seed.wrapping_add(offset)).collect();
         let ask = |site: &Site, scenario: &Scenario| -> Result<Vec<Trace>, SettingsError> {
-            let asked = |seed: u64| Asked {
+            let asked = |seed: u64| ExploredRequests {
                 point: question.point,
                 class: question.class,
                 objects: &objects,
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -1,5 +1,5 @@
 use super::expectation::Scenario;
-use super::explore::{at_point, explore, Asked};
+use super::explore::{at_point, explore, ExploredRequests};
 use super::lint::Finding;
 use super::verdict::{Choices, Verdict};
 use super::*;
@@ -34,7 +34,8 @@
     let mut found = Vec::new();
     let mut scenario = Scenario::default();
     for _ in 0..2 {
-        let asked = Asked { point: ZoneId(0), class: ClassId(0), objects: &[object], repeats: 1, seed: 1 };
+        let asked =
+            ExploredRequests { point: ZoneId(0), class: ClassId(0), objects: &[object], repeats: 1, seed: 1 };
         let trace = explore(site, &scenario, asked).expect("a router starts");
         let home = trace.judged().next().expect("a decision").server;
         scenario.drained.push(home);
@@ -288,7 +289,7 @@
         };
         let short = at_point(&site, &scenario, point);
         assert_eq!((short.drained.as_slice(), short.is_calm()), (&[here][..], false));
-        let asked = Asked { point, class: ClassId(0), objects: &objects, repeats: 12, seed };
+        let asked = ExploredRequests { point, class: ClassId(0), objects: &objects, repeats: 12, seed };
         assert_eq!(explore(&site, &scenario, asked), explore(&site, &short, asked), "seed {seed}");
     }
 }
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -17,7 +17,7 @@
 const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 
 /// What is due.
-pub(super) enum Next {
+pub(super) enum ScheduledStep {
     /// An event for the router.
     Event(Event),
     /// The scenario's change.
@@ -72,7 +72,7 @@
     down: BTreeSet<ServerId>,
     /// Who holds a copy of what.
     copies: HashSet<(ServerId, ObjectId)>,
-    due: BTreeMap<Slot, Next>,
+    due: BTreeMap<Slot, ScheduledStep>,
     /// How many things were planned so far.
     planned: u64,
     /// Attempts of each request so far.
@@ -104,7 +104,7 @@
     }
 
     /// Plans what is due at a time.
-    pub(super) fn plan(&mut self, at: Instant, next: Next) -> Slot {
+    pub(super) fn plan(&mut self, at: Instant, next: ScheduledStep) -> Slot {
         self.planned += 1;
         let slot = (at, self.planned);
         self.due.insert(slot, next);
@@ -112,10 +112,10 @@
     }
 
     /// Takes what is due next, if it is by `end`.
-    pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, Next)> {
+    pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, ScheduledStep)> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
         let ((now, _), next) = first.remove_entry();
-        if let Next::Event(Event::AttemptEnded(outcome)) = &next {
+        if let ScheduledStep::Event(Event::AttemptEnded(outcome)) = &next {
             self.open.remove(&(outcome.request.0 as usize, outcome.attempt));
         }
         Some((now, next))
@@ -132,13 +132,13 @@
         match action {
             Action::SendWithFill(get) => self.start_attempt(now, &get, class),
             Action::SendCacheOnly { request, server, timeout } => {
-                self.start_attempt(now, &sent(request, server, timeout), class);
+                self.start_attempt(now, &cache_only_attempt(request, server, timeout), class);
             }
             Action::Reject { request, .. } => self.answer(request, Answer::Refused),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.cancel(now, (request.0 as usize, attempt)),
             Action::Timer { token, after } => {
-                self.plan(now + after, Next::Event(Event::Timer(token)));
+                self.plan(now + after, ScheduledStep::Event(Event::Timer(token)));
             }
             Action::HealthCheck(_) | Action::CloseIdleConnections(_) | Action::SendToPeer { .. } => {}
             Action::Log(_) | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
@@ -176,11 +176,11 @@
             finished: ending.result == AttemptResult::Ok,
             load_report: Vec::new(),
         };
-        let slot = self.plan(now + ending.after, Next::Event(Event::AttemptEnded(outcome)));
+        let slot = self.plan(now + ending.after, ScheduledStep::Event(Event::AttemptEnded(outcome)));
         self.open.insert((request, attempt), slot);
     }
 
-    /// The server that answered holds a copy from now on, and the parent from which it was filled.
+    /// Caches the object at the server that answered, and at the parent that filled it.
     fn keep_copies(&mut self, object: ObjectId, server: ServerId, source: Option<ServerId>) {
         self.copies.insert((server, object));
         let parent = source.filter(|source| self.is(*source, Site::is_parent));
@@ -190,14 +190,16 @@
     /// Ends an open attempt as cancelled.
     fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
-        let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
+        let Some(ScheduledStep::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else {
+            return;
+        };
         let (ends_at, _) = slot;
         let started_at = ends_at - outcome.elapsed;
         outcome.result = AttemptResult::Cancelled;
         outcome.cache_status = None;
         outcome.elapsed = now - started_at;
         outcome.finished = false;
-        let slot = self.plan(now, Next::Event(Event::AttemptEnded(outcome)));
+        let slot = self.plan(now, ScheduledStep::Event(Event::AttemptEnded(outcome)));
         self.open.insert(key, slot);
     }
 
@@ -242,8 +244,8 @@
     }
 }
 
-/// A request that is sent on to a server as it is: no fill, no copy.
-fn sent(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
+/// An attempt that is forwarded to a server as it is, without a fill.
+fn cache_only_attempt(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
         server,
--- a/src/federation/backoff.rs
+++ b/src/federation/backoff.rs
@@ -1,5 +1,5 @@
-//! Exponential backoff with jitter: the pause doubles from a minimum to a maximum, and half of it is drawn at random, so
-//! that members that lost the same peer do not retry in step.
+//! Exponential backoff with jitter: the pause doubles from a minimum to a maximum, and half of it is drawn at random,
+//! so that members that lost the same peer do not retry in step.
 
 use crate::interface::Span;
 use rand::Rng;
--- a/src/federation/duties.rs
+++ b/src/federation/duties.rs
@@ -1,5 +1,5 @@
-//! Duties that one edge proxy performs at a time, as leases in the replicated log with fencing tokens (Gray and Cheriton
-//! 1989; tokens as in Burrows 2006).
+//! Duties that one edge proxy performs at a time, as leases in the replicated log with fencing tokens (Gray and
+//! Cheriton 1989; tokens as in Burrows 2006).
 //!
 //! The holder times a lease from *before* its request, on its own clock, and stops a guard time early; the leader times
 //! it from when it saw the grant, and allows for clock drift. So two members never hold one lease at once, whatever the
@@ -36,8 +36,8 @@
 }
 
 impl LeaseTerms {
-    /// How long the leader waits after it saw a lease granted until it expires the lease: by then the lease is over even
-    /// on the slowest holder's clock, measured by the fastest leader's.
+    /// How long the leader waits after it saw a lease granted until it expires the lease: by then the lease is over
+    /// even on the slowest holder's clock, measured by the fastest leader's.
     pub fn expiry_timeout(&self) -> Span {
         Span::from_micros_f64(
             (self.duration.as_micros_f64() * (1.0 + self.drift) / (1.0 - self.drift)).ceil(),
--- a/src/federation/hello.rs
+++ b/src/federation/hello.rs
@@ -1,6 +1,6 @@
-//! The handshake of two members: each proves that it holds the federation's key, for this connection alone, and each message
-//! after that carries a tag (HMAC-SHA256, RFC 2104; truncated to 16 bytes, RFC 2104 section 5). It authenticates the peer,
-//! and the content and order of messages; it encrypts nothing.
+//! The handshake of two members: each proves that it holds the federation's key, for this connection alone, and each
+//! message after that carries a tag (HMAC-SHA256, RFC 2104; truncated to 16 bytes, RFC 2104 section 5). It
+//! authenticates the peer, and the content and order of messages; it encrypts nothing.
 
 use super::MemberId;
 use hmac::{Hmac, Mac};
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -1,7 +1,8 @@
-//! The connections of a member. Each member dials the others for what it has to send and listens for what they send; back on a
-//! connection come pongs, and the messages of a member that cannot dial this one.
+//! The connections of a member. Each member dials the others for what it has to send and listens for what they send;
+//! back on a connection come pongs, and the messages of a member that cannot dial this one.
 //!
-//! Queues are bounded: what does not fit is dropped, since the consensus sends it again, and a slow peer delays only itself.
+//! Queues are bounded: what does not fit is dropped, since the consensus sends it again, and a slow peer delays only
+//! itself.
 
 mod inbound;
 mod outbound;
@@ -24,13 +25,13 @@
 
 /// The poll's token of the listener.
 pub(super) const LISTENER: usize = 0;
-/// Bytes that may wait to be written to one peer.
-const MAX_QUEUE: usize = 256 * 1024;
-/// Bytes that are read from one connection at a time.
-const INPUT: usize = wire::MAX_MESSAGE + 64;
+/// The maximum number of unwritten bytes to one peer.
+const MAX_QUEUE_BYTES: usize = 256 * 1024;
+/// The maximum number of bytes read from one connection at a time.
+const READ_BYTES: usize = wire::MAX_MESSAGE + 64;
 /// How long the handshake of a connection may take.
 const HANDSHAKE_TIMEOUT: Span = Span::from_secs(1);
-/// A connection on which nothing was heard for this part of the time until it is given up is pinged.
+/// The number of pings within the silence timeout of a connection.
 const PINGS_PER_SILENCE: i64 = 4;
 
 /// Who this member is to the others.
@@ -71,7 +72,7 @@
     sending: Seal,
     /// Verifies what is received.
     receiving: Seal,
-    /// When something was received last.
+    /// When a frame was last received.
     received_at: Instant,
 }
 
@@ -83,7 +84,7 @@
 
     /// Sends a frame; `false`: it does not fit.
     fn send(&mut self, net: &mut Net, connection: ConnectionKey, frame: &Frame) -> Result<bool, Reason> {
-        if net.unwritten(connection) >= MAX_QUEUE {
+        if net.unwritten(connection) >= MAX_QUEUE_BYTES {
             return Ok(false);
         }
         match wire::encode(frame, Some(&mut self.sending)) {
@@ -119,9 +120,9 @@
     net.input(connection, |input| wire::decode(input, seal)).unwrap_or(Ok(None))
 }
 
-/// What became of an attempt to take a message.
+/// The result of reading one message from a connection.
 enum ReceiveStep {
-    /// One was taken.
+    /// A message was read.
     Taken,
     /// It is not complete yet.
     Incomplete,
@@ -144,7 +145,7 @@
 pub(super) struct Links {
     net: Net,
     identity: Identity,
-    /// A connection on which nothing is heard for so long is given up.
+    /// A connection on which nothing is received for this long is closed.
     silence_timeout: Span,
     listener: Option<Listener>,
     peers: BTreeMap<MemberId, Peer>,
@@ -152,9 +153,9 @@
     dialled: BTreeMap<ConnectionKey, MemberId>,
     inbound: BTreeMap<ConnectionKey, Inbound>,
     random: ChaCha8Rng,
-    /// Messages that were not sent.
+    /// The number of messages that were dropped.
     pub dropped: u64,
-    /// Connections that were rejected.
+    /// The number of connections that were rejected.
     pub rejected: u64,
 }
 
@@ -178,17 +179,17 @@
         &mut self.net
     }
 
-    /// Goes by this identity from now on.
+    /// Sets the identity of this member and the silence timeout.
     pub fn introduce(&mut self, identity: Identity, silence_timeout: Span) {
         (self.identity, self.silence_timeout) = (identity, silence_timeout);
     }
 
-    /// The federation's identity became known.
+    /// Sets the federation's identity once it is known.
     pub fn set_identity(&mut self, federation: u64) {
         self.identity.federation = federation;
     }
 
-    /// Listens.
+    /// Opens the listener.
     pub fn open(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = self.net.listen(address, false, LISTENER)?;
         let address = listener.local_addr();
@@ -219,7 +220,7 @@
         sent
     }
 
-    /// A connection is ready; what members sent is appended to `received`.
+    /// Handles a ready connection and appends the frames that members sent to `received`.
     pub fn ready(
         &mut self,
         now: Instant,
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Writes what waits; `false`: the connection is not up yet.
+    /// Writes queued bytes. Returns `false` if the connection is not established yet.
     fn flush(&mut self, connection: ConnectionKey, dialled: bool) -> Result<bool, Reason> {
         let up = !dialled || self.net.connected(connection)?;
         self.net.flush(connection)?;
@@ -256,7 +257,7 @@
         received: &mut Vec<(MemberId, Frame)>,
     ) {
         loop {
-            let got = self.net.read(connection, INPUT);
+            let got = self.net.read(connection, READ_BYTES);
             let open = match peer {
                 Some(id) => self.receive_from_peer(now, connection, id, received),
                 None => self.receive_inbound(now, connection, admits, received),
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Time has passed: gives up silent connections, pings quiet ones, and dials peers.
+    /// Closes silent connections, pings idle ones, and dials peers.
     pub fn tick(&mut self, now: Instant) {
         self.close_silent_inbound(now);
         self.tick_peers(now);
--- a/src/federation/log.rs
+++ b/src/federation/log.rs
@@ -1,4 +1,4 @@
-//! The log as the consensus library reads it: a copy in memory of what the store holds, and the steps that change both.
+//! The log as the consensus library reads it: a copy in memory of the durable log, and the updates that change both.
 
 use super::records::{EntryRecord, HardState, SnapshotRecord};
 use super::{LogIndex, MemberId, Term};
@@ -6,30 +6,30 @@
 use raft::{GetEntriesContext, RaftState, Result, Storage, StorageError};
 use std::cell::Cell;
 
-/// One step that is stored atomically: all of it or nothing.
+/// An update of the stored log, applied atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogUpdate {
-    /// Term, vote and commit.
+    /// Current term, vote and commit index.
     pub hard_state: Option<HardState>,
-    /// A snapshot; entries up to its index are removed, and where it `replaces` the log all others, too.
+    /// A snapshot; entries up to its index are removed, and all others too if it `replaces_log`.
     pub snapshot: Option<SnapshotRecord>,
-    /// The snapshot came from the leader, and the whole log is void.
+    /// Whether the snapshot came from the leader and replaces the complete log.
     pub replaces_log: bool,
-    /// Entries; stored ones from the first one's index on are removed before.
+    /// Entries to append; stored ones from the first one's index on are removed before.
     pub entries: Vec<EntryRecord>,
 }
 
 impl LogUpdate {
-    /// Whether there is nothing to store.
+    /// Whether the update is empty.
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none() && self.snapshot.is_none() && self.entries.is_empty()
     }
 }
 
-/// All that a member has stored.
+/// The complete durable log of a member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
-    /// Term, vote and commit.
+    /// Current term, vote and commit index.
     pub hard_state: HardState,
     /// The newest snapshot; index 0 for a member that has received nothing yet.
     pub snapshot: SnapshotRecord,
@@ -38,7 +38,7 @@
 }
 
 impl StoredLog {
-    /// Applies a step, as the store does.
+    /// Applies an update, as the store does.
     pub fn apply(&mut self, save: &LogUpdate) {
         if let Some(hard) = save.hard_state {
             self.hard_state = hard;
@@ -60,7 +60,7 @@
         LogIndex(self.snapshot.index.0 + self.entries.len() as u64)
     }
 
-    /// Whether it is what a member can have stored.
+    /// Checks that the entries follow the snapshot without a gap and fit the hard state.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
     }
 }
 
-/// What is wrong with a stored log.
+/// Why a stored log is inconsistent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
     /// An entry is missing.
@@ -114,26 +114,26 @@
     },
 }
 
-/// The copy in memory.
+/// The copy of the log in memory.
 #[derive(Debug, Default)]
 pub struct CachedLog {
     saved: StoredLog,
-    /// A member needs a newer snapshot than there is.
+    /// Whether a member needs a newer snapshot than there is.
     snapshot_requested: Cell<bool>,
 }
 
 impl CachedLog {
-    /// The copy of what was stored.
+    /// A copy of the stored log.
     pub fn new(saved: StoredLog) -> Self {
         CachedLog { saved, snapshot_requested: Cell::new(false) }
     }
 
-    /// Applies a step that was stored.
+    /// Applies an update that was stored.
     pub fn apply(&mut self, save: &LogUpdate) {
         self.saved.apply(save);
     }
 
-    /// The log is committed up to here.
+    /// Sets the commit index.
     pub fn commit(&mut self, index: LogIndex) {
         self.saved.hard_state.commit = index;
     }
@@ -143,7 +143,7 @@
         &self.saved.snapshot
     }
 
-    /// Whether a member needs a newer snapshot than there is; asked once.
+    /// Whether a member needs a newer snapshot than there is; resets the request.
     pub fn take_snapshot_request(&self) -> bool {
         self.snapshot_requested.take()
     }
--- a/src/federation/membership.rs
+++ b/src/federation/membership.rs
@@ -1,37 +1,37 @@
-//! Which change brings the members nearer to what the operator's file says: one at a time, and none that could take away
-//! the quorum that it needs.
+//! Plans membership changes towards what the operator's file says: one server at a time (Raft thesis, section 4.1), and
+//! none that would lose the quorum that it needs itself.
 
 use super::state::{Change, Command, Roster, State};
 use super::MemberId;
 use std::collections::BTreeMap;
 
-/// Entries that a learner may be behind when it is made a voter: its vote must not hold up the next commit.
-const CAUGHT_UP: u64 = 16;
+/// The maximum lag, in entries, of a learner that is promoted to voter: its vote must not delay the next commit.
+const MAX_PROMOTION_LAG: u64 = 16;
 
-/// A member as the leader sees it.
+/// The replication progress of a member, as the leader sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Entries that it is behind.
+    /// Entries that it lags behind the leader's log.
     pub lag: u64,
-    /// It answered within the last election timeout.
+    /// Whether it responded within the last election timeout.
     pub active: bool,
 }
 
-/// What the leader should do next.
+/// The next step of a membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipStep {
     /// Propose this change.
     Change(Change),
-    /// Propose this command: the file's members hold.
+    /// Propose this command, which records the progress of the change.
     Command(Command),
-    /// Hand the lead to a voter first: the change concerns the leader itself.
+    /// Transfer leadership first: the change concerns the leader itself.
     TransferLeadership,
-    /// Nothing, or nothing yet.
+    /// Nothing to do, or not yet.
     Wait,
 }
 
-/// The next step from the state to the members that the file of this revision wants. A file that is older than the one that
-/// holds, or was begun, changes nothing: the leader may have missed a newer one.
+/// The next step from the state to the members that the file of this revision wants. A file that is older than the
+/// one that holds, or was begun, changes nothing: the leader may have missed a newer one.
 pub fn next_step(
     state: &State,
     revision: u64,
@@ -85,7 +85,7 @@
         let candidates: Vec<MemberId> = learners.filter(|id| self.wants_vote(*id)).collect();
         let ready = |id: &&MemberId| {
             let Progress { lag, active } = self.progress(**id);
-            active && lag <= CAUGHT_UP
+            active && lag <= MAX_PROMOTION_LAG
         };
         match candidates.iter().find(ready) {
             Some(id) => Some(MembershipStep::Change(Change::Promote(*id))),
@@ -114,7 +114,7 @@
         !others.is_empty() && 2 * active.count() > others.len()
     }
 
-    /// A change of this member, before which a leader hands over its own lead.
+    /// A change of this member; a leader transfers its leadership before it changes itself.
     fn change(&self, id: MemberId, change: Change) -> MembershipStep {
         if id == self.leader {
             MembershipStep::TransferLeadership
--- a/src/federation/node/status.rs
+++ b/src/federation/node/status.rs
@@ -28,7 +28,8 @@
         !self.removed && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// The leader as this member knows it, and the term. A removed member knows none: it may have been the leader itself.
+    /// The leader as this member knows it, and the term. A removed member knows none: it may have been the leader
+    /// itself.
     pub fn leadership(&self) -> Leadership {
         let raft = &self.raw_node.raft;
         let leader = if self.removed { MemberId::NONE } else { MemberId(raft.leader_id) };
--- a/src/federation/records/entry.rs
+++ b/src/federation/records/entry.rs
@@ -9,7 +9,8 @@
 pub enum EntryKind {
     /// A command, or nothing (the first entry of a new leader).
     Normal,
-    /// A membership change, encoded in [`EntryRecord::context`]; the bytes in `data` are the library's and not read here.
+    /// A membership change, encoded in [`EntryRecord::context`]; the bytes in `data` are the library's and not read
+    /// here.
     Change,
 }
 
--- a/src/federation/records/message.rs
+++ b/src/federation/records/message.rs
@@ -55,13 +55,18 @@
     ///
     /// The rule that it violates.
     pub fn check(&self) -> Result<(), MessageError> {
-        let snapshot = self.snapshot.as_ref();
         if self.term == Term(0) {
             return Err(MessageError::NoTerm);
         }
         if !self.entries.is_empty() && self.kind != MessageKind::Append {
             return Err(MessageError::UnexpectedEntries);
         }
+        self.check_entries()?;
+        self.check_snapshot()
+    }
+
+    /// Checks that the entries follow the message's index without a gap, in order of their terms.
+    fn check_entries(&self) -> Result<(), MessageError> {
         let first = self.index.0.checked_add(1).ok_or(MessageError::IndexOutOfRange)?;
         let mut term = self.log_term;
         for (entry, index) in self.entries.iter().zip(first..) {
@@ -70,6 +75,12 @@
             }
             term = entry.term;
         }
+        Ok(())
+    }
+
+    /// Checks that a snapshot message, and no other, has a usable snapshot.
+    fn check_snapshot(&self) -> Result<(), MessageError> {
+        let snapshot = self.snapshot.as_ref();
         if self.kind == MessageKind::Snapshot
             && snapshot.is_none_or(|s| s.voters.is_empty() || s.term > self.term)
         {
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -1,10 +1,16 @@
-//! The thread on which a member runs, with a poll, a clock and a store of its own. The edge proxy's loop instructs it to stop,
-//! to pause or to take new settings, reads the view that was published last, and waits for none of it.
+//! The thread on which a member runs, with a poll, a clock and a store of its own.
 //!
-//! A member that fails (its disk, its store, its address, a check of the library's) is halted and started anew from its
-//! store after a pause; the edge proxy serves meanwhile.
+//! The edge proxy's loop sends it instructions (stop, pause, resume, reload) and reads the view that was published
+//! last; it never waits for the member. A member that fails (its disk, its store, its address, an assertion of the
+//! library) is halted and restarted from its store after a backoff; the edge proxy serves meanwhile.
+//!
+//! - `handle`: the edge proxy's side.
+//! - `lifecycle`: start, halt, pause and graceful shutdown.
+//! - `outage`: why a member is halted, and when it is retried.
+//! - `participant`: a running member.
 
 mod handle;
+mod lifecycle;
 mod outage;
 mod participant;
 
@@ -23,9 +29,10 @@
 use crate::interface::{Instant, Span};
 use crate::net::{Net, Ready};
 use handle::Instruction;
+use lifecycle::{HandOver, Phase};
 use mio::net::UnixStream;
 use outage::{HaltReason, Outage};
-use participant::{Counters, Membership, Participant};
+use participant::{Counters, Membership};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -35,47 +42,25 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{self, Duration};
-use tracing::{error, info};
+use tracing::info;
 
-/// The poll's token of the edge proxy's instructions.
+/// The poll token of the instruction pipe.
 const WAKE: usize = 1;
-/// How long a leader that stops waits for another to lead.
-const HAND_OVER_TIMEOUT: Span = Span::from_millis(200);
-/// How often the view is published.
+/// The interval between publications of the view.
 const PUBLISH_EVERY: Span = Span::from_millis(50);
-/// Why a member that is paused takes no part, as operators are told.
-const PAUSED: &str = "a newer process has the store";
 
 /// The view that was published last.
 type SharedView = Arc<Mutex<Arc<View>>>;
 /// Opens the member's store.
 type OpenStore = Box<dyn Fn(&FederationSettings) -> Result<(Store, StoredLog), StoreError> + Send>;
 
-enum Phase {
-    /// The member takes part.
-    Running(Box<Participant>),
-    /// It failed, and is started anew then.
-    Halted { until: Instant },
-    /// A newer process has the store.
-    Paused,
-}
-
-/// A member that hands over what it holds before it pauses, or ends.
-#[derive(Clone, Copy)]
-struct HandOver {
-    /// It waits for another leader no longer than that.
-    until: Instant,
-    /// The thread ends then.
-    ends: bool,
-}
-
 struct Runtime {
     membership: Membership,
     links: Links,
     open_store: OpenStore,
     phase: Phase,
     outage: Outage,
-    leaving: Option<HandOver>,
+    hand_over: Option<HandOver>,
     counters: Counters,
     /// Where this member listens.
     listen: Option<SocketAddr>,
@@ -103,7 +88,7 @@
             open_store,
             phase: Phase::Halted { until: Instant::ZERO },
             outage: Outage::none(),
-            leaving: None,
+            hand_over: None,
             counters: Counters::default(),
             listen: None,
             view: View::default(),
@@ -114,11 +99,25 @@
         }
     }
 
+    /// Publishes the view with the counters as they are now.
+    pub(super) fn publish(&mut self) {
+        self.view = View {
+            dropped: self.links.dropped,
+            refused: self.links.rejected,
+            elections: self.counters.elections,
+            slowest_save_us: self.counters.slowest_save_us,
+            ..std::mem::take(&mut self.view)
+        };
+        let view = Arc::new(self.view.clone());
+        *self.shared.lock().unwrap_or_else(PoisonError::into_inner) = view;
+    }
+
     fn now(&self) -> Instant {
         Instant::ZERO + Span::from(self.started.elapsed())
     }
 
-    /// Runs until it is told to stop. A panic in a turn, be it a check of the library's, halts this member and nothing else.
+    /// Runs until it is stopped. A panic, for example a failed assertion of the library, halts this member and nothing
+    /// else.
     fn run(&mut self, instructions: &Receiver<Instruction>, woken: &mut UnixStream) {
         let mut ready = Vec::new();
         loop {
@@ -133,7 +132,7 @@
         info!("federation: stopped");
     }
 
-    /// Waits for what comes next and handles it; `false`: the thread ends.
+    /// Waits for the next events and handles them. Returns `false` when the thread should end.
     fn run_once(
         &mut self,
         instructions: &Receiver<Instruction>,
@@ -156,10 +155,10 @@
         if let Err(reason) = self.advance(now, received) {
             self.halt(&reason);
         }
-        !self.leave(now)
+        !self.complete_hand_over(now)
     }
 
-    /// How long the poll may wait; `None`: until something comes.
+    /// The poll timeout, `None` for no limit.
     fn timeout(&self) -> Option<Duration> {
         let due = match &self.phase {
             Phase::Running(participant) => participant.next_tick(),
@@ -169,14 +168,14 @@
         Some((due - self.now()).to_std())
     }
 
-    /// Follows the edge proxy's instructions; `false`: there is no edge proxy any more.
+    /// Processes the edge proxy's instructions. Returns `false` if the edge proxy is gone.
     fn process_instructions(&mut self, instructions: &Receiver<Instruction>) -> bool {
         loop {
             let now = self.now();
             match instructions.try_recv() {
-                Ok(Instruction::Stop) => self.hand_over(now, true),
+                Ok(Instruction::Stop) => self.begin_hand_over(now, true),
                 Ok(Instruction::Pause) if matches!(self.phase, Phase::Paused) => {}
-                Ok(Instruction::Pause) => self.hand_over(now, false),
+                Ok(Instruction::Pause) => self.begin_hand_over(now, false),
                 Ok(Instruction::Resume) => self.resume(now),
                 Ok(Instruction::Reload(settings)) => self.reload(now, *settings),
                 Err(TryRecvError::Empty) => return true,
@@ -185,22 +184,13 @@
         }
     }
 
-    fn resume(&mut self, now: Instant) {
-        if self.leaving.is_some_and(|leaving| !leaving.ends) {
-            self.leaving = None;
-        }
-        if matches!(self.phase, Phase::Paused) {
-            self.phase = Phase::Halted { until: now };
-        }
-    }
-
     fn reload(&mut self, now: Instant, settings: FederationSettings) {
         info!(revision = settings.revision, "federation: a new file");
         self.membership = Membership::new(settings);
         self.introduce(now);
     }
 
-    /// Tells the connections who this member is and whom it knows; one that takes no part does so once it does.
+    /// Sets the identity and the peers of the connections; a member that is not running does so when it starts.
     fn introduce(&mut self, now: Instant) {
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
@@ -209,11 +199,11 @@
         self.links.set_peers(now, &peers(settings));
     }
 
-    /// Takes what connections have for this member.
+    /// Reads the frames that have arrived on ready connections.
     fn receive(&mut self, now: Instant, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
         let mut received = Vec::new();
-        for one in ready.drain(..) {
-            match (one, &self.phase) {
+        for source in ready.drain(..) {
+            match (source, &self.phase) {
                 (Ready::Source(LISTENER), _) => self.links.accept(now),
                 (Ready::Source(_), _) => {}
                 (connection, Phase::Running(participant)) => {
@@ -227,70 +217,20 @@
         received
     }
 
-    /// Opens the store and the listener, and takes part.
-    fn start(&mut self, now: Instant) {
-        match self.try_start(now) {
-            Ok((participant, address)) => {
-                self.phase = Phase::Running(Box::new(participant));
-                self.introduce(now);
-                // In an outage it may come to this at each attempt.
-                if !self.outage.lasts() || self.listen != Some(address) {
-                    info!(id = self.membership.settings.id.get(), "federation listens on {address}");
-                }
-                self.listen = Some(address);
-                self.outage.started(now);
-            }
-            Err(reason) => self.halt(&reason),
-        }
-    }
-
-    fn try_start(&mut self, now: Instant) -> Result<(Participant, SocketAddr), HaltReason> {
-        let settings = &self.membership.settings;
-        let opened = (self.open_store)(settings)
-            .map_err(|source| HaltReason::Store { path: settings.store.clone(), source })?;
-        let participant = Participant::new(settings, opened, now, &mut self.random)?;
-        let address = settings.listen;
-        let opened = self.links.open(address);
-        Ok((participant, opened.map_err(|source| HaltReason::Listen { address, source })?))
-    }
-
-    /// Takes no part for a while: the member is started anew from its store then.
-    fn halt(&mut self, reason: &HaltReason) {
-        let now = self.now();
-        self.links.close(now);
-        let failure = self.outage.failed(now, reason, &mut self.random);
-        self.phase = Phase::Halted { until: failure.retry_at };
-        let settings = &self.membership.settings;
-        // What is known of the others is void.
-        self.view = View {
-            cluster: settings.cluster.clone(),
-            id: settings.id,
-            file_revision: settings.revision,
-            halted: Some(reason.to_string()),
-            ..View::default()
-        };
-        let member = settings.id.get();
-        // Published first: whoever reads the line finds the reason in the view.
-        self.publish();
-        if failure.report {
-            error!(member, why = %reason, "federation: this member takes no part; the edge proxy serves alone");
-        }
-    }
-
-    /// Handles what was received and what is due by the clock.
+    /// Handles received frames and what is due by the clock, and publishes the view.
     fn advance(&mut self, now: Instant, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
         let Phase::Running(participant) = &mut self.phase else { return Ok(()) };
         for (from, frame) in received {
             participant.receive(from, frame);
         }
-        participant.tick(now, &self.membership, &mut self.links, self.leaving.is_some())?;
+        participant.tick(now, &self.membership, &mut self.links, self.hand_over.is_some())?;
         participant.drive(now, &mut self.links, &mut self.counters)?;
-        let news = participant.log_events(&mut self.counters);
+        let changed = participant.log_events(&mut self.counters);
         if let Some(recovery) = self.outage.recovered(now) {
             let (lasted_ms, failures) = (recovery.lasted.as_millis(), recovery.failures);
             info!(lasted_ms, failures, "federation: this member takes part again");
         }
-        if news || self.next_publication <= now {
+        if changed || self.next_publication <= now {
             self.next_publication = now + PUBLISH_EVERY;
             let now = Instant::ZERO + Span::from(self.started.elapsed()); // storing may have taken a while
             let view = participant.view(now, &self.membership.settings, &self.links);
@@ -299,53 +239,9 @@
         }
         Ok(())
     }
-
-    /// Begins to pause, or to end.
-    fn hand_over(&mut self, now: Instant, ends: bool) {
-        let ends = ends || self.leaving.is_some_and(|leaving| leaving.ends);
-        if let Phase::Running(participant) = &mut self.phase {
-            participant.hand_over(now, &mut self.links);
-        }
-        self.leaving = Some(HandOver { until: now + HAND_OVER_TIMEOUT, ends });
-    }
-
-    /// Pauses or ends a member that has handed over; `true`: the thread ends now.
-    fn leave(&mut self, now: Instant) -> bool {
-        let Some(leaving) = self.leaving else { return false };
-        let leads = matches!(&self.phase, Phase::Running(participant) if participant.is_leader());
-        if leads && now < leaving.until {
-            return false;
-        }
-        if !leaving.ends {
-            self.pause(now);
-        }
-        leaving.ends
-    }
-
-    fn pause(&mut self, now: Instant) {
-        self.leaving = None;
-        self.phase = Phase::Paused;
-        self.links.close(now);
-        info!("federation: left to a newer process");
-        self.view.halted = Some(PAUSED.to_owned());
-        self.publish();
-    }
-
-    /// Publishes the view with the counters as they are now.
-    fn publish(&mut self) {
-        self.view = View {
-            dropped: self.links.dropped,
-            refused: self.links.rejected,
-            elections: self.counters.elections,
-            slowest_save_us: self.counters.slowest_save_us,
-            ..std::mem::take(&mut self.view)
-        };
-        let view = Arc::new(self.view.clone());
-        *self.shared.lock().unwrap_or_else(PoisonError::into_inner) = view;
-    }
 }
 
-/// Takes the bytes by which the poll was woken.
+/// Discards the bytes that woke the poll.
 fn drain(woken: &mut UnixStream) {
     let mut bytes = [0; 64];
     while woken.read(&mut bytes).is_ok_and(|count| count == bytes.len()) {}
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -1,5 +1,5 @@
-//! Why a member takes no part, and when it tries again: an outage begins with a failure and ends once the member has run for
-//! a while without another, so that a disk that takes the first write and fails the second one is one outage.
+//! Why a member takes no part, and when it tries again: an outage begins with a failure and ends once the member has
+//! run for a while without another, so that a disk that takes the first write and fails the second one is one outage.
 
 use crate::federation::backoff::Backoff;
 use crate::federation::node::NodeError;
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -1,4 +1,5 @@
-//! A member that takes part: its consensus node, its open store and its leases, and what they do with messages and time.
+//! A member that takes part: its consensus node, its open store and its leases, and what they do with messages and
+//! time.
 
 use super::outage::HaltReason;
 use crate::federation::duties::{LeaseGrantor, LeaseHolder};
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -1,5 +1,5 @@
-//! The operator's file of the federation, in HCL: one `federation` block, the same for all members but for `id`, `store` and
-//! `listen`.
+//! The operator's file of the federation, in HCL: one `federation` block, the same for all members but for `id`,
+//! `store` and `listen`.
 //!
 //! ```hcl
 //! federation {
@@ -107,7 +107,8 @@
         self.members.iter().map(|(id, member)| (*id, wanted(member))).collect()
     }
 
-    /// The state that the founders begin with: equal files found equal federations, and others find out by its identity.
+    /// The state that the founders begin with: equal files found equal federations, and others find out by its
+    /// identity.
     pub fn founding_state(&self) -> State {
         let mut digest = Sha256::new();
         digest.update(self.cluster.as_bytes());
--- a/src/federation/state.rs
+++ b/src/federation/state.rs
@@ -1,21 +1,21 @@
-//! The state that all members make of the log: who belongs to the federation, and as what. Equal logs make equal states.
+//! The replicated state machine: the members of the federation and the leases of duties. Equal logs make equal states.
 
 use super::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A member as all agree on it.
+/// A member in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its site.
     pub site: String,
-    /// Whether it votes; the others hear what is committed.
+    /// Whether it is a voter; the others are learners.
     pub voter: bool,
     /// The incarnation of its first store. Another store under the same id has forgotten its votes, and is rejected.
     pub incarnation: Option<u64>,
 }
 
-/// A member as an operator's file wants it.
+/// A member that the operator's file asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedMember {
     /// Its site.
@@ -24,10 +24,10 @@
     pub voter: bool,
 }
 
-/// The members that an operator's file wants.
+/// The members that the operator's file asks for, by id.
 pub type Roster = BTreeMap<MemberId, WantedMember>;
 
-/// A change of the members: one at a time, through the log.
+/// A membership change of one server, through the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Adds a member, as a learner.
@@ -45,7 +45,7 @@
     Remove(MemberId),
 }
 
-/// A command of the log.
+/// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Enrols the store of a member; the first one counts.
@@ -55,13 +55,13 @@
         /// Its store's incarnation.
         incarnation: u64,
     },
-    /// From now on the members go by the file of this revision: a leader with an older one, which may have missed it, takes
-    /// back nothing.
+    /// Starts the change to the members of the file of this revision. A leader with an older file, which may have
+    /// missed this one, reverts nothing.
     RevisionStarted {
         /// The file's revision.
         revision: u64,
     },
-    /// The members are as the file of this revision says.
+    /// Completes the change: the members are those of the file of this revision.
     RevisionApplied {
         /// The file's revision.
         revision: u64,
@@ -106,9 +106,9 @@
     },
 }
 
-/// Duties that may be leased at once.
+/// The maximum number of duties leased at once.
 pub const MAX_DUTIES: usize = 4096;
-/// Bytes of a duty's name.
+/// The maximum length of a duty's name, bytes.
 const MAX_DUTY_NAME: usize = 128;
 
 /// The lease of a duty.
@@ -122,14 +122,14 @@
     pub request: u64,
 }
 
-/// The state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// Identifies the federation: a digest of its name and founders; 0 while it is not known.
     pub identity: u64,
     /// The revision of the newest file whose members are in effect.
     pub revision: u64,
-    /// The revision of the newest file that was begun to be put into effect.
+    /// The revision of the newest file whose membership change was started.
     pub started_revision: u64,
     /// The members.
     pub members: BTreeMap<MemberId, Member>,
@@ -230,13 +230,15 @@
         }
     }
 
-    /// Whether a store may speak for a member: it is one, and no other store did so before. A member that was away may
-    /// not have heard yet who belongs to it: whom a newer file than the state's `listed` is let in, or the two would
-    /// never talk. One that has heard nothing lets in whoever holds the key: its file may have dropped already who leads.
+    /// Checks that a store may act as a member: the state has the member, and no other store did so before.
+    ///
+    /// A member that was away may not know the current members yet: one that is `listed` by a file newer than the state
+    /// is admitted, or the two would never connect. A member without any state admits whoever holds the key, since its
+    /// file may no longer list the current leader.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// The reason why it may not.
     pub fn admits(&self, id: MemberId, incarnation: u64, listed: bool) -> Result<(), AdmissionError> {
         match self.members.get(&id) {
             None if listed || self.identity == 0 => Ok(()),
--- a/src/federation/store.rs
+++ b/src/federation/store.rs
@@ -1,14 +1,18 @@
 //! The durable log of one member, in `redb` (an embedded database whose transactions are atomic and fsynced).
 //!
-//! What a member acknowledged must still be there after any crash, and what could not be stored must not be acknowledged:
+//! What a member acknowledged must still be there after any crash, and what could not be stored must not be
+//! acknowledged:
 //!
-//! - [`DurableStorage::save`] returns only after the transaction is on the disk. After a failed one the store takes no more
+//! - [`DurableStorage::save`] returns only after the transaction is on the disk. After a failed one the store takes
+//!   no more
 //!   ([`StoreError::Poisoned`]): whether it was stored is known only once the store is opened again.
-//! - Transactions commit in two phases, the second after the first one is on the disk. With one phase the library takes a
+//! - Transactions commit in two phases, the second after the first one is on the disk. With one phase the library
+//!   takes a
 //!   damaged newest transaction for one that a crash cut off, and falls back to the one before it, which would forget an
 //!   acknowledged vote; with two phases that is an error. And after a failed fsync the system may show data that is only in
 //!   its page cache and will never be written back: what the first phase has not made durable is not read either.
-//! - Each record carries a digest, and the library verifies its pages when a store is opened: a torn or altered store is an
+//! - Each record carries a digest, and the library verifies its pages when a store is opened: a torn or altered store
+//!   is an
 //!   error, never an empty one.
 
 mod error;
@@ -162,8 +166,8 @@
     }
 }
 
-/// Creates the store of the file's own member: of a founder, which begins with all of the file's members, or of one that
-/// joins a federation and learns its state from the others.
+/// Creates the store of the file's own member: of a founder, which begins with all of the file's members, or of one
+/// that joins a federation and learns its state from the others.
 ///
 /// # Errors
 ///
--- a/src/federation/store/faulty_disk.rs
+++ b/src/federation/store/faulty_disk.rs
@@ -140,8 +140,8 @@
         Self::holding(self.contents().cached.clone())
     }
 
-    /// The disk as it is after a loss of power: of what was not synced each sector is there or not. Changes of the length are
-    /// kept in their order by the file system, and nothing is kept beyond the length.
+    /// The disk as it is after a loss of power: of what was not synced each sector is there or not. Changes of the
+    /// length are kept in their order by the file system, and nothing is kept beyond the length.
     pub fn after_power_loss(&self, random: &mut impl Rng) -> Self {
         let contents = self.contents();
         let mut bytes = contents.durable.clone();
--- a/src/federation/store/tests.rs
+++ b/src/federation/store/tests.rs
@@ -1,5 +1,5 @@
-//! Stores that are opened again, and stores whose disk fails, whose process is killed, whose power is lost, or whose bytes
-//! were altered: at every call that changes the disk.
+//! Stores that are opened again, and stores whose disk fails, whose process is killed, whose power is lost, or whose
+//! bytes were altered: at every call that changes the disk.
 
 use super::faulty_disk::{DiskCall, Fault, FaultyDisk, EIO, ENOSPC};
 use super::*;
@@ -213,8 +213,8 @@
     }
 }
 
-/// Runs a test at every call of a play that changes the disk, or at those of a kind, on a disk that `set_up` prepared for the
-/// call; gives how many that were.
+/// Runs a test at every call of a play that changes the disk, or at those of a kind, on a disk that `set_up` prepared
+/// for the call; gives how many that were.
 fn at_each_call(
     (seed, padding): (u64, usize),
     only: Option<DiskCall>,
@@ -275,7 +275,8 @@
     }
 }
 
-/// With commits in one phase the library fell back to the state before the last vote where the newest pages were altered.
+/// With commits in one phase the library fell back to the state before the last vote where the newest pages were
+/// altered.
 #[test]
 fn a_store_that_was_altered_after_a_crash_never_holds_an_older_state() {
     let mut play = Play::new(21, 0);
--- a/src/federation/wire.rs
+++ b/src/federation/wire.rs
@@ -1,5 +1,5 @@
-//! The frames between members: a version, a length and a message in postcard, whose decoder does not recurse; once the members
-//! have authenticated each other, with a tag before the message.
+//! The frames between members: a version, a length and a message in postcard, whose decoder does not recurse; once
+//! the members have authenticated each other, with a tag before the message.
 
 use super::hello::{Seal, TAG};
 use super::records::MessageRecord;
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -2,7 +2,7 @@
 
 use crate::config::located::Doc;
 use crate::config::{Config, ConfigError};
-use crate::control::clock::Clock;
+use crate::control::clock::ServiceClock;
 use crate::control::service::{start_with_clock, ControlError, Running};
 use crate::control::settings::ControlSettings;
 use crate::standin::feed::StandInFeed;
@@ -24,7 +24,7 @@
     /// What the service knows at its start; `None`: what the feed has stated.
     pub known: Option<Value>,
     /// The clock that it goes by.
-    pub clock: Clock,
+    pub clock: ServiceClock,
 }
 
 /// A control service that is up.
@@ -38,7 +38,7 @@
 impl<'a> SiteSetup<'a> {
     /// A site whose service knows what the feed has stated, and goes by the system's clocks.
     pub fn new(shape: Shape, control: &'a str, feed: &'a StandInFeed) -> Self {
-        SiteSetup { shape, control, feed, known: None, clock: Clock::system() }
+        SiteSetup { shape, control, feed, known: None, clock: ServiceClock::system() }
     }
 
     /// Starts the control service.
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,7 +1,7 @@
 //! The control service on loopback, with stand-in xDS clients that log each view: one test for each hard case.
 #![cfg(feature = "control")]
 
-use dahliatrack::control::clock::Clock;
+use dahliatrack::control::clock::ServiceClock;
 use dahliatrack::control::resource::ResourceType;
 use dahliatrack::control::service::{ControlError, Running};
 use dahliatrack::control::session::Variant;
@@ -208,7 +208,7 @@
                 SystemTime::now() + step
             }
         });
-        let clock = Clock::with_wall_clock(wall);
+        let clock = ServiceClock::with_wall_clock(wall);
         let feed = StandInFeed::default();
         let setup = SiteSetup { clock, ..SiteSetup::new(Shape::default(), CONTROL, &feed) };
         let StartedSite { running, hosts } = setup.start().await.expect("it starts");
