--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -15,7 +15,7 @@
 
 /// A connection that this member accepted.
 pub(super) enum Inbound {
-    /// It was challenged then, and has not answered yet.
+    /// It was challenged at `since`, and has not answered yet.
     Challenged { challenge: Challenge, since: Instant },
     /// It is in use by this member.
     Established { from: MemberId, session: PeerSession },
@@ -130,7 +130,7 @@
         overdue.into_iter().for_each(|(connection, reason)| self.close_inbound(now, connection, reason));
     }
 
-    /// Sends to a member that the own file does not list (any more), on the connection that it dialled.
+    /// Sends to a member that the own file does not list (any more), on the connection that it opened.
     pub(super) fn send_back(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let dialled = self.inbound.iter_mut().find_map(|(connection, one)| match one {
             Inbound::Established { from, session } if *from == to => Some((*connection, session)),
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Takes what has come on an accepted connection; `false`: that is over.
+    /// Reads the messages of an accepted connection. Returns `false` if it was closed.
     pub(super) fn receive_inbound(
         &mut self,
         now: Instant,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes the answer to a challenge, and welcomes the member that proves who it is and may be here.
+    /// Reads the answer to a challenge, and welcomes the member if it is authenticated and admitted.
     fn authenticate(
         &mut self,
         now: Instant,
@@ -209,7 +209,7 @@
         Ok(ReceiveStep::Taken)
     }
 
-    /// Whether the member that dialled is who it says, and may be here.
+    /// Checks that the dialling member is authenticated and admitted.
     fn verify(
         &self,
         now: Instant,
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -18,9 +18,9 @@
 
 /// The connection to a peer.
 enum Outbound {
-    /// There is none until then.
+    /// There is none; it may be dialled at `until`.
     Waiting { until: Instant },
-    /// It was dialled then, and the peer's challenge is awaited.
+    /// It was dialled at `since`, and the peer's challenge is awaited.
     Dialled { connection: ConnectionKey, since: Instant },
     /// The challenge was answered, and the peer's welcome is awaited.
     Greeted { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
@@ -52,14 +52,14 @@
         Peer { target, backoff, outbound: Outbound::Waiting { until: now } }
     }
 
-    /// Its connection is closed; it may be dialled again then.
+    /// Marks its connection as closed; it may be dialled again at `until`.
     pub fn wait_until(&mut self, until: Instant) {
         self.outbound = Outbound::Waiting { until };
     }
 }
 
 impl Links {
-    /// The peers from now on.
+    /// Sets the peers, and closes the connections to those that were removed.
     pub fn set_peers(&mut self, now: Instant, wanted: &BTreeMap<MemberId, PeerAddress>) {
         let stays =
             |id: &MemberId, peer: &Peer| wanted.get(id).is_some_and(|at| at.address == peer.target.address);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The connection to a peer is over.
+    /// Handles the loss of the connection to a peer.
     pub(super) fn lost(&mut self, now: Instant, to: MemberId, reason: Reason) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         let until = now + peer.backoff.pause(&mut self.random);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes what a peer has sent on the connection to it; `false`: that is over.
+    /// Reads the messages of a peer on the connection to it. Returns `false` if it was closed.
     pub(super) fn receive_from_peer(
         &mut self,
         now: Instant,
@@ -193,7 +193,7 @@
         Ok(ReceiveStep::Taken)
     }
 
-    /// Takes the welcome with which a peer proves who it is.
+    /// Verifies the welcome with which a peer authenticates itself.
     fn take_welcome(
         &mut self,
         now: Instant,
--- a/src/federation/runtime/handle.rs
+++ b/src/federation/runtime/handle.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// What the edge proxy tells its member.
+/// An instruction of the edge proxy to its member.
 pub(super) enum Instruction {
     /// Hand over what is held and end the thread.
     Stop,
@@ -19,7 +19,7 @@
     Pause,
     /// Open the store again after [`Instruction::Pause`].
     Resume,
-    /// Go on with these settings.
+    /// Apply these settings.
     Reload(Box<FederationSettings>),
 }
 
@@ -82,7 +82,7 @@
         self.instruct(Instruction::Resume);
     }
 
-    /// Whether new settings can be taken over in service.
+    /// Checks that new settings can be applied in service.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
         self.settings.first_fixed_change(settings).map_or(Ok(()), Err)
     }
 
-    /// Goes on with new settings that [`Handle::check`] has passed.
+    /// Applies new settings that [`Handle::check`] has accepted.
     pub fn reload(&mut self, settings: FederationSettings) {
         self.settings = settings.clone();
         self.instruct(Instruction::Reload(Box::new(settings)));
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -1,4 +1,4 @@
-//! Why a member takes no part, and when it tries again: an outage begins with a failure and ends once the member has
+//! Why a member is halted, and when it is retried: an outage begins with a failure and ends once the member has
 //! run for a while without another, so that a disk that takes the first write and fails the second one is one outage.
 
 use crate::federation::backoff::Backoff;
@@ -15,7 +15,7 @@
 /// An outage is over when the member has run for so long.
 const RECOVERED_AFTER: Span = Span::from_secs(5);
 
-/// Why a member takes no part.
+/// Why a member is halted.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HaltReason {
     #[error("{}: {source}", path.display())]
@@ -58,7 +58,7 @@
     }
 }
 
-/// The outage that lasts, and the pauses between the attempts to end it.
+/// The current outage, if any, and the backoff of the attempts to end it.
 #[derive(Debug)]
 pub(super) struct Outage {
     backoff: Backoff,
@@ -79,7 +79,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Failure {
     pub retry_at: Instant,
-    /// It is the first of its kind in this outage: the log is to have a line.
+    /// Whether it is the first of its kind in this outage, and is logged.
     pub report: bool,
 }
 
@@ -96,7 +96,7 @@
         Outage { backoff: Backoff::new(RETRY_PAUSES[0], RETRY_PAUSES[1]), lasting: None }
     }
 
-    /// The member failed, or could not be started.
+    /// Records that the member failed, or could not be started.
     pub fn failed(&mut self, now: Instant, reason: &HaltReason, random: &mut impl Rng) -> Failure {
         let new = || OngoingOutage { since: now, failures: 0, reported: Vec::new(), running_since: None };
         let lasting = self.lasting.get_or_insert_with(new);
@@ -110,14 +110,14 @@
         Failure { retry_at: now + self.backoff.pause(random), report }
     }
 
-    /// The member runs.
+    /// Records that the member runs.
     pub fn started(&mut self, now: Instant) {
         if let Some(lasting) = &mut self.lasting {
             lasting.running_since = Some(now);
         }
     }
 
-    /// Whether the member is in an outage, be it that it runs again.
+    /// Whether an outage lasts; the member may be running again already.
     pub fn lasts(&self) -> bool {
         self.lasting.is_some()
     }
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -1,33 +1,33 @@
-//! A member that takes part: its consensus node, its open store and its leases, and what they do with messages and
-//! time.
+//! A running member: its consensus node, its open store and its leases; `status` is what it reports to operators.
+
+mod status;
 
 use super::outage::HaltReason;
 use crate::federation::duties::{LeaseGrantor, LeaseHolder};
 use crate::federation::hello::Hello;
 use crate::federation::links::Links;
 use crate::federation::log::{LogUpdate, StoredLog};
-use crate::federation::node::{DurableStorage, LogIndexes, Node, NodeEvent};
+use crate::federation::node::{DurableStorage, Node};
 use crate::federation::records::{MessageKind, MessageRecord};
 use crate::federation::settings::FederationSettings;
-use crate::federation::state::{AdmissionError, Command, Lease, Member, Roster};
+use crate::federation::state::{AdmissionError, Command, Roster};
 use crate::federation::store::{Store, StoreError};
-use crate::federation::view::{DutyView, MemberView, View};
 use crate::federation::wire::Frame;
-use crate::federation::{Leadership, MemberId};
+use crate::federation::MemberId;
 use crate::interface::{Instant, Span};
 use rand::Rng;
 use std::collections::BTreeSet;
-use tracing::{info, warn};
+use tracing::warn;
 
-/// How often a member whose store is not enrolled yet asks for that.
-const ENROL_EVERY: Span = Span::from_millis(200);
-/// The duty of proposing what all sites are to hold in common; voters stand for it.
+/// The interval between enrolment requests of a member whose store is not enrolled yet.
+const ENROLMENT_INTERVAL: Span = Span::from_millis(200);
+/// The duty of proposing the state that all sites share; voters are candidates for it.
 const PUBLISH_DUTY: &str = "publish";
 
-/// The settings, and what is derived from them.
+/// The settings, and the members derived from them.
 pub(super) struct Membership {
     pub settings: FederationSettings,
-    /// The members that the file wants.
+    /// The members that the file asks for.
     pub wanted: Roster,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// A member that takes part.
+/// A running member.
 pub(super) struct Participant {
     node: Node,
     store: Store,
@@ -110,7 +110,7 @@
         state.admits(hello.from, hello.incarnation, listed)
     }
 
-    /// Takes in what an authenticated member sent.
+    /// Handles a frame from an authenticated member.
     pub fn receive(&mut self, from: MemberId, frame: Frame) {
         match frame {
             Frame::Raft(message) if message.from == from => {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Does what is due by the clock: elections and heartbeats, changes of the members, leases, enrolment.
+    /// Does what is due by the clock: elections, heartbeats, membership changes, leases and enrolment.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -150,13 +150,13 @@
             self.renew_leases(now, links);
         }
         if self.next_enrolment <= now {
-            self.next_enrolment = now + ENROL_EVERY;
+            self.next_enrolment = now + ENROLMENT_INTERVAL;
             self.enrol(now, links)?;
         }
         Ok(())
     }
 
-    /// Stands for duties where this member votes, and ends leases that ran out where it leads.
+    /// Requests and renews leases if this member is a voter, and expires leases if it leads.
     fn renew_leases(&mut self, now: Instant, links: &mut Links) {
         let (state, leads) = (self.node.state(), self.node.is_leader());
         let votes = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
@@ -167,7 +167,7 @@
         commands.into_iter().for_each(|command| self.propose(now, links, command));
     }
 
-    /// Asks for this member's store to be enrolled, where none is.
+    /// Requests the enrolment of this member's store, if none is enrolled.
     fn enrol(&mut self, now: Instant, links: &mut Links) -> Result<(), HaltReason> {
         let (id, incarnation) = (self.node.id(), self.incarnation());
         let Some(own) = self.node.state().members.get(&id) else { return Ok(()) };
@@ -179,7 +179,7 @@
         Ok(())
     }
 
-    /// Proposes a command here, or has the leader propose it.
+    /// Proposes a command, or forwards it to the leader.
     fn propose(&mut self, now: Instant, links: &mut Links, command: Command) {
         let leader = self.node.leadership().leader;
         if leader == self.node.id() {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Stores what must be stored, then sends what may be sent.
+    /// Stores what the node has ready, then sends its messages.
     pub fn drive(
         &mut self,
         now: Instant,
@@ -215,86 +215,17 @@
         }
     }
 
-    /// Logs what happened since the last call; `false`: nothing did.
-    pub fn log_events(&mut self, counters: &mut Counters) -> bool {
-        let events = self.node.take_events();
-        for event in &events {
-            match event {
-                NodeEvent::LeaderChanged(Leadership { leader, term }) => {
-                    counters.elections += u64::from(leader.is_some());
-                    info!(leader = leader.get(), term = term.get(), "federation: leader");
-                }
-                NodeEvent::MembersChanged(change) => info!(?change, "federation: the members changed"),
-                NodeEvent::SnapshotInstalled(index) => {
-                    info!(index = index.get(), "federation: caught up by a snapshot")
-                }
-                NodeEvent::UnknownEntry(index) => {
-                    warn!(index = index.get(), "federation: an entry that can't be read is passed over")
-                }
-            }
-        }
-        !events.is_empty()
-    }
-
-    /// Releases the duties and hands over the lead, if this member has it.
+    /// Releases the leases and transfers leadership, if this member leads.
     pub fn hand_over(&mut self, now: Instant, links: &mut Links) {
-        // Duties first: what was proposed before the lead goes is still in the log.
+        // Leases first: what is proposed before the transfer is still in the log.
         for command in self.holder.set_candidacies(&BTreeSet::new()) {
             self.propose(now, links, command);
         }
         self.node.transfer_leadership();
     }
-
-    /// The federation as this member sees it.
-    pub fn view(&self, now: Instant, settings: &FederationSettings, links: &Links) -> View {
-        let LogIndexes { last, committed, applied } = self.node.log_indexes();
-        let Leadership { leader, term } = self.node.leadership();
-        View {
-            cluster: settings.cluster.clone(),
-            id: settings.id,
-            term,
-            leader,
-            role: self.node.role().to_owned(),
-            last,
-            committed,
-            applied,
-            revision: self.node.state().revision,
-            file_revision: settings.revision,
-            members: self.member_views(links),
-            duties: self.duty_views(now),
-            ..View::default()
-        }
-    }
-
-    fn member_views(&self, links: &Links) -> Vec<MemberView> {
-        let progress = self.node.progress();
-        let view = |(id, member): (&MemberId, &Member)| {
-            let own = *id == self.node.id();
-            MemberView {
-                id: *id,
-                site: member.site.clone(),
-                voter: member.voter,
-                enrolled: member.incarnation.is_some(),
-                connected: own || links.connected(*id),
-                lag: progress.get(id).map(|progress| progress.lag),
-                active: progress.get(id).map(|progress| progress.active || own),
-            }
-        };
-        self.node.state().members.iter().map(view).collect()
-    }
-
-    fn duty_views(&self, now: Instant) -> Vec<DutyView> {
-        let view = |(duty, lease): (&String, &Lease)| DutyView {
-            duty: duty.clone(),
-            holder: lease.holder,
-            token: lease.token,
-            held: self.holder.token(now, duty) == Some(lease.token),
-        };
-        self.node.state().duties.iter().map(view).collect()
-    }
 }
 
-/// Whether a member may have this proposed: it speaks for itself alone.
+/// Whether a member may have this command proposed: a member acts for itself alone.
 fn speaks_for(from: MemberId, command: &Command) -> bool {
     match command {
         Command::Enrol { id, .. }
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -32,21 +32,21 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Bytes that the shared key has at least.
+/// The minimum length of the shared key, bytes.
 const MIN_KEY_BYTES: usize = 16;
 
-/// A member as the file has it.
+/// A member as listed in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
     /// Its site.
     pub site: String,
-    /// Where the others reach it.
+    /// The address at which the others connect to it.
     pub address: SocketAddr,
-    /// Whether it is to vote.
+    /// Whether it is a voter.
     pub voter: bool,
 }
 
-/// The file, read and checked.
+/// The validated settings of the file.
 #[derive(Clone, Debug)]
 pub struct FederationSettings {
     /// The federation's name.
@@ -57,17 +57,17 @@
     pub listen: SocketAddr,
     /// Where its store is.
     pub store: PathBuf,
-    /// What the members know each other by.
+    /// The shared key by which members authenticate each other.
     pub key: Key,
-    /// Counts the changes of the members.
+    /// The revision of the list of members.
     pub revision: u64,
-    /// A tick.
+    /// The interval between ticks.
     pub tick: Span,
-    /// Elections, heartbeats, snapshots.
+    /// Election timeout, heartbeat interval and log compaction, in ticks and entries.
     pub tuning: Tuning,
-    /// How long duties are leased, and by which clocks.
+    /// The duration of leases and the error that clocks are allowed.
     pub lease_terms: LeaseTerms,
-    /// A connection on which nothing was heard for so long is given up.
+    /// A connection on which nothing is received for this long is closed.
     pub silence_timeout: Span,
     /// The members.
     pub members: BTreeMap<MemberId, ListedMember>,
@@ -92,16 +92,16 @@
         Ok(settings)
     }
 
-    /// Reads the file's text; the key is not read, its file's name is given.
+    /// Parses the file's text; returns the settings without the key, and the name of the key file.
     ///
     /// # Errors
     ///
-    /// What is wrong, and where.
+    /// The first error, with its place in the file.
     pub fn parse(doc: Doc<'_>) -> Result<(Self, String), DocError> {
         parse::parse(doc)
     }
 
-    /// The members that the file wants.
+    /// The members that the file asks for.
     pub fn roster(&self) -> Roster {
         let wanted = |member: &ListedMember| WantedMember { site: member.site.clone(), voter: member.voter };
         self.members.iter().map(|(id, member)| (*id, wanted(member))).collect()
@@ -120,7 +120,7 @@
         State::founded(identity, self.revision, &self.roster())
     }
 
-    /// The first setting of a new file that cannot be taken over in service, if any.
+    /// The first setting of a new file that differs and cannot change in service, if any.
     pub fn first_fixed_change(&self, new: &FederationSettings) -> Option<FixedSetting> {
         let differs = [
             ("cluster", self.cluster != new.cluster),
--- a/src/federation/store.rs
+++ b/src/federation/store.rs
@@ -8,9 +8,9 @@
 //!   ([`StoreError::Poisoned`]): whether it was stored is known only once the store is opened again.
 //! - Transactions commit in two phases, the second after the first one is on the disk. With one phase the library
 //!   takes a
-//!   damaged newest transaction for one that a crash cut off, and falls back to the one before it, which would forget an
-//!   acknowledged vote; with two phases that is an error. And after a failed fsync the system may show data that is only in
-//!   its page cache and will never be written back: what the first phase has not made durable is not read either.
+//!   damaged newest transaction for one that a crash cut off, and falls back to the one before it, which would forget
+//!   an acknowledged vote; with two phases that is an error. And after a failed fsync the system may show data that is
+//!   only in its page cache and will never be written back: what the first phase has not made durable is not read.
 //! - Each record carries a digest, and the library verifies its pages when a store is opened: a torn or altered store
 //!   is an
 //!   error, never an empty one.
@@ -49,7 +49,7 @@
 /// The version of the stored records.
 const FORMAT: u32 = 1;
 
-/// Whose store it is.
+/// The owner of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The format version of the records.
@@ -58,7 +58,7 @@
     pub cluster: String,
     /// The member.
     pub id: MemberId,
-    /// Drawn at random when the store is created, so that two stores of one member can be told apart.
+    /// Drawn at random when the store is created, to distinguish two stores of one member.
     pub incarnation: u64,
 }
 
@@ -74,7 +74,7 @@
     /// `None` only while the store is dropped.
     database: Option<Database>,
     owner: Owner,
-    /// A write failed: the store has to be opened again.
+    /// Whether a write failed: the store must be opened again.
     poisoned: bool,
 }
 
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Whose store it is.
+    /// The owner of the store.
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
