--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -1,6 +1,7 @@
 //! The members: how they start and restart, and what each does at a tick.
 
 use super::disk::Disk;
+use super::member::SimulatedMember;
 use super::observer::ObservedStep;
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, DRIFT, DUTIES, LAST_FAULT, MS, QUIET, TERMS, TICK, TUNING};
@@ -18,41 +19,6 @@
 /// Keeps the first incarnations of members apart.
 const INCARNATIONS_PER_MEMBER: u64 = 1000;
 
-/// A member of the federation.
-pub(super) struct SimulatedMember {
-    pub(super) disk: Disk,
-    /// `None`: its process is not running.
-    pub(super) node: Option<Node>,
-    pub(super) incarnation: u64,
-    pub(super) holder: LeaseHolder,
-    pub(super) grantor: LeaseGrantor,
-    /// The duties for which it seeks leases.
-    pub(super) wants: BTreeSet<String>,
-    /// The part by which its clock runs faster than the world's.
-    drift: f64,
-    /// What its clock read at the world's zero.
-    clock_start: Instant,
-    /// The world's time between its ticks.
-    tick: Span,
-    /// It does nothing until then.
-    pub(super) stalled_until: Instant,
-    /// The number of the newest file that it has.
-    pub(super) file: u64,
-}
-
-impl SimulatedMember {
-    /// What its own clock reads at a time of the world's.
-    pub(super) fn clock(&self, now: Instant) -> Instant {
-        let elapsed = now - Instant::ZERO;
-        self.clock_start + Span::from_micros_f64(elapsed.as_micros_f64() * (1.0 + self.drift))
-    }
-
-    /// The revision of the file that it has: files are numbered from 0, revisions from 1.
-    pub(super) fn file_revision(&self) -> u64 {
-        self.file + 1
-    }
-}
-
 impl FederationWorld {
     /// Adds a member with what its store holds, and starts it.
     pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -2,15 +2,17 @@
 //! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from
 //! the store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
 //!
-//! - `world`: the run's agenda and what happens; `members`: members start, restart and take their steps.
+//! - `world`: the run's agenda and what happens; `member`: one member; `members`: they start, restart and take steps.
 //! - `messages`: what goes between members; `leases`: what they do with their duties.
 //! - `faults`: what goes wrong; `disk`: a member's store.
-//! - `observer`: sees all members and checks what must hold.
+//! - `observer`: what all members did so far; `checks`: what must hold of it.
 //! - `summary`: plays many seeds.
 
+mod checks;
 mod disk;
 mod faults;
 mod leases;
+mod member;
 mod members;
 mod messages;
 mod observer;
--- a/src/sim/federation/observer.rs
+++ b/src/sim/federation/observer.rs
@@ -1,23 +1,21 @@
-//! Sees all members and checks what must hold of them together.
+//! What all members of a simulated federation did so far.
 
-use super::world::FederationWorld;
 use super::FederationCounts;
 use crate::federation::node::{AppliedCommand, Node};
 use crate::federation::state::{Command, State};
-use crate::federation::{Leadership, LogIndex, MemberId, Term};
+use crate::federation::{LogIndex, MemberId, Term};
 use crate::interface::Instant;
 use crate::sim::rules::Breach;
-use std::collections::{BTreeMap, BTreeSet};
-use std::hash::Hash;
+use std::collections::BTreeMap;
 
 /// What a member did in one step.
 pub(super) struct ObservedStep {
-    id: MemberId,
-    committed: Vec<AppliedCommand>,
-    is_leader: bool,
-    term: Term,
-    state: State,
-    applied: LogIndex,
+    pub(super) id: MemberId,
+    pub(super) committed: Vec<AppliedCommand>,
+    pub(super) is_leader: bool,
+    pub(super) term: Term,
+    pub(super) state: State,
+    pub(super) applied: LogIndex,
 }
 
 impl ObservedStep {
@@ -39,9 +37,9 @@
 
 /// The highest token under which a duty was acted on, and by whom.
 #[derive(Clone, Copy)]
-struct LastAct {
-    token: u64,
-    by: MemberId,
+pub(super) struct LastAct {
+    pub(super) token: u64,
+    pub(super) by: MemberId,
 }
 
 /// What all members did so far.
@@ -49,11 +47,11 @@
 pub(super) struct Observer {
     /// The first breach of each rule, in the order of time.
     pub(super) breaches: Vec<Breach>,
-    leaders: BTreeMap<Term, MemberId>,
-    committed: BTreeMap<LogIndex, Command>,
-    states: BTreeMap<LogIndex, State>,
-    last_acts: BTreeMap<&'static str, LastAct>,
-    acts: u64,
+    pub(super) leaders: BTreeMap<Term, MemberId>,
+    pub(super) committed: BTreeMap<LogIndex, Command>,
+    pub(super) states: BTreeMap<LogIndex, State>,
+    pub(super) last_acts: BTreeMap<&'static str, LastAct>,
+    pub(super) acts: u64,
 }
 
 impl Observer {
@@ -73,79 +71,3 @@
         }
     }
 }
-
-/// What a member of the last file knows at the end.
-#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct FinalView {
-    leadership: Leadership,
-    applied: LogIndex,
-    revision: u64,
-    leases: usize,
-    /// Whether each member votes.
-    members: BTreeMap<MemberId, bool>,
-}
-
-impl FinalView {
-    fn of(node: &Node) -> Self {
-        let (state, applied) = (node.state(), node.log_indexes().applied);
-        FinalView {
-            leadership: node.leadership(),
-            applied,
-            revision: state.revision,
-            leases: state.duties.len(),
-            members: state.members.iter().map(|(id, member)| (*id, member.voter)).collect(),
-        }
-    }
-}
-
-impl FederationWorld {
-    /// Checks a member's step against what all members did before.
-    pub(super) fn observe(&mut self, step: ObservedStep) {
-        let ObservedStep { id, committed, is_leader, term, state, applied } = step;
-        if is_leader {
-            let first = *self.observer.leaders.entry(term).or_insert(id);
-            if first != id {
-                self.breach("two-leaders", format!("{first} and {id} lead in term {term}"));
-            }
-        }
-        for AppliedCommand { index, command } in committed {
-            (id, index).hash(&mut self.trace);
-            let first = self.observer.committed.entry(index).or_insert_with(|| command.clone()).clone();
-            if first != command {
-                self.breach("committed-twice", format!("{first:?} and {command:?} at {index}"));
-            }
-        }
-        if self.observer.states.entry(applied).or_insert_with(|| state.clone()) != &state {
-            self.breach("states-differ", format!("member {id} at {applied}"));
-        }
-    }
-
-    /// Checks that a member acts under the highest token so far, and under no other member's.
-    pub(super) fn observe_act(&mut self, id: MemberId, duty: &'static str, token: u64) {
-        self.observer.acts += 1;
-        let act = LastAct { token, by: id };
-        let LastAct { token: highest, by } = *self.observer.last_acts.entry(duty).or_insert(act);
-        if token < highest || (token == highest && by != id) {
-            let text = format!("{id} acts on {duty} under {token}, {by} did under {highest}");
-            self.breach("stale-act", text);
-        }
-        self.observer.last_acts.insert(duty, act);
-    }
-
-    /// Checks at the end, long after the last fault, that all members of the last file agree on everything.
-    pub(super) fn check_agreement(&mut self) {
-        let last = self.files.last().cloned().unwrap_or_default();
-        let nodes = last.keys().filter_map(|id| self.members.get(id)?.node.as_ref());
-        let seen: BTreeSet<FinalView> = nodes.map(FinalView::of).collect();
-        let wanted: BTreeMap<MemberId, bool> = last.iter().map(|(id, member)| (*id, member.voter)).collect();
-        let is_wanted = |view: &FinalView| {
-            view.leadership.leader.is_some()
-                && view.revision == self.files.len() as u64
-                && view.leases == 0
-                && view.members == wanted
-        };
-        if seen.len() != 1 || !seen.iter().all(is_wanted) {
-            self.breach("no-agreement", format!("wanted {wanted:?}, seen {seen:?}"));
-        }
-    }
-}
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,6 +1,6 @@
 //! A run under way: its state, its agenda, and what happens at each event.
 
-use super::members::SimulatedMember;
+use super::member::SimulatedMember;
 use super::observer::Observer;
 use super::{
     draw_instant, FederationOutcome, PlantedBug, FIRST_FAULT, LAST_FAULT, LAST_FAULT_LASTS, MS, QUIET,
