--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -1,4 +1,7 @@
-//! The world in which the decision module's attempts end: who is there, who holds a copy of what, and what comes when.
+//! The simulated world of an exploration: which servers are reachable, which copies they have, and the schedule of
+//! events. `ending` is how attempts end.
+
+mod ending;
 
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Scenario};
@@ -7,16 +10,15 @@
     Action, AttemptOutcome, AttemptResult, CacheStatus, Class, Endpoint, Event, FillAttempt, Instant,
     ObjectId, RequestId, ServerId, Span,
 };
+use ending::{AttemptEnding, ANSWER_TIME};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// An attempt's answer comes after this.
-const ANSWER_TIME: Span = Span::from_millis(5);
-/// A fill's first byte comes after this.
+/// How long a fill takes until its first byte.
 const FILL_TIME: Span = Span::from_millis(10);
 /// How long a connection that does not come up is tried, as the platform's `connect_timeout`.
 const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 
-/// What is due.
+/// A scheduled step.
 pub(super) enum ScheduledStep {
     /// An event for the router.
     Event(Event),
@@ -24,73 +26,46 @@
     Change,
 }
 
-/// When something is due; at one time in the order in which it was planned.
-type Slot = (Instant, u64);
-
-/// An attempt: its request, and its number from 0.
-type AttemptKey = (usize, u8);
-
-/// How an attempt ends.
-#[derive(Clone, Copy)]
-struct Ending {
-    /// How long after its start.
-    after: Span,
-    result: AttemptResult,
-    note: Option<CacheStatus>,
-    /// How long it waited for the source of its fill.
-    waited: Span,
+/// The place of a step in the schedule: steps of one instant come in the order in which they were planned.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Slot {
+    at: Instant,
+    order: u64,
 }
 
-impl Ending {
-    fn of(after: Span, result: AttemptResult, note: Option<CacheStatus>) -> Self {
-        Ending { after, result, note, waited: Span::ZERO }
-    }
-
-    /// A copy was there.
-    fn hit() -> Self {
-        Ending::of(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
-    }
-
-    /// It was filled, from the origin or from a copy.
-    fn filled(note: CacheStatus, waited: Span) -> Self {
-        Ending { waited, ..Ending::of(ANSWER_TIME + waited, AttemptResult::Ok, Some(note)) }
-    }
-
-    /// The same, cut off by the attempt's time-out; zero: there is none.
-    fn within(self, timeout: Span) -> Self {
-        if timeout == Span::ZERO || self.after < timeout {
-            return self;
-        }
-        Ending { after: timeout, result: AttemptResult::Timeout, ..self }
-    }
+/// Identifies an attempt: the index of its request, and its number from 0.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptKey {
+    request: usize,
+    attempt: u8,
 }
 
 /// The world of one exploration.
 pub(super) struct World<'a> {
     site: &'a Site,
-    /// Not there: no connection comes up, and a fill from there breaks.
+    /// Unreachable servers: connections to them and fills from them fail.
     down: BTreeSet<ServerId>,
-    /// Who holds a copy of what.
+    /// The copies that servers have.
     copies: HashSet<(ServerId, ObjectId)>,
-    due: BTreeMap<Slot, ScheduledStep>,
-    /// How many things were planned so far.
+    schedule: BTreeMap<Slot, ScheduledStep>,
+    /// The number of steps that were planned so far.
     planned: u64,
-    /// Attempts of each request so far.
+    /// The number of attempts of each request so far.
     attempts: Vec<u8>,
-    /// The attempts that have not ended, with what will end them.
+    /// The open attempts, each with the scheduled step that ends it.
     open: BTreeMap<AttemptKey, Slot>,
     trace: Trace,
 }
 
 impl<'a> World<'a> {
-    /// A world where all servers are there and none holds a copy, for requests for these objects.
+    /// A world where all servers are reachable and none has a copy, for requests for these objects.
     pub(super) fn new(site: &'a Site, objects: Vec<ObjectId>, judged_from: usize) -> Self {
         let requests = objects.len();
         World {
             site,
             down: BTreeSet::new(),
             copies: HashSet::new(),
-            due: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             planned: 0,
             attempts: vec![0; requests],
             open: BTreeMap::new(),
@@ -98,25 +73,26 @@
         }
     }
 
-    /// What was decided.
+    /// The decisions and answers that were recorded.
     pub(super) fn into_trace(self) -> Trace {
         self.trace
     }
 
-    /// Plans what is due at a time.
+    /// Schedules a step.
     pub(super) fn plan(&mut self, at: Instant, next: ScheduledStep) -> Slot {
         self.planned += 1;
-        let slot = (at, self.planned);
-        self.due.insert(slot, next);
+        let slot = Slot { at, order: self.planned };
+        self.schedule.insert(slot, next);
         slot
     }
 
-    /// Takes what is due next, if it is by `end`.
+    /// Removes and returns the next step, if it is due by `end`.
     pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, ScheduledStep)> {
-        let first = self.due.first_entry().filter(|first| first.key().0 <= end)?;
-        let ((now, _), next) = first.remove_entry();
+        let first = self.schedule.first_entry().filter(|first| first.key().at <= end)?;
+        let (Slot { at: now, .. }, next) = first.remove_entry();
         if let ScheduledStep::Event(Event::AttemptEnded(outcome)) = &next {
-            self.open.remove(&(outcome.request.0 as usize, outcome.attempt));
+            let key = AttemptKey { request: outcome.request.0 as usize, attempt: outcome.attempt };
+            self.open.remove(&key);
         }
         Some((now, next))
     }
@@ -136,7 +112,9 @@
             }
             Action::Reject { request, .. } => self.answer(request, Answer::Refused),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => self.cancel(now, (request.0 as usize, attempt)),
+            Action::Cancel { request, attempt } => {
+                self.cancel(now, AttemptKey { request: request.0 as usize, attempt });
+            }
             Action::Timer { token, after } => {
                 self.plan(now + after, ScheduledStep::Event(Event::Timer(token)));
             }
@@ -169,15 +147,15 @@
             attempt,
             server: get.server,
             result: ending.result,
-            cache_status: ending.note,
+            cache_status: ending.cache_status,
             elapsed: ending.after,
-            fill_wait: ending.waited,
+            fill_wait: ending.fill_wait,
             transfer_time: Span::ZERO,
             finished: ending.result == AttemptResult::Ok,
             load_report: Vec::new(),
         };
         let slot = self.plan(now + ending.after, ScheduledStep::Event(Event::AttemptEnded(outcome)));
-        self.open.insert((request, attempt), slot);
+        self.open.insert(AttemptKey { request, attempt }, slot);
     }
 
     /// Caches the object at the server that answered, and at the parent that filled it.
@@ -190,11 +168,10 @@
     /// Ends an open attempt as cancelled.
     fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(slot) = self.open.get(&key).copied() else { return };
-        let Some(ScheduledStep::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else {
+        let Some(ScheduledStep::Event(Event::AttemptEnded(mut outcome))) = self.schedule.remove(&slot) else {
             return;
         };
-        let (ends_at, _) = slot;
-        let started_at = ends_at - outcome.elapsed;
+        let started_at = slot.at - outcome.elapsed;
         outcome.result = AttemptResult::Cancelled;
         outcome.cache_status = None;
         outcome.elapsed = now - started_at;
@@ -204,38 +181,42 @@
     }
 
     /// How an attempt ends.
-    fn ending(&self, get: &FillAttempt, class: &Class) -> Ending {
+    fn ending(&self, get: &FillAttempt, class: &Class) -> AttemptEnding {
         let object = self.trace.objects[get.request.0 as usize];
         let holds = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
         if self.down.contains(&get.server) {
-            return Ending::of(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
+            return AttemptEnding::of(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
         }
         if self.is(get.server, Site::is_origin) || holds(get.server) {
-            return Ending::hit();
+            return AttemptEnding::hit();
         }
         // A parent fills by itself what it lacks, from the origin.
         if self.is(get.server, Site::is_parent) && !get.only_if_cached {
-            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
+            return AttemptEnding::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if get.source == get.server {
-            return Ending::of(ANSWER_TIME, AttemptResult::Miss, None);
+            return AttemptEnding::of(ANSWER_TIME, AttemptResult::Miss, None);
         }
         self.fill(get, holds(get.source))
     }
 
     /// How an attempt ends that is filled from its source; `held`: whether the source holds a copy.
-    fn fill(&self, get: &FillAttempt, held: bool) -> Ending {
+    fn fill(&self, get: &FillAttempt, held: bool) -> AttemptEnding {
         if self.down.contains(&get.source) {
-            return Ending::of(ANSWER_TIME, AttemptResult::Error, Some(CacheStatus::SourceUnreachable));
+            return AttemptEnding::of(
+                ANSWER_TIME,
+                AttemptResult::Error,
+                Some(CacheStatus::SourceUnreachable),
+            );
         }
         let parent_fills = self.is(get.source, Site::is_parent) && !get.only_if_cached && !held;
         if self.is(get.source, Site::is_origin) || parent_fills {
-            return Ending::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
+            return AttemptEnding::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
         if held {
-            return Ending::filled(CacheStatus::Filled, FILL_TIME);
+            return AttemptEnding::filled(CacheStatus::Filled, FILL_TIME);
         }
-        Ending::of(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
+        AttemptEnding::of(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
     }
 
     fn is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -107,8 +107,7 @@
         self.members.iter().map(|(id, member)| (*id, wanted(member))).collect()
     }
 
-    /// The state that the founders begin with: equal files found equal federations, and others find out by its
-    /// identity.
+    /// The initial state of the founders: equal files make federations of equal identity.
     pub fn founding_state(&self) -> State {
         let mut digest = Sha256::new();
         digest.update(self.cluster.as_bytes());
