--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -4,8 +4,8 @@
 use crate::commands::CommandError;
 use dahliatrack::config::located::Doc;
 use dahliatrack::config::read_text;
-use dahliatrack::lab::made::{self, Made};
 use dahliatrack::lab::replay::{self, ReplayError, ReplayPlan};
+use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 use dahliatrack::standin::faults::RunPlan;
 use dahliatrack::standin::site::Shape;
 use dahliatrack::trace::{self, Trace};
@@ -79,7 +79,7 @@
 
 /// Replays a made-up trace.
 pub fn run_demo(args: DemoArgs) -> Result<(), CommandError> {
-    let made = Made {
+    let synthetic = SyntheticTrace {
         seconds: args.seconds as f64,
         rate: DEMO_RATE_PER_S,
         objects: DEMO_OBJECTS,
@@ -87,14 +87,14 @@
     };
     let folder = std::env::temp_dir().join(format!("dahliatrack-demo-{}", std::process::id()));
     fs::create_dir_all(&folder).map_err(ReplayError::from)?;
-    let trace = make_trace(&made, &folder.join("trace.csv"));
+    let trace = make_trace(&synthetic, &folder.join("trace.csv"));
     let _ = fs::remove_dir_all(&folder); // a folder that stays harms nothing
     play(&trace?, args.play)
 }
 
 /// Writes a made-up trace to a file, and reads it as any other trace.
-fn make_trace(made: &Made, path: &Path) -> Result<Trace, CommandError> {
-    let written = File::create(path).and_then(|mut file| made::azure(made, &mut file));
+fn make_trace(synthetic: &SyntheticTrace, path: &Path) -> Result<Trace, CommandError> {
+    let written = File::create(path).and_then(|mut file| synthetic.write_azure(&mut file));
     written.map_err(ReplayError::from)?;
     Ok(trace::load(path, Doc { file: "demo.hcl", text: DEMO_MAP })?)
 }
--- a/src/commands/lab/trace.rs
+++ b/src/commands/lab/trace.rs
@@ -1,8 +1,8 @@
 //! `dahliatrack lab trace`: makes up a trace.
 
 use crate::commands::CommandError;
-use dahliatrack::lab::made::{self, Made};
 use dahliatrack::lab::replay::ReplayError;
+use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 use std::io::{self, Write};
 
 const MIN_SECONDS: f64 = 1.0;
@@ -29,13 +29,13 @@
 
 /// Writes a made-up trace to standard output.
 pub fn run(args: TraceArgs) -> Result<(), CommandError> {
-    let made = Made {
+    let synthetic = SyntheticTrace {
         seconds: args.seconds.clamp(MIN_SECONDS, MAX_SECONDS),
         rate: args.rate.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S),
         objects: args.objects,
         seed: args.seed,
     };
     let mut out = io::BufWriter::new(io::stdout().lock());
-    made::azure(&made, &mut out).and_then(|_| out.flush()).map_err(ReplayError::from)?;
+    synthetic.write_azure(&mut out).and_then(|()| out.flush()).map_err(ReplayError::from)?;
     Ok(())
 }
--- a/src/federation/log.rs
+++ b/src/federation/log.rs
@@ -1,4 +1,4 @@
-//! The log as the consensus library reads it: a copy in memory of what the store holds, and the steps that change both.
+//! The log as the consensus library reads it: a copy in memory of the durable log, and the updates that change both.
 
 use super::records::{EntryRecord, HardState, SnapshotRecord};
 use super::{LogIndex, MemberId, Term};
@@ -6,48 +6,48 @@
 use raft::{GetEntriesContext, RaftState, Result, Storage, StorageError};
 use std::cell::Cell;
 
-/// One step that is stored atomically: all of it or nothing.
+/// An update of the stored log, applied atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Save {
-    /// Term, vote and commit.
-    pub hard: Option<HardState>,
-    /// A snapshot; entries up to its index are removed, and where it `replaces` the log all others, too.
+pub struct LogUpdate {
+    /// Current term, vote and commit index.
+    pub hard_state: Option<HardState>,
+    /// A snapshot; entries up to its index are removed, and all others too if it `replaces_log`.
     pub snapshot: Option<SnapshotRecord>,
-    /// The snapshot came from the leader, and the whole log is void.
-    pub replaces: bool,
-    /// Entries; stored ones from the first one's index on are removed before.
+    /// Whether the snapshot came from the leader and replaces the complete log.
+    pub replaces_log: bool,
+    /// Entries to append; stored ones from the first one's index on are removed before.
     pub entries: Vec<EntryRecord>,
 }
 
-impl Save {
-    /// Whether there is nothing to store.
+impl LogUpdate {
+    /// Whether the update is empty.
     pub fn is_empty(&self) -> bool {
-        self.hard.is_none() && self.snapshot.is_none() && self.entries.is_empty()
+        self.hard_state.is_none() && self.snapshot.is_none() && self.entries.is_empty()
     }
 }
 
-/// All that a member has stored.
+/// The complete durable log of a member.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
-    /// Term, vote and commit.
-    pub hard: HardState,
+pub struct StoredLog {
+    /// Current term, vote and commit index.
+    pub hard_state: HardState,
     /// The newest snapshot; index 0 for a member that has received nothing yet.
     pub snapshot: SnapshotRecord,
     /// The entries after it, without a gap.
     pub entries: Vec<EntryRecord>,
 }
 
-impl Saved {
-    /// Applies a step, as the store does.
-    pub fn apply(&mut self, save: &Save) {
-        if let Some(hard) = save.hard {
-            self.hard = hard;
+impl StoredLog {
+    /// Applies an update, as the store does.
+    pub fn apply(&mut self, save: &LogUpdate) {
+        if let Some(hard) = save.hard_state {
+            self.hard_state = hard;
         }
         if let Some(snapshot) = &save.snapshot {
             let index = snapshot.index;
-            self.entries.retain(|entry| !save.replaces && entry.index > index);
+            self.entries.retain(|entry| !save.replaces_log && entry.index > index);
             self.snapshot = snapshot.clone();
-            self.hard.commit = self.hard.commit.max(index);
+            self.hard_state.commit = self.hard_state.commit.max(index);
         }
         if let Some(first) = save.entries.first() {
             self.entries.retain(|entry| entry.index < first.index);
@@ -60,7 +60,7 @@
         LogIndex(self.snapshot.index.0 + self.entries.len() as u64)
     }
 
-    /// Whether it is what a member can have stored.
+    /// Checks that the entries follow the snapshot without a gap and fit the hard state.
     ///
     /// # Errors
     ///
@@ -73,19 +73,19 @@
                 return Err(LogError::OutOfPlace { found: entry.index, expected });
             }
         }
-        let (commit, last) = (self.hard.commit, self.last_index());
+        let (commit, last) = (self.hard_state.commit, self.last_index());
         if commit < self.snapshot.index || commit > last {
             return Err(LogError::CommitOutOfRange { commit, last });
         }
         let log_term = self.entries.last().map_or(self.snapshot.term, |entry| entry.term);
-        if self.hard.term < log_term {
-            return Err(LogError::TermTooOld { term: self.hard.term, log_term });
+        if self.hard_state.term < log_term {
+            return Err(LogError::TermTooOld { term: self.hard_state.term, log_term });
         }
         Ok(())
     }
 }
 
-/// What is wrong with a stored log.
+/// Why a stored log is inconsistent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
     /// An entry is missing.
@@ -114,45 +114,45 @@
     },
 }
 
-/// The copy in memory.
+/// The copy of the log in memory.
 #[derive(Debug, Default)]
-pub struct Log {
-    saved: Saved,
-    /// A member needs a newer snapshot than there is.
-    asked: Cell<bool>,
+pub struct CachedLog {
+    saved: StoredLog,
+    /// Whether a member needs a newer snapshot than there is.
+    snapshot_requested: Cell<bool>,
 }
 
-impl Log {
-    /// The copy of what was stored.
-    pub fn new(saved: Saved) -> Self {
-        Log { saved, asked: Cell::new(false) }
+impl CachedLog {
+    /// A copy of the stored log.
+    pub fn new(saved: StoredLog) -> Self {
+        CachedLog { saved, snapshot_requested: Cell::new(false) }
     }
 
-    /// Applies a step that was stored.
-    pub fn apply(&mut self, save: &Save) {
+    /// Applies an update that was stored.
+    pub fn apply(&mut self, save: &LogUpdate) {
         self.saved.apply(save);
     }
 
-    /// The log is committed up to here.
+    /// Sets the commit index.
     pub fn commit(&mut self, index: LogIndex) {
-        self.saved.hard.commit = index;
+        self.saved.hard_state.commit = index;
     }
 
     /// The newest snapshot.
-    pub fn base(&self) -> &SnapshotRecord {
+    pub fn newest_snapshot(&self) -> &SnapshotRecord {
         &self.saved.snapshot
     }
 
-    /// Whether a member needs a newer snapshot than there is; asked once.
-    pub fn wants_snapshot(&self) -> bool {
-        self.asked.take()
+    /// Whether a member needs a newer snapshot than there is; resets the request.
+    pub fn take_snapshot_request(&self) -> bool {
+        self.snapshot_requested.take()
     }
 }
 
-impl Storage for Log {
+impl Storage for CachedLog {
     fn initial_state(&self) -> Result<RaftState> {
         let conf_state = self.saved.snapshot.conf_state();
-        Ok(RaftState { hard_state: self.saved.hard.into(), conf_state })
+        Ok(RaftState { hard_state: self.saved.hard_state.into(), conf_state })
     }
 
     fn entries(
@@ -199,7 +199,7 @@
         let to = MemberId(to);
         let knows = base.voters.contains(&to) || base.learners.contains(&to);
         if base.index.0 < request_index || !knows {
-            self.asked.set(true);
+            self.snapshot_requested.set(true);
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
         Ok(base.into())
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -3,7 +3,7 @@
 use super::disk::DiskFault;
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_instant, PlantedBug, FIRST_FAULT, LAST_FAULT, MS};
-use crate::federation::log::Saved;
+use crate::federation::log::StoredLog;
 use crate::federation::state::WantedMember;
 use crate::federation::MemberId;
 use crate::interface::Instant;
@@ -118,7 +118,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
         if self.planted == Some(PlantedBug::EmptyStore) {
-            member.disk.kept = Saved::default();
+            member.disk.kept = StoredLog::default();
         }
         self.schedule(back, FederationEvent::Restart(id));
     }
@@ -134,7 +134,7 @@
                 let last = self.members.keys().next_back().copied().unwrap_or_default();
                 let id = MemberId(last.0 + 1);
                 file.insert(id, WantedMember { site: "new".to_owned(), voter: voters < 5 });
-                self.add(id, Saved::default());
+                self.add(id, StoredLog::default());
             }
             1 if file.len() > 3 && (voters > 2 || !file[&any].voter) => drop(file.remove(&any)),
             _ => {
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -1,11 +1,12 @@
 //! The members: how they start and restart, and what each does at a tick.
 
 use super::disk::Disk;
+use super::member::SimulatedMember;
 use super::observer::ObservedStep;
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, DRIFT, DUTIES, LAST_FAULT, MS, QUIET, TERMS, TICK, TUNING};
-use crate::federation::duties::{Grantor, Holder};
-use crate::federation::log::Saved;
+use crate::federation::duties::{LeaseGrantor, LeaseHolder};
+use crate::federation::log::StoredLog;
 use crate::federation::node::Node;
 use crate::federation::state::Command;
 use crate::federation::MemberId;
@@ -18,52 +19,17 @@
 /// Keeps the first incarnations of members apart.
 const INCARNATIONS_PER_MEMBER: u64 = 1000;
 
-/// A member of the federation.
-pub(super) struct SimulatedMember {
-    pub(super) disk: Disk,
-    /// `None`: its process is not running.
-    pub(super) node: Option<Node>,
-    pub(super) incarnation: u64,
-    pub(super) holder: Holder,
-    pub(super) grantor: Grantor,
-    /// The duties for which it seeks leases.
-    pub(super) wants: BTreeSet<String>,
-    /// The part by which its clock runs faster than the world's.
-    drift: f64,
-    /// What its clock read at the world's zero.
-    clock_start: Instant,
-    /// The world's time between its ticks.
-    tick: Span,
-    /// It does nothing until then.
-    pub(super) stalled_until: Instant,
-    /// The number of the newest file that it has.
-    pub(super) file: u64,
-}
-
-impl SimulatedMember {
-    /// What its own clock reads at a time of the world's.
-    pub(super) fn clock(&self, now: Instant) -> Instant {
-        let elapsed = now - Instant::ZERO;
-        self.clock_start + Span::from_micros_f64(elapsed.as_micros_f64() * (1.0 + self.drift))
-    }
-
-    /// The revision of the file that it has: files are numbered from 0, revisions from 1.
-    pub(super) fn file_revision(&self) -> u64 {
-        self.file + 1
-    }
-}
-
 impl FederationWorld {
     /// Adds a member with what its store holds, and starts it.
-    pub(super) fn add(&mut self, id: MemberId, kept: Saved) {
+    pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
         // Mostly as slow or fast as allowed: what is between finds less.
         let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
         let member = SimulatedMember {
             disk: Disk::new(kept, self.planted),
             node: None,
             incarnation: id.0 * INCARNATIONS_PER_MEMBER,
-            holder: Holder::new(id, TERMS, 0),
-            grantor: Grantor::new(TERMS),
+            holder: LeaseHolder::new(id, TERMS, 0),
+            grantor: LeaseGrantor::new(TERMS),
             wants: BTreeSet::new(),
             drift,
             clock_start: Instant::ZERO + self.random.random_range(0..1000_i64) * MS,
@@ -86,14 +52,14 @@
         let wants = wants.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
         // Of an earlier process only what its disk holds is left.
-        member.holder = Holder::new(id, terms, asks);
-        member.grantor = Grantor::new(terms);
+        member.holder = LeaseHolder::new(id, terms, asks);
+        member.grantor = LeaseGrantor::new(terms);
         member.wants = wants;
         member.disk.unsynced = None;
         let kept = &mut member.disk.kept;
         // The terms that the log itself shows are not forgotten.
         let log_term = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard.term = kept.hard.term.max(log_term);
+        kept.hard_state.term = kept.hard_state.term.max(log_term);
         match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
             Ok(node) => member.node = Some(node),
             Err(error) => self.breach("start", format!("member {id}: {error}")),
@@ -126,7 +92,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
         let driven = node.drive(&mut member.disk);
-        member.holder.observe(node.state().0);
+        member.holder.observe(node.state());
         let step = ObservedStep::take(id, node);
         let messages = match driven {
             Ok(messages) => messages,
@@ -171,7 +137,7 @@
         if let Some(wanted) = self.files.get(file) {
             node.reconcile(revision, wanted);
         }
-        let enrolled = node.state().0.members.get(&id).and_then(|member| member.incarnation);
+        let enrolled = node.state().members.get(&id).and_then(|member| member.incarnation);
         if enrolled.is_none() {
             node.propose(&Command::Enrol { id, incarnation });
         }
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -1,16 +1,18 @@
 //! Federations of several members on a virtual clock: the same [`Node`](crate::federation::node::Node)s that run in
-//! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from the
-//! store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
+//! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from
+//! the store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
 //!
-//! - `world`: the run's agenda and what happens; `members`: members start, restart and take their steps.
+//! - `world`: the run's agenda and what happens; `member`: one member; `members`: they start, restart and take steps.
 //! - `messages`: what goes between members; `leases`: what they do with their duties.
 //! - `faults`: what goes wrong; `disk`: a member's store.
-//! - `observer`: sees all members and checks what must hold.
+//! - `observer`: what all members did so far; `checks`: what must hold of it.
 //! - `summary`: plays many seeds.
 
+mod checks;
 mod disk;
 mod faults;
 mod leases;
+mod member;
 mod members;
 mod messages;
 mod observer;
@@ -43,7 +45,7 @@
 /// The largest part by which clocks run too fast or slow.
 const DRIFT: f64 = 0.05;
 const TERMS: LeaseTerms =
-    LeaseTerms { span: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
+    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
 /// The duties for which members seek leases.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,11 +1,11 @@
 //! A run under way: its state, its agenda, and what happens at each event.
 
-use super::members::SimulatedMember;
+use super::member::SimulatedMember;
 use super::observer::Observer;
 use super::{
     draw_instant, FederationOutcome, PlantedBug, FIRST_FAULT, LAST_FAULT, LAST_FAULT_LASTS, MS, QUIET,
 };
-use crate::federation::node::founding;
+use crate::federation::node::founding_log;
 use crate::federation::records::MessageRecord;
 use crate::federation::state::{Command, Roster, State, WantedMember};
 use crate::federation::MemberId;
@@ -73,7 +73,7 @@
 }
 
 impl FederationWorld {
-    /// A federation at its founding, with all faults planned.
+    /// A federation at its founding_log, with all faults planned.
     pub(super) fn new(seed: u64, planted: Option<PlantedBug>) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let voters = [3, 3, 5][random.random_range(0..3)];
@@ -112,7 +112,7 @@
         let founded = State::founded(CLUSTER, FIRST_REVISION, &self.files[0]);
         let founders: Vec<MemberId> = self.files[0].keys().copied().collect();
         for id in founders {
-            self.add(id, founding(&founded));
+            self.add(id, founding_log(&founded));
         }
     }
 
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -2,20 +2,24 @@
 //! hosts and the control feed, with a script of faults. Everything that is left to chance is drawn from the seed.
 //!
 //! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
-//! - `agenda`: what is scheduled besides what the network and the processes do by themselves.
-//! - `network`: passes what arrives on the network to `clients`, `hosts` and `feed`.
+//! - `agenda`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
+//!   it out.
+//! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
 //! - `processes`: starts, turns and ends the edge proxy's processes.
 //! - `faults`: what goes wrong, by kind.
 //! - `outcome`: how a run came out.
 
 mod agenda;
+mod answers;
 mod clients;
 mod faults;
 mod feed;
 mod hosts;
 mod network;
 mod outcome;
+mod process_id;
 mod processes;
+mod scheduled_events;
 mod setup;
 mod traffic;
 
