--- a/src/commands/config.rs
+++ b/src/commands/config.rs
@@ -56,10 +56,10 @@
 fn check_files(config: PathBuf, operator_files: OperatorFiles) -> Result<(), CommandError> {
     let OperatorFiles { signed, admission } = operator_files;
     let files = Files { config, signed, admin: None, admission, federation: None };
-    let admission_is_on = files.admission()?.enabled;
+    let admission_is_on = files.read_admission()?.enabled;
     let LoadedFiles { config, signed } = files.read()?;
     let routes = signed.map(|signed| route_classes(&signed, &config.settings)).transpose()?;
-    print(&format!("{}: usable, {} events known", config.name, config.known.events.len()));
+    print(&format!("{}: usable, {} events known", config.name, config.initial_events.events.len()));
     if let Some(routes) = routes {
         print(&format!("second front: usable, {} routes", routes.len()));
     }
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,6 +1,6 @@
 //! Why a command failed, and the exit code that tells it.
 
-use dahliatrack::config::located::DocError;
+use dahliatrack::config::hcl_document::HclError;
 use dahliatrack::config::ConfigError;
 #[cfg(feature = "control")]
 use dahliatrack::control::service::ControlError;
@@ -21,7 +21,7 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Document(#[from] DocError),
+    Document(#[from] HclError),
     #[error(transparent)]
     Server(#[from] ServerError),
     #[error(transparent)]
--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -2,8 +2,8 @@
 
 use crate::commands::output::{print, print_report, Format};
 use crate::commands::CommandError;
-use dahliatrack::config::located::Doc;
-use dahliatrack::config::read_text;
+use dahliatrack::config::hcl_document::HclDocument;
+use dahliatrack::config::read_text_file;
 use dahliatrack::lab::replay::{self, ReplayError, ReplayPlan};
 use dahliatrack::lab::synthetic_trace::SyntheticTrace;
 use dahliatrack::standin::faults::RunPlan;
@@ -71,9 +71,9 @@
 
 /// Replays a trace from a file.
 pub fn run_replay(args: ReplayArgs) -> Result<(), CommandError> {
-    let text = read_text(&args.map)?;
+    let text = read_text_file(&args.map)?;
     let file = args.map.display().to_string();
-    let trace = trace::load(&args.trace, Doc { file: &file, text: &text })?;
+    let trace = trace::load(&args.trace, HclDocument { file: &file, text: &text })?;
     play(&trace, args.play)
 }
 
@@ -96,7 +96,7 @@
 fn make_trace(synthetic: &SyntheticTrace, path: &Path) -> Result<Trace, CommandError> {
     let written = File::create(path).and_then(|mut file| synthetic.write_azure(&mut file));
     written.map_err(ReplayError::from)?;
-    Ok(trace::load(path, Doc { file: "demo.hcl", text: DEMO_MAP })?)
+    Ok(trace::load(path, HclDocument { file: "demo.hcl", text: DEMO_MAP })?)
 }
 
 /// Replays a trace and writes the report.
--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -2,8 +2,8 @@
 
 use super::output::print;
 use super::CommandError;
-use dahliatrack::config::located::Doc;
-use dahliatrack::config::read_text;
+use dahliatrack::config::hcl_document::HclDocument;
+use dahliatrack::config::read_text_file;
 use dahliatrack::sim::runner;
 use dahliatrack::sim::world::Sabotage;
 use dahliatrack::standin::faults::{Fault, RunPlan};
@@ -83,9 +83,9 @@
 }
 
 fn read_plan(path: &Path) -> Result<RunPlan, CommandError> {
-    let text = read_text(path)?;
+    let text = read_text_file(path)?;
     let file = path.display().to_string();
-    Ok(RunPlan::parse(Doc { file: &file, text: &text })?)
+    Ok(RunPlan::parse(HclDocument { file: &file, text: &text })?)
 }
 
 #[derive(Debug, thiserror::Error)]
--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -47,9 +47,9 @@
     /// # Errors
     ///
     /// A file that cannot be read, is not HCL, or holds a value out of its range.
-    pub fn admission(&self) -> Result<AdmissionSettings, ConfigError> {
+    pub fn read_admission(&self) -> Result<AdmissionSettings, ConfigError> {
         let Some(path) = &self.admission else { return Ok(AdmissionSettings::disabled()) };
-        let text = read_text(path)?;
+        let text = read_text_file(path)?;
         AdmissionSettings::parse(&text).map_err(|error| ConfigError::invalid(path, error))
     }
 }
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// A file that cannot be read.
-pub fn read(path: &Path) -> Result<Vec<u8>, ConfigError> {
+pub fn read_file(path: &Path) -> Result<Vec<u8>, ConfigError> {
     std::fs::read(path).map_err(|error| ConfigError::Read { path: path.to_owned(), error })
 }
 
@@ -68,6 +68,6 @@
 /// # Errors
 ///
 /// A file that cannot be read, or is not UTF-8.
-pub fn read_text(path: &Path) -> Result<String, ConfigError> {
-    String::from_utf8(read(path)?).map_err(|_| ConfigError::invalid(path, "not UTF-8"))
+pub fn read_text_file(path: &Path) -> Result<String, ConfigError> {
+    String::from_utf8(read_file(path)?).map_err(|_| ConfigError::invalid(path, "not UTF-8"))
 }
--- a/src/config/located/mod.rs
+++ b/src/config/hcl_document/mod.rs
@@ -3,18 +3,18 @@
 //!
 //! - `document`: a file's name and text, and errors at a place in it.
 //! - `reader`: reads one block by its keys; a key that was not read is an error at the end.
-//! - `place`: line and column, and values with their place.
+//! - `position`: line and column, and values with their place.
 //! - `suggestion`: what an unknown name may have been meant to be.
 
 mod document;
-mod place;
+mod position;
 mod reader;
 mod suggestion;
 
-pub use document::{Doc, DocError};
-pub use place::{Located, Place};
-pub use reader::{NamedNumber, Reader};
-pub use suggestion::unknown;
+pub use document::{HclDocument, HclError};
+pub use position::{Located, Position};
+pub use reader::{BlockReader, NamedNumber};
+pub use suggestion::unknown_name;
 
 #[cfg(test)]
 mod tests;
--- a/src/config/located/reader.rs
+++ b/src/config/hcl_document/reader.rs
@@ -1,6 +1,6 @@
 //! Reads one HCL block by its keys.
 
-use super::{unknown, Doc, DocError, Located, Place};
+use super::{unknown_name, HclDocument, HclError, Located, Position};
 use crate::interface::ObjectId;
 use hcl_edit::expr::{Expression, ObjectKey, ObjectValue};
 use hcl_edit::structure::{Attribute, Block, Body, Structure};
@@ -16,16 +16,16 @@
 }
 
 /// Reads one block's attributes and inner blocks by name; what was not read is an error at the end.
-pub struct Reader<'a> {
-    doc: Doc<'a>,
+pub struct BlockReader<'a> {
+    doc: HclDocument<'a>,
     body: &'a Body,
     /// The names that were read, present or not.
     known: BTreeSet<String>,
 }
 
-impl<'a> Reader<'a> {
-    pub(super) fn new(doc: Doc<'a>, body: &'a Body) -> Self {
-        Reader { doc, body, known: BTreeSet::new() }
+impl<'a> BlockReader<'a> {
+    pub(super) fn new(doc: HclDocument<'a>, body: &'a Body) -> Self {
+        BlockReader { doc, body, known: BTreeSet::new() }
     }
 
     fn attribute(&mut self, key: &str) -> Option<&'a Attribute> {
@@ -39,15 +39,15 @@
         attribute: &Attribute,
         value: Option<T>,
         expected: &str,
-    ) -> Result<Located<T>, DocError> {
-        let at = self.doc.place(&attribute.value);
+    ) -> Result<Located<T>, HclError> {
+        let at = self.doc.position(&attribute.value);
         let unexpected = || self.doc.error(at, format!("{} wants {expected}", attribute.key.as_str()));
         Ok(Located { value: value.ok_or_else(unexpected)?, at })
     }
 
     /// Where an attribute's value stands.
-    pub fn place_of(&self, key: &str) -> Option<Place> {
-        self.body.get_attribute(key).map(|attribute| self.doc.place(&attribute.value))
+    pub fn position_of(&self, key: &str) -> Option<Position> {
+        self.body.get_attribute(key).map(|attribute| self.doc.position(&attribute.value))
     }
 
     /// A text.
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// A value of another type.
-    pub fn string(&mut self, key: &str) -> Result<Option<Located<String>>, DocError> {
+    pub fn string(&mut self, key: &str) -> Result<Option<Located<String>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_str().map(str::to_owned);
         self.located(attribute, value, "a text").map(Some)
@@ -66,10 +66,10 @@
     /// # Errors
     ///
     /// A value of another type, or an empty list.
-    pub fn strings(&mut self, key: &str) -> Result<Vec<Located<String>>, DocError> {
+    pub fn strings(&mut self, key: &str) -> Result<Vec<Located<String>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
         let text = |value: &Expression| {
-            let at = self.doc.place(value);
+            let at = self.doc.position(value);
             Some(Located { value: value.as_str()?.to_owned(), at })
         };
         let list = match &attribute.value {
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// A value of another type or form.
-    pub fn objects(&mut self, key: &str) -> Result<Vec<ObjectId>, DocError> {
+    pub fn object_ids(&mut self, key: &str) -> Result<Vec<ObjectId>, HclError> {
         let (texts, doc) = (self.strings(key)?, self.doc);
         let object = |text: Located<String>| {
             let number = u64::from_str_radix(&text.value, 16).ok().filter(|_| text.value.len() == 16);
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// A value of another type.
-    pub fn flag(&mut self, key: &str) -> Result<Option<Located<bool>>, DocError> {
+    pub fn boolean(&mut self, key: &str) -> Result<Option<Located<bool>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         self.located(attribute, attribute.value.as_bool(), "true or false").map(Some)
     }
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// A value of another type, or out of its range.
-    pub fn number(&mut self, key: &str, min: f64, max: f64) -> Result<Option<Located<f64>>, DocError> {
+    pub fn number(&mut self, key: &str, min: f64, max: f64) -> Result<Option<Located<f64>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_number().and_then(hcl_edit::Number::as_f64);
         let value = value.filter(|value| (min..=max).contains(value));
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// A value of another type, with a fraction, or out of its range.
-    pub fn whole(&mut self, key: &str, min: u64, max: u64) -> Result<Option<Located<u64>>, DocError> {
+    pub fn integer(&mut self, key: &str, min: u64, max: u64) -> Result<Option<Located<u64>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_number().and_then(hcl_edit::Number::as_u64);
         let value = value.filter(|value| (min..=max).contains(value));
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// A value of another form.
-    pub fn numbers(&mut self, key: &str) -> Result<Vec<NamedNumber>, DocError> {
+    pub fn named_numbers(&mut self, key: &str) -> Result<Vec<NamedNumber>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
         let object = attribute.value.as_object();
         let entries = object.and_then(|object| object.iter().map(|entry| self.named_number(entry)).collect());
@@ -142,7 +142,7 @@
     }
 
     fn named_number(&self, (key, value): (&ObjectKey, &ObjectValue)) -> Option<NamedNumber> {
-        let at = self.doc.place(value.expr());
+        let at = self.doc.position(value.expr());
         let identifier = key.as_ident().map(|name| name.as_str().to_owned());
         let name = identifier.or_else(|| Some(key.as_expr()?.as_str()?.to_owned()))?;
         let number = value.expr().as_number()?.as_f64()?;
@@ -161,11 +161,13 @@
     /// # Errors
     ///
     /// A second one.
-    pub fn block(&mut self, name: &str) -> Result<Option<&'a Block>, DocError> {
+    pub fn block(&mut self, name: &str) -> Result<Option<&'a Block>, HclError> {
         match self.blocks(name)[..] {
             [] => Ok(None),
             [one] => Ok(Some(one)),
-            [_, second, ..] => Err(self.doc.error(self.doc.place(second), format!("a second {name} block"))),
+            [_, second, ..] => {
+                Err(self.doc.error(self.doc.position(second), format!("a second {name} block")))
+            }
         }
     }
 
@@ -174,11 +176,11 @@
     /// # Errors
     ///
     /// The first attribute or block that was not read, with the names that are known.
-    pub fn finish(self) -> Result<(), DocError> {
+    pub fn finish(self) -> Result<(), HclError> {
         match self.body.iter().find(|part| !self.known.contains(name_of(part))) {
             Some(extra) => {
-                let text = unknown("key", name_of(extra), self.known.iter().map(String::as_str));
-                Err(self.doc.error(self.doc.place(extra), text))
+                let text = unknown_name("key", name_of(extra), self.known.iter().map(String::as_str));
+                Err(self.doc.error(self.doc.position(extra), text))
             }
             None => Ok(()),
         }
--- a/src/config/located/suggestion.rs
+++ b/src/config/hcl_document/suggestion.rs
@@ -6,7 +6,7 @@
 const MAX_LISTED_NAMES: usize = 12;
 
 /// A text that a name is not known, with the closest one that is (by edit distance, `strsim`), or some of them.
-pub fn unknown<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
+pub fn unknown_name<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let known: BTreeSet<&str> = known.collect();
     let max_distance = 1 + name.len() / 3;
     let closest = known.iter().map(|known| (strsim::damerau_levenshtein(known, name), *known)).min();
--- a/src/config/proxy_config.rs
+++ b/src/config/proxy_config.rs
@@ -4,7 +4,7 @@
 use super::events::FeedBatch;
 use super::key_paths::key_paths;
 use super::settings::{ProgramSettings, SiteSettings};
-use super::{read, ConfigError};
+use super::{read_file, ConfigError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -54,11 +54,11 @@
     /// The address of the admin endpoint, which is off without it.
     pub admin: Option<SocketAddr>,
     /// The control feed's events up to the start.
-    pub known: FeedBatch,
+    pub initial_events: FeedBatch,
     /// The settings of the decision module and of the program around it.
     pub settings: SiteSettings,
     /// The paths of its keys: a new file that lacks one of them was not written completely.
-    pub keys: BTreeSet<String>,
+    pub key_paths: BTreeSet<String>,
 }
 
 impl Config {
@@ -68,7 +68,7 @@
     ///
     /// A file that cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let text = read(path)?;
+        let text = read_file(path)?;
         Self::parse(&text).map_err(|error| ConfigError::invalid(path, error))
     }
 
@@ -86,9 +86,9 @@
         settings.program.transfer_bytes_per_s = message.flow_bytes_per_s;
         settings.policy.check()?;
         check_class_names(&settings.program)?;
-        let keys = key_paths(&serde_json::from_slice(text)?);
+        let key_paths = key_paths(&serde_json::from_slice(text)?);
         let ConfigMessage { name, listen, limits, feed, admin, known, .. } = message;
-        Ok(Config { name, listen, seed, limits, feed, admin, known, settings, keys })
+        Ok(Config { name, listen, seed, limits, feed, admin, initial_events: known, settings, key_paths })
     }
 }
 
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -49,8 +49,8 @@
         objective_stretch: message.aim_stretch,
         client_deadline: Span::from_millis_f64(message.deadline),
         priority_weight: message.points,
-        idempotency: word("effect", &message.effect, &IDEMPOTENCY)?,
-        dedup_scope: word("dedup_scope", &message.dedup_scope, &DEDUP_SCOPE)?,
+        idempotency: parse_word("effect", &message.effect, &IDEMPOTENCY)?,
+        dedup_scope: parse_word("dedup_scope", &message.dedup_scope, &DEDUP_SCOPE)?,
         dedup_window: Span::from_millis_f64(message.window),
         fresh_for: Span::from_millis_f64(class_entry("fresh_for", &domain.fresh_for, number)?),
         stale_for: Span::from_millis_f64(class_entry("class_grace", &domain.class_grace, number)?),
@@ -104,9 +104,9 @@
         max_retry_after: Span::from_millis_f64(limits.max_retry_after),
         direct_to_source: domain.straight,
         join_fills: domain.collapses,
-        sibling_sources: word("lateral", &domain.lateral, &SIBLING_SOURCES)?,
-        cache_status_detail: word("tells", &domain.tells, &CACHE_STATUS_DETAIL)?,
-        polls_discovery: word("discovery", &message.discovery, &POLLS_DISCOVERY)?,
+        sibling_sources: parse_word("lateral", &domain.lateral, &SIBLING_SOURCES)?,
+        cache_status_detail: parse_word("tells", &domain.tells, &CACHE_STATUS_DETAIL)?,
+        polls_discovery: parse_word("discovery", &message.discovery, &POLLS_DISCOVERY)?,
     })
 }
 
@@ -130,9 +130,9 @@
 }
 
 /// The meaning of a key's value, out of the words that the key may have.
-fn word<T: Copy>(key: &'static str, value: &str, words: &[(&str, T)]) -> Result<T, SettingsParseError> {
+fn parse_word<T: Copy>(key: &'static str, value: &str, words: &[(&str, T)]) -> Result<T, SettingsParseError> {
     let found = words.iter().find(|(word, _)| *word == value);
-    let unknown = || SettingsParseError::UnknownWord { key, value: value.to_owned() };
+    let unknown = || SettingsParseError::UnknownValue { key, value: value.to_owned() };
     found.map(|(_, meaning)| *meaning).ok_or_else(unknown)
 }
 
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -19,7 +19,7 @@
     },
     /// A value is none of the words that its key may have.
     #[error("settings: {key} has the unknown word {value:?}")]
-    UnknownWord {
+    UnknownValue {
         /// The key.
         key: &'static str,
         /// The value.
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -25,15 +25,15 @@
     let SiteSettings { policy, program } = settings;
     assert_eq!(program.classes.len(), policy.classes.len());
     for (info, class) in program.classes.iter().zip(&policy.classes) {
-        let wanted = ClassInfo { retired: class.retired, ..ClassInfo::new(info.name.clone(), class) };
-        assert_eq!(*info, wanted);
+        let expected = ClassInfo { retired: class.retired, ..ClassInfo::new(info.name.clone(), class) };
+        assert_eq!(*info, expected);
     }
     let number = |name| program.class(name).map(|class| class.0);
     (["a", "b", "c"].map(number).to_vec(), policy.classes.len())
 }
 
 #[test]
-fn a_class_keeps_its_number_as_long_as_its_rules() {
+fn class_keeps_its_number_while_its_rules_are_unchanged() {
     use Idempotency::{Always, Never};
     let [five, six, seven] = [5, 6, 7].map(Span::from_micros);
     let first = settings_with(&[("a", five, Always), ("b", six, Always)]);
@@ -45,10 +45,10 @@
         (vec![("a", five, Always), ("c", seven, Always)], (vec![Some(4), None, Some(5)], 6)),
     ];
     let mut running = first;
-    for (classes, wanted) in steps {
+    for (classes, expected) in steps {
         let Reconfiguration { settings, needs_restart } =
             settings_with(&classes).reconfigure(&running).expect("usable");
-        assert_eq!((class_numbers(&settings), needs_restart), (wanted, false), "{classes:?}");
+        assert_eq!((class_numbers(&settings), needs_restart), (expected, false), "{classes:?}");
         running = settings;
     }
     assert_eq!(running.policy.classes[0].idempotency, Always, "open requests go on by the old record");
--- a/src/config/signed/keys.rs
+++ b/src/config/signed/keys.rs
@@ -1,7 +1,7 @@
 //! The keys of the second front, read from their files.
 
 use super::error::SignedConfigError;
-use crate::config::{read, ConfigError};
+use crate::config::{read_file, ConfigError};
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig};
 use base64::engine::DecodePaddingMode;
 use base64::{alphabet, Engine};
@@ -92,12 +92,12 @@
 fn read_key_pair(folder: &Path, message: &KeyMessage) -> Result<(Secret, Option<Secret>), ConfigError> {
     let public_file = named_file(folder, message, "public_file", &message.public_file)?;
     let private_file = message.private_file.as_ref().map(|file| folder.join(file));
-    let private = private_file.map(|file| read(&file)).transpose()?;
-    Ok((Secret(read(&public_file)?), private.map(Secret)))
+    let private = private_file.map(|file| read_file(&file)).transpose()?;
+    Ok((Secret(read_file(&public_file)?), private.map(Secret)))
 }
 
 fn read_secret(path: &Path) -> Result<Secret, ConfigError> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let decoded = BASE64.decode(text.trim_ascii());
     let bytes = decoded.map_err(|_| ConfigError::invalid(path, SignedConfigError::SecretEncoding))?;
     if bytes.len() < MIN_SECRET_BYTES {
--- a/src/config/signed/message.rs
+++ b/src/config/signed/message.rs
@@ -41,7 +41,7 @@
     }
 
     /// Checks the values, but for keys and routes.
-    pub fn check_links(&self) -> Result<(), SignedConfigError> {
+    pub fn check_scheme_and_hosts(&self) -> Result<(), SignedConfigError> {
         if !SCHEMES.contains(&self.scheme.as_str()) {
             return Err(SignedConfigError::Scheme(self.scheme.clone()));
         }
--- a/src/config/signed/mod.rs
+++ b/src/config/signed/mod.rs
@@ -8,7 +8,7 @@
 mod keys;
 mod message;
 
-use super::{read, ConfigError};
+use super::{read_file, ConfigError};
 use crate::interface::Span;
 use error::SignedConfigError;
 use keys::KeyMessage;
@@ -62,8 +62,8 @@
     /// A file that cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let invalid = |error: SignedConfigError| ConfigError::invalid(path, error);
-        let message = SignedMessage::parse(read(path)?).map_err(invalid)?;
-        message.check_links().map_err(invalid)?;
+        let message = SignedMessage::parse(read_file(path)?).map_err(invalid)?;
+        message.check_scheme_and_hosts().map_err(invalid)?;
         let keys = read_keys(path, message.key)?;
         message::check_routes(&message.route).map_err(invalid)?;
         Ok(SignedConfig {
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -1,6 +1,6 @@
 //! Hot objects: which ones the operator names, and where a router sends their requests.
 
-use crate::config::located::{unknown, Place};
+use crate::config::hcl_document::{unknown_name, Position};
 use crate::config::settings::ProgramSettings;
 use crate::control::settings::{ControlSettings, HotClass};
 use crate::interface::{
@@ -24,7 +24,7 @@
     #[error("{at}: {text}")]
     UnknownClass {
         /// Where the class is named.
-        at: Place,
+        at: Position,
         /// Names the class and the closest ones that there are.
         text: String,
     },
@@ -32,7 +32,7 @@
     #[error("{at}: class {class:?} is never kept: it has no popular objects")]
     NeverCached {
         /// Where the class is named.
-        at: Place,
+        at: Position,
         /// The class.
         class: String,
     },
@@ -74,7 +74,7 @@
     let at = named.class.at;
     let name = &named.class.value;
     let Some(class) = names.class(name) else {
-        let text = unknown("class", name, names.class_names());
+        let text = unknown_name("class", name, names.class_names());
         return Err(HotError::UnknownClass { at, text });
     };
     if settings.classes[usize::from(class.0)].uncached {
--- a/src/control/service/error.rs
+++ b/src/control/service/error.rs
@@ -1,6 +1,6 @@
 //! Why the control service ends.
 
-use crate::config::located::DocError;
+use crate::config::hcl_document::HclError;
 use crate::config::ConfigError;
 use crate::control::model::ModelError;
 
@@ -12,7 +12,7 @@
     Config(#[from] ConfigError),
     /// The operator's file cannot be used.
     #[error(transparent)]
-    File(#[from] DocError),
+    File(#[from] HclError),
     /// There is no model for these settings.
     #[error(transparent)]
     Model(#[from] ModelError),
--- a/src/control/service/mod.rs
+++ b/src/control/service/mod.rs
@@ -18,8 +18,8 @@
 use super::settings::ControlSettings;
 use super::version::{Epoch, PollNumber};
 use super::wire;
-use crate::config::located::Doc;
-use crate::config::{read, Config, ConfigError};
+use crate::config::hcl_document::HclDocument;
+use crate::config::{read_file, Config, ConfigError};
 use ads::DiscoveryService;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::AggregatedDiscoveryServiceServer;
 pub use error::ControlError;
@@ -59,10 +59,10 @@
 
 impl Files {
     fn read_control(&self) -> Result<ControlSettings, ControlError> {
-        let bytes = read(&self.control)?;
+        let bytes = read_file(&self.control)?;
         let text = String::from_utf8(bytes).map_err(|_| ConfigError::invalid(&self.control, "not UTF-8"))?;
         let file = self.control.display().to_string();
-        Ok(ControlSettings::parse(Doc { file: &file, text: &text })?)
+        Ok(ControlSettings::parse(HclDocument { file: &file, text: &text })?)
     }
 }
 
@@ -149,7 +149,7 @@
     let mut model = new_model(config, &settings, &clock)?;
     let first_snapshot = model.snapshot(clock.now(), PollNumber(0));
     let (publish, snapshots) = watch::channel(Arc::new(first_snapshot));
-    let feed = FeedWatch::start(config.feed, config.known.n, settings.poll_wait, clock.clone())?;
+    let feed = FeedWatch::start(config.feed, config.initial_events.n, settings.poll_wait, clock.clone())?;
     let listener = listen(settings.listen)?;
     let addr = listener.local_addr()?;
     let (stop, stopping) = watch::channel(false);
@@ -183,7 +183,7 @@
     let epoch = Epoch(moment.unix.as_micros() as u64);
     let mut model =
         Model::new(config.settings.clone(), config.seed, settings, wire::encode, epoch, moment.now)?;
-    model.apply(moment, &config.known);
+    model.apply(moment, &config.initial_events);
     model.tick(moment.now);
     Ok(model)
 }
--- a/src/control/service/stream.rs
+++ b/src/control/service/stream.rs
@@ -3,7 +3,7 @@
 use super::message::RequestMessage;
 use super::metrics::Metrics;
 use super::rejections::RejectionStore;
-use crate::config::located::unknown;
+use crate::config::hcl_document::unknown_name;
 use crate::control::feed_watch::PollCounter;
 use crate::control::resource::ResourceType;
 use crate::control::session::{ClientRequest, RequestEffect, Session};
@@ -173,7 +173,7 @@
         let point = wire::point(node);
         let point = point.ok_or_else(|| Status::invalid_argument("node.locality.zone names no point"))?;
         if !snapshot.points.contains_key(point) {
-            let text = unknown("point", point, snapshot.points.keys().map(String::as_str));
+            let text = unknown_name("point", point, snapshot.points.keys().map(String::as_str));
             return Err(Status::invalid_argument(format!("node.locality.zone: {text}")));
         }
         let mut session = Session::new(M::VARIANT, point, snapshot.epoch);
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -14,7 +14,7 @@
 //! }
 //! ```
 
-use crate::config::located::{Doc, DocError, Located, Place, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
 use crate::interface::ObjectId;
 use hcl_edit::structure::Block;
 use std::net::SocketAddr;
@@ -63,10 +63,10 @@
     /// # Errors
     ///
     /// Text that is not HCL, an unknown key, a value out of its range; with line and column.
-    pub fn parse(doc: Doc<'_>) -> Result<Self, DocError> {
-        let body = doc.body()?;
+    pub fn parse(doc: HclDocument<'_>) -> Result<Self, HclError> {
+        let body = doc.parse()?;
         let mut file = doc.reader(&body);
-        let start = Place { line: 1, column: 1 };
+        let start = Position { line: 1, column: 1 };
         let block = file.block("control")?.ok_or_else(|| doc.error(start, "no control block"))?;
         file.finish()?;
         let mut reader = doc.reader(&block.body);
@@ -77,7 +77,8 @@
         let poll_ms = read_number(&mut reader, "poll_ms", DEFAULT_POLL_MS, 10, 5000)?;
         let refresh_s = read_number(&mut reader, "refresh_s", DEFAULT_REFRESH_S, 1, 600)?;
         if debounce_ms > limit_ms {
-            let at = reader.place_of("debounce_ms").or(reader.place_of("debounce_most_ms")).unwrap_or(start);
+            let at =
+                reader.position_of("debounce_ms").or(reader.position_of("debounce_most_ms")).unwrap_or(start);
             return Err(doc.error(at, "debounce_ms is over debounce_most_ms"));
         }
         let hot = read_hot(doc, &mut reader)?;
@@ -95,31 +96,35 @@
     }
 }
 
-fn read_listen(doc: Doc<'_>, block: &Block, reader: &mut Reader<'_>) -> Result<SocketAddr, DocError> {
+fn read_listen(
+    doc: HclDocument<'_>,
+    block: &Block,
+    reader: &mut BlockReader<'_>,
+) -> Result<SocketAddr, HclError> {
     let listen = reader.string("listen")?;
-    let listen = listen.ok_or_else(|| doc.error(doc.place(block), "control names no listen"))?;
+    let listen = listen.ok_or_else(|| doc.error(doc.position(block), "control names no listen"))?;
     let address = listen.value.parse();
     address.map_err(|_| doc.error(listen.at, "listen is no address, as 127.0.0.1:18000"))
 }
 
 /// Reads a whole number in a range, both ends included.
 fn read_number(
-    reader: &mut Reader<'_>,
+    reader: &mut BlockReader<'_>,
     key: &str,
     default: u64,
     least: u64,
     most: u64,
-) -> Result<u64, DocError> {
-    let number = reader.whole(key, least, most)?;
+) -> Result<u64, HclError> {
+    let number = reader.integer(key, least, most)?;
     Ok(number.map_or(default, |number| number.value))
 }
 
-fn read_hot(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Vec<HotClass>, DocError> {
+fn read_hot(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Vec<HotClass>, HclError> {
     let blocks = reader.blocks("hot");
     blocks.into_iter().map(|block| read_hot_class(doc, block)).collect()
 }
 
-fn check_hot_count(doc: Doc<'_>, hot: &[HotClass]) -> Result<(), DocError> {
+fn check_hot_count(doc: HclDocument<'_>, hot: &[HotClass]) -> Result<(), HclError> {
     let count: usize = hot.iter().map(|class| class.objects.len()).sum();
     if count <= MAX_HOT_OBJECTS {
         return Ok(());
@@ -128,14 +133,14 @@
     Err(doc.error(hot[0].class.at, text))
 }
 
-fn read_hot_class(doc: Doc<'_>, block: &Block) -> Result<HotClass, DocError> {
-    let at = doc.place(block);
+fn read_hot_class(doc: HclDocument<'_>, block: &Block) -> Result<HotClass, HclError> {
+    let at = doc.position(block);
     let [label] = &block.labels[..] else {
         return Err(doc.error(at, "hot names one class: hot \"CLASS\" { ... }"));
     };
     let class = Located { value: label.as_str().to_owned(), at };
     let mut reader = doc.reader(&block.body);
-    let objects = reader.objects("objects")?;
+    let objects = reader.object_ids("objects")?;
     reader.finish()?;
     Ok(HotClass { class, objects })
 }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -13,7 +13,7 @@
 use super::version::{Epoch, PollNumber};
 use super::wire;
 use crate::config::events::FeedBatch;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::config::Config;
 use crate::interface::{Instant, Span, UnixTime};
 use crate::standin::site::{config, Shape};
@@ -30,7 +30,7 @@
 
 fn parse_settings(more: &str) -> ControlSettings {
     let text = format!("control {{\n listen = \"127.0.0.1:0\"\n {more}\n}}");
-    ControlSettings::parse(Doc { file: "c.hcl", text: &text }).expect("usable")
+    ControlSettings::parse(HclDocument { file: "c.hcl", text: &text }).expect("usable")
 }
 
 struct Fixture {
@@ -49,7 +49,7 @@
         let hosts = site["known"]["events"][0]["members"]["hosts"].as_array().cloned().expect("a list");
         let hot = parse_settings(&format!("hot \"piece\" {{\n objects = [\"{HOT}\"]\n }}"));
         let mut model = Model::new(read.settings, 7, &hot, wire::encode, EPOCH, START).expect("a model");
-        model.apply(Moment { now: START, unix: unix(START) }, &read.known);
+        model.apply(Moment { now: START, unix: unix(START) }, &read.initial_events);
         model.tick(START);
         Fixture { model, hosts, now: START, wall_step: Span::ZERO }
     }
--- a/src/control/tests/settings.rs
+++ b/src/control/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Tests of the operator's file.
 
 use super::parse_settings;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::control::settings::ControlSettings;
 
 #[test]
@@ -24,7 +24,7 @@
             "c.hcl:3:17: most_clients wants a whole number",
         ),
     ] {
-        let error = ControlSettings::parse(Doc { file: "c.hcl", text }).expect_err(text).to_string();
+        let error = ControlSettings::parse(HclDocument { file: "c.hcl", text }).expect_err(text).to_string();
         assert!(error.starts_with(wanted), "{error:?}, not {wanted:?}");
     }
 }
@@ -32,7 +32,7 @@
 #[test]
 fn the_example_file_holds_the_defaults() {
     let text = include_str!("../../../deploy/control.hcl");
-    let read = ControlSettings::parse(Doc { file: "deploy/control.hcl", text }).expect("usable");
+    let read = ControlSettings::parse(HclDocument { file: "deploy/control.hcl", text }).expect("usable");
     let usual = parse_settings("");
     assert_eq!(read, ControlSettings { listen: read.listen, ..usual });
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -37,7 +37,7 @@
         let deadline = request.deadline();
         let deadline = if new.timeout == Span::ZERO { deadline } else { (now + new.timeout).min(deadline) };
         let has_attempts_left = u32::from(number) < request.max_attempts;
-        let is_too_late = !request.is_open() || !has_attempts_left || deadline <= now;
+        let cannot_be_sent = !request.is_open() || !has_attempts_left || deadline <= now;
         let NewAttempt { request: id, server, fill, .. } = new;
         let ClientRequest { object, group, .. } = request.client_request;
         let key = self.attempts.insert(Attempt {
@@ -55,7 +55,7 @@
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.timeout_deadline = Some(handle);
         }
-        if is_too_late {
+        if cannot_be_sent {
             self.end_attempt(now, key, AttemptEnd::without_details(AttemptResult::NotSent), deadlines);
         } else {
             self.commands.push_back(Command::SendAttempt { attempt: key, request: request_key, server });
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -142,7 +142,7 @@
     },
     /// Abandon this attempt: its end is not reported any more.
     AbandonAttempt(AttemptKey),
-    /// The request's final answer is known: [`Core::answer_now`](super::Core::answer_now) returns it,
+    /// The request's final answer is known: [`Core::current_answer`](super::Core::current_answer) returns it,
     /// [`Core::answer_begun`](super::Core::answer_begun) ends the request.
     AnswerRequest(RequestKey),
     /// Send a server a health check; its result goes to [`Core::health_checked`](super::Core::health_checked).
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -133,8 +133,8 @@
     }
 
     /// Sets how many processes serve as this edge proxy, and this one's place among them.
-    pub fn set_process_share(&mut self, processes: u32, place: u32) {
-        self.router.set_process_share(processes, place);
+    pub fn set_process_share(&mut self, processes: u32, position: u32) {
+        self.router.set_process_share(processes, position);
     }
 
     /// The next command to be carried out.
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -65,21 +65,21 @@
 
     /// A request's final answer as it would be given now, if it is known. An expired credential turns any answer into a
     /// denial, also before its deadline has been processed.
-    pub fn answer_now(&self, now: Instant, key: RequestKey) -> Option<FinalAnswer> {
+    pub fn current_answer(&self, now: Instant, key: RequestKey) -> Option<FinalAnswer> {
         let request = self.requests.get(key)?;
         let AnswerState::Chosen(answer) = &request.state else { return None };
         let has_expired = request.client_request.authorized_until.is_some_and(|expiry| expiry <= now);
         Some(if has_expired { FinalAnswer::Denied } else { answer.clone() })
     }
 
-    /// The answer that [`Core::answer_now`] returned at this time has begun: the request is over, and its answer final.
+    /// The answer that [`Core::current_answer`] returned at this time has begun: the request is over, and its answer final.
     pub fn answer_begun(
         &mut self,
         now: Instant,
         key: RequestKey,
         deadlines: &mut dyn Schedule<CoreDeadline>,
     ) {
-        let Some(answer) = self.answer_now(now, key) else { return };
+        let Some(answer) = self.current_answer(now, key) else { return };
         if let Some(request) = self.remove_request(key, deadlines) {
             self.count_answer(request.client_request.class, &answer);
         }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -19,29 +19,29 @@
     Instant::ZERO + span
 }
 
-struct Bench {
+struct Harness {
     core: Core,
-    due: Deadlines<CoreDeadline>,
+    deadlines: Deadlines<CoreDeadline>,
 }
 
-fn class(effect: Idempotency) -> Class {
-    let never_kept = effect == Idempotency::Never;
+fn class(idempotency: Idempotency) -> Class {
+    let is_write = idempotency == Idempotency::Never;
     Class {
         latency_objective: 500 * MS,
         objective_stretch: 2.0,
         client_deadline: 3 * SECOND,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         dedup_scope: DedupScope::All,
         dedup_window: SECOND,
         fresh_for: Span::ZERO,
         stale_for: Span::ZERO,
-        uncached: never_kept,
+        uncached: is_write,
         retired: false,
     }
 }
 
-fn member(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Endpoint {
+fn endpoint(server: ServerId, kind: u16, zone: u16, state: ServerState) -> Endpoint {
     Endpoint { server, started_at: None, weight: 8.0, kind, cell: 0, zone: ZoneId(zone), state }
 }
 
@@ -92,21 +92,21 @@
     Settings { topology, classes, limits, protection }
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let settings = settings();
-        let mut bench = Bench {
+        let mut harness = Harness {
             core: Core::new(settings, 1, Instant::ZERO).expect("settings"),
-            due: Deadlines::default(),
+            deadlines: Deadlines::default(),
         };
-        let mut list = vec![member(PARENT, 1, 1, ServerState::Ready)];
-        list.extend(CACHES.map(|cache| member(cache, 0, 0, ServerState::Ready)));
-        bench.core.update_endpoints(Instant::ZERO, ListUpdate::Full, list, &mut bench.due);
-        bench
+        let mut list = vec![endpoint(PARENT, 1, 1, ServerState::Ready)];
+        list.extend(CACHES.map(|cache| endpoint(cache, 0, 0, ServerState::Ready)));
+        harness.core.update_endpoints(Instant::ZERO, ListUpdate::Full, list, &mut harness.deadlines);
+        harness
     }
 
-    fn ask(&mut self, now: Instant, class: u16, expires: Option<Instant>) -> RequestKey {
-        let ask = ClientRequest {
+    fn submit(&mut self, now: Instant, class: u16, expires: Option<Instant>) -> RequestKey {
+        let client_request = ClientRequest {
             class: ClassId(class),
             object: ObjectId(7),
             part: 0,
@@ -114,14 +114,14 @@
             timeout: 3 * SECOND,
             authorized_until: expires,
         };
-        self.core.submit(now, ask, &mut self.due)
+        self.core.submit(now, client_request, &mut self.deadlines)
     }
 
     /// Lets the deadlines up to a time fall.
-    fn pass(&mut self, until: Instant) {
-        while let Some(at) = self.due.next().filter(|at| *at <= until) {
-            while let Some(what) = self.due.pop(at) {
-                self.core.deadline_passed(at, what, &mut self.due);
+    fn run_deadlines_until(&mut self, until: Instant) {
+        while let Some(at) = self.deadlines.next().filter(|at| *at <= until) {
+            while let Some(deadline) = self.deadlines.pop(at) {
+                self.core.deadline_passed(at, deadline, &mut self.deadlines);
             }
         }
     }
@@ -145,63 +145,63 @@
     }
 
     /// Submits a request and gives its one attempt, launched.
-    fn launched(&mut self, class: u16, expires: Option<Instant>) -> (RequestKey, AttemptKey) {
-        let request = self.ask(Instant::ZERO, class, expires);
+    fn submit_and_write(&mut self, class: u16, expires: Option<Instant>) -> (RequestKey, AttemptKey) {
+        let request = self.submit(Instant::ZERO, class, expires);
         let (words, attempts) = self.commands();
         assert_eq!(words, ["send"]);
-        assert!(self.core.write_attempt(Instant::ZERO, attempts[0], &mut self.due).is_some());
+        assert!(self.core.write_attempt(Instant::ZERO, attempts[0], &mut self.deadlines).is_some());
         (request, attempts[0])
     }
 
-    fn end(&mut self, now: Instant, attempt: AttemptKey, result: AttemptResult) {
+    fn end_attempt(&mut self, now: Instant, attempt: AttemptKey, result: AttemptResult) {
         let copy = CachedCopy { body: Bytes::from_static(b"bytes"), ..CachedCopy::default() };
         self.core.attempt_ended(
             now,
             attempt,
             AttemptEnd { copy, ..AttemptEnd::without_details(result) },
-            &mut self.due,
+            &mut self.deadlines,
         );
     }
 
     /// Begins a second attempt beside the first.
-    fn hedge(&mut self, now: Instant, request: RequestKey) {
+    fn start_hedge(&mut self, now: Instant, request: RequestKey) {
         let request = RequestId(request.number());
         let hedge = Action::SendCacheOnly { request, server: CACHES[1], timeout: Span::ZERO };
-        self.core.carry_out(now, hedge, &mut self.due);
-        self.core.run_router(now, &mut self.due);
+        self.core.carry_out(now, hedge, &mut self.deadlines);
+        self.core.run_router(now, &mut self.deadlines);
     }
 
-    fn take(&mut self, now: Instant, request: RequestKey) -> Option<FinalAnswer> {
-        let answer = self.core.answer_now(now, request);
-        self.core.answer_begun(now, request, &mut self.due);
+    fn take_answer(&mut self, now: Instant, request: RequestKey) -> Option<FinalAnswer> {
+        let answer = self.core.current_answer(now, request);
+        self.core.answer_begun(now, request, &mut self.deadlines);
         answer
     }
 }
 
 #[test]
-fn the_first_copy_is_the_answer_and_it_is_given_once() {
-    let mut bench = Bench::new();
-    let (request, attempt) = bench.launched(0, None);
-    bench.end(at(90 * MS), attempt, AttemptResult::Ok);
-    bench.end(at(91 * MS), attempt, AttemptResult::Ok);
-    assert_eq!(bench.commands().0, ["answer"]);
+fn first_copy_answers_the_request_exactly_once() {
+    let mut harness = Harness::new();
+    let (request, attempt) = harness.submit_and_write(0, None);
+    harness.end_attempt(at(90 * MS), attempt, AttemptResult::Ok);
+    harness.end_attempt(at(91 * MS), attempt, AttemptResult::Ok);
+    assert_eq!(harness.commands().0, ["answer"]);
     assert!(
-        matches!(bench.take(at(92 * MS), request), Some(FinalAnswer::Served(copy)) if &copy.body[..] == b"bytes")
+        matches!(harness.take_answer(at(92 * MS), request), Some(FinalAnswer::Served(copy)) if &copy.body[..] == b"bytes")
     );
-    assert_eq!(bench.take(at(93 * MS), request), None);
-    bench.pass(at(10 * SECOND));
-    assert_eq!(bench.commands().0, Vec::<&str>::new(), "its deadlines are gone with it");
+    assert_eq!(harness.take_answer(at(93 * MS), request), None);
+    harness.run_deadlines_until(at(10 * SECOND));
+    assert_eq!(harness.commands().0, Vec::<&str>::new(), "its deadlines are gone with it");
 }
 
 #[test]
-fn what_the_module_gives_up_on_is_answered_at_once() {
-    let mut bench = Bench::new();
-    let removed = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
-    bench.core.update_endpoints(Instant::ZERO, ListUpdate::Delta, removed, &mut bench.due);
-    let request = bench.ask(Instant::ZERO, 0, None);
-    assert_eq!(bench.commands().0, ["answer"]);
+fn request_without_a_ready_server_is_rejected_at_once() {
+    let mut harness = Harness::new();
+    let removed = CACHES.map(|cache| endpoint(cache, 0, 0, ServerState::Removed)).to_vec();
+    harness.core.update_endpoints(Instant::ZERO, ListUpdate::Delta, removed, &mut harness.deadlines);
+    let request = harness.submit(Instant::ZERO, 0, None);
+    assert_eq!(harness.commands().0, ["answer"]);
     assert_eq!(
-        bench.take(Instant::ZERO, request),
+        harness.take_answer(Instant::ZERO, request),
         Some(FinalAnswer::Rejected {
             retry_after: 250 * MS,
             timed_out: false,
@@ -211,9 +211,9 @@
 }
 
 #[test]
-fn when_patience_ends_each_request_has_its_answer() {
+fn client_timeout_answers_every_request_once() {
     // A write that never left surely did not run and is refused; one that may have run has failed.
-    for (class, leaves, wanted) in [
+    for (class, is_written, expected) in [
         (
             0,
             true,
@@ -234,23 +234,27 @@
             },
         ),
     ] {
-        let mut bench = Bench::new();
-        let request = bench.ask(Instant::ZERO, class, None);
-        let (_, attempts) = bench.commands();
-        if leaves {
-            bench.core.write_attempt(Instant::ZERO, attempts[0], &mut bench.due);
+        let mut harness = Harness::new();
+        let request = harness.submit(Instant::ZERO, class, None);
+        let (_, attempts) = harness.commands();
+        if is_written {
+            harness.core.write_attempt(Instant::ZERO, attempts[0], &mut harness.deadlines);
         }
-        bench.pass(at(3 * SECOND));
-        let (words, _) = bench.commands();
+        harness.run_deadlines_until(at(3 * SECOND));
+        let (words, _) = harness.commands();
         assert_eq!(words.iter().filter(|word| **word == "answer").count(), 1, "{words:?}");
-        assert_eq!(bench.take(at(3 * SECOND), request), Some(wanted), "class {class}, leaves {leaves}");
-        bench.end(at(3 * SECOND + MICROSECOND), attempts[0], AttemptResult::Ok);
-        assert_eq!(bench.commands().0, Vec::<&str>::new(), "a late copy is no second answer");
+        assert_eq!(
+            harness.take_answer(at(3 * SECOND), request),
+            Some(expected),
+            "class {class}, is_written {is_written}"
+        );
+        harness.end_attempt(at(3 * SECOND + MICROSECOND), attempts[0], AttemptResult::Ok);
+        assert_eq!(harness.commands().0, Vec::<&str>::new(), "a late copy is no second answer");
     }
 }
 
 #[test]
-fn a_write_that_may_have_run_never_goes_out_again() {
+fn write_that_may_have_run_is_not_repeated() {
     for (result, again) in [
         (AttemptResult::Reset, false),
         (AttemptResult::Error, false),
@@ -258,135 +262,147 @@
         (AttemptResult::Rejected, true),
         (AttemptResult::Miss, true),
     ] {
-        let mut bench = Bench::new();
-        let (request, attempt) = bench.launched(1, None);
-        bench.end(at(9 * MS), attempt, result);
-        let (words, _) = bench.commands();
+        let mut harness = Harness::new();
+        let (request, attempt) = harness.submit_and_write(1, None);
+        harness.end_attempt(at(9 * MS), attempt, result);
+        let (words, _) = harness.commands();
         assert_eq!(words, [if again { "send" } else { "answer" }], "{result:?}");
         if !again {
-            assert_eq!(bench.take(at(9 * MS), request), Some(FinalAnswer::Failed { timed_out: false }));
+            assert_eq!(
+                harness.take_answer(at(9 * MS), request),
+                Some(FinalAnswer::Failed { timed_out: false })
+            );
         }
     }
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_whatever_comes_late() {
-    let mut bench = Bench::new();
-    let (request, attempt) = bench.launched(0, None);
-    bench.core.cancel(at(5 * MS), request, &mut bench.due);
-    assert_eq!(bench.commands().0, ["drop"]);
-    let (next, _) = bench.launched(0, None);
-    bench.end(at(6 * MS), attempt, AttemptResult::Ok);
-    bench.core.cancel(at(6 * MS), request, &mut bench.due);
-    assert_eq!(bench.commands().0, Vec::<&str>::new(), "the slots' next use is not hit");
-    assert!(!bench.core.is_answered(next));
+fn late_events_of_a_cancelled_request_are_ignored() {
+    let mut harness = Harness::new();
+    let (request, attempt) = harness.submit_and_write(0, None);
+    harness.core.cancel(at(5 * MS), request, &mut harness.deadlines);
+    assert_eq!(harness.commands().0, ["drop"]);
+    let (next, _) = harness.submit_and_write(0, None);
+    harness.end_attempt(at(6 * MS), attempt, AttemptResult::Ok);
+    harness.core.cancel(at(6 * MS), request, &mut harness.deadlines);
+    assert_eq!(harness.commands().0, Vec::<&str>::new(), "the slots' next use is not hit");
+    assert!(!harness.core.is_answered(next));
 }
 
 #[test]
-fn a_client_that_leaves_once_the_copy_is_chosen_takes_it_away() {
-    let mut bench = Bench::new();
-    let (request, attempt) = bench.launched(0, None);
-    bench.end(at(5 * MS), attempt, AttemptResult::Ok);
-    bench.core.cancel(at(6 * MS), request, &mut bench.due);
-    assert_eq!(bench.take(at(6 * MS), request), None);
+fn cancelling_an_answered_request_discards_its_answer() {
+    let mut harness = Harness::new();
+    let (request, attempt) = harness.submit_and_write(0, None);
+    harness.end_attempt(at(5 * MS), attempt, AttemptResult::Ok);
+    harness.core.cancel(at(6 * MS), request, &mut harness.deadlines);
+    assert_eq!(harness.take_answer(at(6 * MS), request), None);
 }
 
 #[test]
-fn a_right_that_ends_mid_fill_is_denied_at_once_and_the_fill_called_off() {
-    let mut bench = Bench::new();
-    let (request, attempt) = bench.launched(0, Some(at(40 * MS)));
-    bench.pass(at(40 * MS));
-    assert_eq!(bench.commands().0, ["answer", "drop"]);
-    bench.end(at(41 * MS), attempt, AttemptResult::Ok);
-    assert_eq!(bench.commands().0, Vec::<&str>::new());
-    assert_eq!(bench.take(at(41 * MS), request), Some(FinalAnswer::Denied));
+fn credential_expiry_denies_and_abandons_the_attempt() {
+    let mut harness = Harness::new();
+    let (request, attempt) = harness.submit_and_write(0, Some(at(40 * MS)));
+    harness.run_deadlines_until(at(40 * MS));
+    assert_eq!(harness.commands().0, ["answer", "drop"]);
+    harness.end_attempt(at(41 * MS), attempt, AttemptResult::Ok);
+    assert_eq!(harness.commands().0, Vec::<&str>::new());
+    assert_eq!(harness.take_answer(at(41 * MS), request), Some(FinalAnswer::Denied));
 }
 
 #[test]
-fn a_right_that_ends_with_a_copy_chosen_gives_no_byte_of_it() {
-    for falls in [true, false] {
-        let mut bench = Bench::new();
-        let (request, attempt) = bench.launched(0, Some(at(40 * MS)));
-        bench.end(at(39 * MS), attempt, AttemptResult::Ok);
-        assert_eq!(bench.core.held_bytes(), 5);
-        if falls {
-            bench.pass(at(40 * MS));
+fn credential_expiry_replaces_a_chosen_answer() {
+    for is_expiry_processed in [true, false] {
+        let mut harness = Harness::new();
+        let (request, attempt) = harness.submit_and_write(0, Some(at(40 * MS)));
+        harness.end_attempt(at(39 * MS), attempt, AttemptResult::Ok);
+        assert_eq!(harness.core.held_bytes(), 5);
+        if is_expiry_processed {
+            harness.run_deadlines_until(at(40 * MS));
         } // else the answer is asked for before the deadline is looked at
-        assert_eq!(bench.take(at(40 * MS), request), Some(FinalAnswer::Denied));
-        assert_eq!(bench.core.held_bytes(), 0, "its bytes are let go");
+        assert_eq!(harness.take_answer(at(40 * MS), request), Some(FinalAnswer::Denied));
+        assert_eq!(harness.core.held_bytes(), 0, "its bytes are let go");
     }
 }
 
 #[test]
-fn what_was_queued_does_not_go_out_against_a_drain() {
+fn queued_attempt_is_not_written_to_a_draining_server() {
     for drained in [PARENT, CACHES[0], CACHES[1]] {
-        let mut bench = Bench::new();
-        bench.ask(Instant::ZERO, 0, None);
-        let (_, attempts) = bench.commands();
+        let mut harness = Harness::new();
+        harness.submit(Instant::ZERO, 0, None);
+        let (_, attempts) = harness.commands();
         let zone = if drained == PARENT { (1, 1) } else { (0, 0) };
-        let entry = member(drained, zone.0, zone.1, ServerState::Draining);
-        bench.core.update_endpoints(at(MS), ListUpdate::Delta, vec![entry], &mut bench.due);
-        let order = bench.core.write_attempt(at(2 * MS), attempts[0], &mut bench.due);
-        let (words, next) = bench.commands();
-        match order {
-            Some(order) => assert_ne!(order.fill_source, Some(drained)),
+        let entry = endpoint(drained, zone.0, zone.1, ServerState::Draining);
+        harness.core.update_endpoints(at(MS), ListUpdate::Delta, vec![entry], &mut harness.deadlines);
+        let outgoing = harness.core.write_attempt(at(2 * MS), attempts[0], &mut harness.deadlines);
+        let (words, next) = harness.commands();
+        match outgoing {
+            Some(outgoing) => assert_ne!(outgoing.fill_source, Some(drained)),
             None => {
                 assert_eq!(words, ["send"], "it is placed anew");
-                assert!(bench.core.write_attempt(at(2 * MS), next[0], &mut bench.due).is_some());
+                assert!(harness.core.write_attempt(at(2 * MS), next[0], &mut harness.deadlines).is_some());
             }
         }
     }
 }
 
 #[test]
-fn what_was_queued_asks_for_a_copy_newer_than_a_purge_that_came_since() {
+fn queued_attempt_asks_for_a_copy_newer_than_a_purge() {
     for (what, limit) in [
         (Purge::Object(ObjectId(7)), 6 * MS),
         (Purge::Group(GroupId(3)), 6 * MS),
         (Purge::Object(ObjectId(8)), Span::ZERO),
     ] {
-        let mut bench = Bench::new();
-        bench.ask(Instant::ZERO, 0, None);
-        let (_, attempts) = bench.commands();
-        bench.core.purge(at(2 * MS), what, at(-MS), &mut bench.due);
-        let order = bench.core.write_attempt(at(5 * MS), attempts[0], &mut bench.due).expect("an order");
-        assert_eq!(order.max_age, limit, "{what:?}");
+        let mut harness = Harness::new();
+        harness.submit(Instant::ZERO, 0, None);
+        let (_, attempts) = harness.commands();
+        harness.core.purge(at(2 * MS), what, at(-MS), &mut harness.deadlines);
+        let outgoing =
+            harness.core.write_attempt(at(5 * MS), attempts[0], &mut harness.deadlines).expect("an order");
+        assert_eq!(outgoing.max_age, limit, "{what:?}");
     }
 }
 
 /// A process that is about to be ended by force would leave what is open without an answer.
 #[test]
-fn when_its_time_is_ended_every_open_request_has_its_answer() {
-    let mut bench = Bench::new();
-    let (read, _) = bench.launched(0, None);
-    let write = bench.ask(Instant::ZERO, 1, None);
-    bench.core.time_out_all(at(100 * MS), &mut bench.due);
-    let (words, _) = bench.commands();
+fn time_out_all_answers_every_open_request() {
+    let mut harness = Harness::new();
+    let (read, _) = harness.submit_and_write(0, None);
+    let write = harness.submit(Instant::ZERO, 1, None);
+    harness.core.time_out_all(at(100 * MS), &mut harness.deadlines);
+    let (words, _) = harness.commands();
     assert_eq!(words.iter().filter(|word| **word == "answer").count(), 2, "{words:?}");
     for request in [read, write] {
         assert!(matches!(
-            bench.take(at(100 * MS), request),
+            harness.take_answer(at(100 * MS), request),
             Some(FinalAnswer::Failed { .. } | FinalAnswer::Rejected { .. })
         ));
     }
-    assert_eq!(bench.core.unanswered(), 0);
+    assert_eq!(harness.core.unanswered(), 0);
 }
 
 /// A repeat that was decided on in time may wait for a connection past the window that its class allows.
 #[test]
-fn a_keyed_repeat_is_written_within_its_window_only() {
-    for (dialled, written) in [(SECOND - MICROSECOND, true), (SECOND, false)] {
-        let mut bench = Bench::new();
-        let (request, first) = bench.launched(2, None);
-        bench.end(at(100 * MS), first, AttemptResult::Reset);
-        let (words, repeats) = bench.commands();
+fn keyed_repeat_is_written_only_within_the_dedup_window() {
+    for (connected_after, written) in [(SECOND - MICROSECOND, true), (SECOND, false)] {
+        let mut harness = Harness::new();
+        let (request, first) = harness.submit_and_write(2, None);
+        harness.end_attempt(at(100 * MS), first, AttemptResult::Reset);
+        let (words, repeats) = harness.commands();
         assert_eq!(words, ["send"], "it is repeated");
-        let order = bench.core.write_attempt(at(dialled), repeats[0], &mut bench.due);
-        assert_eq!(order.is_some(), written, "its connection comes up after {} us", dialled.as_micros());
+        let outgoing = harness.core.write_attempt(at(connected_after), repeats[0], &mut harness.deadlines);
+        assert_eq!(
+            outgoing.is_some(),
+            written,
+            "its connection comes up after {} us",
+            connected_after.as_micros()
+        );
         if !written {
-            assert_eq!(bench.commands().0, ["answer"]);
+            assert_eq!(harness.commands().0, ["answer"]);
             assert!(
-                matches!(bench.take(at(dialled), request), Some(FinalAnswer::Rejected { .. })),
+                matches!(
+                    harness.take_answer(at(connected_after), request),
+                    Some(FinalAnswer::Rejected { .. })
+                ),
                 "all share what they know"
             );
         }
@@ -395,114 +411,116 @@
 
 /// The window counts from the send of what may have run: a refusal proves that nothing did.
 #[test]
-fn what_never_ran_opens_no_window() {
-    let mut bench = Bench::new();
-    let (_, first) = bench.launched(2, None);
-    bench.end(at(100 * MS), first, AttemptResult::Rejected);
-    let (_, repeats) = bench.commands();
-    assert!(bench.core.write_attempt(at(2 * SECOND), repeats[0], &mut bench.due).is_some());
+fn attempt_that_never_ran_starts_no_dedup_window() {
+    let mut harness = Harness::new();
+    let (_, first) = harness.submit_and_write(2, None);
+    harness.end_attempt(at(100 * MS), first, AttemptResult::Rejected);
+    let (_, repeats) = harness.commands();
+    assert!(harness.core.write_attempt(at(2 * SECOND), repeats[0], &mut harness.deadlines).is_some());
 }
 
 /// A write whose connection does not come up is tried elsewhere once it is called off: it never ran.
 #[test]
-fn a_write_called_off_before_it_left_may_go_elsewhere() {
-    for leaves in [false, true] {
-        let mut bench = Bench::new();
-        let request = bench.ask(Instant::ZERO, 1, None);
-        let (_, attempts) = bench.commands();
-        if leaves {
-            bench.core.write_attempt(Instant::ZERO, attempts[0], &mut bench.due);
+fn cancelled_unwritten_write_is_sent_elsewhere() {
+    for is_written in [false, true] {
+        let mut harness = Harness::new();
+        let request = harness.submit(Instant::ZERO, 1, None);
+        let (_, attempts) = harness.commands();
+        if is_written {
+            harness.core.write_attempt(Instant::ZERO, attempts[0], &mut harness.deadlines);
         }
         let cancel = Action::Cancel { request: RequestId(request.number()), attempt: 0 };
-        bench.core.carry_out(at(200 * MS), cancel, &mut bench.due);
-        bench.core.run_router(at(200 * MS), &mut bench.due);
-        let (words, _) = bench.commands();
-        assert_eq!(words, ["drop", if leaves { "answer" } else { "send" }], "leaves {leaves}");
+        harness.core.carry_out(at(200 * MS), cancel, &mut harness.deadlines);
+        harness.core.run_router(at(200 * MS), &mut harness.deadlines);
+        let (words, _) = harness.commands();
+        assert_eq!(words, ["drop", if is_written { "answer" } else { "send" }], "is_written {is_written}");
     }
 }
 
 /// A retry or a hedge that waits for a connection when its client leaves must not begin any more.
 #[test]
-fn nothing_that_waits_for_a_client_that_left_is_written() {
+fn queued_attempts_of_a_cancelled_request_are_not_written() {
     for hedged in [false, true] {
-        let mut bench = Bench::new();
-        let (request, first) = bench.launched(0, None);
+        let mut harness = Harness::new();
+        let (request, first) = harness.submit_and_write(0, None);
         if hedged {
-            bench.hedge(at(9 * MS), request);
+            harness.start_hedge(at(9 * MS), request);
         } else {
-            bench.end(at(9 * MS), first, AttemptResult::Error);
+            harness.end_attempt(at(9 * MS), first, AttemptResult::Error);
         }
-        let (_, next) = bench.commands();
+        let (_, next) = harness.commands();
         assert_eq!(next.len(), 1, "hedged {hedged}");
-        bench.core.cancel(at(10 * MS), request, &mut bench.due);
-        assert!(bench.core.write_attempt(at(11 * MS), next[0], &mut bench.due).is_none());
-        bench.pass(at(10 * SECOND));
-        assert!(!bench.commands().0.contains(&"send"), "nor is anything tried for it later");
+        harness.core.cancel(at(10 * MS), request, &mut harness.deadlines);
+        assert!(harness.core.write_attempt(at(11 * MS), next[0], &mut harness.deadlines).is_none());
+        harness.run_deadlines_until(at(10 * SECOND));
+        assert!(!harness.commands().0.contains(&"send"), "nor is anything tried for it later");
     }
 }
 
 /// What a server is told of the time left counts at the writing, however long the attempt waited for it.
 #[test]
-fn the_limit_of_an_attempt_is_what_is_left_as_it_is_written() {
+fn attempt_timeout_is_the_time_left_when_written() {
     for retried in [false, true] {
-        let mut bench = Bench::new();
-        bench.ask(Instant::ZERO, 0, None);
-        let (_, mut attempts) = bench.commands();
+        let mut harness = Harness::new();
+        harness.submit(Instant::ZERO, 0, None);
+        let (_, mut attempts) = harness.commands();
         if retried {
-            bench.core.write_attempt(Instant::ZERO, attempts[0], &mut bench.due);
-            bench.end(at(9 * MS), attempts[0], AttemptResult::Error);
-            attempts = bench.commands().1;
+            harness.core.write_attempt(Instant::ZERO, attempts[0], &mut harness.deadlines);
+            harness.end_attempt(at(9 * MS), attempts[0], AttemptResult::Error);
+            attempts = harness.commands().1;
         }
-        let deadline = bench.core.attempts.get(attempts[0]).expect("it waits").deadline;
-        let order =
-            bench.core.write_attempt(deadline - 7 * MS, attempts[0], &mut bench.due).expect("an order");
-        assert_eq!(order.timeout, 7 * MS, "retried {retried}");
+        let deadline = harness.core.attempts.get(attempts[0]).expect("it waits").deadline;
+        let outgoing = harness
+            .core
+            .write_attempt(deadline - 7 * MS, attempts[0], &mut harness.deadlines)
+            .expect("an order");
+        assert_eq!(outgoing.timeout, 7 * MS, "retried {retried}");
         assert!(deadline <= at(3 * SECOND));
     }
 }
 
 /// The first attempt may end while the next one is still being dialled.
 #[test]
-fn an_outcome_that_comes_while_the_next_attempt_is_dialled_counts() {
-    let mut bench = Bench::new();
-    let (request, first) = bench.launched(0, None);
-    bench.hedge(at(9 * MS), request);
-    let (_, next) = bench.commands();
-    bench.end(at(10 * MS), first, AttemptResult::Ok);
-    assert!(bench.commands().0.contains(&"answer"), "at once");
+fn outcome_counts_while_the_next_attempt_is_queued() {
+    let mut harness = Harness::new();
+    let (request, first) = harness.submit_and_write(0, None);
+    harness.start_hedge(at(9 * MS), request);
+    let (_, next) = harness.commands();
+    harness.end_attempt(at(10 * MS), first, AttemptResult::Ok);
+    assert!(harness.commands().0.contains(&"answer"), "at once");
     assert!(
-        bench.core.write_attempt(at(11 * MS), next[0], &mut bench.due).is_none(),
+        harness.core.write_attempt(at(11 * MS), next[0], &mut harness.deadlines).is_none(),
         "nothing more is written"
     );
-    assert!(matches!(bench.take(at(12 * MS), request), Some(FinalAnswer::Served(_))));
-
-    let mut bench = Bench::new();
-    let (request, first) = bench.launched(0, None);
-    bench.hedge(at(9 * MS), request);
-    let (_, next) = bench.commands();
-    bench.end(at(10 * MS), first, AttemptResult::Error);
-    assert!(!bench.core.is_answered(request));
+    assert!(matches!(harness.take_answer(at(12 * MS), request), Some(FinalAnswer::Served(_))));
+
+    let mut harness = Harness::new();
+    let (request, first) = harness.submit_and_write(0, None);
+    harness.start_hedge(at(9 * MS), request);
+    let (_, next) = harness.commands();
+    harness.end_attempt(at(10 * MS), first, AttemptResult::Error);
+    assert!(!harness.core.is_answered(request));
     assert!(
-        bench.core.write_attempt(at(11 * MS), next[0], &mut bench.due).is_some(),
+        harness.core.write_attempt(at(11 * MS), next[0], &mut harness.deadlines).is_some(),
         "the other one goes on"
     );
-    bench.end(at(20 * MS), next[0], AttemptResult::Ok);
-    assert!(matches!(bench.take(at(21 * MS), request), Some(FinalAnswer::Served(_))));
+    harness.end_attempt(at(20 * MS), next[0], AttemptResult::Ok);
+    assert!(matches!(harness.take_answer(at(21 * MS), request), Some(FinalAnswer::Served(_))));
 }
 
 /// A connection may take no byte of what is worded for it: a write has not run then, and may be worded anew.
 #[test]
-fn what_was_launched_and_did_not_leave_has_not_run() {
+fn attempt_not_written_counts_as_not_run() {
     for written in [false, true] {
-        let mut bench = Bench::new();
-        let (request, attempt) = bench.launched(1, None);
-        bench.core.attempt_not_written(attempt);
+        let mut harness = Harness::new();
+        let (request, attempt) = harness.submit_and_write(1, None);
+        harness.core.attempt_not_written(attempt);
         if written {
-            let order = bench.core.write_attempt(at(500 * MS), attempt, &mut bench.due);
-            assert_eq!(order.map(|order| order.timeout), Some(2500 * MS));
+            let outgoing = harness.core.write_attempt(at(500 * MS), attempt, &mut harness.deadlines);
+            assert_eq!(outgoing.map(|outgoing| outgoing.timeout), Some(2500 * MS));
         }
-        bench.pass(at(3 * SECOND));
-        let answer = bench.take(at(3 * SECOND), request);
+        harness.run_deadlines_until(at(3 * SECOND));
+        let answer = harness.take_answer(at(3 * SECOND), request);
         match written {
             true => assert_eq!(answer, Some(FinalAnswer::Failed { timed_out: true })),
             false => {
@@ -514,20 +532,20 @@
 
 /// The module's silence is no reason to leave a request without its answer, whatever else goes on.
 #[test]
-fn requests_beside_a_flood_of_others_that_leave_keep_their_answers() {
-    let mut bench = Bench::new();
-    let (request, attempt) = bench.launched(0, None);
+fn cancelled_requests_do_not_cost_others_their_answer() {
+    let mut harness = Harness::new();
+    let (request, attempt) = harness.submit_and_write(0, None);
     for n in 0..200 {
         let now = Instant::from_micros(n);
-        let other = bench.ask(now, 0, None);
-        bench.core.cancel(now, other, &mut bench.due);
+        let other = harness.submit(now, 0, None);
+        harness.core.cancel(now, other, &mut harness.deadlines);
     }
-    let gone = CACHES.map(|cache| member(cache, 0, 0, ServerState::Removed)).to_vec();
-    bench.core.update_endpoints(at(MS), ListUpdate::Delta, gone, &mut bench.due);
-    bench.end(at(2 * MS), attempt, AttemptResult::Reset);
-    assert!(bench.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
+    let removed = CACHES.map(|cache| endpoint(cache, 0, 0, ServerState::Removed)).to_vec();
+    harness.core.update_endpoints(at(MS), ListUpdate::Delta, removed, &mut harness.deadlines);
+    harness.end_attempt(at(2 * MS), attempt, AttemptResult::Reset);
+    assert!(harness.commands().0.contains(&"answer"), "at once, as nothing is left to be asked");
     assert!(matches!(
-        bench.take(at(2 * MS), request),
+        harness.take_answer(at(2 * MS), request),
         Some(FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. })
     ));
 }
--- a/src/expect/answered.rs
+++ b/src/expect/answered.rs
@@ -8,7 +8,7 @@
 use super::rules::{Attempt, RuleChecker, Violation};
 use super::site::Site;
 use super::verdict::{Broken, Choices};
-use crate::config::located::{Located, Place};
+use crate::config::hcl_document::{Located, Position};
 use crate::interface::{ObjectId, ServerId};
 use crate::SettingsError;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     pub(super) decisions: usize,
     pub(super) choices: Choices,
     /// The rules that were broken, by their place in the file.
-    pub(super) broken: BTreeMap<Place, Broken>,
+    pub(super) broken: BTreeMap<Position, Broken>,
 }
 
 /// The requests of a question's explorations.
--- a/src/expect/expectation.rs
+++ b/src/expect/expectation.rs
@@ -1,7 +1,7 @@
 //! Expectations, the scenarios they hold under, and the rules they are made of.
 
 use super::selector::Selector;
-use crate::config::located::{Located, Place};
+use crate::config::hcl_document::{Located, Position};
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
 
 /// The maximum of seeds.
@@ -41,7 +41,7 @@
     /// Its name.
     pub name: String,
     /// Where it begins.
-    pub at: Place,
+    pub at: Position,
     /// The points whose requests it is about.
     pub points: Vec<ZoneId>,
     /// The classes it is about.
--- a/src/expect/judge.rs
+++ b/src/expect/judge.rs
@@ -5,7 +5,7 @@
 use super::question::{questions, Asker, Question};
 use super::site::Site;
 use super::verdict::{Broken, Choices, Extent, Verdict};
-use crate::config::located::Located;
+use crate::config::hcl_document::Located;
 use crate::SettingsError;
 use rayon::prelude::*;
 
--- a/src/expect/language.rs
+++ b/src/expect/language.rs
@@ -6,7 +6,7 @@
 use super::expectation::{Breadth, Expectation, Scenario, Suite, MAX_SEEDS};
 use super::selector::Selector;
 use super::site::Site;
-use crate::config::located::{Doc, DocError, Located, Place, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
 use crate::interface::{ClassId, ZoneId};
 use hcl_edit::structure::{Block, Body};
 
@@ -20,8 +20,8 @@
 ///
 /// Text that is not HCL, or every block that cannot be used: unknown keys, values out of range, and points, classes
 /// and servers that the site does not have. Each error names its line and column.
-pub fn parse(doc: Doc<'_>, site: &Site) -> Result<Suite, Vec<DocError>> {
-    let body = doc.body().map_err(|error| vec![error])?;
+pub fn parse(doc: HclDocument<'_>, site: &Site) -> Result<Suite, Vec<HclError>> {
+    let body = doc.parse().map_err(|error| vec![error])?;
     let mut parser = SuiteParser { doc, site, expectations: Vec::new(), errors: Vec::new() };
     let breadth = parser.parse(&body);
     parser.finish(breadth)
@@ -29,10 +29,10 @@
 
 /// Reads a file, and collects what is wrong with it.
 struct SuiteParser<'a> {
-    doc: Doc<'a>,
+    doc: HclDocument<'a>,
     site: &'a Site,
     expectations: Vec<Expectation>,
-    errors: Vec<DocError>,
+    errors: Vec<HclError>,
 }
 
 impl<'a> SuiteParser<'a> {
@@ -60,10 +60,10 @@
         self.expectations.push(expectation);
     }
 
-    fn finish(self, breadth: Breadth) -> Result<Suite, Vec<DocError>> {
+    fn finish(self, breadth: Breadth) -> Result<Suite, Vec<HclError>> {
         let SuiteParser { doc, expectations, mut errors, .. } = self;
         if expectations.is_empty() && errors.is_empty() {
-            errors.push(doc.error(Place { line: 1, column: 1 }, "no expect block"));
+            errors.push(doc.error(Position { line: 1, column: 1 }, "no expect block"));
         }
         if errors.is_empty() {
             return Ok(Suite { breadth, expectations });
@@ -73,14 +73,14 @@
     }
 }
 
-fn read_breadth(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Breadth, DocError> {
+fn read_breadth(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Breadth, HclError> {
     let default = Breadth::default();
     let Some(block) = reader.block("explore")? else { return Ok(default) };
     let mut reader = doc.reader(&block.body);
-    let seed = reader.whole("seed", 0, u64::MAX)?;
-    let seeds = reader.whole("seeds", 1, MAX_SEEDS)?;
-    let objects = reader.whole("objects", 1, MAX_OBJECTS)?;
-    let repeats = reader.whole("repeats", MIN_REPEATS, MAX_REPEATS)?;
+    let seed = reader.integer("seed", 0, u64::MAX)?;
+    let seeds = reader.integer("seeds", 1, MAX_SEEDS)?;
+    let objects = reader.integer("objects", 1, MAX_OBJECTS)?;
+    let repeats = reader.integer("repeats", MIN_REPEATS, MAX_REPEATS)?;
     reader.finish()?;
     Ok(Breadth {
         seed: seed.map_or(default.seed, |seed| seed.value),
@@ -90,8 +90,8 @@
     })
 }
 
-fn read_expectation(doc: Doc<'_>, block: &Block, site: &Site) -> Result<Expectation, DocError> {
-    let at = doc.place(block);
+fn read_expectation(doc: HclDocument<'_>, block: &Block, site: &Site) -> Result<Expectation, HclError> {
+    let at = doc.position(block);
     let [label] = &block.labels[..] else {
         return Err(doc.error(at, "an expectation has one name: expect \"NAME\" { ... }"));
     };
@@ -99,8 +99,8 @@
     let mut reader = doc.reader(&block.body);
     let points = read_points(doc, &mut reader, site)?;
     let classes = read_classes(doc, &mut reader, site)?;
-    let objects = reader.objects("objects")?;
-    let popular = reader.flag("popular")?.is_some_and(|flag| flag.value);
+    let objects = reader.object_ids("objects")?;
+    let popular = reader.boolean("popular")?.is_some_and(|flag| flag.value);
     let scenarios = match reader.block("when")? {
         Some(when) => scenarios::read(doc, when, site)?,
         None => vec![Scenario::default()],
@@ -114,7 +114,11 @@
 }
 
 /// The points that the block names; all, if it names none.
-fn read_points(doc: Doc<'_>, reader: &mut Reader<'_>, site: &Site) -> Result<Vec<ZoneId>, DocError> {
+fn read_points(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+    site: &Site,
+) -> Result<Vec<ZoneId>, HclError> {
     let names = reader.strings("from_point")?;
     if names.is_empty() {
         return Ok(site.points());
@@ -122,7 +126,7 @@
     names.iter().map(|name| read_point(doc, name, site)).collect()
 }
 
-fn read_point(doc: Doc<'_>, name: &Located<String>, site: &Site) -> Result<ZoneId, DocError> {
+fn read_point(doc: HclDocument<'_>, name: &Located<String>, site: &Site) -> Result<ZoneId, HclError> {
     let zone = site.zone(&name.value).map_err(|error| doc.error(name.at, error.to_string()))?;
     if site.points().contains(&zone) {
         return Ok(zone);
@@ -131,7 +135,11 @@
 }
 
 /// The classes that the block names; all, if it names none.
-fn read_classes(doc: Doc<'_>, reader: &mut Reader<'_>, site: &Site) -> Result<Vec<ClassId>, DocError> {
+fn read_classes(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+    site: &Site,
+) -> Result<Vec<ClassId>, HclError> {
     let names = reader.strings("class")?;
     if names.is_empty() {
         return Ok((0..site.classes.len()).map(|class| ClassId(class as u16)).collect());
@@ -145,11 +153,11 @@
 
 /// The selectors of servers that a key names.
 fn read_selectors(
-    doc: Doc<'_>,
-    reader: &mut Reader<'_>,
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
     site: &Site,
     key: &str,
-) -> Result<Vec<Selector>, DocError> {
+) -> Result<Vec<Selector>, HclError> {
     let selector = |text: &Located<String>| {
         let selector = site.selector(&text.value);
         selector.map_err(|error| doc.error(text.at, error.to_string()))
--- a/src/expect/language/rules.rs
+++ b/src/expect/language/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of an `expect` block.
 
 use super::read_selectors;
-use crate::config::located::{Doc, DocError, Located, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located};
 use crate::expect::expectation::{Answer, Rule};
 use crate::expect::selector::Selector;
 use crate::expect::site::Site;
@@ -41,19 +41,19 @@
 
 /// Reads all rules, in the file's order.
 pub(super) fn read(
-    doc: Doc<'_>,
-    reader: &mut Reader<'_>,
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
     site: &Site,
-) -> Result<Vec<Located<Rule>>, DocError> {
+) -> Result<Vec<Located<Rule>>, HclError> {
     let mut rules = Vec::new();
     for (key, rule) in SERVER_RULES {
-        if let Some(at) = reader.place_of(key) {
+        if let Some(at) = reader.position_of(key) {
             let value = rule(read_selectors(doc, reader, site, key)?);
             rules.push(Located { value, at });
         }
     }
     for CountRule { key, min, max, rule } in COUNT_RULES {
-        let count = reader.whole(key, min, max)?;
+        let count = reader.integer(key, min, max)?;
         rules.extend(count.map(|count| Located { value: rule(count.value), at: count.at }));
     }
     for (key, rule) in SHARE_RULES {
@@ -66,7 +66,10 @@
     Ok(rules)
 }
 
-fn read_answer(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Option<Located<Rule>>, DocError> {
+fn read_answer(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+) -> Result<Option<Located<Rule>>, HclError> {
     let Some(word) = reader.string("answer")? else { return Ok(None) };
     let mut answers = [Answer::Served, Answer::Rejected, Answer::Failed].into_iter();
     let answer = answers.find(|answer| answer.word() == word.value);
@@ -74,8 +77,11 @@
     Ok(Some(Located { value: Rule::Answer(answer), at: word.at }))
 }
 
-fn read_acyclic(doc: Doc<'_>, reader: &mut Reader<'_>) -> Result<Option<Located<Rule>>, DocError> {
-    match reader.flag("acyclic")? {
+fn read_acyclic(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+) -> Result<Option<Located<Rule>>, HclError> {
+    match reader.boolean("acyclic")? {
         None => Ok(None),
         Some(flag) if flag.value => Ok(Some(Located { value: Rule::Acyclic, at: flag.at })),
         Some(flag) => Err(doc.error(flag.at, "acyclic can only be true")),
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -2,7 +2,7 @@
 //! `each_...`.
 
 use super::read_selectors;
-use crate::config::located::{Doc, DocError, NamedNumber, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, NamedNumber};
 use crate::expect::expectation::{Reweighting, Scenario};
 use crate::expect::selector::Selector;
 use crate::expect::site::Site;
@@ -30,7 +30,7 @@
 ];
 
 /// Reads the block's scenarios.
-pub(super) fn read(doc: Doc<'_>, block: &Block, site: &Site) -> Result<Vec<Scenario>, DocError> {
+pub(super) fn read(doc: HclDocument<'_>, block: &Block, site: &Site) -> Result<Vec<Scenario>, HclError> {
     let mut scenarios = ScenarioReader {
         doc,
         site,
@@ -46,16 +46,16 @@
         return Ok(each);
     }
     if base.is_calm() {
-        return Err(doc.error(doc.place(block), "in this when block nothing happens"));
+        return Err(doc.error(doc.position(block), "in this when block nothing happens"));
     }
     Ok(vec![Scenario { label: label(&words, None, base.late), ..base }])
 }
 
 /// Reads one block.
 struct ScenarioReader<'a> {
-    doc: Doc<'a>,
+    doc: HclDocument<'a>,
     site: &'a Site,
-    reader: Reader<'a>,
+    reader: BlockReader<'a>,
     /// What happens in each scenario.
     base: Scenario,
     /// The same in words.
@@ -63,19 +63,19 @@
 }
 
 impl ScenarioReader<'_> {
-    fn read_changes(&mut self) -> Result<(), DocError> {
+    fn read_changes(&mut self) -> Result<(), HclError> {
         self.base.drained = self.read_servers("drained")?;
         self.base.removed = self.read_servers("removed")?;
         self.base.down = self.read_servers("down")?;
         self.base.cold = self.read_servers("cold")?;
         self.read_down_zones()?;
         self.read_reweighted()?;
-        self.base.late = self.reader.flag("late")?.is_some_and(|flag| flag.value);
+        self.base.late = self.reader.boolean("late")?.is_some_and(|flag| flag.value);
         Ok(())
     }
 
-    fn read_servers(&mut self, key: &str) -> Result<Vec<ServerId>, DocError> {
-        let Some(at) = self.reader.place_of(key) else { return Ok(Vec::new()) };
+    fn read_servers(&mut self, key: &str) -> Result<Vec<ServerId>, HclError> {
+        let Some(at) = self.reader.position_of(key) else { return Ok(Vec::new()) };
         let selectors = read_selectors(self.doc, &mut self.reader, self.site, key)?;
         if selectors.iter().any(Selector::depends_on_point) {
             let text = "own-cache and own-hub depend on the point: name the zone";
@@ -87,7 +87,7 @@
         Ok(servers)
     }
 
-    fn read_down_zones(&mut self) -> Result<(), DocError> {
+    fn read_down_zones(&mut self) -> Result<(), HclError> {
         for name in self.reader.strings("down_zone")? {
             let zone =
                 self.site.zone(&name.value).map_err(|error| self.doc.error(name.at, error.to_string()))?;
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    fn read_reweighted(&mut self) -> Result<(), DocError> {
-        for NamedNumber { name, number: weight } in self.reader.numbers("reweighted")? {
+    fn read_reweighted(&mut self) -> Result<(), HclError> {
+        for NamedNumber { name, number: weight } in self.reader.named_numbers("reweighted")? {
             let selector = self
                 .site
                 .selector(&name.value)
@@ -115,7 +115,7 @@
     }
 
     /// One scenario for each server of an `each_...` key.
-    fn read_each(&mut self) -> Result<Vec<Scenario>, DocError> {
+    fn read_each(&mut self) -> Result<Vec<Scenario>, HclError> {
         let mut scenarios = Vec::new();
         for EachKey { key, change, list } in EACH_KEYS {
             for selector in read_selectors(self.doc, &mut self.reader, self.site, key)? {
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -31,8 +31,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::config::located::{Doc, DocError};
-use crate::config::{read_text, Config, ConfigError};
+use crate::config::hcl_document::{HclDocument, HclError};
+use crate::config::{read_text_file, Config, ConfigError};
 use expectation::{Breadth, Suite, MAX_SEEDS};
 use judge::judge;
 use language::parse;
@@ -49,7 +49,7 @@
     Config(#[from] ConfigError),
     /// The expectations cannot be used; each error is a line of its own.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-    Expectations(Vec<DocError>),
+    Expectations(Vec<HclError>),
     /// No router starts with these settings at some point.
     #[error("settings: {0}")]
     Settings(#[from] crate::SettingsError),
@@ -76,9 +76,9 @@
 /// Files that cannot be read or used. An expectation that does not hold is no error but a verdict.
 pub fn check(config: &Path, expectations: &Path, overrides: &Overrides) -> Result<Report, ExpectError> {
     let site = Site::of(&Config::read(config)?);
-    let text = read_text(expectations)?;
+    let text = read_text_file(expectations)?;
     let file = expectations.display().to_string();
-    let suite = parse(Doc { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
+    let suite = parse(HclDocument { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
     Ok(check_site(&site, &overridden(suite, overrides)?, &file)?)
 }
 
--- a/src/expect/names.rs
+++ b/src/expect/names.rs
@@ -1,6 +1,6 @@
 //! Names of an expectation that the site must have.
 
-use crate::config::located::unknown;
+use crate::config::hcl_document::unknown_name;
 
 /// Why a name or a selector of an expectation cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,6 +19,6 @@
 /// The index of a name in a list; `what` is the kind of name for the error.
 pub(super) fn index_of(what: &str, name: &str, known: &[String]) -> Result<u16, NameError> {
     let index = known.iter().position(|known| known == name);
-    let unknown = || NameError::Unknown(unknown(what, name, known.iter().map(String::as_str)));
+    let unknown = || NameError::Unknown(unknown_name(what, name, known.iter().map(String::as_str)));
     index.map(|index| index as u16).ok_or_else(unknown)
 }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -2,7 +2,7 @@
 
 use super::names::{index_of, NameError};
 use crate::config::events::{FeedBatch, FeedServer, Health};
-use crate::config::located::unknown;
+use crate::config::hcl_document::unknown_name;
 use crate::config::settings::ProgramSettings;
 use crate::config::Config;
 use crate::interface::{ClassId, Endpoint, Instant, ServerId, ServerState, Settings, Span, ZoneId};
@@ -53,7 +53,7 @@
         };
         let zones = site.settings.topology.routers_by_zone.len().max(site.zones.len());
         site.zones.extend((site.zones.len()..zones).map(|zone| zone.to_string()));
-        site.apply(&config.known, &parsed.program);
+        site.apply(&config.initial_events, &parsed.program);
         site
     }
 
@@ -110,7 +110,7 @@
     /// Notes a name that the settings lack; `number` is its place in their list.
     fn check_name(&mut self, what: &str, host: &FeedServer, name: &str, number: u16, known: &[String]) {
         if usize::from(number) >= known.len() {
-            let text = unknown(what, name, known.iter().map(String::as_str));
+            let text = unknown_name(what, name, known.iter().map(String::as_str));
             self.contradictions.push(format!("{}: {text}", host.host));
         }
     }
@@ -207,6 +207,6 @@
             return Ok(*server);
         }
         let names = self.servers.keys().map(|server| self.name(*server));
-        Err(NameError::Unknown(unknown("server", name, names)))
+        Err(NameError::Unknown(unknown_name("server", name, names)))
     }
 }
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -3,7 +3,7 @@
 use super::lint::Finding;
 use super::verdict::{Choices, Verdict};
 use super::*;
-use crate::config::located::Place;
+use crate::config::hcl_document::Position;
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
 use crate::standin::site::{config, Shape};
 use serde_json::Value;
@@ -18,7 +18,7 @@
 }
 
 fn check_text(site: &Site, text: &str) -> Result<Report, String> {
-    let suite = parse(Doc { file: "e.hcl", text }, site);
+    let suite = parse(HclDocument { file: "e.hcl", text }, site);
     let suite = suite.map_err(|errors| ExpectError::Expectations(errors).to_string())?;
     Ok(check_site(site, &suite, "e.hcl").expect("a router starts"))
 }
@@ -53,7 +53,7 @@
     assert!(one(&site, &format!("expect \"e\" {{\n {body}\n}}")).passed);
     let verdict = one(&site, &format!("expect \"e\" {{\n {body}\n when {{ each_drained = \"cache\" }}\n}}"));
     let [broken] = &verdict.broken[..] else { panic!("{verdict:?}") };
-    let at = Place { line: 5, column: 12 };
+    let at = Position { line: 5, column: 12 };
     assert_eq!((broken.rule, broken.at, broken.server.as_deref()), ("goes_to", at, Some(next.as_str())));
     let start = format!(
         "piece 7f3a9c21e0b4d655 at point north, when drained {home}: it goes to {next} (cache:north)"
--- a/src/expect/verdict.rs
+++ b/src/expect/verdict.rs
@@ -1,6 +1,6 @@
 //! The results of expectations: the verdicts of a report.
 
-use crate::config::located::Place;
+use crate::config::hcl_document::Position;
 use serde::{Serialize, Serializer};
 
 /// The result of one expectation.
@@ -96,7 +96,7 @@
     pub rule: &'static str,
     /// Its place; serialized as an array of line and column.
     #[serde(serialize_with = "line_and_column")]
-    pub at: Place,
+    pub at: Position,
     /// One sentence: which object, class, point and server broke it, and how.
     pub reason: String,
     /// The class.
@@ -113,6 +113,6 @@
     pub seed: u64,
 }
 
-fn line_and_column<S: Serializer>(place: &Place, serializer: S) -> Result<S::Ok, S::Error> {
+fn line_and_column<S: Serializer>(place: &Position, serializer: S) -> Result<S::Ok, S::Error> {
     [place.line, place.column].serialize(serializer)
 }
--- a/src/federation/runtime/tests.rs
+++ b/src/federation/runtime/tests.rs
@@ -2,7 +2,7 @@
 
 use super::outage::{HaltReason, Outage, Recovery};
 use super::*;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::federation::node::founding_log;
 use crate::federation::store::faulty_disk::{FaultyDisk, EIO, ENOSPC};
 use crate::federation::store::{Damage, Owner};
@@ -55,7 +55,7 @@
     let text = "federation {\n cluster = \"c\"\n id = 1\n store = \"unused\"\n key_file = \"unused\"\n revision = 1\n \
                 listen = \"127.0.0.1:0\"\n tick_ms = 5\n lease_ms = 200\n guard_ms = 20\n compact_after = 8\n \
                 member \"1\" {\n  site = \"a\"\n  address = \"127.0.0.1:1\"\n  voter = true\n }\n}\n";
-    FederationSettings::parse(Doc { file: "f.hcl", text }).expect("usable").0
+    FederationSettings::parse(HclDocument { file: "f.hcl", text }).expect("usable").0
 }
 
 fn until(handle: &Handle, what: &str, wanted: impl Fn(&View) -> bool) -> Arc<View> {
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -23,7 +23,7 @@
 use super::node::Tuning;
 use super::state::{Roster, State, WantedMember};
 use super::MemberId;
-use crate::config::located::{Doc, DocError};
+use crate::config::hcl_document::{HclDocument, HclError};
 use crate::config::{self, ConfigError};
 use crate::interface::Span;
 use base64::prelude::{Engine, BASE64_URL_SAFE_NO_PAD};
@@ -80,10 +80,10 @@
     ///
     /// A file that cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let text = config::read(path)?;
+        let text = config::read_file(path)?;
         let text = String::from_utf8(text).map_err(|_| ConfigError::invalid(path, "not UTF-8"))?;
         let file = path.display().to_string();
-        let parsed = Self::parse(Doc { file: &file, text: &text });
+        let parsed = Self::parse(HclDocument { file: &file, text: &text });
         let (mut settings, key_file) =
             parsed.map_err(|error| ConfigError::invalid(path, format!("{}: {}", error.at, error.text)))?;
         let folder = path.parent().unwrap_or(Path::new("."));
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// The first error, with its place in the file.
-    pub fn parse(doc: Doc<'_>) -> Result<(Self, String), DocError> {
+    pub fn parse(doc: HclDocument<'_>) -> Result<(Self, String), HclError> {
         parse::parse(doc)
     }
 
@@ -137,7 +137,7 @@
 
 /// Reads the shared key: one line of base64url.
 fn read_key(path: &Path) -> Result<Key, ConfigError> {
-    let text = config::read(path)?;
+    let text = config::read_file(path)?;
     let text = String::from_utf8_lossy(&text);
     let bytes = BASE64_URL_SAFE_NO_PAD.decode(text.trim().trim_end_matches('='));
     let bytes = bytes.map_err(|_| ConfigError::invalid(path, "the key is no base64url"))?;
--- a/src/federation/settings/parse.rs
+++ b/src/federation/settings/parse.rs
@@ -1,7 +1,7 @@
 //! Reads the text of the operator's file, with the place of what is wrong with it.
 
 use super::{FederationSettings, ListedMember};
-use crate::config::located::{Doc, DocError, Located, Place, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
 use crate::federation::duties::LeaseTerms;
 use crate::federation::hello::Key;
 use crate::federation::node::Tuning;
@@ -22,21 +22,21 @@
 type Members = BTreeMap<MemberId, ListedMember>;
 
 /// Reads the settings, and the name of the key's file.
-pub(super) fn parse(doc: Doc<'_>) -> Result<(FederationSettings, String), DocError> {
-    let body = doc.body()?;
+pub(super) fn parse(doc: HclDocument<'_>) -> Result<(FederationSettings, String), HclError> {
+    let body = doc.parse()?;
     let mut reader = doc.reader(&body);
-    let start = Place { line: 1, column: 1 };
+    let start = Position { line: 1, column: 1 };
     let block = reader.block("federation")?.ok_or_else(|| doc.error(start, "no federation block"))?;
     reader.finish()?;
-    let at = doc.place(block);
+    let at = doc.position(block);
     let lacks = |key: &str| doc.error(at, format!("federation has no {key}"));
     let mut reader = doc.reader(&block.body);
     let cluster = reader.string("cluster")?.filter(|name| !name.value.is_empty());
     let cluster = cluster.ok_or_else(|| lacks("cluster"))?.value;
-    let id = reader.whole("id", 1, u64::MAX)?.ok_or_else(|| lacks("id"))?;
+    let id = reader.integer("id", 1, u64::MAX)?.ok_or_else(|| lacks("id"))?;
     let store = reader.string("store")?.ok_or_else(|| lacks("store"))?.value;
     let key_file = reader.string("key_file")?.ok_or_else(|| lacks("key_file"))?.value;
-    let revision = reader.whole("revision", 1, u64::MAX)?.ok_or_else(|| lacks("revision"))?.value;
+    let revision = reader.integer("revision", 1, u64::MAX)?.ok_or_else(|| lacks("revision"))?.value;
     let listen = reader.string("listen")?.map(|text| parse_address(&doc, &text)).transpose()?;
     let tick = milliseconds(&mut reader, "tick_ms", 50, 5, 10_000)?;
     let tuning = parse_tuning(&doc, at, &mut reader)?;
@@ -66,49 +66,63 @@
     Ok((settings, key_file))
 }
 
-fn whole(reader: &mut Reader<'_>, key: &str, usual: u64, least: u64, most: u64) -> Result<u64, DocError> {
-    Ok(reader.whole(key, least, most)?.map_or(usual, |number| number.value))
+fn whole(
+    reader: &mut BlockReader<'_>,
+    key: &str,
+    usual: u64,
+    least: u64,
+    most: u64,
+) -> Result<u64, HclError> {
+    Ok(reader.integer(key, least, most)?.map_or(usual, |number| number.value))
 }
 
 /// A time that is given in milliseconds.
 fn milliseconds(
-    reader: &mut Reader<'_>,
+    reader: &mut BlockReader<'_>,
     key: &str,
     usual: u64,
     least: u64,
     most: u64,
-) -> Result<Span, DocError> {
+) -> Result<Span, HclError> {
     Ok(Span::from_millis(whole(reader, key, usual, least, most)? as i64))
 }
 
-fn parse_address(doc: &Doc<'_>, text: &Located<String>) -> Result<SocketAddr, DocError> {
+fn parse_address(doc: &HclDocument<'_>, text: &Located<String>) -> Result<SocketAddr, HclError> {
     let wrong = |_| doc.error(text.at, format!("{:?} is no address, as 10.0.1.5:7400", text.value));
     text.value.parse().map_err(wrong)
 }
 
-fn parse_tuning(doc: &Doc<'_>, at: Place, reader: &mut Reader<'_>) -> Result<Tuning, DocError> {
+fn parse_tuning(
+    doc: &HclDocument<'_>,
+    at: Position,
+    reader: &mut BlockReader<'_>,
+) -> Result<Tuning, HclError> {
     let election_ticks = whole(reader, "election_ticks", 10, 3, 1000)? as usize;
     let heartbeat_ticks = whole(reader, "heartbeat_ticks", 2, 1, 1000)? as usize;
     let compact_after = whole(reader, "compact_after", 1000, 1, 1_000_000)?;
     if 2 * heartbeat_ticks > election_ticks {
-        let at = reader.place_of("heartbeat_ticks").or(reader.place_of("election_ticks")).unwrap_or(at);
+        let at = reader.position_of("heartbeat_ticks").or(reader.position_of("election_ticks")).unwrap_or(at);
         return Err(doc.error(at, "an election waits for two heartbeats at the least"));
     }
     Ok(Tuning { election_ticks, heartbeat_ticks, compact_after })
 }
 
-fn parse_terms(doc: &Doc<'_>, at: Place, reader: &mut Reader<'_>) -> Result<LeaseTerms, DocError> {
+fn parse_terms(
+    doc: &HclDocument<'_>,
+    at: Position,
+    reader: &mut BlockReader<'_>,
+) -> Result<LeaseTerms, HclError> {
     let span = milliseconds(reader, "lease_ms", 3000, 100, 600_000)?;
     let guard = milliseconds(reader, "guard_ms", 200, 0, 600_000)?;
     if 2 * guard >= span {
-        let at = reader.place_of("guard_ms").or(reader.place_of("lease_ms")).unwrap_or(at);
+        let at = reader.position_of("guard_ms").or(reader.position_of("lease_ms")).unwrap_or(at);
         return Err(doc.error(at, "guard_ms takes half of lease_ms or more"));
     }
     let drift = reader.number("drift", 0.0, 0.5)?.map_or(DEFAULT_DRIFT, |drift| drift.value);
     Ok(LeaseTerms { duration: span, guard, drift })
 }
 
-fn parse_members(doc: &Doc<'_>, reader: &mut Reader<'_>) -> Result<Members, DocError> {
+fn parse_members(doc: &HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Members, HclError> {
     let mut members = Members::new();
     let mut addresses = BTreeMap::new();
     for block in reader.blocks("member") {
@@ -117,15 +131,18 @@
             return Err(doc.error(address_at, format!("member {other} has this address, too")));
         }
         if members.insert(id, member).is_some() {
-            return Err(doc.error(doc.place(block), format!("a second member {id}")));
+            return Err(doc.error(doc.position(block), format!("a second member {id}")));
         }
     }
     Ok(members)
 }
 
 /// A member, with the place of its address.
-fn parse_member(doc: &Doc<'_>, block: &Block) -> Result<(MemberId, ListedMember, Place), DocError> {
-    let at = doc.place(block);
+fn parse_member(
+    doc: &HclDocument<'_>,
+    block: &Block,
+) -> Result<(MemberId, ListedMember, Position), HclError> {
+    let at = doc.position(block);
     let number = |label: &BlockLabel| label.as_str().parse().ok().map(MemberId).filter(|id| id.is_some());
     let numbers: Vec<Option<MemberId>> = block.labels.iter().map(number).collect();
     let [Some(id)] = numbers[..] else {
@@ -136,12 +153,12 @@
     let site = reader.string("site")?.ok_or_else(|| lacks("site"))?.value;
     let text = reader.string("address")?.ok_or_else(|| lacks("address"))?;
     let address = parse_address(doc, &text)?;
-    let voter = reader.flag("voter")?.is_some_and(|voter| voter.value);
+    let voter = reader.boolean("voter")?.is_some_and(|voter| voter.value);
     reader.finish()?;
     Ok((id, ListedMember { site, address, voter }, text.at))
 }
 
-fn check_counts(doc: &Doc<'_>, at: Place, members: &Members) -> Result<(), DocError> {
+fn check_counts(doc: &HclDocument<'_>, at: Position, members: &Members) -> Result<(), HclError> {
     let voters = members.values().filter(|member| member.voter).count();
     if !(1..=MAX_VOTERS).contains(&voters) {
         return Err(doc.error(at, format!("{voters} voters; 1 to {MAX_VOTERS} may vote")));
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -9,7 +9,7 @@
 use super::store::Owner;
 use super::wire::{decode, encode, Frame, WireError, MAX_HELLO, MAX_MESSAGE};
 use super::{LogIndex, MemberId, Term};
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::interface::Span;
 use bytes::BytesMut;
 use rand::{Rng, SeedableRng};
@@ -317,7 +317,7 @@
 fn the_file_is_read_with_places_and_the_deployed_one_holds_the_defaults() {
     let deployed = include_str!("../../deploy/federation.hcl");
     let read = |text: &str| {
-        FederationSettings::parse(Doc { file: "f.hcl", text }).map_err(|error| error.to_string())
+        FederationSettings::parse(HclDocument { file: "f.hcl", text }).map_err(|error| error.to_string())
     };
     let usual: String = deployed
         .lines()
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -1,6 +1,6 @@
 //! A control service of a made-up site, in this process.
 
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::config::{Config, ConfigError};
 use crate::control::clock::ServiceClock;
 use crate::control::service::{start_with_clock, ControlError, Running};
@@ -57,7 +57,7 @@
         site["known"] = self.known.unwrap_or_else(|| self.feed.known());
         let config = Config::parse(site.to_string().as_bytes())
             .map_err(|text| ConfigError::invalid(Path::new("made-up site"), text))?;
-        let settings = ControlSettings::parse(Doc { file: "control.hcl", text: self.control })?;
+        let settings = ControlSettings::parse(HclDocument { file: "control.hcl", text: self.control })?;
         let running = start_with_clock(&config, settings, self.clock).await?;
         Ok(StartedSite { running, hosts })
     }
--- a/src/server/active_config.rs
+++ b/src/server/active_config.rs
@@ -29,7 +29,7 @@
             files,
             name: config.name.clone(),
             listen: config.listen,
-            keys: config.keys.clone(),
+            keys: config.key_paths.clone(),
             limits: config.limits,
             settings: config.settings.clone(),
         }
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -107,7 +107,7 @@
     fn answer_request(&mut self, request: RequestKey) {
         match self.pending.get(request).map(|pending| pending.client) {
             Some(Client::Thrift { conn, seqid }) => {
-                let Some(answer) = self.core.answer_now(self.now, request) else { return };
+                let Some(answer) = self.core.current_answer(self.now, request) else { return };
                 self.on_answer_begun(request);
                 self.answer_call(conn, seqid, translate::thrift_reply(answer));
             }
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -63,13 +63,13 @@
 
     /// Reads and checks all files, so that [`Server::apply`] cannot fail halfway.
     fn check_files(&self, files: &Files) -> Result<CheckedConfig, ServerError> {
-        let admission = files.admission()?;
+        let admission = files.read_admission()?;
         let federation = self.federation.check(files)?;
         let LoadedFiles { config, signed } = files.read()?;
-        if let Some(key) = self.config.keys.difference(&config.keys).next() {
+        if let Some(key) = self.config.keys.difference(&config.key_paths).next() {
             return Err(ConfigError::invalid(&files.config, format!("{key} is missing")).into());
         }
-        let Config { name, listen, limits, feed, keys, settings, .. } = config;
+        let Config { name, listen, limits, feed, key_paths: keys, settings, .. } = config;
         let reconfigured = settings.reconfigure(&self.config.settings);
         let Reconfiguration { settings, needs_restart } =
             reconfigured.map_err(|error| ConfigError::invalid(&files.config, error))?;
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -52,7 +52,7 @@
                 break;
             };
             let request = Key::from_number(handle.number());
-            let Some(answer) = self.core.answer_now(self.now, request) else { break };
+            let Some(answer) = self.core.current_answer(self.now, request) else { break };
             let etags = self.pending.get(request).map(|pending| &pending.etags[..]).unwrap_or_default();
             let answer = translate::http_answer(answer, etags, self.net.unix_time());
             if !signed.front.begin_answer(self.now, conn, answer, &mut self.net, &mut self.deadlines) {
--- a/src/server/start.rs
+++ b/src/server/start.rs
@@ -57,7 +57,7 @@
         let mut net = Net::new()?;
         // Before all else, since a signal that comes before it is watched for ends the program.
         let signals = watch_signals(&mut net)?;
-        let admission = files.admission()?;
+        let admission = files.read_admission()?;
         let LoadedFiles { config, signed } = files.read()?;
         let federation = FederationHandle::read(&files)?;
         let seed = config.seed;
@@ -86,7 +86,8 @@
         configuration: Configuration,
         open_handover: impl FnOnce(SocketAddr, &mut Net) -> Handover,
     ) -> Result<Self, ServerError> {
-        let (name, feed_events) = (configuration.config.name.clone(), configuration.config.known.clone());
+        let (name, feed_events) =
+            (configuration.config.name.clone(), configuration.config.initial_events.clone());
         let mut server = Self::build(environment, configuration, open_handover)?;
         server.update_process_share();
         server.on_feed_batch(feed_events);
@@ -114,7 +115,7 @@
             core,
             endpoints: EndpointRegistry::new(now, net.unix_time()),
             upstream: Upstream::new(budget.pool_limits(&config.settings.program)),
-            feed: Feed::new(config.feed, config.known.n),
+            feed: Feed::new(config.feed, config.initial_events.n),
             thrift: ThriftFront::default(),
             signed,
             admin: config.admin.map(|_| AdminFront::default()),
--- a/src/standin/faults/plan.rs
+++ b/src/standin/faults/plan.rs
@@ -2,7 +2,7 @@
 
 use super::host_faults::{HOST_FAULTS, NOT_OF_HOSTS};
 use super::system_faults::SYSTEM_FAULTS;
-use crate::config::located::{Doc, DocError, Place, Reader};
+use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Position};
 
 /// The largest weight of a kind.
 const MAX_WEIGHT: f64 = 1000.0;
@@ -53,11 +53,11 @@
     /// # Errors
     ///
     /// Text that is not HCL, an unknown key, a value out of its range; with line and column.
-    pub fn parse(doc: Doc<'_>) -> Result<Self, DocError> {
-        let body = doc.body()?;
+    pub fn parse(doc: HclDocument<'_>) -> Result<Self, HclError> {
+        let body = doc.parse()?;
         let mut reader = doc.reader(&body);
         let block = reader.block("sim")?;
-        let start = Place { line: 1, column: 1 };
+        let start = Position { line: 1, column: 1 };
         let block = block.ok_or_else(|| doc.error(start, "no sim block"))?;
         reader.finish()?;
         let mut reader = doc.reader(&block.body);
@@ -74,11 +74,11 @@
         Ok(plan)
     }
 
-    fn read_sizes(reader: &mut Reader<'_>) -> Result<Self, DocError> {
+    fn read_sizes(reader: &mut BlockReader<'_>) -> Result<Self, HclError> {
         let default = RunPlan::default();
         let mut whole = |key: &str, default: usize, min: u64, max: u64| {
-            let read = reader.whole(key, min, max)?;
-            Ok::<_, DocError>(read.map_or(default, |number| number.value as usize))
+            let read = reader.integer(key, min, max)?;
+            Ok::<_, HclError>(read.map_or(default, |number| number.value as usize))
         };
         Ok(RunPlan {
             caches: whole("caches", default.caches, 1, 50)?,
@@ -93,7 +93,7 @@
         })
     }
 
-    fn read_weights(&mut self, reader: &mut Reader<'_>) -> Result<(), DocError> {
+    fn read_weights(&mut self, reader: &mut BlockReader<'_>) -> Result<(), HclError> {
         let host_weights = HOST_FAULTS.iter().map(|kind| kind.name).zip(&mut self.weights);
         let system_weights = SYSTEM_FAULTS.iter().map(|kind| kind.name).zip(&mut self.system_weights);
         for (name, weight) in host_weights.chain(system_weights) {
--- a/src/standin/faults/tests.rs
+++ b/src/standin/faults/tests.rs
@@ -3,7 +3,7 @@
 use super::host_faults::HOST_FAULTS;
 use super::system_faults::{HOUR_MS, SYSTEM_FAULTS};
 use super::*;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 
 fn is_system_fault(fault: &Fault) -> bool {
     matches!(
@@ -44,7 +44,8 @@
     let plan = RunPlan::default();
     assert_eq!(plan.script(7), plan.script(7));
     assert_ne!(plan.script(7), plan.script(8));
-    let read = |text: &str| RunPlan::parse(Doc { file: "f.hcl", text }).map_err(|error| error.to_string());
+    let read =
+        |text: &str| RunPlan::parse(HclDocument { file: "f.hcl", text }).map_err(|error| error.to_string());
     let host_faults = HOST_FAULTS.iter().map(|kind| kind.name);
     let all = host_faults.chain(SYSTEM_FAULTS.iter().map(|kind| kind.name));
     let all = all.filter(|name| *name != "crash");
--- a/src/standin/site/tests.rs
+++ b/src/standin/site/tests.rs
@@ -8,7 +8,7 @@
     let shape = Shape { points: 7, proxies: 9, caches: 20, ..Shape::default() };
     let text = |shape: &Shape| config(shape, "127.0.0.1:1", |n| format!("127.0.0.1:{}", 2 + n)).to_string();
     let read = Config::parse(text(&shape).as_bytes()).expect("usable");
-    assert_eq!(read.known.events[0].members.as_ref().map(|m| m.hosts.len()), Some(25));
+    assert_eq!(read.initial_events.events[0].members.as_ref().map(|m| m.hosts.len()), Some(25));
     assert_eq!(read.settings.policy.topology.routers_by_zone, [2, 2, 1, 1, 1, 1, 1, 0, 0]);
     assert_eq!(text(&shape), text(&shape));
     assert_ne!(text(&shape), text(&Shape { seed: 2, ..shape }));
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -12,7 +12,7 @@
 
 pub use rules::{ClassRule, OnlyRule, TimeRule};
 
-use crate::config::located::{Doc, DocError, Place};
+use crate::config::hcl_document::{HclDocument, HclError, Position};
 use crate::interface::Span;
 use columns::{read_columns, read_format};
 use reader::MapReader;
@@ -54,10 +54,10 @@
     /// # Errors
     ///
     /// Text that is not HCL, an unknown key or column, a value out of its range; with line and column.
-    pub fn parse(doc: Doc<'_>, header: &[String]) -> Result<Self, DocError> {
-        let body = doc.body()?;
+    pub fn parse(doc: HclDocument<'_>, header: &[String]) -> Result<Self, HclError> {
+        let body = doc.parse()?;
         let mut file = doc.reader(&body);
-        let start = Place { line: 1, column: 1 };
+        let start = Position { line: 1, column: 1 };
         let block = file.block("trace")?.ok_or_else(|| doc.error(start, "no trace block"))?;
         file.finish()?;
         let mut reader = doc.reader(&block.body);
@@ -69,12 +69,12 @@
         let only = map.read_only()?;
         let reorder = map.read_seconds("reorder_s", DEFAULT_REORDER_S, 0)?;
         let window = map.read_seconds("window_s", DEFAULT_WINDOW_S, 1)?;
-        let slices = map.reader.whole("slices", 1, MAX_SLICES)?;
-        let seed = map.reader.whole("seed", 0, u64::MAX)?;
+        let slices = map.reader.integer("slices", 1, MAX_SLICES)?;
+        let seed = map.reader.integer("seed", 0, u64::MAX)?;
         let classes = map.read_classes()?;
         map.reader.finish()?;
         if classes.is_empty() {
-            return Err(doc.error(doc.place(block), "no class block: which class are the requests of?"));
+            return Err(doc.error(doc.position(block), "no class block: which class are the requests of?"));
         }
         Ok(TraceMap {
             header: columns.has_header,
--- a/src/trace/map/columns.rs
+++ b/src/trace/map/columns.rs
@@ -1,7 +1,7 @@
 //! The columns of a trace's file: of a published format, listed by the map, or named by the file's header.
 
 use super::formats::{Format, FORMATS};
-use crate::config::located::{unknown, Doc, DocError, Reader};
+use crate::config::hcl_document::{unknown_name, BlockReader, HclDocument, HclError};
 use hcl_edit::structure::Block;
 
 /// The format of a file whose columns the map names.
@@ -13,13 +13,13 @@
 
 /// The format that the map names; `None`: its columns are named one by one.
 pub(super) fn read_format(
-    doc: Doc<'_>,
-    reader: &mut Reader<'_>,
-) -> Result<Option<&'static Format>, DocError> {
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+) -> Result<Option<&'static Format>, HclError> {
     let Some(name) = reader.string("format")?.filter(|name| name.value != CSV) else { return Ok(None) };
     let known = FORMATS.iter().find(|format| format.name == name.value);
     let names = FORMATS.iter().map(|format| format.name).chain([CSV]);
-    let format = known.ok_or_else(|| doc.error(name.at, unknown("format", &name.value, names)))?;
+    let format = known.ok_or_else(|| doc.error(name.at, unknown_name("format", &name.value, names)))?;
     Ok(Some(format))
 }
 
@@ -34,18 +34,18 @@
 
 /// The columns that the map lists, those of the format, or those of the file's header.
 pub(super) fn read_columns(
-    doc: Doc<'_>,
+    doc: HclDocument<'_>,
     block: &Block,
     format: Option<&Format>,
-    reader: &mut Reader<'_>,
+    reader: &mut BlockReader<'_>,
     header: &[String],
-) -> Result<Columns, DocError> {
+) -> Result<Columns, HclError> {
     let listed = reader.strings("columns")?;
-    let flag = reader.flag("header")?;
+    let flag = reader.boolean("header")?;
     let has_header = flag.map_or(format.is_none_or(|format| format.header), |flag| flag.value);
     let from_header = listed.is_empty() && format.is_none();
     if from_header && !has_header {
-        return Err(doc.error(doc.place(block), "without a header the columns have to be listed"));
+        return Err(doc.error(doc.position(block), "without a header the columns have to be listed"));
     }
     let names = match format {
         _ if from_header => header.to_vec(),
--- a/src/trace/map/reader.rs
+++ b/src/trace/map/reader.rs
@@ -2,7 +2,7 @@
 
 use super::formats::Format;
 use super::rules::{ClassRule, OnlyRule, TimeRule};
-use crate::config::located::{unknown, Doc, DocError, Located, Place, Reader};
+use crate::config::hcl_document::{unknown_name, BlockReader, HclDocument, HclError, Located, Position};
 use crate::interface::Span;
 use hcl_edit::structure::Block;
 
@@ -13,39 +13,40 @@
 
 /// Reads the `trace` block.
 pub(super) struct MapReader<'a> {
-    pub(super) doc: Doc<'a>,
+    pub(super) doc: HclDocument<'a>,
     pub(super) block: &'a Block,
     pub(super) format: Option<&'static Format>,
     /// The columns' names.
     pub(super) names: Vec<String>,
-    pub(super) reader: Reader<'a>,
+    pub(super) reader: BlockReader<'a>,
 }
 
 impl MapReader<'_> {
     /// The number of a column.
-    fn column(&self, name: &str, at: Place) -> Result<usize, DocError> {
+    fn column(&self, name: &str, at: Position) -> Result<usize, HclError> {
         let number = self.names.iter().position(|known| known == name);
         number.ok_or_else(|| {
-            let text = unknown("column", name, self.names.iter().map(String::as_str));
+            let text = unknown_name("column", name, self.names.iter().map(String::as_str));
             self.doc.error(at, text)
         })
     }
 
-    fn located_column(&self, name: &Located<String>) -> Result<usize, DocError> {
+    fn located_column(&self, name: &Located<String>) -> Result<usize, HclError> {
         self.column(&name.value, name.at)
     }
 
     /// The number of a column that the format names.
-    fn format_column(&self, name: &str) -> Result<usize, DocError> {
-        self.column(name, self.doc.place(self.block))
+    fn format_column(&self, name: &str) -> Result<usize, HclError> {
+        self.column(name, self.doc.position(self.block))
     }
 
     /// The time of a row, as the map names it or as the format does.
-    pub(super) fn read_time(&mut self) -> Result<TimeRule, DocError> {
+    pub(super) fn read_time(&mut self) -> Result<TimeRule, HclError> {
         let Some(block) = self.reader.block("time")? else { return self.format_time() };
         let mut reader = self.doc.reader(&block.body);
         let column = reader.string("column")?;
-        let column = column.ok_or_else(|| self.doc.error(self.doc.place(block), "time names no column"))?;
+        let column =
+            column.ok_or_else(|| self.doc.error(self.doc.position(block), "time names no column"))?;
         let unit = reader.string("unit")?;
         let minus = reader.string("minus")?;
         reader.finish()?;
@@ -55,8 +56,8 @@
         Ok(TimeRule { column: self.located_column(&column)?, unit, minus })
     }
 
-    fn format_time(&self) -> Result<TimeRule, DocError> {
-        let at = self.doc.place(self.block);
+    fn format_time(&self) -> Result<TimeRule, HclError> {
+        let at = self.doc.position(self.block);
         let format = self.format.ok_or_else(|| self.doc.error(at, "no time block"))?;
         let unit = self.micros_in(format.time.unit, at)?;
         let minus = format.time.minus.map(|minus| self.format_column(minus)).transpose()?;
@@ -64,7 +65,7 @@
     }
 
     /// The microseconds in a unit.
-    fn micros_in(&self, unit: &str, at: Place) -> Result<f64, DocError> {
+    fn micros_in(&self, unit: &str, at: Position) -> Result<f64, HclError> {
         match unit {
             "s" => Ok(1e6),
             "ms" => Ok(1e3),
@@ -75,46 +76,46 @@
     }
 
     /// The columns that name the object.
-    pub(super) fn read_object(&mut self) -> Result<Vec<usize>, DocError> {
+    pub(super) fn read_object(&mut self) -> Result<Vec<usize>, HclError> {
         let named = self.reader.strings("object")?;
         if !named.is_empty() {
             return named.iter().map(|name| self.located_column(name)).collect();
         }
-        let at = self.doc.place(self.block);
+        let at = self.doc.position(self.block);
         let format = self.format.ok_or_else(|| self.doc.error(at, "object names no columns"))?;
         format.object.iter().map(|name| self.format_column(name)).collect()
     }
 
     /// The value that rows must have, where the map or the format names one.
-    pub(super) fn read_only(&mut self) -> Result<Option<OnlyRule>, DocError> {
+    pub(super) fn read_only(&mut self) -> Result<Option<OnlyRule>, HclError> {
         let Some(block) = self.reader.block("only")? else { return self.format_only() };
         let mut reader = self.doc.reader(&block.body);
-        let missing = |what: &str| self.doc.error(self.doc.place(block), format!("only names no {what}"));
+        let missing = |what: &str| self.doc.error(self.doc.position(block), format!("only names no {what}"));
         let column = reader.string("column")?.ok_or_else(|| missing("column"))?;
         let value = reader.string("value")?.ok_or_else(|| missing("value"))?;
         reader.finish()?;
         Ok(Some(OnlyRule { column: self.located_column(&column)?, value: value.value }))
     }
 
-    fn format_only(&self) -> Result<Option<OnlyRule>, DocError> {
+    fn format_only(&self) -> Result<Option<OnlyRule>, HclError> {
         let Some(only) = self.format.and_then(|format| format.only.as_ref()) else { return Ok(None) };
         Ok(Some(OnlyRule { column: self.format_column(only.column)?, value: only.value.to_owned() }))
     }
 
     /// A span in whole seconds.
-    pub(super) fn read_seconds(&mut self, key: &str, default: u64, min: u64) -> Result<Span, DocError> {
-        let seconds = self.reader.whole(key, min, MAX_SECONDS)?;
+    pub(super) fn read_seconds(&mut self, key: &str, default: u64, min: u64) -> Result<Span, HclError> {
+        let seconds = self.reader.integer(key, min, MAX_SECONDS)?;
         Ok(Span::from_secs(seconds.map_or(default, |seconds| seconds.value) as i64))
     }
 
     /// All class rules, in the map's order.
-    pub(super) fn read_classes(&mut self) -> Result<Vec<ClassRule>, DocError> {
+    pub(super) fn read_classes(&mut self) -> Result<Vec<ClassRule>, HclError> {
         let blocks = self.reader.blocks("class");
         blocks.into_iter().map(|block| self.read_class(block)).collect()
     }
 
-    fn read_class(&self, block: &Block) -> Result<ClassRule, DocError> {
-        let at = self.doc.place(block);
+    fn read_class(&self, block: &Block) -> Result<ClassRule, HclError> {
+        let at = self.doc.position(block);
         let [label] = &block.labels[..] else {
             return Err(self.doc.error(at, "a class has one name: class \"NAME\" { ... }"));
         };
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -7,7 +7,7 @@
 mod rows;
 pub mod sample;
 
-use crate::config::located::{Doc, DocError};
+use crate::config::hcl_document::{HclDocument, HclError};
 use crate::interface::{Instant, Span};
 use counts::Counts;
 use map::TraceMap;
@@ -34,7 +34,7 @@
     },
     /// The map cannot be used.
     #[error(transparent)]
-    Map(#[from] DocError),
+    Map(#[from] HclError),
     /// Not one row of it can.
     #[error("{path}: no row can be used; {counts}")]
     Empty {
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Files that cannot be read, a map that cannot be used, a trace without one usable row.
-pub fn load(path: &Path, map: Doc<'_>) -> Result<Trace, TraceError> {
+pub fn load(path: &Path, map: HclDocument<'_>) -> Result<Trace, TraceError> {
     let read_error = |error| TraceError::Read { path: path.display().to_string(), error };
     let header = rows::header(path).map_err(read_error)?;
     let map = TraceMap::parse(map, &header)?;
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn read(name: &str, text: &[u8], map: &str) -> Result<Trace, String> {
-    load(&file(name, text), Doc { file: "map.hcl", text: map }).map_err(|error| error.to_string())
+    load(&file(name, text), HclDocument { file: "map.hcl", text: map }).map_err(|error| error.to_string())
 }
 
 /// The times of the requests, in microseconds.
@@ -82,7 +82,7 @@
             && none.contains("1 skipped for end_timestamp (line 2: no number)"),
         "{none}"
     );
-    assert!(load(std::path::Path::new("/nowhere.csv"), Doc { file: "map.hcl", text: AZURE }).is_err());
+    assert!(load(std::path::Path::new("/nowhere.csv"), HclDocument { file: "map.hcl", text: AZURE }).is_err());
 }
 
 #[test]
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -11,7 +11,7 @@
     NoClasses,
     /// The deployment has no routers, or this router's number is not among them.
     #[error("router {ordinal} of {routers}")]
-    Ordinal {
+    OrdinalOutOfRange {
         /// The number given.
         ordinal: u32,
         /// The routers given.
@@ -19,7 +19,7 @@
     },
     /// A zone lies outside the lists of zones.
     #[error("{name}: zone {zone} of {zones}")]
-    Zone {
+    ZoneOutOfRange {
         /// The setting.
         name: &'static str,
         /// The zone given.
@@ -29,13 +29,13 @@
     },
     /// A figure is negative, or no finite number.
     #[error("{name} is negative or not finite")]
-    Figure {
+    InvalidNumber {
         /// The setting.
         name: &'static str,
     },
     /// A span or a count is too small.
     #[error("{name} is no span of time")]
-    Span {
+    TooSmall {
         /// The setting.
         name: &'static str,
     },
@@ -63,20 +63,20 @@
 
 impl Topology {
     fn check(&self) -> Check {
-        let zone = |name, zone| listed_zone(name, zone, self.routers_by_zone.len());
+        let zone = |name, zone| zone_in_range(name, zone, self.routers_by_zone.len());
         check_all([
             self.check_ordinal(),
             zone("zone", self.zone.0),
             self.hub_by_zone.iter().try_for_each(|hub| zone("hub_by_zone", hub.0)),
-            figure("pace_kb_per_s", self.transfer_kb_per_s),
-            self.zone_link_kb_per_s.iter().try_for_each(|link| figure("link_kb_per_s", *link)),
+            non_negative("pace_kb_per_s", self.transfer_kb_per_s),
+            self.zone_link_kb_per_s.iter().try_for_each(|link| non_negative("link_kb_per_s", *link)),
         ])
     }
 
     fn check_ordinal(&self) -> Check {
         match self.ordinal < self.routers {
             true => Ok(()),
-            false => Err(SettingsError::Ordinal { ordinal: self.ordinal, routers: self.routers }),
+            false => Err(SettingsError::OrdinalOutOfRange { ordinal: self.ordinal, routers: self.routers }),
         }
     }
 }
@@ -84,13 +84,13 @@
 impl Class {
     fn check(&self) -> Check {
         check_all([
-            figure("stretch", self.objective_stretch),
-            figure("worth", self.priority_weight),
+            non_negative("stretch", self.objective_stretch),
+            non_negative("worth", self.priority_weight),
             positive_span("target", self.latency_objective),
             positive_span("deadline", self.client_deadline),
-            span("window", self.dedup_window),
-            span("fresh", self.fresh_for),
-            span("grace", self.stale_for),
+            non_negative_span("window", self.dedup_window),
+            non_negative_span("fresh", self.fresh_for),
+            non_negative_span("grace", self.stale_for),
         ])
     }
 }
@@ -99,16 +99,16 @@
     fn check(&self) -> Check {
         let (cache, parent) = (&self.cache_slow_start, &self.parent_slow_start);
         check_all([
-            figure("cold_share", cache.initial_share),
-            figure("fall_multiple", cache.overload_multiple),
-            figure("parent_cold_share", parent.initial_share),
-            figure("parent_fall_multiple", parent.overload_multiple),
+            non_negative("cold_share", cache.initial_share),
+            non_negative("fall_multiple", cache.overload_multiple),
+            non_negative("parent_cold_share", parent.initial_share),
+            non_negative("parent_fall_multiple", parent.overload_multiple),
             positive_span("fall_span", self.overload_window),
-            span("warm_after", cache.full_after),
-            span("parent_warm_after", parent.full_after),
-            span("purge_grace", self.purge_grace),
-            span("purge_settles", self.purge_settled_after),
-            span("ask_within", self.max_list_age),
+            non_negative_span("warm_after", cache.full_after),
+            non_negative_span("parent_warm_after", parent.full_after),
+            non_negative_span("purge_grace", self.purge_grace),
+            non_negative_span("purge_settles", self.purge_settled_after),
+            non_negative_span("ask_within", self.max_list_age),
         ])
     }
 }
@@ -117,7 +117,7 @@
     fn check(&self) -> Check {
         check_all([
             at_least("max_attempts", self.max_attempts, 1),
-            span("max_retry_after", self.max_retry_after),
+            non_negative_span("max_retry_after", self.max_retry_after),
         ])
     }
 }
@@ -128,15 +128,15 @@
 }
 
 /// A number of 0 or more.
-fn figure(name: &'static str, value: f64) -> Check {
+fn non_negative(name: &'static str, value: f64) -> Check {
     match value.is_finite() && value >= 0.0 {
         true => Ok(()),
-        false => Err(SettingsError::Figure { name }),
+        false => Err(SettingsError::InvalidNumber { name }),
     }
 }
 
 /// A span of 0 or more.
-fn span(name: &'static str, value: Span) -> Check {
+fn non_negative_span(name: &'static str, value: Span) -> Check {
     at_least(name, value, Span::ZERO)
 }
 
@@ -148,14 +148,14 @@
 fn at_least<T: PartialOrd>(name: &'static str, value: T, min: T) -> Check {
     match value >= min {
         true => Ok(()),
-        false => Err(SettingsError::Span { name }),
+        false => Err(SettingsError::TooSmall { name }),
     }
 }
 
 /// A zone that the lists of zones have.
-fn listed_zone(name: &'static str, zone: u16, zones: usize) -> Check {
+fn zone_in_range(name: &'static str, zone: u16, zones: usize) -> Check {
     match usize::from(zone) < zones {
         true => Ok(()),
-        false => Err(SettingsError::Zone { name, zone, zones }),
+        false => Err(SettingsError::ZoneOutOfRange { name, zone, zones }),
     }
 }
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -12,18 +12,24 @@
     };
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(error(|s| s.topology.ordinal = 2), Some(SettingsError::Ordinal { ordinal: 2, routers: 2 }));
-    let zone = |name, zone| Some(SettingsError::Zone { name, zone, zones: 3 });
+    assert_eq!(
+        error(|s| s.topology.ordinal = 2),
+        Some(SettingsError::OrdinalOutOfRange { ordinal: 2, routers: 2 })
+    );
+    let zone = |name, zone| Some(SettingsError::ZoneOutOfRange { name, zone, zones: 3 });
     assert_eq!(error(|s| s.topology.zone = ZoneId(3)), zone("zone", 3));
     assert_eq!(error(|s| s.topology.hub_by_zone[0] = ZoneId(9)), zone("hub_by_zone", 9));
-    let figure = |name| Some(SettingsError::Figure { name });
-    assert_eq!(error(|s| s.topology.transfer_kb_per_s = f64::NAN), figure("pace_kb_per_s"));
-    assert_eq!(error(|s| s.classes[0].objective_stretch = -1.0), figure("stretch"));
-    assert_eq!(error(|s| s.protection.cache_slow_start.initial_share = f64::INFINITY), figure("cold_share"));
-    let span = |name| Some(SettingsError::Span { name });
-    assert_eq!(error(|s| s.classes[0].latency_objective = Span::ZERO), span("target"));
-    assert_eq!(error(|s| s.protection.overload_window = Span::ZERO), span("fall_span"));
-    assert_eq!(error(|s| s.protection.purge_settled_after = -MICROSECOND), span("purge_settles"));
+    let invalid_number = |name| Some(SettingsError::InvalidNumber { name });
+    assert_eq!(error(|s| s.topology.transfer_kb_per_s = f64::NAN), invalid_number("pace_kb_per_s"));
+    assert_eq!(error(|s| s.classes[0].objective_stretch = -1.0), invalid_number("stretch"));
+    assert_eq!(
+        error(|s| s.protection.cache_slow_start.initial_share = f64::INFINITY),
+        invalid_number("cold_share")
+    );
+    let too_small = |name| Some(SettingsError::TooSmall { name });
+    assert_eq!(error(|s| s.classes[0].latency_objective = Span::ZERO), too_small("target"));
+    assert_eq!(error(|s| s.protection.overload_window = Span::ZERO), too_small("fall_span"));
+    assert_eq!(error(|s| s.protection.purge_settled_after = -MICROSECOND), too_small("purge_settles"));
 }
 
 #[test]
