--- a/src/config/events.rs
+++ b/src/config/events.rs
@@ -1,4 +1,4 @@
-//! The numbered events of the control feed, as its answers and the configuration's `known` hold them.
+//! The numbered events of the control feed, in the form that its answers and the key `known` of PROXY_CONFIG have.
 
 use crate::interface::UnixTime;
 use serde::Deserialize;
@@ -9,77 +9,77 @@
 /// An answer of the control feed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedBatch {
-    /// The number of the last event.
+    /// Number of the last event.
     pub n: u64,
-    /// The events.
+    /// The events, in the order of their numbers.
     pub events: Vec<FeedEvent>,
 }
 
-/// An event and its number; an event of an unknown kind has neither part and is ignored.
+/// An event and its number. An event of an unknown kind has neither `members` nor `purge` and is ignored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedEvent {
-    /// The number.
+    /// Number of the event.
     pub n: u64,
-    /// A change of the list.
+    /// A change of the endpoint list.
     #[serde(default)]
     pub members: Option<ListChange>,
-    /// A purge.
+    /// A purge that was made.
     #[serde(default)]
     pub purge: Option<FeedPurge>,
 }
 
-/// A change of the list of servers.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct ListChange {
-    /// Whether this is the whole list.
+    /// Whether the entries are the whole list; otherwise they are the changed entries.
     #[serde(default)]
     pub whole: bool,
-    /// The entries.
+    /// The servers, each with its new state.
     pub hosts: Vec<FeedServer>,
 }
 
-/// A server of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedServer {
-    /// Its id.
+    /// The server's name.
     pub host: String,
-    /// Its address.
+    /// The server's address.
     #[serde(default)]
     pub dial: Option<std::net::SocketAddr>,
-    /// Its zone.
+    /// Name of the server's zone.
     #[serde(default)]
     pub site: String,
-    /// Its kind of machine.
+    /// Name of the server's kind of machine.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
+    /// Number of the server's cell.
     #[serde(default)]
     pub block: u16,
-    /// Its state.
+    /// What the server may be used for.
     pub health: Health,
-    /// Its weight.
+    /// The server's weight.
     #[serde(default = "default_weight")]
     pub share: f64,
-    /// The Unix millisecond of its last start where that was of late, or 0.
+    /// When the server last started, in Unix milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
 impl FeedServer {
-    /// Its last start; `None`: long ago.
+    /// Returns when the server last started; `None` if that was long ago.
     pub fn started_at(&self) -> Option<UnixTime> {
         (self.born_ms > 0.0).then_some(unix_time(self.born_ms))
     }
 }
 
 impl FeedPurge {
-    /// When it was made.
+    /// Returns when the purge was made.
     pub fn made_at(&self) -> UnixTime {
         unix_time(self.at)
     }
 }
 
-/// The Unix time of milliseconds with a fraction.
+/// Converts fractional Unix milliseconds.
 fn unix_time(millis: f64) -> UnixTime {
     UnixTime::from_micros((millis * MICROS_PER_MILLI) as i64)
 }
@@ -88,27 +88,27 @@
     DEFAULT_WEIGHT
 }
 
-/// The state of a server of the list.
+/// The state of a listed server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// Takes work.
+    /// The server takes requests.
     Up,
-    /// Finishes what it has.
+    /// The server finishes its requests and gets no new ones.
     Draining,
-    /// No longer in the list.
+    /// The server is no longer in the list.
     Removed,
 }
 
-/// A purge: of an object, or of a group.
+/// A purge of an object or of a group.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FeedPurge {
-    /// The object, 16 hex digits.
+    /// The purged object, as 16 hex digits.
     #[serde(default)]
     pub key: Option<String>,
-    /// The group.
+    /// Number of the purged group.
     #[serde(default)]
     pub group: Option<u32>,
-    /// The Unix millisecond at which it was made.
+    /// When the purge was made, in Unix milliseconds.
     pub at: f64,
 }
--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -1,4 +1,4 @@
-//! The files that a configuration is read from.
+//! Reading of the configuration files.
 
 use super::signed::SignedConfig;
 use super::{Config, ConfigError};
@@ -6,47 +6,47 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The files that a configuration comes from, at the start and at each SIGHUP.
+/// The paths of the configuration files, which are read at the start and at each SIGHUP.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// PROXY_CONFIG.
+    /// PROXY_CONFIG: the platform's file.
     pub config: PathBuf,
-    /// The operator's file of the second front, which is off without it.
+    /// The operator's file for the second front; `None` turns that front off.
     pub signed: Option<PathBuf>,
-    /// PROXY_ADMIN: the address of the admin endpoint, which overrides the configuration's.
+    /// PROXY_ADMIN: the address of the admin endpoint, which overrides the one in PROXY_CONFIG.
     pub admin: Option<SocketAddr>,
-    /// PROXY_ADMISSION: the operator's admission file, in HCL; every connection is accepted without it.
+    /// PROXY_ADMISSION: the operator's admission file, in HCL; `None` accepts every connection.
     pub admission: Option<PathBuf>,
-    /// PROXY_FEDERATION: the operator's file of the federation, in HCL; off without it.
+    /// PROXY_FEDERATION: the operator's federation file, in HCL; `None` turns the federation off.
     pub federation: Option<PathBuf>,
 }
 
-/// What the files hold, but for admission and federation.
+/// The contents of the files, except those for admission and federation.
 #[derive(Debug)]
 pub struct LoadedFiles {
-    /// PROXY_CONFIG, with the address of the admin endpoint that is in force.
+    /// PROXY_CONFIG, with the effective address of the admin endpoint.
     pub config: Config,
-    /// The operator's file of the second front, if there is one.
+    /// The operator's file for the second front; `None` if there is none.
     pub signed: Option<SignedConfig>,
 }
 
 impl Files {
-    /// Reads and checks the configuration and the file of the second front.
+    /// Reads and checks PROXY_CONFIG and the file for the second front.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used.
+    /// Returns an error if a file cannot be read or used.
     pub fn read(&self) -> Result<LoadedFiles, ConfigError> {
         let signed = self.signed.as_deref().map(SignedConfig::read).transpose()?;
         let config = Config::read(&self.config)?;
         Ok(LoadedFiles { config: Config { admin: self.admin.or(config.admin), ..config }, signed })
     }
 
-    /// Reads and checks the admission file; without one, admission is off.
+    /// Reads and checks the admission file. Without one, the settings have admission turned off.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read, is not HCL, or holds a value out of its range.
+    /// Returns an error if the file cannot be read, is not HCL, or has a value out of its range.
     pub fn read_admission(&self) -> Result<AdmissionSettings, ConfigError> {
         let Some(path) = &self.admission else { return Ok(AdmissionSettings::disabled()) };
         let text = read_text_file(path)?;
@@ -54,20 +54,20 @@
     }
 }
 
-/// Reads a file.
+/// Reads a file; the error names its path.
 ///
 /// # Errors
 ///
-/// A file that cannot be read.
+/// Returns an error if the file cannot be read.
 pub fn read_file(path: &Path) -> Result<Vec<u8>, ConfigError> {
     std::fs::read(path).map_err(|error| ConfigError::Read { path: path.to_owned(), error })
 }
 
-/// Reads a text file.
+/// Reads a text file; the error names its path.
 ///
 /// # Errors
 ///
-/// A file that cannot be read, or is not UTF-8.
+/// Returns an error if the file cannot be read or is not UTF-8.
 pub fn read_text_file(path: &Path) -> Result<String, ConfigError> {
-    String::from_utf8(read_file(path)?).map_err(|_| ConfigError::invalid(path, "not UTF-8"))
+    String::from_utf8(read_file(path)?).map_err(|_| ConfigError::invalid(path, "the file is not UTF-8"))
 }
--- a/src/config/hcl_document/document.rs
+++ b/src/config/hcl_document/document.rs
@@ -1,36 +1,36 @@
-//! A file's name and text, and the errors that name a place in it.
+//! A file's name and text, and errors at a position in it.
 
 use super::{BlockReader, Position};
 use hcl_edit::structure::Body;
 use hcl_edit::Span;
 
-/// What is wrong with a file, and where; its text is one line, `FILE:LINE:COLUMN: TEXT`.
+/// What is wrong with a file, and where. Its text is one line, `FILE:LINE:COLUMN: TEXT`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{at}: {text}")]
 pub struct HclError {
-    /// The file as it was named.
+    /// The file's name, as the operator stated it.
     pub file: String,
-    /// The place.
+    /// Where in the file the error is.
     pub at: Position,
-    /// What is wrong.
+    /// What is wrong, without the position.
     pub text: String,
 }
 
-/// A file's name and text, for places.
+/// A file's name and text, for the positions in errors.
 #[derive(Clone, Copy, Debug)]
 pub struct HclDocument<'a> {
-    /// The file as the operator named it.
+    /// The file's name, as the operator stated it.
     pub file: &'a str,
-    /// Its text.
+    /// The whole text of the file.
     pub text: &'a str,
 }
 
 impl<'a> HclDocument<'a> {
-    /// Parses the text.
+    /// Parses the text as HCL.
     ///
     /// # Errors
     ///
-    /// Text that is not HCL, at the parser's place.
+    /// Returns the parser's error and its position if the text is not HCL.
     pub fn parse(&self) -> Result<Body, HclError> {
         hcl_edit::parser::parse_body(self.text).map_err(|error| {
             let at = Position { line: error.location().line(), column: error.location().column() };
@@ -38,7 +38,7 @@
         })
     }
 
-    /// Where a part of the parsed text stands.
+    /// Returns the position at which a part of the parsed text begins.
     pub fn position(&self, part: &impl Span) -> Position {
         let offset = part.span().map_or(0, |span| span.start).min(self.text.len());
         let before = self.text.get(..offset).unwrap_or("");
@@ -47,12 +47,12 @@
         Position { line, column }
     }
 
-    /// An error at a place.
+    /// Creates an error at a position.
     pub fn error(&self, at: Position, text: impl Into<String>) -> HclError {
         HclError { file: self.file.to_owned(), at, text: text.into() }
     }
 
-    /// A reader of a body.
+    /// Creates a reader for a body, that is the whole file or a block in it.
     pub fn reader(&self, body: &'a Body) -> BlockReader<'a> {
         BlockReader::new(*self, body)
     }
--- a/src/config/hcl_document/mod.rs
+++ b/src/config/hcl_document/mod.rs
@@ -1,10 +1,10 @@
-//! Operators' HCL files, read with places: every error names file, line and column (`hcl-edit` keeps the spans that
-//! `hcl-rs` drops).
+//! A reader for operators' HCL files. Every error states file, line and column, so the files are parsed by `hcl-edit`,
+//! which keeps the positions that `hcl-rs` drops.
 //!
-//! - `document`: a file's name and text, and errors at a place in it.
-//! - `reader`: reads one block by its keys; a key that was not read is an error at the end.
-//! - `position`: line and column, and values with their place.
-//! - `suggestion`: what an unknown name may have been meant to be.
+//! - `document`: a file's name and text, and errors at a position in it.
+//! - `reader`: reads the keys of one block; a key that was never asked for is an error.
+//! - `position`: line and column, and values with their position.
+//! - `suggestion`: error texts for unknown names, with the closest known name.
 
 mod document;
 mod position;
--- a/src/config/hcl_document/position.rs
+++ b/src/config/hcl_document/position.rs
@@ -1,13 +1,13 @@
-//! Where a value stands in a file.
+//! Positions in a file, and values with their position.
 
 use std::fmt;
 
-/// Where something stands in a file: line and column from 1, columns in characters.
+/// A position in a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// The column.
+    /// Number of the character in the line, from 1.
     pub column: usize,
 }
 
@@ -17,11 +17,11 @@
     }
 }
 
-/// A value and where it was written.
+/// A value and its position in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Located<T> {
-    /// The value.
+    /// The value that was read.
     pub value: T,
-    /// Its place.
+    /// Where the value begins.
     pub at: Position,
 }
--- a/src/config/hcl_document/reader.rs
+++ b/src/config/hcl_document/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one HCL block by its keys.
+//! Reads the attributes and inner blocks of one HCL block.
 
 use super::{unknown_name, HclDocument, HclError, Located, Position};
 use crate::interface::ObjectId;
@@ -6,20 +6,21 @@
 use hcl_edit::structure::{Attribute, Block, Body, Structure};
 use std::collections::BTreeSet;
 
-/// A name and its number in an object, `{ name = 2.5 }`.
+/// An entry of an object of names and numbers, such as `{ name = 2.5 }`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedNumber {
-    /// The name, at the place of its number.
+    /// The name, with the position of its number.
     pub name: Located<String>,
-    /// The number.
+    /// The number, 0 or more.
     pub number: f64,
 }
 
-/// Reads one block's attributes and inner blocks by name; what was not read is an error at the end.
+/// Reads the attributes and inner blocks of one block by name. [`BlockReader::finish`] returns an error for a name that
+/// was not asked for.
 pub struct BlockReader<'a> {
     doc: HclDocument<'a>,
     body: &'a Body,
-    /// The names that were read, present or not.
+    /// The names that were asked for, whether they are present or not.
     known: BTreeSet<String>,
 }
 
@@ -33,7 +34,7 @@
         self.body.get_attribute(key)
     }
 
-    /// An attribute's value with its place, or an error that says what the attribute expects.
+    /// Returns an attribute's value with its position, or an error that states what the attribute must be.
     fn located<T>(
         &self,
         attribute: &Attribute,
@@ -41,31 +42,31 @@
         expected: &str,
     ) -> Result<Located<T>, HclError> {
         let at = self.doc.position(&attribute.value);
-        let unexpected = || self.doc.error(at, format!("{} wants {expected}", attribute.key.as_str()));
+        let unexpected = || self.doc.error(at, format!("{} must be {expected}", attribute.key.as_str()));
         Ok(Located { value: value.ok_or_else(unexpected)?, at })
     }
 
-    /// Where an attribute's value stands.
+    /// Returns the position of an attribute's value; `None` if the attribute is absent.
     pub fn position_of(&self, key: &str) -> Option<Position> {
         self.body.get_attribute(key).map(|attribute| self.doc.position(&attribute.value))
     }
 
-    /// A text.
+    /// Reads a string; `None` if the attribute is absent.
     ///
     /// # Errors
     ///
-    /// A value of another type.
+    /// Returns an error if the value has another type.
     pub fn string(&mut self, key: &str) -> Result<Option<Located<String>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_str().map(str::to_owned);
-        self.located(attribute, value, "a text").map(Some)
+        self.located(attribute, value, "a string").map(Some)
     }
 
-    /// A text or a list of texts; absent: an empty list.
+    /// Reads a string or a list of strings; an empty list if the attribute is absent.
     ///
     /// # Errors
     ///
-    /// A value of another type, or an empty list.
+    /// Returns an error if the value has another type or is an empty list.
     pub fn strings(&mut self, key: &str) -> Result<Vec<Located<String>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
         let text = |value: &Expression| {
@@ -77,14 +78,15 @@
             one => text(one).map(|one| vec![one]),
         };
         let list = list.filter(|list: &Vec<_>| !list.is_empty());
-        Ok(self.located(attribute, list, "a text, or a list of texts that is not empty")?.value)
+        Ok(self.located(attribute, list, "a string, or a list of strings that is not empty")?.value)
     }
 
-    /// Objects of 16 hex digits each, a text or a list; absent: an empty list.
+    /// Reads object ids of 16 hex digits each, as a string or a list of strings; an empty list if the attribute is
+    /// absent.
     ///
     /// # Errors
     ///
-    /// A value of another type or form.
+    /// Returns an error if the value has another type, or an id has another form.
     pub fn object_ids(&mut self, key: &str) -> Result<Vec<ObjectId>, HclError> {
         let (texts, doc) = (self.strings(key)?, self.doc);
         let object = |text: Located<String>| {
@@ -95,21 +97,21 @@
         texts.into_iter().map(object).collect()
     }
 
-    /// `true` or `false`.
+    /// Reads `true` or `false`; `None` if the attribute is absent.
     ///
     /// # Errors
     ///
-    /// A value of another type.
+    /// Returns an error if the value has another type.
     pub fn boolean(&mut self, key: &str) -> Result<Option<Located<bool>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         self.located(attribute, attribute.value.as_bool(), "true or false").map(Some)
     }
 
-    /// A number in a range, both ends included.
+    /// Reads a number from `min` to `max`, both included; `None` if the attribute is absent.
     ///
     /// # Errors
     ///
-    /// A value of another type, or out of its range.
+    /// Returns an error if the value has another type or is out of its range.
     pub fn number(&mut self, key: &str, min: f64, max: f64) -> Result<Option<Located<f64>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_number().and_then(hcl_edit::Number::as_f64);
@@ -117,11 +119,11 @@
         self.located(attribute, value, &format!("a number from {min} to {max}")).map(Some)
     }
 
-    /// A whole number in a range, both ends included.
+    /// Reads a whole number from `min` to `max`, both included; `None` if the attribute is absent.
     ///
     /// # Errors
     ///
-    /// A value of another type, with a fraction, or out of its range.
+    /// Returns an error if the value has another type, has a fraction, or is out of its range.
     pub fn integer(&mut self, key: &str, min: u64, max: u64) -> Result<Option<Located<u64>>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(None) };
         let value = attribute.value.as_number().and_then(hcl_edit::Number::as_u64);
@@ -129,11 +131,12 @@
         self.located(attribute, value, &format!("a whole number from {min} to {max}")).map(Some)
     }
 
-    /// An object of names and numbers of 0 or more, `{ name = 2.5 }`; absent: empty.
+    /// Reads an object of names and numbers of 0 or more, such as `{ name = 2.5 }`; an empty list if the attribute is
+    /// absent.
     ///
     /// # Errors
     ///
-    /// A value of another form.
+    /// Returns an error if the value has another form.
     pub fn named_numbers(&mut self, key: &str) -> Result<Vec<NamedNumber>, HclError> {
         let Some(attribute) = self.attribute(key) else { return Ok(Vec::new()) };
         let object = attribute.value.as_object();
@@ -150,17 +153,17 @@
         valid.then_some(NamedNumber { name: Located { value: name, at }, number })
     }
 
-    /// The blocks of a name, in their order.
+    /// Returns the inner blocks of a name, in the order of the file.
     pub fn blocks(&mut self, name: &str) -> Vec<&'a Block> {
         self.known.insert(name.to_owned());
         self.body.blocks().filter(|block| block.has_ident(name)).collect()
     }
 
-    /// The one block of a name, if it is there.
+    /// Returns the only inner block of a name; `None` if it is absent.
     ///
     /// # Errors
     ///
-    /// A second one.
+    /// Returns an error if there is a second one.
     pub fn block(&mut self, name: &str) -> Result<Option<&'a Block>, HclError> {
         match self.blocks(name)[..] {
             [] => Ok(None),
@@ -171,11 +174,11 @@
         }
     }
 
-    /// Ends the reading.
+    /// Checks that all attributes and blocks were read.
     ///
     /// # Errors
     ///
-    /// The first attribute or block that was not read, with the names that are known.
+    /// Returns an error for the first attribute or block that was not read; it suggests or lists the known names.
     pub fn finish(self) -> Result<(), HclError> {
         match self.body.iter().find(|part| !self.known.contains(name_of(part))) {
             Some(extra) => {
--- a/src/config/hcl_document/suggestion.rs
+++ b/src/config/hcl_document/suggestion.rs
@@ -1,11 +1,12 @@
-//! Texts for names that are not known.
+//! Error texts for unknown names.
 
 use std::collections::BTreeSet;
 
-/// Known names that a text lists at most.
+/// Maximum number of known names that a text lists.
 const MAX_LISTED_NAMES: usize = 12;
 
-/// A text that a name is not known, with the closest one that is (by edit distance, `strsim`), or some of them.
+/// Returns an error text for an unknown name. It suggests the closest known name by edit distance; if none is close
+/// enough, it lists some of the known names.
 pub fn unknown_name<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let known: BTreeSet<&str> = known.collect();
     let max_distance = 1 + name.len() / 3;
--- a/src/config/key_paths.rs
+++ b/src/config/key_paths.rs
@@ -1,4 +1,4 @@
-//! Which keys a configuration has, to recognise one that was not written completely.
+//! The keys of a configuration, by which an incompletely written file is recognised.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -6,7 +6,8 @@
 /// Keys that a complete configuration may lack.
 const OPTIONAL_KEYS: [&str; 3] = ["admin", "known", "aim_stretch"];
 
-/// The paths of all keys that are not optional, as `limits.sockets`. Of a list, those that all its objects have.
+/// Returns the paths of all keys that are not optional, such as `limits.sockets`. Of a list, only the keys that all its
+/// objects have are returned.
 pub(super) fn key_paths(value: &Value) -> BTreeSet<String> {
     match value {
         Value::Object(map) => {
@@ -21,7 +22,7 @@
     }
 }
 
-/// The path of a key, and the paths below it.
+/// Returns the path of a key, and the paths below it.
 fn paths_from(key: &str, value: &Value) -> BTreeSet<String> {
     let mut paths: BTreeSet<String> =
         key_paths(value).into_iter().map(|path| format!("{key}.{path}")).collect();
--- a/src/config/key_paths/tests.rs
+++ b/src/config/key_paths/tests.rs
@@ -2,10 +2,11 @@
 
 use super::*;
 
-/// A class that need not have a key was taken for one of a file cut off, where all classes before it had the key.
+/// Guards against a complete file that is taken for an incomplete one because a new class lacks an optional key that
+/// all earlier classes have.
 #[test]
 fn optional_keys_are_not_reported_as_missing() {
-    let keys = |text: &str| key_paths(&serde_json::from_str(text).expect("JSON"));
+    let keys = |text: &str| key_paths(&serde_json::from_str(text).expect("the text is JSON"));
     let all = keys(r#"{"admin": 1, "grades": [{"name": 1, "aim_stretch": 2}]}"#);
     let fewer = keys(r#"{"grades": [{"name": 1, "aim_stretch": 2}, {"name": 1}]}"#);
     assert_eq!(all, fewer);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,12 +1,13 @@
-//! The configuration of an edge proxy: what it reads at its start and at SIGHUP.
+//! The configuration of an edge proxy, which is read at the start and at SIGHUP.
 //!
-//! - `proxy_config`: PROXY_CONFIG, the platform's file.
-//! - `settings`: the settings message in it, converted for the decision module and the program around it.
-//! - `events`: the control feed's events, which the file and the feed state in one form.
-//! - `signed`: the operator's file of the second front.
-//! - `hcl_document`: operators' HCL files, read with the place of each value.
-//! - `files`: which files are read; `key_paths`: whether one was written completely.
-//! - `error`: why a file cannot be used.
+//! - `proxy_config`: the platform's file, PROXY_CONFIG.
+//! - `settings`: the settings message in PROXY_CONFIG, converted for the decision module and the program around it.
+//! - `events`: the events of the control feed, which have the same form in PROXY_CONFIG and on the feed.
+//! - `signed`: the operator's file for the second front (HTTP/1.1 with signed URLs and tokens).
+//! - `hcl_document`: a reader for operators' HCL files, whose errors state line and column.
+//! - `files`: the files that are read.
+//! - `key_paths`: the keys of a file, by which an incompletely written file is recognised.
+//! - `error`: errors of files that cannot be used.
 
 mod error;
 pub mod events;
--- a/src/config/proxy_config.rs
+++ b/src/config/proxy_config.rs
@@ -1,4 +1,4 @@
-//! PROXY_CONFIG, the platform's configuration of an edge proxy: its form and its checks.
+//! PROXY_CONFIG, the platform's configuration of an edge proxy: its JSON form and its checks.
 
 use super::error::ConfigParseError;
 use super::events::FeedBatch;
@@ -13,12 +13,12 @@
 
 const HEXADECIMAL: u32 = 16;
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct ProcessLimits {
-    /// Memory, in MB.
+    /// Maximum memory, in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
@@ -41,42 +41,42 @@
 /// PROXY_CONFIG, read and checked.
 #[derive(Debug)]
 pub struct Config {
-    /// The edge proxy's name.
+    /// The edge proxy's name; a change takes effect only at the next start.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect; a change takes effect only at the next start.
     pub listen: SocketAddr,
-    /// The seed of the random numbers.
+    /// The seed of the router's random numbers.
     pub seed: u64,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: ProcessLimits,
     /// The address of the control feed.
     pub feed: SocketAddr,
-    /// The address of the admin endpoint, which is off without it.
+    /// The address of the admin endpoint; `None` turns the endpoint off.
     pub admin: Option<SocketAddr>,
-    /// The control feed's events up to the start.
+    /// The control feed's events that were known when the file was written.
     pub initial_events: FeedBatch,
-    /// The settings of the decision module and of the program around it.
+    /// The settings of the decision module and the program around it.
     pub settings: SiteSettings,
-    /// The paths of its keys: a new file that lacks one of them was not written completely.
+    /// The paths of the file's keys. A newer file that lacks one of them was not written completely.
     pub key_paths: BTreeSet<String>,
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Reads and checks a configuration file.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used.
+    /// Returns an error if the file cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = read_file(path)?;
         Self::parse(&text).map_err(|error| ConfigError::invalid(path, error))
     }
 
-    /// Reads a configuration.
+    /// Parses and checks the text of a configuration.
     ///
     /// # Errors
     ///
-    /// What is wrong, and at which key.
+    /// Returns what is wrong, and at which key.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigParseError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let message: ConfigMessage = serde_path_to_error::deserialize(&mut json)?;
@@ -96,7 +96,7 @@
     u64::from_str_radix(text, HEXADECIMAL).map_err(|_| ConfigParseError::Seed(text.to_owned()))
 }
 
-/// Clients state a class by its name.
+/// Checks that each class has a name of its own, since clients choose a class by its name.
 fn check_class_names(program: &ProgramSettings) -> Result<(), ConfigParseError> {
     if program.class_names().any(str::is_empty) {
         return Err(ConfigParseError::UnnamedClass);
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -1,4 +1,4 @@
-//! Converts the settings message into the types of the program, one function a section.
+//! Converts the settings message into the types of the program, one function for each section.
 
 use super::error::SettingsParseError;
 use super::message::{ClassMessage, DomainMessage, LimitsMessage, RulesMessage, SettingsMessage};
@@ -9,7 +9,7 @@
     SlowStartRules, Span, Topology, ZoneId,
 };
 
-/// The value of `weights` where servers' weights do not state their links.
+/// The value of `weights` if the servers' weights are not the capacities of their links.
 const WEIGHTS_NOT_STATED: &str = "silent";
 
 const IDEMPOTENCY: [(&str, Idempotency); 3] =
@@ -129,14 +129,14 @@
     }
 }
 
-/// The meaning of a key's value, out of the words that the key may have.
+/// Returns the meaning of a key's value, given the words that the key may have.
 fn parse_word<T: Copy>(key: &'static str, value: &str, words: &[(&str, T)]) -> Result<T, SettingsParseError> {
     let found = words.iter().find(|(word, _)| *word == value);
     let unknown = || SettingsParseError::UnknownValue { key, value: value.to_owned() };
     found.map(|(_, meaning)| *meaning).ok_or_else(unknown)
 }
 
-/// A class's entry in a list of the section `domain`.
+/// Returns a class's entry in a list of the section `domain`.
 fn class_entry<T: Copy>(key: &'static str, list: &[T], class: usize) -> Result<T, SettingsParseError> {
     list.get(class).copied().ok_or(SettingsParseError::MissingClassEntry { key, class })
 }
--- a/src/config/settings/message.rs
+++ b/src/config/settings/message.rs
@@ -1,4 +1,4 @@
-//! The settings message as it is written in JSON. Field names are the wire's own; spans are in milliseconds.
+//! The settings message as it is written in JSON. Fields are named as in the message; all times are in milliseconds.
 
 use serde::Deserialize;
 
@@ -7,7 +7,7 @@
 const DEFAULT_STREAMS_PER_CONNECTION: usize = 100;
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 20_000;
 
-/// The whole message.
+/// The whole settings message.
 #[derive(Deserialize)]
 pub(super) struct SettingsMessage {
     pub balancers: u32,
@@ -28,14 +28,14 @@
     pub report: ReportMessage,
 }
 
-/// The load report that servers send.
+/// The form of the load report that servers send.
 #[derive(Default, Deserialize)]
 pub(super) struct ReportMessage {
     #[serde(default)]
     pub names: Vec<String>,
 }
 
-/// The two-tier cache: its zones, its sources and, by class, what may be cached.
+/// The two-tier cache: its zones, its fill sources, and the caching rules of each class.
 #[derive(Deserialize)]
 pub(super) struct DomainMessage {
     pub class_grace: Vec<f64>,
@@ -93,7 +93,7 @@
     pub most_held: usize,
 }
 
-/// How servers behave under overload and after a start.
+/// How servers behave under overload and after their start.
 #[derive(Deserialize)]
 pub(super) struct RulesMessage {
     pub ask_within: f64,
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,10 +1,10 @@
-//! The settings of a site: the decision module's, and those of the program around it.
+//! The settings of a site, for the decision module and for the program around it.
 //!
 //! - `message`: the settings message as it is written in JSON.
-//! - `convert`: its conversion, one function a section.
-//! - `program`: names, classes and transport limits for the program.
-//! - `reconfigure`: how new settings replace those of a running program.
-//! - `error`: why a message cannot be used.
+//! - `convert`: the conversion of the message, one function for each section.
+//! - `program`: the names, classes and transport limits that the program uses.
+//! - `reconfigure`: the replacement of a running program's settings by new ones.
+//! - `error`: errors of messages that cannot be used.
 
 mod convert;
 mod error;
@@ -18,21 +18,21 @@
 pub use program::{ClassInfo, ProgramSettings};
 pub use reconfigure::Reconfiguration;
 
-/// The settings of a site, as one settings message states them.
+/// The settings of a site, converted from one settings message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// For the decision module.
+    /// The settings of the decision module.
     pub policy: Settings,
-    /// For the program around it.
+    /// The settings of the program around it.
     pub program: ProgramSettings,
 }
 
 impl SiteSettings {
-    /// Reads a settings message. The values are not checked; see [`Settings::check`].
+    /// Parses a settings message. The values are not checked; see [`Settings::check`].
     ///
     /// # Errors
     ///
-    /// Text that is not JSON, or not of the message's form.
+    /// Returns an error if the text is not JSON or does not have the message's form.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsParseError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let message: SettingsMessage = serde_path_to_error::deserialize(&mut json)?;
--- a/src/config/settings/program.rs
+++ b/src/config/settings/program.rs
@@ -1,22 +1,22 @@
-//! The part of the settings that the program around the decision module uses: names and transport limits.
+//! The settings that only the program around the decision module uses: names and transport limits.
 
 use crate::interface::{Class, ClassId, Idempotency, Span};
 
-/// What the program needs to know of a class. A retired class keeps its entry, and so its number.
+/// The properties of a class that the program uses. A retired class keeps its entry, so that its number stays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassInfo {
     /// The class's name on the wire.
     pub name: String,
-    /// Whether new requests no longer get this class.
+    /// Whether the class is retired: new requests no longer get it.
     pub retired: bool,
-    /// Whether its requests write: they are not idempotent, or only with an idempotency key.
+    /// Whether the class's requests write, that is, are not idempotent or only with an idempotency key.
     pub is_write: bool,
-    /// The longest time a client waits for an answer.
+    /// Longest time that a client waits for an answer.
     pub client_deadline: Span,
 }
 
 impl ClassInfo {
-    /// The entry of a class that is in use.
+    /// Creates the entry of a class that is in use.
     pub fn new(name: String, class: &Class) -> Self {
         ClassInfo {
             name,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What the program needs of the settings and the decision module does not.
+/// The settings that the program uses and the decision module does not.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProgramSettings {
     /// The classes, by number.
@@ -36,33 +36,34 @@
     pub kinds: Vec<String>,
     /// The names of the zones, by number.
     pub zones: Vec<String>,
-    /// The names of the values in a load report, in its order.
+    /// The names of the values in a load report, in the order of the report.
     pub load_report_names: Vec<String>,
-    /// Servers close a connection that was idle for this time.
+    /// Idle time after which servers close a connection.
     pub connection_idle_timeout: Span,
-    /// A connection that is not established within this time has failed.
+    /// Time within which a connection must be established; otherwise it has failed.
     pub connect_timeout: Span,
-    /// Attempts in flight on one connection, at most.
+    /// Maximum number of attempts in flight on one connection.
     pub max_streams_per_connection: usize,
-    /// Open requests, at most.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Transfer rate of a single answer at full pace, bytes per second; 0: not stated.
+    /// Top speed of the transfer of one answer, in bytes per second; 0 if it is not stated.
     pub transfer_bytes_per_s: f64,
 }
 
 impl ProgramSettings {
-    /// The number of the class in use that has this name.
+    /// Returns the class of this name that is in use; `None` if there is none.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let number = self.classes.iter().position(|class| class.name == name && !class.retired)?;
         Some(ClassId(number as u16))
     }
 
-    /// The entry of a class.
+    /// Returns the entry of a class; `None` if the number is not assigned.
     pub fn class_info(&self, class: ClassId) -> Option<&ClassInfo> {
         self.classes.get(usize::from(class.0))
     }
 
-    /// The names of all classes, by number; a name can occur more than once.
+    /// Returns the names of all classes, by number. A name can occur more than once, since retired classes are
+    /// included.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|class| class.name.as_str())
     }
--- a/src/config/settings/reconfigure.rs
+++ b/src/config/settings/reconfigure.rs
@@ -1,29 +1,30 @@
-//! How new settings replace the ones of a running program, in which open requests refer to classes by number.
+//! The replacement of a running program's settings, whose open requests refer to classes by number.
 
 use super::error::ClassNumbersExhausted;
 use super::program::{ClassInfo, ProgramSettings};
 use super::SiteSettings;
 use crate::interface::{Class, Settings, Topology};
 
-/// The settings that a running program uses after a reload.
+/// The settings that a running program applies at a reload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reconfiguration {
-    /// The new settings, with the class numbers and the place of the running program.
+    /// The new settings, with the class numbers and the topology of the running program.
     pub settings: SiteSettings,
-    /// Whether some of what the new settings say takes effect at the next start only.
+    /// Whether some of the new settings take effect only at the next start.
     pub needs_restart: bool,
 }
 
 impl SiteSettings {
-    /// Makes these settings usable in place of those of a running program.
+    /// Adapts these settings so that they can replace those of a running program.
     ///
-    /// A class of the same name and rules keeps its number. A class that is new or has other rules gets a number
-    /// that no class has had, and the old class is retired: its open requests keep its rules. The own place and the
-    /// names of kinds and zones stay the old ones, since the state of the servers is held in their numbers.
+    /// A class of the same name and rules keeps its number. A class that is new or has other rules gets a number that
+    /// no class has had. The old class is retired, so that its open requests keep its rules. The topology, except for
+    /// the transfer speed and the meaning of the weights, and the names of kinds and zones stay the old ones, since the
+    /// state of the servers refers to them by number.
     ///
     /// # Errors
     ///
-    /// No class number is left.
+    /// Returns an error if no class number is left.
     pub fn reconfigure(self, running: &SiteSettings) -> Result<Reconfiguration, ClassNumbersExhausted> {
         let SiteSettings { policy: new, program: named } = self;
         let classes = ClassTable::merge(running, &new.classes, &named.classes)?;
@@ -45,14 +46,14 @@
     }
 }
 
-/// The rules and the entries of all classes, both by number.
+/// The rules and the program's entries of all classes, both by number.
 struct ClassTable {
     rules: Vec<Class>,
     info: Vec<ClassInfo>,
 }
 
 impl ClassTable {
-    /// The classes of the running program, retired unless they stay in use, and behind them the new ones.
+    /// Returns the classes of the running program, retired unless they stay in use, followed by the new ones.
     fn merge(
         running: &SiteSettings,
         rules: &[Class],
@@ -69,7 +70,7 @@
         Ok(table)
     }
 
-    /// The classes of the running program, all retired.
+    /// Returns the classes of the running program, all of them retired.
     fn retired(running: &SiteSettings) -> Self {
         let rules = running.policy.classes.iter().map(|class| Class { retired: true, ..class.clone() });
         let info = running.program.classes.iter().map(|class| ClassInfo { retired: true, ..class.clone() });
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::interface::{Class, Idempotency, Span, ZoneId};
 
-/// The settings of the example, with these classes: names, deadlines and idempotency.
+/// Returns the settings of the example with the given classes (name, deadline, idempotency).
 fn settings_with(classes: &[(&str, Span, Idempotency)]) -> SiteSettings {
     let text = include_str!("example.json");
-    let mut settings = SiteSettings::parse(text.as_bytes()).expect("usable");
+    let mut settings = SiteSettings::parse(text.as_bytes()).expect("the settings are usable");
     let template = settings.policy.classes[0].clone();
     let class = |(_, client_deadline, idempotency): &(_, _, _)| Class {
         client_deadline: *client_deadline,
@@ -20,7 +20,7 @@
     settings
 }
 
-/// The numbers of the classes `a`, `b` and `c`, and how many classes there are.
+/// Returns the numbers of the classes `a`, `b` and `c`, and the number of all classes.
 fn class_numbers(settings: &SiteSettings) -> (Vec<Option<u16>>, usize) {
     let SiteSettings { policy, program } = settings;
     assert_eq!(program.classes.len(), policy.classes.len());
@@ -47,14 +47,15 @@
     let mut running = first;
     for (classes, expected) in steps {
         let Reconfiguration { settings, needs_restart } =
-            settings_with(&classes).reconfigure(&running).expect("usable");
+            settings_with(&classes).reconfigure(&running).expect("the settings are usable");
         assert_eq!((class_numbers(&settings), needs_restart), (expected, false), "{classes:?}");
         running = settings;
     }
-    assert_eq!(running.policy.classes[0].idempotency, Always, "open requests go on by the old record");
+    assert_eq!(running.policy.classes[0].idempotency, Always, "open requests keep the old rules");
     let mut moved = settings_with(&[("a", five, Always)]);
     (moved.policy.topology.zone, moved.policy.limits.max_attempts) = (ZoneId(0), 1);
-    let Reconfiguration { settings, needs_restart } = moved.reconfigure(&running).expect("usable");
+    let Reconfiguration { settings, needs_restart } =
+        moved.reconfigure(&running).expect("the settings are usable");
     let (topology, limits) = (&settings.policy.topology, &settings.policy.limits);
     assert_eq!((topology.zone, limits.max_attempts, needs_restart), (running.policy.topology.zone, 1, true));
 }
--- a/src/config/signed/keys.rs
+++ b/src/config/signed/keys.rs
@@ -9,15 +9,15 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Base64 of the URL alphabet, read with its padding or without, written with it.
+/// Base64 with the URL-safe alphabet. Padding is optional in input and written in output.
 pub const BASE64: GeneralPurpose = GeneralPurpose::new(
     &alphabet::URL_SAFE,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
-/// The published form of signed URLs has secrets of this length.
+/// Length of the secrets in the published form of signed URLs; shorter secrets are rejected.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// Bytes that no log line and no error shows.
+/// Secret bytes; their debug form hides them, so that no log line and no error shows them.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(pub Vec<u8>);
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// What a key is for, and its one algorithm.
+/// The purpose of a key, and the only algorithm that it is used with.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum Algorithm {
-    /// Signed URLs, HMAC with SHA-1: the published form.
+    /// Signed URLs, HMAC with SHA-1, which is the published form.
     #[serde(rename = "url-hmac-sha1")]
     UrlSha1,
     /// Signed URLs, HMAC with SHA-256.
@@ -44,7 +44,7 @@
     Es256,
 }
 
-/// A key as the operator's file names it.
+/// A key as the operator's file states it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct KeyMessage {
@@ -57,23 +57,23 @@
     pub issuers: Vec<String>,
 }
 
-/// A key with the contents of its files.
+/// A key, with the contents of its files.
 #[derive(Clone, Debug)]
 pub struct Key {
-    /// Its name: `KeyName` of a signed URL, `kid` of a token.
+    /// The key's name, as in `KeyName` of a signed URL and `kid` of a token.
     pub name: String,
-    /// Its one algorithm.
+    /// The only algorithm that the key is used with.
     pub algorithm: Algorithm,
-    /// Verifies signatures: the secret, or the public key as PEM.
+    /// What verifies signatures: the secret, or the public key as PEM.
     pub verification_key: Secret,
-    /// Makes signatures: the secret, or the private key as PEM where it is known.
+    /// What makes signatures: the secret, or the private key as PEM; `None` if the file names no private key.
     pub signing_key: Option<Secret>,
-    /// Who may issue tokens under it; empty: tokens name no issuer.
+    /// Who may issue tokens with this key; empty if its tokens state no issuer.
     pub issuers: Vec<String>,
 }
 
 impl Key {
-    /// Reads a key's files, whose names are relative to the folder of the operator's file.
+    /// Reads the files of a key; their names are relative to the folder of the operator's file.
     pub(super) fn read(folder: &Path, message: KeyMessage) -> Result<Self, ConfigError> {
         let (verification_key, signing_key) = match message.algorithm {
             Algorithm::Es256 => read_key_pair(folder, &message)?,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The public key, and the private key where its file is named.
+/// Reads the public key, and the private key if the operator's file names one.
 fn read_key_pair(folder: &Path, message: &KeyMessage) -> Result<(Secret, Option<Secret>), ConfigError> {
     let public_file = named_file(folder, message, "public_file", &message.public_file)?;
     let private_file = message.private_file.as_ref().map(|file| folder.join(file));
@@ -107,7 +107,7 @@
     Ok(Secret(bytes))
 }
 
-/// The path of a file that a key must name.
+/// Returns the path of a file that the key must name.
 fn named_file(
     folder: &Path,
     message: &KeyMessage,
--- a/src/config/signed/message.rs
+++ b/src/config/signed/message.rs
@@ -1,4 +1,4 @@
-//! The operator's file of the second front as it is written in TOML, and the checks of its values.
+//! The operator's file for the second front as it is written in TOML, and the checks of its values.
 
 use super::error::SignedConfigError;
 use super::keys::KeyMessage;
@@ -11,9 +11,9 @@
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 30_000;
 
 const SCHEMES: [&str; 2] = ["http", "https"];
-/// The segment of a route's path that stands for the object.
+/// The segment of a route's path in whose place a request names the object.
 const OBJECT_SEGMENT: &str = "{object}";
-/// The segments of a route's path that stand for a value.
+/// The segments of a route's path in whose place a request states a value.
 const VALUE_SEGMENTS: [&str; 3] = ["{group}", OBJECT_SEGMENT, "{part}"];
 
 /// The whole file.
@@ -34,13 +34,13 @@
 }
 
 impl SignedMessage {
-    /// Reads the file's text.
+    /// Parses the text of the file.
     pub fn parse(text: Vec<u8>) -> Result<Self, SignedConfigError> {
         let text = String::from_utf8(text).map_err(|_| SignedConfigError::NotUtf8)?;
         Ok(toml::from_str(&text)?)
     }
 
-    /// Checks the values, but for keys and routes.
+    /// Checks that the scheme is http or https, and that there are hosts and all are in lower case.
     pub fn check_scheme_and_hosts(&self) -> Result<(), SignedConfigError> {
         if !SCHEMES.contains(&self.scheme.as_str()) {
             return Err(SignedConfigError::Scheme(self.scheme.clone()));
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks that each route names one object, and nothing twice.
+/// Checks that the path of each route begins with `/`, has one segment for the object, and has no value segment twice.
 pub(super) fn check_routes(routes: &[Route]) -> Result<(), SignedConfigError> {
     match routes.iter().find(|route| !is_usable(&route.path)) {
         Some(route) => Err(SignedConfigError::Route(route.path.clone())),
--- a/src/config/signed/mod.rs
+++ b/src/config/signed/mod.rs
@@ -1,8 +1,9 @@
-//! The operator's file of the second front: where it listens, its keys, and what its paths name.
+//! The operator's file for the second front, which serves signed URLs and tokens over HTTP/1.1: its address, its keys,
+//! and its routes.
 //!
 //! - `message`: the file as it is written in TOML, and the checks of its values.
 //! - `keys`: the keys, read from their files.
-//! - `error`: why the file cannot be used.
+//! - `error`: errors of files that cannot be used.
 
 mod error;
 mod keys;
@@ -18,48 +19,48 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the paths of one form name.
+/// Maps the paths of one form to a class and a group.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The path's form: literal segments and `{group}`, `{object}` and `{part}`.
+    /// The form of the path: literal segments, and the segments `{group}`, `{object}` and `{part}` for values.
     pub path: String,
-    /// The class's name.
+    /// Name of the class of the requests.
     pub class: String,
-    /// The group where the path names none.
+    /// The object's group if the path has no `{group}`.
     #[serde(default)]
     pub group: u32,
-    /// The client's timeout in milliseconds; absent: the class's deadline.
+    /// How long the client waits, in milliseconds; `None` means the class's deadline.
     pub patience_ms: Option<u64>,
 }
 
-/// The operator's file, read and checked.
+/// The operator's file for the second front, read and checked.
 #[derive(Clone, Debug)]
 pub struct SignedConfig {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The scheme of the links, which a terminator in front of this program may speak.
+    /// The scheme of the signed URLs: http, or https if a TLS terminator in front of this program accepts the clients.
     pub scheme: String,
-    /// The hosts of the links.
+    /// The hosts of the signed URLs, in lower case.
     pub hosts: Vec<String>,
-    /// What `aud` of a token may name.
+    /// The accepted values of a token's `aud`.
     pub audience: Vec<String>,
-    /// How long a head may take to come.
+    /// Time within which a request head must arrive.
     pub head_timeout: Span,
-    /// How long a connection may be idle.
+    /// Idle time after which a connection is closed.
     pub idle_timeout: Span,
-    /// The keys.
+    /// The keys that verify signed URLs and tokens; their names are distinct.
     pub keys: Vec<Key>,
-    /// What paths name, the first that fits.
+    /// The routes; the first one that matches a path is used.
     pub routes: Vec<Route>,
 }
 
 impl SignedConfig {
-    /// Reads an operator's file and the key files that it names, relative to its folder.
+    /// Reads and checks an operator's file and the key files that it names, relative to its folder.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used.
+    /// Returns an error if a file cannot be read or used.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let invalid = |error: SignedConfigError| ConfigError::invalid(path, error);
         let message = SignedMessage::parse(read_file(path)?).map_err(invalid)?;
--- a/src/control/tests/settings.rs
+++ b/src/control/tests/settings.rs
@@ -21,7 +21,7 @@
         ),
         (
             "control {\n listen = \"127.0.0.1:0\"\n most_clients = 0\n}",
-            "c.hcl:3:17: most_clients wants a whole number",
+            "c.hcl:3:17: most_clients must be a whole number",
         ),
     ] {
         let error = ControlSettings::parse(HclDocument { file: "c.hcl", text }).expect_err(text).to_string();
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -119,7 +119,7 @@
         ),
         (
             "expect \"e\" {\n  rank_at_most = 4\n}",
-            "e.hcl:2:18: rank_at_most wants a whole number from 0 to 3",
+            "e.hcl:2:18: rank_at_most must be a whole number from 0 to 3",
         ),
         ("expect \"e\" {\n  answer = \"maybe\"\n}", "e.hcl:2:12: answer is served, refused or failed"),
         (
@@ -135,9 +135,12 @@
             "e.hcl:4:1: expectation \"e\" comes twice",
         ),
         ("expect {\n  acyclic = true\n}", "e.hcl:1:1: an expectation has one name"),
-        ("explore {\n  seeds = 0\n}", "e.hcl:2:11: seeds wants a whole number from 1 to 1000"),
+        ("explore {\n  seeds = 0\n}", "e.hcl:2:11: seeds must be a whole number from 1 to 1000"),
         ("", "e.hcl:1:1: no expect block"),
-        ("expect \"e\" {\n  goes_to = origin\n}", "e.hcl:2:13: goes_to wants a text, or a list of texts"),
+        (
+            "expect \"e\" {\n  goes_to = origin\n}",
+            "e.hcl:2:13: goes_to must be a string, or a list of strings",
+        ),
         ("expect \"e\" {\n  acyclic = true\n  colour = 1\n}", "e.hcl:3:3: no key \"colour\"; there are "),
     ];
     for (text, wanted) in cases {
--- a/src/standin/faults/tests.rs
+++ b/src/standin/faults/tests.rs
@@ -63,7 +63,7 @@
     };
     assert!((0..50).flat_map(|seed| hosts.script(seed)).all(|fault| !others(&fault)));
     for (text, wanted) in [
-        ("sim {\n caches = 0\n}", "f.hcl:2:11: caches wants a whole number from 1 to 50"),
+        ("sim {\n caches = 0\n}", "f.hcl:2:11: caches must be a whole number from 1 to 50"),
         (
             "sim {\n weights {\n  sillent = 1\n }\n}",
             "f.hcl:3:3: no key \"sillent\"; did you mean \"silent\"?",
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -137,7 +137,7 @@
         ),
         (
             "trace {\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"p\" {\n part = 2\n }\n}",
-            "map.hcl:7:9: part wants a number from 0 to 1",
+            "map.hcl:7:9: part must be a number from 0 to 1",
         ),
         (
             "trace {\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"p\" {\n one_of = \"a\"\n }\n}",
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -1,4 +1,4 @@
-//! The checks of [`Settings`] before a router starts, one line a value.
+//! The checks of [`Settings`] before a router starts.
 
 use crate::interface::{Class, ProtectionRules, Settings, SiteLimits, Span, Topology};
 
@@ -7,36 +7,36 @@
 #[non_exhaustive]
 pub enum SettingsError {
     /// There is no class of requests.
-    #[error("no classes")]
+    #[error("the list of classes is empty")]
     NoClasses,
-    /// The deployment has no routers, or this router's number is not among them.
-    #[error("router {ordinal} of {routers}")]
+    /// This router's number is not less than the number of routers.
+    #[error("ordinal {ordinal} is out of range, there are {routers} routers")]
     OrdinalOutOfRange {
-        /// The number given.
+        /// This router's number, from 0.
         ordinal: u32,
-        /// The routers given.
+        /// Number of routers in the deployment.
         routers: u32,
     },
-    /// A zone lies outside the lists of zones.
-    #[error("{name}: zone {zone} of {zones}")]
+    /// A zone is not in the lists of zones.
+    #[error("{name}: zone {zone} is out of range, there are {zones} zones")]
     ZoneOutOfRange {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// The zone given.
+        /// Number of the zone, from 0.
         zone: u16,
-        /// How many zones the lists have.
+        /// Number of zones in the lists.
         zones: usize,
     },
-    /// A figure is negative, or no finite number.
+    /// A number is negative, infinite or not a number.
     #[error("{name} is negative or not finite")]
     InvalidNumber {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
     },
-    /// A span or a count is too small.
-    #[error("{name} is no span of time")]
+    /// A span or a count is less than its minimum.
+    #[error("{name} is too small")]
     TooSmall {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
     },
 }
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// The first value that is missing, out of range, negative or not finite.
+    /// Returns an error for the first value that is missing, out of range, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_all([
             if self.classes.is_empty() { Err(SettingsError::NoClasses) } else { Ok(()) },
@@ -122,12 +122,12 @@
     }
 }
 
-/// The first error of several checks.
+/// Returns the first error of several checks.
 fn check_all<const N: usize>(checks: [Check; N]) -> Check {
     checks.into_iter().collect()
 }
 
-/// A number of 0 or more.
+/// Checks that a number is finite and 0 or more.
 fn non_negative(name: &'static str, value: f64) -> Check {
     match value.is_finite() && value >= 0.0 {
         true => Ok(()),
@@ -135,12 +135,12 @@
     }
 }
 
-/// A span of 0 or more.
+/// Checks that a span is 0 or more.
 fn non_negative_span(name: &'static str, value: Span) -> Check {
     at_least(name, value, Span::ZERO)
 }
 
-/// A span of more than 0.
+/// Checks that a span is more than 0.
 fn positive_span(name: &'static str, value: Span) -> Check {
     at_least(name, value, Span::from_micros(1))
 }
@@ -152,7 +152,7 @@
     }
 }
 
-/// A zone that the lists of zones have.
+/// Checks that a zone is in the lists of zones.
 fn zone_in_range(name: &'static str, zone: u16, zones: usize) -> Check {
     match usize::from(zone) < zones {
         true => Ok(()),
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -53,7 +53,7 @@
     let mut rig = Rig::new("file", voters(1..=3));
     for (change, wanted) in [
         (("cluster = \"tests\"", "cluster = \"others\""), "cluster can't change in service"),
-        (("revision = 2", "revision = 0"), "revision wants a whole number from 1"),
+        (("revision = 2", "revision = 0"), "revision must be a whole number from 1"),
     ] {
         rig.write_as(1, 2, &voters(1..=3), |text| text.replace(change.0, change.1));
         rig.signal(1, "-HUP");
