--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -50,7 +50,7 @@
     /// The seed is not a number of at most 16 hex digits.
     #[error("seed {0:?} is not a number of at most 16 hex digits")]
     Seed(String),
-    /// The settings message cannot be read.
+    /// The settings message is not usable.
     #[error(transparent)]
     SettingsMessage(#[from] SettingsParseError),
     /// A router cannot start with the settings.
--- a/src/config/hcl_document/tests.rs
+++ b/src/config/hcl_document/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `located`.
+//! Tests of `hcl_document`.
 
 use super::*;
 
--- a/src/config/settings/program.rs
+++ b/src/config/settings/program.rs
@@ -5,7 +5,7 @@
 /// The properties of a class that the program uses. A retired class keeps its entry, so that its number stays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassInfo {
-    /// The class's name on the wire.
+    /// The class's name, as clients and servers state it.
     pub name: String,
     /// Whether the class is retired: new requests no longer get it.
     pub retired: bool,
--- a/src/config/signed/message.rs
+++ b/src/config/signed/message.rs
@@ -16,7 +16,7 @@
 /// The segments of a route's path in whose place a request states a value.
 const VALUE_SEGMENTS: [&str; 3] = ["{group}", OBJECT_SEGMENT, "{part}"];
 
-/// The whole file.
+/// The whole file as it is parsed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SignedMessage {
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -12,7 +12,7 @@
 use crate::slots::Key;
 use tracing::debug;
 
-/// An attempt that the router asks for.
+/// An attempt that an action of the router begins.
 pub(super) struct NewAttempt {
     pub request: RequestId,
     pub server: ServerId,
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 
-/// A client's request, as a front submits it.
+/// A client's request, as the program submits it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// The class of the request.
@@ -15,7 +15,7 @@
     pub object: ObjectId,
     /// Number of the requested part of the object.
     pub part: u32,
-    /// The object's group.
+    /// The object's group, for purges of the whole group.
     pub group: GroupId,
     /// How long the client waits, from the submission of the request.
     pub timeout: Span,
--- a/src/interface/requests.rs
+++ b/src/interface/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{ClassId, GroupId, ObjectId, RequestId, Span};
 
-/// A client's request.
+/// A client's request for one part of an object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Names the request in the actions and events that concern it.
