--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -107,8 +107,8 @@
             && now < attempt.deadline
     }
 
-    /// Marks an attempt that [`Core::write_attempt`] marked as written as not written: less than a complete line of it
-    /// was sent, so it has not run.
+    /// Reverts [`Core::write_attempt`] for an attempt of which less than a complete line was sent: it counts as not
+    /// written, and has not run.
     pub fn attempt_not_written(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.written_at = None;
