--- a/src/server/acceptor.rs
+++ b/src/server/acceptor.rs
@@ -111,7 +111,7 @@
 
     /// Reads from a connection that may have waited while accepting failed: its client's deadline counts from then.
     fn read_delayed_requests(&mut self, conn: ConnectionKey) {
-        if let Some(since) = self.admission.accepts_fail_since {
+        if let Some(since) = self.admission.accept_failing_since {
             self.thrift.set_waiting_since(conn, since);
             self.on_ready(Ready::readable(conn));
         }
@@ -140,7 +140,7 @@
             self.on_accept_succeeded();
         }
         if role == Role::Thrift && conn.is_none() {
-            self.admission.accepts_fail_since = None;
+            self.admission.accept_failing_since = None;
         }
         conn
     }
@@ -149,7 +149,7 @@
     /// descriptor is given up to accept one waiting connection and refuse it.
     fn on_accept_failed(&mut self, role: Role, error: &io::Error) {
         if role == Role::Thrift {
-            self.admission.accepts_fail_since.get_or_insert(self.now);
+            self.admission.accept_failing_since.get_or_insert(self.now);
         }
         if role == Role::Admin || !(self.admission.rules.is_enabled() && is_exhausted(error)) {
             warn!("accept: {error}");
--- a/src/server/acceptor/tests.rs
+++ b/src/server/acceptor/tests.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_client_is_accepted_at_once_behind_one_that_failed() {
+fn aborted_connection_does_not_delay_the_next_accept() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         let mut simulated = SimulatedServer::new();
         simulated.fabric.dial_aborted(client(1), host(FRONT), error);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn exhaustion_pauses_accepting_without_a_spin_and_loses_nobody() {
+fn descriptor_exhaustion_neither_spins_nor_loses_clients() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let mut simulated = SimulatedServer::new();
         // The turns of the process in a second without clients.
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_process_that_stops_without_descriptors_answers_who_waits() {
+fn shutdown_without_descriptors_answers_waiting_clients() {
     let mut simulated = SimulatedServer::new();
     simulated.run_until(START + 100 * MS);
     simulated.fabric.exhaust(Errno::MFILE, START + 1500 * MS);
--- a/src/server/active_config.rs
+++ b/src/server/active_config.rs
@@ -36,7 +36,7 @@
     }
 
     /// Takes over what a reload may change.
-    pub fn adopt(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
+    pub fn update(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
         self.keys = keys;
         self.limits = limits;
         self.settings = settings;
--- a/src/server/admin_calls.rs
+++ b/src/server/admin_calls.rs
@@ -49,7 +49,7 @@
 
     fn answer_admin_call(&self, call: AdminCall) -> AdminReply {
         match call {
-            AdminCall::Healthcheck if self.takes_clients() => AdminReply::text(200, "ok\n"),
+            AdminCall::Healthcheck if self.is_ready_for_clients() => AdminReply::text(200, "ok\n"),
             AdminCall::Healthcheck if self.phase.is_shutting_down() => AdminReply::text(503, "stopping\n"),
             AdminCall::Healthcheck => AdminReply::text(503, "starting\n"),
             AdminCall::Stats => AdminReply::text(200, self.metrics()),
@@ -62,7 +62,7 @@
 
     /// Whether clients should come here: not during a shutdown, and not before there is an endpoint list, without
     /// which their requests would be rejected.
-    pub(super) fn takes_clients(&self) -> bool {
+    pub(super) fn is_ready_for_clients(&self) -> bool {
         self.endpoints.has_full_list && !self.phase.is_shutting_down()
     }
 }
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -21,7 +21,7 @@
     /// A descriptor that is given up, when there are no others, to accept one connection and refuse it.
     pub spare_descriptor: Option<File>,
     /// Since when connections of the Thrift front may wait in the system's queue because accepting fails.
-    pub accepts_fail_since: Option<Instant>,
+    pub accept_failing_since: Option<Instant>,
     /// Descriptors that are no connection (listeners, poll, signals, standard streams), once they were counted.
     other_descriptors: Option<usize>,
     refusal_log: RefusalLog,
@@ -34,7 +34,7 @@
             rules: Admission::new(settings),
             refused: BTreeMap::new(),
             spare_descriptor: None,
-            accepts_fail_since: None,
+            accept_failing_since: None,
             other_descriptors: None,
             refusal_log: RefusalLog::default(),
         };
@@ -83,7 +83,8 @@
         let Some(address) = self.net.address(conn) else { return false };
         let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
         let free = self.free_descriptors();
-        let capacity = Capacity { clients, max_clients: self.budget.clients, free_descriptors: free };
+        let capacity =
+            Capacity { clients, max_clients: self.budget.max_client_connections, free_descriptors: free };
         match self.admission.rules.admit(self.now, ConnectionId(conn.number()), address, capacity) {
             Decision::Reject { cause, retry_after } => {
                 self.refuse_new_connection(role, conn, cause, retry_after, free);
@@ -121,7 +122,7 @@
         free_descriptors: Option<usize>,
     ) {
         let retry_after = if self.config.sends_retry_after() { retry_after } else { Span::ZERO };
-        if let Some(suppressed) = self.admission.refusal_log.next_line(self.now) {
+        if let Some(suppressed) = self.admission.refusal_log.record_refusal(self.now) {
             let address = self.net.address(conn).map_or_else(String::new, |address| address.to_string());
             info!(
                 "conn={conn} refused: {} from {address} ({suppressed} more since the last such line)",
--- a/src/server/attempt_encoder.rs
+++ b/src/server/attempt_encoder.rs
@@ -23,14 +23,14 @@
     /// Has the fields of requests that the core does not need.
     pub pending: &'a PendingRequests,
     /// Names classes.
-    pub names: &'a ProgramSettings,
+    pub settings: &'a ProgramSettings,
 }
 
 impl RequestEncoder<Deadlines<ServerDeadline>> for AttemptEncoder<'_> {
     fn encode(&mut self, job: JobId, deadlines: &mut Deadlines<ServerDeadline>) -> Option<WireRequest> {
         let attempt = self.core.write_attempt(self.now, Key::from_number(job.0), deadlines)?;
         let request = self.pending.get(attempt.request)?;
-        let class = &self.names.class_info(request.class)?.name;
+        let class = &self.settings.class_info(request.class)?.name;
         let fill_source = attempt.fill_source.and_then(|source| self.servers.name(source));
         Some(translate::wire_request(&attempt, class, fill_source, request))
     }
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -23,9 +23,9 @@
 /// What the limits leave for which purpose.
 pub(super) struct ResourceBudget {
     /// Connections of clients, including those that have sent no request yet.
-    pub clients: usize,
+    pub max_client_connections: usize,
     /// Connections to servers.
-    pub servers: usize,
+    pub max_server_connections: usize,
     /// Held bytes above which new requests of slow readers are rejected.
     max_bytes_for_slow_readers: usize,
     /// Held bytes above which all new requests are rejected.
@@ -43,8 +43,8 @@
         let usual_clients = limits.sockets.div_ceil(3).min(sockets / 2 + 1);
         let clients = usual_clients + (sockets - usual_clients) / SPARE_CLIENTS_DIVISOR;
         ResourceBudget {
-            clients,
-            servers: sockets.saturating_sub(clients) / processes,
+            max_client_connections: clients,
+            max_server_connections: sockets.saturating_sub(clients) / processes,
             max_bytes_for_slow_readers: (memory * SLOW_READERS_REJECTED_ABOVE) as usize,
             max_bytes_for_requests: (memory * ALL_REJECTED_ABOVE) as usize,
             max_bytes_for_answers: (memory * ANSWERS_DROPPED_ABOVE) as usize,
@@ -59,12 +59,12 @@
     }
 
     /// The limits of the connections to servers.
-    pub fn pool_limits(&self, names: &ProgramSettings) -> PoolLimits {
+    pub fn pool_limits(&self, settings: &ProgramSettings) -> PoolLimits {
         PoolLimits {
-            connect_timeout: names.connect_timeout,
-            idle_timeout: names.connection_idle_timeout,
-            max_jobs_per_connection: names.max_streams_per_connection,
-            max_connections: self.servers,
+            connect_timeout: settings.connect_timeout,
+            idle_timeout: settings.connection_idle_timeout,
+            max_jobs_per_connection: settings.max_streams_per_connection,
+            max_connections: self.max_server_connections,
             max_buffered_bytes: self.max_bytes_for_answers,
         }
     }
--- a/src/server/budget/tests.rs
+++ b/src/server/budget/tests.rs
@@ -20,14 +20,17 @@
 
 /// Two processes count as one edge proxy.
 #[test]
-fn two_processes_together_keep_to_the_limits_of_one() {
+fn two_processes_together_stay_within_the_limits_of_one() {
     for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
         let limits = ProcessLimits { memory_mb, sockets };
         let (one, two) = (ResourceBudget::new(&limits, 1), ResourceBudget::new(&limits, 2));
-        assert!(one.clients + one.servers + OTHER_DESCRIPTORS <= sockets);
+        assert!(one.max_client_connections + one.max_server_connections + OTHER_DESCRIPTORS <= sockets);
         // Clients' connections are counted together.
-        assert!(two.clients + 2 * (two.servers + OTHER_DESCRIPTORS) <= sockets, "{sockets}");
-        assert!(two.clients >= sockets.div_ceil(3), "usual clients hold up to a third");
+        assert!(
+            two.max_client_connections + 2 * (two.max_server_connections + OTHER_DESCRIPTORS) <= sockets,
+            "{sockets}"
+        );
+        assert!(two.max_client_connections >= sockets.div_ceil(3), "usual clients hold up to a third");
         assert!(2 * two.max_bytes_for_answers <= one.max_bytes_for_answers);
         assert!(2 * two.max_bytes_for_requests <= one.max_bytes_for_requests);
     }
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -12,30 +12,30 @@
 
 impl Server {
     /// Carries out commands and reports events until there are none; writes no attempt.
-    pub(super) fn settle(&mut self) {
-        while self.settle_once() {}
+    pub(super) fn process_commands(&mut self) {
+        while self.process_commands_once() {}
     }
 
     /// The same, and writes the attempts that connections take.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn process_commands_and_write(&mut self) {
         loop {
-            self.settle();
+            self.process_commands();
             self.write_attempts();
             // The policy decides anew on an attempt that may not be written any more.
-            if !self.settle_once() {
+            if !self.process_commands_once() {
                 return;
             }
         }
     }
 
     /// Returns whether there was a command or an event.
-    fn settle_once(&mut self) -> bool {
+    fn process_commands_once(&mut self) -> bool {
         let events = self.upstream.take_events();
         let mut is_busy = !events.is_empty();
         events.into_iter().for_each(|event| self.on_upstream_event(event));
         while let Some(command) = self.core.next_command() {
             is_busy = true;
-            self.carry_out(command);
+            self.execute_command(command);
         }
         is_busy
     }
@@ -48,7 +48,7 @@
             core: &mut self.core,
             servers: &self.endpoints.names,
             pending: &self.pending,
-            names: &self.config.settings.program,
+            settings: &self.config.settings.program,
         };
         self.upstream.dispatch(self.now, &mut self.net, &mut self.deadlines, &mut encoder);
     }
@@ -76,7 +76,7 @@
         self.core.health_checked(self.now, server, end.result, elapsed, end.load_report, &mut self.deadlines);
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute_command(&mut self, command: Command) {
         match command {
             Command::SendAttempt { attempt, request, server } => self.queue_attempt(attempt, request, server),
             Command::AbandonAttempt(attempt) => {
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -13,7 +13,7 @@
 
 /// Each time this has passed since the signal, one request more may be open on a connection on which reading stops so
 /// that it can be passed on. The fewer there are, the less other requests wait there for the last answer.
-const PAUSE_STEP: Span = Span::from_millis(400);
+const PAUSE_LIMIT_STEP: Span = Span::from_millis(400);
 
 impl Server {
     /// Handles an event of the handover: the other process came, sent something or ended.
@@ -36,26 +36,29 @@
 
     /// While closing: passes on the connections on which nothing is open, once all that was ready was handled; with no
     /// newer process, they are closed.
-    pub(super) fn pass_on_or_close_idle(&mut self) {
+    pub(super) fn hand_over_or_close_idle(&mut self) {
         if !self.phase.is_closed_to_clients() {
             return;
         }
         if self.handover.has_newer() {
-            self.pass_on_idle();
+            self.hand_over_idle();
         } else {
             self.close_idle();
         }
     }
 
-    fn pass_on_idle(&mut self) {
+    fn hand_over_idle(&mut self) {
         let schedule = self.shutdown_schedule();
-        let max_open_requests = ((self.now - schedule.begun) / PAUSE_STEP) as usize;
+        let max_open_requests = ((self.now - schedule.signalled_at) / PAUSE_LIMIT_STEP) as usize;
         let is_end_near = schedule.final_answers_at() <= self.now + HANDOVER_PAUSE;
         let connections =
             self.thrift.connections_to_hand_over(self.now, max_open_requests, is_end_near, &self.net);
         for conn in connections {
             let handover = &mut self.handover;
-            if self.net.hand_over(self.now, conn, |stream, unused| handover.pass_on(stream, unused)) {
+            if self
+                .net
+                .hand_over(self.now, conn, |stream, unused| handover.hand_over_connection(stream, unused))
+            {
                 self.thrift.handed_over(conn, &mut self.deadlines);
             }
         }
@@ -65,7 +68,7 @@
         while let Some(conn) = self.thrift.idle_connection(self.now, &mut self.net) {
             // What has come meanwhile is still answered.
             self.on_ready(Ready::readable(conn));
-            self.pump();
+            self.process_commands_and_write();
             self.thrift.close_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.deadlines);
         }
     }
@@ -89,6 +92,6 @@
         // The unused bytes bring no event.
         self.on_ready(Ready::readable(conn));
         // Attempts are written behind all that is ready by now: the client may have closed the connection.
-        self.settle();
+        self.process_commands();
     }
 }
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -48,7 +48,7 @@
             if let Some(change) = members {
                 self.endpoints.has_full_list |= change.whole;
                 let update = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
-                self.on_endpoints(n, update, &change.hosts, reception);
+                self.update_endpoints(n, update, &change.hosts, reception);
             }
             if let Some(purge) = purge {
                 let object = purge.key.as_deref().map(|key| u64::from_str_radix(key, 16));
@@ -60,16 +60,22 @@
                         continue;
                     }
                 };
-                let made_at = self.endpoints.unix_time.purge(reception, purge.made_at());
+                let made_at = self.endpoints.unix_time.convert_purge_time(reception, purge.made_at());
                 self.core.purge(self.now, target, made_at, &mut self.deadlines);
             }
         }
     }
 
-    fn on_endpoints(&mut self, event: u64, update: ListUpdate, servers: &[FeedServer], reception: Reception) {
+    fn update_endpoints(
+        &mut self,
+        event: u64,
+        update: ListUpdate,
+        servers: &[FeedServer],
+        reception: Reception,
+    ) {
         let mut endpoints = Vec::with_capacity(servers.len());
         for server in servers {
-            endpoints.push(self.on_endpoint(server, reception));
+            endpoints.push(self.update_endpoint(server, reception));
             info!("event {event}: {} is {:?}", server.host, server.health);
         }
         let removed = endpoints.iter().filter(|endpoint| endpoint.state == ServerState::Removed);
@@ -79,11 +85,12 @@
     }
 
     /// Adds, changes or removes the connections' target for an entry of the list.
-    fn on_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
+    fn update_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
         let mut endpoint = self.endpoints.names.endpoint(server, &self.config.settings.program);
         let id = endpoint.server;
         let started_at = server.started_at();
-        endpoint.started_at = started_at.map(|unix| self.endpoints.unix_time.start(reception, id, unix));
+        endpoint.started_at =
+            started_at.map(|unix| self.endpoints.unix_time.convert_start_time(reception, id, unix));
         match server.dial.filter(|_| endpoint.state != ServerState::Removed) {
             Some(addr) => {
                 let started_at = endpoint.started_at;
--- a/src/server/eviction.rs
+++ b/src/server/eviction.rs
@@ -9,7 +9,7 @@
 impl Server {
     /// Whether one more client is within the budget, if need be after the eviction of another one.
     pub(super) fn make_room(&mut self) -> bool {
-        self.clients() + self.handover.clients() <= self.budget.clients
+        self.clients() + self.handover.clients() <= self.budget.max_client_connections
             || self.evict_thrift_connection()
             || self.evict_signed_connection()
     }
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -16,10 +16,10 @@
 use super::event_source::EventSource;
 use crate::net::fabric::Fabric;
 use crate::net::{Net, Stream};
+use sibling::{HandoverListener, Sibling};
 pub(super) use sibling::{InheritedConnection, InheritedStream};
-use sibling::{Rendezvous, Sibling};
-use simulated::SimulatedRendezvous;
-use socket::SocketRendezvous;
+use simulated::SimulatedListener;
+use socket::SocketListener;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
@@ -34,7 +34,7 @@
 
 /// The other processes of this edge proxy.
 pub(super) struct Handover {
-    rendezvous: Box<dyn Rendezvous>,
+    listener: Box<dyn HandoverListener>,
     older: Option<Box<dyn Sibling>>,
     newer: Option<Box<dyn Sibling>>,
     /// The count of clients' connections that was last sent to the others.
@@ -44,22 +44,22 @@
 impl Handover {
     /// Connects to the process that serves this address now, and lets the next one find this process.
     pub fn over_sockets(addr: SocketAddr, net: &mut Net) -> Self {
-        let (rendezvous, older) = SocketRendezvous::open(addr, net);
+        let (listener, older) = SocketListener::open(addr, net);
         if older.is_some() {
             info!("an older process serves here and is taken over from");
         }
-        Self::new(rendezvous, older)
+        Self::new(listener, older)
     }
 
     /// The same for a process of a simulated network.
     pub fn simulated(addr: SocketAddr, fabric: &Fabric, process: u32) -> Self {
-        let (rendezvous, older) = SimulatedRendezvous::open(addr, fabric, process);
-        Self::new(rendezvous, older)
+        let (listener, older) = SimulatedListener::open(addr, fabric, process);
+        Self::new(listener, older)
     }
 
-    fn new(rendezvous: impl Rendezvous + 'static, older: Option<impl Sibling + 'static>) -> Self {
+    fn new(listener: impl HandoverListener + 'static, older: Option<impl Sibling + 'static>) -> Self {
         let older = older.map(|older| Box::new(older) as Box<dyn Sibling>);
-        Handover { rendezvous: Box::new(rendezvous), older, newer: None, announced_clients: None }
+        Handover { listener: Box::new(listener), older, newer: None, announced_clients: None }
     }
 
     /// Handles an event of a source of the handover, and returns whether a process came or ended. Connections that
@@ -85,7 +85,7 @@
                 if has_ended {
                     warn!("the newer process has ended");
                     self.newer = None;
-                    self.rendezvous.publish(net);
+                    self.listener.publish(net);
                 }
                 has_ended
             }
@@ -94,7 +94,7 @@
     }
 
     fn accept_newer(&mut self, net: &mut Net) -> bool {
-        let Some(newer) = self.rendezvous.accept_newer(self.newer.is_some(), net) else { return false };
+        let Some(newer) = self.listener.accept_newer(self.newer.is_some(), net) else { return false };
         self.newer = Some(newer);
         self.announced_clients = None;
         true
@@ -102,7 +102,7 @@
 
     /// Whether a newer process may wait that could not be accepted: no further event reports it.
     pub fn missed_newer(&self) -> bool {
-        self.rendezvous.missed_newer()
+        self.listener.missed_newer()
     }
 
     /// This process's share of the limits.
@@ -135,7 +135,7 @@
     }
 
     /// Passes a client's connection on to the newer process; `false` if this process keeps it.
-    pub fn pass_on(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+    pub fn hand_over_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
         self.newer.as_mut().is_some_and(|newer| newer.send_connection(stream, unused))
     }
 
@@ -143,7 +143,7 @@
     pub fn close(&mut self, net: &mut Net) {
         // A newer process that came at the last moment has published itself already.
         self.accept_newer(net);
-        self.rendezvous.close();
+        self.listener.close();
     }
 }
 
--- a/src/server/handover/sibling.rs
+++ b/src/server/handover/sibling.rs
@@ -36,7 +36,7 @@
 }
 
 /// Where the next process finds this one.
-pub(super) trait Rendezvous {
+pub(super) trait HandoverListener {
     /// Lets the next process find this one.
     fn publish(&mut self, net: &mut Net);
 
@@ -46,6 +46,6 @@
     /// Whether a newer process may wait that could not be accepted.
     fn missed_newer(&self) -> bool;
 
-    /// Removes what [`Rendezvous::publish`] has set up.
+    /// Removes what [`HandoverListener::publish`] has set up.
     fn close(&mut self);
 }
--- a/src/server/handover/simulated.rs
+++ b/src/server/handover/simulated.rs
@@ -1,6 +1,6 @@
 //! The handover between processes of a simulated network.
 
-use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::sibling::{HandoverListener, InheritedConnection, InheritedStream, Sibling};
 use super::EventSource;
 use crate::net::fabric::{Fabric, ProcessMessage};
 use crate::net::{Net, Stream};
@@ -58,21 +58,21 @@
 }
 
 /// The register of processes of the simulated network.
-pub(super) struct SimulatedRendezvous {
+pub(super) struct SimulatedListener {
     fabric: Fabric,
     process: u32,
     addr: SocketAddr,
 }
 
-impl SimulatedRendezvous {
+impl SimulatedListener {
     /// Registers this process for an address, and returns the one that was registered before.
     pub fn open(addr: SocketAddr, fabric: &Fabric, process: u32) -> (Self, Option<SimulatedSibling>) {
-        let rendezvous = SimulatedRendezvous { fabric: fabric.clone(), process, addr };
+        let listener = SimulatedListener { fabric: fabric.clone(), process, addr };
         let older = fabric.take_place(addr, process).map(|older| {
             fabric.wake_source(older, EventSource::HandoverListener.number());
-            rendezvous.sibling(older, EventSource::NewerProcess)
+            listener.sibling(older, EventSource::NewerProcess)
         });
-        (rendezvous, older)
+        (listener, older)
     }
 
     fn sibling(&self, other: u32, source_at_other: EventSource) -> SimulatedSibling {
@@ -86,7 +86,7 @@
     }
 }
 
-impl Rendezvous for SimulatedRendezvous {
+impl HandoverListener for SimulatedListener {
     fn publish(&mut self, _: &mut Net) {
         self.fabric.take_place(self.addr, self.process);
     }
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -2,7 +2,7 @@
 //! address. The end of a process shows as the end of the stream; connections are passed on by SCM_RIGHTS.
 
 use super::message::{self, Message};
-use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::sibling::{HandoverListener, InheritedConnection, InheritedStream, Sibling};
 use super::EventSource;
 use crate::net::{Net, Stream};
 use mio::net::{UnixListener, UnixStream};
@@ -35,9 +35,9 @@
 }
 
 /// What a read from the stream came to.
-enum Received {
-    Some,
-    NothingNow,
+enum ReadOutcome {
+    Data,
+    WouldBlock,
     Ended,
 }
 
@@ -54,18 +54,18 @@
     }
 
     /// Reads bytes and descriptors once.
-    fn read_once(&mut self) -> Received {
+    fn read_once(&mut self) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let flags = RecvFlags::CMSG_CLOEXEC;
         let length = loop {
             match recvmsg(&self.stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags) {
-                Ok(message) if message.bytes == 0 => return Received::Ended,
+                Ok(message) if message.bytes == 0 => return ReadOutcome::Ended,
                 Ok(message) => break message.bytes,
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return Received::NothingNow,
-                Err(_) => return Received::Ended,
+                Err(Errno::AGAIN) => return ReadOutcome::WouldBlock,
+                Err(_) => return ReadOutcome::Ended,
             }
         };
         self.received.extend_from_slice(&bytes[..length]);
@@ -74,7 +74,7 @@
                 self.descriptors.extend(descriptors);
             }
         }
-        Received::Some
+        ReadOutcome::Data
     }
 
     /// Handles the messages that have arrived in full; `false` if the other process sent something else.
@@ -138,9 +138,9 @@
     fn receive(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
         loop {
             match self.read_once() {
-                Received::Some if self.handle_messages(inherited) => {}
-                Received::NothingNow => return true,
-                Received::Some | Received::Ended => return false,
+                ReadOutcome::Data if self.handle_messages(inherited) => {}
+                ReadOutcome::WouldBlock => return true,
+                ReadOutcome::Data | ReadOutcome::Ended => return false,
             }
         }
     }
@@ -156,22 +156,22 @@
 }
 
 /// The path at which the next process finds this one.
-pub(super) struct SocketRendezvous {
+pub(super) struct SocketListener {
     path: PathBuf,
     /// Accepts the next process; none while there is one.
     listener: Option<UnixListener>,
     missed_newer: bool,
 }
 
-impl SocketRendezvous {
+impl SocketListener {
     /// Connects to the process that serves an address now, and listens in its place.
     pub fn open(addr: SocketAddr, net: &mut Net) -> (Self, Option<SocketSibling>) {
         // Short, since the system takes about a hundred bytes of such a path. Its number is that of the messages' form.
         let path = std::env::temp_dir().join(format!("dt1-{}-{}", addr.ip(), addr.port()));
-        let mut rendezvous = SocketRendezvous { path, listener: None, missed_newer: false };
-        let older = rendezvous.connect_to_older(net);
-        rendezvous.publish(net);
-        (rendezvous, older)
+        let mut listener = SocketListener { path, listener: None, missed_newer: false };
+        let older = listener.connect_to_older(net);
+        listener.publish(net);
+        (listener, older)
     }
 
     fn connect_to_older(&self, net: &mut Net) -> Option<SocketSibling> {
@@ -219,7 +219,7 @@
     }
 }
 
-impl Rendezvous for SocketRendezvous {
+impl HandoverListener for SocketListener {
     fn publish(&mut self, net: &mut Net) {
         let listener = self.listen(net);
         self.listener = listener.map_err(|error| warn!("{}: {error}; no upgrade", self.path.display())).ok();
--- a/src/server/handover/tests.rs
+++ b/src/server/handover/tests.rs
@@ -3,13 +3,13 @@
 use super::message::{client_count, connection_header, decode, MalformedMessage, Message};
 
 #[test]
-fn messages_have_their_fixed_form() {
+fn message_encoding_is_fixed() {
     assert_eq!(client_count(258), [0, 0, 0, 1, 2]);
     assert_eq!(connection_header(b"abc"), [1, 0, 0, 0, 3]);
 }
 
 #[test]
-fn messages_are_decoded_one_by_one_and_only_in_full() {
+fn decode_takes_one_complete_message_at_a_time() {
     let mut received = client_count(7).to_vec();
     received.extend(connection_header(b"abc"));
     received.extend(b"ab");
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -4,7 +4,7 @@
 
 /// Once all is answered, clients that were notified of the end have this long to close their connections: closing first
 /// could reset a connection whose last answer is not read yet.
-const CLIENTS_CLOSE_WITHIN: Span = Span::from_millis(500);
+const CLIENT_CLOSE_GRACE: Span = Span::from_millis(500);
 
 /// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
     /// While closing: whether every request has had its answer for long enough that clients have closed.
     pub fn clients_had_time_to_close(self, now: Instant) -> bool {
         match self {
-            Phase::Closing { answered_since: Some(since), .. } => since + CLIENTS_CLOSE_WITHIN <= now,
+            Phase::Closing { answered_since: Some(since), .. } => since + CLIENT_CLOSE_GRACE <= now,
             _ => false,
         }
     }
--- a/src/server/lifecycle/tests.rs
+++ b/src/server/lifecycle/tests.rs
@@ -6,7 +6,7 @@
 const MS: Span = Span::from_millis(1);
 
 #[test]
-fn the_phases_follow_each_other_and_keep_the_time_of_the_signal() {
+fn later_phases_keep_the_time_of_the_signal() {
     let mut phase = Phase::Accepting;
     assert!(!phase.is_shutting_down() && !phase.is_closed_to_clients());
     phase.begin_shutdown(START);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn clients_have_time_to_close_from_the_last_answer_on() {
+fn clients_have_time_to_close_after_the_last_answer() {
     let mut phase = Phase::Closing { since: START, answered_since: None };
     phase.set_answered(true, START);
     phase.set_answered(false, START + 100 * MS);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -14,7 +14,7 @@
 //! The state is in parts that know nothing of the server: `active_config`, `budget`, `lifecycle`, `listeners`,
 //! `pending`, `signed_endpoint`, `federation`. `translate` converts messages of the wires to types of the core and
 //! back; `event_source`, `deadline` and `precedence` are types of the loop; `start` builds the server; `error` says
-//! why that failed; `load` is what the simulator checks against the limits.
+//! why that failed; `resource_usage` is what the simulator checks against the limits.
 
 mod acceptor;
 mod active_config;
@@ -33,13 +33,13 @@
 mod handover;
 mod lifecycle;
 mod listeners;
-mod load;
 mod metrics;
 mod pending;
 mod precedence;
 mod refused_connections;
 mod reload;
 mod requests;
+mod resource_usage;
 mod shutdown;
 mod shutdown_schedule;
 mod signed_endpoint;
@@ -69,16 +69,17 @@
 use handover::Handover;
 use lifecycle::Phase;
 use listeners::Listeners;
-pub use load::ServerLoad;
 use pending::PendingRequests;
 use reload::ReloadCounters;
+pub use resource_usage::ResourceUsage;
 use signal_hook::consts::signal::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
 use signed_endpoint::SignedEndpoint;
 pub use signed_endpoint::{route_classes, RouteClass};
 
 /// The poll's numbers under which the processes of one edge proxy watch each other.
-pub const SIBLINGS: [usize; 2] = [EventSource::OlderProcess.number(), EventSource::NewerProcess.number()];
+pub const SIBLING_EVENT_SOURCES: [usize; 2] =
+    [EventSource::OlderProcess.number(), EventSource::NewerProcess.number()];
 
 /// The edge proxy.
 pub struct Server {
@@ -144,32 +145,32 @@
         ready.sort_by_key(|event| self.precedence(*event));
         for event in ready.drain(..) {
             self.on_ready(event);
-            self.settle();
+            self.process_commands();
         }
         while let Some(deadline) = self.deadlines.pop(self.now) {
             self.on_deadline(deadline);
-            self.settle();
+            self.process_commands();
         }
-        self.read_on();
+        self.read_waiting_connections();
         // Attempts are written behind all that came in the same turn: list changes, and what clients gave up.
-        self.pump();
-        self.pass_on_or_close_idle();
+        self.process_commands_and_write();
+        self.hand_over_or_close_idle();
         self.forget_closed_connections();
         self.handover.announce_clients(self.clients());
         Ok(())
     }
 
     /// Gives each connection that had more to read than its turn allowed one further turn.
-    fn read_on(&mut self) {
+    fn read_waiting_connections(&mut self) {
         for _ in 0..self.thrift.waiting_turns() {
             let Some(conn) = self.thrift.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
-            self.settle();
+            self.process_commands();
         }
         for _ in 0..self.upstream.waiting_turns() {
             let Some(conn) = self.upstream.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
-            self.settle();
+            self.process_commands();
         }
     }
 
--- a/src/server/pending/tests.rs
+++ b/src/server/pending/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn trace_ids_and_body_bytes_follow_the_requests() {
+fn removed_request_releases_its_trace_id_and_body_bytes() {
     let [first, second] = [1, 2].map(Key::from_number);
     let mut pending = PendingRequests::default();
     pending.insert(first, request("a", b"12345"));
--- a/src/server/refused_connections.rs
+++ b/src/server/refused_connections.rs
@@ -25,7 +25,7 @@
 
 impl RefusalLog {
     /// Whether a refusal is logged now, with the number of refusals since the last line; `None`: it is only counted.
-    pub fn next_line(&mut self, now: Instant) -> Option<u64> {
+    pub fn record_refusal(&mut self, now: Instant) -> Option<u64> {
         if self.last_line.is_some_and(|last| now - last < LOG_INTERVAL) {
             self.suppressed += 1;
             return None;
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -85,7 +85,7 @@
         self.core.reconfigure(settings.policy.clone());
         self.admission.reconfigure(admission);
         self.federation.reload(federation);
-        self.config.adopt(keys, limits, settings);
+        self.config.update(keys, limits, settings);
         self.update_process_share();
         if let (Some(endpoint), Some((routes, signed))) = (&mut self.signed, signed) {
             endpoint.routes = routes;
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -36,14 +36,14 @@
     }
 
     /// Rejects a request that the core has not seen.
-    pub(super) fn reject_unseen(&mut self, class: Option<ClassId>) -> ThriftReply {
+    pub(super) fn reject_unsubmitted(&mut self, class: Option<ClassId>) -> ThriftReply {
         let retry_after = self.core.retry_after(class.unwrap_or(ClassId(0)));
         self.reject(class, retry_after)
     }
 
     /// The rejection of a request, counted for its class.
     pub(super) fn reject(&mut self, class: Option<ClassId>, retry_after: Span) -> ThriftReply {
-        let rejected = proxy_full(retry_after);
+        let rejected = proxy_full_rejection(retry_after);
         if let Some(class) = class {
             self.core.count_answer(class, &rejected);
         }
@@ -52,6 +52,6 @@
 }
 
 /// The answer to a request for which the edge proxy has no capacity.
-pub(super) fn proxy_full(retry_after: Span) -> FinalAnswer {
+pub(super) fn proxy_full_rejection(retry_after: Span) -> FinalAnswer {
     FinalAnswer::Rejected { retry_after, timed_out: false, reason: RejectionReason::ProxyFull }
 }
--- a/src/server/load.rs
+++ b/src/server/resource_usage.rs
@@ -4,7 +4,7 @@
 
 /// What a server holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerLoad {
+pub struct ResourceUsage {
     /// Bytes that buffers, bodies and waiting copies hold.
     pub held_bytes: usize,
     /// Open requests.
@@ -13,8 +13,8 @@
 
 impl Server {
     /// What the server holds.
-    pub fn load(&self) -> ServerLoad {
+    pub fn resource_usage(&self) -> ResourceUsage {
         let held_bytes = self.net.held_bytes() + self.held_bytes_besides_connections();
-        ServerLoad { held_bytes, open_requests: self.pending.len() }
+        ResourceUsage { held_bytes, open_requests: self.pending.len() }
     }
 }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -25,7 +25,7 @@
         if !self.phase.is_shutting_down() {
             self.now = self.clock.now();
             self.begin_shutdown();
-            self.pump();
+            self.process_commands_and_write();
         }
     }
 
@@ -44,7 +44,7 @@
     /// The times of the shutdown.
     pub(super) fn shutdown_schedule(&self) -> ShutdownSchedule {
         ShutdownSchedule {
-            begun: self.phase.shutdown_since().unwrap_or(self.now),
+            signalled_at: self.phase.shutdown_since().unwrap_or(self.now),
             max_client_deadline: self.config.max_client_deadline(),
             has_newer: self.handover.has_newer(),
         }
@@ -58,7 +58,7 @@
                 self.open_connection(role, conn);
             }
         }
-        if self.is_exhausted() && self.now < self.shutdown_schedule().forced_end() {
+        if self.is_exhausted() && self.now < self.shutdown_schedule().kill_at() {
             self.deadlines.add(self.now + CHECK_INTERVAL, ServerDeadline::ShutdownCheck);
             return;
         }
@@ -125,10 +125,10 @@
             let Some(conn) = self.thrift.next_turn() else { break };
             self.on_ready(Ready::readable(conn));
             self.core.time_out_all(self.now, &mut self.deadlines);
-            self.settle();
+            self.process_commands();
         }
         self.core.time_out_all(self.now, &mut self.deadlines);
-        self.settle();
+        self.process_commands();
         let events =
             self.thrift.close_all_gracefully(self.now, Reason::Stopping, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
--- a/src/server/shutdown_schedule.rs
+++ b/src/server/shutdown_schedule.rs
@@ -10,23 +10,23 @@
 /// ... and where the forced end is near, for this long at least, in which clients may still send requests...
 const MIN_ACCEPT_FOR: Span = Span::from_millis(600);
 /// ... and until this long before the forced end.
-const STOP_ACCEPTING_BEFORE_FORCE: Span = Span::from_millis(300);
+const STOP_ACCEPTING_BEFORE_KILL: Span = Span::from_millis(300);
 /// The longest client deadline that the forced end waits for...
 const MAX_CLIENT_DEADLINE: Span = Span::from_secs(3);
 /// ... and the time that it leaves beyond that.
-const FORCE_AFTER_DEADLINE: Span = Span::from_millis(700);
+const KILL_AFTER_DEADLINE: Span = Span::from_millis(700);
 /// Open requests are answered this long before the forced end...
-const FINAL_ANSWERS_BEFORE_FORCE: Span = Span::from_millis(250);
+const FINAL_ANSWERS_BEFORE_KILL: Span = Span::from_millis(250);
 /// ... and earlier with a newer process, since their connections are then passed on.
-const FINAL_ANSWERS_BEFORE_FORCE_WITH_NEWER: Span = Span::from_millis(300);
+const FINAL_ANSWERS_BEFORE_KILL_WITH_NEWER: Span = Span::from_millis(300);
 /// The process ends this long before the forced end at the latest.
-const END_BEFORE_FORCE: Span = Span::from_millis(150);
+const END_BEFORE_KILL: Span = Span::from_millis(150);
 
 /// The times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownSchedule {
     /// When the signal came.
-    pub begun: Instant,
+    pub signalled_at: Instant,
     /// The longest that a client of any class waits for its answer.
     pub max_client_deadline: Span,
     /// Whether a newer process accepts clients.
@@ -35,26 +35,26 @@
 
 impl ShutdownSchedule {
     /// When the process may be ended by force.
-    pub fn forced_end(self) -> Instant {
-        self.begun + self.max_client_deadline.min(MAX_CLIENT_DEADLINE) + FORCE_AFTER_DEADLINE
+    pub fn kill_at(self) -> Instant {
+        self.signalled_at + self.max_client_deadline.min(MAX_CLIENT_DEADLINE) + KILL_AFTER_DEADLINE
     }
 
     /// When the listeners are closed, if no newer process accepts clients.
     pub fn stop_accepting_at(self) -> Instant {
-        let before_force = self.forced_end() - STOP_ACCEPTING_BEFORE_FORCE;
-        before_force.clamp(self.begun + MIN_ACCEPT_FOR, self.begun + ACCEPT_FOR)
+        let before_kill = self.kill_at() - STOP_ACCEPTING_BEFORE_KILL;
+        before_kill.clamp(self.signalled_at + MIN_ACCEPT_FOR, self.signalled_at + ACCEPT_FOR)
     }
 
     /// When every open request is answered, since the forced end is near.
     pub fn final_answers_at(self) -> Instant {
-        let before_force =
-            if self.has_newer { FINAL_ANSWERS_BEFORE_FORCE_WITH_NEWER } else { FINAL_ANSWERS_BEFORE_FORCE };
-        self.forced_end() - before_force
+        let before_kill =
+            if self.has_newer { FINAL_ANSWERS_BEFORE_KILL_WITH_NEWER } else { FINAL_ANSWERS_BEFORE_KILL };
+        self.kill_at() - before_kill
     }
 
     /// When the process ends at the latest.
     pub fn latest_end(self) -> Instant {
-        self.forced_end() - END_BEFORE_FORCE
+        self.kill_at() - END_BEFORE_KILL
     }
 }
 
--- a/src/server/shutdown_schedule/tests.rs
+++ b/src/server/shutdown_schedule/tests.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-const BEGUN: Instant = Instant::from_micros(1_000_000);
+const SIGNALLED_AT: Instant = Instant::from_micros(1_000_000);
 const MS: Span = Span::from_millis(1);
 
 fn schedule(deadline_ms: i64, has_newer: bool) -> ShutdownSchedule {
-    ShutdownSchedule { begun: BEGUN, max_client_deadline: deadline_ms * MS, has_newer }
+    ShutdownSchedule { signalled_at: SIGNALLED_AT, max_client_deadline: deadline_ms * MS, has_newer }
 }
 
 #[test]
-fn the_process_ends_before_it_is_ended_by_force() {
+fn process_ends_before_the_kill_time() {
     for (deadline_ms, forced_ms) in [(500, 1200), (3000, 3700), (9000, 3700)] {
         for has_newer in [false, true] {
             let schedule = schedule(deadline_ms, has_newer);
-            assert_eq!(schedule.forced_end(), BEGUN + forced_ms * MS);
+            assert_eq!(schedule.kill_at(), SIGNALLED_AT + forced_ms * MS);
             assert!(schedule.final_answers_at() < schedule.latest_end());
-            assert!(schedule.latest_end() < schedule.forced_end());
+            assert!(schedule.latest_end() < schedule.kill_at());
         }
     }
 }
@@ -24,6 +24,6 @@
 #[test]
 fn clients_are_accepted_for_a_while_after_the_signal() {
     for (deadline_ms, accept_ms) in [(3000, 800), (300, 700), (0, 600)] {
-        assert_eq!(schedule(deadline_ms, false).stop_accepting_at(), BEGUN + accept_ms * MS);
+        assert_eq!(schedule(deadline_ms, false).stop_accepting_at(), SIGNALLED_AT + accept_ms * MS);
     }
 }
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -2,7 +2,7 @@
 //! order in which they came on their connection.
 
 use super::pending::{Client, PendingRequest};
-use super::requests::proxy_full;
+use super::requests::proxy_full_rejection;
 use super::signed_endpoint::RouteClass;
 use super::translate;
 use super::Server;
@@ -97,7 +97,7 @@
     }
 
     fn reject_signed_request(&mut self, conn: ConnectionKey, index: RequestIndex, class: ClassId) {
-        let rejected = proxy_full(self.core.retry_after(class));
+        let rejected = proxy_full_rejection(self.core.retry_after(class));
         self.core.count_answer(class, &rejected);
         let answer = translate::http_answer(rejected, &[], self.net.unix_time());
         if let Some(signed) = &mut self.signed {
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// A client counts its deadline from when it sends; until the request is read, about this long passes.
-const CLIENT_TO_PROXY: Span = Span::from_millis(12);
+const CLIENT_TO_PROXY_DELAY: Span = Span::from_millis(12);
 /// The shortest time-out that the core takes.
 const MIN_TIMEOUT: Span = Span::from_micros(1);
 
@@ -35,14 +35,14 @@
                 ThriftEvent::RequestOverLimit { conn, seqid, fields } => {
                     let class = translate::request_class(&fields, &self.config.settings.program);
                     let reply =
-                        self.reject_if_refused(conn, class).unwrap_or_else(|| self.reject_unseen(class));
+                        self.reject_if_refused(conn, class).unwrap_or_else(|| self.reject_unsubmitted(class));
                     self.answer_untracked_call(conn, seqid, reply);
                 }
                 ThriftEvent::Ping { conn, seqid } => {
                     if !self.admission.refused.contains_key(&conn) {
                         self.mark_good_standing(conn);
                     }
-                    self.answer_untracked_call(conn, seqid, ThriftReply::Pong(self.takes_clients()));
+                    self.answer_untracked_call(conn, seqid, ThriftReply::Pong(self.is_ready_for_clients()));
                 }
                 ThriftEvent::Cancelled(handle) => self.on_request_cancelled(handle),
             }
@@ -66,7 +66,7 @@
         match self.check_request(fields, &body) {
             Err(invalid) => self.answer_invalid_request(call, class, &invalid),
             Ok(_) if self.is_full(call.conn) => {
-                let rejection = self.reject_unseen(class);
+                let rejection = self.reject_unsubmitted(class);
                 self.answer_call(call.conn, call.seqid, rejection);
             }
             Ok(request) => self.submit_thrift_request(call, request, &body, arrived),
@@ -108,7 +108,7 @@
         let RequestFields { class, object, part, group, client_timeout, .. } = request;
         // The client's deadline runs since the request arrived, which may have waited to be read.
         let waited = self.now - arrived;
-        let timeout = (client_timeout - waited - CLIENT_TO_PROXY).max(MIN_TIMEOUT);
+        let timeout = (client_timeout - waited - CLIENT_TO_PROXY_DELAY).max(MIN_TIMEOUT);
         let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
         let key = self.core.submit(self.now, submitted, &mut self.deadlines);
         self.thrift.bind(conn, seqid, RequestHandle::from_number(key.number()));
--- a/src/server/translate/attempts.rs
+++ b/src/server/translate/attempts.rs
@@ -50,7 +50,7 @@
 }
 
 /// What the end of an attempt on the wire proves.
-pub(in crate::server) fn attempt_end(end: JobEnd, names: &ProgramSettings) -> AttemptEnd {
+pub(in crate::server) fn attempt_end(end: JobEnd, settings: &ProgramSettings) -> AttemptEnd {
     let answer = match end {
         JobEnd::NotConnected => return AttemptEnd::without_details(AttemptResult::ConnectFailed),
         JobEnd::NotSent => return AttemptEnd::without_details(AttemptResult::NotSent),
@@ -62,8 +62,8 @@
         result: attempt_result(&answer),
         cache_status: answer.field("tell").and_then(cache_status),
         fill_wait: Span::from_micros_f64(fill_wait_ms * 1000.0),
-        transfer_time: transfer_time(&answer, names),
-        load_report: answer.load_report(&names.load_report_names),
+        transfer_time: transfer_time(&answer, settings),
+        load_report: answer.load_report(&settings.load_report_names),
         copy: cached_copy(answer),
     }
 }
@@ -98,9 +98,9 @@
 
 /// How long the body takes at full pace. A copy that is not modified has no body, so its time says nothing of the
 /// object's size.
-fn transfer_time(answer: &WireAnswer, names: &ProgramSettings) -> Span {
-    let micros = answer.body.len() as f64 / names.transfer_bytes_per_s.max(1.0) * 1_000_000.0;
-    if names.transfer_bytes_per_s > 0.0 {
+fn transfer_time(answer: &WireAnswer, settings: &ProgramSettings) -> Span {
+    let micros = answer.body.len() as f64 / settings.transfer_bytes_per_s.max(1.0) * 1_000_000.0;
+    if settings.transfer_bytes_per_s > 0.0 {
         Span::from_micros_f64(micros)
     } else {
         Span::ZERO
--- a/src/server/translate/request_fields.rs
+++ b/src/server/translate/request_fields.rs
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 
 /// The longest accepted client time-out, as a multiple of the class's longest client deadline.
-const MAX_TIMEOUT_DEADLINES: i64 = 2;
+const MAX_TIMEOUT_MULTIPLE: i64 = 2;
 /// The shortest accepted client time-out.
 const MIN_TIMEOUT: Span = Span::from_micros(1);
 /// The number of object groups.
@@ -79,21 +79,21 @@
 /// The class that a request names, even if the request is invalid otherwise.
 pub(in crate::server) fn request_class(
     fields: &BTreeMap<String, String>,
-    names: &ProgramSettings,
+    settings: &ProgramSettings,
 ) -> Option<ClassId> {
-    names.class(fields.get(field::CLASS)?)
+    settings.class(fields.get(field::CLASS)?)
 }
 
 /// Parses the fields of a request.
 pub(in crate::server) fn parse_request(
     fields: &BTreeMap<String, String>,
-    names: &ProgramSettings,
+    settings: &ProgramSettings,
 ) -> Result<RequestFields, InvalidRequest> {
     required(fields, field::CLASS)?;
-    let class = request_class(fields, names).ok_or(InvalidRequest::UnknownClass)?;
+    let class = request_class(fields, settings).ok_or(InvalidRequest::UnknownClass)?;
     let (trace_id, _) = hex(fields, field::TRACE_ID)?;
     let (object_name, object) = hex(fields, field::OBJECT)?;
-    let client_timeout = client_timeout(fields, class, names)?;
+    let client_timeout = client_timeout(fields, class, settings)?;
     let group = optional_number(fields, field::GROUP)?;
     if group >= GROUPS {
         return Err(InvalidRequest::OutOfRange(field::GROUP));
@@ -144,12 +144,12 @@
 fn client_timeout(
     fields: &BTreeMap<String, String>,
     class: ClassId,
-    names: &ProgramSettings,
+    settings: &ProgramSettings,
 ) -> Result<Span, InvalidRequest> {
     let timeout_ms: i64 = number(field::TIMEOUT_MS, required(fields, field::TIMEOUT_MS)?)?;
     let timeout = Span::from_micros(timeout_ms.checked_mul(1000).unwrap_or(0));
-    let deadline = names.class_info(class).map(|class| class.client_deadline);
-    let max = deadline.map_or(Span::ZERO, |deadline| MAX_TIMEOUT_DEADLINES * deadline);
+    let deadline = settings.class_info(class).map(|class| class.client_deadline);
+    let max = deadline.map_or(Span::ZERO, |deadline| MAX_TIMEOUT_MULTIPLE * deadline);
     if !(MIN_TIMEOUT..=max).contains(&timeout) {
         return Err(InvalidRequest::OutOfRange(field::TIMEOUT_MS));
     }
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -17,7 +17,7 @@
 
 const MS: Span = Span::from_millis(1);
 
-fn names() -> ProgramSettings {
+fn settings() -> ProgramSettings {
     let class = |name: &str, client_deadline| ClassInfo {
         name: name.into(),
         retired: false,
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn request_fields_are_parsed_and_invalid_ones_named() {
-    let read = parse_request(&fields(&[]), &names()).expect("valid");
-    assert_eq!((read.class, read.object, read.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
-    assert_eq!((read.group, read.client_timeout, read.etag), (GroupId(17), 1500 * MS, None));
-    let bare = parse_request(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &names())
+fn invalid_request_fields_are_named_in_the_error() {
+    let parsed = parse_request(&fields(&[]), &settings()).expect("valid");
+    assert_eq!((parsed.class, parsed.object, parsed.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
+    assert_eq!((parsed.group, parsed.client_timeout, parsed.etag), (GroupId(17), 1500 * MS, None));
+    let bare = parse_request(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &settings())
         .expect("valid");
     assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
-    let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &names()).expect("valid");
+    let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &settings()).expect("valid");
     assert_eq!(
         (bare.idempotency_key, keyed.idempotency_key.as_ref().map(|key| key.as_str())),
         (None, Some("4be0c192-7d"))
@@ -86,7 +86,7 @@
         ("set", Some("x")),
         ("set", Some("256")),
     ] {
-        let error = parse_request(&fields(&[(name, value)]), &names()).expect_err("invalid");
+        let error = parse_request(&fields(&[(name, value)]), &settings()).expect_err("invalid");
         assert!(error.to_string().contains(name), "{name} {value:?}: {error}");
     }
 }
@@ -118,7 +118,7 @@
         (answer("whatever", false), Error),
     ] {
         let has_details = matches!(ending, JobEnd::Answer(_));
-        let end = attempt_end(ending, &names());
+        let end = attempt_end(ending, &settings());
         assert_eq!(end.result, result);
         assert_eq!(
             (end.cache_status, end.fill_wait),
@@ -191,15 +191,15 @@
     ] {
         let tags: Vec<String> = tags.iter().map(|tag| tag.to_string()).collect();
         let served = matches!(given, FinalAnswer::Served(_));
-        let said = http_answer(given.clone(), &tags, now);
-        assert_eq!((said.status, said.retry_after), (status, retry_after), "{given:?}");
-        assert_eq!(said.age, served.then_some(2), "{given:?}");
-        assert_eq!(said.etag.is_some() || !said.body.is_empty(), served, "{given:?}");
+        let http = http_answer(given.clone(), &tags, now);
+        assert_eq!((http.status, http.retry_after), (status, retry_after), "{given:?}");
+        assert_eq!(http.age, served.then_some(2), "{given:?}");
+        assert_eq!(http.etag.is_some() || !http.body.is_empty(), served, "{given:?}");
     }
 }
 
 #[test]
-fn an_attempt_is_encoded_in_whole_milliseconds_and_with_one_entity_tag() {
+fn attempt_encoding_rounds_times_and_sends_one_entity_tag() {
     let attempt = |max_age| OutgoingAttempt {
         request: Key::from_number(1),
         part: 3,
--- a/src/server/unix_time.rs
+++ b/src/server/unix_time.rs
@@ -29,7 +29,7 @@
 
 /// A server's start as the feed stated it, and the instant to which it was converted.
 #[derive(Clone, Copy)]
-struct Start {
+struct ServerStart {
     stated: UnixTime,
     instant: Instant,
 }
@@ -42,7 +42,7 @@
     min_offset: Option<Span>,
     /// An upper bound of the true offset, once a copy was received that was generated for a request.
     max_offset: Option<Span>,
-    starts: BTreeMap<ServerId, Start>,
+    starts: BTreeMap<ServerId, ServerStart>,
 }
 
 impl UnixTimeConverter {
@@ -71,7 +71,7 @@
     }
 
     /// When a purge was made: never earlier than it can have been, and never later than now.
-    pub fn purge(&mut self, reception: Reception, made_at: UnixTime) -> Instant {
+    pub fn convert_purge_time(&mut self, reception: Reception, made_at: UnixTime) -> Instant {
         self.observe_stamp(reception.now, made_at);
         match self.by_wall_clock(reception, made_at).filter(|_| !reception.is_first) {
             Some(instant) => instant,
@@ -82,16 +82,21 @@
     /// When a server started, converted once for each start that the feed states. What is known at the start of the
     /// process is converted by the wall clock: otherwise every upgrade would have servers warm up anew. Later, a start
     /// counts as no earlier than it can have been.
-    pub fn start(&mut self, reception: Reception, server: ServerId, stated: UnixTime) -> Instant {
+    pub fn convert_start_time(
+        &mut self,
+        reception: Reception,
+        server: ServerId,
+        stated: UnixTime,
+    ) -> Instant {
         if let Some(known) = self.starts.get(&server).filter(|known| known.stated == stated) {
             return known.instant;
         }
         let instant = match self.by_wall_clock(reception, stated) {
-            _ if reception.is_first => by_offset(reception.now, reception.wall_offset(), stated),
+            _ if reception.is_first => instant_at_offset(reception.now, reception.wall_offset(), stated),
             Some(instant) => instant,
             None => self.by_bounds(reception, stated),
         };
-        self.starts.insert(server, Start { stated, instant });
+        self.starts.insert(server, ServerStart { stated, instant });
         instant
     }
 
@@ -104,7 +109,7 @@
     /// long as there is no upper bound, only what has just happened is believed.
     fn by_wall_clock(&self, reception: Reception, stamp: UnixTime) -> Option<Instant> {
         let offset = reception.wall_offset();
-        let instant = by_offset(reception.now, offset, stamp);
+        let instant = instant_at_offset(reception.now, offset, stamp);
         let moved = offset.as_micros().abs_diff(self.initial_offset.as_micros());
         let is_stepped = moved > MIN_STEP.as_micros().unsigned_abs();
         let agrees = match self.max_offset {
@@ -118,8 +123,8 @@
     fn by_bounds(&self, reception: Reception, stamp: UnixTime) -> Instant {
         // What is received now was stamped by now.
         let own = offset(stamp, reception.now);
-        let certain = self.min_offset.map_or(own, |min| min.max(own));
-        by_offset(reception.now, certain.min(reception.wall_offset()), stamp)
+        let lower_bound = self.min_offset.map_or(own, |min| min.max(own));
+        instant_at_offset(reception.now, lower_bound.min(reception.wall_offset()), stamp)
     }
 }
 
@@ -135,7 +140,7 @@
 }
 
 /// The instant of a Unix time by an offset. A time in the future counts as now, and an impossible one as long ago.
-fn by_offset(now: Instant, offset: Span, unix: UnixTime) -> Instant {
+fn instant_at_offset(now: Instant, offset: Span, unix: UnixTime) -> Instant {
     let instant = Instant::from_micros(unix.as_micros().saturating_sub(offset.as_micros()));
     instant.clamp(Instant::ZERO, now)
 }
--- a/src/server/unix_time/tests.rs
+++ b/src/server/unix_time/tests.rs
@@ -44,86 +44,96 @@
 }
 
 #[test]
-fn on_a_steady_clock_times_are_exact() {
+fn steady_clock_converts_times_exactly() {
     for mut converter in [started(Span::ZERO), with_bounds(Span::ZERO)] {
-        assert_eq!(converter.purge(in_service(Span::ZERO), UNIX - 2 * SECOND), NOW - 2 * SECOND);
-        assert_eq!(converter.start(in_service(Span::ZERO), SERVER, UNIX - 2 * SECOND), NOW - 2 * SECOND);
+        assert_eq!(converter.convert_purge_time(in_service(Span::ZERO), UNIX - 2 * SECOND), NOW - 2 * SECOND);
+        assert_eq!(
+            converter.convert_start_time(in_service(Span::ZERO), SERVER, UNIX - 2 * SECOND),
+            NOW - 2 * SECOND
+        );
     }
     assert_eq!(
-        with_bounds(Span::ZERO).purge(in_service(Span::ZERO), UNIX - 900 * SECOND),
+        with_bounds(Span::ZERO).convert_purge_time(in_service(Span::ZERO), UNIX - 900 * SECOND),
         NOW - 900 * SECOND
     );
 }
 
 #[test]
-fn a_purge_never_counts_as_older_than_it_is_if_the_clock_is_stepped_in_service() {
+fn purge_is_never_dated_too_early_by_a_step_in_service() {
     for step in STEPS {
         for mut converter in [started(Span::ZERO), with_bounds(Span::ZERO)] {
-            let made = converter.purge(in_service(step), UNIX - 2 * SECOND);
+            let made = converter.convert_purge_time(in_service(step), UNIX - 2 * SECOND);
             assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
             assert_eq!(
-                converter.purge(in_service(step), UNIX + 9 * HOUR),
+                converter.convert_purge_time(in_service(step), UNIX + 9 * HOUR),
                 NOW,
                 "step {step:?}: one to come is now"
             );
         }
-        let made = with_bounds(Span::ZERO).purge(in_service(step), UNIX - 2 * SECOND);
+        let made = with_bounds(Span::ZERO).convert_purge_time(in_service(step), UNIX - 2 * SECOND);
         let certain = if step > Span::ZERO { NOW - 2 * SECOND + 3 * MS } else { made };
         assert_eq!(made, certain, "step {step:?}: no later than the bounds say");
     }
 }
 
 #[test]
-fn a_purge_never_counts_as_older_than_it_is_if_the_clock_was_stepped_before_the_start() {
+fn purge_is_never_dated_too_early_by_a_step_before_start() {
     for step in STEPS {
-        let made = with_bounds(step).purge(in_service(step), UNIX - 2 * SECOND);
+        let made = with_bounds(step).convert_purge_time(in_service(step), UNIX - 2 * SECOND);
         assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
         // As long as there is no bound, by a step that makes it look long ago.
-        let made = started(step).purge(in_service(step), UNIX);
+        let made = started(step).convert_purge_time(in_service(step), UNIX);
         assert!(made == NOW || (Span::ZERO..=MAX_FEED_DELAY).contains(&step), "step {step:?}: {made:?}");
         // Known at the start: whatever the clock reads.
-        assert_eq!(started(step).purge(at_start(step), UNIX - 2 * SECOND), NOW, "step {step:?}");
+        assert_eq!(started(step).convert_purge_time(at_start(step), UNIX - 2 * SECOND), NOW, "step {step:?}");
     }
 }
 
 #[test]
-fn of_the_purges_known_at_the_start_the_newest_counts_as_now_and_the_others_keep_their_distance() {
+fn initial_purges_keep_their_distance_to_the_newest() {
     let mut converter = started(HOUR);
     converter.observe_stamp(NOW, UNIX - 10 * SECOND);
-    let made = [30, 10].map(|ago| converter.purge(at_start(HOUR), UNIX - ago * SECOND));
+    let made = [30, 10].map(|ago| converter.convert_purge_time(at_start(HOUR), UNIX - ago * SECOND));
     assert_eq!(made, [NOW - 20 * SECOND, NOW]);
 }
 
 #[test]
-fn a_start_is_converted_once_and_one_stated_in_service_counts_as_no_earlier_than_certain() {
+fn server_start_is_converted_once_and_never_too_early() {
     // At the start: by the wall clock, whatever it reads.
     let mut converter = started(Span::ZERO);
-    assert_eq!(converter.start(at_start(Span::ZERO), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
+    assert_eq!(
+        converter.convert_start_time(at_start(Span::ZERO), SERVER, UNIX - 60 * SECOND),
+        NOW - 60 * SECOND
+    );
     // Stated again, after a step: the same instant.
-    assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
+    assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
     // A start to come counts as now.
-    assert_eq!(started(Span::ZERO).start(at_start(-HOUR), SERVER, UNIX), NOW);
+    assert_eq!(started(Span::ZERO).convert_start_time(at_start(-HOUR), SERVER, UNIX), NOW);
     // A new start, which a stepped clock makes look long ago, with and without a bound.
     for before in [Span::ZERO, HOUR] {
         let mut converter = started(before);
-        assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
+        assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
         // A server that came back is converted anew.
         converter.forget(SERVER);
-        assert_eq!(converter.start(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
+        assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
         let certain = NOW - SECOND + 3 * MS;
-        assert_eq!(with_bounds(before).start(in_service(HOUR), SERVER, UNIX - SECOND), certain);
+        assert_eq!(with_bounds(before).convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), certain);
     }
 }
 
 #[test]
-fn impossible_stamps_are_harmless() {
+fn out_of_range_stamps_never_convert_to_the_future() {
     let [earliest, latest] = [i64::MIN, i64::MAX].map(UnixTime::from_micros);
     let mut converter = started(Span::ZERO);
     converter.observe_copy(NOW, 0, Some(NOW));
     converter.observe_copy(NOW, u64::MAX, Some(NOW));
-    assert_eq!(converter.purge(in_service(Span::ZERO), latest), NOW);
-    assert!(converter.purge(in_service(Span::ZERO), earliest) <= NOW);
+    assert_eq!(converter.convert_purge_time(in_service(Span::ZERO), latest), NOW);
+    assert!(converter.convert_purge_time(in_service(Span::ZERO), earliest) <= NOW);
     assert!(
-        converter.start(Reception { unix: UnixTime::EPOCH, ..in_service(Span::ZERO) }, SERVER, latest) <= NOW
+        converter.convert_start_time(
+            Reception { unix: UnixTime::EPOCH, ..in_service(Span::ZERO) },
+            SERVER,
+            latest
+        ) <= NOW
     );
 }
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -6,7 +6,7 @@
 use crate::config::Config;
 use crate::interface::{Instant, Span};
 use crate::net::Ready;
-use crate::server::{Server, ServerLoad, SIBLINGS};
+use crate::server::{ResourceUsage, Server, SIBLING_EVENT_SOURCES};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -152,7 +152,7 @@
     /// Checks that a process holds no more than it may.
     fn check_bounds(&mut self, process: ProcessId) {
         let Some(server) = self.processes.running.get(&process) else { return };
-        let ServerLoad { held_bytes, open_requests } = server.load();
+        let ResourceUsage { held_bytes, open_requests } = server.resource_usage();
         if held_bytes > MAX_HELD_BYTES || open_requests > MAX_OPEN_REQUESTS {
             let text = format!("{held_bytes} bytes and {open_requests} requests are held");
             self.rules.breach(self.now, "memory", text);
@@ -181,7 +181,7 @@
     fn process_ended(&mut self, process: ProcessId) {
         self.fabric.end_process(process.0);
         for other in self.processes.running.keys() {
-            for number in SIBLINGS {
+            for number in SIBLING_EVENT_SOURCES {
                 self.fabric.wake_source(other.0, number);
             }
         }
