--- a/src/admission/client_address.rs
+++ b/src/admission/client_address.rs
@@ -1,15 +1,15 @@
-//! Where a connection comes from: its address and the prefix that the address belongs to.
+//! The address of a client, with the prefix that the address belongs to.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// How many leading bits of an address make its prefix.
+/// Lengths of prefixes, in bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PrefixLengths {
     pub v4: u8,
     pub v6: u8,
 }
 
-/// A client's address, with its prefix.
+/// The address of a client in canonical form, with its prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClientAddress {
     pub address: IpAddr,
@@ -17,14 +17,15 @@
 }
 
 impl ClientAddress {
-    /// The origin of an address. An IPv4-mapped IPv6 address counts as the IPv4 one.
+    /// Returns the canonical form of an address, with its prefix. An IPv4-mapped IPv6 address becomes the
+    /// IPv4 address.
     pub(super) fn new(address: IpAddr, lengths: PrefixLengths) -> Self {
         let address = canonical(address);
         ClientAddress { address, prefix: prefix(address, lengths) }
     }
 }
 
-/// An IPv4-mapped IPv6 address as IPv4; any other as it is.
+/// Converts an IPv4-mapped IPv6 address to IPv4, and returns any other address unchanged.
 pub(super) fn canonical(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -1,32 +1,33 @@
-//! What admission control decides, and what it needs to know for that.
+//! Decisions of admission control: their inputs, results and counts.
 
 use crate::interface::Span;
 
-/// Names a connection to admission control. The caller chooses it.
+/// Identifies a connection. The caller chooses the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// The descriptors that are left as a connection comes.
+/// The capacity of the process when a new connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Clients' connections open now, without the new one.
+    /// Number of client connections that are open, without the new one.
     pub clients: usize,
-    /// Clients' connections that the limits allow.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// Descriptors that the process may still open, if known.
+    /// Number of descriptors that the process may still open; `None` if it is not known.
     pub free_descriptors: Option<usize>,
 }
 
-/// What becomes of a new connection.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is accepted, and counted until [`Admission::remove`](super::Admission::remove).
+    /// The connection is accepted. It is counted as open until
+    /// [`Admission::remove`](super::Admission::remove).
     Admit,
-    /// Its requests are rejected.
+    /// The connection is rejected: it is closed, or each request on it is rejected.
     Reject {
-        /// Why.
+        /// Cause of the rejection.
         cause: RejectionCause,
-        /// How long the client should stay away.
+        /// Time that the client should wait before it connects again.
         retry_after: Span,
     },
 }
@@ -34,20 +35,20 @@
 /// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RejectionCause {
-    /// Its address has as many open as it may.
+    /// Its address has reached the cap on open connections.
     Address,
-    /// Its prefix has as many open as it may.
+    /// Its prefix has reached the cap on open connections.
     Prefix,
-    /// Its address, or prefix, opens them faster than its rate.
+    /// Its address or prefix opens connections faster than its rate allows.
     Rate,
-    /// The remaining capacity is reserved for known clients.
+    /// The remaining client connections are reserved for known addresses.
     Reserve,
-    /// The remaining descriptors are reserved for connections to table caches.
+    /// The remaining descriptors are reserved for connections to table caches, parents and the origin.
     Descriptors,
 }
 
 impl RejectionCause {
-    /// All of them, in their order.
+    /// All causes, in the order of declaration.
     pub const ALL: [RejectionCause; 5] = [
         RejectionCause::Address,
         RejectionCause::Prefix,
@@ -56,7 +57,7 @@
         RejectionCause::Descriptors,
     ];
 
-    /// The code for logs and figures.
+    /// Returns the code of the cause in log lines and metrics.
     pub fn code(self) -> &'static str {
         match self {
             RejectionCause::Address => "address",
@@ -68,38 +69,38 @@
     }
 }
 
-/// A rejection, before its Retry-After is bounded.
+/// A rejection, before its Retry-After is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Rejection {
     pub cause: RejectionCause,
-    /// How long the client has to wait for a token of its rate; zero for other causes.
+    /// Time until the client gets a token of its rate; zero for other causes.
     pub wait: Span,
 }
 
 impl Rejection {
-    /// A rejection whose end is not known.
+    /// Returns a rejection for a cause for which no waiting time is known.
     pub(super) fn without_wait(cause: RejectionCause) -> Self {
         Rejection { cause, wait: Span::ZERO }
     }
 }
 
-/// What admission control has decided so far.
+/// Counts of the decisions of admission control since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Connections accepted.
+    /// Number of connections that were accepted.
     pub admitted: u64,
-    /// Connections that came into good standing.
+    /// Number of connections that came into good standing.
     pub good: u64,
     rejected: [u64; RejectionCause::ALL.len()],
 }
 
 impl AdmissionCounts {
-    /// Connections rejected for a cause.
+    /// Returns the number of connections that were rejected for a cause.
     pub fn rejected(&self, cause: RejectionCause) -> u64 {
         self.rejected[cause as usize]
     }
 
-    /// Counts a rejected connection.
+    /// Counts a connection that was rejected for a cause.
     pub(super) fn add_rejected(&mut self, cause: RejectionCause) {
         self.rejected[cause as usize] += 1;
     }
--- a/src/admission/exhaustion.rs
+++ b/src/admission/exhaustion.rs
@@ -1,41 +1,42 @@
-//! Exhaustion of descriptors (`EMFILE`, `ENFILE`, also `ENOBUFS` and `ENOMEM` at accept): the exponential backoff of
-//! accepts, the episodes that are logged at their start and end, and the count of connections that were accepted with
-//! the spare descriptor to be rejected. No I/O: the caller reports what happened.
+//! Exhaustion of descriptors, which shows in accepts that fail with `EMFILE`, `ENFILE`, `ENOBUFS` or
+//! `ENOMEM`. Keeps the exponential backoff of accepts, the episodes of exhaustion, which are logged at their
+//! start and end, and the count of connections that were accepted with the spare descriptor to be rejected.
+//! It does no I/O: the caller reports the results of accepts.
 
 use crate::interface::{Instant, Span};
 
-/// The shortest backoff.
+/// Lower bound of the first backoff.
 const MIN_BACKOFF: Span = Span::from_micros(1);
-/// Doublings beyond which the backoff no longer grows.
+/// Number of doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// An episode that has not ended.
+/// An episode of exhaustion that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Episode {
     since: Instant,
-    /// Accepts that failed in it.
+    /// Number of accepts that failed in it.
     failed_accepts: u32,
-    /// Connections rejected with the spare descriptor in it.
+    /// Number of connections rejected with the spare descriptor in it.
     shed: u64,
 }
 
-/// The backoff after an accept failed for want of descriptors.
+/// The backoff after an accept that failed because no descriptor was left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptBackoff {
-    /// When to accept again.
+    /// When to try the next accept.
     pub until: Instant,
-    /// Whether this began an episode, which is then logged.
+    /// Whether the failed accept starts an episode, which is then logged.
     pub starts_episode: bool,
 }
 
-/// An episode that has ended, for the log.
+/// The summary of an episode that has ended, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EpisodeSummary {
-    /// How long it lasted.
+    /// Duration of the episode.
     pub duration: Span,
-    /// Accepts that failed in it.
+    /// Number of accepts that failed in it.
     pub failed_accepts: u32,
-    /// Connections rejected with the spare descriptor in it.
+    /// Number of connections rejected with the spare descriptor in it.
     pub shed: u64,
 }
 
@@ -45,14 +46,14 @@
     episode: Option<Episode>,
     first_backoff: Span,
     max_backoff: Span,
-    /// Episodes so far.
+    /// Number of episodes since the start, including the current one.
     pub episodes: u64,
-    /// Connections rejected with the spare descriptor so far.
+    /// Number of connections rejected with the spare descriptor since the start.
     pub shed: u64,
 }
 
 impl DescriptorExhaustion {
-    /// No episode yet; the backoff doubles from `first` to `max`.
+    /// Returns a state without an episode. The backoff will double from `first` to `max`.
     pub fn new(first: Span, max: Span) -> Self {
         DescriptorExhaustion {
             episode: None,
@@ -63,18 +64,18 @@
         }
     }
 
-    /// Sets the bounds of the backoff, also for an episode that has begun.
+    /// Sets the bounds of the backoff, which also apply to the current episode.
     pub fn set_bounds(&mut self, first: Span, max: Span) {
         self.first_backoff = first.max(MIN_BACKOFF);
         self.max_backoff = max.max(first);
     }
 
-    /// Whether an episode has not ended.
+    /// Whether an episode has started and not yet ended.
     pub fn is_ongoing(&self) -> bool {
         self.episode.is_some()
     }
 
-    /// Handles an accept that failed for want of descriptors.
+    /// Handles an accept that failed because no descriptor was left. Returns when to try again.
     pub fn accept_failed(&mut self, now: Instant) -> AcceptBackoff {
         let starts_episode = self.episode.is_none();
         if starts_episode {
@@ -87,7 +88,7 @@
         AcceptBackoff { until: now + backoff, starts_episode }
     }
 
-    /// Counts a connection that was accepted with the spare descriptor to be rejected.
+    /// Counts a connection that was accepted with the spare descriptor and rejected.
     pub fn connection_shed(&mut self) {
         self.shed += 1;
         if let Some(episode) = &mut self.episode {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Handles an accept that succeeded or found nobody waiting: an episode has ended.
+    /// Handles an accept that succeeded or found no waiting connection. Returns the summary of the episode if
+    /// that ends one.
     pub fn accept_succeeded(&mut self, now: Instant) -> Option<EpisodeSummary> {
         let episode = self.episode.take()?;
         Some(EpisodeSummary {
--- a/src/admission/lru_table.rs
+++ b/src/admission/lru_table.rs
@@ -1,60 +1,62 @@
-//! A table of bounded size: entries are dropped when they were not touched for a window, and the oldest is dropped when
-//! a new one comes to a full table. The order is kept in a queue that is compacted lazily, so a flood of new keys costs
-//! O(1) amortised a call.
+//! A table of bounded size that drops the least recently touched entry when a new key is added to a full
+//! table. Entries that were not touched for some time can be dropped too. The order is kept in a queue that
+//! is compacted lazily, so each call costs amortised O(1) even in a flood of new keys.
 
 use crate::interface::Instant;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::Hash;
 
-/// Stale places that the queue may hold beyond the capacity, so that small tables are not compacted at every call.
+/// Number of places that the queue may have in addition to twice the capacity, so that small tables are not
+/// compacted at every call.
 const QUEUE_SLACK: usize = 16;
 
-/// An entry's value, and when it was last touched.
+/// The value of an entry, and when the entry was last touched.
 #[derive(Debug)]
 struct Entry<V> {
     touched_at: Instant,
     value: V,
 }
 
-/// A key's place in the queue; it is stale if the key was touched again.
+/// The place of a key in the queue. It is stale if the key was touched again later.
 #[derive(Clone, Copy, Debug)]
 struct Touch<K> {
     at: Instant,
     key: K,
 }
 
-/// A table that holds its most recently touched entries.
+/// A table that holds the most recently touched entries.
 #[derive(Debug)]
 pub(super) struct LruTable<K, V> {
     entries: HashMap<K, Entry<V>>,
-    /// Keys in the order in which they were touched; only the last place of a key counts.
+    /// Keys in the order in which they were touched. Only the last place of a key is valid.
     order: VecDeque<Touch<K>>,
     capacity: usize,
 }
 
 impl<K: Copy + Eq + Hash, V> LruTable<K, V> {
-    /// An empty table for at most `capacity` entries (at least one).
+    /// Returns an empty table for at most `capacity` entries. A capacity of 0 is raised to 1.
     pub(super) fn new(capacity: usize) -> Self {
         LruTable { entries: HashMap::new(), order: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is an entry of a key.
+    /// Whether the table has an entry for a key.
     pub(super) fn contains(&self, key: &K) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// Sets the capacity; entries over it are dropped, the oldest first.
+    /// Sets the capacity. Entries that exceed it are dropped, the least recently touched first.
     pub(super) fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
         while self.entries.len() > self.capacity && self.pop_oldest().is_some() {}
     }
 
-    /// Touches the entry of a key, made by `make` if there is none. A full table first drops its oldest entry.
+    /// Touches the entry of a key and returns its value. If there is no entry, one is added with the value of
+    /// `make`; a full table first drops the least recently touched entry.
     pub(super) fn touch(&mut self, now: Instant, key: K, make: impl FnOnce() -> V) -> &mut V {
         if !self.entries.contains_key(&key) && self.entries.len() >= self.capacity {
             self.pop_oldest();
@@ -86,7 +88,7 @@
         None
     }
 
-    /// Drops a key's entry if it was not touched again. Returns whether it was dropped.
+    /// Drops the entry of a key if it was not touched again since `touch`. Returns whether it was dropped.
     fn drop_unless_stale(&mut self, touch: Touch<K>) -> bool {
         let is_last = self.entries.get(&touch.key).is_some_and(|entry| entry.touched_at == touch.at);
         if is_last {
@@ -95,11 +97,11 @@
         is_last
     }
 
-    /// Drops the stale places of the queue.
+    /// Removes the stale places from the queue.
     fn compact(&mut self) {
         let entries = &self.entries;
         self.order.retain(|touch| entries.get(&touch.key).is_some_and(|entry| entry.touched_at == touch.at));
-        // Two touches at the same time leave two places: keep the later.
+        // Two touches at the same time leave two places that look valid. Only the later one is kept.
         let mut seen = HashSet::new();
         let mut kept: VecDeque<_> =
             self.order.iter().rev().filter(|touch| seen.insert(touch.key)).copied().collect();
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,18 +1,21 @@
-//! Admission control: which new connections of clients are accepted, by the client's address and prefix, the rate at
-//! which they come, their standing, and the descriptors left. A pure state machine: it opens no socket and reads no
-//! clock. Both fronts' accept paths ask it; `docs/admission.md` has the design.
+//! Admission control: decides which new connections of clients are accepted. The decision depends on the
+//! client's address and prefix, on the rate of new connections, on whether the address is known, and on the
+//! free descriptors. Both fronts use it when they accept connections. It is a pure state machine, which opens
+//! no socket and reads no clock. The design is described in `docs/admission.md`.
 //!
-//! - `decision`: what is decided, and the causes of rejections.
+//! - `decision`: decisions, and the causes of rejections.
 //! - `client_address`: addresses and prefixes.
-//! - `open_connections`: connections counted by origin; `rate_limiter` with `token_bucket`: rates by origin.
-//! - `lru_table`: the bounded table of addresses that `rate_limiter` and the known addresses use.
+//! - `open_connections`: counts of open connections by address and prefix.
+//! - `rate_limiter` with `token_bucket`: rates of new connections by address and prefix.
+//! - `lru_table`: the bounded table of addresses, used for rates and for known addresses.
 //! - `exhaustion`: the backoff of accepts while the process has no descriptor left.
-//! - `settings`: the operator's file.
+//! - `settings`: the operator's settings file.
 //!
-//! A connection is in *good standing* once a complete, well-formed request on it was answered by the edge proxy, and
-//! not by admission control. Its address is then *known* for [`AdmissionSettings::known_window_s`]. Caps count open
-//! connections beyond those in good standing, so many clients behind one shared address (NAT) are not capped as one,
-//! while a flood of connections that ask nothing is.
+//! A connection is in *good standing* once a complete, well-formed request on it was answered by the edge
+//! proxy, and not by admission control. Its address is then *known* for
+//! [`AdmissionSettings::known_window_s`]. Caps count open connections beyond those in good standing. So many
+//! clients behind one shared address (NAT) are not capped as one client, but a flood of connections that send
+//! no request is.
 
 mod client_address;
 mod decision;
@@ -37,31 +40,31 @@
 use rate_limiter::{RateExceeded, RateLimiter};
 use std::net::IpAddr;
 
-/// How many addresses are followed.
+/// Numbers of addresses in the tables of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedAddresses {
-    /// Known addresses.
+    /// Number of known addresses.
     pub known: usize,
-    /// Addresses and prefixes whose rate is followed.
+    /// Number of addresses and prefixes whose rate is tracked.
     pub rate_tracked: usize,
 }
 
-/// The admission control of one process.
+/// The state of admission control in one process.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
     open: OpenConnections,
     address_rates: RateLimiter,
     prefix_rates: RateLimiter,
-    /// Addresses that were lately in good standing.
+    /// Addresses that had a connection in good standing within [`AdmissionSettings::known_window_s`].
     known: LruTable<IpAddr, ()>,
-    /// The backoff of accepts while the process has no descriptor left.
+    /// Backoff of accepts while the process has no descriptor left.
     pub exhaustion: DescriptorExhaustion,
     counts: AdmissionCounts,
 }
 
 impl Admission {
-    /// Admission control with checked settings.
+    /// Returns admission control without any connections. The settings must have been checked.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
             open: OpenConnections::default(),
@@ -74,8 +77,8 @@
         }
     }
 
-    /// Takes new settings. Open connections stay counted and known addresses known; changed rates start with full
-    /// buckets.
+    /// Replaces the settings. Open connections stay counted, and known addresses stay known. If a rate of
+    /// addresses or prefixes has changed, all token buckets are full again.
     pub fn reconfigure(&mut self, settings: AdmissionSettings) {
         let old = &self.settings;
         let have_rates_changed =
@@ -89,44 +92,44 @@
         self.settings = settings;
     }
 
-    /// The settings in use.
+    /// Returns the settings in use.
     pub fn settings(&self) -> &AdmissionSettings {
         &self.settings
     }
 
-    /// Whether connections are checked at all.
+    /// Whether new connections are checked at all.
     pub fn is_enabled(&self) -> bool {
         self.settings.enabled
     }
 
-    /// What was decided so far.
+    /// Returns the counts of decisions since the start.
     pub fn counts(&self) -> AdmissionCounts {
         self.counts
     }
 
-    /// How many admitted connections are open.
+    /// Returns the number of admitted connections that are open.
     pub fn open_connections(&self) -> usize {
         self.open.len()
     }
 
-    /// How many addresses are followed.
+    /// Returns the numbers of addresses in the tables.
     pub fn tracked_addresses(&self) -> TrackedAddresses {
         let rate_tracked = self.address_rates.len() + self.prefix_rates.len();
         TrackedAddresses { known: self.known.len(), rate_tracked }
     }
 
-    /// Open connections of an address and of its prefix.
+    /// Returns the counts of open connections of an address and of its prefix.
     pub fn open_connections_of(&self, address: IpAddr) -> AddressCounts {
         self.open.counts(self.client_address(address))
     }
 
-    /// Whether an address was in good standing within the window.
+    /// Whether an address had a connection in good standing within the window for known addresses.
     pub fn is_known(&mut self, now: Instant, address: IpAddr) -> bool {
         self.known.expire(now - self.settings.known_window());
         self.known.contains(&client_address::canonical(address))
     }
 
-    /// Decides on a new connection.
+    /// Decides on a new connection, and counts it as open if it is admitted.
     pub fn admit(&mut self, now: Instant, id: ConnectionId, address: IpAddr, capacity: Capacity) -> Decision {
         let client = self.client_address(address);
         let checked = if self.settings.enabled { self.check(now, client, capacity) } else { Ok(()) };
@@ -144,16 +147,19 @@
         }
     }
 
-    /// Whether a rejected connection is kept open until its requests are answered, or closed before a byte is read,
-    /// which proves to its client that nothing ran. It is closed where `pending` rejected connections are as many as
-    /// may be, or so few descriptors are left that it would use the reserve for table caches.
+    /// Whether a rejected connection may be kept open until its requests have been answered. Otherwise it is
+    /// closed before a byte is read, which proves to the client that nothing ran. It must be closed if
+    /// `pending`, the number of rejected connections that are open, has reached its limit, or if so few
+    /// descriptors are free (at most half of `reserve_upstream`) that it would use up the reserve for table
+    /// caches.
     pub fn can_answer_rejected(&self, pending: usize, free_descriptors: Option<usize>) -> bool {
         let reserve = self.settings.reserve_upstream;
         pending < self.settings.max_pending_rejections
             && free_descriptors.is_none_or(|free| free > reserve / 2)
     }
 
-    /// Puts a connection into good standing, as the edge proxy answered its request, and makes its address known.
+    /// Puts a connection into good standing and makes its address known. Called when the edge proxy has
+    /// answered a request on the connection.
     pub fn set_good_standing(&mut self, now: Instant, id: ConnectionId) {
         let Some(standing) = self.open.set_good(id) else { return };
         self.known.touch(now, standing.address, || ());
@@ -162,13 +168,14 @@
         }
     }
 
-    /// Adds a connection that another process of this edge proxy had in good standing.
+    /// Adds a connection that was handed over by another process of this edge proxy, where it was in good
+    /// standing.
     pub fn add_handed_over(&mut self, now: Instant, id: ConnectionId, address: IpAddr) {
         self.open.insert(id, self.client_address(address));
         self.set_good_standing(now, id);
     }
 
-    /// Removes a connection that has ended; one that was not admitted is ignored.
+    /// Removes a connection that has ended. A connection that was not admitted is ignored.
     pub fn remove(&mut self, id: ConnectionId) {
         self.open.remove(id);
     }
--- a/src/admission/open_connections.rs
+++ b/src/admission/open_connections.rs
@@ -1,50 +1,50 @@
-//! The admitted connections, counted by address and by prefix.
+//! The admitted connections that are open, counted by address and by prefix.
 
 use super::client_address::ClientAddress;
 use super::decision::ConnectionId;
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Open connections of one address or prefix.
+/// Counts of the open connections of one address or prefix.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// All of them.
+    /// Number of open connections, including those in good standing.
     pub all: usize,
-    /// Those in good standing.
+    /// Number of open connections in good standing.
     pub good: usize,
 }
 
 impl ConnectionCounts {
-    /// Whether no further connection fits under a cap, beyond those in good standing. A cap of 0 is none.
+    /// Whether the connections that are not in good standing have reached `cap`. A cap of 0 means no cap.
     fn is_at_cap(self, cap: usize) -> bool {
         cap > 0 && self.all >= cap + self.good
     }
 }
 
-/// Open connections of an address and of its prefix.
+/// Counts of the open connections of an address and of its prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressCounts {
-    /// Those of the address.
+    /// Counts of the address.
     pub address: ConnectionCounts,
-    /// Those of the prefix.
+    /// Counts of the prefix, including those of the address.
     pub prefix: ConnectionCounts,
 }
 
-/// One admitted connection.
+/// An admitted connection that is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OpenConnection {
     client: ClientAddress,
     is_good: bool,
 }
 
-/// What [`OpenConnections::set_good`] found.
+/// The result of [`OpenConnections::set_good`].
 pub(super) struct GoodStanding {
     pub address: IpAddr,
-    /// It was not in good standing before.
+    /// Whether the connection was not in good standing before.
     pub is_new: bool,
 }
 
-/// The admitted connections.
+/// The admitted connections that are open, with their counts by address and by prefix.
 #[derive(Debug, Default)]
 pub(super) struct OpenConnections {
     connections: HashMap<ConnectionId, OpenConnection>,
@@ -53,12 +53,12 @@
 }
 
 impl OpenConnections {
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The counts of an origin.
+    /// Returns the counts of a client's address and prefix.
     pub(super) fn counts(&self, client: ClientAddress) -> AddressCounts {
         let of = |counts: Option<&ConnectionCounts>| counts.copied().unwrap_or_default();
         AddressCounts {
@@ -67,27 +67,27 @@
         }
     }
 
-    /// Whether an origin's address is at its cap.
+    /// Whether the address of a client has reached a cap.
     pub(super) fn is_address_at_cap(&self, client: ClientAddress, cap: usize) -> bool {
         self.counts(client).address.is_at_cap(cap)
     }
 
-    /// Whether an origin's prefix is at its cap.
+    /// Whether the prefix of a client has reached a cap.
     pub(super) fn is_prefix_at_cap(&self, client: ClientAddress, cap: usize) -> bool {
         self.counts(client).prefix.is_at_cap(cap)
     }
 
-    /// Adds a connection.
+    /// Adds a connection that is not in good standing.
     pub(super) fn insert(&mut self, id: ConnectionId, client: ClientAddress) {
         let connection = OpenConnection { client, is_good: false };
         if let Some(old) = self.connections.insert(id, connection) {
-            self.uncount(old); // an id used again: the caller's slot was reused
+            self.uncount(old); // the caller has reused the id
         }
         self.by_address.entry(client.address).or_default().all += 1;
         self.by_prefix.entry(client.prefix).or_default().all += 1;
     }
 
-    /// Puts a connection into good standing, if it is open.
+    /// Puts a connection into good standing; `None` if it is not open.
     pub(super) fn set_good(&mut self, id: ConnectionId) -> Option<GoodStanding> {
         let connection = self.connections.get_mut(&id)?;
         let is_new = !std::mem::replace(&mut connection.is_good, true);
@@ -99,7 +99,7 @@
         Some(GoodStanding { address, is_new })
     }
 
-    /// Removes a connection, if it is open.
+    /// Removes a connection if it is open.
     pub(super) fn remove(&mut self, id: ConnectionId) {
         if let Some(old) = self.connections.remove(&id) {
             self.uncount(old);
--- a/src/admission/rate_limiter.rs
+++ b/src/admission/rate_limiter.rs
@@ -1,39 +1,39 @@
-//! Rates of new connections, by address or prefix.
+//! Limits the rate of new connections of each address or prefix.
 
 use super::lru_table::LruTable;
 use super::token_bucket::{Rate, TokenBucket};
 use crate::interface::{Instant, Span};
 use std::net::IpAddr;
 
-/// A rate is exceeded.
+/// The rate of an address or prefix is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RateExceeded {
-    /// How long until a connection may come.
+    /// Time until a new connection is accepted.
     pub wait: Span,
 }
 
-/// A token bucket for each address, or prefix, that connected lately.
+/// Token buckets of the addresses or prefixes that connected recently.
 #[derive(Debug)]
 pub(super) struct RateLimiter {
     buckets: LruTable<IpAddr, TokenBucket>,
 }
 
 impl RateLimiter {
-    /// Full buckets, of at most `capacity` keys.
+    /// Returns a limiter without buckets. It will hold at most `capacity` of them.
     pub(super) fn new(capacity: usize) -> Self {
         RateLimiter { buckets: LruTable::new(capacity) }
     }
 
-    /// How many keys have a bucket.
+    /// Returns the number of addresses or prefixes that have a bucket.
     pub(super) fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Takes a token for a new connection, if its rate is limited.
+    /// Takes a token from the bucket of `key` for a new connection, if the rate is limited.
     ///
     /// # Errors
     ///
-    /// There is none.
+    /// The bucket has no token.
     pub(super) fn take(&mut self, now: Instant, key: IpAddr, rate: Rate) -> Result<(), RateExceeded> {
         if !rate.is_limited() {
             return Ok(());
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -1,15 +1,15 @@
-//! The operator's admission file, in HCL: one `admission` block. Every key may be left out and has a default; an
-//! unknown key, a value out of its range or a second block is an error. A file with an error changes nothing: at the
-//! start the program ends, at SIGHUP the old settings stay.
+//! The operator's admission file. It is written in HCL and has one `admission` block. Every key is optional
+//! and has a default. An unknown key, a value out of range or a second block is an error. A file with an
+//! error is not applied: at startup the program exits, and at SIGHUP the old settings stay in use.
 //!
 //! ```hcl
 //! admission {
-//!   per_address      = 64     # open connections of one address, beyond those in good standing
+//!   per_address      = 64     # open connections of one address, in addition to those in good standing
 //!   per_prefix       = 512    # the same for an IPv4 /24 or an IPv6 /64 (see prefix_v4, prefix_v6)
-//!   rate_per_s       = 50     # new connections a second of one unknown address (token bucket)
+//!   rate_per_s       = 50     # new connections per second of one unknown address (token bucket)
 //!   burst            = 100
-//!   reserve_known    = 0.1    # share of clients' connections that only known addresses may take
-//!   reserve_upstream = 16     # descriptors below which no client's connection is taken
+//!   reserve_known    = 0.1    # share of client connections that only known addresses may take
+//!   reserve_upstream = 16     # client connections are rejected if this many descriptors or fewer are free
 //! }
 //! ```
 
@@ -26,18 +26,20 @@
 /// Why an admission file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionError {
-    /// It is not HCL, or has an unknown key or a value of another type.
+    /// The text is not HCL, or it has an unknown key or a value of the wrong type.
     #[error(transparent)]
     Parse(#[from] hcl::Error),
-    /// It has no `admission` block.
-    #[error("no admission block")]
+    /// The file has no `admission` block.
+    #[error("the file has no admission block")]
     MissingBlock,
     /// A value is out of its range.
-    #[error("admission.{key}: {expected}")]
+    #[error("admission.{key} is {value}, must be {expected}")]
     Range {
-        /// The key.
+        /// Key in the `admission` block.
         key: &'static str,
-        /// What it must be.
+        /// Value of the key.
+        value: String,
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
@@ -48,58 +50,68 @@
     admission: Option<AdmissionSettings>,
 }
 
-/// The settings of admission control. Counts are connections.
+/// The settings of admission control.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
-    /// Whether connections are checked at all; else all are accepted, as without the file.
+    /// Whether new connections are checked at all. If not, all are accepted, as without the file.
     pub enabled: bool,
-    /// Open connections of one address, beyond those in good standing; 0: no cap.
+    /// Maximum number of open connections of one address, in addition to those in good standing; 0 means no
+    /// cap.
     pub per_address: usize,
-    /// Open connections of one prefix, beyond those in good standing; 0: no cap.
+    /// Maximum number of open connections of one prefix, in addition to those in good standing; 0 means no
+    /// cap.
     pub per_prefix: usize,
-    /// Bits of an IPv4 address that make its prefix, 8 to 32.
+    /// Length of the prefix of an IPv4 address, in bits, 8 to 32.
     pub prefix_v4: u8,
-    /// Bits of an IPv6 address that make its prefix, 16 to 128.
+    /// Length of the prefix of an IPv6 address, in bits, 16 to 128.
     pub prefix_v6: u8,
-    /// New connections a second of one address that is not known; 0: no limit.
+    /// Maximum rate of new connections of one address that is not known, per second; 0 means no limit.
     pub rate_per_s: f64,
-    /// Connections that one address may open at once before its rate holds; at least 1 where there is a rate.
+    /// Number of connections that one address may open at once before the rate limits it; at least 1 if there
+    /// is a rate.
     pub burst: f64,
-    /// New connections a second of one known address; 0: no limit. A flood that asked once is known too, so this
-    /// bounds it where the caps, which grow with good standing, do not.
+    /// Maximum rate of new connections of one known address, per second; 0 means no limit. The caps grow with
+    /// the number of connections in good standing, so they do not bound a flood whose connections each send a
+    /// request. The address of such a flood is known, so this rate bounds it.
     pub known_rate_per_s: f64,
-    /// The burst of a known address.
+    /// Burst of a known address, in connections.
     pub known_burst: f64,
-    /// New connections a second of one prefix, known or not; 0: no limit.
+    /// Maximum rate of new connections of one prefix, from known and other addresses, per second; 0 means no
+    /// limit.
     pub prefix_rate_per_s: f64,
-    /// The burst of a prefix.
+    /// Burst of a prefix, in connections.
     pub prefix_burst: f64,
-    /// How long an address stays known after a connection of it was last in good standing, in seconds.
+    /// Time for which an address stays known after the last request on one of its connections was answered,
+    /// in seconds.
     pub known_window_s: u64,
-    /// Known addresses in the table; the one in good standing longest ago is dropped first.
+    /// Maximum number of known addresses. The one that was in good standing least recently is dropped first.
     pub known_capacity: usize,
-    /// Addresses, and prefixes, whose rates are followed.
+    /// Maximum number of addresses, and likewise of prefixes, whose rates are tracked.
     pub tracked_capacity: usize,
-    /// The share of clients' connections, 0 to 0.9, that only known addresses may take.
+    /// Share of the maximum number of client connections that only known addresses may take, 0 to 0.9.
     pub reserve_known: f64,
-    /// Descriptors kept free for connections to table caches, parents and the origin.
+    /// Number of descriptors kept free for connections to table caches, parents and the origin.
     pub reserve_upstream: usize,
-    /// The Retry-After of rejected clients, in milliseconds; the wait for a token if that is longer.
+    /// Retry-After of rejected clients, in ms. If the wait for a token of their rate is longer, that is used
+    /// instead.
     #[serde(rename = "pause_ms")]
     pub retry_after_ms: u64,
-    /// The longest Retry-After, in milliseconds.
+    /// Upper bound of the Retry-After, in ms.
     #[serde(rename = "most_pause_ms")]
     pub max_retry_after_ms: u64,
-    /// Rejected connections that are open to be answered; further ones are closed before a byte is read.
+    /// Maximum number of rejected connections that are kept open to be answered. Further ones are closed
+    /// before a byte is read.
     #[serde(rename = "most_refusing")]
     pub max_pending_rejections: usize,
-    /// The first backoff of accepts when the process has no descriptor left, in milliseconds; it doubles each time.
+    /// First backoff of accepts when the process has no descriptor left, in ms. It doubles with each failed
+    /// accept.
     pub backoff_ms: u64,
-    /// The longest such backoff, in milliseconds.
+    /// Upper bound of that backoff, in ms.
     #[serde(rename = "most_backoff_ms")]
     pub max_backoff_ms: u64,
-    /// Whether a descriptor is held spare, to accept and reject one connection when there are no others.
+    /// Whether a spare descriptor is held, with which a connection is accepted and rejected when no other is
+    /// left.
     pub spare_descriptor: bool,
 }
 
@@ -133,16 +145,17 @@
 }
 
 impl AdmissionSettings {
-    /// Settings that accept every connection, as without a file.
+    /// Returns settings that accept every connection, as without a file.
     pub fn disabled() -> Self {
         AdmissionSettings { enabled: false, ..AdmissionSettings::default() }
     }
 
-    /// Reads the file's text.
+    /// Parses the text of an admission file and checks the values.
     ///
     /// # Errors
     ///
-    /// The text is not HCL or not of the form, or a value is out of its range.
+    /// The text is not HCL, has no `admission` block or an unknown key, or has a value of the wrong type or
+    /// out of its range.
     pub fn parse(text: &str) -> Result<Self, AdmissionError> {
         let file: AdmissionFile = hcl::from_str(text)?;
         let settings = file.admission.ok_or(AdmissionError::MissingBlock)?;
@@ -150,66 +163,81 @@
         Ok(settings)
     }
 
-    /// Checks the ranges.
+    /// Checks that all values are in their ranges.
     ///
     /// # Errors
     ///
-    /// The first key out of its range.
+    /// A value is out of its range. The error names the first such key.
     pub fn check(&self) -> Result<(), AdmissionError> {
-        ensure(PREFIX_V4_RANGE.contains(&self.prefix_v4), "prefix_v4", "8 to 32")?;
-        ensure(PREFIX_V6_RANGE.contains(&self.prefix_v6), "prefix_v6", "16 to 128")?;
+        ensure(PREFIX_V4_RANGE.contains(&self.prefix_v4), "prefix_v4", &self.prefix_v4, "8 to 32")?;
+        ensure(PREFIX_V6_RANGE.contains(&self.prefix_v6), "prefix_v6", &self.prefix_v6, "16 to 128")?;
         check_rate("burst", self.address_rate())?;
         check_rate("known_burst", self.known_rate())?;
         check_rate("prefix_burst", self.prefix_rate())?;
-        ensure(RESERVE_KNOWN_RANGE.contains(&self.reserve_known), "reserve_known", "0 to 0.9")?;
+        ensure(
+            RESERVE_KNOWN_RANGE.contains(&self.reserve_known),
+            "reserve_known",
+            &self.reserve_known,
+            "0 to 0.9",
+        )?;
         let has_tables = self.known_capacity > 0 && self.tracked_capacity > 0;
-        ensure(has_tables, "known_capacity", "at least 1, and so tracked_capacity")?;
-        ensure(self.retry_after_ms <= self.max_retry_after_ms, "pause_ms", "at most most_pause_ms")?;
+        ensure(
+            has_tables,
+            "known_capacity",
+            &self.known_capacity,
+            "at least 1, and so must tracked_capacity",
+        )?;
+        ensure(
+            self.retry_after_ms <= self.max_retry_after_ms,
+            "pause_ms",
+            &self.retry_after_ms,
+            "at most most_pause_ms",
+        )?;
         let is_backoff_valid = self.backoff_ms > 0 && self.backoff_ms <= self.max_backoff_ms;
-        ensure(is_backoff_valid, "backoff_ms", "1 to most_backoff_ms")
+        ensure(is_backoff_valid, "backoff_ms", &self.backoff_ms, "1 to most_backoff_ms")
     }
 
-    /// The rate of one address.
+    /// Returns the rate limit of an address that is not known.
     pub fn address_rate(&self) -> Rate {
         Rate { per_s: self.rate_per_s, burst: self.burst }
     }
 
-    /// The rate of one known address.
+    /// Returns the rate limit of a known address.
     pub fn known_rate(&self) -> Rate {
         Rate { per_s: self.known_rate_per_s, burst: self.known_burst }
     }
 
-    /// The rate of one prefix.
+    /// Returns the rate limit of a prefix.
     pub fn prefix_rate(&self) -> Rate {
         Rate { per_s: self.prefix_rate_per_s, burst: self.prefix_burst }
     }
 
-    /// How many bits of an address make its prefix.
+    /// Returns the lengths of prefixes.
     pub(super) fn prefix_lengths(&self) -> PrefixLengths {
         PrefixLengths { v4: self.prefix_v4, v6: self.prefix_v6 }
     }
 
-    /// How long an address stays known.
+    /// Returns the time for which an address stays known.
     pub fn known_window(&self) -> Span {
         Span::from_secs(self.known_window_s as i64)
     }
 
-    /// The Retry-After of rejected clients.
+    /// Returns the Retry-After of rejected clients, before a longer wait for a token is considered.
     pub fn retry_after(&self) -> Span {
         Span::from_millis(self.retry_after_ms as i64)
     }
 
-    /// The longest Retry-After.
+    /// Returns the upper bound of the Retry-After.
     pub fn max_retry_after(&self) -> Span {
         Span::from_millis(self.max_retry_after_ms as i64)
     }
 
-    /// The first backoff of accepts when the process has no descriptor left.
+    /// Returns the first backoff of accepts when the process has no descriptor left.
     pub fn backoff(&self) -> Span {
         Span::from_millis(self.backoff_ms as i64)
     }
 
-    /// The longest such backoff.
+    /// Returns the upper bound of that backoff.
     pub fn max_backoff(&self) -> Span {
         Span::from_millis(self.max_backoff_ms as i64)
     }
@@ -217,13 +245,19 @@
 
 fn check_rate(key: &'static str, rate: Rate) -> Result<(), AdmissionError> {
     let is_finite = rate.per_s.is_finite() && rate.per_s >= 0.0 && rate.burst.is_finite();
-    ensure(is_finite, key, "a finite rate of 0 or more")?;
-    ensure(!rate.is_limited() || rate.burst >= 1.0, key, "at least 1 where its rate is on")
+    let value = format!("{} at a rate of {} per second", rate.burst, rate.per_s);
+    ensure(is_finite, key, &value, "finite, at a finite rate of 0 or more")?;
+    ensure(!rate.is_limited() || rate.burst >= 1.0, key, &value, "at least 1 if the rate is above 0")
 }
 
-fn ensure(holds: bool, key: &'static str, expected: &'static str) -> Result<(), AdmissionError> {
+fn ensure(
+    holds: bool,
+    key: &'static str,
+    value: &dyn std::fmt::Display,
+    expected: &'static str,
+) -> Result<(), AdmissionError> {
     if holds {
         return Ok(());
     }
-    Err(AdmissionError::Range { key, expected })
+    Err(AdmissionError::Range { key, value: value.to_string(), expected })
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -18,9 +18,9 @@
     AdmissionSettings { per_address: 4, per_prefix: 10, rate_per_s: 0.0, ..AdmissionSettings::default() }
 }
 
-/// The codes of what a run of connections from addresses got.
+/// Opens a connection from each address in turn, and returns the codes of the decisions.
 fn admit_all(admission: &mut Admission, now: Instant, first: u64, from: &[&str]) -> Vec<&'static str> {
-    let verdicts = from.iter().enumerate().map(|(i, address)| {
+    let codes = from.iter().enumerate().map(|(i, address)| {
         match admission.admit(
             now,
             ConnectionId(first + i as u64),
@@ -31,7 +31,7 @@
             Decision::Reject { cause, .. } => cause.code(),
         }
     });
-    verdicts.collect()
+    codes.collect()
 }
 
 #[test]
@@ -48,7 +48,7 @@
     assert_eq!(
         got,
         ["admit", "admit", "admit", "admit", "admit", "admit", "admit"],
-        "10.0.1.1 is another /24"
+        "10.0.1.1 has another /24 prefix"
     );
     assert_eq!(admit_all(&mut admission, START, 20, &["10.0.0.5"]), ["prefix"]);
     admission.remove(ConnectionId(0));
@@ -63,7 +63,8 @@
 #[test]
 fn good_standing_raises_caps_for_clients_behind_nat() {
     let mut admission = Admission::new(settings());
-    // Fifty clients behind one NAT address connect one after the other, and each asks on its connection.
+    // Fifty clients behind one NAT address connect one after the other, and each sends a request on its
+    // connection.
     for conn in 0..50 {
         assert_eq!(
             admission.admit(START, ConnectionId(conn), ip("192.0.2.7"), capacity(conn as usize)),
@@ -72,7 +73,7 @@
         );
         admission.set_good_standing(START, ConnectionId(conn));
     }
-    // A flood from the same address that never asks has the address's cap beyond them, no more.
+    // A flood from the same address that sends no request gets only the cap in addition to these connections.
     let flood: Vec<_> = (100..110)
         .map(|conn| admission.admit(START, ConnectionId(conn), ip("192.0.2.7"), capacity(60)))
         .collect();
@@ -98,11 +99,12 @@
     assert_eq!(
         third,
         Decision::Reject { cause: RejectionCause::Rate, retry_after: 400 * MS },
-        "1 token at 2/s is 0.5 s, 0.1 s gone"
+        "a token takes 0.5 s at 2 per second, of which 0.1 s have passed"
     );
     assert_eq!(admission.admit(START + S / 2, ConnectionId(3), ip("10.1.0.1"), capacity(2)), Decision::Admit);
     admission.set_good_standing(START + S / 2, ConnectionId(3));
-    // Once in good standing, its address is known and its new connections go by the known rate, here off.
+    // After good standing the address is known, and its new connections are under the known rate, which is
+    // off here.
     assert_eq!(admit_all(&mut admission, START + S / 2, 10, &["10.1.0.1"; 3]), ["admit", "admit", "address"]);
 }
 
@@ -119,9 +121,9 @@
     let mut admission = Admission::new(settings);
     assert_eq!(admission.admit(START, ConnectionId(0), ip("10.4.0.1"), capacity(0)), Decision::Admit);
     admission.set_good_standing(START, ConnectionId(0));
-    // Every connection of the flood asks once, so every cap grows with it: only the known rate holds it.
+    // Every connection of the flood sends a request, so the caps grow with it. Only the known rate limits it.
     let admitted = (1..=100u64).filter(|conn| {
-        let now = START + S + *conn as i64 * MS; // a second later, 1,000 a second for 0.1 s
+        let now = START + S + *conn as i64 * MS; // one second later, 1,000 per second for 0.1 s
         let admitted =
             admission.admit(now, ConnectionId(*conn), ip("10.4.0.1"), capacity(0)) == Decision::Admit;
         if admitted {
@@ -132,7 +134,7 @@
     assert_eq!(
         admitted.count(),
         5,
-        "the known burst of 5; at 10 a second the next token is 0.1 s after it is spent"
+        "the known burst is 5, and at 10 per second the next token comes 0.1 s after it is used up"
     );
 }
 
@@ -148,19 +150,19 @@
     let mut admission = Admission::new(settings);
     assert_eq!(admission.admit(START, ConnectionId(1), ip("10.2.0.1"), capacity(0)), Decision::Admit);
     admission.set_good_standing(START, ConnectionId(1));
-    // 900 of 1000 are open: the last tenth is for known clients.
+    // 900 of 1000 connections are open, and the last tenth is reserved for known addresses.
     assert!(matches!(
         admission.admit(START + S, ConnectionId(2), ip("10.9.9.9"), capacity(900)),
         Decision::Reject { cause: RejectionCause::Reserve, .. }
     ));
     assert_eq!(admission.admit(START + S, ConnectionId(3), ip("10.2.0.1"), capacity(900)), Decision::Admit);
-    // Known or not, the descriptors that fills need are not given to clients.
+    // The descriptors that fills need are not given to clients, whether known or not.
     let low = Capacity { free_descriptors: Some(16), ..capacity(10) };
     assert!(matches!(
         admission.admit(START + S, ConnectionId(4), ip("10.2.0.1"), low),
         Decision::Reject { cause: RejectionCause::Descriptors, .. }
     ));
-    // Known addresses decay: after the window the address is a stranger again.
+    // After the window the address is not known any more.
     let later = START + 601 * S;
     assert!(!admission.is_known(later, ip("10.2.0.1")));
     assert!(matches!(
@@ -210,7 +212,7 @@
     assert!((0..100)
         .all(|conn| admission.admit(START, ConnectionId(conn), ip("10.0.0.1"), low) == Decision::Admit));
     assert_eq!(admission.open_connections_of(ip("10.0.0.1")).address, ConnectionCounts { all: 100, good: 0 });
-    // Switched on at SIGHUP, what is open already counts.
+    // When admission is switched on at SIGHUP, the connections that are already open count.
     admission.reconfigure(settings());
     assert!(matches!(
         admission.admit(START, ConnectionId(100), ip("10.0.0.1"), capacity(0)),
@@ -226,7 +228,7 @@
     let backoffs: Vec<_> = (0..10).map(|i| exhaustion.accept_failed(START + i * MS / 10)).collect();
     assert!(
         backoffs[0].starts_episode && backoffs[1..].iter().all(|b| !b.starts_episode),
-        "one log line an episode"
+        "only one log line per episode"
     );
     let waits: Vec<_> =
         backoffs.iter().enumerate().map(|(i, b)| b.until - (START + i as i64 * MS / 10)).collect();
@@ -240,16 +242,16 @@
     assert_eq!((exhaustion.episodes, exhaustion.shed), (2, 1));
 }
 
-/// Case table of the file's form: what is read, and what is refused with which words.
+/// Valid files are parsed, and invalid ones are refused with an error that holds the given words.
 #[test]
 fn admission_file_errors_name_the_key() {
     let ok = AdmissionSettings::parse("admission {\n  per_address = 8\n  rate_per_s = 5\n  burst = 10\n}\n")
-        .expect("good");
+        .expect("valid file");
     assert_eq!((ok.per_address, ok.rate_per_s, ok.per_prefix), (8, 5.0, 512));
     assert!(AdmissionSettings::parse("admission {}").expect("defaults").enabled);
     let cases = [
         ("admission { per_adress = 8 }", "per_adress"),
-        ("admission { prefix_v4 = 33 }", "admission.prefix_v4: 8 to 32"),
+        ("admission { prefix_v4 = 33 }", "admission.prefix_v4 is 33, must be 8 to 32"),
         ("admission {\n rate_per_s = 5\n burst = 0\n}", "admission.burst"),
         ("admission { reserve_known = 0.95 }", "admission.reserve_known"),
         ("admission { pause_ms = 20000 }", "admission.pause_ms"),
@@ -270,16 +272,16 @@
     let admission =
         Admission::new(AdmissionSettings { max_pending_rejections: 2, reserve_upstream: 16, ..settings() });
     assert!(admission.can_answer_rejected(1, Some(100)) && admission.can_answer_rejected(1, None));
-    assert!(!admission.can_answer_rejected(2, Some(100)), "as many held as may be");
-    assert!(!admission.can_answer_rejected(0, Some(8)), "half the reserve for table caches is left");
+    assert!(!admission.can_answer_rejected(2, Some(100)), "the limit of pending rejections is reached");
+    assert!(!admission.can_answer_rejected(0, Some(8)), "only half of the reserved descriptors is free");
 }
 
-/// Each key sets its own field, whatever the field's name.
+/// Each key sets its own field, although some fields have other names than their keys.
 #[test]
 fn admission_file_keys_set_their_fields() {
     let text = "admission {\n pause_ms = 1\n most_pause_ms = 2\n most_refusing = 3\n backoff_ms = 4\n \
                 most_backoff_ms = 5\n}";
-    let settings = AdmissionSettings::parse(text).expect("good");
+    let settings = AdmissionSettings::parse(text).expect("valid file");
     let wanted = AdmissionSettings {
         retry_after_ms: 1,
         max_retry_after_ms: 2,
@@ -291,9 +293,9 @@
     assert_eq!(settings, wanted);
 }
 
-/// The operator's example file stays usable.
+/// Guards against an example file for operators that is not valid or differs from the defaults.
 #[test]
 fn example_admission_file_has_default_settings() {
-    let example = AdmissionSettings::parse(include_str!("../../deploy/admission.hcl")).expect("usable");
+    let example = AdmissionSettings::parse(include_str!("../../deploy/admission.hcl")).expect("valid file");
     assert_eq!(example, AdmissionSettings::default());
 }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,36 +1,37 @@
-//! A token bucket: one token a new connection, refilled at a rate up to a burst. Time is passed in.
+//! A token bucket. Each new connection takes a token, and tokens are refilled at a rate up to a burst. The
+//! caller passes the time.
 
 use crate::interface::{Instant, Span};
 
 const MICROS_PER_SEC: f64 = 1e6;
 
-/// A bucket's level at an instant.
+/// The number of tokens in a bucket at an instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct TokenBucket {
-    /// Tokens held, at most the burst.
+    /// Number of tokens, at most the burst.
     tokens: f64,
-    /// When the tokens were counted.
+    /// Instant for which `tokens` was computed.
     counted_at: Instant,
 }
 
-/// How fast a bucket fills, and how much it holds.
+/// The rate at which a bucket is refilled, and its size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Tokens a second; 0 turns the limit off.
+    /// Tokens per second; 0 means no limit.
     pub per_s: f64,
-    /// The most tokens held; at least 1 where there is a limit.
+    /// Maximum number of tokens; at least 1 if there is a limit.
     pub burst: f64,
 }
 
 impl Rate {
-    /// Whether there is a limit.
+    /// Whether the rate limits connections at all.
     pub fn is_limited(&self) -> bool {
         self.per_s > 0.0
     }
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Returns a full bucket.
     pub(super) fn full(rate: Rate, now: Instant) -> Self {
         TokenBucket { tokens: rate.burst, counted_at: now }
     }
@@ -41,7 +42,7 @@
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token if there is one. Returns whether a token was taken.
     pub(super) fn take(&mut self, rate: Rate, now: Instant) -> bool {
         self.refill(rate, now);
         let has_token = self.tokens >= 1.0;
@@ -51,7 +52,7 @@
         has_token
     }
 
-    /// How long until a token can be taken; zero if one can now.
+    /// Returns the time until a token can be taken; zero if one can be taken now or there is no limit.
     pub(super) fn wait(&mut self, rate: Rate, now: Instant) -> Span {
         self.refill(rate, now);
         if self.tokens >= 1.0 || !rate.is_limited() {
--- a/src/feed/http.rs
+++ b/src/feed/http.rs
@@ -2,55 +2,57 @@
 
 use bytes::{Buf, BytesMut};
 
-/// The most headers that a response may have.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 32;
-/// Ends a chunk of a body.
+/// Ends a chunk of a chunked body.
 const CHUNK_END: &[u8; 2] = b"\r\n";
 
-/// A complete response.
+/// A complete HTTP response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body, without chunk headers.
+    /// Body, without the framing of chunks.
     pub body: Vec<u8>,
-    /// Whether the server closes the connection after it.
+    /// Whether the server closes the connection after the response.
     pub closes_connection: bool,
 }
 
-/// The input is no HTTP response.
+/// The input is not a valid HTTP response.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no HTTP response")]
+#[error("not a valid HTTP response")]
 pub struct MalformedResponse;
 
-/// How the length of a body is given.
+/// How the length of the body is determined.
 enum BodyLength {
     Known(usize),
     Chunked,
+    /// The body ends with the connection.
     UntilEnd,
 }
 
-/// What a response's header fields say.
+/// The parsed status line and headers of a response.
 struct Head {
-    /// Its bytes.
+    /// Number of bytes up to the body.
     length: usize,
     status: u16,
     closes_connection: bool,
     body_length: BodyLength,
 }
 
-/// A complete body.
+/// A complete body of a response.
 struct Body {
     bytes: Vec<u8>,
-    /// The bytes that it takes in the input.
+    /// Number of bytes of the body in the input, with the framing of chunks.
     encoded_length: usize,
 }
 
-/// Takes the next complete response; `is_at_end`: nothing more will be received.
+/// Removes the next complete response from `input` and returns it; `None` if more bytes are needed.
+/// `is_at_end` states that nothing more will be received.
 ///
 /// # Errors
 ///
-/// The input is no response.
+/// The input is not a valid response.
 pub fn parse_response(
     input: &mut BytesMut,
     is_at_end: bool,
@@ -100,7 +102,7 @@
     }
 }
 
-/// Joins the chunks of a body, if all of them were received.
+/// Joins the chunks of a body; `None` if they have not all been received.
 fn parse_chunks(input: &[u8]) -> Result<Option<Body>, MalformedResponse> {
     let (mut bytes, mut position) = (Vec::new(), 0);
     loop {
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -1,7 +1,8 @@
-//! The client of the control feed: long polls over HTTP/1.1 for events after the last one received, with a growing
-//! backoff between connections.
+//! The client of the control feed. It fetches the events after the last one received by long polls over
+//! HTTP/1.1, with a growing backoff between connections.
 //!
-//! - `reading`: responses, and the new events in them; `http`: the parser of responses.
+//! - `reading`: the handling of responses and of the new events in them;
+//! - `http`: the parser of HTTP responses.
 
 mod http;
 mod reading;
@@ -11,21 +12,21 @@
 use crate::net::{ConnectionKey, Net, Reason, Role};
 use std::net::SocketAddr;
 
-/// How long the control feed may hold a response back. Short, since a feed that stops sending while its connection
-/// stays open is noticed only after this time.
+/// Time for which the control feed may hold a response back if there is no new event. It is short, since a
+/// feed that stops sending on an open connection is noticed only after this time.
 const POLL_WAIT: Span = Span::from_secs(1);
-/// How much later than that a response may come.
+/// Additional time after [`POLL_WAIT`] within which a response must be received.
 const POLL_SLACK: Span = Span::from_millis(700);
-/// How long a connection may take to come up, at first.
+/// First value of the connect timeout.
 const MIN_CONNECT_TIMEOUT: Span = Span::from_millis(400);
-/// How long a connection may take to come up, at most: the time-out doubles each time one comes up too late.
+/// Upper bound of the connect timeout, which doubles each time a connection does not come up in time.
 const MAX_CONNECT_TIMEOUT: Span = Span::from_millis(1_600);
-/// The first backoff before a connection is opened again; it doubles until a poll is answered.
+/// First backoff before a connection is opened again. The backoff doubles until a poll is answered.
 const MIN_BACKOFF: Span = Span::from_millis(30);
-/// The longest backoff.
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Span = Span::from_millis(500);
-/// Events count as delivered this long after a break, or after the end of a poll's wait. A poll that broke or stalled
-/// and the connection after it must fit into that.
+/// Time after a broken connection, or after the end of a poll's wait, at which events count as delivered.
+/// Noticing a broken or stalled poll and opening the next connection must take less time than this.
 const DELIVERY_BOUND: Span = Span::from_secs(2);
 const _: () = {
     let (slack, connect) = (POLL_SLACK.as_micros(), MIN_CONNECT_TIMEOUT.as_micros());
@@ -37,41 +38,41 @@
 /// A deadline of the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedDeadline {
-    /// The backoff before the next connection is over.
+    /// The backoff before the next connection has ended.
     Retry,
-    /// A connection did not come up, or a poll was not answered in time.
+    /// A connection did not come up in time, or a poll was not answered in time.
     Overdue,
 }
 
-/// How many polls were sent and answered. All events up to the time at which poll N was sent are known once it was
-/// answered.
+/// Numbers of polls sent and answered. Once poll N has been answered, all events up to the time at which it
+/// was sent are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollCounts {
-    /// Polls sent: the number of the newest one.
+    /// Number of polls sent, which is also the number of the newest poll.
     pub sent: u64,
-    /// The number of the newest poll that was answered.
+    /// Number of the newest poll that was answered; 0 before the first answer.
     pub answered: u64,
 }
 
-/// The client of the control feed, with at most one connection to it.
+/// The client of the control feed. It has at most one connection.
 pub struct Feed {
     addr: SocketAddr,
-    /// The number of the last event received.
+    /// Number of the last event received.
     last_event: u64,
     connection: Option<ConnectionKey>,
     is_up: bool,
     deadline: Option<DeadlineHandle>,
-    /// The backoff before the next connection.
+    /// Backoff before the next connection.
     backoff: Span,
-    /// How long the next connection may take to come up.
+    /// Connect timeout of the next connection.
     connect_timeout: Span,
-    /// How long a response may be held back.
+    /// Time for which the feed may hold a response back.
     poll_wait: Span,
     polls: PollCounts,
 }
 
 impl Feed {
-    /// A client that has received the events up to number `last_event`.
+    /// Returns a client that has received the events up to number `last_event`. It has no connection yet.
     pub fn new(addr: SocketAddr, last_event: u64) -> Self {
         Feed {
             addr,
@@ -86,22 +87,22 @@
         }
     }
 
-    /// The same client with another time for which the feed may hold a response back.
+    /// Sets the time for which the feed may hold a response back, which is 1 s otherwise.
     pub fn with_poll_wait(self, poll_wait: Span) -> Self {
         Feed { poll_wait, ..self }
     }
 
-    /// How many polls were sent and answered.
+    /// Returns the numbers of polls sent and answered.
     pub fn polls(&self) -> PollCounts {
         self.polls
     }
 
-    /// Whether a connection is the feed's.
+    /// Whether `key` is the connection to the feed.
     pub fn owns(&self, key: ConnectionKey) -> bool {
         self.connection == Some(key)
     }
 
-    /// Opens a connection.
+    /// Opens a connection. If that fails at once, another is opened after the backoff.
     pub fn connect(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<FeedDeadline>) {
         match net.connect(now, self.addr, Role::Feed) {
             Ok(key) => {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Continues at another address after the last event received. The old connection is closed at once: the new
-    /// address has the same events under the same numbers.
+    /// Continues at another address with the events after the last one received. The old connection is closed
+    /// at once, since the new address has the same events under the same numbers.
     pub fn move_to(
         &mut self,
         now: Instant,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Handles a deadline that has passed.
+    /// Handles the deadline of the feed after it has passed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Closes the connection; the next one is opened after the backoff.
+    /// Closes the connection, and schedules the next one after the backoff.
     fn disconnect(
         &mut self,
         now: Instant,
@@ -185,7 +186,7 @@
         self.backoff = (2 * self.backoff).min(MAX_BACKOFF);
     }
 
-    /// Replaces the deadline.
+    /// Replaces the deadline of the feed.
     fn set_deadline(
         &mut self,
         at: Instant,
--- a/src/feed/reading.rs
+++ b/src/feed/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the control feed: complete responses, and the new events in them.
+//! Reads from the control feed: complete responses, and the new events in them.
 
 use super::http::{self, HttpResponse, MalformedResponse};
 use super::{Feed, FeedDeadline, MIN_BACKOFF, MIN_CONNECT_TIMEOUT};
@@ -8,13 +8,14 @@
 use crate::net::{ConnectionKey, Net, ReadProgress, Reason};
 use tracing::warn;
 
-/// The longest response that is accepted, in bytes.
+/// Maximum length of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 22;
-/// The HTTP status of a response that carries events.
+/// HTTP status of a response that carries events.
 const STATUS_OK: u16 = 200;
 
 impl Feed {
-    /// Handles a connection that may be readable or writable; returns the new events.
+    /// Handles the connection, which may be readable or writable, and returns the new events. If an error
+    /// occurs, the connection is closed and the backoff begins.
     pub fn on_ready(
         &mut self,
         now: Instant,
@@ -46,7 +47,7 @@
         net.flush(key)?;
         loop {
             let progress = net.read(key, MAX_RESPONSE_BYTES);
-            // A response that was received before the connection broke counts.
+            // A response that was received before the connection broke is still used.
             if let Some(response) = next_response(key, progress, net)? {
                 self.on_response(response, batches)?;
                 self.send_poll(now, net, deadlines);
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Handles the answer to the poll that was sent last.
+    /// Handles the response to the poll that was sent last.
     fn on_response(&mut self, response: HttpResponse, batches: &mut Vec<FeedBatch>) -> Result<(), Reason> {
         let parsed = serde_json::from_slice::<FeedBatch>(&response.body);
         let batch = match parsed {
             Ok(batch) if response.status == STATUS_OK => batch,
             other => {
-                warn!("feed: status {}, {:?}", response.status, other.err());
+                warn!("feed: unusable response: status {}, parse error {:?}", response.status, other.err());
                 return Err(Reason::BadMessage);
             }
         };
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// The events of a batch that were not received before, if there are any.
+    /// Removes the events that were received before from a batch; `None` if no event is left.
     fn remove_received(&mut self, mut batch: FeedBatch) -> Option<FeedBatch> {
         batch.events.retain(|event| event.n > self.last_event);
         let newest = batch.events.iter().map(|event| event.n).max();
@@ -89,7 +90,7 @@
     }
 }
 
-/// Takes the next complete response that was received, if there is one.
+/// Removes the next complete response from the input; `None` if none has been received completely.
 fn next_response(
     key: ConnectionKey,
     progress: Result<ReadProgress, Reason>,
@@ -101,7 +102,7 @@
     };
     match parsed {
         Ok(Some(response)) => Ok(Some(response)),
-        // A full buffer without a complete response never gets one.
+        // A full buffer that holds no complete response cannot take the rest of one.
         Ok(None) if progress.is_ok_and(|progress| progress.more) => Err(Reason::Oversize),
         Ok(None) => Ok(None),
         Err(MalformedResponse) => Err(Reason::BadMessage),
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Holds the one deadline that the feed has.
+/// A schedule that holds only one deadline, as the feed has no more.
 #[derive(Default)]
 struct SingleDeadline(Option<(Instant, FeedDeadline)>);
 
@@ -18,19 +18,19 @@
     }
 }
 
-/// A listener that accepts connections and never answers.
+/// Returns a listener that accepts connections and never answers, with its address.
 fn silent_listener() -> (std::net::TcpListener, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     (listener, addr)
 }
 
-/// The events of a feed that stopped count as delivered 2 s after the wait of the poll: by then it must be polled
-/// again.
+/// Guards against a stalled feed that is not polled again in time: its events count as delivered 2 s after
+/// the end of the poll's wait.
 #[test]
 fn stalled_feed_is_polled_again_within_delivery_bound() {
     let ((_old, addr), mut net, mut deadlines) =
-        (silent_listener(), Net::new().expect("a poll"), SingleDeadline::default());
+        (silent_listener(), Net::new().expect("an event queue"), SingleDeadline::default());
     let mut feed = Feed::new(addr, 7);
     feed.connect(Instant::ZERO, &mut net, &mut deadlines);
     feed.is_up = true;
@@ -53,12 +53,12 @@
 #[test]
 fn moved_feed_reconnects_at_once_and_keeps_last_event() {
     let ((_old, addr), (_new, next)) = (silent_listener(), silent_listener());
-    let (mut net, mut deadlines) = (Net::new().expect("a poll"), SingleDeadline::default());
+    let (mut net, mut deadlines) = (Net::new().expect("an event queue"), SingleDeadline::default());
     let mut feed = Feed::new(addr, 7);
     feed.connect(Instant::ZERO, &mut net, &mut deadlines);
     let old = feed.connection;
     feed.move_to(Instant::from_micros(1), addr, &mut net, &mut deadlines);
-    assert_eq!(feed.connection, old, "the same address is no move");
+    assert_eq!(feed.connection, old, "the same address must not cause a reconnect");
     let moved = Instant::from_micros(2);
     feed.move_to(moved, next, &mut net, &mut deadlines);
     assert!(feed.connection != old && feed.connection.is_some());
@@ -66,11 +66,12 @@
     assert_eq!(deadlines.0, Some((moved + MIN_CONNECT_TIMEOUT, FeedDeadline::Overdue)));
 }
 
-/// With a fixed time-out a feed whose connections come up late would never be reached.
+/// Guards against a feed that is never reached because its connections come up later than a fixed connect
+/// timeout.
 #[test]
 fn connect_timeout_doubles_until_connection_is_up() {
     let ((_old, addr), mut net, mut deadlines) =
-        (silent_listener(), Net::new().expect("a poll"), SingleDeadline::default());
+        (silent_listener(), Net::new().expect("an event queue"), SingleDeadline::default());
     let mut feed = Feed::new(addr, 7);
     feed.connect(Instant::ZERO, &mut net, &mut deadlines);
     let (mut now, mut waits) = (Instant::ZERO, Vec::new());
@@ -90,5 +91,8 @@
     while feed.polls() == PollCounts::default() {
         feed.on_ready(now, &mut net, &mut deadlines);
     }
-    assert_eq!(feed.connect_timeout, MIN_CONNECT_TIMEOUT, "a connection that came up resets it");
+    assert_eq!(
+        feed.connect_timeout, MIN_CONNECT_TIMEOUT,
+        "a connection that comes up must reset the timeout"
+    );
 }
--- a/src/upstream/answers.rs
+++ b/src/upstream/answers.rs
@@ -1,55 +1,58 @@
-//! The reader of servers' answers, which arrive in parts and are returned complete.
+//! The parser of answers. It takes the bytes as they are received and returns complete answers.
 
 use super::line_protocol::{WireAnswer, MAX_BODY_BYTES, MAX_LINE_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The statuses that an answer may have.
+/// Valid status words of answers.
 const STATUSES: [&str; 10] = ["200", "304", "404", "500", "503", "504", "alive", "dead", "stats", "status"];
 
-/// Stands in a line in place of its fields, if it has none.
+/// Placeholder for the fields in the line of an answer without fields.
 const NO_FIELDS: &str = "-";
-/// Ends a line, and an answer's body.
+/// Ends a line, and also the body of an answer.
 const LINE_END: &[u8; 2] = b"\r\n";
-/// A shorter body is copied: a slice would keep the whole buffer alive.
+/// Minimum length of a body that is returned as a slice of the buffer. A shorter body is copied, since a
+/// slice would keep the whole buffer allocated.
 const MIN_SLICED_BODY_BYTES: usize = 16 * 1024;
 
-/// What the peer sent is no answer of the line protocol.
+/// The received bytes are not a valid answer of the line protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no answer of the line protocol")]
+#[error("not a valid answer of the line protocol")]
 pub struct MalformedAnswer;
 
-/// An answer without its body.
+/// The parsed line of an answer, whose body follows.
 #[derive(Debug)]
 struct Head {
     answer: WireAnswer,
     body_length: usize,
 }
 
-/// Reads the answers of one connection.
+/// Parses the answers on one connection.
 #[derive(Debug, Default)]
 pub struct AnswerReader {
-    /// The answer that is being received.
+    /// Line of the answer whose body is being received.
     head: Option<Head>,
-    /// Bytes of that answer that are still to be discarded.
+    /// Number of bytes of that answer that are still to be discarded.
     discard: usize,
 }
 
 impl AnswerReader {
-    /// Buffer bytes that the answer being received needs; 0 if that is not known yet, or if its body is discarded.
+    /// Returns the number of buffer bytes that the body of the current answer needs; 0 if the line of the
+    /// answer has not been received yet or its body is discarded.
     pub fn needed_bytes(&self) -> usize {
         self.head.as_ref().filter(|_| self.discard == 0).map_or(0, |head| head.body_length + LINE_END.len())
     }
 
-    /// Whether the body of an answer is still to be received.
+    /// Whether the line of an answer has been received, but not yet its whole body.
     pub fn is_in_body(&self) -> bool {
         self.head.is_some()
     }
 
-    /// Takes the next complete answer from `input`. A body longer than `capacity` bytes is discarded as it arrives.
+    /// Removes the next complete answer from `input` and returns it; `None` if more bytes are needed. A body
+    /// longer than `capacity` bytes is discarded as it is received.
     ///
     /// # Errors
     ///
-    /// The input is no answer.
+    /// The input is not a valid answer.
     pub fn next(
         &mut self,
         input: &mut BytesMut,
@@ -63,7 +66,8 @@
                 return self.take_body(input);
             }
             let Some(head) = next_head(input)? else { return Ok(None) };
-            // An empty body is complete only with the line end behind it: the stated length may be wrong.
+            // A `200` answer with an empty body is complete only with the line end after the body, since the
+            // stated length may be wrong.
             if head.body_length == 0 && head.answer.status != "200" {
                 return Ok(Some(head.answer));
             }
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Begins an answer that has a body.
+    /// Begins to receive or discard the body of an answer.
     fn begin_body(&mut self, mut head: Head, input: &mut BytesMut, capacity: usize) {
         if head.body_length > capacity {
             self.discard = head.body_length + LINE_END.len();
@@ -82,7 +86,8 @@
         self.head = Some(head);
     }
 
-    /// Discards a body that there is no capacity for; returns the answer once all of it was received.
+    /// Discards received bytes of a body that exceeds the capacity. Returns the answer once all of them were
+    /// discarded.
     fn discard_body(&mut self, input: &mut BytesMut) -> Option<WireAnswer> {
         let part = self.discard.min(input.len());
         input.advance(part);
@@ -93,7 +98,7 @@
         self.head.take().map(|head| head.answer)
     }
 
-    /// Takes an answer with its body, if it was received completely.
+    /// Returns the answer with its body; `None` if the body has not been received completely.
     fn take_body(&mut self, input: &mut BytesMut) -> Result<Option<WireAnswer>, MalformedAnswer> {
         let Some(Head { body_length: length, .. }) = self.head else { return Ok(None) };
         if input.len() < length + LINE_END.len() {
@@ -113,14 +118,14 @@
     }
 }
 
-/// Takes the next line, if it was received completely.
+/// Removes the next line from `input` and parses it; `None` if no line has been received completely.
 fn next_head(input: &mut BytesMut) -> Result<Option<Head>, MalformedAnswer> {
     loop {
         let Some(end) = input.windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
             return if input.len() > MAX_LINE_BYTES { Err(MalformedAnswer) } else { Ok(None) };
         };
         let line = input.split_to(end + LINE_END.len());
-        // An empty line ends an empty body.
+        // An empty line is the end of an empty body.
         if end > 0 {
             return parse_head(&line[..end]).map(Some);
         }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! The record of one connection: what is open there, and what is known of its peer.
+//! The state of one connection: its open jobs, and what was learned about its server.
 
 use super::answers::AnswerReader;
 use super::jobs::Job;
@@ -7,69 +7,70 @@
 use crate::interface::{ClassId, Instant, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A connection on which this many jobs in a row were cancelled unanswered counts as silent.
+/// Number of jobs in a row that must be cancelled unanswered for a connection to count as silent.
 pub(super) const MAX_UNANSWERED_JOBS: u32 = 3;
-/// A connection on which jobs are open and nothing was received for this long is silent.
+/// A connection with open jobs is silent once nothing has been received on it for this long.
 const SILENCE_TIMEOUT: Span = Span::from_millis(1_200);
-/// The most cancelled ids that a connection remembers.
+/// Maximum number of cancelled ids that are remembered for a connection.
 const MAX_CANCELLED_IDS: usize = 4096;
-/// A duplicate of an answer comes within this time of the first, if at all. Until then a retry under the same id takes
-/// another connection.
+/// Time after an answer within which a duplicate of it may be received. Until it has passed, a retry with the
+/// same id takes another connection, since the duplicate would be taken for the answer to the retry.
 pub(super) const DUPLICATE_ANSWER_WINDOW: Span = Span::from_millis(50);
-/// The most answered ids that a connection remembers.
+/// Maximum number of answered ids that are remembered for a connection.
 const MAX_ANSWERED_IDS: usize = 64;
-/// A write takes only a connection that has been up for this long: on one that is reset just after it came up the
-/// write would have failed as one that may have run.
+/// Time that a connection must have been up before it takes a write. If a connection were reset just after it
+/// came up, the write on it would fail as one that may have run, so it could not be retried.
 pub(super) const MIN_WRITE_CONNECTION_AGE: Span = Span::from_millis(3);
 
-/// An id that was answered on a connection.
+/// An id under which a job was answered on a connection.
 struct AnsweredId {
     answered_at: Instant,
     id: String,
 }
 
 impl AnsweredId {
-    /// Whether a duplicate of the answer may still come.
+    /// Whether a duplicate of the answer may still be received.
     fn may_repeat(&self, now: Instant) -> bool {
         now < self.answered_at + DUPLICATE_ANSWER_WINDOW
     }
 }
 
-/// A connection to a server.
+/// A connection to a server, open or being opened.
 pub(super) struct Connection {
     pub server: ServerId,
     pub queue: QueueKind,
     pub is_up: bool,
-    /// The socket took no byte of the last job, which waits until the socket is writable again.
+    /// Whether the socket took no byte of the last job. No job is written until the socket is writable again.
     pub is_blocked: bool,
-    /// The open jobs, by their id on the wire.
+    /// Open jobs, by their id on the wire.
     pub open_jobs: BTreeMap<String, Job>,
-    /// Cancelled ids. A late answer may still come, so none of them is used there again.
+    /// Ids of cancelled jobs. A late answer may still be received, so they are not used again on this
+    /// connection.
     cancelled: BTreeSet<String>,
-    /// Ids that were answered within [`DUPLICATE_ANSWER_WINDOW`], the oldest first.
+    /// Ids that were answered within [`DUPLICATE_ANSWER_WINDOW`], oldest first.
     answered: VecDeque<AnsweredId>,
     pub reader: AnswerReader,
-    /// Since when jobs have been open with nothing received.
+    /// Since when jobs have been open and nothing has been received; `None` while the connection is idle.
     pub silent_since: Option<Instant>,
-    /// Jobs in a row that were cancelled unanswered.
+    /// Number of jobs in a row that were cancelled after a long wait, without any bytes received in between.
     pub unanswered_jobs: u32,
     pub up_since: Instant,
-    /// Whether a job was written there.
+    /// Whether a job was ever written on it.
     pub was_used: bool,
-    /// Since when no job has been open.
+    /// Since when no job has been open; valid while the connection is idle.
     pub idle_since: Instant,
     pub connect_deadline: Option<DeadlineHandle>,
     pub idle_deadline: Option<DeadlineHandle>,
-    /// Set while an answer was received in part.
+    /// Set while an answer has been received in part.
     pub answer_deadline: Option<DeadlineHandle>,
-    /// When the first part of that answer was received.
+    /// When the first part of that answer was received; `None` if no answer has been received in part.
     pub answer_started_at: Option<Instant>,
-    /// The class of the last job, if it counts and its bytes are not all written yet.
+    /// Class of the job written last, if it is counted and not all of its bytes have been written yet.
     pub uncounted_class: Option<ClassId>,
 }
 
 impl Connection {
-    /// A connection that is being opened.
+    /// Returns the state of a connection that is being opened.
     pub fn connecting(
         now: Instant,
         server: ServerId,
@@ -98,13 +99,14 @@
         }
     }
 
-    /// Whether a job may be written there under this id: no answer to an earlier job can be taken for its own.
+    /// Whether a job with this id may be written on the connection. It may not while an answer to an earlier
+    /// job with the same id may still be received, since that would be taken for the answer to the new job.
     pub fn accepts_id(&self, now: Instant, id: &str) -> bool {
         let is_known = self.open_jobs.contains_key(id) || self.cancelled.contains(id);
         !is_known && !self.answered.iter().any(|answered| answered.id == id && answered.may_repeat(now))
     }
 
-    /// Removes the open job that was answered under an id.
+    /// Removes and returns the open job with an id that was answered; `None` if no such job is open.
     pub fn take_answered(&mut self, now: Instant, id: &str) -> Option<Job> {
         let job = self.open_jobs.remove(id)?;
         let is_expired = |oldest: &AnsweredId| !oldest.may_repeat(now);
@@ -115,39 +117,39 @@
         Some(job)
     }
 
-    /// Cancels the open job under an id, which counts as unanswered if it waited long.
+    /// Removes the open job with an id, which was cancelled. It counts as unanswered if it `waited_long`.
     pub fn cancel(&mut self, id: String, waited_long: bool) {
         self.open_jobs.remove(&id);
         self.unanswered_jobs += u32::from(waited_long);
         if self.cancelled.len() >= MAX_CANCELLED_IDS {
-            self.cancelled.clear(); // their answers would be late by more than any deadline
+            self.cancelled.clear(); // their answers would come later than any deadline
         }
         self.cancelled.insert(id);
     }
 
-    /// Whether it is up and has no open job.
+    /// Whether the connection is up and has no open job.
     pub fn is_idle(&self) -> bool {
         self.is_up && self.open_jobs.is_empty()
     }
 
-    /// Whether it is fit for a write.
+    /// Whether the connection may take a write without being shared: it is old enough and was never used.
     pub fn is_fit_for_write(&self, now: Instant) -> bool {
         self.up_since + MIN_WRITE_CONNECTION_AGE <= now && !self.was_used
     }
 
-    /// Whether its server does not answer.
+    /// Whether the server seems not to answer on the connection.
     pub fn is_silent(&self, now: Instant) -> bool {
         self.unanswered_jobs >= MAX_UNANSWERED_JOBS
             || self.silent_since.is_some_and(|since| now - since > SILENCE_TIMEOUT)
     }
 
-    /// Whether ids are remembered that were answered there.
+    /// Whether any answered id is remembered.
     #[cfg(test)]
     pub fn has_answered_ids(&self) -> bool {
         !self.answered.is_empty()
     }
 
-    /// The deadlines that are set.
+    /// Returns the deadlines that are set.
     pub fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle> {
         [self.connect_deadline, self.idle_deadline, self.answer_deadline].into_iter().flatten()
     }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -10,43 +10,47 @@
 use crate::net::{is_local, ConnectionKey, Net, Reason, Role};
 use std::collections::BTreeMap;
 
-/// After a connection did not come up, none is opened beside others for this long: its server may take no more.
+/// Time after a failed connect in which no additional connection is opened to spread reads, since the server
+/// may not accept more connections.
 const CONNECT_BACKOFF: Span = Span::from_secs(1);
-/// How often a connection that is reset before it is up is opened again: such a reset proves nothing of its server.
+/// How often in a row a connection that was reset before it came up is opened again. Such a reset does not
+/// prove that the server is down.
 pub(super) const MAX_CONNECT_RETRIES: u32 = 2;
-/// An unused connection for writes is closed after this long.
+/// Time after which an unused connection for writes is closed.
 const UNUSED_WRITE_TIMEOUT: Span = Span::from_millis(250);
-/// The shortest idle time-out that is learned from a server that closes sooner than the settings say.
+/// Lower bound of the idle timeout that is learned from servers that close connections sooner than the
+/// settings state.
 const MIN_IDLE_TIMEOUT: Span = Span::from_millis(300);
-/// The fraction of the servers' idle time-out after which an idle connection is closed here: before the peer does.
+/// Fraction of the servers' idle timeout after which an idle connection is closed here, so that it is closed
+/// before the server closes it.
 const IDLE_FRACTION: f64 = 0.6;
 
-/// A deadline of a connection.
+/// A deadline of a connection in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionDeadline {
-    /// It has not come up in time.
+    /// The connection has not come up in time.
     Connect(ConnectionKey),
-    /// It has been idle for too long.
+    /// The connection has been idle for too long.
     Idle(ConnectionKey),
-    /// Nothing more of an answer was received.
+    /// An answer was not continued or not completed in time.
     AnswerStalled(ConnectionKey),
-    /// A connection is old enough for a write.
+    /// A connection is old enough for a write, so that queued writes can be dispatched.
     FitForWrite,
 }
 
 /// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ConnectError {
-    /// The server can't be reached.
-    #[error("the server can't be reached")]
+    #[error("the server cannot be reached")]
     Unreachable,
-    /// This process lacks a descriptor, a port or the like, which says nothing about the server.
-    #[error("no descriptor, port or the like is left")]
+    /// This process has no resources left for the connection, or it is at the limit of connections. Nothing
+    /// follows from that about the server.
+    #[error("no descriptor, port or other local resource is left for the connection")]
     Exhausted,
 }
 
 impl ConnectError {
-    /// How jobs end that waited for the connection.
+    /// Returns how the jobs that waited for the connection end.
     fn job_end(self) -> JobEnd {
         match self {
             ConnectError::Unreachable => JobEnd::NotConnected,
@@ -56,7 +60,8 @@
 }
 
 impl Upstream {
-    /// Closes idle connections while there are more than the limits allow.
+    /// Closes idle connections, those idle longest first, while there are more connections than the limits
+    /// allow.
     pub fn close_excess_idle(
         &mut self,
         now: Instant,
@@ -69,7 +74,7 @@
         }
     }
 
-    /// Closes a server's idle connections.
+    /// Closes the idle connections to a server.
     pub fn close_idle(
         &mut self,
         now: Instant,
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Closes all connections.
+    /// Closes all connections, for the shutdown.
     pub fn close_all(
         &mut self,
         now: Instant,
@@ -96,7 +101,8 @@
         }
     }
 
-    /// Opens a connection for a queue. If that fails at once, the jobs that only it could have taken end.
+    /// Opens a connection for a queue. If that fails at once, the jobs of the queue end unless another
+    /// connection may take them. Returns whether the connection is being opened.
     pub(super) fn connect(
         &mut self,
         now: Instant,
@@ -140,7 +146,8 @@
         })
     }
 
-    /// A connection failed to come up: the jobs of its queue end unless another connection may still take them.
+    /// Handles a connection that failed to come up. The jobs of its queue end unless another connection may
+    /// still take them.
     fn connect_failed(&mut self, now: Instant, server: ServerId, queue: QueueKind, end: &JobEnd) {
         let Some(known) = self.servers.get_mut(&server).map(|server| server.queue_mut(queue)) else { return };
         known.backoff_until = now + CONNECT_BACKOFF;
@@ -156,7 +163,8 @@
         self.end_jobs(now, jobs, end);
     }
 
-    /// Looks at a connection after its last open job may have ended: closes it, or sets its idle deadline.
+    /// Closes a connection or sets its idle deadline if it is idle. Called when its last open job may have
+    /// ended.
     pub(super) fn handle_idle(
         &mut self,
         now: Instant,
@@ -173,7 +181,7 @@
         }
     }
 
-    /// Why an idle connection is closed at once, if it is.
+    /// Returns why an idle connection must be closed at once; `None` if it stays open.
     fn reason_to_close(&self, now: Instant, connection: &Connection) -> Option<Reason> {
         if self.servers.get(&connection.server).is_none_or(|server| server.is_removed) {
             return Some(Reason::Replaced);
@@ -206,7 +214,7 @@
         connection.idle_deadline = Some(deadlines.add(now + timeout, ConnectionDeadline::Idle(key)));
     }
 
-    /// Closes the connection that has been idle longest, if any is idle.
+    /// Closes the connection that has been idle longest, if any connection is idle.
     fn drop_longest_idle(
         &mut self,
         now: Instant,
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Closes a server's connections.
+    /// Closes all connections to a server.
     pub(super) fn close_connections(
         &mut self,
         now: Instant,
@@ -238,8 +246,8 @@
         self.servers.get(&server).map(Server::connections).unwrap_or_default()
     }
 
-    /// Closes a connection; its open jobs end, since each may have run. One that was reset before it came up is opened
-    /// again.
+    /// Closes a connection. Its open jobs end with [`JobEnd::Reset`], since each of them may have run. A
+    /// connection that was reset before it came up is opened again.
     pub(super) fn drop_connection(
         &mut self,
         now: Instant,
@@ -264,13 +272,13 @@
         }
     }
 
-    /// A server closed a connection that had been idle for this long.
+    /// Shortens the idle timeout after a server closed a connection that had been idle for `idle`.
     fn learn_idle_timeout(&mut self, idle: Span) {
         self.limits.idle_timeout = self.limits.idle_timeout.min(idle.max(MIN_IDLE_TIMEOUT));
     }
 
-    /// Removes a connection from its server's record, and with the last one that of a removed server; whether another
-    /// one is to be opened in its place.
+    /// Removes a connection from its queue. The record of a removed server is deleted with its last
+    /// connection. Returns whether another connection is to be opened in place of this one.
     fn remove_from_queue(&mut self, key: ConnectionKey, connection: &Connection, reason: Reason) -> bool {
         let Some(server) = self.servers.get_mut(&connection.server) else { return false };
         let is_removed = server.is_removed;
@@ -285,7 +293,7 @@
         will_retry
     }
 
-    /// Ends what was open on a connection that was closed, in the order of the jobs' numbers.
+    /// Ends the jobs that were open on a closed connection, in the order of their numbers.
     fn end_open_jobs(&mut self, now: Instant, open_jobs: BTreeMap<String, Job>) {
         let mut jobs: Vec<Job> = open_jobs.into_values().collect();
         jobs.sort_by_key(|job| job.number());
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `connections`: a connect call that fails at once.
+//! Tests of `connections`: connect calls that fail at once.
 
 use crate::deadlines::Deadlines;
 use crate::interface::{Instant, ServerId, Span};
@@ -15,7 +15,7 @@
 const JOB: JobId = JobId(7);
 const MS: Span = Span::from_millis(1);
 
-/// Encodes nothing: no job may be written here.
+/// An encoder that encodes nothing, since no job is written in these tests.
 struct NoEncoder;
 
 impl RequestEncoder<Deadlines<ConnectionDeadline>> for NoEncoder {
@@ -26,7 +26,7 @@
     fn not_written(&mut self, _: JobId) {}
 }
 
-/// How a job ends whose connect call fails at once with an error.
+/// Returns how a job ends if the connect call for it fails at once with an error.
 fn job_end(error: Errno) -> JobEnd {
     let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatch of queued jobs, one queue after another.
+//! The dispatch of queued jobs to connections, one queue after another.
 
 use super::jobs::{Job, JobEnd, JobId};
 use super::line_protocol::WireRequest;
@@ -9,17 +9,18 @@
 use crate::interface::{Instant, ServerId};
 use crate::net::{ConnectionKey, Net};
 
-/// Encodes requests for the wire. `S` is where deadlines are set.
+/// Encodes requests for the wire. `S` is the schedule of deadlines.
 pub trait RequestEncoder<S> {
-    /// Encodes a job at the moment of its writing; `None` if it must not be written any more.
+    /// Encodes the request of a job just before it is written; `None` if it must not be written any more.
     fn encode(&mut self, job: JobId, deadlines: &mut S) -> Option<WireRequest>;
 
-    /// The job that was encoded last was not sent, so it has not run. It is encoded again for its next writing.
+    /// Called if the job that was encoded last was not sent, so it has not run. It will be encoded again
+    /// before the next attempt to write it.
     fn not_written(&mut self, job: JobId);
 }
 
 impl Upstream {
-    /// Writes the queued jobs, as far as connections take them.
+    /// Writes queued jobs until no connection takes the next one, and opens the connections that are needed.
     pub fn dispatch<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: Instant,
@@ -40,7 +41,7 @@
         queues.collect()
     }
 
-    /// Takes the next step for the first job of a queue; whether there may be another step.
+    /// Takes the next step for the first job of a queue. Returns whether another step may be possible.
     fn dispatch_first<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: Instant,
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Whether a connection's server has not closed it, by a read. A write on one that it has closed would have failed
-    /// as one that may have run.
+    /// Reads from a connection to learn whether the server has closed it, and drops it in that case. Returns
+    /// whether it is still open. A write on a connection that the server has closed would fail as one that
+    /// may have run.
     fn is_open_at_peer(
         &mut self,
         now: Instant,
--- a/src/upstream/jobs.rs
+++ b/src/upstream/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: requests and health checks that wait in a queue or are open on a connection, until they end.
+//! Jobs: requests and health checks, from queueing until they end.
 
 use super::line_protocol::{self, WireAnswer};
 use super::queue_kind::QueueKind;
@@ -7,74 +7,73 @@
 use crate::interface::{ClassId, Instant, ServerId, Span};
 use crate::net::{ConnectionKey, Net};
 
-/// A cancelled job counts as unanswered only if it had waited this long: many clients that leave at once say nothing
-/// about a server.
+/// Time that a cancelled job must have been open to count as unanswered. Jobs that are cancelled sooner, for
+/// example because many clients leave at once, do not show that the server is silent.
 pub(super) const MIN_UNANSWERED_WAIT: Span = Span::from_millis(300);
 
-/// Identifies a request's job. The caller chooses it, and never uses one twice.
+/// Identifies the job of a request. The caller chooses it, and must not use one twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A request to be queued for a server.
+/// A request that is to be queued for a server.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// Its job.
+    /// Id of the job of the request.
     pub job: JobId,
-    /// The server that it is for.
+    /// Server that the request is for.
     pub server: ServerId,
-    /// Its id on the wire.
+    /// Id of the request on the wire.
     pub wire_id: String,
-    /// The queue that it waits in.
+    /// Queue of the server in which the request waits.
     pub queue: QueueKind,
-    /// The class under which it counts once it is written completely; `None`: it does not count.
+    /// Class under which the request is counted once it is written completely; `None` if it is not counted.
     pub counted_class: Option<ClassId>,
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobEnd {
-    /// It was answered.
+    /// The server answered it.
     Answer(WireAnswer),
-    /// No connection came up; it was never sent.
+    /// No connection to the server came up, so the job was never sent.
     NotConnected,
-    /// It was never sent, for a reason that says nothing about its server.
+    /// The job was never sent, for a reason that has nothing to do with the server.
     NotSent,
-    /// The connection broke after it may have been sent.
+    /// The connection was closed after the job was written, so the job may have run.
     Reset,
 }
 
-/// What happened in the pool.
+/// An event of the pool, returned by [`Upstream::take_events`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// A request's job has ended.
+    /// The job of a request has ended.
     JobEnded {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// How it ended.
+        /// How the job ended.
         end: JobEnd,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         end: JobEnd,
-        /// Time since it was asked for.
+        /// Time since it was queued.
         elapsed: Span,
     },
 }
 
-/// What a connection can carry.
+/// A job, by its kind and id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Job {
-    /// A request.
     Request(JobId),
     /// A health check, by its number.
     HealthCheck(u64),
 }
 
 impl Job {
-    /// Its number among those of its kind.
+    /// Returns the number, which is unique among the jobs of this kind.
     pub fn number(self) -> u64 {
         match self {
             Job::Request(JobId(number)) | Job::HealthCheck(number) => number,
@@ -82,26 +81,28 @@
     }
 }
 
-/// Where a job is: in the queue of its server or, once it is written, on a connection.
+/// The state of a job. It is in a queue of its server and, once it is written, on a connection.
 pub(super) struct JobRecord {
     pub server: ServerId,
     pub queue: QueueKind,
     pub wire_id: String,
+    /// Connection on which it was written; `None` while it is queued.
     pub connection: Option<ConnectionKey>,
-    /// When it was written; until then, when it was queued.
+    /// When it was written, or when it was queued if it has not been written yet.
     pub written_at: Instant,
     pub counted_class: Option<ClassId>,
 }
 
 impl Upstream {
-    /// Queues a request; [`Upstream::dispatch`] writes it.
+    /// Queues a request. [`Upstream::dispatch`] writes it later. If the server is not known or was removed,
+    /// the job ends with [`JobEnd::NotConnected`].
     pub fn queue_request(&mut self, now: Instant, request: QueuedRequest) {
         let QueuedRequest { job, server, wire_id, queue, counted_class } = request;
         let record = JobRecord { server, queue, wire_id, connection: None, written_at: now, counted_class };
         self.enqueue(now, Job::Request(job), record);
     }
 
-    /// Queues a health check.
+    /// Queues a health check of a server.
     pub fn queue_health_check(&mut self, now: Instant, server: ServerId) {
         self.last_health_check += 1;
         self.health_check_starts.insert(self.last_health_check, now);
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Cancels a request: it is not written any more or, if it was, its server is asked to stop. No event follows.
+    /// Cancels a request. A queued request is removed from its queue; for one that was written, an abort line
+    /// is sent to the server. No event follows for the request.
     pub fn cancel(
         &mut self,
         now: Instant,
@@ -151,12 +153,12 @@
         }
     }
 
-    /// How many requests of a class were written completely.
+    /// Returns the number of requests of a class that were written completely.
     pub fn written_requests(&self, class: ClassId) -> u64 {
         self.written_by_class.get(usize::from(class.0)).copied().unwrap_or(0)
     }
 
-    /// Ends a job, with an event, unless it has ended already.
+    /// Ends a job and adds the event for it, unless the job has ended already.
     pub(super) fn end_job(&mut self, now: Instant, job: Job, end: JobEnd) {
         let Some(JobRecord { server, .. }) = self.jobs.remove(&job) else { return };
         self.events.push(match job {
@@ -168,7 +170,7 @@
         });
     }
 
-    /// Ends jobs one after another in the same way.
+    /// Ends several jobs in the given order with the same result.
     pub(super) fn end_jobs(&mut self, now: Instant, jobs: impl IntoIterator<Item = Job>, end: &JobEnd) {
         for job in jobs {
             self.end_job(now, job, end.clone());
--- a/src/upstream/line_protocol.rs
+++ b/src/upstream/line_protocol.rs
@@ -1,70 +1,73 @@
-//! The line protocol to table caches, parents and the origin: encoding of requests, and answers as parsed.
+//! The line protocol of table caches, parents and the origin: the encoding of requests, and the parsed
+//! answer.
 
 use bytes::Bytes;
 use std::fmt::Write;
 
-/// The longest line of an answer, in bytes.
+/// Maximum length of an answer's line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// The longest plain word, in bytes.
+/// Maximum length of a plain word, in bytes.
 const MAX_WORD_BYTES: usize = 128;
-/// The longest body of an answer, in bytes: an object of the protocol has 240,000.
+/// Maximum length of an answer's body, in bytes. An object of the protocol has at most 240,000 bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 18;
 
-/// The key by which servers drop repeats of a request. Servers must get it unchanged, so it is always a plain word.
+/// The idempotency key of a request, by which servers drop repeats. It must reach the servers unchanged, so
+/// it is always a plain word.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKey(String);
 
 impl IdempotencyKey {
-    /// The key of a client's request; `None` if it could not stand in a line unchanged.
+    /// Returns the key of a client's request; `None` if it is not a plain word, so that a line could not hold
+    /// it unchanged.
     pub fn parse(word: &str) -> Option<Self> {
         is_plain_word(word).then(|| IdempotencyKey(word.to_owned()))
     }
 
-    /// The key as the client sent it.
+    /// Returns the key as the client sent it.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A request to a server.
+/// A request to a server, before it is encoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WireRequest {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// The object, as the client named it.
+    /// Name of the object, as the client sent it.
     pub item: String,
-    /// The part.
+    /// Number of the requested part of the object.
     pub part: u32,
-    /// The attempt time-out, in milliseconds.
+    /// Attempt timeout, in ms.
     pub timeout_ms: i64,
-    /// The fill source's id.
+    /// Id of the fill source; `None` if the request names none.
     pub fill_source: Option<String>,
-    /// The rank at which the copy is cached.
+    /// Rank at which the copy is cached; sent only if it is above 0.
     pub cache_rank: u8,
-    /// The oldest copy that is accepted, in milliseconds; 0: any age.
+    /// Maximum age of the copy, in ms; 0 accepts any age.
     pub max_age_ms: i64,
-    /// Join a fill in flight.
+    /// Whether the request may join a fill in flight.
     pub join_fill: bool,
-    /// The source answers only from its cache.
+    /// Whether the fill source answers only from its cache.
     pub only_if_cached: bool,
-    /// The parent caches no copy.
+    /// Whether the parent answers without caching a copy.
     pub bypass_parent_cache: bool,
-    /// Serve an ageing copy and refresh it in the background.
+    /// Whether a stale copy may be served while it is refreshed in the background.
     pub stale_while_revalidate: bool,
-    /// The entity tag of the client's copy; sent only if it is a plain word.
+    /// Entity tag of the client's copy; sent only if it is a plain word.
     pub client_etag: Option<String>,
-    /// The idempotency key.
+    /// Idempotency key; `None` if the client sent none.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The request's body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// Encodes a request's line; its body follows.
+/// Encodes the line of a request. The caller sends the body after it.
 pub fn encode_fetch_line(id: &str, fetch: &WireRequest) -> Bytes {
     let WireRequest { class, item, part: chunk, timeout_ms: limit, .. } = fetch;
     let mut line = format!("fetch {id} cls={class},item={item},chunk={chunk},limit={limit}");
     let mut field = |name: &str, value: &dyn std::fmt::Display| {
-        let _ = write!(line, ",{name}={value}"); // writing to a string can't fail
+        let _ = write!(line, ",{name}={value}"); // writing to a string cannot fail
     };
     if let Some(from) = &fetch.fill_source {
         field("from", from);
@@ -95,44 +98,44 @@
     line.into()
 }
 
-/// Whether a client's word can stand in a line without breaking it.
+/// Whether a word from a client can be put into a line without adding fields or ending the line.
 fn is_plain_word(word: &str) -> bool {
     let fits = |c: char| c.is_ascii_alphanumeric() || "_-.:".contains(c);
     (1..=MAX_WORD_BYTES).contains(&word.len()) && word.chars().all(fits)
 }
 
-/// Encodes the cancellation of a request.
+/// Encodes the line that cancels a request.
 pub fn encode_abort_line(id: &str) -> Bytes {
     format!("abort {id}\r\n").into()
 }
 
-/// Encodes a health check, which is answered with the load report.
+/// Encodes the line of a health check. The answer to it holds the load report.
 pub fn encode_stats_line(id: &str) -> Bytes {
     format!("stats {id}\r\n").into()
 }
 
-/// An answer of a server.
+/// A complete answer of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireAnswer {
-    /// The id of the request that it answers.
+    /// Id of the request or health check that it answers.
     pub id: String,
-    /// Its status: `200`, `alive` and the like.
+    /// Status word, for example `200` or `alive`.
     pub status: String,
-    /// Its fields, by name.
+    /// Names and values of the fields, in the order received.
     pub fields: Vec<(String, String)>,
-    /// Its body.
+    /// Body; empty if it was discarded.
     pub body: Bytes,
-    /// Its body was discarded for want of memory.
+    /// Whether the body was discarded because it did not fit into the limit for buffers.
     pub body_dropped: bool,
 }
 
 impl WireAnswer {
-    /// The value of a field.
+    /// Returns the value of a field; `None` if the answer has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The load report, in the order of the names in the settings.
+    /// Returns the values of the load report, in the order of `names`, the names in the settings.
     pub fn load_report(&self, names: &[String]) -> Vec<f32> {
         let pairs: Vec<(&str, f32)> = self
             .field("meter")
@@ -141,7 +144,8 @@
             .filter_map(|pair| pair.split_once(':'))
             .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
             .collect();
-        // Some servers use other names than the settings; they report in the settings' order.
+        // Some servers use names that differ from those in the settings, but report in the order of the
+        // settings.
         let named = |name: &String| pairs.iter().find(|(known, _)| known == name).map(|(_, value)| *value);
         let found: Option<Vec<f32>> = names.iter().map(named).collect();
         found.unwrap_or_else(|| pairs.iter().map(|(_, value)| *value).collect())
--- a/src/upstream/line_protocol/tests.rs
+++ b/src/upstream/line_protocol/tests.rs
@@ -75,5 +75,5 @@
     let fields = "chunk=3,limit=900,from=s-1,rank=2,oldest=40,mode=share+swr,nonce=k7,seen=t4";
     assert_eq!(head(&full), format!("fetch 5 cls=piece,item=7f,{fields} 3\r\n"));
     let hostile = WireRequest { client_etag: Some("a,from=s-9 0\r\n".into()), ..plain.clone() };
-    assert_eq!(head(&hostile), head(&plain), "a tag never adds words to the line");
+    assert_eq!(head(&hostile), head(&plain), "an entity tag never adds fields to the line");
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,15 +1,16 @@
-//! Pooled connections to table caches, parents and the origin, with many requests on each.
+//! The pool of connections to table caches, parents and the origin. Each connection carries many requests at
+//! once.
 //!
-//! A request is a numbered job here. It is encoded only when a connection takes its bytes, and a job that was written
-//! never moves to another connection.
+//! A job is a request or a health check. A request is encoded only when its bytes can be written to a
+//! connection. Once its line has been sent, it never moves to another connection.
 //!
 //! - `jobs`: queueing, cancelling and ending jobs;
 //! - `servers`: servers, their addresses and their two queues (`queue_kind`);
-//! - `dispatch`: the first jobs of all queues, in turn; `selection`: which connection takes a job; `writing`: encoding
-//!   and writing it;
-//! - `connection`: the record of one connection; `connections`: opening and closing them;
-//! - `reading`: what servers send, and the deadlines of connections;
-//! - `line_protocol`: the line protocol; `answers`: the reader of its answers.
+//! - `dispatch`: the dispatch loop over all queues; `selection`: the choice of a connection for a job;
+//!   `writing`: the encoding and writing of jobs;
+//! - `connection`: the state of one connection; `connections`: opening and closing connections;
+//! - `reading`: reading from connections, and their deadlines;
+//! - `line_protocol`: the encoding of requests, and the answer type; `answers`: the parser of answers.
 
 pub mod answers;
 mod connection;
@@ -35,41 +36,43 @@
 use servers::Server;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The limits of the pool, from the settings.
+/// Limits of the pool, computed from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// How long a connection may take to come up.
+    /// Longest time that a connection may take to come up.
     pub connect_timeout: Span,
-    /// How long servers keep idle connections open.
+    /// Time for which servers keep idle connections open. Connections are closed here after a fraction of it.
     pub idle_timeout: Span,
-    /// The most jobs that are open on one connection.
+    /// Maximum number of open jobs on one connection.
     pub max_jobs_per_connection: usize,
-    /// The most connections to all servers.
+    /// Maximum number of connections to all servers together.
     pub max_connections: usize,
-    /// The most bytes that all buffers may hold.
+    /// Maximum number of bytes in all buffers of the process. The body of an answer that exceeds it is
+    /// discarded.
     pub max_buffered_bytes: usize,
 }
 
-/// The pool of connections, and the jobs that wait for one or are open there.
+/// The pool of connections, with the jobs that wait for a connection or are open on one.
 pub struct Upstream {
     limits: PoolLimits,
     servers: BTreeMap<ServerId, Server>,
     connections: BTreeMap<ConnectionKey, Connection>,
     jobs: BTreeMap<Job, JobRecord>,
-    /// Health checks asked for so far; the last one's number.
+    /// Number of the last health check; they are numbered from 1.
     last_health_check: u64,
-    /// When each open health check was asked for.
+    /// When each unfinished health check was queued, by its number.
     health_check_starts: BTreeMap<u64, Instant>,
     events: Vec<UpstreamEvent>,
+    /// Bytes that count against `max_buffered_bytes` and are not held by connections.
     bytes_held_elsewhere: usize,
-    /// Requests that were written completely, by the number of their class.
+    /// Number of requests that were written completely, by the number of their class.
     written_by_class: Vec<u64>,
-    /// Connections that have more to read than their last turn allowed.
+    /// Connections that had more to read than `MAX_READS_PER_TURN` reads could take.
     read_turns: VecDeque<ConnectionKey>,
 }
 
 impl Upstream {
-    /// An empty pool.
+    /// Returns a pool without servers.
     pub fn new(limits: PoolLimits) -> Self {
         Upstream {
             limits,
@@ -85,18 +88,19 @@
         }
     }
 
-    /// Replaces the limits. An idle time-out that was learned from a server and is shorter than the new one stays.
+    /// Replaces the limits. The idle timeout in use stays if it is shorter than the new one, since it may
+    /// have been learned from a server.
     pub fn set_limits(&mut self, limits: PoolLimits) {
         let idle_timeout = limits.idle_timeout.min(self.limits.idle_timeout);
         self.limits = PoolLimits { idle_timeout, ..limits };
     }
 
-    /// Sets how many bytes of the buffer budget are held outside of connections.
+    /// Sets the number of bytes that are held outside of connections and count against the limit for buffers.
     pub fn set_bytes_held_elsewhere(&mut self, bytes: usize) {
         self.bytes_held_elsewhere = bytes;
     }
 
-    /// Takes the events since the last call.
+    /// Returns the events since the last call, and removes them.
     pub fn take_events(&mut self) -> Vec<UpstreamEvent> {
         std::mem::take(&mut self.events)
     }
--- a/src/upstream/queue_kind.rs
+++ b/src/upstream/queue_kind.rs
@@ -1,24 +1,25 @@
-//! The two queues of a server, and how many connections each may have.
+//! The kinds of queues that a server has, with the maximum number of connections of each.
 
-/// The most connections to one server for its reads, silent ones included.
+/// Maximum number of connections to one server for reads, including silent ones.
 const MAX_READ_CONNECTIONS: usize = 6;
-/// The most connections to one server for its writes, silent ones included.
+/// Maximum number of connections to one server for writes, including silent ones.
 const MAX_WRITE_CONNECTIONS: usize = 8;
 
-/// The two queues of a server. Reads and writes have connections of their own.
+/// The kind of a queue. Each queue of a server has its own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueKind {
-    /// Requests that may be sent again; they share connections.
+    /// Requests that may be sent again. They share connections.
     Reads,
-    /// Requests that must not be sent twice; each takes a connection of its own while there can be one more.
+    /// Requests that must not be sent twice. Each takes a connection of its own until the queue has its
+    /// maximum number of connections.
     Writes,
 }
 
 impl QueueKind {
-    /// Both, in the order in which they are dispatched.
+    /// Both kinds, in the order in which their queues are dispatched.
     pub(super) const ALL: [QueueKind; 2] = [QueueKind::Reads, QueueKind::Writes];
 
-    /// The most connections to one server for this queue.
+    /// Returns the maximum number of connections to one server for a queue of this kind.
     pub(super) fn max_connections(self) -> usize {
         match self {
             QueueKind::Reads => MAX_READ_CONNECTIONS,
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
+//! Reads from servers: connections that come up, received answers, and the deadlines of both.
 
 use super::answers::MalformedAnswer;
 use super::connection::MIN_WRITE_CONNECTION_AGE;
@@ -8,20 +8,22 @@
 use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net, Reason};
 
-/// Bytes read at a time, besides those of the answer that is being received.
+/// Maximum number of bytes read at a time, in addition to those of the answer that is being received.
 pub(super) const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A whole line must fit, or its connection would be read for ever without coming further.
+/// A whole line must fit. Otherwise its connection would be read again and again without progress.
 const _: () = assert!(READ_BUFFER_BYTES > 2 * line_protocol::MAX_LINE_BYTES);
-/// Reads of one connection in a turn, so that a server that sends without end does not hold up the others.
+/// Maximum number of reads from one connection in a turn, so that a server that sends endlessly does not
+/// block the others.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
-/// An answer of which nothing more is received for this long ends its connection, since everything else that is open
-/// there waits behind it.
+/// Time after which the connection is closed if no more bytes of a partial answer are received, since all
+/// other open jobs of the connection wait behind that answer.
 pub(super) const ANSWER_STALL_TIMEOUT: Span = Span::from_millis(600);
-/// An answer that is not complete this long after it began ends its connection: no client waits longer.
+/// Time after the first bytes of an answer within which it must be complete; otherwise the connection is
+/// closed. No client waits longer than this.
 pub(super) const MAX_ANSWER_TIME: Span = Span::from_secs(3);
 
 impl Upstream {
-    /// Handles a connection that may be readable or writable.
+    /// Handles a connection that may be readable or writable. It is closed if an error occurs.
     pub fn on_ready(
         &mut self,
         now: Instant,
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// A connection has come up.
+    /// Handles a connection that has come up.
     fn on_connected(
         &mut self,
         now: Instant,
@@ -96,7 +98,8 @@
         Ok(())
     }
 
-    /// Sets the deadline of an answer that was received in part: for its next bytes, and for its end.
+    /// Sets the deadline of an answer that was received in part: the earlier of those for its next bytes and
+    /// for its end.
     fn update_answer_deadline(
         &mut self,
         now: Instant,
@@ -119,7 +122,8 @@
         connection.answer_deadline = Some(deadlines.add(until, ConnectionDeadline::AnswerStalled(key)));
     }
 
-    /// Reads answers. A server that sends without end gets its next turn after all others.
+    /// Reads from a connection and ends the jobs that were answered. A connection that still has more to read
+    /// after [`MAX_READS_PER_TURN`] reads gets its next turn after all others.
     pub(super) fn read(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         for _ in 0..MAX_READS_PER_TURN {
             let needed_bytes =
@@ -128,7 +132,7 @@
             if progress.is_ok_and(|progress| progress.bytes > 0) {
                 self.on_bytes_received(now, key);
             }
-            // What was received before the connection broke counts.
+            // Answers that were received before the connection broke are still used.
             self.take_answers(now, key, net)?;
             let progress = progress?;
             if progress.end {
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Ends the jobs whose answers were received completely.
+    /// Ends the jobs whose answers have been received completely.
     fn take_answers(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         let held_bytes = net.held_bytes() + self.bytes_held_elsewhere;
         let capacity = self.limits.max_buffered_bytes.saturating_sub(held_bytes);
@@ -172,7 +176,8 @@
         }
     }
 
-    /// Ends the job that an answer is for. One under an id that is not open is late: its job was cancelled.
+    /// Ends the job that an answer belongs to. An answer with an id that is not open is ignored, since it
+    /// came after its job was cancelled.
     fn on_answer(&mut self, now: Instant, key: ConnectionKey, answer: WireAnswer) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if let Some(job) = connection.take_answered(now, &answer.id) {
@@ -180,17 +185,17 @@
         }
     }
 
-    /// The next connection that has more to read than its last turn allowed.
+    /// Removes and returns the next connection that had more to read than its last turn allowed.
     pub fn next_turn(&mut self) -> Option<ConnectionKey> {
         self.read_turns.pop_front()
     }
 
-    /// How many connections wait for a turn.
+    /// Returns the number of connections that wait for another turn to be read.
     pub fn waiting_turns(&self) -> usize {
         self.read_turns.len()
     }
 
-    /// Handles a deadline that has passed.
+    /// Handles a deadline of a connection that has passed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -199,7 +204,7 @@
         deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let (key, reason) = match deadline {
-            ConnectionDeadline::FitForWrite => return, // the next dispatch writes what waits for it
+            ConnectionDeadline::FitForWrite => return, // the next dispatch writes the waiting jobs
             ConnectionDeadline::Connect(key) => (key, Reason::ConnectTimeout),
             ConnectionDeadline::AnswerStalled(key) => (key, Reason::Stalled),
             ConnectionDeadline::Idle(key) => (key, Reason::Idle),
--- a/src/upstream/selection.rs
+++ b/src/upstream/selection.rs
@@ -8,33 +8,33 @@
 use crate::interface::{Instant, ServerId};
 use crate::net::{ConnectionKey, Net};
 
-/// A further connection is opened beside one that has this many reads. An answer that can't be read ends its
-/// connection and all that is open there.
+/// Number of open reads on a connection from which another connection is opened, so that reads are spread. A
+/// malformed answer closes its connection and ends all jobs that are open there.
 const READS_BEFORE_NEXT_CONNECTION: usize = 2;
 
-/// What to do next for the first job of a queue.
+/// The next step for the first job of a queue.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum DispatchStep {
-    /// Write it on a connection; whether another one is opened beside that.
+    /// Write the job on a connection. `connect_another`: also open another connection.
     Write { key: ConnectionKey, connect_another: bool },
-    /// Open a connection; whether yet another one is needed.
+    /// Open a connection. `connect_another`: one more is needed after that.
     Connect { connect_another: bool },
-    /// End it: no connection can take it.
+    /// End the job, since no connection can take it.
     EndUnsent,
-    /// Wait for a connection.
+    /// Wait until a connection can take the job.
     Wait,
 }
 
-/// A queue's connections, as seen by its first job.
+/// The connections of a queue, as candidates for its first job.
 struct Candidates<'a> {
     now: Instant,
     upstream: &'a Upstream,
     net: &'a Net,
     kind: QueueKind,
     queue: &'a ServerQueue,
-    /// The job's id on the wire.
+    /// Id of the job on the wire.
     wire_id: &'a str,
-    /// The queue has as many connections as it may have.
+    /// Whether the queue has its maximum number of connections.
     is_full: bool,
 }
 
@@ -44,8 +44,8 @@
         keys.filter_map(|key| Some((*key, self.upstream.connections.get(key)?)))
     }
 
-    /// Whether a connection can take the job, now or once its written bytes have left. Where no connection may be
-    /// added, writes share them, and silent ones are used.
+    /// Whether a connection can take the job, now or once its buffered bytes have been written. If no
+    /// connection may be added, writes share connections, and silent connections are used too.
     fn can_take(&self, connection: &Connection) -> bool {
         connection.is_up
             && !connection.is_blocked
@@ -55,20 +55,20 @@
             && (self.is_full || !connection.is_silent(self.now))
     }
 
-    /// The connection that takes the job now: one with nothing left to write, since queued bytes could be overtaken by
-    /// a drain or a purge.
+    /// Returns the connection that takes the job now. It must have no buffered bytes left to write, since a
+    /// drain or a purge could overtake a job that waits in the buffer.
     fn best_connection(&self) -> Option<(ConnectionKey, &Connection)> {
         self.connections()
             .filter(|(key, connection)| self.can_take(connection) && self.net.unwritten(*key) == 0)
             .min_by_key(|(_, connection)| (connection.is_silent(self.now), connection.open_jobs.len()))
     }
 
-    /// Connections that are being opened.
+    /// Returns the number of connections that are being opened.
     fn connecting(&self) -> usize {
         self.connections().filter(|(_, connection)| !connection.is_up).count()
     }
 
-    /// Whether a further connection is opened beside one that takes the job.
+    /// Whether another connection is opened when `connection` takes the job.
     fn needs_another_connection(&self, connection: &Connection) -> bool {
         self.kind == QueueKind::Reads
             && connection.open_jobs.len() >= READS_BEFORE_NEXT_CONNECTION
@@ -77,14 +77,15 @@
             && self.queue.backoff_until <= self.now
     }
 
-    /// Whether no connection takes the job's id. Such a job must not block its queue.
+    /// Whether no connection accepts the id of the job and none may be added. Such a job must not block its
+    /// queue.
     fn is_id_taken_everywhere(&self) -> bool {
         self.is_full
             && self.kind == QueueKind::Reads
             && self.connections().all(|(_, connection)| !connection.accepts_id(self.now, self.wire_id))
     }
 
-    /// Whether a connection that is up will take the job soon.
+    /// Whether a connection that is up will be able to take the job soon.
     fn will_take_soon(&self) -> bool {
         let will_be_fit = |connection: &Connection| {
             self.kind == QueueKind::Writes
@@ -94,7 +95,7 @@
         self.connections().any(|(_, connection)| self.can_take(connection) || will_be_fit(connection))
     }
 
-    /// How many connections the queue's jobs need.
+    /// Returns the number of connections that the jobs of the queue need.
     fn needed_connections(&self) -> usize {
         let needed = self.queue.jobs.len().div_ceil(self.upstream.limits.max_jobs_per_connection);
         needed.min(self.kind.max_connections())
--- a/src/upstream/servers.rs
+++ b/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: their addresses, and for each the queue of its reads and that of its writes.
+//! Servers: their addresses and their queues for reads and writes.
 
 use super::jobs::{Job, JobEnd};
 use super::queue_kind::QueueKind;
@@ -9,25 +9,25 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A server, as the endpoint list names it.
+/// A server of the endpoint list.
 pub(super) struct Server {
     pub addr: SocketAddr,
-    /// Its last start, if the list states it.
+    /// When the server was started; `None` if the endpoint list does not state it.
     pub started_at: Option<Instant>,
-    /// It was removed from the list, and is forgotten with its last connection.
+    /// Whether it was removed from the endpoint list. Its record is deleted with its last connection.
     pub is_removed: bool,
     reads: ServerQueue,
     writes: ServerQueue,
 }
 
-/// A queue of a server's jobs, and the connections that take them.
+/// A queue of jobs for a server, and the connections that take jobs from it.
 #[derive(Default)]
 pub(super) struct ServerQueue {
     pub connections: Vec<ConnectionKey>,
     pub jobs: VecDeque<Job>,
-    /// Until then no connection is opened beside another.
+    /// Until then no additional connection is opened to spread reads, since a connect failed.
     pub backoff_until: Instant,
-    /// How often in a row a connection was opened again after it was reset before it came up.
+    /// How often in a row a connection that was reset before it came up was opened again.
     pub connect_retries: u32,
 }
 
@@ -51,12 +51,12 @@
         }
     }
 
-    /// The connections of both queues.
+    /// Returns the connections of both queues.
     pub fn connections(&self) -> Vec<ConnectionKey> {
         self.reads.connections.iter().chain(&self.writes.connections).copied().collect()
     }
 
-    /// Empties both queues.
+    /// Removes and returns the jobs of both queues.
     fn take_jobs(&mut self) -> Vec<Job> {
         let mut jobs = Vec::from(std::mem::take(&mut self.reads.jobs));
         jobs.extend(std::mem::take(&mut self.writes.jobs));
@@ -65,8 +65,9 @@
 }
 
 impl Upstream {
-    /// Adds a server or updates its address. If the address was another server's, or this server has started anew,
-    /// the old connections lead to a process that has ended, and are closed.
+    /// Adds a server, or updates its address and start time. If the address belonged to another server, or
+    /// this server was restarted or has moved, the old connections lead to a process that has ended, so they
+    /// are closed.
     pub fn set_server(
         &mut self,
         now: Instant,
@@ -85,7 +86,7 @@
         (known.addr, known.started_at, known.is_removed) = (addr, started_at, false);
     }
 
-    /// Forgets the servers that had an address which belongs to another server now.
+    /// Deletes the servers other than `owner` that had the address which now belongs to `owner`.
     fn remove_other_servers_at(
         &mut self,
         now: Instant,
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Removes a server: its queued jobs end, and its connections are closed once they are idle.
+    /// Removes a server. Its queued jobs end with [`JobEnd::NotConnected`], and its connections are closed
+    /// once they are idle.
     pub fn remove_server(
         &mut self,
         now: Instant,
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -10,7 +10,7 @@
 use crate::net::fabric::{host, ActorEvent, Fabric, HostBehaviour};
 use crate::net::{Net, Reason};
 
-/// Bytes that may be on the way on a connection of the simulated network.
+/// Maximum number of bytes in flight on a connection of the simulated network.
 const WINDOW: usize = 256 * 1024;
 const US: Span = Span::from_micros(1);
 const MS: Span = Span::from_millis(1);
@@ -32,7 +32,7 @@
     listener: std::net::TcpListener,
 }
 
-/// A pool with one server, which accepts connections and never answers, and one job for it.
+/// Returns a pool with one queued read for one server, which accepts connections and never answers.
 fn pool() -> Pool {
     pool_of(QueueKind::Reads)
 }
@@ -46,7 +46,7 @@
         max_connections: 9,
         max_buffered_bytes: 1000,
     };
-    let (upstream, net) = (Upstream::new(limits), Net::new().expect("a poll"));
+    let (upstream, net) = (Upstream::new(limits), Net::new().expect("an event queue"));
     let mut pool = Pool { upstream, net, deadlines: Deadlines::default(), listener };
     let addr = pool.listener.local_addr().expect("an address");
     pool.upstream.set_server(Instant::ZERO, SERVER, addr, None, &mut pool.net, &mut pool.deadlines);
@@ -70,7 +70,8 @@
     }
 }
 
-/// Such a reset proves nothing: it would have ended the job as not connected, and shut the server.
+/// Guards against a job that ends as not connected, which makes its server count as down, although a reset
+/// before the connection is up does not prove that.
 #[test]
 fn connection_reset_before_up_is_reopened() {
     let mut pool = pool();
@@ -93,19 +94,20 @@
     );
 }
 
-/// A write that met a connection that had broken unseen would have failed as one that may have run.
+/// Guards against a write that fails as one that may have run because its connection had broken unnoticed
+/// before.
 #[test]
 fn unsent_job_moves_to_another_connection() {
     let mut pool = pool();
     let old = pool.connection();
-    pool.upstream.connections.get_mut(&old).expect("it is there").is_up = true;
-    pool.net.close(Instant::ZERO, old, Reason::PeerReset); // as a write finds one that broke
+    pool.upstream.connections.get_mut(&old).expect("known connection").is_up = true;
+    pool.net.close(Instant::ZERO, old, Reason::PeerReset); // the state in which a write finds a broken connection
     pool.dispatch();
     assert!(pool.upstream.take_events().is_empty() && pool.connection() != old);
     assert!(pool.upstream.jobs[&Job::Request(JobId(7))].connection.is_none());
 }
 
-/// Where servers are replaced all day long, records of removed ones would pile up.
+/// Guards against records of removed servers that accumulate where servers are replaced continually.
 #[test]
 fn removed_server_is_deleted() {
     let mut pool = pool();
@@ -117,14 +119,15 @@
     assert!(pool.upstream.servers.is_empty() && pool.upstream.connections.is_empty());
 }
 
-/// A connection on which nothing is answered gets no new work; what left it at once says nothing.
+/// A connection on which jobs stay unanswered takes no new jobs. Jobs that are cancelled at once do not show
+/// that, so they must not count.
 #[test]
 fn only_long_waiting_cancelled_jobs_make_connection_silent() {
     for (waited, silent) in [(MIN_UNANSWERED_WAIT, true), (MIN_UNANSWERED_WAIT - US, false)] {
         let mut pool = pool();
         let key = pool.connection();
         for job in 0..u64::from(MAX_UNANSWERED_JOBS) {
-            pool.upstream.connections.get_mut(&key).expect("it is there").is_up = true;
+            pool.upstream.connections.get_mut(&key).expect("known connection").is_up = true;
             if job > 0 {
                 pool.upstream.queue_request(
                     Instant::ZERO,
@@ -141,7 +144,8 @@
     }
 }
 
-/// An answer that stops short leaves its connection open: all that is open there would wait for nothing.
+/// Guards against jobs that wait in vain behind a partial answer whose rest never comes on an open
+/// connection.
 #[test]
 fn connection_with_stalled_answer_is_closed() {
     let mut pool = pool();
@@ -159,13 +163,13 @@
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
 }
 
-/// A write on a connection that is reset while new, or that its server closes as idle at that moment, may have run
-/// and has failed: it waits for one that has stood, and takes none that was used.
+/// Guards against writes that fail as ones that may have run, because their connection is reset just after it
+/// came up or is closed as idle by its server at that moment.
 #[test]
 fn write_takes_unused_connection_of_minimum_age() {
     let mut pool = pool_of(QueueKind::Writes);
     let first = pool.connection();
-    pool.upstream.connections.get_mut(&first).expect("it is there").is_up = true;
+    pool.upstream.connections.get_mut(&first).expect("known connection").is_up = true;
     let mut connection_of = |now: Instant, job: u64| {
         if job > 7 {
             pool.upstream.queue_request(now, request(SERVER, job, &format!("a{job}"), QueueKind::Writes));
@@ -179,24 +183,28 @@
     );
     assert_eq!(connection_of(at(MIN_WRITE_CONNECTION_AGE), 8), None);
     assert_eq!(pool.upstream.connections.len(), 2);
-    pool.upstream.connections.get_mut(&first).expect("it is there").open_jobs.clear();
+    pool.upstream.connections.get_mut(&first).expect("known connection").open_jobs.clear();
     pool.upstream.handle_idle(at(MIN_WRITE_CONNECTION_AGE), first, &mut pool.net, &mut pool.deadlines);
-    assert!(!pool.upstream.connections.contains_key(&first), "it is closed once its write is answered");
+    assert!(
+        !pool.upstream.connections.contains_key(&first),
+        "a connection is closed once its write is answered"
+    );
 }
 
-/// Some servers close idle connections far sooner than the settings say.
+/// Some servers close idle connections far sooner than the settings state.
 #[test]
 fn shorter_idle_timeout_of_server_is_learned() {
     let mut pool = pool();
     let key = pool.connection();
-    let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
+    let connection = pool.upstream.connections.get_mut(&key).expect("known connection");
     (connection.is_up, connection.idle_since) = (true, Instant::ZERO);
     pool.upstream.limits.idle_timeout = 15_000 * MS;
     pool.upstream.drop_connection(at(820 * MS), key, Reason::PeerClosed, &mut pool.net, &mut pool.deadlines);
     assert_eq!(pool.upstream.limits.idle_timeout, 820 * MS);
 }
 
-/// A repeat on the connection of its first answer could take a second answer to that one for its own.
+/// Guards against a duplicate of an answer that is taken for the answer to a retry with the same id on the
+/// same connection.
 #[test]
 fn retry_with_same_id_ignores_duplicate_answer() {
     let mut pool = pool();
@@ -215,24 +223,28 @@
     assert_eq!(pool.upstream.take_events().len(), 1);
     pool.upstream.queue_request(Instant::ZERO, request(SERVER, 8, "a", QueueKind::Reads));
     pool.dispatch();
-    assert!(pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(), "not on this connection");
-    assert_eq!(pool.upstream.connections.len(), 2, "but on a further one");
+    assert!(
+        pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(),
+        "the retry is not written on this connection"
+    );
+    assert_eq!(pool.upstream.connections.len(), 2, "another connection is opened for the retry");
     assert!(!pool.upstream.connections[&key].accepts_id(at(DUPLICATE_ANSWER_WINDOW - US), "a"));
     assert!(
         pool.upstream.connections[&key].accepts_id(at(DUPLICATE_ANSWER_WINDOW), "a"),
-        "by then none comes any more"
+        "no duplicate can be received any more"
     );
 }
 
-/// A write on a connection whose server has closed it already would have failed as one that may have run.
+/// Guards against a write that fails as one that may have run because the server had already closed its
+/// connection.
 #[test]
 fn write_is_not_sent_on_connection_closed_by_server() {
     let mut pool = pool_of(QueueKind::Writes);
     let first = pool.connection();
     let (peer, _) = pool.listener.accept().expect("a connection");
-    pool.upstream.connections.get_mut(&first).expect("it is there").is_up = true;
+    pool.upstream.connections.get_mut(&first).expect("known connection").is_up = true;
     drop(peer);
-    // The end is there, and its event has not been looked at.
+    // Wait until the end of the stream has been received; its readiness event is not handled.
     while pool.net.ended(first) == Ok(false) {}
     pool.upstream.dispatch(
         at(MIN_WRITE_CONNECTION_AGE),
@@ -240,14 +252,15 @@
         &mut pool.deadlines,
         &mut RecordingEncoder::default(),
     );
-    assert!(pool.upstream.take_events().is_empty(), "it has not failed");
+    assert!(pool.upstream.take_events().is_empty(), "the write has not failed");
     assert!(
         !pool.upstream.connections.contains_key(&first)
             && pool.upstream.jobs[&Job::Request(JobId(7))].connection.is_none()
     );
 }
 
-/// A server must not be held for failed because this process has no descriptor left for a connection to it.
+/// Guards against a server that counts as failed because this process has no descriptor left for a connection
+/// to it.
 #[test]
 fn connection_limit_evicts_longest_idle_or_ends_job_unsent() {
     let mut pool = pool();
@@ -261,9 +274,9 @@
     assert_eq!(
         pool.upstream.take_events(),
         [UpstreamEvent::JobEnded { job: JobId(8), end: JobEnd::NotSent }],
-        "none is idle"
+        "no connection is idle"
     );
-    let connection = pool.upstream.connections.get_mut(&key).expect("it is there");
+    let connection = pool.upstream.connections.get_mut(&key).expect("known connection");
     connection.is_up = true;
     connection.open_jobs.clear();
     pool.upstream.cancel(Instant::ZERO, JobId(7), &mut pool.net, &mut pool.deadlines);
@@ -272,7 +285,7 @@
     assert!(pool.upstream.take_events().is_empty() && !pool.upstream.connections.contains_key(&key));
 }
 
-/// A pool in a simulated network, with one connection that is up to one server.
+/// A pool with one server in a simulated network.
 struct SimulatedPool {
     upstream: Upstream,
     net: Net,
@@ -281,7 +294,7 @@
     now: Instant,
 }
 
-/// Encodes jobs, and records the calls.
+/// An encoder that records its calls.
 #[derive(Default)]
 struct RecordingEncoder {
     body: usize,
@@ -301,7 +314,7 @@
 }
 
 impl SimulatedPool {
-    /// The one connection of the network.
+    /// Number of the only connection of the network.
     const LINK: u64 = 1;
 
     fn new() -> Self {
@@ -331,13 +344,14 @@
         self.upstream.dispatch(self.now, &mut self.net, &mut self.deadlines, encoder);
     }
 
-    /// Lets the network go on to a time, and the pool take in what is ready; the bytes that the server got.
+    /// Advances the network to a time and handles the ready connections. Returns the bytes that the server
+    /// received.
     fn advance(&mut self, to: Instant) -> String {
         self.now = to;
         self.fabric.advance(to);
         self.fabric.run_due_events();
         let mut ready = Vec::new();
-        self.net.poll(None, &mut ready).expect("no poll to break");
+        self.net.poll(None, &mut ready).expect("a simulated poll does not fail");
         for one in ready {
             if let crate::net::Ready::Conn { key, read, write, .. } = one {
                 self.upstream.on_ready(to, key, read, write, &mut self.net, &mut self.deadlines);
@@ -350,7 +364,7 @@
         bytes.collect()
     }
 
-    /// Writes a job that leaves room for so many bytes on the way to the server.
+    /// Writes a job so large that only `room` more bytes can be in flight to the server.
     fn fill_socket(&mut self, room: usize) {
         let line = line_protocol::encode_fetch_line(
             "a7",
@@ -358,7 +372,7 @@
         )
         .len();
         let body = WINDOW - room - line - 2;
-        assert!((100_000..1_000_000).contains(&body), "its length has six digits");
+        assert!((100_000..1_000_000).contains(&body), "the length of the body has six digits");
         self.queue(7, &mut RecordingEncoder { body, ..RecordingEncoder::default() });
         self.advance(at(2 * MS)); // the connection comes up
         self.dispatch(&mut RecordingEncoder { body, ..RecordingEncoder::default() });
@@ -366,27 +380,36 @@
     }
 }
 
-/// What a full socket kept for later would reach its server for a client that has gone, or with a time that is over.
+/// Guards against jobs that are buffered for a full socket and reach the server after their client has left
+/// or after their attempt timeout.
 #[test]
 fn job_blocked_by_full_socket_is_not_buffered() {
-    for gives_up in [false, true] {
+    for is_cancelled in [false, true] {
         let (mut pool, mut encoder) = (SimulatedPool::new(), RecordingEncoder::default());
         pool.fill_socket(0);
         pool.queue(8, &mut encoder);
         assert_eq!((&encoder.encoded[..], &encoder.not_written[..]), (&[JobId(8)][..], &[JobId(8)][..]));
-        assert!(pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(), "it waits in the queue");
-        if gives_up {
+        assert!(
+            pool.upstream.jobs[&Job::Request(JobId(8))].connection.is_none(),
+            "the job waits in the queue"
+        );
+        if is_cancelled {
             pool.upstream.cancel(at(2500 * US), JobId(8), &mut pool.net, &mut pool.deadlines);
         }
         assert!(!pool.advance(at(3 * MS)).contains("fetch a8"));
         pool.dispatch(&mut encoder);
         let sent = pool.advance(at(5 * MS));
-        assert_eq!((sent.contains("fetch a8"), sent.contains("abort")), (!gives_up, false));
-        assert_eq!(encoder.encoded.len(), if gives_up { 1 } else { 2 }, "encoded anew as it is written");
+        assert_eq!((sent.contains("fetch a8"), sent.contains("abort")), (!is_cancelled, false));
+        assert_eq!(
+            encoder.encoded.len(),
+            if is_cancelled { 1 } else { 2 },
+            "the job is encoded again when it is written"
+        );
     }
 }
 
-/// A line that left in part can't be called back: its connection ends, and the job has not run.
+/// A line that was sent in part cannot be taken back, so its connection is closed. The job has not run and
+/// must not end.
 #[test]
 fn job_with_incomplete_line_moves_to_another_connection() {
     let (mut pool, mut encoder) = (SimulatedPool::new(), RecordingEncoder::default());
@@ -398,7 +421,7 @@
     assert_eq!(
         pool.upstream.take_events(),
         [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }],
-        "only what was open there has ended"
+        "only the job that was open on the closed connection has ended"
     );
     pool.advance(at(10 * MS));
     pool.dispatch(&mut encoder);
@@ -407,29 +430,29 @@
         .is_some_and(|connection| connection != first));
 }
 
-/// A server that sends without end must not keep the loop from all others.
+/// Guards against an event loop that is blocked by one server that sends endlessly.
 #[test]
 fn server_that_sends_endlessly_is_read_in_turns() {
     let (mut pool, mut encoder) = (SimulatedPool::new(), RecordingEncoder::default());
     pool.queue(7, &mut encoder);
     pool.advance(at(2 * MS));
     pool.dispatch(&mut encoder);
-    let much = b"zz 503 - 0\r\n".repeat(10 * MAX_READS_PER_TURN * READ_BUFFER_BYTES / 12);
-    pool.fabric.send(SimulatedPool::LINK, &much);
+    let endless = b"zz 503 - 0\r\n".repeat(10 * MAX_READS_PER_TURN * READ_BUFFER_BYTES / 12);
+    pool.fabric.send(SimulatedPool::LINK, &endless);
     pool.advance(at(5 * MS));
     let mut turns = 1;
     while let Some(key) = pool.upstream.next_turn() {
-        assert_eq!(pool.upstream.waiting_turns(), 0, "one turn for one connection");
+        assert_eq!(pool.upstream.waiting_turns(), 0, "a connection waits for only one turn at a time");
         pool.upstream.on_ready(at(5 * MS), key, true, false, &mut pool.net, &mut pool.deadlines);
         turns += 1;
     }
     assert!(turns >= 10, "{turns} turns");
     pool.fabric.send(SimulatedPool::LINK, b"a7 503 - 0\r\n");
     pool.advance(at(9 * MS));
-    assert_eq!(pool.upstream.take_events().len(), 1, "and its answers count");
+    assert_eq!(pool.upstream.take_events().len(), 1, "answers are still used after that");
 }
 
-/// An answer of which something comes now and then would hold all that is open behind it.
+/// Guards against an answer that is received slowly but without a stall, and blocks all jobs open behind it.
 #[test]
 fn connection_with_too_slow_answer_is_closed() {
     let (mut pool, mut encoder) = (SimulatedPool::new(), RecordingEncoder::default());
@@ -445,14 +468,17 @@
         while let Some(what) = pool.deadlines.pop(now) {
             pool.upstream.deadline_passed(now, what, &mut pool.net, &mut pool.deadlines);
         }
-        let happened = pool.upstream.take_events();
-        if !happened.is_empty() {
-            break happened;
+        let events = pool.upstream.take_events();
+        if !events.is_empty() {
+            break events;
         }
-        assert!(now <= since + MAX_ANSWER_TIME + ANSWER_STALL_TIMEOUT, "it goes on for ever");
+        assert!(
+            now <= since + MAX_ANSWER_TIME + ANSWER_STALL_TIMEOUT,
+            "the connection was not closed in time"
+        );
         pool.fabric.send(SimulatedPool::LINK, b"x");
         pool.advance(now + MS);
     };
     assert_eq!(ended, [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
-    assert!(now >= since + MAX_ANSWER_TIME, "and not before");
+    assert!(now >= since + MAX_ANSWER_TIME, "the connection was closed too early");
 }
--- a/src/upstream/writing.rs
+++ b/src/upstream/writing.rs
@@ -1,4 +1,4 @@
-//! Encoding jobs and writing them on connections.
+//! Encodes jobs and writes them on connections.
 
 use super::jobs::{Job, JobRecord};
 use super::{line_protocol, ConnectionDeadline, RequestEncoder, Upstream};
@@ -7,23 +7,24 @@
 use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 
-/// What ends a request behind its body.
+/// Bytes that end a request after its body.
 const REQUEST_END: &[u8] = b"\r\n";
 
-/// How much of a job was sent by its first write.
+/// The result of the first write of a job.
 enum FirstWrite {
-    /// Its line, at least: it may run.
+    /// At least the whole line was sent, so the job may run.
     LineSent,
-    /// Nothing, and nothing was kept: the socket takes no byte now.
+    /// Nothing was sent and nothing was buffered, since the socket takes no byte now.
     Blocked,
-    /// Not its whole line: it never runs, and the connection can't be used any more.
+    /// The line was not sent completely. The job never runs, and the connection cannot be used any more.
     LineIncomplete(Reason),
-    /// Its line, and then the connection broke.
+    /// The whole line was sent, and then the connection broke. The job may have run.
     Broken(Reason),
 }
 
 impl Upstream {
-    /// Encodes a job and writes it. Unless its whole line is sent, it goes back to the head of its queue.
+    /// Encodes a job and writes it. If its line is not sent completely, the job goes back to the head of its
+    /// queue.
     pub(super) fn write_job<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: Instant,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Counts the request that was written last on a connection, once all of its bytes are written.
+    /// Counts the request written last on a connection under its class, if all of its bytes have been
+    /// written.
     pub(super) fn count_written(&mut self, key: ConnectionKey, net: &Net) {
         if net.unwritten(key) > 0 {
             return;
@@ -108,7 +110,7 @@
     }
 }
 
-/// The bytes of a job, its line first; `None` if it must not be written any more.
+/// Returns the parts of an encoded job, its line first; `None` if the job must not be written any more.
 fn encode<S>(
     job: Job,
     wire_id: &str,
@@ -125,8 +127,9 @@
     }
 }
 
-/// Writes a job whose first part is its line. The line states how long the answer is waited for, so it must be sent
-/// now or not at all: kept for later, it would promise more time than its client has left.
+/// Writes the parts of a job, of which the first is its line. The line states the attempt timeout, so it must
+/// be sent now or not at all. If it were buffered and sent later, the timeout would exceed the time that is
+/// left to the client.
 fn write_first(key: ConnectionKey, parts: Vec<Bytes>, net: &mut Net) -> FirstWrite {
     let line_length = parts.first().map_or(0, Bytes::len) as u64;
     let written_before = net.wrote(key);
