--- a/src/upstream/writing.rs
+++ b/src/upstream/writing.rs
@@ -1,29 +1,30 @@
-//! Encoding jobs and writing them on connections.
+//! Encodes jobs and writes them on connections.
 
 use super::jobs::{Job, JobRecord};
-use super::{lines, ConnectionDeadline, RequestEncoder, Upstream};
+use super::{line_protocol, ConnectionDeadline, RequestEncoder, Upstream};
 use crate::deadlines::Schedule;
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 use bytes::Bytes;
 
-/// What ends a request behind its body.
+/// Bytes that end a request after its body.
 const REQUEST_END: &[u8] = b"\r\n";
 
-/// How much of a job was sent by its first write.
+/// The result of the first write of a job.
 enum FirstWrite {
-    /// Its line, at least: it may run.
+    /// At least the whole line was sent, so the job may run.
     LineSent,
-    /// Nothing, and nothing was kept: the socket takes no byte now.
+    /// Nothing was sent and nothing was buffered, since the socket takes no byte now.
     Blocked,
-    /// Not its whole line: it never runs, and the connection can't be used any more.
-    LineCut(Reason),
-    /// Its line, and then the connection broke.
+    /// The line was not sent completely. The job never runs, and the connection cannot be used any more.
+    LineIncomplete(Reason),
+    /// The whole line was sent, and then the connection broke. The job may have run.
     Broken(Reason),
 }
 
 impl Upstream {
-    /// Encodes a job and writes it. Unless its whole line is sent, it goes back to the head of its queue.
+    /// Encodes a job and writes it. If its line is not sent completely, the job goes back to the head of its
+    /// queue.
     pub(super) fn write_job<S: Schedule<ConnectionDeadline>>(
         &mut self,
         now: Instant,
@@ -49,7 +50,7 @@
                     connection.is_blocked = true;
                 }
             }
-            FirstWrite::LineCut(reason) => {
+            FirstWrite::LineIncomplete(reason) => {
                 self.return_to_queue(job, encoder);
                 self.drop_connection(now, key, reason, net, deadlines);
             }
@@ -75,7 +76,7 @@
         (record.connection, record.written_at) = (Some(key), now);
         connection.was_used = true;
         connection.uncounted_class = record.counted_class;
-        connection.open.insert(record.wire_id.clone(), job);
+        connection.open_jobs.insert(record.wire_id.clone(), job);
         connection.silent_since.get_or_insert(now);
         if let Some(handle) = connection.idle_deadline.take() {
             deadlines.remove(handle);
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Counts the request that was written last on a connection, once all of its bytes are written.
+    /// Counts the request written last on a connection under its class, if all of its bytes have been
+    /// written.
     pub(super) fn count_written(&mut self, key: ConnectionKey, net: &Net) {
         if net.unwritten(key) > 0 {
             return;
@@ -108,7 +110,7 @@
     }
 }
 
-/// The bytes of a job, its line first; `None` if it must not be written any more.
+/// Returns the parts of an encoded job, its line first; `None` if the job must not be written any more.
 fn encode<S>(
     job: Job,
     wire_id: &str,
@@ -116,17 +118,18 @@
     encoder: &mut impl RequestEncoder<S>,
 ) -> Option<Vec<Bytes>> {
     match job {
-        Job::HealthCheck(_) => Some(vec![lines::stats(wire_id)]),
+        Job::HealthCheck(_) => Some(vec![line_protocol::encode_stats_line(wire_id)]),
         Job::Request(id) => {
             let request = encoder.encode(id, deadlines)?;
-            let line = lines::fetch_head(wire_id, &request);
+            let line = line_protocol::encode_fetch_line(wire_id, &request);
             Some(vec![line, request.body, Bytes::from_static(REQUEST_END)])
         }
     }
 }
 
-/// Writes a job whose first part is its line. The line states how long the answer is waited for, so it must be sent
-/// now or not at all: kept for later, it would promise more time than its client has left.
+/// Writes the parts of a job, of which the first is its line. The line states the attempt timeout, so it must
+/// be sent now or not at all. If it were buffered and sent later, the timeout would exceed the time that is
+/// left to the client.
 fn write_first(key: ConnectionKey, parts: Vec<Bytes>, net: &mut Net) -> FirstWrite {
     let line_length = parts.first().map_or(0, Bytes::len) as u64;
     let written_before = net.wrote(key);
@@ -134,9 +137,9 @@
     let is_line_sent = net.wrote(key) - written_before >= line_length;
     match begun {
         Ok(true) if is_line_sent => FirstWrite::LineSent,
-        Ok(true) => FirstWrite::LineCut(Reason::Stalled),
+        Ok(true) => FirstWrite::LineIncomplete(Reason::Stalled),
         Ok(false) => FirstWrite::Blocked,
         Err(reason) if is_line_sent => FirstWrite::Broken(reason),
-        Err(reason) => FirstWrite::LineCut(reason),
+        Err(reason) => FirstWrite::LineIncomplete(reason),
     }
 }
