--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -28,7 +28,7 @@
     /// Cancelled or hedged because it was overdue.
     pub replaced: bool,
     /// The cache is at fault for how it ended, so it is asked again last.
-    pub blamed: bool,
+    pub cache_at_fault: bool,
     /// It ended with an error of the cache's own, if it is not the request's.
     pub errored: bool,
     /// Its connection broke: that says little of the cache, and nothing of the source.
@@ -72,7 +72,7 @@
     pub attempts: Vec<Attempt>,
     pub finished: bool,
     pub streaming: bool,
-    pub may_have_run: Option<PossibleRun>,
+    pub first_possible_run: Option<PossibleRun>,
 }
 
 impl OpenRequest {
@@ -85,7 +85,7 @@
             attempts: Vec::new(),
             finished: false,
             streaming: false,
-            may_have_run: None,
+            first_possible_run: None,
         }
     }
 
@@ -101,24 +101,27 @@
         let reset_before = self.attempts.iter().take(number).any(was_reset);
         let ended = self.attempts.get(number).filter(|attempt| attempt.in_flight)?;
         let unattributed = unattributed_failure(detail, outcome, ended);
-        let in_doubt = |a: &Attempt| a.server == outcome.server && a.unattributed_failure.is_some();
+        let is_unattributed = |a: &Attempt| a.server == outcome.server && a.unattributed_failure.is_some();
         // The first failed fill at a cache is retried there, from another source: that tells which failed.
-        let retry_in_place = unattributed.is_some() && !self.attempts.iter().any(in_doubt);
+        let retry_in_place = unattributed.is_some() && !self.attempts.iter().any(is_unattributed);
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
         attempt.unattributed_failure = unattributed;
-        let by_source = outcome.cache_status.is_some_and(CacheStatus::is_fill_failure);
-        let called_off = attempt.replaced && outcome.result == AttemptResult::Cancelled;
+        let is_fill_failure = outcome.cache_status.is_some_and(CacheStatus::is_fill_failure);
+        let was_cancelled = attempt.replaced && outcome.result == AttemptResult::Cancelled;
         attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
         // An attempt that broke once is retried at the same cache, which has the copy; one that breaks again
         // is not.
         attempt.was_reset = outcome.result == AttemptResult::Reset && !reset_before;
-        attempt.errored = outcome.result == AttemptResult::Error && !by_source;
-        let failed = !attempt.was_reset && outcome.result != AttemptResult::Ok && !by_source && !called_off;
-        attempt.blamed |= failed && !retry_in_place;
+        attempt.errored = outcome.result == AttemptResult::Error && !is_fill_failure;
+        let failed =
+            !attempt.was_reset && outcome.result != AttemptResult::Ok && !is_fill_failure && !was_cancelled;
+        attempt.cache_at_fault |= failed && !retry_in_place;
         let attempt = attempt.clone();
-        if !outcome.result.never_ran() && self.may_have_run.is_none_or(|first| attempt.sent < first.sent) {
-            self.may_have_run = Some(PossibleRun { sent: attempt.sent, server: attempt.server });
+        if !outcome.result.never_ran()
+            && self.first_possible_run.is_none_or(|first| attempt.sent < first.sent)
+        {
+            self.first_possible_run = Some(PossibleRun { sent: attempt.sent, server: attempt.server });
         }
         Some(attempt)
     }
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -9,7 +9,7 @@
     /// where another serves the same request. What errs everywhere can't be served, and a client that sends
     /// such requests must not get all caches ejected.
     pub(super) fn attribute_failures(&mut self, now: Instant, id: RequestId, served: &Attempt) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open_requests.get(&id) else { return };
         let failed: Vec<Attempt> = open.attempts.iter().filter(|a| a.has_failed()).cloned().collect();
         for failed in &failed {
             self.attribute(now, failed, served);
--- a/src/policy/class_times.rs
+++ b/src/policy/class_times.rs
@@ -6,7 +6,7 @@
 /// Initial transfer time of an uncached class, whose answers are small, as a share of its latency objective.
 const UNCACHED_TRANSFER_SHARE: f64 = 0.1;
 /// Deviations beyond the smoothed time within which answers usually come (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_MULTIPLE: f64 = 4.0;
 
 /// The smoothed times of a class, in microseconds.
 pub struct ClassTimes {
@@ -22,9 +22,9 @@
 impl ClassTimes {
     /// The times of a class before any sample.
     pub fn initial(class: &Class) -> Self {
-        let part = if class.uncached { UNCACHED_TRANSFER_SHARE } else { 1.0 };
+        let share = if class.uncached { UNCACHED_TRANSFER_SHARE } else { 1.0 };
         ClassTimes {
-            transfer: class.latency_objective.as_micros_f64() * part,
+            transfer: class.latency_objective.as_micros_f64() * share,
             samples: 0.0,
             total: 0.0,
             deviation: 0.0,
@@ -46,6 +46,6 @@
 
     /// The time after which an answer is unusually slow.
     pub fn usual_limit(&self) -> f64 {
-        self.total + DEVIATIONS * self.deviation
+        self.total + DEVIATION_MULTIPLE * self.deviation
     }
 }
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -18,8 +18,8 @@
     ) -> Option<ServerId> {
         let entry = self.directory.get(object_key(&open.request))?;
         let (home, others) = order.split_first()?;
-        let is_home_full = || self.is_warm_up_budget_spent(now, *home, open.request.class);
-        if self.settings.limits.sibling_sources == SiblingSources::None || is_home_full() {
+        let is_home_budget_spent = || self.is_warm_up_budget_spent(now, *home, open.request.class);
+        if self.settings.limits.sibling_sources == SiblingSources::None || is_home_budget_spent() {
             return None;
         }
         let is_usable = |s: &ServerId| {
@@ -29,12 +29,12 @@
         if self.directory.wants_delegate(now, entry) {
             let is_new = |s: &&ServerId| is_usable(s) && !live.iter().any(|d| d.server == **s);
             let candidates: Vec<ServerId> = others.iter().filter(is_new).copied().collect();
-            if let Some(started) = pick(&candidates, random) {
+            if let Some(started) = pick_random(&candidates, random) {
                 return Some(started);
             }
         }
         live.retain(|delegate| is_usable(&delegate.server));
-        pick(&least_distributed(&live), random)
+        pick_random(&least_distributed(&live), random)
     }
 
     /// Records how a delegate's attempt ended.
@@ -46,6 +46,6 @@
 }
 
 /// A server of a list, by chance.
-fn pick(servers: &[ServerId], random: u64) -> Option<ServerId> {
+fn pick_random(servers: &[ServerId], random: u64) -> Option<ServerId> {
     servers.get(random as usize % servers.len().max(1)).copied()
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -38,20 +38,20 @@
         if usize::from(request.class.0) >= self.settings.classes.len() {
             return out.push(Action::Fail(id));
         }
-        self.retries.add_request();
+        self.retry_budget.add_request();
         self.directory.count(object_key(&request));
         if request.size_kb > 0.0 {
             let transfer = self.transfer_time(&request);
-            self.times_mut(request.class).observe_transfer(transfer);
+            self.class_times_mut(request.class).observe_transfer(transfer);
         }
-        self.open.insert(id, OpenRequest::new(now, request, self.settings.limits.clone()));
+        self.open_requests.insert(id, OpenRequest::new(now, request, self.settings.limits.clone()));
         self.dispatch(now, id, out);
     }
 
     /// Sends a request's next attempt, or answers it if there is nowhere to send it.
     pub(super) fn dispatch(&mut self, now: Instant, id: RequestId, out: &mut Vec<Action>) {
         let random = self.random.next_u64();
-        let Some(open) = self.open.get(&id).filter(|open| !open.finished) else { return };
+        let Some(open) = self.open_requests.get(&id).filter(|open| !open.finished) else { return };
         match self.route(now, open, random) {
             Err(reason) => self.reject_or_fail(now, id, reason, out),
             Ok(route) => {
@@ -67,7 +67,7 @@
         if open.attempts.len() >= open.limits.max_attempts as usize {
             return Err(RejectionReason::AttemptsExhausted);
         }
-        if self.useful_until(open) <= now {
+        if self.attempt_deadline(open) <= now {
             return Err(RejectionReason::DeadlineExceeded);
         }
         let order = self.hash_order(now, object_key(&open.request));
@@ -96,7 +96,7 @@
         let origin_failed = open.attempts.iter().any(|attempt| attempt.origin_failed);
         let over_limit = open.attempts.is_empty()
             && !self.is_uncached(&open.request)
-            && !self.fetches.admits(open.request.id);
+            && !self.fetch_limit.admits(open.request.id);
         let only_if_cached =
             source.is_some() && !self.is_uncached(&open.request) && (origin_failed || over_limit);
         // The origin has every object: restricting it to its cache means nothing.
@@ -113,7 +113,7 @@
         FillAttempt {
             request: request.id,
             server: route.server,
-            timeout: self.useful_until(open) - now,
+            timeout: self.attempt_deadline(open) - now,
             source: route.source.unwrap_or(route.server),
             cache_rank: if self.is_uncached(request) { 0 } else { count.min(REPEATED_RANK) as u8 },
             max_age: self.max_age(now, open),
@@ -142,17 +142,17 @@
             in_flight: true,
             ..Attempt::default()
         };
-        self.fetches.in_flight += usize::from(attempt.is_fetch());
-        let Some(open) = self.open.get_mut(&fill.request) else { return };
+        self.fetch_limit.in_flight += usize::from(attempt.is_fetch());
+        let Some(open) = self.open_requests.get_mut(&fill.request) else { return };
         open.attempts.push(attempt);
         let (class, object) = (open.request.class, object_key(&open.request));
         self.record_sent_work(now, class, BTreeSet::from([server, source]));
         if let Some(probed) = self.servers.get_mut(&source).filter(|source| source.ejected) {
             probed.ejected_until = now + PROBE_INTERVAL; // this is its probe
         }
-        let memory = self.load_memory();
+        let smoothing_span = self.load_smoothing_span();
         if let Some(server) = self.servers.get_mut(&server) {
-            server.on_attempt_sent(now, memory);
+            server.on_attempt_sent(now, smoothing_span);
         }
         if let Some(entry) = self.directory.get_mut(object).filter(|_| route.is_delegate) {
             entry.on_delegated(now, server);
@@ -161,14 +161,14 @@
 
     /// Records the mean work of a class against the servers that do it.
     fn record_sent_work(&mut self, now: Instant, class: ClassId, servers: BTreeSet<ServerId>) {
-        let work = self.times(class).transfer / SECOND.as_micros_f64();
+        let work = self.class_times(class).transfer / SECOND.as_micros_f64();
         for server in servers {
             self.servers.entry(server).and_modify(|s| s.recent_work.push_back(SentWork { at: now, work }));
         }
     }
 
     /// Until when an attempt at a request is useful: shortly past its objective, where its size is known.
-    fn useful_until(&self, open: &OpenRequest) -> Instant {
+    fn attempt_deadline(&self, open: &OpenRequest) -> Instant {
         let class = self.class(&open.request);
         let objective = class.latency_objective.as_micros_f64()
             + class.objective_stretch * self.transfer_time(&open.request);
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -9,7 +9,7 @@
     /// Caches of the endpoint list.
     pub listed: usize,
     /// Those of them that get no requests but probes: draining or ejected ones.
-    pub avoided: usize,
+    pub out_of_service: usize,
 }
 
 impl Router {
@@ -36,7 +36,7 @@
         for endpoint in endpoints {
             self.update_endpoint(now, endpoint);
         }
-        self.update_tiers();
+        self.update_ready_servers();
         self.directory.retain_delegates(&self.caches);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Brings the lists of ready servers by their use up to date.
-    fn update_tiers(&mut self) {
+    fn update_ready_servers(&mut self) {
         let is_own =
             |s: &Server| self.is_cache(s.endpoint.server) && s.endpoint.zone == self.settings.topology.zone;
         let is_origin = |s: &Server| s.endpoint.kind == self.settings.topology.origin_kind;
@@ -73,8 +73,8 @@
         let is_listed =
             |s: &&Server| s.endpoint.state != ServerState::Removed && self.is_cache(s.endpoint.server);
         let caches: Vec<&Server> = self.servers.values().filter(is_listed).collect();
-        let is_out = |s: &&&Server| s.ejected || s.endpoint.state != ServerState::Ready;
-        CacheCounts { listed: caches.len(), avoided: caches.iter().filter(is_out).count() }
+        let is_out_of_service = |s: &&&Server| s.ejected || s.endpoint.state != ServerState::Ready;
+        CacheCounts { listed: caches.len(), out_of_service: caches.iter().filter(is_out_of_service).count() }
     }
 
     /// Whether a server is a parent.
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -3,16 +3,16 @@
 use super::{
     attempt::{Attempt, OpenRequest},
     popularity::object_key,
-    rendezvous::rendezvous,
+    rendezvous::rendezvous_score,
     server::Server,
     Router,
 };
 use crate::interface::{CacheStatusDetail, Instant, ServerId, Span};
 
 /// A source's first byte drifts back to the usual over this long without news: then it is tried again.
-const FIRST_BYTE_MEMORY: Span = Span::from_secs(5);
+const FIRST_BYTE_DECAY: Span = Span::from_secs(5);
 /// The first of an object's two parents is left for the second while its wait is this many times as long.
-const CLEARLY_SOONER: f64 = 2.0;
+const SWITCH_PARENT_RATIO: f64 = 2.0;
 /// The usual first byte, as a part of a class's latency objective.
 const USUAL_FIRST_BYTE_DIVISOR: f64 = 8.0;
 
@@ -24,7 +24,7 @@
         let first_byte = |server: &Server| expected_first_byte(now, server, usual);
         match self.parents_in_order(now, open)[..] {
             [] => self.origin,
-            [first, second, ..] if first_byte(first) > CLEARLY_SOONER * first_byte(second) + usual => {
+            [first, second, ..] if first_byte(first) > SWITCH_PARENT_RATIO * first_byte(second) + usual => {
                 Some(second.endpoint.server)
             }
             [first, ..] => Some(first.endpoint.server),
@@ -35,7 +35,11 @@
     fn parents_in_order(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let object = object_key(&open.request);
         let score = |server: &Server| {
-            rendezvous(object, server.endpoint.server, server.endpoint.weight * self.warmth(now, server))
+            rendezvous_score(
+                object,
+                server.endpoint.server,
+                server.endpoint.weight * self.capacity_share(now, server),
+            )
         };
         let mut parents = self.eligible_parents(now, open);
         parents.sort_by(|a, b| score(a).total_cmp(&score(b)));
@@ -68,6 +72,6 @@
 
 /// The first byte that is expected of a source by now.
 fn expected_first_byte(now: Instant, server: &Server, usual: f64) -> f64 {
-    let known = (-(now - server.first_byte_at).ratio(FIRST_BYTE_MEMORY)).exp();
-    usual + (server.first_byte.unwrap_or(usual) - usual) * known
+    let weight = (-(now - server.first_byte_at).ratio(FIRST_BYTE_DECAY)).exp();
+    usual + (server.first_byte.unwrap_or(usual) - usual) * weight
 }
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -16,7 +16,7 @@
         reason: RejectionReason,
         out: &mut Vec<Action>,
     ) {
-        let Some(open) = self.open.get(&id).filter(|open| !open.finished) else { return };
+        let Some(open) = self.open_requests.get(&id).filter(|open| !open.finished) else { return };
         if open.has_attempt_in_flight() && open.arrived + open.request.client_timeout > now {
             return; // it may still be answered
         }
@@ -39,12 +39,12 @@
 
     /// Notes that a streamed answer has started.
     pub(super) fn on_first_byte(&mut self, id: RequestId) {
-        self.open.entry(id).and_modify(|open| open.streaming = true);
+        self.open_requests.entry(id).and_modify(|open| open.streaming = true);
     }
 
     /// Ends a request: its other attempts are cancelled, and it is kept until they have ended.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         if !open.finished {
             open.finished = true;
             let may_cancel = open.limits.cancellation && !open.streaming;
@@ -55,7 +55,7 @@
             }
         }
         if !open.has_attempt_in_flight() {
-            self.open.remove(&id);
+            self.open_requests.remove(&id);
         }
     }
 }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -5,15 +5,15 @@
 
 impl Router {
     /// Records a purge.
-    pub(super) fn on_purged(&mut self, now: Instant, what: Purge, age: Span) {
+    pub(super) fn on_purged(&mut self, now: Instant, purge: Purge, age: Span) {
         let purged = now - age;
-        self.purges.entry(what).and_modify(|at| *at = purged.max(*at)).or_insert(purged);
+        self.purges.entry(purge).and_modify(|at| *at = purged.max(*at)).or_insert(purged);
     }
 
     /// The oldest copy that will do: fresh, or past it on a retry, and newer than any purge.
     pub(super) fn max_age(&self, now: Instant, open: &OpenRequest) -> Span {
         let class = self.class(&open.request);
-        let may_fetch = open.attempts.is_empty() && self.fetches.admits(open.request.id);
+        let may_fetch = open.attempts.is_empty() && self.fetch_limit.admits(open.request.id);
         let grace = if may_fetch { Span::ZERO } else { class.stale_for };
         let fresh = if class.fresh_for > Span::ZERO { class.fresh_for + grace } else { Span::ZERO };
         let object = self.purges.get(&Purge::Object(open.request.object));
--- a/src/policy/home.rs
+++ b/src/policy/home.rs
@@ -3,7 +3,7 @@
 use super::{
     attempt::OpenRequest,
     popularity::{object_key, ObjectKey},
-    rendezvous::rendezvous,
+    rendezvous::rendezvous_score,
     server::{Server, UNRELIABLE_ERROR_RATE},
     Router,
 };
@@ -15,7 +15,8 @@
         let median = self.median_deviation();
         // A cache that is due for a probe keeps its full share of objects, so that it gets one soon.
         let reference = |s: &Server| if s.is_probe_due(now) { f64::INFINITY } else { median };
-        let score = |s: &Server| rendezvous(object, s.endpoint.server, self.capacity(now, s, reference(s)));
+        let score =
+            |s: &Server| rendezvous_score(object, s.endpoint.server, self.capacity(now, s, reference(s)));
         let mut order: Vec<_> = self.caches.iter().map(|id| (score(&self.servers[id]), *id)).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         order.into_iter().map(|(_, id)| id).collect()
@@ -33,7 +34,7 @@
         if let Some(home) = home.filter(|server| !self.is_overloaded(now, *server, open)) {
             return Ok(home);
         }
-        if let Some(parent) = self.parent_past_caches(now, open) {
+        if let Some(parent) = self.direct_source(now, open) {
             return Ok(parent);
         }
         let is_warming = |server: &ServerId| self.is_warm_up_budget_spent(now, *server, open.request.class);
@@ -46,13 +47,14 @@
 
     /// The first usable cache, of those with the fewest failures of this request's earlier attempts.
     fn home(&self, now: Instant, open: &OpenRequest, order: &[ServerId]) -> Option<ServerId> {
-        let times_blamed = |s: &ServerId| open.attempts.iter().filter(|a| a.server == *s && a.blamed).count();
-        let blame = |s: &ServerId| (times_blamed(s), !self.is_reliable_for(&self.servers[s], open));
-        order.iter().copied().filter(|server| self.is_usable(now, *server, open)).min_by_key(blame)
+        let times_at_fault =
+            |s: &ServerId| open.attempts.iter().filter(|a| a.server == *s && a.cache_at_fault).count();
+        let fault_rank = |s: &ServerId| (times_at_fault(s), !self.is_reliable_for(&self.servers[s], open));
+        order.iter().copied().filter(|server| self.is_usable(now, *server, open)).min_by_key(fault_rank)
     }
 
     /// A parent or the origin, where requests may go there directly and no cache is ready.
-    fn parent_past_caches(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
+    fn direct_source(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
         if !self.settings.limits.direct_to_source || !self.caches.is_empty() {
             return None;
         }
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -15,19 +15,19 @@
             return false;
         }
         let in_flight = in_flight.map(|attempt| PossibleRun { sent: attempt.sent, server: attempt.server });
-        let Some(first) = open.may_have_run.into_iter().chain(in_flight).min() else { return true };
+        let Some(first) = open.first_possible_run.into_iter().chain(in_flight).min() else { return true };
         match class.idempotency {
             Idempotency::Always => true,
             Idempotency::Never => false,
             Idempotency::WithKey => {
-                self.drop_repeats_together(class.dedup_scope, first.server, server)
+                self.are_in_dedup_scope(class.dedup_scope, first.server, server)
                     && now < first.sent + class.dedup_window
             }
         }
     }
 
     /// Whether two servers drop each other's repeats of a request with an idempotency key.
-    fn drop_repeats_together(&self, scope: DedupScope, first: ServerId, second: ServerId) -> bool {
+    fn are_in_dedup_scope(&self, scope: DedupScope, first: ServerId, second: ServerId) -> bool {
         let (Some(first), Some(second)) = (self.servers.get(&first), self.servers.get(&second)) else {
             return false;
         };
@@ -41,7 +41,7 @@
     /// Whether a rejection, which promises that a retry is harmless, keeps the rule on repeats.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class(&open.request);
-        let may_have_run = open.may_have_run.is_some() || open.has_attempt_in_flight();
+        let may_have_run = open.first_possible_run.is_some() || open.has_attempt_in_flight();
         !may_have_run
             || class.idempotency == Idempotency::Always
             || (class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All)
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -14,7 +14,7 @@
 /// Share of that for an object that this router has not seen recently: it probably needs a fill.
 const UNKNOWN_OBJECT_SHARE: f64 = 0.7;
 /// Own attempts in flight are smoothed over this long for each further router of the location: it sees fewer.
-const MEMORY_PER_ROUTER: Span = Span::from_millis(250);
+const SMOOTHING_SPAN_PER_ROUTER: Span = Span::from_millis(250);
 /// Maximum of own and assumed attempts at a cache, over its link: beyond it even small requests wait too
 /// long.
 const MAX_LOAD: f64 = 6.0;
@@ -24,7 +24,8 @@
     pub(super) fn is_overloaded(&self, now: Instant, server: ServerId, open: &OpenRequest) -> bool {
         let Some(to) = self.servers.get(&server) else { return true };
         let attempts = self.attempts_at(now, to);
-        let is_capacity_known = self.settings.topology.weights_state_links || self.measured_link.is_some();
+        let is_capacity_known =
+            self.settings.topology.weights_state_links || self.measured_link_per_weight.is_some();
         let load = (attempts + 1.0) / self.capacity(now, to, self.median_deviation());
         attempts >= 1.0 && is_capacity_known && load > self.max_load(open)
     }
@@ -32,21 +33,22 @@
     /// Attempts at a server: the own ones, and those that the other routers are assumed to have there.
     pub(super) fn attempts_at(&self, now: Instant, to: &Server) -> f64 {
         let other_routers = self.routers_sharing(self.is_cache(to.endpoint.server)) - 1;
-        f64::from(to.in_flight) + f64::from(other_routers) * to.smoothed_in_flight(now, self.load_memory())
+        f64::from(to.in_flight)
+            + f64::from(other_routers) * to.smoothed_in_flight(now, self.load_smoothing_span())
     }
 
     /// The memory of the smoothed number of own attempts in flight.
-    pub(super) fn load_memory(&self) -> Span {
-        MEMORY_PER_ROUTER * i64::from(self.routers_sharing(true) - 1)
+    pub(super) fn load_smoothing_span(&self) -> Span {
+        SMOOTHING_SPAN_PER_ROUTER * i64::from(self.routers_sharing(true) - 1)
     }
 
     /// The highest load at a server with which a request is predicted to meet its objective.
     fn max_load(&self, open: &OpenRequest) -> f64 {
         let class = self.class(&open.request);
         let transfer = self.transfer_time(&open.request).max(1.0);
-        let part = OBJECTIVE_SHARE
+        let share = OBJECTIVE_SHARE
             * if self.was_requested_before(&open.request) { 1.0 } else { UNKNOWN_OBJECT_SHARE };
-        (part * (class.latency_objective.as_micros_f64() + class.objective_stretch * transfer) / transfer)
+        (share * (class.latency_objective.as_micros_f64() + class.objective_stretch * transfer) / transfer)
             .clamp(1.0, MAX_LOAD)
     }
 
@@ -61,12 +63,12 @@
     pub(super) fn capacity(&self, now: Instant, server: &Server, median_deviation: f64) -> f64 {
         let excess = server.latency_deviation - median_deviation;
         let excess = if excess > MIN_DEVIATION { excess } else { 0.0 };
-        self.link(server) * self.warmth(now, server) * (-excess).exp()
+        self.link_capacity(server) * self.capacity_share(now, server) * (-excess).exp()
     }
 
     /// The capacity of a server's link in transfers at top speed: stated, or measured over the caches.
-    pub(super) fn link(&self, server: &Server) -> f64 {
-        let per_weight = self.measured_link.filter(|_| !self.is_parent(server)).unwrap_or(1.0);
+    pub(super) fn link_capacity(&self, server: &Server) -> f64 {
+        let per_weight = self.measured_link_per_weight.filter(|_| !self.is_parent(server)).unwrap_or(1.0);
         server.endpoint.weight.max(0.01) * per_weight
     }
 
@@ -76,7 +78,7 @@
         let Some(server) = self.servers.get(&outcome.server) else { return };
         let per_weight = (self.attempts_at(now, server) + 1.0) / server.endpoint.weight.max(0.01);
         let elapsed = outcome.elapsed.max(MICROSECOND).as_micros_f64();
-        let link = self.measured_link.get_or_insert(per_weight * transfer / elapsed);
+        let link = self.measured_link_per_weight.get_or_insert(per_weight * transfer / elapsed);
         *link += SMOOTHING * (per_weight * transfer - *link * elapsed) / elapsed.max(4.0 * slack);
     }
 
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -6,10 +6,10 @@
 };
 
 /// A fetch is slow whose first byte takes this part of its class's objective, or that is late as a whole.
-const SLOW_FIRST_BYTE: f64 = 0.8;
+const SLOW_FIRST_BYTE_SHARE: f64 = 0.8;
 
 /// The times of an ended attempt, us.
-struct Measured {
+struct AttemptTimes {
     /// Whether the transfer time of this answer is known.
     is_transfer_known: bool,
     /// Its transfer time at top speed.
@@ -17,12 +17,12 @@
     /// Added to times before they are compared, since small times differ by chance.
     slack: f64,
     /// Its time less what its source took, which is not the cache's fault.
-    own: f64,
+    own_time: f64,
     /// Natural log of the cache's own time over what it should be.
     deviation: f64,
 }
 
-impl Measured {
+impl AttemptTimes {
     fn new(router: &Router, outcome: &AttemptOutcome, request: &Request) -> Self {
         let class = router.class(request);
         let is_transfer_known = outcome.transfer_time > Span::ZERO && !class.uncached;
@@ -32,9 +32,9 @@
             router.transfer_time(request)
         };
         let slack = class.latency_objective.as_micros_f64() / 4.0;
-        let own = (outcome.elapsed - outcome.fill_wait).max(Span::ZERO).as_micros_f64();
-        let deviation = ((own + slack) / (transfer + slack)).ln();
-        Measured { is_transfer_known, transfer, slack, own, deviation }
+        let own_time = (outcome.elapsed - outcome.fill_wait).max(Span::ZERO).as_micros_f64();
+        let deviation = ((own_time + slack) / (transfer + slack)).ln();
+        AttemptTimes { is_transfer_known, transfer, slack, own_time, deviation }
     }
 }
 
@@ -47,23 +47,23 @@
         request: &Request,
         attempt: &Attempt,
     ) {
-        let measured = Measured::new(self, outcome, request);
+        let times = AttemptTimes::new(self, outcome, request);
         let is_served = outcome.result == AttemptResult::Ok;
         if is_served {
-            self.times_mut(request.class).observe_answer(outcome.elapsed.as_micros_f64());
+            self.class_times_mut(request.class).observe_answer(outcome.elapsed.as_micros_f64());
         }
         if is_served && !self.settings.topology.weights_state_links {
-            self.measure_link(now, outcome, measured.transfer, measured.slack);
+            self.measure_link(now, outcome, times.transfer, times.slack);
         }
         if attempt.is_fill() && !attempt.only_if_cached {
-            let speed = self.fetch_speed(outcome, request, attempt, &measured);
-            let least = 1.0 / f64::from(self.routers_sharing(false));
-            self.fetches.observe(now, speed, least);
+            let speed = self.fetch_speed(outcome, request, attempt, &times);
+            let min_limit = 1.0 / f64::from(self.routers_sharing(false));
+            self.fetch_limit.observe(now, speed, min_limit);
         }
-        self.measure_transfer(outcome, request, &measured);
-        self.measure_cache(now, outcome, attempt, &measured);
+        self.measure_transfer(outcome, request, &times);
+        self.measure_cache(now, outcome, attempt, &times);
         if attempt.is_fill() {
-            self.measure_source(now, outcome, attempt, &measured);
+            self.measure_source(now, outcome, attempt, &times);
         }
     }
 
@@ -73,7 +73,7 @@
         outcome: &AttemptOutcome,
         request: &Request,
         attempt: &Attempt,
-        measured: &Measured,
+        times: &AttemptTimes,
     ) -> FetchSpeed {
         use AttemptResult::{Cancelled, Error, Ok, Rejected, Timeout};
         let class = self.class(request);
@@ -86,9 +86,9 @@
             CacheStatusDetail::Served => outcome.cache_status == Some(CacheStatus::Filled),
             CacheStatusDetail::None => outcome.cache_status.is_none() && outcome.result == Ok,
         };
-        let is_late = measured.is_transfer_known
-            && outcome.elapsed.as_micros_f64() > target + class.objective_stretch * measured.transfer;
-        let is_slow_fill = is_late || outcome.fill_wait.as_micros_f64() > SLOW_FIRST_BYTE * target;
+        let is_late = times.is_transfer_known
+            && outcome.elapsed.as_micros_f64() > target + class.objective_stretch * times.transfer;
+        let is_slow_fill = is_late || outcome.fill_wait.as_micros_f64() > SLOW_FIRST_BYTE_SHARE * target;
         let is_status_unknown = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
         let is_error = outcome.result == Error && (is_status_unknown || !attempt.errored);
         if is_lost || (is_from_origin && is_slow_fill) || is_error {
@@ -101,12 +101,11 @@
     }
 
     /// Records the transfer time of an answer whose size was not known beforehand.
-    fn measure_transfer(&mut self, outcome: &AttemptOutcome, request: &Request, measured: &Measured) {
-        let is_informative =
-            measured.is_transfer_known || !is_filled(outcome) || self.class(request).uncached;
+    fn measure_transfer(&mut self, outcome: &AttemptOutcome, request: &Request, times: &AttemptTimes) {
+        let is_informative = times.is_transfer_known || !is_filled(outcome) || self.class(request).uncached;
         if outcome.result == AttemptResult::Ok && request.size_kb <= 0.0 && is_informative {
-            let transfer = if measured.is_transfer_known { measured.transfer } else { measured.own };
-            self.times_mut(request.class).observe_transfer(transfer);
+            let transfer = if times.is_transfer_known { times.transfer } else { times.own_time };
+            self.class_times_mut(request.class).observe_transfer(transfer);
         }
     }
 
@@ -116,21 +115,21 @@
         now: Instant,
         outcome: &AttemptOutcome,
         attempt: &Attempt,
-        measured: &Measured,
+        times: &AttemptTimes,
     ) {
         use AttemptResult::{ConnectFailed, Error, Miss, Ok, Rejected, Reset};
         let Some(cache) = self.servers.get_mut(&attempt.server) else { return };
-        if outcome.result == Ok || (attempt.blamed && !matches!(outcome.result, Error | Reset)) {
+        if outcome.result == Ok || (attempt.cache_at_fault && !matches!(outcome.result, Error | Reset)) {
             cache.count_success();
         }
         match outcome.result {
-            Ok | Miss | Rejected => cache.on_response(now, measured.deviation),
+            Ok | Miss | Rejected => cache.on_response(now, times.deviation),
             ConnectFailed => cache.eject(now),
             Reset => cache.on_reset(now),
             _ => {}
         }
         if outcome.result == Ok && !is_filled(outcome) {
-            cache.observe_deviation(measured.deviation);
+            cache.observe_deviation(times.deviation);
         }
     }
 
@@ -140,7 +139,7 @@
         now: Instant,
         outcome: &AttemptOutcome,
         attempt: &Attempt,
-        measured: &Measured,
+        times: &AttemptTimes,
     ) {
         use AttemptResult::{Cancelled, Error, Miss, Ok, Rejected, Timeout};
         let is_status_unknown = self.settings.limits.cache_status_detail == CacheStatusDetail::None;
@@ -152,7 +151,7 @@
         if is_filled(outcome) || (is_status_unknown && outcome.result == Ok) {
             let elapsed = outcome.elapsed.as_micros_f64();
             let first_byte = if is_status_unknown {
-                (elapsed - measured.transfer).max(0.0)
+                (elapsed - times.transfer).max(0.0)
             } else {
                 outcome.fill_wait.as_micros_f64()
             };
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -54,7 +54,7 @@
 use retry_budget::RetryBudget;
 use server::Server;
 use std::collections::BTreeMap;
-use timing::{SECOND, TICK, UPKEEP_INTERVAL};
+use timing::{SECOND, TICK_INTERVAL, UPKEEP_INTERVAL};
 
 /// Token of the timer that renews a failed subscription; all other timers are ticks.
 const WATCH_RETRY_TIMER: u32 = 1;
@@ -63,7 +63,7 @@
 struct ProcessShare {
     processes: u32,
     /// This process's place among them.
-    place: u32,
+    position: u32,
 }
 
 /// A router's decisions, as a pure state machine.
@@ -76,19 +76,19 @@
     caches: Vec<ServerId>,
     parents: Vec<ServerId>,
     origin: Option<ServerId>,
-    open: BTreeMap<RequestId, OpenRequest>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     directory: PopularDirectory,
     upkeep_at: Instant,
-    ticking: bool,
+    tick_scheduled: bool,
     /// By class.
-    times: Vec<ClassTimes>,
+    class_times: Vec<ClassTimes>,
     /// Full-pace answers that the caches' links were measured to carry for each weight, where weights state
     /// nothing.
-    measured_link: Option<f64>,
+    measured_link_per_weight: Option<f64>,
     /// When each object and group was purged last.
     purges: BTreeMap<Purge, Instant>,
-    retries: RetryBudget,
-    fetches: FetchLimit,
+    retry_budget: RetryBudget,
+    fetch_limit: FetchLimit,
 }
 
 impl Router {
@@ -97,20 +97,20 @@
         settings.check()?;
         Ok(Router {
             random: Pcg64Mcg::seed_from_u64(seed),
-            process_share: ProcessShare { processes: 1, place: 0 },
+            process_share: ProcessShare { processes: 1, position: 0 },
             servers: BTreeMap::new(),
             caches: Vec::new(),
             parents: Vec::new(),
             origin: None,
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             directory: PopularDirectory::new(now),
             upkeep_at: now + UPKEEP_INTERVAL,
-            ticking: false,
-            times: settings.classes.iter().map(ClassTimes::initial).collect(),
-            measured_link: None,
+            tick_scheduled: false,
+            class_times: settings.classes.iter().map(ClassTimes::initial).collect(),
+            measured_link_per_weight: None,
             purges: BTreeMap::new(),
-            retries: RetryBudget::full(),
-            fetches: FetchLimit::new(now),
+            retry_budget: RetryBudget::full(),
+            fetch_limit: FetchLimit::new(now),
             settings,
         })
     }
@@ -118,23 +118,21 @@
     /// Applies new settings, in which every earlier class keeps its number and its rules.
     /// Requests that are open keep their limits.
     pub fn reconfigure(&mut self, settings: Settings) {
-        let added = settings.classes.iter().skip(self.times.len());
-        self.times.extend(added.map(ClassTimes::initial));
+        let added = settings.classes.iter().skip(self.class_times.len());
+        self.class_times.extend(added.map(ClassTimes::initial));
         self.settings = settings;
     }
 
     /// Sets how many processes serve as this router, and this one's place among them: they share the budgets
     /// of servers that are warming up.
-    pub fn set_process_share(&mut self, processes: u32, place: u32) {
-        self.process_share = ProcessShare { processes: processes.max(1), place };
+    pub fn set_process_share(&mut self, processes: u32, position: u32) {
+        self.process_share = ProcessShare { processes: processes.max(1), position };
     }
 
     /// Handles one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { update: kind, endpoints: entries } => {
-                self.on_endpoint_list(now, kind, entries, out)
-            }
+            Event::EndpointList { update, endpoints } => self.on_endpoint_list(now, update, endpoints, out),
             Event::Request(request) => self.on_request(now, request, out),
             Event::FirstByte { request, .. } => self.on_first_byte(request),
             Event::AttemptEnded(outcome) => self.on_attempt_ended(now, outcome, out),
@@ -144,19 +142,19 @@
             }
             Event::Timer(_) => self.on_tick(now, out),
             Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
-            Event::Purged { purge: what, age } => self.on_purged(now, what, age),
+            Event::Purged { purge, age } => self.on_purged(now, purge, age),
         }
-        while let Some(id) = self.fetches.next_admitted() {
+        while let Some(id) = self.fetch_limit.next_admitted() {
             self.dispatch(now, id, out);
         }
-        self.keep_ticking(out);
+        self.schedule_tick(out);
     }
 
     /// Sets the timer of the next tick while requests are open.
-    fn keep_ticking(&mut self, out: &mut Vec<Action>) {
-        if !self.ticking && !self.open.is_empty() {
-            self.ticking = true;
-            out.push(Action::Timer { token: 0, after: TICK });
+    fn schedule_tick(&mut self, out: &mut Vec<Action>) {
+        if !self.tick_scheduled && !self.open_requests.is_empty() {
+            self.tick_scheduled = true;
+            out.push(Action::Timer { token: 0, after: TICK_INTERVAL });
         }
     }
 
@@ -166,13 +164,13 @@
     }
 
     /// The times that a class's answers take.
-    fn times(&self, class: ClassId) -> &ClassTimes {
-        &self.times[usize::from(class.0)]
+    fn class_times(&self, class: ClassId) -> &ClassTimes {
+        &self.class_times[usize::from(class.0)]
     }
 
     /// The times that a class's answers take, to be updated.
-    fn times_mut(&mut self, class: ClassId) -> &mut ClassTimes {
-        &mut self.times[usize::from(class.0)]
+    fn class_times_mut(&mut self, class: ClassId) -> &mut ClassTimes {
+        &mut self.class_times[usize::from(class.0)]
     }
 
     /// A request's own transfer time at top speed, us; where sizes are unknown, its class's mean.
@@ -180,6 +178,6 @@
         if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
             return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND.as_micros_f64();
         }
-        self.times(request.class).transfer
+        self.class_times(request.class).transfer
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -2,7 +2,7 @@
 
 use super::{
     attempt::{Attempt, OpenRequest},
-    timing::TICK,
+    timing::TICK_INTERVAL,
     Router,
 };
 use crate::interface::{Action, AttemptOutcome, AttemptResult, Instant, RejectionReason, Span};
@@ -16,15 +16,15 @@
     /// Handles the end of an attempt.
     pub(super) fn on_attempt_ended(&mut self, now: Instant, outcome: AttemptOutcome, out: &mut Vec<Action>) {
         let detail = self.settings.limits.cache_status_detail;
-        let Some(open) = self.open.get_mut(&outcome.request) else { return };
+        let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
         let request = open.request.clone();
         let Some(attempt) = open.end_attempt(&outcome, detail) else { return };
         let is_served = outcome.result == AttemptResult::Ok;
-        let memory = self.load_memory();
+        let smoothing_span = self.load_smoothing_span();
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.on_attempt_ended(now, memory);
+            server.on_attempt_ended(now, smoothing_span);
         }
-        self.fetches.in_flight -= usize::from(attempt.is_fetch());
+        self.fetch_limit.in_flight -= usize::from(attempt.is_fetch());
         self.measure(now, &outcome, &request, &attempt);
         if attempt.is_delegate {
             self.on_delegate_ended(now, &request, &attempt, is_served);
@@ -44,7 +44,7 @@
         out: &mut Vec<Action>,
     ) {
         let id = outcome.request;
-        let open = &self.open[&id];
+        let open = &self.open_requests[&id];
         let is_miss = outcome.result == AttemptResult::Miss;
         if outcome.finished || open.finished || open.streaming {
             return self.finish(id, out);
@@ -53,7 +53,7 @@
             return; // the hedged one may still answer
         }
         if is_miss && attempt.waits_for_fetch && self.may_wait_for_fetch(now, open) {
-            return self.fetches.queue.push(id);
+            return self.fetch_limit.queue.push(id);
         }
         if open.attempts.iter().filter(|a| a.errored).count() >= MAX_ERRORS {
             return self.reject_or_fail(now, id, RejectionReason::AttemptsExhausted, out);
@@ -62,11 +62,11 @@
             return self.reject_or_fail(now, id, RejectionReason::FetchLimit, out);
         }
         let is_free = attempt.replaced || attempt.was_reset || (attempt.is_delegate && is_miss);
-        if !is_free && !self.retries.has_retry() {
+        if !is_free && !self.retry_budget.has_retry() {
             return self.reject_or_fail(now, id, RejectionReason::RetryBudget, out);
         }
         if !is_free {
-            self.retries.spend();
+            self.retry_budget.spend();
         }
         self.dispatch(now, id, out);
     }
@@ -77,6 +77,6 @@
         let wait = Span::from_micros_f64(
             FETCH_WAIT_OBJECTIVE_SHARE * self.class(&open.request).latency_objective.as_micros_f64(),
         );
-        now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK)
+        now < open.arrived + wait.min(open.request.client_timeout - 2 * TICK_INTERVAL)
     }
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -8,9 +8,9 @@
 /// Overdue attempts that must be in flight at once for a server to be silent: one may just be large.
 const MIN_OVERDUE: usize = 2;
 /// Caches at which a source's fills must be overdue for it to be silent.
-const MIN_CACHES: usize = 2;
+const MIN_OVERDUE_CACHES: usize = 2;
 /// Transfer times of its own that an attempt may run beyond the smallest objective of any class.
-const TRANSFER_TIMES: f64 = 2.0;
+const TRANSFER_TIME_MULTIPLE: f64 = 2.0;
 
 /// An attempt of an open request, by its number.
 struct AttemptRef {
@@ -18,9 +18,9 @@
     number: usize,
 }
 
-/// What a survey of the attempts in flight has found.
+/// What a scan of the attempts in flight has found.
 #[derive(Default)]
-struct Survey {
+struct InFlightScan {
     /// Overdue attempts by server and by source.
     overdue: BTreeMap<ServerId, Vec<AttemptRef>>,
     /// Attempts in flight by source.
@@ -32,13 +32,12 @@
 impl Router {
     /// Looks over what is in flight: silent servers are ejected, and what waits there is sent elsewhere.
     pub(super) fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.ticking = false;
+        self.tick_scheduled = false;
         self.upkeep(now);
-        let patience = self.smallest_objective();
-        let survey = self.survey(now, patience);
+        let min_objective = self.smallest_objective();
+        let scan = self.scan_in_flight(now, min_objective);
         let waited_too_long = self.take_expired_waiters(now);
-        survey
-            .expired
+        scan.expired
             .into_iter()
             .for_each(|id| self.reject_or_fail(now, id, RejectionReason::DeadlineExceeded, out));
         waited_too_long
@@ -46,10 +45,10 @@
             .for_each(|id| self.reject_or_fail(now, id, RejectionReason::FetchLimit, out));
         // A source is silent by what it was to fill at several caches; what waits there is no cache's fault.
         let (caches, sources): (Vec<_>, Vec<_>) =
-            survey.overdue.into_iter().partition(|(server, _)| self.is_cache(*server));
+            scan.overdue.into_iter().partition(|(server, _)| self.is_cache(*server));
         for (server, overdue) in sources.into_iter().chain(caches) {
-            let in_flight = survey.in_flight.get(&server).copied().unwrap_or(0);
-            self.check_silence(now, server, overdue, in_flight, patience, out);
+            let in_flight = scan.in_flight.get(&server).copied().unwrap_or(0);
+            self.check_silence(now, server, overdue, in_flight, min_objective, out);
         }
     }
 
@@ -60,38 +59,39 @@
     }
 
     /// Looks over the attempts in flight.
-    fn survey(&self, now: Instant, patience: Span) -> Survey {
-        let mut survey = Survey::default();
-        for (id, open) in self.open.iter().filter(|(_, open)| !open.finished && !open.streaming) {
+    fn scan_in_flight(&self, now: Instant, min_objective: Span) -> InFlightScan {
+        let mut scan = InFlightScan::default();
+        for (id, open) in self.open_requests.iter().filter(|(_, open)| !open.finished && !open.streaming) {
             if open.arrived + open.request.client_timeout <= now {
-                survey.expired.push(*id);
+                scan.expired.push(*id);
             }
-            let usual = self.times(open.request.class).usual_limit();
+            let usual = self.class_times(open.request.class).usual_limit();
             let transfer = self.transfer_time(&open.request);
-            let allowed =
-                Span::from_micros_f64((patience.as_micros_f64() + TRANSFER_TIMES * transfer).max(usual));
+            let allowed = Span::from_micros_f64(
+                (min_objective.as_micros_f64() + TRANSFER_TIME_MULTIPLE * transfer).max(usual),
+            );
             for (number, attempt) in open.attempts.iter().enumerate().filter(|(_, a)| a.in_flight) {
-                *survey.in_flight.entry(attempt.source).or_default() += 1;
+                *scan.in_flight.entry(attempt.source).or_default() += 1;
                 if attempt.sent + allowed > now {
                     continue;
                 }
                 let source = Some(attempt.source).filter(|_| attempt.is_fill());
                 for server in source.into_iter().chain([attempt.server]) {
-                    let overdue = survey.overdue.entry(server).or_default();
+                    let overdue = scan.overdue.entry(server).or_default();
                     overdue.push(AttemptRef { request: *id, number });
                 }
             }
         }
-        survey
+        scan
     }
 
     /// Takes the requests out of the fetch queue that may wait no longer.
     fn take_expired_waiters(&mut self, now: Instant) -> Vec<RequestId> {
-        let queue = std::mem::take(&mut self.fetches.queue);
-        let still_open = queue.into_iter().filter(|id| self.open.contains_key(id));
+        let queue = std::mem::take(&mut self.fetch_limit.queue);
+        let still_open = queue.into_iter().filter(|id| self.open_requests.contains_key(id));
         let (waiting, expired): (_, Vec<_>) =
-            still_open.partition(|id| self.may_wait_for_fetch(now, &self.open[id]));
-        self.fetches.queue = waiting;
+            still_open.partition(|id| self.may_wait_for_fetch(now, &self.open_requests[id]));
+        self.fetch_limit.queue = waiting;
         expired
     }
 
@@ -102,24 +102,25 @@
         server: ServerId,
         overdue: Vec<AttemptRef>,
         in_flight: usize,
-        patience: Span,
+        min_objective: Span,
         out: &mut Vec<Action>,
     ) {
         let is_cache = self.is_cache(server);
         let overdue = if is_cache { self.overdue_at_cache(overdue) } else { self.overdue_at_source(overdue) };
-        let is_mute_source = self.settings.limits.cache_status_detail == CacheStatusDetail::None && !is_cache;
+        let is_source_without_status =
+            self.settings.limits.cache_status_detail == CacheStatusDetail::None && !is_cache;
         let Some(to) = self.servers.get_mut(&server) else { return };
-        let is_unheard = match is_mute_source {
+        let is_silent = match is_source_without_status {
             true => 2 * overdue.len() > in_flight,
-            false => to.last_heard + patience <= now,
+            false => to.last_heard + min_objective <= now,
         };
-        let is_enough = overdue.len() >= MIN_OVERDUE || (to.ejected && !overdue.is_empty());
-        if !is_unheard || !is_enough {
+        let has_enough_overdue = overdue.len() >= MIN_OVERDUE || (to.ejected && !overdue.is_empty());
+        if !is_silent || !has_enough_overdue {
             return;
         }
         if !to.ejected {
-            let tier = if is_cache { "cache" } else { "source" };
-            out.push(Action::Log(format!("{tier} {} silent, {} overdue", server.0, overdue.len())));
+            let role = if is_cache { "cache" } else { "source" };
+            out.push(Action::Log(format!("{role} {} silent, {} overdue", server.0, overdue.len())));
         }
         to.eject(now);
         for attempt in overdue {
@@ -140,7 +141,7 @@
     fn overdue_at_source(&self, overdue: Vec<AttemptRef>) -> Vec<AttemptRef> {
         let attempts = overdue.iter().filter_map(|attempt| self.attempt(attempt));
         let caches: BTreeSet<ServerId> = attempts.map(|attempt| attempt.server).collect();
-        if caches.len() < MIN_CACHES {
+        if caches.len() < MIN_OVERDUE_CACHES {
             return Vec::new();
         }
         overdue
@@ -148,7 +149,7 @@
 
     /// The attempt that is referred to, while its request is open.
     fn attempt(&self, attempt: &AttemptRef) -> Option<&Attempt> {
-        self.open.get(&attempt.request).map(|open| &open.attempts[attempt.number])
+        self.open_requests.get(&attempt.request).map(|open| &open.attempts[attempt.number])
     }
 
     /// Replaces an overdue attempt: by a hedged request where two attempts may be in flight, else by a retry.
@@ -160,15 +161,15 @@
         out: &mut Vec<Action>,
     ) {
         let AttemptRef { request, number } = overdue;
-        let Some(open) = self.open.get_mut(&request).filter(|open| !open.finished) else { return };
+        let Some(open) = self.open_requests.get_mut(&request).filter(|open| !open.finished) else { return };
         let parallel = open.limits.parallel_attempts;
         let attempt = &mut open.attempts[number];
-        if attempt.replaced || !(parallel || open.limits.cancellation) || !self.retries.has_retry() {
+        if attempt.replaced || !(parallel || open.limits.cancellation) || !self.retry_budget.has_retry() {
             return;
         }
         attempt.replaced = true;
-        attempt.blamed = is_cache_at_fault;
-        self.retries.spend();
+        attempt.cache_at_fault = is_cache_at_fault;
+        self.retry_budget.spend();
         if parallel {
             self.dispatch(now, request, out);
         } else {
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -32,7 +32,7 @@
 pub struct Delegate {
     pub server: ServerId,
     /// Requests sent to it.
-    distributed: u32,
+    distribute_count: u32,
     expires: Instant,
 }
 
@@ -41,7 +41,7 @@
 pub struct PopularObject {
     pub count: u32,
     /// No delegate is started until then: one is being started, or one has failed.
-    rest_until: Instant,
+    no_new_delegate_until: Instant,
     pub delegates: Vec<Delegate>,
 }
 
@@ -54,8 +54,8 @@
     /// Counts a request that is sent to a delegate, or to a cache that is to become one.
     pub fn on_delegated(&mut self, now: Instant, server: ServerId) {
         match self.delegates.iter_mut().find(|delegate| delegate.server == server) {
-            Some(known) => known.distributed += 1,
-            None => self.rest_until = now + PROBE_INTERVAL, // one is started at a time
+            Some(known) => known.distribute_count += 1,
+            None => self.no_new_delegate_until = now + PROBE_INTERVAL, // one is started at a time
         }
     }
 
@@ -64,19 +64,22 @@
     pub fn on_delegate_ended(&mut self, now: Instant, server: ServerId, served: bool) {
         if !served {
             self.delegates.retain(|delegate| delegate.server != server);
-            self.rest_until = now + PROBE_INTERVAL;
+            self.no_new_delegate_until = now + PROBE_INTERVAL;
         } else if self.delegates.iter().all(|delegate| delegate.server != server) {
-            let distributed = self.delegates.iter().map(|delegate| delegate.distributed).min().unwrap_or(0);
-            self.delegates.push(Delegate { server, distributed, expires: now + DELEGATE_LIFETIME });
-            self.rest_until = now;
+            let distribute_count =
+                self.delegates.iter().map(|delegate| delegate.distribute_count).min().unwrap_or(0);
+            self.delegates.push(Delegate { server, distribute_count, expires: now + DELEGATE_LIFETIME });
+            self.no_new_delegate_until = now;
         }
     }
 }
 
 /// The servers among those of the delegates that have been sent the fewest requests.
 pub fn least_distributed(delegates: &[&Delegate]) -> Vec<ServerId> {
-    let Some(least) = delegates.iter().map(|delegate| delegate.distributed).min() else { return Vec::new() };
-    let has_least = |delegate: &&&Delegate| delegate.distributed == least;
+    let Some(least) = delegates.iter().map(|delegate| delegate.distribute_count).min() else {
+        return Vec::new();
+    };
+    let has_least = |delegate: &&&Delegate| delegate.distribute_count == least;
     delegates.iter().filter(has_least).map(|delegate| delegate.server).collect()
 }
 
@@ -121,7 +124,7 @@
     /// Whether another delegate may be started for an object.
     pub fn wants_delegate(&self, now: Instant, entry: &PopularObject) -> bool {
         let live = entry.live_delegates(now).len();
-        entry.rest_until <= now && entry.count > self.threshold && live < MAX_DELEGATES
+        entry.no_new_delegate_until <= now && entry.count > self.threshold && live < MAX_DELEGATES
     }
 
     /// Drops the delegates that are no longer listed.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -58,9 +58,9 @@
 
 impl Server {
     /// A server that has just been listed.
-    pub fn new(member: Endpoint, now: Instant) -> Self {
+    pub fn new(endpoint: Endpoint, now: Instant) -> Self {
         Server {
-            endpoint: member,
+            endpoint,
             smoothed_at: now,
             first_byte_at: now,
             last_heard: now,
@@ -78,15 +78,15 @@
         self.first_byte = None;
     }
 
-    /// Own attempts in flight by now, smoothed over `memory`.
-    pub fn smoothed_in_flight(&self, now: Instant, memory: Span) -> f64 {
-        let past = (-(now - self.smoothed_at).ratio(memory.max(MICROSECOND))).exp();
-        f64::from(self.in_flight) + (self.smoothed_in_flight - f64::from(self.in_flight)) * past
+    /// Own attempts in flight by now, smoothed over `smoothing_span`.
+    pub fn smoothed_in_flight(&self, now: Instant, smoothing_span: Span) -> f64 {
+        let decay = (-(now - self.smoothed_at).ratio(smoothing_span.max(MICROSECOND))).exp();
+        f64::from(self.in_flight) + (self.smoothed_in_flight - f64::from(self.in_flight)) * decay
     }
 
     /// Counts an attempt that is sent to it.
-    pub fn on_attempt_sent(&mut self, now: Instant, memory: Span) {
-        self.update_smoothed_in_flight(now, memory);
+    pub fn on_attempt_sent(&mut self, now: Instant, smoothing_span: Span) {
+        self.update_smoothed_in_flight(now, smoothing_span);
         if self.in_flight == 0 {
             self.last_heard = now;
         }
@@ -94,14 +94,14 @@
     }
 
     /// Counts an attempt that has ended there.
-    pub fn on_attempt_ended(&mut self, now: Instant, memory: Span) {
-        self.update_smoothed_in_flight(now, memory);
+    pub fn on_attempt_ended(&mut self, now: Instant, smoothing_span: Span) {
+        self.update_smoothed_in_flight(now, smoothing_span);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Brings the smoothed number up to date before the number changes.
-    fn update_smoothed_in_flight(&mut self, now: Instant, memory: Span) {
-        self.smoothed_in_flight = self.smoothed_in_flight(now, memory);
+    fn update_smoothed_in_flight(&mut self, now: Instant, smoothing_span: Span) {
+        self.smoothed_in_flight = self.smoothed_in_flight(now, smoothing_span);
         self.smoothed_at = now;
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -14,7 +14,7 @@
 
 impl Router {
     /// The share of its capacity that a warming server has at least.
-    pub(super) fn warmth(&self, now: Instant, server: &Server) -> f64 {
+    pub(super) fn capacity_share(&self, now: Instant, server: &Server) -> f64 {
         let SlowStartRules { initial_share, full_after, .. } = self.slow_start_rules(server);
         let Some(started_at) = server.endpoint.started_at else { return 1.0 };
         let part = now.saturating_since(started_at).ratio(full_after.max(MICROSECOND));
@@ -33,14 +33,14 @@
     /// What all routers may send a server that is warming up within one span, in seconds of sending; warm:
     /// `None`.
     fn warm_up_budget(&self, now: Instant, server: &Server) -> Option<f64> {
-        let warmth = self.warmth(now, server);
-        if warmth >= 1.0 || server.endpoint.kind == self.settings.topology.origin_kind {
+        let capacity_share = self.capacity_share(now, server);
+        if capacity_share >= 1.0 || server.endpoint.kind == self.settings.topology.origin_kind {
             return None;
         }
         let multiple = self.slow_start_rules(server).overload_multiple;
         let window = self.settings.protection.overload_window;
         Some(
-            BUDGET_MARGIN * multiple * warmth * self.link(server) * window.as_micros_f64()
+            BUDGET_MARGIN * multiple * capacity_share * self.link_capacity(server) * window.as_micros_f64()
                 / SECOND.as_micros_f64(),
         )
     }
@@ -52,10 +52,10 @@
     pub(super) fn is_warm_up_budget_spent(&self, now: Instant, server: ServerId, class: ClassId) -> bool {
         let Some(server) = self.servers.get(&server) else { return false };
         let Some(budget) = self.warm_up_budget(now, server) else { return false };
-        let work = self.times(class).transfer / SECOND.as_micros_f64();
+        let work = self.class_times(class).transfer / SECOND.as_micros_f64();
         let processes = self.process_share.processes;
         let sharers = self.routers_sharing(self.is_cache(server.endpoint.server)) * processes;
-        let number = self.settings.topology.ordinal * processes + self.process_share.place;
+        let sharer_index = self.settings.topology.ordinal * processes + self.process_share.position;
         let share = budget / f64::from(sharers);
         let span = self.settings.protection.overload_window.max(MICROSECOND);
         let age = now - server.endpoint.started_at.unwrap_or(now);
@@ -66,7 +66,7 @@
         match turns {
             0 | 1 => sent + work > share,
             _ if work > budget => true,
-            _ => sent > 0.0 || (age / span + i64::from(number)) % turns != 0,
+            _ => sent > 0.0 || (age / span + i64::from(sharer_index)) % turns != 0,
         }
     }
 }
--- a/src/policy/timing.rs
+++ b/src/policy/timing.rs
@@ -7,7 +7,7 @@
 /// One second.
 pub const SECOND: Span = Span::from_secs(1);
 /// How often outstanding attempts are looked over: well under any latency objective.
-pub const TICK: Span = Span::from_millis(20);
+pub const TICK_INTERVAL: Span = Span::from_millis(20);
 /// An ejected server gets one probing request each time this has passed.
 pub const PROBE_INTERVAL: Span = SECOND;
 /// How often the popular directory's threshold and old purges are brought up to date.
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -35,7 +35,7 @@
         line("dispatches", classes.values().map(|class| class.dispatches).sum());
         line("concurrent", self.pending.len() as u64);
         line("targets", caches.listed as u64);
-        line("targets_disabled", caches.avoided as u64);
+        line("targets_disabled", caches.out_of_service as u64);
         line("reload_success", self.reloads.succeeded);
         line("reload_failure", self.reloads.failed);
         self.admission_metrics(&mut line);
--- a/tests/policy/fill_sources.rs
+++ b/tests/policy/fill_sources.rs
@@ -5,123 +5,126 @@
 use std::collections::BTreeSet;
 
 const FAILING_PARENT: ServerId = ServerId(11);
-const UNSAFE: ClassId = ClassId(1);
+const NON_IDEMPOTENT: ClassId = ClassId(1);
 
 /// A site whose answers tell only how a served request came about, with a second class that must not run twice.
-fn silent_failures() -> Settings {
+fn settings_without_failure_status() -> Settings {
     let mut settings = settings();
     settings.limits.cache_status_detail = CacheStatusDetail::Served;
-    let unsafe_class =
+    let non_idempotent =
         Class { idempotency: Idempotency::Never, uncached: true, ..settings.classes[0].clone() };
-    settings.classes.push(unsafe_class);
+    settings.classes.push(non_idempotent);
     settings
 }
 
 /// Plays requests for new objects one after another until each has its final answer; `fails` tells how an
 /// attempt fails, if it does. Gives the number of requests served and of attempts that failed.
 fn play(
-    bench: &mut Bench,
+    harness: &mut Harness,
     objects: std::ops::Range<u64>,
     fails: impl Fn(&FillAttempt) -> Option<AttemptResult>,
 ) -> (usize, usize) {
     let (mut served, mut failed) = (0, 0);
     for object in objects {
-        bench.now += 20 * MS;
-        let (_, mut actions) = bench.ask(object);
-        for attempt in 0.. {
-            let Some(get) = get_of(&actions) else { break };
-            let failure = fails(&get);
+        harness.now += 20 * MS;
+        let (_, mut actions) = harness.send_request(object);
+        for number in 0.. {
+            let Some(attempt) = attempt_in(&actions) else { break };
+            let failure = fails(&attempt);
             failed += usize::from(failure.is_some());
             served += usize::from(failure.is_none());
-            let note = failure.is_none().then_some(CacheStatus::Filled);
-            actions = bench.end(&get, attempt, failure.unwrap_or(AttemptResult::Ok), note);
+            let status = failure.is_none().then_some(CacheStatus::Filled);
+            actions = harness.end_attempt(&attempt, number, failure.unwrap_or(AttemptResult::Ok), status);
         }
     }
     (served, failed)
 }
 
-fn ejected_caches(bench: &Bench) -> usize {
-    bench.router.cache_counts().avoided
+fn ejected_caches(harness: &Harness) -> usize {
+    harness.router.cache_counts().out_of_service
 }
 
 #[test]
-fn a_parent_whose_fills_err_is_ejected_and_no_cache_is() {
-    let mut bench = Bench::new(silent_failures(), fleet());
-    let errs = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
-    let (served, failed) = play(&mut bench, 1..400, errs);
+fn a_parent_whose_fills_fail_is_ejected_and_no_cache_is() {
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
+    let fails = |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Error);
+    let (served, failed) = play(&mut harness, 1..400, fails);
     assert_eq!(served, 399, "each request is served by a retry at the latest");
     // One probe a second, over 8 s, and what it took to find out.
     assert!(failed <= 12, "{failed} fills were asked of the failing parent");
-    assert_eq!(ejected_caches(&bench), 0, "caches were blamed for their source");
-    let caches: BTreeSet<ServerId> = (500..560).map(|object| bench.served(object).server).collect();
+    assert_eq!(ejected_caches(&harness), 0, "caches were blamed for their source");
+    let caches: BTreeSet<ServerId> = (500..560).map(|object| harness.serve(object).server).collect();
     assert_eq!(caches.len(), 3, "all caches are in use");
 }
 
 #[test]
 fn a_parent_that_rejects_every_fill_is_ejected_and_no_cache_is() {
-    let mut bench = Bench::new(silent_failures(), fleet());
-    let rejects = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Rejected);
-    let (served, failed) = play(&mut bench, 1..400, rejects);
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
+    let rejects =
+        |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Rejected);
+    let (served, failed) = play(&mut harness, 1..400, rejects);
     assert_eq!(served, 399);
     assert!(failed <= 16, "{failed} fills were asked of the parent that rejects them");
-    assert_eq!(ejected_caches(&bench), 0);
+    assert_eq!(ejected_caches(&harness), 0);
 }
 
 #[test]
-fn the_retry_of_a_failed_fill_stays_at_the_cache_and_changes_the_source() {
-    let mut bench = Bench::new(silent_failures(), fleet());
-    let first = bench.get(7);
-    let second = get_of(&bench.end(&first, 0, AttemptResult::Error, None)).expect("a retry");
+fn a_failed_fill_is_retried_there_from_another_source() {
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
+    let first = harness.first_attempt(7);
+    let second = attempt_in(&harness.end_attempt(&first, 0, AttemptResult::Error, None)).expect("a retry");
     assert_eq!(second.server, first.server);
     assert_ne!(second.source, first.source);
-    let third = get_of(&bench.end(&second, 1, AttemptResult::Error, None)).expect("a second retry");
+    let third =
+        attempt_in(&harness.end_attempt(&second, 1, AttemptResult::Error, None)).expect("a second retry");
     assert_ne!(third.server, first.server, "what failed with two sources is the cache's fault");
 }
 
 #[test]
-fn a_cache_that_errs_half_the_time_is_ejected_and_its_sources_are_not() {
+fn a_cache_that_fails_half_its_attempts_is_ejected_alone() {
     let failing_cache = ServerId(2);
-    let mut bench = Bench::new(silent_failures(), fleet());
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     let count = std::cell::Cell::new(0);
-    let errs = |get: &FillAttempt| {
-        count.set(count.get() + usize::from(get.server == failing_cache));
+    let fails = |attempt: &FillAttempt| {
+        count.set(count.get() + usize::from(attempt.server == failing_cache));
         // Two errors, then two answers, and so on.
-        (get.server == failing_cache && count.get() % 4 < 2).then_some(AttemptResult::Error)
+        (attempt.server == failing_cache && count.get() % 4 < 2).then_some(AttemptResult::Error)
     };
-    play(&mut bench, 1..300, errs);
-    assert_eq!(ejected_caches(&bench), 1, "the failing cache alone is ejected");
-    let sources: BTreeSet<ServerId> = (500..560).map(|object| bench.served(object).source).collect();
+    play(&mut harness, 1..300, fails);
+    assert_eq!(ejected_caches(&harness), 1, "the failing cache alone is ejected");
+    let sources: BTreeSet<ServerId> = (500..560).map(|object| harness.serve(object).source).collect();
     assert!(sources.contains(&ServerId(11)) && sources.contains(&ServerId(12)), "{sources:?}");
 }
 
 #[test]
-fn requests_that_err_everywhere_eject_nobody() {
-    let mut bench = Bench::new(silent_failures(), fleet());
+fn requests_that_fail_everywhere_eject_no_server() {
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     for object in 1..400 {
-        bench.now += 20 * MS;
-        let (_, mut actions) = bench.ask(object);
+        harness.now += 20 * MS;
+        let (_, mut actions) = harness.send_request(object);
         let malformed = object % 5 == 0;
-        for attempt in 0.. {
-            let Some(get) = get_of(&actions) else { break };
+        for number in 0.. {
+            let Some(attempt) = attempt_in(&actions) else { break };
             let result = if malformed { AttemptResult::Error } else { AttemptResult::Ok };
-            actions = bench.end(&get, attempt, result, (!malformed).then_some(CacheStatus::Filled));
+            actions =
+                harness.end_attempt(&attempt, number, result, (!malformed).then_some(CacheStatus::Filled));
         }
     }
-    assert_eq!(ejected_caches(&bench), 0);
-    let sources: BTreeSet<ServerId> = (500..560).map(|object| bench.served(object).source).collect();
+    assert_eq!(ejected_caches(&harness), 0);
+    let sources: BTreeSet<ServerId> = (500..560).map(|object| harness.serve(object).source).collect();
     assert!(sources.contains(&ServerId(11)) && sources.contains(&ServerId(12)), "{sources:?}");
 }
 
 #[test]
-fn a_class_that_must_not_run_twice_avoids_a_parent_that_failed_a_fill() {
-    let mut bench = Bench::new(silent_failures(), fleet());
-    let errs = |get: &FillAttempt| (get.source == FAILING_PARENT).then_some(AttemptResult::Error);
-    play(&mut bench, 1..60, errs);
+fn non_idempotent_requests_avoid_a_parent_that_failed_a_fill() {
+    let mut harness = Harness::new(settings_without_failure_status(), endpoints());
+    let fails = |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Error);
+    play(&mut harness, 1..60, fails);
     for object in 1000..1100 {
-        bench.next += 1;
-        let write = Request { class: UNSAFE, is_write: true, ..request(bench.next, object) };
-        let get = get_of(&bench.event(Event::Request(write))).expect("an attempt");
-        assert_ne!(get.source, FAILING_PARENT);
-        bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
+        harness.next_id += 1;
+        let write = Request { class: NON_IDEMPOTENT, is_write: true, ..request(harness.next_id, object) };
+        let attempt = attempt_in(&harness.event(Event::Request(write))).expect("an attempt");
+        assert_ne!(attempt.source, FAILING_PARENT);
+        harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     }
 }
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -4,7 +4,7 @@
 //! A digest changes with any decision, to the last bit of the capacities, so a change that is meant to move
 //! decisions records a new snapshot.
 
-use crate::support::{fleet, member, request, settings, CACHE, MS, PARENT, SECOND};
+use crate::support::{endpoint, endpoints, request, settings, CACHE, MS, PARENT, SECOND};
 use dahliatrack::policy::CacheCounts;
 use dahliatrack::spread::next;
 use dahliatrack::*;
@@ -16,8 +16,8 @@
 
 /// An attempt that the stand-in fleet has not answered yet.
 struct Pending {
-    get: FillAttempt,
-    attempt: u8,
+    attempt: FillAttempt,
+    number: u8,
     sent: Instant,
     ends: Instant,
     cancelled: bool,
@@ -30,7 +30,7 @@
     /// Parts of a thousand of attempts that fail in some way.
     failures: u64,
     /// Every request whose number is divided by this errs at every server.
-    hopeless_every: u64,
+    unservable_every: u64,
     /// The mean time between requests.
     pause: Span,
 }
@@ -70,29 +70,29 @@
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
             self.digest.update(format!("{} {}\n", self.now.as_micros(), recorded(&action)));
-            self.take(action);
+            self.apply(action);
         }
     }
 
-    fn take(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         let kind = match action {
-            Action::SendWithFill(get) => {
-                let number = self.attempts.entry(get.request).or_default();
-                let attempt = *number;
+            Action::SendWithFill(attempt) => {
+                let number = self.attempts.entry(attempt.request).or_default();
+                let attempt_number = *number;
                 *number += 1;
                 let slow = self.draw(40) == 0;
-                let lasts = (5 + self.draw(300) as i64) * MS * if slow { 20 } else { 1 };
+                let duration = (5 + self.draw(300) as i64) * MS * if slow { 20 } else { 1 };
                 self.pending.push(Pending {
-                    get,
                     attempt,
+                    number: attempt_number,
                     sent: self.now,
-                    ends: self.now + lasts,
+                    ends: self.now + duration,
                     cancelled: false,
                 });
                 "get"
             }
             Action::Cancel { request, attempt } => {
-                let is_named = |p: &&mut Pending| p.get.request == request && p.attempt == attempt;
+                let is_named = |p: &&mut Pending| p.attempt.request == request && p.number == attempt;
                 if let Some(pending) = self.pending.iter_mut().find(is_named) {
                     pending.ends = self.now;
                     pending.cancelled = true;
@@ -115,75 +115,72 @@
         *self.counts.entry(kind).or_default() += 1;
     }
 
-    fn ask(&mut self, id: u64, classes: u64) {
+    fn send_request(&mut self, id: u64, classes: u64) {
         // A class that is added by a reload is asked for before it, too: the router fails such a request.
         let skewed = self.draw(OBJECTS).min(self.draw(OBJECTS)).min(self.draw(OBJECTS));
         let class = ClassId(self.draw(classes + 1) as u16);
         let size_kb = if self.draw(3) == 0 { 0.0 } else { 10.0 + self.draw(400) as f64 };
         let part = (self.draw(8) == 0).into();
-        let write = self.draw(20) == 0;
-        let patience = (200 + self.draw(5000) as i64) * MS;
+        let is_write = self.draw(20) == 0;
+        let client_timeout = (200 + self.draw(5000) as i64) * MS;
         let group = GroupId((skewed % 7) as u32);
-        let made = Request {
-            class,
-            size_kb,
-            part,
-            is_write: write,
-            client_timeout: patience,
-            group,
-            ..request(id, skewed)
-        };
+        let made = Request { class, size_kb, part, is_write, client_timeout, group, ..request(id, skewed) };
         self.event(Event::Request(made));
     }
 
     /// Answers what has come to its end, each attempt in a way that is drawn.
-    fn answer(&mut self, scenario: &Scenario) {
+    fn end_due_attempts(&mut self, scenario: &Scenario) {
         while let Some(place) = self.pending.iter().position(|p| p.ends <= self.now) {
-            let Pending { get, attempt, sent, cancelled, .. } = self.pending.remove(place);
-            let is_too_late = cancelled && self.draw(4) == 0;
-            let (result, note) = match cancelled && !is_too_late {
+            let Pending { attempt, number, sent, cancelled, .. } = self.pending.remove(place);
+            let ended_before_cancel = cancelled && self.draw(4) == 0;
+            let (result, status) = match cancelled && !ended_before_cancel {
                 true => (AttemptResult::Cancelled, None),
-                false => self.ending(&get, scenario),
+                false => self.draw_outcome(&attempt, scenario),
             };
-            let notes = scenario.settings.limits.cache_status_detail;
-            let told = match (notes, note) {
-                (CacheStatusDetail::Full, note) => note,
+            let detail = scenario.settings.limits.cache_status_detail;
+            let reported = match (detail, status) {
+                (CacheStatusDetail::Full, status) => status,
                 (
                     CacheStatusDetail::Served,
                     Some(
                         CacheStatus::Hit | CacheStatus::Filled | CacheStatus::Collapsed | CacheStatus::Stale,
                     ),
-                ) => note,
+                ) => status,
                 _ => None,
             };
             let elapsed = self.now - sent;
-            let waited = if notes == CacheStatusDetail::Full {
+            let fill_wait = if detail == CacheStatusDetail::Full {
                 elapsed / (2 + self.draw(4) as i64)
             } else {
                 Span::ZERO
             };
-            let sending = if self.draw(2) == 0 { elapsed / 3 } else { Span::ZERO };
+            let transfer_time = if self.draw(2) == 0 { elapsed / 3 } else { Span::ZERO };
             self.event(Event::AttemptEnded(AttemptOutcome {
-                request: get.request,
-                attempt,
-                server: get.server,
+                request: attempt.request,
+                attempt: number,
+                server: attempt.server,
                 result,
-                cache_status: told,
+                cache_status: reported,
                 elapsed,
-                fill_wait: waited,
-                transfer_time: sending,
+                fill_wait,
+                transfer_time,
                 finished: result == AttemptResult::Ok,
                 load_report: vec![],
             }));
         }
     }
 
-    fn ending(&mut self, get: &FillAttempt, scenario: &Scenario) -> (AttemptResult, Option<CacheStatus>) {
+    fn draw_outcome(
+        &mut self,
+        attempt: &FillAttempt,
+        scenario: &Scenario,
+    ) -> (AttemptResult, Option<CacheStatus>) {
         // One cache and one parent are worse than the others for some seconds of every forty.
         let bad_time = (self.now - Instant::ZERO) / (10 * SECOND) % 4 == 1;
-        let bad_server = [get.server, get.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
+        let bad_server =
+            [attempt.server, attempt.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
         let failures = if bad_time && bad_server { 600 } else { scenario.failures };
-        if get.request.0.is_multiple_of(scenario.hopeless_every) {
+        if attempt.request.0.is_multiple_of(scenario.unservable_every) {
             return (AttemptResult::Error, None);
         }
         if self.draw(1000) < failures {
@@ -199,30 +196,30 @@
                 _ => (AttemptResult::Miss, Some(CacheStatus::SourceMiss)),
             };
         }
-        if get.only_if_cached && self.draw(2) == 0 {
+        if attempt.only_if_cached && self.draw(2) == 0 {
             return (AttemptResult::Miss, None);
         }
-        let note = match self.draw(8) {
+        let status = match self.draw(8) {
             0..=3 => CacheStatus::Hit,
             4 => CacheStatus::Filled,
             5 => CacheStatus::FilledByOrigin,
             6 => CacheStatus::Collapsed,
             _ => CacheStatus::Stale,
         };
-        (AttemptResult::Ok, Some(note))
+        (AttemptResult::Ok, Some(status))
     }
 
     fn change_list(&mut self) {
         let listed = [(1, CACHE, 0), (2, CACHE, 0), (3, CACHE, 0), (11, PARENT, 1), (12, PARENT, 1)];
         let (id, kind, zone) = listed[self.draw(5) as usize];
         let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining][self.draw(3) as usize];
-        let up_since = (self.draw(2) == 0).then_some(self.now);
+        let started_at = (self.draw(2) == 0).then_some(self.now);
         let weight = 20.0 + self.draw(100) as f64;
-        let entry = Endpoint { started_at: up_since, state, weight, ..member(id, kind, zone) };
+        let entry = Endpoint { started_at, state, weight, ..endpoint(id, kind, zone) };
         match self.draw(4) {
-            0 => self.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() }),
+            0 => self.event(Event::EndpointList { update: ListUpdate::Full, endpoints: endpoints() }),
             1 => self.event(Event::EndpointList { update: ListUpdate::Failed, endpoints: vec![] }),
-            2 => self.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: fleet() }),
+            2 => self.event(Event::EndpointList { update: ListUpdate::Cached, endpoints: endpoints() }),
             _ => self.event(Event::EndpointList { update: ListUpdate::Delta, endpoints: vec![entry] }),
         }
     }
@@ -236,8 +233,8 @@
 
     /// Adds what each server can be trusted with to the digest, to the last bit.
     fn record_capacities(&mut self) {
-        let CacheCounts { listed, avoided } = self.router.cache_counts();
-        let mut line = format!("({listed}, {avoided})");
+        let CacheCounts { listed, out_of_service } = self.router.cache_counts();
+        let mut line = format!("({listed}, {out_of_service})");
         for (server, capacity) in self.router.capacities(self.now) {
             write!(line, " {}:{:016x}", server.0, capacity.to_bits()).expect("a string takes all");
         }
@@ -299,13 +296,13 @@
 fn play(scenario: &Scenario, seed: u64) -> String {
     let classes = scenario.settings.classes.len() as u64;
     let mut stream = Stream::new(scenario.settings.clone(), seed);
-    stream.event(Event::EndpointList { update: ListUpdate::Full, endpoints: fleet() });
+    stream.event(Event::EndpointList { update: ListUpdate::Full, endpoints: endpoints() });
     for step in 0..STEPS {
         let pause = 1 + stream.draw(2 * scenario.pause.as_micros() as u64) as i64;
         stream.now += Span::from_micros(pause);
         stream.tick();
-        stream.answer(scenario);
-        stream.ask(step as u64 + 1, classes);
+        stream.end_due_attempts(scenario);
+        stream.send_request(step as u64 + 1, classes);
         match stream.draw(400) {
             0 => stream.change_list(),
             1..=3 => {
@@ -318,8 +315,8 @@
             }
             5 => stream.event(Event::RequestCancelled(RequestId(step as u64 + 1))),
             6 => {
-                if let Some(get) = stream.pending.last().map(|p| p.get.clone()) {
-                    let (request, server) = (get.request, get.server);
+                if let Some(attempt) = stream.pending.last().map(|p| p.attempt.clone()) {
+                    let (request, server) = (attempt.request, attempt.server);
                     stream.event(Event::FirstByte { request, attempt: 0, server, elapsed: MS });
                 }
             }
@@ -376,26 +373,26 @@
         name,
         settings,
         failures,
-        hopeless_every: u64::MAX,
+        unservable_every: u64::MAX,
         pause,
     };
     let mut many = usual.clone();
     many.topology.routers = 20;
     many.topology.ordinal = 4;
     many.topology.routers_by_zone = vec![8, 0, 12];
-    let mut mute = usual.clone();
-    mute.limits.cache_status_detail = CacheStatusDetail::None;
-    mute.topology.weights_state_links = false;
-    let mut mute_parallel = mute.clone();
-    mute_parallel.limits.parallel_attempts = true;
+    let mut no_status = usual.clone();
+    no_status.limits.cache_status_detail = CacheStatusDetail::None;
+    no_status.topology.weights_state_links = false;
+    let mut no_status_parallel = no_status.clone();
+    no_status_parallel.limits.parallel_attempts = true;
     let mut served_parallel = usual.clone();
     served_parallel.limits.cache_status_detail = CacheStatusDetail::Served;
     served_parallel.limits.parallel_attempts = true;
-    let mut asked = usual.clone();
-    asked.limits.polls_discovery = true;
-    asked.limits.direct_to_source = true;
-    asked.limits.cancellation = false;
-    asked.limits.retry_after = false;
+    let mut polling = usual.clone();
+    polling.limits.polls_discovery = true;
+    polling.limits.direct_to_source = true;
+    polling.limits.cancellation = false;
+    polling.limits.retry_after = false;
     let mut no_siblings = usual.clone();
     no_siblings.limits.sibling_sources = SiblingSources::None;
     no_siblings.limits.join_fills = false;
@@ -403,11 +400,11 @@
         scenario("notes-all", usual.clone(), 60, 5 * MS),
         scenario("notes-all-busy", usual.clone(), 20, MS),
         scenario("notes-hit-parallel", served_parallel, 80, 4 * MS),
-        scenario("notes-none-unweighed", mute, 60, 3 * MS),
-        scenario("notes-none-parallel", mute_parallel, 150, 3 * MS),
-        Scenario { hopeless_every: 40, ..scenario("errors-everywhere", usual.clone(), 5, 5 * MS) },
+        scenario("notes-none-unweighed", no_status, 60, 3 * MS),
+        scenario("notes-none-parallel", no_status_parallel, 150, 3 * MS),
+        Scenario { unservable_every: 40, ..scenario("errors-everywhere", usual.clone(), 5, 5 * MS) },
         scenario("many-routers", many, 60, 4 * MS),
-        scenario("asked-direct-no-cancel", asked, 100, 5 * MS),
+        scenario("asked-direct-no-cancel", polling, 100, 5 * MS),
         scenario("no-siblings", no_siblings, 300, 6 * MS),
     ]
 }
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -4,35 +4,38 @@
 use dahliatrack::*;
 
 #[test]
-fn only_the_objects_of_a_lost_home_move() {
-    let mut bench = Bench::new(settings(), fleet());
-    let before: Vec<ServerId> = (1..60).map(|object| bench.served(object).server).collect();
-    bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..member(2, CACHE, 0) }]);
+fn removing_a_cache_moves_only_its_own_objects() {
+    let mut harness = Harness::new(settings(), endpoints());
+    let before: Vec<ServerId> = (1..60).map(|object| harness.serve(object).server).collect();
+    harness.update_endpoints(
+        ListUpdate::Delta,
+        vec![Endpoint { state: ServerState::Removed, ..endpoint(2, CACHE, 0) }],
+    );
     for (object, home) in (1..60).zip(before) {
-        let now = bench.served(object).server;
+        let now = harness.serve(object).server;
         assert!(now == home || home.0 == 2, "object {object} left {home:?} for {now:?}");
         assert_ne!(now.0, 2);
     }
 }
 
 #[test]
-fn a_cell_lost_at_once_leaves_the_rest_in_use() {
+fn losing_a_whole_cell_leaves_the_other_cell_in_use() {
     let caches = |cell, ids: std::ops::RangeInclusive<u32>| {
-        ids.map(move |id| Endpoint { cell, ..member(id, CACHE, 0) }).collect::<Vec<_>>()
+        ids.map(move |id| Endpoint { cell, ..endpoint(id, CACHE, 0) }).collect::<Vec<_>>()
     };
     let mut list = [caches(1, 1..=4), caches(2, 5..=6)].concat();
-    list.extend([member(11, PARENT, 1), member(21, ORIGIN, 1)]);
-    let mut bench = Bench::new(settings(), list);
+    list.extend([endpoint(11, PARENT, 1), endpoint(21, ORIGIN, 1)]);
+    let mut harness = Harness::new(settings(), list);
     let mut served = 0;
     for object in 1..40 {
-        bench.now += 50 * MS;
-        let (_, mut actions) = bench.ask(object);
-        for attempt in 0.. {
-            let Some(get) = get_of(&actions) else { break };
-            let lost = get.server.0 <= 4;
+        harness.now += 50 * MS;
+        let (_, mut actions) = harness.send_request(object);
+        for number in 0.. {
+            let Some(attempt) = attempt_in(&actions) else { break };
+            let lost = attempt.server.0 <= 4;
             served += u32::from(!lost && object > 20);
             let result = if lost { AttemptResult::ConnectFailed } else { AttemptResult::Ok };
-            actions = bench.end(&get, attempt, result, Some(CacheStatus::Hit).filter(|_| !lost));
+            actions = harness.end_attempt(&attempt, number, result, Some(CacheStatus::Hit).filter(|_| !lost));
         }
     }
     assert!(served >= 18, "{served} of the last 19 served by the other cell");
@@ -40,16 +43,16 @@
 
 #[test]
 fn a_silent_cache_is_ejected_and_its_attempts_are_retried_elsewhere() {
-    let mut bench = Bench::new(settings(), fleet());
-    let home = bench.served(7).server;
-    let waiting = [bench.get(7), bench.get(7)];
-    let actions = bench.pass(900 * MS);
-    for get in &waiting {
-        assert!(actions.contains(&Action::Cancel { request: get.request, attempt: 0 }), "{actions:?}");
-        let again = bench.end(get, 0, AttemptResult::Cancelled, None);
-        assert_ne!(get_of(&again).expect("sent elsewhere").server, home);
+    let mut harness = Harness::new(settings(), endpoints());
+    let home = harness.serve(7).server;
+    let waiting = [harness.first_attempt(7), harness.first_attempt(7)];
+    let actions = harness.advance(900 * MS);
+    for attempt in &waiting {
+        assert!(actions.contains(&Action::Cancel { request: attempt.request, attempt: 0 }), "{actions:?}");
+        let again = harness.end_attempt(attempt, 0, AttemptResult::Cancelled, None);
+        assert_ne!(attempt_in(&again).expect("sent elsewhere").server, home);
     }
-    assert_ne!(bench.get(7).server, home);
+    assert_ne!(harness.first_attempt(7).server, home);
     let refusals = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert_eq!(refusals, 0);
 }
@@ -58,86 +61,98 @@
 fn with_parallel_attempts_an_overdue_one_is_hedged() {
     let mut parallel = settings();
     parallel.limits.parallel_attempts = true;
-    let mut bench = Bench::new(parallel, fleet());
-    let home = bench.served(7).server;
-    let first = bench.get(7);
-    bench.get(7);
-    let actions = bench.pass(900 * MS);
-    let second = get_of(&actions).expect("a double");
+    let mut harness = Harness::new(parallel, endpoints());
+    let home = harness.serve(7).server;
+    let first = harness.first_attempt(7);
+    harness.first_attempt(7);
+    let actions = harness.advance(900 * MS);
+    let second = attempt_in(&actions).expect("a double");
     assert_ne!(second.server, home);
-    let over = bench.end(&second, 1, AttemptResult::Ok, Some(CacheStatus::Filled));
-    assert_eq!(over, [Action::Cancel { request: first.request, attempt: 0 }], "the loser is called off");
+    let actions = harness.end_attempt(&second, 1, AttemptResult::Ok, Some(CacheStatus::Filled));
+    assert_eq!(actions, [Action::Cancel { request: first.request, attempt: 0 }], "the loser is called off");
 }
 
 #[test]
-fn a_silent_parent_is_distinguished_from_its_caches() {
-    let mut bench = Bench::new(settings(), fleet());
+fn a_silent_parent_is_ejected_and_its_caches_are_not() {
+    let mut harness = Harness::new(settings(), endpoints());
     let mut waiting = Vec::new();
     for object in 1..40 {
-        let get = bench.get(object);
-        if get.source.0 == 11 {
-            waiting.push(get);
+        let attempt = harness.first_attempt(object);
+        if attempt.source.0 == 11 {
+            waiting.push(attempt);
         } else {
-            bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
+            harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
         }
     }
-    bench.pass(860 * MS);
-    assert!((100..140).all(|object| bench.served(object).source.0 != 11));
-    let servers: Vec<u32> = (200..240).map(|object| bench.served(object).server.0).collect();
+    harness.advance(860 * MS);
+    assert!((100..140).all(|object| harness.serve(object).source.0 != 11));
+    let servers: Vec<u32> = (200..240).map(|object| harness.serve(object).server.0).collect();
     assert!((1..=3).all(|id| servers.contains(&id)), "no cache was blamed: {servers:?}");
-    let again = get_of(&bench.end(&waiting[0], 0, AttemptResult::Cancelled, None)).expect("sent again");
+    let again =
+        attempt_in(&harness.end_attempt(&waiting[0], 0, AttemptResult::Cancelled, None)).expect("sent again");
     assert_eq!((again.server, again.source.0, again.join_fill), (waiting[0].server, 12, false));
 }
 
 #[test]
 fn a_failed_connection_ejects_a_cache_until_a_probe_succeeds() {
-    let mut bench = Bench::new(settings(), fleet());
-    let get = bench.get(7);
-    let again = get_of(&bench.end(&get, 0, AttemptResult::ConnectFailed, None)).expect("sent elsewhere");
-    assert_ne!(again.server, get.server);
-    assert_ne!(bench.served(7).server, get.server);
-    bench.now += SECOND;
+    let mut harness = Harness::new(settings(), endpoints());
+    let attempt = harness.first_attempt(7);
+    let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::ConnectFailed, None))
+        .expect("sent elsewhere");
+    assert_ne!(again.server, attempt.server);
+    assert_ne!(harness.serve(7).server, attempt.server);
+    harness.now += SECOND;
     // Its share of objects is small while its latency deviates, so the probe comes with another object.
-    let trial = (300..900).map(|object| bench.get(object)).find(|g| g.server == get.server);
-    let trial = trial.expect("one trial");
-    assert!((900..1200).all(|object| bench.get(object).server != get.server), "one at a time");
-    bench.end(&trial, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
-    assert!((1200..1500).any(|object| get_of(&bench.ask(object).1).is_some_and(|g| g.server == get.server)));
+    let probe = (300..900).map(|object| harness.first_attempt(object)).find(|g| g.server == attempt.server);
+    let probe = probe.expect("one probe");
+    assert!(
+        (900..1200).all(|object| harness.first_attempt(object).server != attempt.server),
+        "one at a time"
+    );
+    harness.end_attempt(&probe, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
+    assert!((1200..1500).any(
+        |object| attempt_in(&harness.send_request(object).1).is_some_and(|g| g.server == attempt.server)
+    ));
 }
 
 #[test]
-fn the_fetch_limit_falls_with_a_slow_origin_and_rises_with_a_fast_one() {
-    let at_once = |bench: &mut Bench| {
-        let gets: Vec<FillAttempt> =
-            (1000..1100).map(|object| bench.get(object)).take_while(|get| !get.only_if_cached).collect();
-        gets.iter().for_each(|get| drop(bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Filled))));
-        gets.len()
+fn the_fetch_limit_follows_the_speed_of_the_origin() {
+    let at_once = |harness: &mut Harness| {
+        let attempts: Vec<FillAttempt> = (1000..1100)
+            .map(|object| harness.first_attempt(object))
+            .take_while(|attempt| !attempt.only_if_cached)
+            .collect();
+        attempts.iter().for_each(|attempt| {
+            drop(harness.end_attempt(attempt, 0, AttemptResult::Ok, Some(CacheStatus::Filled)))
+        });
+        attempts.len()
     };
-    let mut bench = Bench::new(settings(), fleet());
-    let first = at_once(&mut bench);
-    let mut run = |waited: Span| {
+    let mut harness = Harness::new(settings(), endpoints());
+    let first = at_once(&mut harness);
+    let mut run = |fill_wait: Span| {
         for object in 1..100 {
-            bench.now += 50 * MS;
-            let gets: Vec<FillAttempt> = (0..9).map(|i| bench.get(2000 + 10 * object + i)).collect();
-            for get in gets.iter().filter(|get| !get.only_if_cached) {
-                bench.event(Event::AttemptEnded(AttemptOutcome {
-                    request: get.request,
+            harness.now += 50 * MS;
+            let attempts: Vec<FillAttempt> =
+                (0..9).map(|i| harness.first_attempt(2000 + 10 * object + i)).collect();
+            for attempt in attempts.iter().filter(|attempt| !attempt.only_if_cached) {
+                harness.event(Event::AttemptEnded(AttemptOutcome {
+                    request: attempt.request,
                     attempt: 0,
-                    server: get.server,
+                    server: attempt.server,
                     result: AttemptResult::Ok,
                     cache_status: Some(CacheStatus::FilledByOrigin),
-                    elapsed: waited + 100 * MS,
-                    fill_wait: waited,
+                    elapsed: fill_wait + 100 * MS,
+                    fill_wait,
                     transfer_time: Span::ZERO,
                     finished: true,
                     load_report: vec![],
                 }));
             }
-            for get in gets.iter().filter(|get| get.only_if_cached) {
-                bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
+            for attempt in attempts.iter().filter(|attempt| attempt.only_if_cached) {
+                harness.end_attempt(attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
             }
         }
-        at_once(&mut bench)
+        at_once(&mut harness)
     };
     let (slow, quick) = (run(550 * MS), run(50 * MS));
     assert!(2 * slow < first && quick >= first, "{first} at first, {slow} slow, {quick} quick");
@@ -145,27 +160,27 @@
 
 #[test]
 fn a_slow_hub_parent_is_replaced_by_a_farther_one() {
-    let mut one = fleet();
+    let mut one = endpoints();
     one.retain(|m| m.server.0 != 12);
-    one.push(member(13, PARENT, 2));
-    let mut bench = Bench::new(settings(), one);
+    one.push(endpoint(13, PARENT, 2));
+    let mut harness = Harness::new(settings(), one);
     let mut last = Vec::new();
     for object in 1..400 {
-        let get = bench.get(object);
-        let waited = if get.source.0 == 11 { 400 * MS } else { 30 * MS };
-        bench.event(Event::AttemptEnded(AttemptOutcome {
-            request: get.request,
+        let attempt = harness.first_attempt(object);
+        let fill_wait = if attempt.source.0 == 11 { 400 * MS } else { 30 * MS };
+        harness.event(Event::AttemptEnded(AttemptOutcome {
+            request: attempt.request,
             attempt: 0,
-            server: get.server,
+            server: attempt.server,
             result: AttemptResult::Ok,
             cache_status: Some(CacheStatus::Filled),
             elapsed: 110 * MS,
-            fill_wait: waited,
+            fill_wait,
             transfer_time: Span::ZERO,
             finished: true,
             load_report: vec![],
         }));
-        last.push(get.source.0);
+        last.push(attempt.source.0);
     }
     let far = last[350..].iter().filter(|source| **source == 13).count();
     assert!(far > 40, "{far} of the last 49");
@@ -173,95 +188,99 @@
 }
 
 /// One answer that can't be read ends a connection with all that is open on it. That used to shut the cache, which
-/// crowded the others and got their requests refused.
+/// crowded the others and got their requests rejected.
 #[test]
-fn a_broken_connection_counts_once_and_its_requests_stay_where_the_copies_are() {
-    let mut bench = Bench::new(settings(), fleet());
-    let home = bench.served(7).server;
-    let open: Vec<FillAttempt> = (300..340).map(|object| bench.get(object)).collect();
+fn a_broken_connection_counts_once_and_is_retried_in_place() {
+    let mut harness = Harness::new(settings(), endpoints());
+    let home = harness.serve(7).server;
+    let open: Vec<FillAttempt> = (300..340).map(|object| harness.first_attempt(object)).collect();
     let (lost, others): (Vec<FillAttempt>, Vec<FillAttempt>) =
-        open.into_iter().partition(|get| get.server == home);
+        open.into_iter().partition(|attempt| attempt.server == home);
     assert!(lost.len() > 4);
     let again: Vec<FillAttempt> = lost
         .iter()
-        .map(|get| get_of(&bench.end(get, 0, AttemptResult::Reset, None)).expect("it is sent again"))
+        .map(|attempt| {
+            attempt_in(&harness.end_attempt(attempt, 0, AttemptResult::Reset, None))
+                .expect("it is sent again")
+        })
         .collect();
-    for (get, again) in lost.iter().zip(&again) {
-        assert_eq!((again.server, again.source), (get.server, get.source), "neither is to blame");
+    for (attempt, again) in lost.iter().zip(&again) {
+        assert_eq!((again.server, again.source), (attempt.server, attempt.source), "neither is to blame");
     }
-    assert_eq!(bench.served(7).server, home, "and new ones come, too");
-    let elsewhere = get_of(&bench.end(&again[0], 1, AttemptResult::Reset, None)).expect("elsewhere");
+    assert_eq!(harness.serve(7).server, home, "and new ones come, too");
+    let elsewhere =
+        attempt_in(&harness.end_attempt(&again[0], 1, AttemptResult::Reset, None)).expect("elsewhere");
     assert_ne!(elsewhere.server, home, "what breaks twice there is not asked for there a third time");
-    for get in &others {
-        bench.end(get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
+    for attempt in &others {
+        harness.end_attempt(attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     }
     // One that breaks again and again is shut all the same.
     for object in 400..460 {
-        let get = bench.get(object);
-        bench.now += 10 * MS;
-        let result = if get.server == home { AttemptResult::Reset } else { AttemptResult::Ok };
-        bench.end(&get, 0, result, None);
+        let attempt = harness.first_attempt(object);
+        harness.now += 10 * MS;
+        let result = if attempt.server == home { AttemptResult::Reset } else { AttemptResult::Ok };
+        harness.end_attempt(&attempt, 0, result, None);
     }
-    assert!((460..500).all(|object| bench.get(object).server != home));
+    assert!((460..500).all(|object| harness.first_attempt(object).server != home));
 }
 
 /// A client that sends requests that no cache can serve used to get every cache ejected, and the fetch limit lowered.
 #[test]
-fn errors_everywhere_are_the_requests_fault_and_count_against_no_cache() {
-    let mut bench = Bench::new(settings(), fleet());
+fn errors_at_every_cache_count_against_no_cache() {
+    let mut harness = Harness::new(settings(), endpoints());
     for object in 100..200 {
-        bench.served(object);
+        harness.serve(object);
     }
     for bad in 0..20 {
-        let (_, mut actions) = bench.ask(bad);
+        let (_, mut actions) = harness.send_request(bad);
         let mut attempts = 0;
-        while let Some(get) = get_of(&actions) {
-            actions = bench.end(&get, attempts, AttemptResult::Error, None);
+        while let Some(attempt) = attempt_in(&actions) {
+            actions = harness.end_attempt(&attempt, attempts, AttemptResult::Error, None);
             attempts += 1;
         }
-        assert!(attempts <= 3 && refused(&actions).is_some(), "three have said so: {actions:?}");
+        assert!(attempts <= 3 && retry_after_in(&actions).is_some(), "three have said so: {actions:?}");
     }
-    let homes: std::collections::BTreeSet<ServerId> = (100..200).map(|o| bench.served(o).server).collect();
+    let homes: std::collections::BTreeSet<ServerId> = (100..200).map(|o| harness.serve(o).server).collect();
     assert_eq!(homes.len(), 3);
-    assert!((200..300).all(|object| !bench.served(object).only_if_cached), "and fills go on");
+    assert!((200..300).all(|object| !harness.serve(object).only_if_cached), "and fills go on");
 }
 
 /// With its share of the objects small while it is ejected, a cache waited for its probe for many seconds.
 #[test]
-fn an_ejected_cache_is_probed_with_the_next_of_its_own_objects() {
-    let mut bench = Bench::new(settings(), fleet());
-    let (home, own) = (bench.served(7).server, 7);
-    let get = bench.get(own);
-    bench.end(&get, 0, AttemptResult::ConnectFailed, None);
-    assert_ne!(bench.served(own).server, home);
-    bench.now += SECOND;
-    assert_eq!(bench.get(own).server, home);
+fn an_ejected_cache_is_probed_with_its_next_own_object() {
+    let mut harness = Harness::new(settings(), endpoints());
+    let (home, own) = (harness.serve(7).server, 7);
+    let attempt = harness.first_attempt(own);
+    harness.end_attempt(&attempt, 0, AttemptResult::ConnectFailed, None);
+    assert_ne!(harness.serve(own).server, home);
+    harness.now += SECOND;
+    assert_eq!(harness.first_attempt(own).server, home);
 }
 
 /// With caches replaced all day long, what is kept of each that has gone would grow for good.
 #[test]
 fn a_removed_server_is_forgotten_once_nothing_is_in_flight_there() {
-    let mut bench = Bench::new(settings(), fleet());
-    let get = bench.get(7);
-    let home = fleet().into_iter().find(|m| m.server == get.server).expect("it is listed");
-    bench.list(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..home }]);
-    bench.pass(2 * SECOND);
-    assert_eq!(bench.router.capacities(Instant::ZERO).len(), fleet().len(), "its attempt is still out");
-    bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
-    bench.get(8);
-    bench.pass(2 * SECOND);
-    assert_eq!(bench.router.capacities(Instant::ZERO).len(), fleet().len() - 1);
+    let mut harness = Harness::new(settings(), endpoints());
+    let attempt = harness.first_attempt(7);
+    let home = endpoints().into_iter().find(|m| m.server == attempt.server).expect("it is listed");
+    harness.update_endpoints(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..home }]);
+    harness.advance(2 * SECOND);
+    assert_eq!(harness.router.capacities(Instant::ZERO).len(), endpoints().len(), "its attempt is still out");
+    harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
+    harness.first_attempt(8);
+    harness.advance(2 * SECOND);
+    assert_eq!(harness.router.capacities(Instant::ZERO).len(), endpoints().len() - 1);
 }
 
 /// Where all answers take long for a while (a shared link is full), two that are out as long as others were are no sign
 /// that their cache is silent: each such closing moved homes and made more fills (500 in a calm day of 25 s).
 #[test]
 fn attempts_within_the_usual_time_do_not_make_a_cache_silent() {
-    let mut bench = Bench::new(settings(), fleet());
-    let answer = |bench: &mut Bench, get: &FillAttempt, elapsed| {
-        let (request, server) = (get.request, get.server);
+    let mut harness = Harness::new(settings(), endpoints());
+    let answer = |harness: &mut Harness, attempt: &FillAttempt, elapsed| {
+        let (request, server) = (attempt.request, attempt.server);
         let (result, note, load) = (AttemptResult::Ok, Some(CacheStatus::Filled), vec![]);
-        let (waited, sending, finished) = (SECOND, 100 * MS, true);
+        let (fill_wait, sending, finished) = (SECOND, 100 * MS, true);
         let outcome = AttemptOutcome {
             request,
             attempt: 0,
@@ -269,24 +288,24 @@
             result,
             cache_status: note,
             elapsed,
-            fill_wait: waited,
+            fill_wait,
             transfer_time: sending,
             finished,
             load_report: load,
         };
-        bench.event(Event::AttemptEnded(outcome));
+        harness.event(Event::AttemptEnded(outcome));
     };
     for object in 0..60 {
-        let get = bench.get(object);
-        answer(&mut bench, &get, 1500 * MS + (object % 5) as i64 * 100 * MS);
+        let attempt = harness.first_attempt(object);
+        answer(&mut harness, &attempt, 1500 * MS + (object % 5) as i64 * 100 * MS);
     }
     let silent = |actions: &[Action]| {
         actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("silent")))
     };
     for object in 100..112 {
-        let (_, actions) = bench.open(object, 0.0);
-        assert!(get_of(&actions).is_some());
+        let (_, actions) = harness.send_request_of_size(object, 0.0);
+        assert!(attempt_in(&actions).is_some());
     }
-    assert!(!silent(&bench.pass(1700 * MS)), "others took as long");
-    assert!(silent(&bench.pass(3 * SECOND)), "by then they are silent");
+    assert!(!silent(&harness.advance(1700 * MS)), "others took as long");
+    assert!(silent(&harness.advance(3 * SECOND)), "by then they are silent");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -12,95 +12,96 @@
 }
 
 /// Plays routers that share a warming server for ten seconds; returns the times (ms) of the requests that reached it.
-fn sent_while_warming(routers: u32, list: &[Endpoint], warming: u32, source: bool) -> Vec<i64> {
-    let mut told = settings();
-    told.topology.routers = routers;
-    told.topology.routers_by_zone = vec![routers, 0, 0];
-    let mut all: Vec<Bench> =
-        (0..routers).map(|ordinal| Bench::new(with_ordinal(&told, ordinal), list.to_vec())).collect();
+fn sent_while_warming(routers: u32, list: &[Endpoint], warming: u32, as_source: bool) -> Vec<i64> {
+    let mut custom = settings();
+    custom.topology.routers = routers;
+    custom.topology.routers_by_zone = vec![routers, 0, 0];
+    let mut all: Vec<Harness> =
+        (0..routers).map(|ordinal| Harness::new(with_ordinal(&custom, ordinal), list.to_vec())).collect();
     let mut sent = Vec::new();
     for step in 0..40 {
-        for (ordinal, bench) in all.iter_mut().enumerate() {
-            bench.now = Instant::ZERO + step * 250 * MS + ordinal as i64 % 250 * MS;
-            let (_, actions) = bench.ask(1 + step as u64 * 1000 + ordinal as u64);
-            let Some(get) = get_of(&actions) else { continue };
-            if get.server.0 == warming || (source && get.source.0 == warming) {
-                sent.push((bench.now - Instant::ZERO) / MS);
+        for (ordinal, harness) in all.iter_mut().enumerate() {
+            harness.now = Instant::ZERO + step * 250 * MS + ordinal as i64 % 250 * MS;
+            let (_, actions) = harness.send_request(1 + step as u64 * 1000 + ordinal as u64);
+            let Some(attempt) = attempt_in(&actions) else { continue };
+            if attempt.server.0 == warming || (as_source && attempt.source.0 == warming) {
+                sent.push((harness.now - Instant::ZERO) / MS);
             }
-            bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
+            harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
         }
     }
     sent
 }
 
 /// Most seconds of sending (0.1 s a request) in any span of a second, over what a warming server can take then.
-fn most_of_the_budget(sent: &[i64], floor: f64, weight: f64) -> f64 {
+fn peak_budget_use(sent: &[i64], initial_share: f64, weight: f64) -> f64 {
     let in_span = |from: i64| sent.iter().filter(|at| (from..from + 1000).contains(*at)).count() as f64;
-    let bears = |from: i64| 2.0 * weight * (floor + (1.0 - floor) * from as f64 / 10_000.0);
-    sent.iter().map(|from| in_span(*from) * 0.1 / bears(*from)).fold(0.0, f64::max)
+    let capacity =
+        |from: i64| 2.0 * weight * (initial_share + (1.0 - initial_share) * from as f64 / 10_000.0);
+    sent.iter().map(|from| in_span(*from) * 0.1 / capacity(*from)).fold(0.0, f64::max)
 }
 
 #[test]
-fn one_four_and_many_routers_keep_a_warming_servers_budget_and_use_it() {
+fn one_to_240_routers_keep_within_a_warm_up_budget_and_use_it() {
     for routers in [1, 4, 240] {
         let warming = |server, kind, zone| Endpoint {
             started_at: Some(Instant::ZERO),
             weight: 10.0,
-            ..member(server, kind, zone)
+            ..endpoint(server, kind, zone)
         };
         let parents =
-            [member(1, CACHE, 0), warming(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)];
+            [endpoint(1, CACHE, 0), warming(11, PARENT, 1), endpoint(12, PARENT, 1), endpoint(21, ORIGIN, 1)];
         let sent = sent_while_warming(routers, &parents, 11, true);
-        let most = most_of_the_budget(&sent, 0.1, 10.0);
+        let peak = peak_budget_use(&sent, 0.1, 10.0);
         assert!(
-            !sent.is_empty() && most <= 1.0,
-            "parent, {routers} routers: {} sends, {most:.2}",
+            !sent.is_empty() && peak <= 1.0,
+            "parent, {routers} routers: {} sends, {peak:.2}",
             sent.len()
         );
         let caches =
-            [warming(1, CACHE, 0), member(2, CACHE, 0), member(11, PARENT, 1), member(21, ORIGIN, 1)];
+            [warming(1, CACHE, 0), endpoint(2, CACHE, 0), endpoint(11, PARENT, 1), endpoint(21, ORIGIN, 1)];
         let sent = sent_while_warming(routers, &caches, 1, false);
-        let most = most_of_the_budget(&sent, 0.25, 10.0);
-        assert!(!sent.is_empty() && most <= 1.0, "cache, {routers} routers: {} sends, {most:.2}", sent.len());
+        let peak = peak_budget_use(&sent, 0.25, 10.0);
+        assert!(!sent.is_empty() && peak <= 1.0, "cache, {routers} routers: {} sends, {peak:.2}", sent.len());
     }
 }
 
 #[test]
-fn a_warming_cache_gets_no_more_than_its_budget_within_a_window() {
-    let mut warming = member(1, CACHE, 0);
+fn a_warming_cache_gets_at_most_its_budget_in_a_window() {
+    let mut warming = endpoint(1, CACHE, 0);
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 10.0);
-    let mut bench = Bench::new(settings(), vec![warming, member(21, ORIGIN, 1)]);
+    let mut harness = Harness::new(settings(), vec![warming, endpoint(21, ORIGIN, 1)]);
     // 2 x (0.25 of 10) transfers x 1 s = 5 s of sending may reach it; means start at the target, 0.6 s.
-    let sent = (0..100).filter(|object| get_of(&bench.ask(100 + object).1).is_some()).count();
+    let sent = (0..100).filter(|object| attempt_in(&harness.send_request(100 + object).1).is_some()).count();
     assert!((1..=50).contains(&sent), "{sent} of 0.1 s each");
     let before = sent;
-    bench.now += SECOND + MICROSECOND;
-    assert!(get_of(&bench.ask(7).1).is_some(), "the span has passed, {before} before");
+    harness.now += SECOND + MICROSECOND;
+    assert!(attempt_in(&harness.send_request(7).1).is_some(), "the span has passed, {before} before");
 }
 
 #[test]
-fn a_warming_parents_budget_is_divided_by_all_routers_and_counts_possible_fills() {
-    let mut warming = member(11, PARENT, 1);
+fn a_warming_parents_budget_is_shared_and_counts_possible_fills() {
+    let mut warming = endpoint(11, PARENT, 1);
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 20.0);
-    let mut bench = Bench::new(settings(), vec![member(1, CACHE, 0), warming, member(12, PARENT, 1)]);
-    let named = (0..400).filter(|object| bench.served(*object).source.0 == 11).count();
+    let mut harness = Harness::new(settings(), vec![endpoint(1, CACHE, 0), warming, endpoint(12, PARENT, 1)]);
+    let fills = (0..400).filter(|object| harness.serve(*object).source.0 == 11).count();
     // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at the most, each fill 0.1 s and more.
-    assert!(named > 0 && named <= 20, "{named}");
+    assert!(fills > 0 && fills <= 20, "{fills}");
 }
 
 /// Two processes of one router would else spend a warming cache's budget twice.
 #[test]
-fn processes_that_serve_as_one_router_share_a_warming_caches_budget() {
+fn processes_of_one_router_share_a_warming_caches_budget() {
     let sent = |processes: u32| -> usize {
-        let mut list = fleet();
+        let mut list = endpoints();
         list.retain(|m| m.kind != CACHE || m.server == ServerId(1));
-        let mut bench = Bench::new(settings(), list.clone());
-        bench.now = Instant::ZERO + SECOND;
-        list[0].started_at = Some(bench.now);
-        bench.list(ListUpdate::Delta, vec![list[0]]);
-        bench.router.set_process_share(processes, 0);
+        let mut harness = Harness::new(settings(), list.clone());
+        harness.now = Instant::ZERO + SECOND;
+        list[0].started_at = Some(harness.now);
+        harness.update_endpoints(ListUpdate::Delta, vec![list[0]]);
+        harness.router.set_process_share(processes, 0);
         let large = |id| Event::Request(Request { size_kb: 1000.0, ..request(id, id) });
-        (0..200).filter(|id| get_of(&bench.event(large(*id))).is_some()).count()
+        (0..200).filter(|id| attempt_in(&harness.event(large(*id))).is_some()).count()
     };
     let (alone, shared) = (sent(1), sent(2));
     assert!(shared > 0 && 2 * shared <= alone, "{alone} alone, {shared} shared");
@@ -130,35 +131,35 @@
         let mut fleet_settings = settings();
         fleet_settings.topology.routers = count;
         fleet_settings.topology.routers_by_zone = vec![count, 0, 0];
-        let told = |ordinal| with_ordinal(&fleet_settings, if self.undivided { 0 } else { ordinal });
+        let settings_of = |ordinal| with_ordinal(&fleet_settings, if self.undivided { 0 } else { ordinal });
         let warming = Endpoint { started_at: Some(self.starts), ..self.server };
-        let mut list = fleet();
+        let mut list = endpoints();
         list.retain(|known| known.server != warming.server && known.kind != warming.kind);
         list.push(Endpoint { server: ServerId(warming.server.0 + 1), started_at: None, ..warming });
         let mut sends = Vec::new();
         for ordinal in 0..self.routers {
             let mut random = ChaCha8Rng::seed_from_u64(seed << 8 | u64::from(ordinal));
-            let mut bench = Bench::new(told(ordinal), list.clone());
+            let mut harness = Harness::new(settings_of(ordinal), list.clone());
             let busy = if ordinal == 0 { 4.0 } else { 1.0 };
             let mut listed = false;
             loop {
-                let burst = if bench.now >= self.burst { 3.0 } else { 1.0 };
+                let burst = if harness.now >= self.burst { 3.0 } else { 1.0 };
                 let rate = 60.0 * busy * burst / f64::from(self.routers);
                 let gap = -random.random_range(f64::EPSILON..1.0_f64).ln() / rate;
-                bench.now += Span::from_micros_f64(gap * SECOND.as_micros_f64()) + MICROSECOND;
-                if bench.now > Instant::ZERO + FLEET_SECONDS * SECOND {
+                harness.now += Span::from_micros_f64(gap * SECOND.as_micros_f64()) + MICROSECOND;
+                if harness.now > Instant::ZERO + FLEET_SECONDS * SECOND {
                     break;
                 }
-                if !listed && bench.now >= self.starts {
-                    bench.list(ListUpdate::Delta, vec![warming]);
+                if !listed && harness.now >= self.starts {
+                    harness.update_endpoints(ListUpdate::Delta, vec![warming]);
                     listed = true;
                 }
-                let (_, actions) = bench.ask(random.random_range(0..10_000));
-                let Some(get) = get_of(&actions) else { continue };
-                if get.server == warming.server || get.source == warming.server {
-                    sends.push(bench.now);
+                let (_, actions) = harness.send_request(random.random_range(0..10_000));
+                let Some(attempt) = attempt_in(&actions) else { continue };
+                if attempt.server == warming.server || attempt.source == warming.server {
+                    sends.push(harness.now);
                 }
-                bench.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
+                harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
             }
         }
         sends.sort_unstable();
@@ -190,8 +191,8 @@
 
 /// Caches that join or restart, and parents that fill, under a burst.
 fn warming_fleets(routers: u32, undivided: bool) -> Vec<WarmingFleet> {
-    let cache = Endpoint { weight: 1.0, ..member(1, CACHE, 0) };
-    let parent = Endpoint { weight: 2.0, ..member(11, PARENT, 1) };
+    let cache = Endpoint { weight: 1.0, ..endpoint(1, CACHE, 0) };
+    let parent = Endpoint { weight: 2.0, ..endpoint(11, PARENT, 1) };
     let with = |server, starts, burst| {
         let (starts, burst) = (Instant::ZERO + starts, Instant::ZERO + burst);
         WarmingFleet { routers, server, starts, burst, undivided }
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn the_whole_fleet_keeps_a_warming_servers_budget_however_unequal_its_routers_are() {
+fn routers_of_unequal_load_keep_within_a_warm_up_budget() {
     for routers in [5, 20, 30] {
         for (case, fleet) in warming_fleets(routers, false).iter().enumerate() {
             for seed in 0..5 {
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -78,7 +78,7 @@
     }
 }
 
-pub fn member(server: u32, kind: u16, zone: u16) -> Endpoint {
+pub fn endpoint(server: u32, kind: u16, zone: u16) -> Endpoint {
     let state = ServerState::Ready;
     Endpoint {
         server: ServerId(server),
@@ -92,9 +92,14 @@
 }
 
 /// Three caches of the own location, one of another, two hub parents, the origin.
-pub fn fleet() -> Vec<Endpoint> {
-    let mut all: Vec<Endpoint> = (1..=3).map(|id| member(id, CACHE, 0)).collect();
-    all.extend([member(9, CACHE, 2), member(11, PARENT, 1), member(12, PARENT, 1), member(21, ORIGIN, 1)]);
+pub fn endpoints() -> Vec<Endpoint> {
+    let mut all: Vec<Endpoint> = (1..=3).map(|id| endpoint(id, CACHE, 0)).collect();
+    all.extend([
+        endpoint(9, CACHE, 2),
+        endpoint(11, PARENT, 1),
+        endpoint(12, PARENT, 1),
+        endpoint(21, ORIGIN, 1),
+    ]);
     all
 }
 
@@ -113,21 +118,21 @@
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub router: Router,
     pub now: Instant,
-    pub next: u64,
+    pub next_id: u64,
 }
 
-impl Bench {
-    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
-        let mut bench = Bench {
+impl Harness {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        let mut harness = Harness {
             router: Router::new(settings, 1, Instant::ZERO).expect("usable"),
             now: Instant::ZERO,
-            next: 0,
+            next_id: 0,
         };
-        bench.list(ListUpdate::Full, members);
-        bench
+        harness.update_endpoints(ListUpdate::Full, endpoints);
+        harness
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
@@ -136,41 +141,41 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListUpdate, entries: Vec<Endpoint>) {
-        self.event(Event::EndpointList { update: kind, endpoints: entries });
+    pub fn update_endpoints(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
+        self.event(Event::EndpointList { update, endpoints });
     }
 
-    pub fn ask(&mut self, object: u64) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = request(self.next, object);
+    pub fn send_request(&mut self, object: u64) -> (RequestId, Vec<Action>) {
+        self.next_id += 1;
+        let request = request(self.next_id, object);
         (request.id, self.event(Event::Request(request)))
     }
 
     /// Asks for an object whose size (KB) is told, or not (0).
-    pub fn open(&mut self, object: u64, size_kb: f64) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = Request { size_kb, ..request(self.next, object) };
+    pub fn send_request_of_size(&mut self, object: u64, size_kb: f64) -> (RequestId, Vec<Action>) {
+        self.next_id += 1;
+        let request = Request { size_kb, ..request(self.next_id, object) };
         (request.id, self.event(Event::Request(request)))
     }
 
-    pub fn get(&mut self, object: u64) -> FillAttempt {
-        let (_, actions) = self.ask(object);
-        get_of(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
+    pub fn first_attempt(&mut self, object: u64) -> FillAttempt {
+        let (_, actions) = self.send_request(object);
+        attempt_in(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
-        get: &FillAttempt,
-        attempt: u8,
+        attempt: &FillAttempt,
+        number: u8,
         result: AttemptResult,
-        note: Option<CacheStatus>,
+        status: Option<CacheStatus>,
     ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptOutcome {
-            request: get.request,
-            attempt,
-            server: get.server,
+            request: attempt.request,
+            attempt: number,
+            server: attempt.server,
             result,
-            cache_status: note,
+            cache_status: status,
             elapsed: 100 * MS,
             fill_wait: 10 * MS,
             transfer_time: Span::ZERO,
@@ -179,14 +184,14 @@
         }))
     }
 
-    pub fn served(&mut self, object: u64) -> FillAttempt {
-        let get = self.get(object);
-        self.end(&get, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
-        get
+    pub fn serve(&mut self, object: u64) -> FillAttempt {
+        let attempt = self.first_attempt(object);
+        self.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
+        attempt
     }
 
     /// Lets time pass in ticks; gives the actions of all of them.
-    pub fn pass(&mut self, span: Span) -> Vec<Action> {
+    pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
         while self.now < until {
@@ -197,41 +202,43 @@
     }
 
     /// Makes an object popular and gives its home.
-    pub fn popular(&mut self, object: u64) -> ServerId {
-        let home = self.served(object).server;
+    pub fn make_popular(&mut self, object: u64) -> ServerId {
+        let home = self.serve(object).server;
         for _ in 0..3 {
-            self.served(object);
+            self.serve(object);
         }
         home
     }
 }
 
-pub fn get_of(actions: &[Action]) -> Option<FillAttempt> {
+pub fn attempt_in(actions: &[Action]) -> Option<FillAttempt> {
     actions.iter().find_map(|action| match action {
-        Action::SendWithFill(get) => Some(get.clone()),
+        Action::SendWithFill(attempt) => Some(attempt.clone()),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> Option<Span> {
+pub fn retry_after_in(actions: &[Action]) -> Option<Span> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     })
 }
 
-/// A bench whose fetches have failed for a while: few may be out, and so many are.
-pub fn slowed(settings: Settings) -> (Bench, Vec<FillAttempt>) {
+/// A harness whose fetches have failed for a while: few may be out, and so many are.
+pub fn harness_with_low_fetch_limit(settings: Settings) -> (Harness, Vec<FillAttempt>) {
     // The least of all routers together is one: here there is one.
     let topology = Topology { routers: 1, ..settings.topology };
-    let mut bench = Bench::new(Settings { topology, ..settings }, fleet());
+    let mut harness = Harness::new(Settings { topology, ..settings }, endpoints());
     for object in 1..80 {
-        bench.now += 100 * MS;
-        let get = bench.get(object);
-        bench.end(&get, 0, AttemptResult::Error, Some(CacheStatus::OriginFailed));
-    }
-    let out: Vec<FillAttempt> =
-        (100..200).map(|object| bench.get(object)).take_while(|get| !get.only_if_cached).collect();
-    assert!((1..10).contains(&out.len()), "{} fetches may be out", out.len());
-    (bench, out)
+        harness.now += 100 * MS;
+        let attempt = harness.first_attempt(object);
+        harness.end_attempt(&attempt, 0, AttemptResult::Error, Some(CacheStatus::OriginFailed));
+    }
+    let in_flight: Vec<FillAttempt> = (100..200)
+        .map(|object| harness.first_attempt(object))
+        .take_while(|attempt| !attempt.only_if_cached)
+        .collect();
+    assert!((1..10).contains(&in_flight.len()), "{} fetches may be in flight", in_flight.len());
+    (harness, in_flight)
 }
