--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -4,43 +4,45 @@
     AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, ServerId, SiteLimits,
 };
 
-/// How an attempt failed whose fault may be its cache's or its source's.
+/// How a fill failed when the fault may be either the cache's or its source's.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     Errored,
     Rejected,
 }
 
-/// An attempt of a request.
+/// An attempt at an open request.
 #[derive(Clone, Default)]
 pub struct Attempt {
     pub server: ServerId,
-    /// Who supplies a miss; the server itself: nobody.
+    /// Server that supplies a miss; equal to `server` if there is none.
     pub source: ServerId,
     pub sent: Instant,
-    /// Sent by the popular directory, with the home as its source.
+    /// Whether the popular directory chose the server; then its source is the home cache.
     pub is_delegate: bool,
-    /// It is answered only from what the cache or its source has cached.
+    /// Whether it may only be answered from what the cache or its source has cached.
     pub only_if_cached: bool,
-    /// So only because the fetch limit is reached: after a miss its request waits for a fetch.
+    /// Whether `only_if_cached` is set only because the origin fetch limit is reached. After a miss, the
+    /// request then waits for a fetch.
     pub waits_for_fetch: bool,
     pub in_flight: bool,
-    /// Cancelled or hedged because it was overdue.
+    /// Whether it was cancelled or hedged because it was overdue.
     pub replaced: bool,
-    /// The cache is at fault for how it ended, so it is asked again last.
+    /// Whether the cache is at fault for how it ended. Retries use such a cache last.
     pub cache_at_fault: bool,
-    /// It ended with an error of the cache's own, if it is not the request's.
+    /// Whether it ended with an error that is not stated to be a fill failure: an error of the cache, unless
+    /// the request itself is the cause.
     pub errored: bool,
-    /// Its connection broke: that says little of the cache, and nothing of the source.
+    /// Whether its connection broke. This is weak evidence against the cache and none against the source.
     pub was_reset: bool,
-    /// The origin failed behind its source: this request does not use it for fills again.
+    /// Whether the origin failed behind its source. The request does not use the origin for fills again.
     pub origin_failed: bool,
-    /// It failed as a fill, and its answer does not tell whether at the cache or at its source.
+    /// Set if a fill failed and the answer does not state whether the cache or its source is at fault.
     pub unattributed_failure: Option<Failure>,
 }
 
 impl Attempt {
-    /// Whether a source was to supply a miss, other than the home of a delegate.
+    /// Whether a fill source was to supply a miss, other than the home of a delegate.
     pub fn is_fill(&self) -> bool {
         !self.is_delegate && self.source != self.server
     }
@@ -50,13 +52,13 @@
         !self.only_if_cached && !self.is_delegate
     }
 
-    /// Whether it failed in a way that may tell of its cache or its source.
+    /// Whether it failed in a way that may be the fault of its cache or its source.
     pub fn has_failed(&self) -> bool {
         self.errored || self.unattributed_failure.is_some()
     }
 }
 
-/// The first attempt of a request that may have run.
+/// When and where a request may have run for the first time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PossibleRun {
     pub sent: Instant,
@@ -66,7 +68,7 @@
 /// A request from its arrival until its last attempt has ended.
 pub struct OpenRequest {
     pub request: Request,
-    /// The limits that held when it came.
+    /// Site limits at the time of its arrival; a reload does not change them.
     pub limits: SiteLimits,
     pub arrived: Instant,
     pub attempts: Vec<Attempt>,
@@ -76,7 +78,6 @@
 }
 
 impl OpenRequest {
-    /// A request that has just arrived.
     pub fn new(now: Instant, request: Request, limits: SiteLimits) -> Self {
         OpenRequest {
             request,
@@ -89,12 +90,11 @@
         }
     }
 
-    /// Whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Records the end of an attempt; gives the attempt as it stands then.
+    /// Records the end of an attempt and returns its final state; `None` if the attempt is not in flight.
     pub fn end_attempt(&mut self, outcome: &AttemptOutcome, detail: CacheStatusDetail) -> Option<Attempt> {
         let number = usize::from(outcome.attempt);
         let was_reset = |a: &Attempt| a.server == outcome.server && a.was_reset;
@@ -102,7 +102,8 @@
         let ended = self.attempts.get(number).filter(|attempt| attempt.in_flight)?;
         let unattributed = unattributed_failure(detail, outcome, ended);
         let is_unattributed = |a: &Attempt| a.server == outcome.server && a.unattributed_failure.is_some();
-        // The first failed fill at a cache is retried there, from another source: that tells which failed.
+        // The first failed fill at a cache is retried at the same cache from another source, which shows
+        // which of the two is at fault.
         let retry_in_place = unattributed.is_some() && !self.attempts.iter().any(is_unattributed);
         let attempt = self.attempts.get_mut(number)?;
         attempt.in_flight = false;
@@ -110,8 +111,8 @@
         let is_fill_failure = outcome.cache_status.is_some_and(CacheStatus::is_fill_failure);
         let was_cancelled = attempt.replaced && outcome.result == AttemptResult::Cancelled;
         attempt.origin_failed = outcome.cache_status == Some(CacheStatus::OriginFailed);
-        // An attempt that broke once is retried at the same cache, which has the copy; one that breaks again
-        // is not.
+        // After the first broken connection the request is retried at the same cache, which has the copy;
+        // after a second one it is not.
         attempt.was_reset = outcome.result == AttemptResult::Reset && !reset_before;
         attempt.errored = outcome.result == AttemptResult::Error && !is_fill_failure;
         let failed =
@@ -127,7 +128,7 @@
     }
 }
 
-/// How an attempt failed as a fill, where the site's answers do not tell which of its two servers failed.
+/// Returns how a fill failed, if the site's answers do not state which of its two servers is at fault.
 fn unattributed_failure(
     detail: CacheStatusDetail,
     outcome: &AttemptOutcome,
--- a/src/policy/class_times.rs
+++ b/src/policy/class_times.rs
@@ -1,26 +1,27 @@
-//! The times that a class's answers take: smoothed transfer time, total time and deviation.
+//! Times of the answers of a class: smoothed transfer time, total time and deviation.
 
 use super::timing::{smooth, SMOOTHING};
 use crate::interface::Class;
 
-/// Initial transfer time of an uncached class, whose answers are small, as a share of its latency objective.
+/// Initial transfer time of an uncached class, as a share of its latency objective: its answers are small.
 const UNCACHED_TRANSFER_SHARE: f64 = 0.1;
-/// Deviations beyond the smoothed time within which answers usually come (RFC 6298).
+/// Answers usually come within the smoothed time plus this many deviations (RFC 6298).
 const DEVIATION_MULTIPLE: f64 = 4.0;
 
 /// The smoothed times of a class, in microseconds.
 pub struct ClassTimes {
     /// Mean transfer time at top speed.
     pub transfer: f64,
-    /// Samples of the transfer time so far.
+    /// Number of transfer time samples so far.
     samples: f64,
-    /// Smoothed total time of an answer, and its mean deviation (RFC 6298).
+    /// Smoothed total time of an answer (RFC 6298); 0 before the first answer.
     total: f64,
+    /// Smoothed mean deviation of the total time (RFC 6298).
     deviation: f64,
 }
 
 impl ClassTimes {
-    /// The times of a class before any sample.
+    /// Returns the times of a class before any sample.
     pub fn initial(class: &Class) -> Self {
         let share = if class.uncached { UNCACHED_TRANSFER_SHARE } else { 1.0 };
         ClassTimes {
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Records a transfer time: the plain mean of the first ones, which say more than a guess.
+    /// Records a transfer time. The first samples are averaged with equal weights: they are better than the
+    /// initial guess, which the first one replaces.
     pub fn observe_transfer(&mut self, time: f64) {
         self.samples += 1.0;
         self.transfer += (1.0 / self.samples).max(SMOOTHING) * (time - self.transfer);
@@ -44,7 +46,7 @@
         smooth(&mut self.total, total_weight, time);
     }
 
-    /// The time after which an answer is unusually slow.
+    /// Returns the time after which an answer is unusually slow.
     pub fn usual_limit(&self) -> f64 {
         self.total + DEVIATION_MULTIPLE * self.deviation
     }
--- a/src/policy/delegates.rs
+++ b/src/policy/delegates.rs
@@ -1,4 +1,4 @@
-//! The delegates of popular objects: caches that serve an object besides its home.
+//! Delegates of popular objects: caches that serve an object in addition to its home.
 
 use super::{
     attempt::{Attempt, OpenRequest},
@@ -8,7 +8,8 @@
 use crate::interface::{Instant, Request, ServerId, SiblingSources};
 
 impl Router {
-    /// The delegate that a popular object's request goes to, or another cache at which one is started.
+    /// Chooses the delegate for a request of a popular object, or another cache that is to become a delegate.
+    /// `order` is the home followed by the other caches.
     pub(super) fn delegate(
         &self,
         now: Instant,
@@ -37,7 +38,7 @@
         pick_random(&least_distributed(&live), random)
     }
 
-    /// Records how a delegate's attempt ended.
+    /// Records how an attempt at a delegate ended.
     pub(super) fn on_delegate_ended(&mut self, now: Instant, request: &Request, attempt: &Attempt, ok: bool) {
         if let Some(entry) = self.directory.get_mut(object_key(request)) {
             entry.on_delegate_ended(now, attempt.server, ok);
@@ -45,7 +46,7 @@
     }
 }
 
-/// A server of a list, by chance.
+/// Picks a server of the list by a random number; `None` if the list is empty.
 fn pick_random(servers: &[ServerId], random: u64) -> Option<ServerId> {
     servers.get(random as usize % servers.len().max(1)).copied()
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,4 +1,5 @@
-//! A request's next attempt: which server it goes to, who supplies a miss, and what is recorded of it.
+//! A request's next attempt: which server it goes to, which server supplies a miss, and what is recorded of
+//! it.
 
 use super::{
     attempt::{Attempt, OpenRequest},
@@ -13,26 +14,27 @@
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Cache rank of an object that was requested before; a new object gets one less and evicts none of those.
+/// Cache rank of an object that was requested before. A new object gets one less, so that it does not evict
+/// repeated ones.
 const REPEATED_RANK: u32 = 2;
-/// An attempt may run for this many times its request's latency objective.
+/// Maximum duration of a request's attempts, as a multiple of its latency objective.
 const MAX_OBJECTIVE_MULTIPLE: f64 = 1.2;
 
-/// Where an attempt goes.
+/// An attempt's server and fill source.
 struct Route {
     server: ServerId,
-    /// Who supplies a miss; `None`: nobody.
+    /// Server that supplies a miss; `None` if there is none.
     source: Option<ServerId>,
-    /// The server is a delegate of a popular object, or is to become one.
+    /// Whether the server is a delegate of a popular object, or is to become one.
     is_delegate: bool,
-    /// The fill source may only answer from its cache.
+    /// Whether the fill source may only answer from its cache.
     only_if_cached: bool,
-    /// It does so only because the fetch limit is reached.
+    /// Whether `only_if_cached` is set only because the origin fetch limit is reached.
     waits_for_fetch: bool,
 }
 
 impl Router {
-    /// Accepts a client's request and sends its first attempt.
+    /// Accepts a request and sends its first attempt; fails it if its class is unknown.
     pub(super) fn on_request(&mut self, now: Instant, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         if usize::from(request.class.0) >= self.settings.classes.len() {
@@ -48,7 +50,7 @@
         self.dispatch(now, id, out);
     }
 
-    /// Sends a request's next attempt, or answers it if there is nowhere to send it.
+    /// Sends a request's next attempt, or rejects or fails the request if no attempt can be sent.
     pub(super) fn dispatch(&mut self, now: Instant, id: RequestId, out: &mut Vec<Action>) {
         let random = self.random.next_u64();
         let Some(open) = self.open_requests.get(&id).filter(|open| !open.finished) else { return };
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Where a request's next attempt goes, or why it is rejected.
+    /// Chooses the server and source of a request's next attempt, or returns the reason to reject it.
     fn route(&self, now: Instant, open: &OpenRequest, random: u64) -> Result<Route, RejectionReason> {
         if open.attempts.len() >= open.limits.max_attempts as usize {
             return Err(RejectionReason::AttemptsExhausted);
@@ -71,7 +73,8 @@
             return Err(RejectionReason::DeadlineExceeded);
         }
         let order = self.hash_order(now, object_key(&open.request));
-        // An ejected cache is no home for delegates: what they ask of it would put its probe off for good.
+        // An ejected cache is not used as the home of delegates: each of their fills would postpone its
+        // probe, so that it would never recover.
         let healthy: Vec<_> = order.iter().copied().filter(|s| !self.servers[s].ejected).collect();
         let may_delegate = open.attempts.is_empty() && !self.is_uncached(&open.request);
         let delegate = if may_delegate { self.delegate(now, open, &healthy, random) } else { None };
@@ -89,8 +92,8 @@
         Ok(self.route_to(now, open, server))
     }
 
-    /// An attempt at a server that is no delegate: its source, and whether the source may only answer from
-    /// its cache.
+    /// Returns the route of an attempt at a server that is not a delegate: its fill source, and whether the
+    /// source may only answer from its cache.
     fn route_to(&self, now: Instant, open: &OpenRequest, server: ServerId) -> Route {
         let source = if self.is_cache(server) { self.fill_source(now, open) } else { None };
         let origin_failed = open.attempts.iter().any(|attempt| attempt.origin_failed);
@@ -99,13 +102,12 @@
             && !self.fetch_limit.admits(open.request.id);
         let only_if_cached =
             source.is_some() && !self.is_uncached(&open.request) && (origin_failed || over_limit);
-        // The origin has every object: restricting it to its cache means nothing.
+        // The origin holds every object, so limiting it to cached objects has no effect.
         let source = source.filter(|source| !only_if_cached || self.parents.contains(source));
         let waits_for_fetch = only_if_cached && !origin_failed;
         Route { server, source, is_delegate: false, only_if_cached, waits_for_fetch }
     }
 
-    /// The attempt for the chosen route.
     fn fill_attempt(&self, now: Instant, open: &OpenRequest, route: &Route) -> FillAttempt {
         let request = &open.request;
         let count = self.directory.count_of(object_key(request));
@@ -124,12 +126,12 @@
         }
     }
 
-    /// Whether no cache stores what a request asks for.
+    /// Whether answers to this request are never cached.
     fn is_uncached(&self, request: &Request) -> bool {
         self.class(request).uncached || request.is_write
     }
 
-    /// Records an attempt that is sent.
+    /// Records a sent attempt with its request, its servers and the popular directory.
     fn record_attempt(&mut self, now: Instant, fill: &FillAttempt, route: &Route) {
         let (server, source) = (fill.server, fill.source);
         let attempt = Attempt {
@@ -148,7 +150,7 @@
         let (class, object) = (open.request.class, object_key(&open.request));
         self.record_sent_work(now, class, BTreeSet::from([server, source]));
         if let Some(probed) = self.servers.get_mut(&source).filter(|source| source.ejected) {
-            probed.ejected_until = now + PROBE_INTERVAL; // this is its probe
+            probed.ejected_until = now + PROBE_INTERVAL; // the fill is its probe
         }
         let smoothing_span = self.load_smoothing_span();
         if let Some(server) = self.servers.get_mut(&server) {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Records the mean work of a class against the servers that do it.
+    /// Adds the class's mean transfer time to the recent work of the servers that the attempt uses.
     fn record_sent_work(&mut self, now: Instant, class: ClassId, servers: BTreeSet<ServerId>) {
         let work = self.class_times(class).transfer / SECOND.as_micros_f64();
         for server in servers {
@@ -167,7 +169,8 @@
         }
     }
 
-    /// Until when an attempt at a request is useful: shortly past its objective, where its size is known.
+    /// Returns when attempts at a request end at the latest: at its client timeout, or shortly after its
+    /// latency objective if its size is known. A later answer would be of no use.
     fn attempt_deadline(&self, open: &OpenRequest) -> Instant {
         let class = self.class(&open.request);
         let objective = class.latency_objective.as_micros_f64()
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,19 +1,19 @@
-//! The endpoint list: its changes, and what each server is used for.
+//! The endpoint list: its changes, and the role of each server.
 
 use super::{server::Server, timing::PROBE_INTERVAL, Router, WATCH_RETRY_TIMER};
 use crate::interface::{Action, Endpoint, Instant, ListUpdate, ServerId, ServerState};
 
-/// How many caches there are.
+/// Number of caches, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheCounts {
-    /// Caches of the endpoint list.
+    /// Caches in the endpoint list.
     pub listed: usize,
-    /// Those of them that get no requests but probes: draining or ejected ones.
+    /// Listed caches that are draining or ejected. They get no requests except probes.
     pub out_of_service: usize,
 }
 
 impl Router {
-    /// Handles an update of the endpoint list.
+    /// Handles an update of the endpoint list, or its failure.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Instant,
@@ -40,7 +40,7 @@
         self.directory.retain_delegates(&self.caches);
     }
 
-    /// Updates one entry of the list.
+    /// Adds or updates one endpoint; a changed start time counts as a restart.
     fn update_endpoint(&mut self, now: Instant, endpoint: Endpoint) {
         let server = self.servers.entry(endpoint.server).or_insert_with(|| Server::new(endpoint, now));
         if server.endpoint.started_at != endpoint.started_at {
@@ -49,7 +49,7 @@
         server.endpoint = endpoint;
     }
 
-    /// Brings the lists of ready servers by their use up to date.
+    /// Recomputes the lists of ready caches and parents, and the origin.
     fn update_ready_servers(&mut self) {
         let is_own =
             |s: &Server| self.is_cache(s.endpoint.server) && s.endpoint.zone == self.settings.topology.zone;
@@ -62,13 +62,13 @@
         self.origin = origin;
     }
 
-    /// The ready servers that are of some kind.
+    /// Returns the ready servers that match a predicate.
     fn ready_servers(&self, is_of_kind: impl Fn(&Server) -> bool) -> Vec<ServerId> {
         let is_ready = |server: &&Server| server.endpoint.state == ServerState::Ready && is_of_kind(server);
         self.servers.values().filter(is_ready).map(|server| server.endpoint.server).collect()
     }
 
-    /// How many caches are listed, and how many of them get no requests but probes.
+    /// Counts the listed caches, and those of them that get no requests except probes.
     pub fn cache_counts(&self) -> CacheCounts {
         let is_listed =
             |s: &&Server| s.endpoint.state != ServerState::Removed && self.is_cache(s.endpoint.server);
@@ -77,12 +77,11 @@
         CacheCounts { listed: caches.len(), out_of_service: caches.iter().filter(is_out_of_service).count() }
     }
 
-    /// Whether a server is a parent.
     pub(super) fn is_parent(&self, server: &Server) -> bool {
         Some(server.endpoint.kind) == self.settings.topology.parent_kind
     }
 
-    /// Whether a server is a cache, neither a parent nor the origin.
+    /// Whether a server is known and is a cache, neither a parent nor the origin.
     pub fn is_cache(&self, server: ServerId) -> bool {
         let kind = self.servers.get(&server).map(|server| server.endpoint.kind);
         kind.is_some()
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -1,4 +1,5 @@
-//! The limit of concurrent fetches that reach the origin, and the queue of requests that wait for one.
+//! The origin fetch limit: the limit of concurrent fetches that may reach the origin, and the queue of
+//! requests that wait for one of them to end.
 
 use super::timing::SECOND;
 use crate::{
@@ -6,56 +7,56 @@
     spread::mix,
 };
 
-/// Own fetches that may be in flight at first.
+/// Initial limit of the router's own fetches in flight.
 const INITIAL_LIMIT: f64 = 32.0;
-/// Own fetches that may be in flight at most. More only wait for each other at the origin.
+/// Maximum limit of the router's own fetches in flight. More would only wait for each other at the origin.
 const MAX_LIMIT: f64 = 256.0;
-/// How the limit changes with slow or failed fetches.
+/// Change of the limit after a slow or failed fetch.
 const DECREASE: LimitChange = LimitChange { rate_per_s: -3.0, max_elapsed: Span::from_millis(200) };
-/// How it changes with others, up to its first value or while it binds.
+/// Change of the limit after a fast fetch, while the limit is under its initial value or nearly reached.
 const INCREASE: LimitChange = LimitChange { rate_per_s: 1.0, max_elapsed: SECOND };
 
-/// A change of the limit's logarithm: its rate a second, and how long one fetch speaks for at most, so that
-/// few fetches count as much as many.
+/// An exponential change of the limit: the rate of its logarithm, and the longest time that one fetch
+/// accounts for. The change depends on the elapsed time, so that few fetches count as much as many.
 struct LimitChange {
     rate_per_s: f64,
     max_elapsed: Span,
 }
 
-/// What the end of a fetch says about the origin.
+/// What the end of a fetch shows about the origin.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FetchSpeed {
-    /// It failed or was slow.
+    /// The fetch failed or was slow.
     Slow,
-    /// It came from the origin in good time.
+    /// The answer came from the origin in time.
     Fast,
-    /// It may not have come from the origin.
+    /// The answer may not have come from the origin.
     Unknown,
 }
 
-/// How many own fetches may be in flight.
+/// The limit of the router's own fetches in flight.
 pub struct FetchLimit {
     pub in_flight: usize,
     limit: f64,
     observed_at: Instant,
-    /// The requests that wait for a fetch to end.
+    /// Requests that wait for a fetch to end, the oldest first.
     pub queue: Vec<RequestId>,
 }
 
 impl FetchLimit {
-    /// The limit before any fetch.
     pub fn new(now: Instant) -> Self {
         FetchLimit { in_flight: 0, limit: INITIAL_LIMIT, observed_at: now, queue: Vec::new() }
     }
 
-    /// Whether a request may fetch. A limit under one is the part of requests that may fetch while none is in
-    /// flight.
+    /// Whether a request may fetch. The fraction of the limit admits that share of requests, chosen by a hash
+    /// of the request: a limit under one is the share that may fetch while none is in flight.
     pub fn admits(&self, request: RequestId) -> bool {
         let unit = mix(request.0 + 1) as f64 / u64::MAX as f64;
         self.in_flight as f64 + unit < self.limit
     }
 
-    /// Takes the newest request that may fetch now out of the queue: it has the most time left.
+    /// Removes the newest request from the queue and returns it, if it may fetch now. The newest has the most
+    /// time left.
     pub fn next_admitted(&mut self) -> Option<RequestId> {
         let newest = *self.queue.last()?;
         if self.admits(newest) {
@@ -65,11 +66,11 @@
         }
     }
 
-    /// Moves the limit by the end of a fetch; it stays at least at `min_limit`.
+    /// Adjusts the limit after the end of a fetch; it stays at `min_limit` or above.
     pub fn observe(&mut self, now: Instant, speed: FetchSpeed, min_limit: f64) {
         let in_flight = self.in_flight as f64;
         let is_slow = speed == FetchSpeed::Slow;
-        // A limit that was not used says nothing: it falls from what was in flight (RFC 7661).
+        // A limit above the fetches in flight was not tested, so it falls from their number (RFC 7661).
         let used = self.limit.min(if is_slow { in_flight + 1.0 } else { f64::MAX });
         let may_rise = speed == FetchSpeed::Fast && used < INITIAL_LIMIT.max(in_flight + 2.0);
         if is_slow || may_rise {
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -9,16 +9,20 @@
 };
 use crate::interface::{CacheStatusDetail, Instant, ServerId, Span};
 
-/// A source's first byte drifts back to the usual over this long without news: then it is tried again.
+/// Time constant with which a source's expected first byte returns to the usual one while it fills nothing;
+/// then it is tried again.
 const FIRST_BYTE_DECAY: Span = Span::from_secs(5);
-/// The first of an object's two parents is left for the second while its wait is this many times as long.
+/// The second of an object's two parents is used if the first one's expected first byte exceeds this multiple
+/// of the second one's, plus the usual first byte.
 const SWITCH_PARENT_RATIO: f64 = 2.0;
-/// The usual first byte, as a part of a class's latency objective.
+/// The usual first byte is the latency objective of the class divided by this.
 const USUAL_FIRST_BYTE_DIVISOR: f64 = 8.0;
 
 impl Router {
-    /// Where a miss is filled from: two parents by the object's hash, those of the hub first, and of them the
-    /// first unless the other is clearly sooner. All routers draw the same two: not every parent fetches it.
+    /// Returns the fill source of a miss: the first of the object's two parents, unless the second is
+    /// expected to answer clearly sooner; the origin if no parent is eligible. The two are the first in
+    /// rendezvous order, parents of the hub before others. All routers choose the same two, so that not every
+    /// parent fetches the object.
     pub(super) fn fill_source(&self, now: Instant, open: &OpenRequest) -> Option<ServerId> {
         let usual = self.class(&open.request).latency_objective.as_micros_f64() / USUAL_FIRST_BYTE_DIVISOR;
         let first_byte = |server: &Server| expected_first_byte(now, server, usual);
@@ -31,7 +35,7 @@
         }
     }
 
-    /// The parents that may fill a request, those of the hub first, by the object's hash.
+    /// Returns the parents that may fill a request in rendezvous order, those of the hub first.
     fn parents_in_order(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let object = object_key(&open.request);
         let score = |server: &Server| {
@@ -44,12 +48,14 @@
         let mut parents = self.eligible_parents(now, open);
         parents.sort_by(|a, b| score(a).total_cmp(&score(b)));
         let hub = self.settings.topology.hub_by_zone.get(usize::from(self.settings.topology.zone.0));
-        // A farther hub costs more bytes on links.
+        // Fills from a farther hub use more bytes on links.
         parents.sort_by_key(|server| Some(&server.endpoint.zone) != hub);
         parents
     }
 
-    /// The parents in their warm-up budgets that are neither ejected nor have failed the request.
+    /// Returns the parents that may fill a request: within their warm-up budgets, not ejected or due for a
+    /// probe, reliable enough for the request, and not the source of an earlier attempt that ended otherwise
+    /// than by a first broken connection.
     fn eligible_parents(&self, now: Instant, open: &OpenRequest) -> Vec<&Server> {
         let class = open.request.class;
         let in_budget = self.parents.iter().filter(|s| !self.is_warm_up_budget_spent(now, **s, class));
@@ -61,7 +67,8 @@
             (!s.ejected || s.ejected_until <= now) && !has_failed(s) && self.is_reliable_for(s, open)
         };
         let good: Vec<&Server> = parents.iter().copied().filter(is_good).collect();
-        // Without notes a slow origin looks like silent parents, and must not get more.
+        // Without a cache status, a slow origin looks like silent parents. All parents then stay eligible,
+        // since the origin must not get more fetches.
         if good.is_empty() && self.settings.limits.cache_status_detail == CacheStatusDetail::None {
             parents
         } else {
@@ -70,7 +77,7 @@
     }
 }
 
-/// The first byte that is expected of a source by now.
+/// Returns the expected time to the first byte from a source, us.
 fn expected_first_byte(now: Instant, server: &Server, usual: f64) -> f64 {
     let weight = (-(now - server.first_byte_at).ratio(FIRST_BYTE_DECAY)).exp();
     usual + (server.first_byte.unwrap_or(usual) - usual) * weight
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final answer, and the cancelling of what is still in flight.
+//! The end of a request: its final answer, and the cancellation of its attempts that are still in flight.
 
 use super::{attempt::Attempt, Router};
 use crate::interface::{Action, ClassId, Instant, RejectionReason, RequestId, Span};
@@ -7,8 +7,8 @@
 const RETRY_AFTER_OBJECTIVE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Ends a request for which no further attempt is possible: rejected with a Retry-After, or failed if it
-    /// may have run.
+    /// Ends a request for which no further attempt is possible: rejects it with a Retry-After, or fails it if
+    /// it may have run and must not run again.
     pub(super) fn reject_or_fail(
         &mut self,
         now: Instant,
@@ -18,7 +18,7 @@
     ) {
         let Some(open) = self.open_requests.get(&id).filter(|open| !open.finished) else { return };
         if open.has_attempt_in_flight() && open.arrived + open.request.client_timeout > now {
-            return; // it may still be answered
+            return; // the attempt in flight may still answer it
         }
         let retry_after = self.retry_after(open.request.class);
         out.push(match self.may_reject(open) {
@@ -28,7 +28,7 @@
         self.finish(id, out);
     }
 
-    /// The Retry-After for rejected requests of a class; zero: no advice.
+    /// Returns the Retry-After for rejected requests of a class; zero if clients get none.
     pub fn retry_after(&self, class: ClassId) -> Span {
         let class = self.settings.classes.get(usize::from(class.0));
         let target = class.map_or(Span::ZERO, |class| class.latency_objective);
@@ -37,12 +37,12 @@
         advice.min(if limits.retry_after { limits.max_retry_after } else { Span::ZERO })
     }
 
-    /// Notes that a streamed answer has started.
+    /// Records that a streamed answer has started.
     pub(super) fn on_first_byte(&mut self, id: RequestId) {
         self.open_requests.entry(id).and_modify(|open| open.streaming = true);
     }
 
-    /// Ends a request: its other attempts are cancelled, and it is kept until they have ended.
+    /// Ends a request and cancels its attempts in flight. It is kept until all of them have ended.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get_mut(&id) else { return };
         if !open.finished {
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency: what may be sent again, and what may be rejected as harmless to retry.
+//! Idempotency: which requests may be sent again, and which may be rejected as safe to retry.
 
 use super::{
     attempt::{OpenRequest, PossibleRun},
@@ -7,7 +7,8 @@
 use crate::interface::{DedupScope, Idempotency, Instant, ServerId};
 
 impl Router {
-    /// Whether another attempt keeps the rule on repeats.
+    /// Whether a request may be sent to a server now, given its attempts so far and the idempotency of its
+    /// class.
     pub(super) fn may_send(&self, now: Instant, open: &OpenRequest, server: ServerId) -> bool {
         let class = self.class(&open.request);
         let in_flight = open.attempts.iter().find(|attempt| attempt.in_flight);
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Whether two servers drop each other's repeats of a request with an idempotency key.
+    /// Whether two servers deduplicate each other's requests with an idempotency key.
     fn are_in_dedup_scope(&self, scope: DedupScope, first: ServerId, second: ServerId) -> bool {
         let (Some(first), Some(second)) = (self.servers.get(&first), self.servers.get(&second)) else {
             return false;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Whether a rejection, which promises that a retry is harmless, keeps the rule on repeats.
+    /// Whether a request may be rejected. A rejection promises the client that a retry is safe.
     pub(super) fn may_reject(&self, open: &OpenRequest) -> bool {
         let class = self.class(&open.request);
         let may_have_run = open.first_possible_run.is_some() || open.has_attempt_in_flight();
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,24 +1,25 @@
-//! What the end of an attempt says about the class, the cache, the fill source and the origin.
+//! Measurements from the end of an attempt: of its class, its cache, its fill source and the origin.
 
 use super::{attempt::Attempt, fetch_limit::FetchSpeed, Router};
 use crate::interface::{
     AttemptOutcome, AttemptResult, CacheStatus, CacheStatusDetail, Instant, Request, Span,
 };
 
-/// A fetch is slow whose first byte takes this part of its class's objective, or that is late as a whole.
+/// A fetch is slow if its first byte takes more than this share of its latency objective, or if the whole
+/// answer is late.
 const SLOW_FIRST_BYTE_SHARE: f64 = 0.8;
 
-/// The times of an ended attempt, us.
+/// Times of an ended attempt, us.
 struct AttemptTimes {
-    /// Whether the transfer time of this answer is known.
+    /// Whether the outcome states the answer's transfer time; always false for uncached classes.
     is_transfer_known: bool,
-    /// Its transfer time at top speed.
+    /// Transfer time at top speed: as stated, or else the estimate for the request.
     transfer: f64,
-    /// Added to times before they are compared, since small times differ by chance.
+    /// Added to times before they are compared, since short times differ by chance.
     slack: f64,
-    /// Its time less what its source took, which is not the cache's fault.
+    /// Elapsed time without the wait for the source, for which the cache is not at fault.
     own_time: f64,
-    /// Natural log of the cache's own time over what it should be.
+    /// Natural logarithm of the ratio of the cache's own time to the expected time.
     deviation: f64,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Router {
-    /// Records what the end of an attempt says.
+    /// Records the measurements of an ended attempt.
     pub(super) fn measure(
         &mut self,
         now: Instant,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// What the end of a fetch says about the origin.
+    /// Returns what the end of a fetch shows about the speed of the origin.
     fn fetch_speed(
         &self,
         outcome: &AttemptOutcome,
@@ -80,7 +81,7 @@
         let target = class.latency_objective.as_micros_f64();
         let is_lost =
             matches!(outcome.result, Rejected | Timeout) || (outcome.result == Cancelled && attempt.replaced);
-        // Where answers state less, any fill may have come from the origin.
+        // If answers do not name the origin, any fill may have come from it.
         let is_from_origin = match self.settings.limits.cache_status_detail {
             CacheStatusDetail::Full => outcome.cache_status == Some(CacheStatus::FilledByOrigin),
             CacheStatusDetail::Served => outcome.cache_status == Some(CacheStatus::Filled),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Records the transfer time of an answer whose size was not known beforehand.
+    /// Records the transfer time of an answer whose size was unknown before.
     fn measure_transfer(&mut self, outcome: &AttemptOutcome, request: &Request, times: &AttemptTimes) {
         let is_informative = times.is_transfer_known || !is_filled(outcome) || self.class(request).uncached;
         if outcome.result == AttemptResult::Ok && request.size_kb <= 0.0 && is_informative {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Records what an outcome says about the cache.
+    /// Records the effect of an outcome on the health and latency of the cache.
     fn measure_cache(
         &mut self,
         now: Instant,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Records what an outcome says about the source of a fill.
+    /// Records the effect of an outcome on the health and first byte of the fill source.
     fn measure_source(
         &mut self,
         now: Instant,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Whether an answer states that it was filled.
+/// Whether the cache status states that the answer was filled.
 fn is_filled(outcome: &AttemptOutcome) -> bool {
     matches!(outcome.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,19 +1,20 @@
 //! Every decision of the router, one module each. Its types are in `src/interface/mod.rs`.
 //!
-//! The tuned values are constants at the top of the modules that use them. The ordinary path is Fongta and
-//! Somchit's Popular Directory; what departs from it, and when, is in docs/design.md. An event goes from
-//! `Router::handle` to one of:
+//! Tuned values are constants at the top of the modules that use them. The algorithm is Fongta and Somchit's
+//! Popular Directory; docs/design.md lists the deviations from it and when they apply. `Router::handle`
+//! passes each event to one of:
 //!
 //! - `dispatch`: a request's next attempt. It asks `home` (which cache), `delegates` (which other cache for a
-//!   popular object), `fill_source` (who supplies a miss), `freshness` (how old a copy may be), `idempotency`
-//!   (what may be repeated), `load` (which server is overloaded) and `slow_start` (which is still warming
-//!   up).
-//! - `outcomes`: the end of an attempt; `attribution` and `measurements` take in what it tells.
+//!   popular object), `fill_source` (which server supplies a miss), `freshness` (how old a copy may be),
+//!   `idempotency` (what may be sent again), `load` (which server is overloaded) and `slow_start` (which
+//!   server is still warming up).
+//! - `outcomes`: the end of an attempt; `attribution` and `measurements` record what it shows.
 //! - `final_answers`: rejection, failure, and the end of a request.
-//! - `overdue`: the look over attempts that take too long, hedging, ejection of silent servers.
-//! - `endpoints`: changes of the endpoint list; `upkeep`: what is forgotten.
+//! - `overdue`: checks for attempts that take too long, hedged requests, ejection of silent servers.
+//! - `endpoints`: changes of the endpoint list.
+//! - `upkeep`: removal of expired state.
 //!
-//! The other modules own a piece of the router's state each and know nothing of the router: `attempt`,
+//! The other modules each hold one part of the router's state and do not depend on the router: `attempt`,
 //! `class_times`, `fetch_limit`, `popularity`, `rendezvous`, `retry_budget`, `server`, `timing`.
 
 mod attempt;
@@ -56,43 +57,44 @@
 use std::collections::BTreeMap;
 use timing::{SECOND, TICK_INTERVAL, UPKEEP_INTERVAL};
 
-/// Token of the timer that renews a failed subscription; all other timers are ticks.
+/// Token of the timer that renews a failed subscription to the endpoint list. All other timers are ticks.
 const WATCH_RETRY_TIMER: u32 = 1;
 
-/// The processes that serve as one router.
+/// The processes that serve as one router, and the position of this one.
 struct ProcessShare {
     processes: u32,
-    /// This process's place among them.
+    /// From 0 to `processes` - 1.
     position: u32,
 }
 
-/// A router's decisions, as a pure state machine.
+/// Decides what a router does, as a pure state machine: events go in with the current time, actions come out.
 pub struct Router {
     settings: Settings,
     process_share: ProcessShare,
     random: Pcg64Mcg,
     servers: BTreeMap<ServerId, Server>,
-    /// The ready caches of the own location, and the ready parents; brought up to date with the list.
+    /// Ready caches of the router's own location; recomputed with each update of the endpoint list.
     caches: Vec<ServerId>,
+    /// Ready parents of all zones; recomputed with each update of the endpoint list.
     parents: Vec<ServerId>,
     origin: Option<ServerId>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     directory: PopularDirectory,
     upkeep_at: Instant,
     tick_scheduled: bool,
-    /// By class.
+    /// Indexed by class.
     class_times: Vec<ClassTimes>,
-    /// Full-pace answers that the caches' links were measured to carry for each weight, where weights state
-    /// nothing.
+    /// Answers at top speed that the caches' links were measured to carry per unit of weight. Used where
+    /// weights do not state the capacity of links.
     measured_link_per_weight: Option<f64>,
-    /// When each object and group was purged last.
+    /// Time of the latest purge of each object and group.
     purges: BTreeMap<Purge, Instant>,
     retry_budget: RetryBudget,
     fetch_limit: FetchLimit,
 }
 
 impl Router {
-    /// A router without servers or requests; an error where the settings cannot be used.
+    /// Returns a router without servers or requests, or an error if the settings are unusable.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Router {
@@ -115,21 +117,21 @@
         })
     }
 
-    /// Applies new settings, in which every earlier class keeps its number and its rules.
-    /// Requests that are open keep their limits.
+    /// Applies new settings, in which every earlier class must keep its number and its rules. Open requests
+    /// keep their limits.
     pub fn reconfigure(&mut self, settings: Settings) {
         let added = settings.classes.iter().skip(self.class_times.len());
         self.class_times.extend(added.map(ClassTimes::initial));
         self.settings = settings;
     }
 
-    /// Sets how many processes serve as this router, and this one's place among them: they share the budgets
-    /// of servers that are warming up.
+    /// Sets how many processes serve as this router and the position of this one among them. The processes
+    /// share the warm-up budgets of servers.
     pub fn set_process_share(&mut self, processes: u32, position: u32) {
         self.process_share = ProcessShare { processes: processes.max(1), position };
     }
 
-    /// Handles one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update, endpoints } => self.on_endpoint_list(now, update, endpoints, out),
@@ -158,22 +160,20 @@
         }
     }
 
-    /// The class of a request.
     fn class(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class.0)]
     }
 
-    /// The times that a class's answers take.
     fn class_times(&self, class: ClassId) -> &ClassTimes {
         &self.class_times[usize::from(class.0)]
     }
 
-    /// The times that a class's answers take, to be updated.
     fn class_times_mut(&mut self, class: ClassId) -> &mut ClassTimes {
         &mut self.class_times[usize::from(class.0)]
     }
 
-    /// A request's own transfer time at top speed, us; where sizes are unknown, its class's mean.
+    /// Returns the request's transfer time at top speed, in us; if its size is unknown, the mean of its
+    /// class.
     fn transfer_time(&self, request: &Request) -> f64 {
         if request.size_kb > 0.0 && self.settings.topology.transfer_kb_per_s > 0.0 {
             return request.size_kb / self.settings.topology.transfer_kb_per_s * SECOND.as_micros_f64();
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -7,13 +7,13 @@
 };
 use crate::interface::{Action, AttemptOutcome, AttemptResult, Instant, RejectionReason, Span};
 
-/// A request that so many caches have answered with an error is probably at fault itself.
+/// After errors at this many caches the request itself is probably at fault, and is not retried.
 const MAX_ERRORS: usize = 3;
-/// Share of its objective that a request waits at most for other fetches to end.
+/// Maximum time that a request waits for other fetches to end, as a share of its latency objective.
 const FETCH_WAIT_OBJECTIVE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Handles the end of an attempt.
+    /// Records the end of an attempt, then ends, queues or retries its request.
     pub(super) fn on_attempt_ended(&mut self, now: Instant, outcome: AttemptOutcome, out: &mut Vec<Action>) {
         let detail = self.settings.limits.cache_status_detail;
         let Some(open) = self.open_requests.get_mut(&outcome.request) else { return };
@@ -35,7 +35,7 @@
         self.continue_request(now, &outcome, &attempt, out);
     }
 
-    /// Finishes, queues or retries the request of an attempt that has ended.
+    /// Ends, queues or retries the request of an ended attempt.
     fn continue_request(
         &mut self,
         now: Instant,
@@ -50,7 +50,7 @@
             return self.finish(id, out);
         }
         if open.has_attempt_in_flight() {
-            return; // the hedged one may still answer
+            return; // the other attempt may still answer
         }
         if is_miss && attempt.waits_for_fetch && self.may_wait_for_fetch(now, open) {
             return self.fetch_limit.queue.push(id);
@@ -71,8 +71,8 @@
         self.dispatch(now, id, out);
     }
 
-    /// Whether a request may wait for a fetch: until well before its deadline, since a tick may come a little
-    /// late.
+    /// Whether a request may still wait for a fetch. It may not wait until its deadline, since a tick may
+    /// come late.
     pub(super) fn may_wait_for_fetch(&self, now: Instant, open: &OpenRequest) -> bool {
         let wait = Span::from_micros_f64(
             FETCH_WAIT_OBJECTIVE_SHARE * self.class(&open.request).latency_objective.as_micros_f64(),
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,36 +1,39 @@
-//! Overdue attempts: silent servers are ejected, and attempts that wait there are hedged or retried
+//! Overdue attempts: silent servers are ejected, and attempts that wait for them are hedged or retried
 //! elsewhere.
 
 use super::{attempt::Attempt, timing::SECOND, Router};
 use crate::interface::{Action, CacheStatusDetail, Instant, RejectionReason, RequestId, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Overdue attempts that must be in flight at once for a server to be silent: one may just be large.
+/// Minimum number of overdue attempts in flight for a server to be silent: a single one may only have a large
+/// answer.
 const MIN_OVERDUE: usize = 2;
-/// Caches at which a source's fills must be overdue for it to be silent.
+/// Minimum number of caches with overdue fills from a source for it to be silent.
 const MIN_OVERDUE_CACHES: usize = 2;
-/// Transfer times of its own that an attempt may run beyond the smallest objective of any class.
+/// Allowed time of an attempt beyond the smallest latency objective of any class, as a multiple of its
+/// transfer time.
 const TRANSFER_TIME_MULTIPLE: f64 = 2.0;
 
-/// An attempt of an open request, by its number.
+/// Refers to an attempt of an open request.
 struct AttemptRef {
     request: RequestId,
     number: usize,
 }
 
-/// What a scan of the attempts in flight has found.
+/// Result of a scan of the attempts in flight.
 #[derive(Default)]
 struct InFlightScan {
-    /// Overdue attempts by server and by source.
+    /// Overdue attempts by server and by fill source.
     overdue: BTreeMap<ServerId, Vec<AttemptRef>>,
-    /// Attempts in flight by source.
+    /// Number of attempts in flight by fill source.
     in_flight: BTreeMap<ServerId, usize>,
-    /// Requests whose clients have given up.
+    /// Requests whose client timeout has passed.
     expired: Vec<RequestId>,
 }
 
 impl Router {
-    /// Looks over what is in flight: silent servers are ejected, and what waits there is sent elsewhere.
+    /// Checks the attempts in flight: ends expired requests, ejects silent servers and replaces the overdue
+    /// attempts there.
     pub(super) fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.tick_scheduled = false;
         self.upkeep(now);
@@ -43,7 +46,8 @@
         waited_too_long
             .into_iter()
             .for_each(|id| self.reject_or_fail(now, id, RejectionReason::FetchLimit, out));
-        // A source is silent by what it was to fill at several caches; what waits there is no cache's fault.
+        // Sources are checked first: an attempt that waits for a silent source does not count against its
+        // cache.
         let (caches, sources): (Vec<_>, Vec<_>) =
             scan.overdue.into_iter().partition(|(server, _)| self.is_cache(*server));
         for (server, overdue) in sources.into_iter().chain(caches) {
@@ -52,13 +56,13 @@
         }
     }
 
-    /// The least latency objective of the classes in use.
+    /// Returns the smallest latency objective of the classes in use.
     fn smallest_objective(&self) -> Span {
         let classes = self.settings.classes.iter().filter(|class| !class.retired);
         classes.map(|class| class.latency_objective).min().unwrap_or(SECOND)
     }
 
-    /// Looks over the attempts in flight.
+    /// Collects the overdue attempts and the expired requests.
     fn scan_in_flight(&self, now: Instant, min_objective: Span) -> InFlightScan {
         let mut scan = InFlightScan::default();
         for (id, open) in self.open_requests.iter().filter(|(_, open)| !open.finished && !open.streaming) {
@@ -85,7 +89,7 @@
         scan
     }
 
-    /// Takes the requests out of the fetch queue that may wait no longer.
+    /// Removes the requests from the fetch queue that may wait no longer, and returns them.
     fn take_expired_waiters(&mut self, now: Instant) -> Vec<RequestId> {
         let queue = std::mem::take(&mut self.fetch_limit.queue);
         let still_open = queue.into_iter().filter(|id| self.open_requests.contains_key(id));
@@ -95,7 +99,7 @@
         expired
     }
 
-    /// Ejects a server if it is silent, and rescues its overdue attempts.
+    /// Ejects a server if it is silent, and replaces its overdue attempts.
     fn check_silence(
         &mut self,
         now: Instant,
@@ -128,7 +132,7 @@
         }
     }
 
-    /// The overdue attempts that count against a cache: not those whose source is ejected.
+    /// Returns the overdue attempts that count against a cache: not those that wait for an ejected source.
     fn overdue_at_cache(&self, mut overdue: Vec<AttemptRef>) -> Vec<AttemptRef> {
         let is_ejected = |server: ServerId| self.servers.get(&server).is_some_and(|server| server.ejected);
         overdue.retain(|attempt| {
@@ -137,7 +141,7 @@
         overdue
     }
 
-    /// The overdue attempts that count against a source: none while all are at one cache.
+    /// Returns the overdue attempts that count against a source: none while all of them are at one cache.
     fn overdue_at_source(&self, overdue: Vec<AttemptRef>) -> Vec<AttemptRef> {
         let attempts = overdue.iter().filter_map(|attempt| self.attempt(attempt));
         let caches: BTreeSet<ServerId> = attempts.map(|attempt| attempt.server).collect();
@@ -147,12 +151,13 @@
         overdue
     }
 
-    /// The attempt that is referred to, while its request is open.
+    /// Returns the attempt, or `None` if its request has ended.
     fn attempt(&self, attempt: &AttemptRef) -> Option<&Attempt> {
         self.open_requests.get(&attempt.request).map(|open| &open.attempts[attempt.number])
     }
 
-    /// Replaces an overdue attempt: by a hedged request where two attempts may be in flight, else by a retry.
+    /// Replaces an overdue attempt: by a hedged request if the site allows parallel attempts, else by
+    /// cancelling it, so that a retry follows.
     fn replace_overdue(
         &mut self,
         now: Instant,
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -7,31 +7,31 @@
 };
 use std::collections::BTreeMap;
 
-/// Objects that the directory counts.
+/// Maximum number of objects that the directory counts.
 const MAX_OBJECTS: usize = 4096;
-/// Counts are halved this often (design page).
+/// Interval at which counts are halved (docs/design.md).
 const HALVING_INTERVAL: Span = Span::from_secs(10);
-/// One counted object in this many is popular (design page: the top 1%).
+/// One in this many counted objects is popular: the top 1% (docs/design.md).
 const POPULAR_DIVISOR: usize = 100;
-/// Fewer own requests than this make no object popular, however few objects are counted.
+/// Minimum threshold for popularity, however few objects are counted.
 const MIN_THRESHOLD: u32 = 4;
-/// Delegates that a router starts for one object (design page).
+/// Maximum number of delegates that a router starts for one object (docs/design.md).
 const MAX_DELEGATES: usize = 2;
-/// A delegate expires after this (design page).
+/// Time after which a delegate expires (docs/design.md).
 const DELEGATE_LIFETIME: Span = Span::from_secs(30);
 
-/// What a cache stores as one unit: an object, or one part of it.
+/// Identifies what a cache stores as one unit: an object, or one part of it.
 pub type ObjectKey = u64;
 
-/// The key of what a request asks for.
+/// Returns the key of the object, or part of it, that a request asks for.
 pub fn object_key(request: &Request) -> ObjectKey {
     request.object.0 ^ if request.part > 0 { mix(u64::from(request.part)) } else { 0 }
 }
 
-/// A cache that holds a popular object besides its home.
+/// A cache that serves a popular object in addition to its home.
 pub struct Delegate {
     pub server: ServerId,
-    /// Requests sent to it.
+    /// Number of requests sent to it; starts at the smallest count of the other delegates.
     distribute_count: u32,
     expires: Instant,
 }
@@ -40,13 +40,13 @@
 #[derive(Default)]
 pub struct PopularObject {
     pub count: u32,
-    /// No delegate is started until then: one is being started, or one has failed.
+    /// No delegate is started before this time: one is being started, or one has failed.
     no_new_delegate_until: Instant,
     pub delegates: Vec<Delegate>,
 }
 
 impl PopularObject {
-    /// The delegates that have not expired.
+    /// Returns the delegates that have not expired.
     pub fn live_delegates(&self, now: Instant) -> Vec<&Delegate> {
         self.delegates.iter().filter(|delegate| delegate.expires > now).collect()
     }
@@ -55,12 +55,12 @@
     pub fn on_delegated(&mut self, now: Instant, server: ServerId) {
         match self.delegates.iter_mut().find(|delegate| delegate.server == server) {
             Some(known) => known.distribute_count += 1,
-            None => self.no_new_delegate_until = now + PROBE_INTERVAL, // one is started at a time
+            None => self.no_new_delegate_until = now + PROBE_INTERVAL, // one at a time is started
         }
     }
 
-    /// Records the end of a delegate's attempt: served, the cache stays or becomes a delegate; else it no
-    /// longer is one.
+    /// Records the end of an attempt at a delegate. If it was served, the cache becomes or stays a delegate;
+    /// otherwise it is removed.
     pub fn on_delegate_ended(&mut self, now: Instant, server: ServerId, served: bool) {
         if !served {
             self.delegates.retain(|delegate| delegate.server != server);
@@ -74,7 +74,7 @@
     }
 }
 
-/// The servers among those of the delegates that have been sent the fewest requests.
+/// Returns the servers of those delegates that have the smallest distribute count.
 pub fn least_distributed(delegates: &[&Delegate]) -> Vec<ServerId> {
     let Some(least) = delegates.iter().map(|delegate| delegate.distribute_count).min() else {
         return Vec::new();
@@ -83,7 +83,7 @@
     delegates.iter().filter(has_least).map(|delegate| delegate.server).collect()
 }
 
-/// The counted objects, and the count beyond which an object is popular.
+/// The counted objects, and the count above which an object is popular.
 pub struct PopularDirectory {
     objects: BTreeMap<ObjectKey, PopularObject>,
     threshold: u32,
@@ -91,7 +91,6 @@
 }
 
 impl PopularDirectory {
-    /// An empty directory.
     pub fn new(now: Instant) -> Self {
         let objects = BTreeMap::new();
         PopularDirectory { objects, threshold: MIN_THRESHOLD, halve_at: now + HALVING_INTERVAL }
@@ -102,17 +101,16 @@
         self.objects.get(&object)
     }
 
-    /// A counted object, to be changed.
     pub fn get_mut(&mut self, object: ObjectKey) -> Option<&mut PopularObject> {
         self.objects.get_mut(&object)
     }
 
-    /// How often an object was requested recently.
+    /// Returns the number of recent requests for an object.
     pub fn count_of(&self, object: ObjectKey) -> u32 {
         self.objects.get(&object).map_or(0, |entry| entry.count)
     }
 
-    /// Counts a request; a new object takes the place of the one with the smallest count.
+    /// Counts a request. If the directory is full, a new object replaces the one with the smallest count.
     pub fn count(&mut self, object: ObjectKey) {
         if self.objects.len() >= MAX_OBJECTS && !self.objects.contains_key(&object) {
             let least = self.objects.iter().min_by_key(|(_, entry)| entry.count).map(|(object, _)| *object);
@@ -127,14 +125,14 @@
         entry.no_new_delegate_until <= now && entry.count > self.threshold && live < MAX_DELEGATES
     }
 
-    /// Drops the delegates that are no longer listed.
+    /// Drops the delegates that are not in the list of ready caches.
     pub fn retain_delegates(&mut self, caches: &[ServerId]) {
         for entry in self.objects.values_mut() {
             entry.delegates.retain(|delegate| caches.contains(&delegate.server));
         }
     }
 
-    /// Halves the counts when that is due, sets the threshold, and drops expired delegates.
+    /// Halves the counts when that is due, updates the threshold, and drops expired delegates.
     pub fn upkeep(&mut self, now: Instant) {
         if now >= self.halve_at {
             self.halve_at = now + HALVING_INTERVAL;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,32 +1,30 @@
-//! The budget of retries: a fixed part of the requests, so that retries cannot feed an overload.
+//! The retry budget: a fixed share of the requests, so that retries cannot sustain an overload.
 
-/// Retries that each request adds to the budget: more feed a shared bottleneck past its end.
+/// Retries that each request adds to the budget. With more, retries keep a shared bottleneck overloaded after
+/// the cause has gone.
 const RETRIES_PER_REQUEST: f64 = 0.05;
-/// Most retries that the budget holds.
+/// Maximum number of retries in the budget.
 const MAX_RETRIES: f64 = 20.0;
 
-/// How many retries may be sent.
+/// The number of retries that may be sent now.
 pub struct RetryBudget {
     retries: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
     pub fn full() -> Self {
         RetryBudget { retries: MAX_RETRIES }
     }
 
-    /// Adds one request's part.
+    /// Adds the share of one request.
     pub fn add_request(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Whether a retry is left.
     pub fn has_retry(&self) -> bool {
         self.retries >= 1.0
     }
 
-    /// Takes one retry out.
     pub fn spend(&mut self) {
         self.retries -= 1.0;
     }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! A listed server with what this router has seen of it: its load, latency, errors and ejection.
+//! A listed server and what this router has measured of it: load, latency, errors and ejection.
 
 use super::{
     attempt::Failure,
@@ -7,57 +7,58 @@
 use crate::interface::{Endpoint, Instant, Span};
 use std::collections::VecDeque;
 
-/// Latency deviation beyond the median cache's that chance does not explain.
+/// A latency deviation that exceeds the median of the caches by more than this is not explained by chance.
 pub const MIN_DEVIATION: f64 = 0.5;
-/// Latency deviation of a server that fails outright or falls silent.
+/// Latency deviation of a server that refuses connections, is silent or has been ejected for errors; also the
+/// maximum of a sample.
 const MAX_DEVIATION: f64 = 3.0;
-/// Weight of a fill that never came in its source's smoothed first byte.
+/// Weight of a fill that never came in the smoothed first byte of its source.
 const LOST_FILL_WEIGHT: f64 = 0.3;
-/// Weight of a new answer in a server's error rate.
+/// Weight of a new answer in the error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.25;
-/// Over this error rate a cache is ejected...
+/// A cache with a higher error rate is ejected.
 const EJECTING_ERROR_RATE: f64 = 0.4;
-/// ...until it is under this one.
+/// An ejected server with an error rate under this is readmitted by its next response.
 const RECOVERED_ERROR_RATE: f64 = 0.1;
-/// Over this error rate no write goes to a server, or is filled there, if it need not.
+/// Requests that are not always idempotent avoid servers and fill sources with this error rate or more.
 pub const UNRELIABLE_ERROR_RATE: f64 = 0.02;
 
-/// Work that was sent to a server.
 pub struct SentWork {
     pub at: Instant,
-    /// Transfer time, s.
+    /// Mean transfer time of its class, s.
     pub work: f64,
 }
 
-/// A server of the list, with what this router has seen of it.
+/// A server of the endpoint list and its measurements.
 #[derive(Default)]
 pub struct Server {
     pub endpoint: Endpoint,
-    /// Own attempts in flight.
+    /// Number of this router's attempts in flight.
     pub in_flight: u32,
-    /// Own attempts in flight, smoothed over time: with many routers a count of one tells little.
+    /// Smoothed `in_flight`: with many routers, a single count is a poor estimate of what the others have.
     smoothed_in_flight: f64,
     smoothed_at: Instant,
-    /// Smoothed latency deviation of answers: natural log of a time over the time it should take.
+    /// Smoothed latency deviation: natural logarithm of the ratio of measured to expected time.
     pub latency_deviation: f64,
-    /// Smoothed part of errors of its own.
+    /// Smoothed share of answers that are errors of the server's own.
     pub error_rate: f64,
-    /// When a connection to it broke last.
+    /// When a connection to it last broke.
     connection_broke_at: Instant,
-    /// Smoothed first byte as a source of fills.
+    /// Smoothed time to the first byte of its fills, us; `None` before the first sample.
     pub first_byte: Option<f64>,
-    /// When it last filled something or failed to.
+    /// When it last supplied or lost a fill.
     pub first_byte_at: Instant,
+    /// Start of its current silence: when it last answered or filled, or was sent an attempt while none was
+    /// in flight.
     pub last_heard: Instant,
-    /// Failed outright or silent: only probes until then.
+    /// Whether it gets only probes, since it failed or is silent.
     pub ejected: bool,
     pub ejected_until: Instant,
-    /// Work sent recently: a server that is warming up has a budget of it.
+    /// Work sent recently, which the budget of a warming server limits.
     pub recent_work: VecDeque<SentWork>,
 }
 
 impl Server {
-    /// A server that has just been listed.
     pub fn new(endpoint: Endpoint, now: Instant) -> Self {
         Server {
             endpoint,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Forgets what was measured before its restart.
+    /// Resets what was measured before its restart.
     pub fn on_restart(&mut self) {
         self.latency_deviation = 0.0;
         self.error_rate = 0.0;
@@ -78,13 +79,12 @@
         self.first_byte = None;
     }
 
-    /// Own attempts in flight by now, smoothed over `smoothing_span`.
+    /// Returns the own attempts in flight, smoothed over `smoothing_span`.
     pub fn smoothed_in_flight(&self, now: Instant, smoothing_span: Span) -> f64 {
         let decay = (-(now - self.smoothed_at).ratio(smoothing_span.max(MICROSECOND))).exp();
         f64::from(self.in_flight) + (self.smoothed_in_flight - f64::from(self.in_flight)) * decay
     }
 
-    /// Counts an attempt that is sent to it.
     pub fn on_attempt_sent(&mut self, now: Instant, smoothing_span: Span) {
         self.update_smoothed_in_flight(now, smoothing_span);
         if self.in_flight == 0 {
@@ -93,31 +93,30 @@
         self.in_flight += 1;
     }
 
-    /// Counts an attempt that has ended there.
     pub fn on_attempt_ended(&mut self, now: Instant, smoothing_span: Span) {
         self.update_smoothed_in_flight(now, smoothing_span);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Brings the smoothed number up to date before the number changes.
+    /// Updates the smoothed number. Must be called before `in_flight` changes.
     fn update_smoothed_in_flight(&mut self, now: Instant, smoothing_span: Span) {
         self.smoothed_in_flight = self.smoothed_in_flight(now, smoothing_span);
         self.smoothed_at = now;
     }
 
-    /// Ejects it until a probe succeeds: it failed outright or is silent.
+    /// Ejects the server until a probe succeeds, since it failed or is silent.
     pub fn eject(&mut self, now: Instant) {
         self.latency_deviation = MAX_DEVIATION;
         self.eject_as_source(now);
     }
 
-    /// Ejects it for what it did as a source, which says nothing of its latency.
+    /// Ejects the server for its failures as a fill source, which are no evidence about its latency.
     pub fn eject_as_source(&mut self, now: Instant) {
         self.ejected = true;
         self.ejected_until = now + PROBE_INTERVAL;
     }
 
-    /// Records an error of its own.
+    /// Records an error of the server's own; ejects the server at a high error rate.
     pub fn on_error(&mut self, now: Instant) {
         self.count_error();
         if self.error_rate > EJECTING_ERROR_RATE {
@@ -125,8 +124,8 @@
         }
     }
 
-    /// Records a failed fill from it. An error ejects it for a while; rejections only do where few fills
-    /// succeed, since a cache without a place for a fill rejects in the same words.
+    /// Records a failed fill from this source. An error ejects the source for a while. A rejection does so
+    /// only at a high error rate, since a cache without a free fill slot gives the same answer.
     pub fn on_failed_fill(&mut self, now: Instant, failure: Failure) {
         self.count_error();
         if failure == Failure::Errored || self.error_rate > EJECTING_ERROR_RATE {
@@ -134,8 +133,8 @@
         }
     }
 
-    /// Records a broken connection. One answer that can't be read ends all that is open on its connection:
-    /// it counts once.
+    /// Records a broken connection. One unreadable answer ends all attempts on its connection at once, so
+    /// resets at the same time count once.
     pub fn on_reset(&mut self, now: Instant) {
         if self.connection_broke_at != now {
             self.connection_broke_at = now;
@@ -143,8 +142,7 @@
         }
     }
 
-    /// Records that it answered, in whatever way: a probe it had ends its ejection, unless it errs too
-    /// often.
+    /// Records any answer. An answer to a probe ends the ejection, unless the error rate is still too high.
     pub fn on_response(&mut self, now: Instant, deviation: f64) {
         if self.ejected {
             self.latency_deviation = self.latency_deviation.min(deviation.max(MIN_DEVIATION));
@@ -156,12 +154,12 @@
         }
     }
 
-    /// Records how far the time of an answer of its own was off.
+    /// Records the latency deviation of an answer that was not filled.
     pub fn observe_deviation(&mut self, deviation: f64) {
         smooth(&mut self.latency_deviation, SMOOTHING, deviation.min(MAX_DEVIATION));
     }
 
-    /// Records the first byte of a fill that it supplied.
+    /// Records the time to the first byte of a fill that this source supplied.
     pub fn on_fill(&mut self, now: Instant, first_byte: f64) {
         smooth(self.first_byte.get_or_insert(first_byte), SMOOTHING, first_byte);
         self.count_success();
@@ -170,24 +168,23 @@
         self.ejected = false;
     }
 
-    /// Records a fill of which nothing came: that says more than an answer, and all of its time was waiting.
+    /// Records a fill that never came. It has more weight than an answer, and its whole time counts as
+    /// waiting.
     pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
         self.first_byte_at = now;
     }
 
-    /// Raises its error rate.
     pub fn count_error(&mut self) {
         smooth(&mut self.error_rate, ERROR_RATE_WEIGHT, 1.0);
     }
 
-    /// Lowers its error rate.
     pub fn count_success(&mut self) {
         smooth(&mut self.error_rate, ERROR_RATE_WEIGHT, 0.0);
     }
 
-    /// Whether it is ejected and due for a probe.
+    /// Whether the server is ejected and a probe is due.
     pub fn is_probe_due(&self, now: Instant) -> bool {
         self.ejected && self.ejected_until <= now && self.in_flight == 0
     }
--- a/src/policy/upkeep.rs
+++ b/src/policy/upkeep.rs
@@ -1,10 +1,10 @@
-//! Periodic upkeep: halves the popular directory and drops expired state.
+//! Periodic upkeep: updates the popular directory and drops expired state.
 
 use super::{timing::UPKEEP_INTERVAL, Router};
 use crate::interface::{Instant, ServerState};
 
 impl Router {
-    /// Updates the directory and drops expired state, once in each interval.
+    /// Updates the popular directory and drops expired state, once per interval.
     pub(super) fn upkeep(&mut self, now: Instant) {
         if now < self.upkeep_at {
             return;
--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -1,4 +1,4 @@
-//! Where misses are filled from, and how many fetches are out.
+//! Choice of the fill source, and the origin fetch limit.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -6,7 +6,7 @@
 #[test]
 fn routers_agree_on_parents_and_limited_fetches_use_its_cache() {
     let source = |seed: u64| {
-        let mut router = Router::new(settings(), seed, Instant::ZERO).expect("usable");
+        let mut router = Router::new(settings(), seed, Instant::ZERO).expect("usable settings");
         let mut out = Vec::new();
         router.handle(
             Instant::ZERO,
@@ -33,7 +33,7 @@
     let attempts: Vec<FillAttempt> = (100..200).map(|object| harness.first_attempt(object)).collect();
     let limited_to_cache =
         attempts.iter().filter(|attempt| attempt.only_if_cached && attempt.source.0 > 10).count();
-    assert!(limited_to_cache > 50, "{limited_to_cache} of 100 look at a parent");
+    assert!(limited_to_cache > 50, "{limited_to_cache} of 100 fills are limited to the cache of a parent");
 }
 
 #[test]
@@ -64,7 +64,7 @@
     assert_eq!(Harness::new(settings(), far.clone()).first_attempt(1).source.0, 21);
     far.retain(|m| m.kind != ORIGIN);
     let attempt = Harness::new(settings(), far).first_attempt(1);
-    assert_eq!(attempt.source, attempt.server, "nobody fills");
+    assert_eq!(attempt.source, attempt.server, "there is no fill source");
 }
 
 #[test]
@@ -82,18 +82,18 @@
 fn a_miss_waits_for_a_fetch_slot_and_is_rejected_in_time() {
     let (mut harness, in_flight) = harness_with_low_fetch_limit(settings());
     let waiting: Vec<FillAttempt> = (300..303).map(|object| harness.first_attempt(object)).collect();
-    assert!(waiting.iter().all(|attempt| attempt.only_if_cached), "what is held is still served");
+    assert!(waiting.iter().all(|attempt| attempt.only_if_cached), "cached copies are still served");
     for attempt in &waiting {
         assert_eq!(
             harness.end_attempt(attempt, 0, AttemptResult::Miss, Some(CacheStatus::SourceMiss)),
             [],
-            "it waits"
+            "the request waits"
         );
     }
     let sent = harness.end_attempt(&in_flight[0], 0, AttemptResult::Ok, Some(CacheStatus::Filled));
-    let sent = attempt_in(&sent).expect("the newest goes out in its place");
+    let sent = attempt_in(&sent).expect("the newest waiting request is sent");
     assert_eq!((sent.request, sent.only_if_cached), (waiting[2].request, false));
-    harness.now += 301 * MS; // half of the target
+    harness.now += 301 * MS; // half of the latency objective
     let actions = harness.event(Event::Timer(0));
     for attempt in &waiting[..2] {
         let rejected =
@@ -102,8 +102,8 @@
     }
 }
 
-/// What a fill waits for its source, and how slow it comes over the location's link, was booked as its cache's
-/// lateness: homes moved, which made more fills.
+/// Guards against counting the wait for the fill source, or a slow fill over the location's link, as latency of the
+/// cache: homes then moved, which caused more fills.
 #[test]
 fn slow_fill_sources_do_not_move_home_caches() {
     let mut harness = Harness::new(settings(), endpoints());
--- a/tests/policy/fill_sources.rs
+++ b/tests/policy/fill_sources.rs
@@ -1,4 +1,4 @@
-//! Sources of fills that fail where the answers do not tell at which server.
+//! Failing fill sources, where answers do not state which server failed.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -7,7 +7,7 @@
 const FAILING_PARENT: ServerId = ServerId(11);
 const NON_IDEMPOTENT: ClassId = ClassId(1);
 
-/// A site whose answers tell only how a served request came about, with a second class that must not run twice.
+/// Returns settings where only served answers have a cache status, with a second class of non-idempotent requests.
 fn settings_without_failure_status() -> Settings {
     let mut settings = settings();
     settings.limits.cache_status_detail = CacheStatusDetail::Served;
@@ -17,8 +17,8 @@
     settings
 }
 
-/// Plays requests for new objects one after another until each has its final answer; `fails` tells how an
-/// attempt fails, if it does. Gives the number of requests served and of attempts that failed.
+/// Sends requests for new objects one after another, each until its final answer. `fails` returns how an attempt
+/// fails, if it does. Returns the number of served requests and of failed attempts.
 fn play(
     harness: &mut Harness,
     objects: std::ops::Range<u64>,
@@ -50,9 +50,9 @@
     let fails = |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Error);
     let (served, failed) = play(&mut harness, 1..400, fails);
     assert_eq!(served, 399, "each request is served by a retry at the latest");
-    // One probe a second, over 8 s, and what it took to find out.
-    assert!(failed <= 12, "{failed} fills were asked of the failing parent");
-    assert_eq!(ejected_caches(&harness), 0, "caches were blamed for their source");
+    // One probe a second for 8 s, and the failures until the first ejection.
+    assert!(failed <= 12, "{failed} fills were sent to the failing parent");
+    assert_eq!(ejected_caches(&harness), 0, "caches were ejected for failures of their source");
     let caches: BTreeSet<ServerId> = (500..560).map(|object| harness.serve(object).server).collect();
     assert_eq!(caches.len(), 3, "all caches are in use");
 }
@@ -64,7 +64,7 @@
         |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Rejected);
     let (served, failed) = play(&mut harness, 1..400, rejects);
     assert_eq!(served, 399);
-    assert!(failed <= 16, "{failed} fills were asked of the parent that rejects them");
+    assert!(failed <= 16, "{failed} fills were sent to the rejecting parent");
     assert_eq!(ejected_caches(&harness), 0);
 }
 
@@ -77,7 +77,7 @@
     assert_ne!(second.source, first.source);
     let third =
         attempt_in(&harness.end_attempt(&second, 1, AttemptResult::Error, None)).expect("a second retry");
-    assert_ne!(third.server, first.server, "what failed with two sources is the cache's fault");
+    assert_ne!(third.server, first.server, "after failures with two sources the cache is at fault");
 }
 
 #[test]
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -1,7 +1,6 @@
-//! A guard for refactoring: long seeded streams of events, and the digest of all that the router does about
-//! them.
+//! Regression test for refactoring: plays long seeded streams of events and compares digests of all actions.
 //!
-//! A digest changes with any decision, to the last bit of the capacities, so a change that is meant to move
+//! The digest changes with any decision and with the last bit of any capacity. A change that is meant to alter
 //! decisions records a new snapshot.
 
 use crate::support::{endpoint, endpoints, request, settings, CACHE, MS, PARENT, SECOND};
@@ -14,7 +13,7 @@
 const STEPS: usize = 12_000;
 const OBJECTS: u64 = 200;
 
-/// An attempt that the stand-in fleet has not answered yet.
+/// An attempt that the simulated servers have not answered yet.
 struct Pending {
     attempt: FillAttempt,
     number: u8,
@@ -23,19 +22,19 @@
     cancelled: bool,
 }
 
-/// What a stream's fleet is like.
+/// Settings and behaviour of the simulated servers.
 struct Scenario {
     name: &'static str,
     settings: Settings,
-    /// Parts of a thousand of attempts that fail in some way.
+    /// Share of attempts that fail, in thousandths.
     failures: u64,
-    /// Every request whose number is divided by this errs at every server.
+    /// Requests whose ID is a multiple of this fail at every server.
     unservable_every: u64,
-    /// The mean time between requests.
+    /// Mean time between requests.
     pause: Span,
 }
 
-/// A router, the fleet that answers it, and the record of what it did.
+/// A router, the simulated servers, and the record of its actions.
 struct Stream {
     router: Router,
     now: Instant,
@@ -50,7 +49,7 @@
 impl Stream {
     fn new(settings: Settings, seed: u64) -> Self {
         Stream {
-            router: Router::new(settings, seed, Instant::ZERO).expect("usable"),
+            router: Router::new(settings, seed, Instant::ZERO).expect("usable settings"),
             now: Instant::ZERO,
             seed,
             pending: Vec::new(),
@@ -116,7 +115,7 @@
     }
 
     fn send_request(&mut self, id: u64, classes: u64) {
-        // A class that is added by a reload is asked for before it, too: the router fails such a request.
+        // A class that a reload adds is also requested before it: the router fails such requests.
         let skewed = self.draw(OBJECTS).min(self.draw(OBJECTS)).min(self.draw(OBJECTS));
         let class = ClassId(self.draw(classes + 1) as u16);
         let size_kb = if self.draw(3) == 0 { 0.0 } else { 10.0 + self.draw(400) as f64 };
@@ -128,7 +127,7 @@
         self.event(Event::Request(made));
     }
 
-    /// Answers what has come to its end, each attempt in a way that is drawn.
+    /// Ends the attempts that are due, each with a random result.
     fn end_due_attempts(&mut self, scenario: &Scenario) {
         while let Some(place) = self.pending.iter().position(|p| p.ends <= self.now) {
             let Pending { attempt, number, sent, cancelled, .. } = self.pending.remove(place);
@@ -175,7 +174,7 @@
         attempt: &FillAttempt,
         scenario: &Scenario,
     ) -> (AttemptResult, Option<CacheStatus>) {
-        // One cache and one parent are worse than the others for some seconds of every forty.
+        // One cache and one parent fail more often than the others in 10 s of every 40 s.
         let bad_time = (self.now - Instant::ZERO) / (10 * SECOND) % 4 == 1;
         let bad_server =
             [attempt.server, attempt.source].iter().any(|s| [ServerId(2), ServerId(11)].contains(s));
@@ -231,19 +230,20 @@
         }
     }
 
-    /// Adds what each server can be trusted with to the digest, to the last bit.
+    /// Adds the cache counts and the exact capacity of each server to the digest.
     fn record_capacities(&mut self) {
         let CacheCounts { listed, out_of_service } = self.router.cache_counts();
         let mut line = format!("({listed}, {out_of_service})");
         for (server, capacity) in self.router.capacities(self.now) {
-            write!(line, " {}:{:016x}", server.0, capacity.to_bits()).expect("a string takes all");
+            write!(line, " {}:{:016x}", server.0, capacity.to_bits())
+                .expect("writing to a string does not fail");
         }
         self.digest.update(line);
     }
 }
 
-/// An action as the digests have it: its text does not follow the names in the code, so that renaming keeps the
-/// digests.
+/// Returns the text of an action for the digest. It is independent of names in the code, so that renaming does not
+/// change the digests.
 fn recorded(action: &Action) -> String {
     match action {
         Action::SendCacheOnly { request, server, timeout } => {
@@ -292,7 +292,7 @@
     }
 }
 
-/// Plays one scenario; gives the counts of its actions and their digest.
+/// Plays one scenario and returns the counts of its actions and their digest.
 fn play(scenario: &Scenario, seed: u64) -> String {
     let classes = scenario.settings.classes.len() as u64;
     let mut stream = Stream::new(scenario.settings.clone(), seed);
@@ -334,7 +334,7 @@
     format!("{} {seed} {:?} {digest}", scenario.name, stream.counts)
 }
 
-/// The settings after a reload: one class more, and other limits.
+/// Returns the settings after a reload: with one more class, and other limits.
 fn reconfigured(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
     let added = Class { latency_objective: 900 * MS, ..settings.classes[0].clone() };
@@ -344,7 +344,8 @@
     settings
 }
 
-/// The usual settings with classes of every kind: fresh times, uncached, unsafe, and keyed by each scope.
+/// Returns the usual settings with classes of every kind: with fresh times, uncached, non-idempotent, and with keys of
+/// each scope.
 fn all_classes() -> Settings {
     let usual = settings();
     let class = usual.classes[0].clone();
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -1,4 +1,4 @@
-//! Where an object is at home, and overload there.
+//! Home caches of objects, and overload there.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -22,12 +22,15 @@
     let small = |server| Endpoint { weight: 4.0, ..endpoint(server, CACHE, 0) };
     let mut harness = Harness::new(custom, vec![small(1), endpoint(11, PARENT, 1), endpoint(21, ORIGIN, 1)]);
     harness.first_attempt(1);
-    harness.first_attempt(2); // one out, times eight routers, is no reason to refuse at a cache of four
+    harness.first_attempt(2); // one in flight, times eight routers, is no overload at a cache of weight four
     for object in 10..40 {
         harness.send_request(object);
         harness.now += 200 * MS;
     }
-    assert!(retry_after_in(&harness.send_request(50).1).is_some(), "what stays out for long is one");
+    assert!(
+        retry_after_in(&harness.send_request(50).1).is_some(),
+        "attempts that stay in flight for long are overload"
+    );
 }
 
 #[test]
@@ -55,12 +58,12 @@
 #[test]
 fn an_empty_location_rejects_at_once_with_a_bounded_retry_after() {
     let mut harness = Harness::new(settings(), vec![endpoint(9, CACHE, 2), endpoint(11, PARENT, 1)]);
-    let wait = retry_after_in(&harness.send_request(7).1).expect("rejected");
+    let wait = retry_after_in(&harness.send_request(7).1).expect("a rejection");
     assert!(wait > Span::ZERO && wait <= 200 * MS);
     let mut direct = settings();
     direct.limits.direct_to_source = true;
     let attempt = Harness::new(direct, vec![endpoint(11, PARENT, 1)]).first_attempt(7);
-    assert_eq!(attempt.server.0, 11, "straight to the parent where that is allowed");
+    assert_eq!(attempt.server.0, 11, "the request goes directly to the parent if the site allows it");
 }
 
 #[test]
@@ -73,7 +76,10 @@
     for _ in 0..60 {
         let (_, actions) = harness.send_request(7);
         if let Some(attempt) = attempt_in(&actions) {
-            assert!(attempt.server == home || attempt.source == home, "a delegate at most");
+            assert!(
+                attempt.server == home || attempt.source == home,
+                "another cache serves it only as a delegate"
+            );
         }
         last = actions;
     }
@@ -94,8 +100,9 @@
 
 #[test]
 fn uncached_answers_update_the_transfer_time_of_their_class() {
-    // Its answers are all filled; when none of them counted, its first guess, a whole target, stayed for
-    // good, and writes of a few milliseconds were rejected at any cache that had work for its link.
+    // Guards against ignoring the times of filled answers, which are all that an uncached class has. Its transfer time
+    // then stayed at the initial guess, which was a whole latency objective, and writes of a few milliseconds were
+    // rejected at any cache with other attempts.
     let mut custom = settings();
     custom.classes[0].uncached = true;
     let mut list = endpoints();
@@ -126,21 +133,24 @@
     harness.now += SECOND;
     for out in 0..10 {
         let actions = ask(&mut harness, 7);
-        assert!(attempt_in(&actions).is_some(), "rejected with {out} out at one cache: {actions:?}");
+        assert!(
+            attempt_in(&actions).is_some(),
+            "rejected with {out} attempts in flight at one cache: {actions:?}"
+        );
     }
 }
 
-/// Attempts at caches whose links bear so many full-pace answers each: they share a link that has more.
+/// Simulated caches whose links carry `capacity` answers at top speed; more answers share the link.
 struct Links {
     capacity: f64,
     in_flight: Vec<(Instant, FillAttempt)>,
 }
 
 impl Links {
-    /// Asks for `each` new objects in every 100 ms of `span`; how many requests there were, and how many were rejected
-    /// as overload.
+    /// Requests `each` new objects in every 100 ms of `span`. Returns the number of requests, and how many were
+    /// rejected as overload.
     fn play(&mut self, harness: &mut Harness, span: Span, each: u64) -> (usize, usize) {
-        const SENDING: Span = Span::from_millis(400);
+        const TRANSFER_TIME: Span = Span::from_millis(400);
         let (mut asked, mut rejected, until) = (0, 0, harness.now + span);
         while harness.now < until {
             harness.now += 20 * MS;
@@ -157,7 +167,7 @@
                 |server| self.in_flight.iter().filter(|(_, attempt)| attempt.server == server).count() as f64;
             let duration = |attempt: &FillAttempt| {
                 Span::from_micros_f64(
-                    SENDING.as_micros_f64() * (attempts_at(attempt.server) / self.capacity).max(1.0),
+                    TRANSFER_TIME.as_micros_f64() * (attempts_at(attempt.server) / self.capacity).max(1.0),
                 )
             };
             let is_over = |(sent, attempt): &(Instant, FillAttempt)| *sent + duration(attempt) <= harness.now;
@@ -172,7 +182,7 @@
                     cache_status: Some(CacheStatus::Hit),
                     elapsed: harness.now - sent,
                     fill_wait: Span::ZERO,
-                    transfer_time: SENDING,
+                    transfer_time: TRANSFER_TIME,
                     finished: true,
                     load_report: vec![],
                 }));
@@ -182,8 +192,9 @@
     }
 }
 
-/// red-sucursales, 2026-12-02: its weights are "silent", which means that all are 1; that was read as a link of one
-/// full-pace answer, and 34 to 43 % of the tries were rejected as overload at idle caches.
+/// Guards against reading weights that state nothing as link capacities. At red-sucursales (2026-12-02), where all
+/// weights are 1 ("silent"), each link was taken to carry one answer at top speed, and 34 to 43 % of the attempts were
+/// rejected as overload at idle caches.
 #[test]
 fn link_capacity_is_measured_where_weights_do_not_state_it() {
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
@@ -197,12 +208,15 @@
         links.play(&mut harness, 5 * SECOND, each)
     };
     let (asked, rejected) = played(true, 8.0, 4);
-    assert!(4 * rejected > asked, "a stated link of one is overloaded: {rejected} of {asked}");
+    assert!(4 * rejected > asked, "{rejected} of {asked} rejected at a stated link of one");
     let (asked, rejected) = played(false, 8.0, 4);
-    assert!(20 * rejected < asked, "{rejected} of {asked} at three links of eight that carry sixteen");
+    assert!(
+        20 * rejected < asked,
+        "{rejected} of {asked} rejected at three links of eight that carry sixteen"
+    );
     let (asked, rejected) = played(false, 3.0, 12);
     assert!(
         4 * rejected > asked,
-        "links of three that are asked for five times as much: {rejected} of {asked}"
+        "{rejected} of {asked} rejected at links of three with five times that load"
     );
 }
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! What may be repeated, rejected and sent: effects, drains, purges, limits, settings.
+//! Idempotency, purges, draining servers, limits and settings.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -90,7 +90,7 @@
     let mut harness = Harness::new(settings(), endpoints());
     assert_eq!(harness.serve(7).max_age, Span::ZERO);
     harness.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: Span::ZERO });
-    assert_eq!(harness.serve(7).max_age, MICROSECOND, "0 would mean any age");
+    assert_eq!(harness.serve(7).max_age, MICROSECOND, "0 would allow any age");
     harness.now += 200 * MS;
     assert_eq!(harness.serve(7).max_age, 200 * MS);
     assert_eq!(harness.serve(8).max_age, Span::ZERO);
@@ -98,10 +98,10 @@
     assert_eq!(harness.serve(7).max_age, 50 * MS, "the newest purge counts");
     assert_eq!(harness.serve(8).max_age, 50 * MS);
     harness.event(Event::Purged { purge: Purge::Object(ObjectId(7)), age: 4 * SECOND });
-    assert_eq!(harness.serve(7).max_age, 50 * MS, "news of an older one changes nothing");
+    assert_eq!(harness.serve(7).max_age, 50 * MS, "a late report of an older purge has no effect");
     harness.first_attempt(9);
     harness.advance(5 * SECOND);
-    assert!(harness.serve(7).max_age > Span::ZERO, "not settled yet");
+    assert!(harness.serve(7).max_age > Span::ZERO, "the purge has not settled yet");
 }
 
 #[test]
@@ -134,7 +134,10 @@
     let mut rest = endpoints();
     rest.retain(|m| m.server.0 != 3);
     harness.update_endpoints(ListUpdate::Full, rest);
-    assert!((50..90).all(|object| harness.serve(object).server.0 != 3), "absent from a full list: gone");
+    assert!(
+        (50..90).all(|object| harness.serve(object).server.0 != 3),
+        "servers absent from a full list are removed"
+    );
 }
 
 #[test]
@@ -150,7 +153,7 @@
     assert_eq!(attempt_in(&actions).expect("sent").timeout, 5 * SECOND);
     harness.now += 5 * SECOND;
     assert!(retry_after_in(&harness.event(Event::Timer(0))).is_some());
-    assert!(retry_after_in(&harness.event(Event::Timer(0))).is_none(), "one answer only");
+    assert!(retry_after_in(&harness.event(Event::Timer(0))).is_none(), "a request has only one final answer");
 }
 
 #[test]
@@ -182,14 +185,14 @@
     cells.iter_mut().for_each(|m| m.cell = m.server.0 as u16);
     let mut harness = Harness::new(keyed.clone(), cells.clone());
     let attempt = harness.first_attempt(7);
-    let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::Error, None)).expect("repeated");
+    let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::Error, None)).expect("a retry");
     assert_eq!(again.server, attempt.server, "each cache is a cell of its own");
     harness.now += SECOND;
     let actions = harness.end_attempt(&again, 1, AttemptResult::Error, None);
     assert_eq!(
         actions,
         [Action::Fail(attempt.request)],
-        "the window has passed, and a refusal would invite a repeat"
+        "the deduplication window has passed, and a rejection would allow a retry"
     );
     keyed.classes[0].dedup_scope = DedupScope::All;
     let mut harness = Harness::new(keyed, cells);
@@ -265,7 +268,8 @@
     assert_eq!(run(), run());
 }
 
-/// Under overload a fifth of the slow requests was retried: the overload grew by it and outlived its cause.
+/// Guards against retries that sustain an overload: a fifth of the slow requests was retried, which added to the
+/// overload and kept it up after its cause had gone.
 #[test]
 fn retries_stay_a_small_share_of_all_attempts() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -285,7 +289,8 @@
     assert!((50..=80).contains(&retries), "{retries} of 1000");
 }
 
-/// Until its first answer a write was taken for as long as its whole target, and rejected in every day's first seconds.
+/// Guards against an initial transfer time of a whole latency objective for uncached classes: writes were rejected as
+/// overload in the first seconds of every day.
 #[test]
 fn a_write_at_the_start_is_not_rejected_as_overload() {
     let mut custom = settings();
@@ -303,7 +308,8 @@
 
 #[test]
 fn a_cache_that_mostly_fails_gets_probes_only_and_no_writes() {
-    // Fast errors kept their place as home: each cost a further attempt, and a write that erred was lost.
+    // Guards against a cache that fails fast and stays the home: each error cost a further attempt, and a write that
+    // failed was lost.
     let mut custom = settings();
     custom.classes.push(Class {
         idempotency: Idempotency::Never,
@@ -319,7 +325,7 @@
         harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::FilledByOrigin));
         attempt.server
     };
-    assert_eq!(write(&mut harness), bad, "its home before");
+    assert_eq!(write(&mut harness), bad, "the home of the object before the failures");
     let mut erred = 0;
     for _ in 0..10 {
         harness.now += 50 * MS;
@@ -328,24 +334,25 @@
         erred += usize::from(attempt.server == bad);
         if attempt.server == bad {
             let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::Error, None))
-                .expect("it is sent elsewhere");
+                .expect("a retry elsewhere");
             harness.end_attempt(&again, 1, AttemptResult::Ok, None);
         } else {
             harness.end_attempt(&attempt, 0, AttemptResult::Ok, None);
         }
     }
-    assert!((2..=3).contains(&erred), "{erred} attempts before it was left");
+    assert!((2..=3).contains(&erred), "{erred} attempts before it was ejected");
     harness.now += 2 * SECOND;
-    assert_ne!(write(&mut harness), bad, "a write is no probe");
+    assert_ne!(write(&mut harness), bad, "a write is not sent as a probe");
     let probed_object = (100..400).find(|object| harness.serve(*object).server == bad);
-    assert!(probed_object.is_some(), "a read is");
+    assert!(probed_object.is_some(), "a read is sent as a probe");
     for object in 400..500 {
         harness.serve(object);
     }
-    assert_eq!(write(&mut harness), bad, "it comes back by its answers");
+    assert_eq!(write(&mut harness), bad, "the cache is used again after successful answers");
 }
 
-/// A parent that fails some of its fills was taken again for writes with its next good one, and they were lost.
+/// Guards against a parent that fails some of its fills and is used for writes again after its next good one: the
+/// writes that it failed were lost.
 #[test]
 fn no_write_is_filled_by_a_parent_that_failed_recently() {
     let mut custom = settings();
@@ -403,14 +410,14 @@
     fewer.classes.push(Class { idempotency: Idempotency::Never, retired: false, ..fewer.classes[0].clone() });
     harness.router.reconfigure(fewer);
     let again = harness.end_attempt(&old, 0, AttemptResult::Error, None);
-    assert!(attempt_in(&again).is_some(), "it came when six attempts and a repeat were allowed");
+    assert!(attempt_in(&again).is_some(), "it arrived when more attempts and retries were allowed");
     for (class, answer) in [(0, false), (1, true)] {
         harness.next_id += 1;
         let new = Request { class: ClassId(class), ..request(harness.next_id, 8) };
         let actions = harness.event(Event::Request(new));
         let attempt = attempt_in(&actions).expect("an attempt");
         let actions = harness.end_attempt(&attempt, 0, AttemptResult::Error, None);
-        assert!(attempt_in(&actions).is_none(), "one attempt is all");
+        assert!(attempt_in(&actions).is_none(), "only one attempt is allowed");
         assert_eq!(actions.contains(&Action::Fail(attempt.request)), answer, "{actions:?}");
     }
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decision module by its public interface, without the bench.
+//! Tests of the decision module through its public interface, without the simulator.
 
 mod fetch_limit;
 mod fill_sources;
--- a/tests/policy/popular_directory.rs
+++ b/tests/policy/popular_directory.rs
@@ -11,7 +11,7 @@
     assert_ne!(first.server, home);
     assert_eq!(first.source, home);
     assert!(first.cache_rank > 0);
-    assert_eq!(harness.first_attempt(7).server, home, "one at a time is started");
+    assert_eq!(harness.first_attempt(7).server, home, "only one delegate is started at a time");
     harness.end_attempt(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
     let second = harness.first_attempt(7);
     assert!(second.server != home && second.server != first.server);
@@ -22,7 +22,8 @@
     }
 }
 
-/// Delegates used to name an ejected home as their source, which postponed its probe each time: it never came back.
+/// Guards against delegates that name an ejected home as their source: each fill postponed the probe of the home,
+/// which never recovered.
 #[test]
 fn an_ejected_home_is_no_source_for_delegates_and_is_probed() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -35,7 +36,7 @@
     let lost = (100..200)
         .map(|object| harness.first_attempt(object))
         .find(|attempt| attempt.server.0 == 1)
-        .expect("one goes there");
+        .expect("an object whose home is cache 1");
     harness.end_attempt(&lost, 0, AttemptResult::ConnectFailed, None);
     let mut probed_at = None;
     for step in 1..60 {
@@ -43,7 +44,7 @@
         for object in (1..60).chain([1000 + step]) {
             let attempt = harness.serve(object);
             probed_at = probed_at.or((attempt.server.0 == 1).then_some(harness.now));
-            assert!(attempt.source.0 != 1 || probed_at.is_some(), "it is shut");
+            assert!(attempt.source.0 != 1 || probed_at.is_some(), "cache 1 is ejected");
         }
     }
     assert!(
@@ -58,7 +59,7 @@
     let home = harness.make_popular(7);
     let delegate = harness.first_attempt(7);
     let actions = harness.end_attempt(&delegate, 0, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
-    let again = attempt_in(&actions).expect("goes home");
+    let again = attempt_in(&actions).expect("a retry at the home");
     assert_eq!(again.server, home);
     assert!([11, 12].contains(&again.source.0), "the home fills from a parent");
 }
@@ -84,5 +85,9 @@
     assert_ne!(delegate, home);
     harness.first_attempt(8); // keeps the ticks going
     harness.advance(31 * SECOND);
-    assert_eq!(harness.serve(7).server, home, "its count is halved thrice by then, so none is started");
+    assert_eq!(
+        harness.serve(7).server,
+        home,
+        "its count has been halved three times, so no delegate is started"
+    );
 }
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, fall silent or are slow.
+//! Servers that fail, become silent or are slow.
 
 use crate::support::*;
 use dahliatrack::*;
@@ -50,7 +50,7 @@
     for attempt in &waiting {
         assert!(actions.contains(&Action::Cancel { request: attempt.request, attempt: 0 }), "{actions:?}");
         let again = harness.end_attempt(attempt, 0, AttemptResult::Cancelled, None);
-        assert_ne!(attempt_in(&again).expect("sent elsewhere").server, home);
+        assert_ne!(attempt_in(&again).expect("a retry elsewhere").server, home);
     }
     assert_ne!(harness.first_attempt(7).server, home);
     let refusals = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
@@ -66,10 +66,14 @@
     let first = harness.first_attempt(7);
     harness.first_attempt(7);
     let actions = harness.advance(900 * MS);
-    let second = attempt_in(&actions).expect("a double");
+    let second = attempt_in(&actions).expect("a hedged request");
     assert_ne!(second.server, home);
     let actions = harness.end_attempt(&second, 1, AttemptResult::Ok, Some(CacheStatus::Filled));
-    assert_eq!(actions, [Action::Cancel { request: first.request, attempt: 0 }], "the loser is called off");
+    assert_eq!(
+        actions,
+        [Action::Cancel { request: first.request, attempt: 0 }],
+        "the other attempt is cancelled"
+    );
 }
 
 #[test]
@@ -87,9 +91,9 @@
     harness.advance(860 * MS);
     assert!((100..140).all(|object| harness.serve(object).source.0 != 11));
     let servers: Vec<u32> = (200..240).map(|object| harness.serve(object).server.0).collect();
-    assert!((1..=3).all(|id| servers.contains(&id)), "no cache was blamed: {servers:?}");
+    assert!((1..=3).all(|id| servers.contains(&id)), "no cache was ejected: {servers:?}");
     let again =
-        attempt_in(&harness.end_attempt(&waiting[0], 0, AttemptResult::Cancelled, None)).expect("sent again");
+        attempt_in(&harness.end_attempt(&waiting[0], 0, AttemptResult::Cancelled, None)).expect("a retry");
     assert_eq!((again.server, again.source.0, again.join_fill), (waiting[0].server, 12, false));
 }
 
@@ -98,16 +102,16 @@
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::ConnectFailed, None))
-        .expect("sent elsewhere");
+        .expect("a retry elsewhere");
     assert_ne!(again.server, attempt.server);
     assert_ne!(harness.serve(7).server, attempt.server);
     harness.now += SECOND;
-    // Its share of objects is small while its latency deviates, so the probe comes with another object.
+    // Its share of objects is small while its latency deviates, so the probe may be a request for another object.
     let probe = (300..900).map(|object| harness.first_attempt(object)).find(|g| g.server == attempt.server);
     let probe = probe.expect("one probe");
     assert!(
         (900..1200).all(|object| harness.first_attempt(object).server != attempt.server),
-        "one at a time"
+        "one probe at a time"
     );
     harness.end_attempt(&probe, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     assert!((1200..1500).any(
@@ -184,11 +188,11 @@
     }
     let far = last[350..].iter().filter(|source| **source == 13).count();
     assert!(far > 40, "{far} of the last 49");
-    assert_eq!(last[0], 11, "the hub's own is the ordinary one");
+    assert_eq!(last[0], 11, "the parent at the hub is used first");
 }
 
-/// One answer that can't be read ends a connection with all that is open on it. That used to shut the cache, which
-/// crowded the others and got their requests rejected.
+/// Guards against ejecting a cache for one unreadable answer, which ends the connection with all attempts on it. The
+/// other caches were then overloaded and rejected the requests.
 #[test]
 fn a_broken_connection_counts_once_and_is_retried_in_place() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -200,21 +204,24 @@
     let again: Vec<FillAttempt> = lost
         .iter()
         .map(|attempt| {
-            attempt_in(&harness.end_attempt(attempt, 0, AttemptResult::Reset, None))
-                .expect("it is sent again")
+            attempt_in(&harness.end_attempt(attempt, 0, AttemptResult::Reset, None)).expect("a retry")
         })
         .collect();
     for (attempt, again) in lost.iter().zip(&again) {
-        assert_eq!((again.server, again.source), (attempt.server, attempt.source), "neither is to blame");
+        assert_eq!(
+            (again.server, again.source),
+            (attempt.server, attempt.source),
+            "neither the cache nor the source is at fault"
+        );
     }
-    assert_eq!(harness.serve(7).server, home, "and new ones come, too");
-    let elsewhere =
-        attempt_in(&harness.end_attempt(&again[0], 1, AttemptResult::Reset, None)).expect("elsewhere");
-    assert_ne!(elsewhere.server, home, "what breaks twice there is not asked for there a third time");
+    assert_eq!(harness.serve(7).server, home, "new requests still go to the cache");
+    let elsewhere = attempt_in(&harness.end_attempt(&again[0], 1, AttemptResult::Reset, None))
+        .expect("a retry elsewhere");
+    assert_ne!(elsewhere.server, home, "after two broken connections the request goes to another cache");
     for attempt in &others {
         harness.end_attempt(attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     }
-    // One that breaks again and again is shut all the same.
+    // A cache whose connections keep breaking is ejected all the same.
     for object in 400..460 {
         let attempt = harness.first_attempt(object);
         harness.now += 10 * MS;
@@ -224,7 +231,7 @@
     assert!((460..500).all(|object| harness.first_attempt(object).server != home));
 }
 
-/// A client that sends requests that no cache can serve used to get every cache ejected, and the fetch limit lowered.
+/// Guards against a client whose requests no cache can serve: it got every cache ejected and the fetch limit lowered.
 #[test]
 fn errors_at_every_cache_count_against_no_cache() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -238,14 +245,18 @@
             actions = harness.end_attempt(&attempt, attempts, AttemptResult::Error, None);
             attempts += 1;
         }
-        assert!(attempts <= 3 && retry_after_in(&actions).is_some(), "three have said so: {actions:?}");
+        assert!(
+            attempts <= 3 && retry_after_in(&actions).is_some(),
+            "three errors end the request: {actions:?}"
+        );
     }
     let homes: std::collections::BTreeSet<ServerId> = (100..200).map(|o| harness.serve(o).server).collect();
     assert_eq!(homes.len(), 3);
-    assert!((200..300).all(|object| !harness.serve(object).only_if_cached), "and fills go on");
+    assert!((200..300).all(|object| !harness.serve(object).only_if_cached), "fills are not limited");
 }
 
-/// With its share of the objects small while it is ejected, a cache waited for its probe for many seconds.
+/// Guards against late probes: with a small share of the objects while it was ejected, a cache waited many seconds for
+/// its probe.
 #[test]
 fn an_ejected_cache_is_probed_with_its_next_own_object() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -257,23 +268,29 @@
     assert_eq!(harness.first_attempt(own).server, home);
 }
 
-/// With caches replaced all day long, what is kept of each that has gone would grow for good.
+/// Guards against unbounded growth: the state of removed caches would be kept for good where caches are replaced all
+/// day.
 #[test]
 fn a_removed_server_is_forgotten_once_nothing_is_in_flight_there() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
-    let home = endpoints().into_iter().find(|m| m.server == attempt.server).expect("it is listed");
+    let home = endpoints().into_iter().find(|m| m.server == attempt.server).expect("a listed cache");
     harness.update_endpoints(ListUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..home }]);
     harness.advance(2 * SECOND);
-    assert_eq!(harness.router.capacities(Instant::ZERO).len(), endpoints().len(), "its attempt is still out");
+    assert_eq!(
+        harness.router.capacities(Instant::ZERO).len(),
+        endpoints().len(),
+        "its attempt is still in flight"
+    );
     harness.end_attempt(&attempt, 0, AttemptResult::Ok, Some(CacheStatus::Hit));
     harness.first_attempt(8);
     harness.advance(2 * SECOND);
     assert_eq!(harness.router.capacities(Instant::ZERO).len(), endpoints().len() - 1);
 }
 
-/// Where all answers take long for a while (a shared link is full), two that are out as long as others were are no sign
-/// that their cache is silent: each such closing moved homes and made more fills (500 in a calm day of 25 s).
+/// Guards against ejecting a cache for attempts that take no longer than usual. While all answers are slow (a shared
+/// link is full), two attempts in flight for as long as others took are no sign of a silent cache. Each such ejection
+/// moved homes and caused more fills (500 in a quiet simulated day of 25 s).
 #[test]
 fn attempts_within_the_usual_time_do_not_make_a_cache_silent() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -306,6 +323,6 @@
         let (_, actions) = harness.send_request_of_size(object, 0.0);
         assert!(attempt_in(&actions).is_some());
     }
-    assert!(!silent(&harness.advance(1700 * MS)), "others took as long");
-    assert!(silent(&harness.advance(3 * SECOND)), "by then they are silent");
+    assert!(!silent(&harness.advance(1700 * MS)), "other answers took as long");
+    assert!(silent(&harness.advance(3 * SECOND)), "the cache is silent by then");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,17 +1,17 @@
-//! Slow start: the budget of warming servers, kept by all routers together.
+//! Slow start: the budget of warming servers, which all routers share.
 
 use crate::support::*;
 use dahliatrack::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The settings of the router with this number.
+/// Returns the settings of the router with this ordinal.
 fn with_ordinal(settings: &Settings, ordinal: u32) -> Settings {
     let topology = Topology { ordinal, ..settings.topology.clone() };
     Settings { topology, ..settings.clone() }
 }
 
-/// Plays routers that share a warming server for ten seconds; returns the times (ms) of the requests that reached it.
+/// Plays ten seconds of routers that share a warming server. Returns the times (ms) of the requests that reached it.
 fn sent_while_warming(routers: u32, list: &[Endpoint], warming: u32, as_source: bool) -> Vec<i64> {
     let mut custom = settings();
     custom.topology.routers = routers;
@@ -33,7 +33,8 @@
     sent
 }
 
-/// Most seconds of sending (0.1 s a request) in any span of a second, over what a warming server can take then.
+/// Returns the highest use of the budget in any window of one second: transfer time (0.1 s a request) over what the
+/// warming server can take then.
 fn peak_budget_use(sent: &[i64], initial_share: f64, weight: f64) -> f64 {
     let in_span = |from: i64| sent.iter().filter(|at| (from..from + 1000).contains(*at)).count() as f64;
     let capacity =
@@ -71,12 +72,16 @@
     let mut warming = endpoint(1, CACHE, 0);
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 10.0);
     let mut harness = Harness::new(settings(), vec![warming, endpoint(21, ORIGIN, 1)]);
-    // 2 x (0.25 of 10) transfers x 1 s = 5 s of sending may reach it; means start at the target, 0.6 s.
+    // 2 x (0.25 of 10) transfers x 1 s = 5 s of transfer time may reach it. The mean transfer time starts at the
+    // latency objective, 0.6 s.
     let sent = (0..100).filter(|object| attempt_in(&harness.send_request(100 + object).1).is_some()).count();
     assert!((1..=50).contains(&sent), "{sent} of 0.1 s each");
     let before = sent;
     harness.now += SECOND + MICROSECOND;
-    assert!(attempt_in(&harness.send_request(7).1).is_some(), "the span has passed, {before} before");
+    assert!(
+        attempt_in(&harness.send_request(7).1).is_some(),
+        "the window has passed, after {before} requests"
+    );
 }
 
 #[test]
@@ -85,11 +90,11 @@
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 20.0);
     let mut harness = Harness::new(settings(), vec![endpoint(1, CACHE, 0), warming, endpoint(12, PARENT, 1)]);
     let fills = (0..400).filter(|object| harness.serve(*object).source.0 == 11).count();
-    // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at the most, each fill 0.1 s and more.
+    // 2 x (0.1 of 20) x 1 s over 2 routers = 2 s at most; each fill takes 0.1 s or more.
     assert!(fills > 0 && fills <= 20, "{fills}");
 }
 
-/// Two processes of one router would else spend a warming cache's budget twice.
+/// Guards against two processes of one router that each spend the whole budget of a warming cache.
 #[test]
 fn processes_of_one_router_share_a_warming_caches_budget() {
     let sent = |processes: u32| -> usize {
@@ -107,25 +112,26 @@
     assert!(shared > 0 && 2 * shared <= alone, "{alone} alone, {shared} shared");
 }
 
-/// What a fleet sends to one server that is warming up: each router's requests come as a Poisson stream of its own, and
-/// the first sees several times the mean, as an edge proxy of a busy location does.
+/// The requests of several routers to one warming server. Each router has a Poisson stream of its own; the first has
+/// four times the rate of the others, as at a busy location.
 struct WarmingFleet {
     routers: u32,
-    /// The server, whether as a cache or as the source of fills.
+    /// The warming server: a cache, or a parent that is a fill source.
     server: Endpoint,
-    /// When it starts, or joins, and when a burst comes.
+    /// When it starts or joins.
     starts: Instant,
+    /// When the request rate triples.
     burst: Instant,
-    /// Each router is configured as if it were the only one.
+    /// Whether each router is configured as if it were the only one.
     undivided: bool,
 }
 
 const FLEET_SECONDS: i64 = 8;
-/// A request's sending time, s: 100 KB at 1000 KB/s.
-const SENDING: f64 = 0.1;
+/// Transfer time of a request, s: 100 KB at 1000 KB/s.
+const TRANSFER_S: f64 = 0.1;
 
 impl WarmingFleet {
-    /// The times of what reaches the server, in order.
+    /// Returns the times of the requests that reach the server, in order.
     fn sends(&self, seed: u64) -> Vec<Instant> {
         let count = if self.undivided { 1 } else { self.routers };
         let mut fleet_settings = settings();
@@ -166,7 +172,8 @@
         sends
     }
 
-    /// By how many calls a span goes over N + 2 x root of N + 2 at most, N being what the rules allow in it.
+    /// Returns the largest excess, in requests, of a window over N + 2 sqrt(N) + 2, where N is what the rules allow in
+    /// the window.
     fn excess(&self, seed: u64) -> f64 {
         let rules = settings().protection;
         let slow_start = match self.server.kind {
@@ -176,12 +183,12 @@
         let SlowStartRules { initial_share: share, full_after: warm, overload_multiple: multiple } =
             slow_start;
         let sends = self.sends(seed);
-        assert!(!sends.is_empty(), "it is used while it warms up");
+        assert!(!sends.is_empty(), "the server is used while it warms up");
         let over = |from: &Instant| {
             let warmth = share
                 + (1.0 - share) * from.saturating_since(self.starts).as_micros_f64() / warm.as_micros_f64();
             let span = rules.overload_window.as_micros_f64() / SECOND.as_micros_f64();
-            let allowed = multiple * warmth * self.server.weight * span / SENDING;
+            let allowed = multiple * warmth * self.server.weight * span / TRANSFER_S;
             let count = sends.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
             count as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
@@ -189,7 +196,7 @@
     }
 }
 
-/// Caches that join or restart, and parents that fill, under a burst.
+/// Returns cases of caches and parents that start or join, with a burst of requests.
 fn warming_fleets(routers: u32, undivided: bool) -> Vec<WarmingFleet> {
     let cache = Endpoint { weight: 1.0, ..endpoint(1, CACHE, 0) };
     let parent = Endpoint { weight: 2.0, ..endpoint(11, PARENT, 1) };
@@ -211,13 +218,16 @@
         for (case, fleet) in warming_fleets(routers, false).iter().enumerate() {
             for seed in 0..5 {
                 let excess = fleet.excess(seed);
-                assert!(excess <= 0.0, "{routers} routers, case {case}, seed {seed}: {excess:.1} calls over");
+                assert!(
+                    excess <= 0.0,
+                    "{routers} routers, case {case}, seed {seed}: {excess:.1} requests over the limit"
+                );
             }
         }
     }
 }
 
-/// The check can fail: routers that each take the whole budget for theirs go over it.
+/// Shows that the check can fail: routers that each use the whole budget exceed it.
 #[test]
 fn a_budget_that_is_not_divided_is_exceeded() {
     for routers in [5, 20, 30] {
--- a/tests/policy/support.rs
+++ b/tests/policy/support.rs
@@ -1,4 +1,4 @@
-//! A router on passed-in time, its settings and its servers.
+//! Test support: a router on simulated time, its settings and its servers.
 
 use dahliatrack::*;
 
@@ -9,7 +9,7 @@
 pub const PARENT: u16 = 1;
 pub const ORIGIN: u16 = 2;
 
-/// Two routers in zones 0 and 2, with the hub between them, and one class of idempotent requests.
+/// Returns settings with two routers in zones 0 and 2, their hub in zone 1, and one class of idempotent requests.
 pub fn settings() -> Settings {
     let class = Class {
         latency_objective: 600 * MS,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Three caches of the own location, one of another, two hub parents, the origin.
+/// Returns three caches of the own location, one of another, two parents at the hub, and the origin.
 pub fn endpoints() -> Vec<Endpoint> {
     let mut all: Vec<Endpoint> = (1..=3).map(|id| endpoint(id, CACHE, 0)).collect();
     all.extend([
@@ -127,7 +127,7 @@
 impl Harness {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut harness = Harness {
-            router: Router::new(settings, 1, Instant::ZERO).expect("usable"),
+            router: Router::new(settings, 1, Instant::ZERO).expect("usable settings"),
             now: Instant::ZERO,
             next_id: 0,
         };
@@ -151,7 +151,7 @@
         (request.id, self.event(Event::Request(request)))
     }
 
-    /// Asks for an object whose size (KB) is told, or not (0).
+    /// Requests an object of the given size, KB; 0 if it is unknown.
     pub fn send_request_of_size(&mut self, object: u64, size_kb: f64) -> (RequestId, Vec<Action>) {
         self.next_id += 1;
         let request = Request { size_kb, ..request(self.next_id, object) };
@@ -190,7 +190,7 @@
         attempt
     }
 
-    /// Lets time pass in ticks; gives the actions of all of them.
+    /// Advances the time in ticks and returns the actions of all of them.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -201,7 +201,7 @@
         all
     }
 
-    /// Makes an object popular and gives its home.
+    /// Makes an object popular and returns its home.
     pub fn make_popular(&mut self, object: u64) -> ServerId {
         let home = self.serve(object).server;
         for _ in 0..3 {
@@ -225,9 +225,10 @@
     })
 }
 
-/// A harness whose fetches have failed for a while: few may be out, and so many are.
+/// Returns a router whose fetches have failed for a while, and its fetches in flight, which have reached the low
+/// limit.
 pub fn harness_with_low_fetch_limit(settings: Settings) -> (Harness, Vec<FillAttempt>) {
-    // The least of all routers together is one: here there is one.
+    // The minimum limit of all routers together is one fetch, so there is a single router here.
     let topology = Topology { routers: 1, ..settings.topology };
     let mut harness = Harness::new(Settings { topology, ..settings }, endpoints());
     for object in 1..80 {
