--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -217,6 +217,6 @@
     let (asked, rejected) = played(false, 3.0, 12);
     assert!(
         4 * rejected > asked,
-        "{rejected} of {asked} rejected at links of three with five times that load"
+        "{rejected} of {asked} rejected at links of three under five times their capacity"
     );
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -185,10 +185,10 @@
         let sends = self.sends(seed);
         assert!(!sends.is_empty(), "the server is used while it warms up");
         let over = |from: &Instant| {
-            let warmth = share
+            let capacity_share = share
                 + (1.0 - share) * from.saturating_since(self.starts).as_micros_f64() / warm.as_micros_f64();
             let span = rules.overload_window.as_micros_f64() / SECOND.as_micros_f64();
-            let allowed = multiple * warmth * self.server.weight * span / TRANSFER_S;
+            let allowed = multiple * capacity_share * self.server.weight * span / TRANSFER_S;
             let count = sends.iter().filter(|at| (*from..*from + rules.overload_window).contains(at)).count();
             count as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
         };
