--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, CacheStatusDetail, Instant, RejectionReason, RequestId, ServerId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Minimum number of overdue attempts in flight for a server to be silent: a single one may only have a large
+/// Minimum number of overdue attempts in flight for a server to be silent: a single one may just have a large
 /// answer.
 const MIN_OVERDUE: usize = 2;
 /// Minimum number of caches with overdue fills from a source for it to be silent.
@@ -123,8 +123,8 @@
             return;
         }
         if !to.ejected {
-            let role = if is_cache { "cache" } else { "source" };
-            out.push(Action::Log(format!("{role} {} silent, {} overdue", server.0, overdue.len())));
+            let tier = if is_cache { "cache" } else { "source" };
+            out.push(Action::Log(format!("{tier} {} silent, {} overdue", server.0, overdue.len())));
         }
         to.eject(now);
         for attempt in overdue {
