--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -71,8 +71,8 @@
         self.dispatch(now, id, out);
     }
 
-    /// Whether a request may still wait for a fetch. It may not wait until its deadline, since a tick may
-    /// come late.
+    /// Whether a request may still wait for a fetch. The wait ends well before its deadline, since a tick may
+    /// come a little late.
     pub(super) fn may_wait_for_fetch(&self, now: Instant, open: &OpenRequest) -> bool {
         let wait = Span::from_micros_f64(
             FETCH_WAIT_OBJECTIVE_SHARE * self.class(&open.request).latency_objective.as_micros_f64(),
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -20,8 +20,8 @@
 const EJECTING_ERROR_RATE: f64 = 0.4;
 /// An ejected server with an error rate under this is readmitted by its next response.
 const RECOVERED_ERROR_RATE: f64 = 0.1;
-/// Requests that are not always idempotent avoid servers and fill sources with this error rate or more, if they
-/// can.
+/// Requests that are not always idempotent avoid servers and fill sources with this error rate or more, if
+/// they can.
 pub const UNRELIABLE_ERROR_RATE: f64 = 0.02;
 
 pub struct SentWork {
