--- a/src/commands/sign.rs
+++ b/src/commands/sign.rs
@@ -4,7 +4,7 @@
 use super::CommandError;
 use dahliatrack::config::signed::SignedConfig;
 use dahliatrack::config::ConfigError;
-use dahliatrack::front::signed::credentials::{Binding, Grant, Keyring};
+use dahliatrack::front::signed::credentials::{Grant, Keyring, TokenScope};
 use std::path::PathBuf;
 
 /// The key and the end of what is signed.
@@ -81,10 +81,10 @@
 
 fn token(args: TokenArgs) -> Result<String, CommandError> {
     let TokenArgs { signing, object, table, not_before, issuer } = args;
-    let binding = match object {
-        Some(object) => Binding::Object(object),
-        None => Binding::Table(table.unwrap_or_default()),
+    let scope = match object {
+        Some(object) => TokenScope::Object(object),
+        None => TokenScope::Table(table.unwrap_or_default()),
     };
-    let grant = Grant { binding, exp: signing.expires, nbf: not_before, iss: issuer };
+    let grant = Grant { scope, exp: signing.expires, nbf: not_before, iss: issuer };
     Ok(signing.gate()?.sign_token(&signing.key, &grant)?)
 }
--- a/src/front/admin/call/tests.rs
+++ b/src/front/admin/call/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn calls_are_read_byte_by_byte_as_the_table_says() {
+fn parses_calls_that_arrive_byte_by_byte() {
     let cases = [
         ("GET /healthcheck HTTP/1.1\r\nHost: h\r\n\r\n", Ok(Some(AdminCall::Healthcheck))),
         ("GET /federation HTTP/1.1\r\n\r\n", Ok(Some(AdminCall::Federation))),
--- a/src/front/admin/mod.rs
+++ b/src/front/admin/mod.rs
@@ -17,7 +17,7 @@
 use call::take_call;
 
 /// The content type of lines of text.
-pub const TEXT: &str = "text/plain; charset=utf-8";
+pub const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
 /// Connections at a time; one more evicts the one that has been silent longest.
 pub const MAX_CALLERS: usize = 8;
 /// A call must be complete this long after its caller connected.
@@ -42,8 +42,8 @@
 
 impl AdminAnswer<'_> {
     /// An answer of a status alone.
-    fn bare(status: u16) -> Self {
-        AdminAnswer { status, content_type: TEXT, body: "" }
+    fn status_only(status: u16) -> Self {
+        AdminAnswer { status, content_type: TEXT_CONTENT_TYPE, body: "" }
     }
 
     /// The answer's bytes. The connection closes after it.
@@ -83,7 +83,7 @@
         self.is_answered
     }
 
-    fn has_asked(&self) -> bool {
+    fn has_sent_message(&self) -> bool {
         self.is_answered
     }
 
@@ -152,7 +152,7 @@
             // It writes nothing more, so an incomplete head is never completed.
             Ok(None) if progress.end => self.close(now, conn, Reason::PeerClosed, net, deadlines),
             Ok(None) => {}
-            Err(status) => self.answer(now, conn, AdminAnswer::bare(status), net, deadlines),
+            Err(status) => self.answer(now, conn, AdminAnswer::status_only(status), net, deadlines),
         }
         None
     }
@@ -194,7 +194,7 @@
         } else if has_sent_nothing {
             self.close(now, conn, Reason::HeadTimeout, net, deadlines);
         } else {
-            self.answer(now, conn, AdminAnswer::bare(408), net, deadlines);
+            self.answer(now, conn, AdminAnswer::status_only(408), net, deadlines);
         }
     }
 
--- a/src/front/http/tests.rs
+++ b/src/front/http/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_status_has_the_reason_phrase_of_its_rfc() {
+fn each_status_has_its_rfc_reason_phrase() {
     for (status, reason) in [
         (200, "OK"),
         (304, "Not Modified"),
--- a/src/front/sessions.rs
+++ b/src/front/sessions.rs
@@ -14,7 +14,7 @@
     /// Whether only the client's close is awaited.
     fn is_lingering(&self) -> bool;
     /// Whether it has sent a complete request.
-    fn has_asked(&self) -> bool;
+    fn has_sent_message(&self) -> bool;
     /// When it was last used.
     fn last_active(&self) -> Instant;
 }
@@ -117,7 +117,7 @@
     candidates: impl Iterator<Item = (ConnectionKey, &'a S)>,
 ) -> Option<ConnectionKey> {
     let rank = |(conn, session): &(ConnectionKey, &S)| {
-        (!session.is_lingering(), session.has_asked(), session.last_active(), *conn)
+        (!session.is_lingering(), session.has_sent_message(), session.last_active(), *conn)
     };
     candidates.min_by_key(rank).map(|(conn, _)| conn)
 }
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -56,7 +56,7 @@
     ) -> bool {
         let Some(session) = self.sessions.get_mut(conn) else { return false };
         let Some(request) = session.requests.front() else { return false };
-        let parts = http::encode_answer(&answer, request.only_head, request.keep_alive, net.unix_time());
+        let parts = http::encode_answer(&answer, request.head_only, request.keep_alive, net.unix_time());
         match net.begin(conn, parts) {
             Ok(false) => return false,
             Ok(true) => {}
@@ -83,7 +83,7 @@
         deadlines: &mut dyn Schedule<SessionDeadline>,
     ) {
         let retry_after = Some(retry_after_secs.max(MIN_RETRY_AFTER_SECS));
-        let rejection = HttpAnswer { retry_after, ..HttpAnswer::bare(503) };
+        let rejection = HttpAnswer { retry_after, ..HttpAnswer::status_only(503) };
         let parts = http::encode_answer(&rejection, false, false, net.unix_time());
         if let Err(reason) = net.write(conn, parts) {
             return self.close(now, conn, reason, net, deadlines);
--- a/src/front/signed/closing.rs
+++ b/src/front/signed/closing.rs
@@ -42,12 +42,12 @@
         if session.is_lingering {
             return self.close(now, conn, Reason::Done, net, deadlines);
         }
-        if session.received == 0 && net.input(conn, |input| input.is_empty()).unwrap_or(true) {
+        if session.received_requests == 0 && net.input(conn, |input| input.is_empty()).unwrap_or(true) {
             return self.close(now, conn, Reason::HeadTimeout, net, deadlines);
         }
-        let state = RequestState::Answered(HttpAnswer::bare(408));
+        let state = RequestState::Answered(HttpAnswer::status_only(408));
         let index = session.next_index();
-        session.push(PipelinedRequest { index, state, only_head: false, keep_alive: false });
+        session.push(PipelinedRequest { index, state, head_only: false, keep_alive: false });
     }
 
     /// Closes a connection that is stalled or idle.
@@ -64,7 +64,7 @@
         let is_stalled = net.unwritten(conn) > 0 && written_bytes == session.written_bytes;
         let is_idle = session.requests.is_empty() && session.last_active + self.config.idle_timeout <= now;
         session.written_bytes = written_bytes;
-        session.check = deadlines.add(next_check, SessionDeadline::Check(conn));
+        session.check_deadline = deadlines.add(next_check, SessionDeadline::Check(conn));
         if is_stalled {
             self.close(now, conn, Reason::Stalled, net, deadlines);
         } else if is_idle {
--- a/src/front/signed/credentials/claims.rs
+++ b/src/front/signed/credentials/claims.rs
@@ -4,13 +4,13 @@
 use serde_json::{Map, Value};
 
 /// The claims that are understood, and so may be critical.
-const UNDERSTOOD: [&str; 8] = ["iss", "aud", "exp", "nbf", "iat", "cdniv", "cdniuc", "cdnicrit"];
+const SUPPORTED_CLAIMS: [&str; 8] = ["iss", "aud", "exp", "nbf", "iat", "cdniv", "cdniuc", "cdnicrit"];
 /// Claims that restrict a token in ways that are not checked here: such a token is denied.
-const UNCHECKED: [&str; 2] = ["cdniip", "jti"];
+const UNSUPPORTED_CLAIMS: [&str; 2] = ["cdniip", "jti"];
 /// The version of the claims.
-const VERSION: i64 = 1;
+const CLAIMS_VERSION: i64 = 1;
 /// The transport by which a token is not renewed.
-const NO_RENEWAL: i64 = 0;
+const RENEWAL_DISABLED: i64 = 0;
 /// The latest Unix time that is accepted, in seconds.
 const MAX_UNIX_SECONDS: f64 = 1e11;
 
@@ -35,18 +35,18 @@
     }
 
     /// Checks that no claim is critical and not understood, or restricts the token in a way that is not checked here.
-    pub(super) fn check_understood(&self) -> Result<(), Denial> {
+    pub(super) fn check_supported(&self) -> Result<(), Denial> {
         let critical = self.text("cdnicrit")?.unwrap_or_default();
-        let is_understood = |name: &str| UNDERSTOOD.contains(&name) && self.0.contains_key(name);
-        if critical.split(',').map(str::trim).any(|name| !name.is_empty() && !is_understood(name)) {
+        let is_supported = |name: &str| SUPPORTED_CLAIMS.contains(&name) && self.0.contains_key(name);
+        if critical.split(',').map(str::trim).any(|name| !name.is_empty() && !is_supported(name)) {
             return Err(InvalidCredential::CriticalClaim.into());
         }
-        let is_renewed =
-            self.0.get("cdnistt").is_some_and(|transport| transport.as_i64() != Some(NO_RENEWAL));
-        if is_renewed || UNCHECKED.iter().any(|name| self.0.contains_key(*name)) {
+        let has_renewal =
+            self.0.get("cdnistt").is_some_and(|transport| transport.as_i64() != Some(RENEWAL_DISABLED));
+        if has_renewal || UNSUPPORTED_CLAIMS.iter().any(|name| self.0.contains_key(*name)) {
             return Err(InvalidCredential::UnsupportedClaim.into());
         }
-        if self.0.get("cdniv").is_some_and(|version| version.as_i64() != Some(VERSION)) {
+        if self.0.get("cdniv").is_some_and(|version| version.as_i64() != Some(CLAIMS_VERSION)) {
             return Err(InvalidCredential::Version.into());
         }
         Ok(())
--- a/src/front/signed/credentials/mod.rs
+++ b/src/front/signed/credentials/mod.rs
@@ -27,7 +27,7 @@
 
 /// The URIs that a token is valid for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Binding {
+pub enum TokenScope {
     /// One URI: one object, or one part of it.
     Object(String),
     /// All URIs that begin so: one table.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The URIs that it is valid for.
-    pub binding: Binding,
+    pub scope: TokenScope,
     /// When it expires, in Unix seconds.
     pub exp: i64,
     /// When it becomes valid, in Unix seconds.
--- a/src/front/signed/credentials/tests.rs
+++ b/src/front/signed/credentials/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_signed_url_has_the_published_form() {
+fn a_signed_url_matches_a_known_example() {
     // HMAC-SHA1 over the whole URL up to the signature, written in base64url with padding: RFC 2104's
     // construction, computed apart from this program.
     let mut keyring = keyring();
@@ -46,68 +46,68 @@
 }
 
 #[test]
-fn signed_urls_are_verified_as_the_table_says() {
+fn verifies_signed_urls() {
     let keyring = keyring();
     let signed =
         |key: &str, seconds| keyring.sign_url(key, "https://h.example/a?x=1", NOW + seconds).expect("url");
-    let good = signed("u1", 60);
-    let cut = good.find("Signature=").expect("a signature") + "Signature=".len();
+    let valid = signed("u1", 60);
+    let cut = valid.find("Signature=").expect("a signature") + "Signature=".len();
     let cases = [
-        (good.clone(), "until 60"),
-        (good.trim_end_matches('=').to_owned(), "until 60"),
+        (valid.clone(), "until 60"),
+        (valid.trim_end_matches('=').to_owned(), "until 60"),
         (signed("u2", 60), "until 60"),
-        (good.replace("/a?", "/%61?"), "until 60"),
+        (valid.replace("/a?", "/%61?"), "until 60"),
         ("https://h.example/a".into(), "Missing"),
         (signed("u1", 0), "Expired"),
         (signed("u1", -5), "Expired"),
-        (good.replace("/a?", "/b?"), "Invalid(Signature)"),
-        (good.replace("h.example", "i.example"), "Invalid(Signature)"),
-        (good.replace("x=1", "x=2"), "Invalid(Signature)"),
-        (good.replace("Expires=17", "Expires=18"), "Invalid(Signature)"),
-        (good.replace("KeyName=u1", "KeyName=u2"), "Invalid(Signature)"),
-        (good.replace("KeyName=u1", "KeyName=t1"), "Invalid(Signature)"),
-        (good.replace("KeyName=u1", "KeyName=zz"), "Invalid(Key)"),
-        (good.replace("Expires=", "Expires=+"), "Invalid(Expires)"),
-        (good.replace("Expires=", "Expires=999"), "Invalid(Expires)"),
-        (good[..cut].to_owned(), "Invalid(Signature)"),
-        (format!("{good}&y=1"), "Invalid(Parameters)"),
+        (valid.replace("/a?", "/b?"), "Invalid(Signature)"),
+        (valid.replace("h.example", "i.example"), "Invalid(Signature)"),
+        (valid.replace("x=1", "x=2"), "Invalid(Signature)"),
+        (valid.replace("Expires=17", "Expires=18"), "Invalid(Signature)"),
+        (valid.replace("KeyName=u1", "KeyName=u2"), "Invalid(Signature)"),
+        (valid.replace("KeyName=u1", "KeyName=t1"), "Invalid(Signature)"),
+        (valid.replace("KeyName=u1", "KeyName=zz"), "Invalid(Key)"),
+        (valid.replace("Expires=", "Expires=+"), "Invalid(Expires)"),
+        (valid.replace("Expires=", "Expires=999"), "Invalid(Expires)"),
+        (valid[..cut].to_owned(), "Invalid(Signature)"),
+        (format!("{valid}&y=1"), "Invalid(Parameters)"),
         ("https://h.example/a?Signature=x".into(), "Invalid(Parameters)"),
-        (format!("{good}&URISigningPackage=x"), "SeveralCredentials"),
+        (format!("{valid}&URISigningPackage=x"), "SeveralCredentials"),
     ];
     for (url, wanted) in cases {
         assert_eq!(check(&keyring, &url, None), wanted, "{url}");
     }
-    assert_eq!(check(&keyring, &good, Some("x")), "SeveralCredentials");
+    assert_eq!(check(&keyring, &valid, Some("x")), "SeveralCredentials");
 }
 
 #[test]
 fn a_signed_prefix_is_valid_for_urls_that_begin_with_it() {
     let mut keyring = keyring();
-    let of = |keyring: &Keyring, key: &str, seconds| {
+    let prefix_credential = |keyring: &Keyring, key: &str, seconds| {
         keyring.sign_prefix(key, "https://h.example/replays/17/", NOW + seconds).expect("signed")
     };
-    let good = of(&keyring, "u1", 60);
-    let other = good.replace("URLPrefix=", "URLPrefix=A");
+    let valid = prefix_credential(&keyring, "u1", 60);
+    let other = valid.replace("URLPrefix=", "URLPrefix=A");
     let cases = [
-        (format!("https://h.example/replays/17/a?{good}"), "until 60"),
-        (format!("https://H.example:443/replays/x/../17/a/b?x=1&{good}"), "until 60"),
-        (format!("https://h.example/replays/17/a?{}", of(&keyring, "u2", 60)), "until 60"),
-        (format!("https://h.example/replays/17/a?{}", of(&keyring, "u1", 0)), "Expired"),
-        (format!("https://h.example/replays/18/a?{good}"), "Invalid(Prefix)"),
-        (format!("https://h.example/replays/17/../18/a?{good}"), "Invalid(Prefix)"),
-        (format!("https://h.example/replays/17?{good}"), "Invalid(Prefix)"),
-        (format!("https://i.example/replays/17/a?{good}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17/a?{valid}"), "until 60"),
+        (format!("https://H.example:443/replays/x/../17/a/b?x=1&{valid}"), "until 60"),
+        (format!("https://h.example/replays/17/a?{}", prefix_credential(&keyring, "u2", 60)), "until 60"),
+        (format!("https://h.example/replays/17/a?{}", prefix_credential(&keyring, "u1", 0)), "Expired"),
+        (format!("https://h.example/replays/18/a?{valid}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17/../18/a?{valid}"), "Invalid(Prefix)"),
+        (format!("https://h.example/replays/17?{valid}"), "Invalid(Prefix)"),
+        (format!("https://i.example/replays/17/a?{valid}"), "Invalid(Prefix)"),
         (format!("https://h.example/replays/17/a?{other}"), "Invalid(Prefix)"),
-        (format!("https://h.example/replays/17/a?{good}&x=1"), "Invalid(Parameters)"),
+        (format!("https://h.example/replays/17/a?{valid}&x=1"), "Invalid(Parameters)"),
         (
-            format!("https://h.example/replays/17/a?{}", good.replace("&Exp", "&x=1&Exp")),
+            format!("https://h.example/replays/17/a?{}", valid.replace("&Exp", "&x=1&Exp")),
             "Invalid(Parameters)",
         ),
         (
-            format!("https://h.example/replays/17/a?{}", good.replace("Expires=17", "Expires=18")),
+            format!("https://h.example/replays/17/a?{}", valid.replace("Expires=17", "Expires=18")),
             "Invalid(Signature)",
         ),
-        (format!("https://h.example/replays/17/a?{}", good.replace("=u1", "=u2")), "Invalid(Signature)"),
+        (format!("https://h.example/replays/17/a?{}", valid.replace("=u1", "=u2")), "Invalid(Signature)"),
     ];
     for (url, wanted) in cases {
         assert_eq!(check(&keyring, &url, None), wanted, "{url}");
@@ -130,7 +130,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn tokens_are_verified_as_the_table_says() {
+fn verifies_tokens_and_their_claims() {
     let keyring = keyring();
     let url = "https://h.example/a/1?x=1";
     let hash = hash_container(url);
@@ -175,7 +175,7 @@
         assert_eq!(check(&keyring, url, Some(&package)), wanted, "{more} in a cookie");
     }
     let issued = with(json!({ "iss": "tables" }));
-    let heads = [
+    let by_key = [
         (token(Some("t2"), Jose::HS256, "t2", issued.clone()), "until 60"),
         (token(Some("t2"), Jose::HS256, "t2", with(json!({}))), "Invalid(Issuer)"),
         (token(Some("t1"), Jose::HS256, "t2", with(json!({}))), "Invalid(Signature)"),
@@ -185,7 +185,7 @@
         ("a.b.c".into(), "Invalid(Token)"),
         (String::new(), "Invalid(Token)"),
     ];
-    for (package, wanted) in heads {
+    for (package, wanted) in by_key {
         assert_eq!(check(&keyring, url, Some(&package)), wanted, "{package}");
     }
     let unsigned = format!("{}.e30.", URL_SAFE_NO_PAD.encode("{\"alg\":\"none\",\"kid\":\"t1\"}"));
@@ -197,13 +197,14 @@
 #[test]
 fn an_issued_token_is_valid_for_its_uris_and_no_others() {
     let keyring = keyring();
-    let grant = |binding| Grant { binding, exp: NOW + 60, nbf: Some(NOW), iss: Some("tables".into()) };
-    let object = Binding::Object("https://H.example:443/a/./1".into());
+    let grant = |scope| Grant { scope, exp: NOW + 60, nbf: Some(NOW), iss: Some("tables".into()) };
+    let object = TokenScope::Object("https://H.example:443/a/./1".into());
     let package = keyring.sign_token("t2", &grant(object)).expect("a token");
     assert_eq!(check(&keyring, "https://h.example/a/1", Some(&package)), "until 60");
     assert_eq!(check(&keyring, "https://h.example/a/2", Some(&package)), "Invalid(Container)");
-    let table =
-        keyring.sign_token("t2", &grant(Binding::Table("https://h.example/t/1/".into()))).expect("a token");
+    let table = keyring
+        .sign_token("t2", &grant(TokenScope::Table("https://h.example/t/1/".into())))
+        .expect("a token");
     for (url, wanted) in [
         ("https://h.example/t/1/x", "until 60"),
         ("https://h.example/t/1/../2/x", "Invalid(Container)"),
@@ -211,20 +212,20 @@
     ] {
         assert_eq!(check(&keyring, url, Some(&table)), wanted, "{url}");
     }
-    let refused = |binding| keyring.sign_token("t2", &grant(binding)).is_err();
-    assert!(refused(Binding::Table("https://h.example/t/1".into())));
-    assert!(refused(Binding::Object("https://h.example/a?Expires=1".into())));
-    assert!(keyring.sign_token("u1", &grant(Binding::Object("https://h.example/a".into()))).is_err());
+    let refused = |scope| keyring.sign_token("t2", &grant(scope)).is_err();
+    assert!(refused(TokenScope::Table("https://h.example/t/1".into())));
+    assert!(refused(TokenScope::Object("https://h.example/a?Expires=1".into())));
+    assert!(keyring.sign_token("u1", &grant(TokenScope::Object("https://h.example/a".into()))).is_err());
     assert!(keyring.sign_url("t1", "https://h.example/a", NOW).is_err());
 }
 
 #[test]
-fn no_secret_is_ever_shown() {
+fn debug_output_of_keys_hides_secrets() {
     assert!(!format!("{:?}", keyring().keys).contains("secret of"));
 }
 
 #[test]
-fn an_es256_key_checks_by_its_public_half_and_signs_only_with_the_private() {
+fn es256_verifies_with_public_key_and_signs_with_private() {
     use p256::pkcs8::{EncodePrivateKey, EncodePublicKey, LineEnding};
     let private = p256::SecretKey::from_slice(&[7; 32]).expect("a key");
     let public = private.public_key().to_public_key_pem(LineEnding::LF).expect("PEM").into_bytes();
@@ -236,23 +237,23 @@
         signing_key: signs.map(Secret),
         issuers: vec![],
     };
-    let whole = Keyring { keys: vec![key(Some(private))], audience: vec![] };
-    let checks = Keyring { keys: vec![key(None)], audience: vec![] };
+    let signing_keyring = Keyring { keys: vec![key(Some(private))], audience: vec![] };
+    let verifying_keyring = Keyring { keys: vec![key(None)], audience: vec![] };
     let url = "https://h.example/a";
-    let grant = Grant { binding: Binding::Object(url.into()), exp: NOW + 60, nbf: None, iss: None };
-    let package = whole.sign_token("e1", &grant).expect("a token");
-    assert_eq!(check(&checks, url, Some(&package)), "until 60");
-    assert!(checks.sign_token("e1", &grant).is_err());
+    let grant = Grant { scope: TokenScope::Object(url.into()), exp: NOW + 60, nbf: None, iss: None };
+    let package = signing_keyring.sign_token("e1", &grant).expect("a token");
+    assert_eq!(check(&verifying_keyring, url, Some(&package)), "until 60");
+    assert!(verifying_keyring.sign_token("e1", &grant).is_err());
     // The public half is no secret: a token that takes it for one is not genuine.
     let claims = json!({ "exp": NOW + 60, "cdniuc": hash_container(url) });
     let head = Header { kid: Some("e1".into()), ..Header::new(Jose::HS256) };
     let forged = jsonwebtoken::encode(&head, &claims, &EncodingKey::from_secret(&public)).expect("a token");
-    assert_eq!(check(&checks, url, Some(&forged)), "Invalid(Signature)");
+    assert_eq!(check(&verifying_keyring, url, Some(&forged)), "Invalid(Signature)");
 }
 
 /// The log has these codes.
 #[test]
-fn denials_have_the_codes_of_the_table() {
+fn denial_codes_are_fixed() {
     let cases: [(Denial, &str); 19] = [
         (Denial::SeveralCredentials, "several credentials"),
         (Denial::Missing, "missing"),
--- a/src/front/signed/credentials/token.rs
+++ b/src/front/signed/credentials/token.rs
@@ -2,8 +2,8 @@
 
 use super::claims::Claims;
 use super::{
-    check_expiry, table_uri, unix_time, unsigned_uri, Binding, Denial, Grant, InvalidCredential, Keyring,
-    SignError,
+    check_expiry, table_uri, unix_time, unsigned_uri, Denial, Grant, InvalidCredential, Keyring, SignError,
+    TokenScope,
 };
 use crate::config::signed::{Algorithm, Key, Secret};
 use crate::front::signed::uri::Uri;
@@ -41,15 +41,15 @@
 
     /// Checks the claims of a genuine token. Returns when it expires.
     fn check_claims(&self, claims: &Claims, key: &Key, uri: &Uri, now: UnixTime) -> Result<UnixTime, Denial> {
-        claims.check_understood()?;
-        if !was_issued_by(key, claims.text("iss")?) {
+        claims.check_supported()?;
+        if !accepts_issuer(key, claims.text("iss")?) {
             return Err(InvalidCredential::Issuer.into());
         }
-        if !self.is_audience(claims) {
+        if !self.is_audience_accepted(claims) {
             return Err(InvalidCredential::Audience.into());
         }
         let container = claims.text("cdniuc")?.ok_or(InvalidCredential::Container)?;
-        if !contains(container, &uri.to_string()) {
+        if !container_matches(container, &uri.to_string()) {
             return Err(InvalidCredential::Container.into());
         }
         if claims.time("nbf")?.is_some_and(|nbf| now < unix_time(nbf)) {
@@ -59,7 +59,7 @@
     }
 
     /// Whether a token is for this service, or names none.
-    fn is_audience(&self, claims: &Claims) -> bool {
+    fn is_audience_accepted(&self, claims: &Claims) -> bool {
         let is_this_service = |name: &Value| self.audience.iter().any(|known| name.as_str() == Some(known));
         match claims.0.get("aud") {
             None => true,
@@ -82,9 +82,9 @@
             Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::Unusable)?,
             _ => EncodingKey::from_secret(bytes),
         };
-        let container = match &grant.binding {
-            Binding::Object(url) => hash_container(&unsigned_uri(url)?.to_string()),
-            Binding::Table(url) => {
+        let container = match &grant.scope {
+            TokenScope::Object(url) => hash_container(&unsigned_uri(url)?.to_string()),
+            TokenScope::Table(url) => {
                 format!("regex:{}.*", regex::escape(&table_uri(url)?.to_string()))
             }
         };
@@ -127,7 +127,7 @@
 }
 
 /// Whether a key is for tokens of this issuer, or of none.
-fn was_issued_by(key: &Key, issuer: Option<&str>) -> bool {
+fn accepts_issuer(key: &Key, issuer: Option<&str>) -> bool {
     match issuer {
         Some(issuer) => key.issuers.iter().any(|known| known == issuer),
         None => key.issuers.is_empty(),
@@ -149,7 +149,7 @@
 }
 
 /// Whether a URI container holds a URI.
-fn contains(container: &str, uri: &str) -> bool {
+fn container_matches(container: &str, uri: &str) -> bool {
     match container.strip_prefix("regex:") {
         // The whole URI must match: a pattern for one place must not open what only contains it.
         Some(pattern) => RegexBuilder::new(&format!("^(?:{pattern})$"))
--- a/src/front/signed/handover.rs
+++ b/src/front/signed/handover.rs
@@ -20,7 +20,7 @@
             if let Some(last) = session.requests.back_mut() {
                 last.keep_alive = false;
                 session.ends_after_answers = true;
-            } else if session.received > 0 && !has_unused_input {
+            } else if session.received_requests > 0 && !has_unused_input {
                 session.ends_after_answers = true;
                 self.linger_if_answered(now, conn, net, deadlines);
             }
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// Whether only the answer's head is sent.
-    pub only_head: bool,
+    pub head_only: bool,
     /// The requested URI.
     pub uri: Uri,
     /// The token in a cookie.
@@ -54,7 +54,7 @@
     http::check_no_body(head)?;
     let is_http_1_1 = head.version == Some(1);
     let keep_alive = keeps_alive(head, is_http_1_1);
-    let only_head = match head.method {
+    let head_only = match head.method {
         Some("GET") => false,
         Some("HEAD") => true,
         _ => return Err(HeadError::Method { keep_alive }.into()),
@@ -68,7 +68,7 @@
     let cookie = token_cookie(head)?;
     let opaque_tag = |etag: &str| etag.trim_start_matches("W/").trim_matches('"').to_owned();
     let etags = list("if-none-match").filter(|etag| !etag.is_empty()).map(opaque_tag).collect();
-    Ok(RequestHead { only_head, uri, cookie, etags, keep_alive })
+    Ok(RequestHead { head_only, uri, cookie, etags, keep_alive })
 }
 
 /// Whether the connection stays open after the answer, as far as the client says.
@@ -113,13 +113,13 @@
 
 impl HttpAnswer {
     /// An answer of a status alone.
-    pub fn bare(status: u16) -> Self {
+    pub fn status_only(status: u16) -> Self {
         HttpAnswer { status, ..HttpAnswer::default() }
     }
 }
 
 /// Encodes an answer: its head and its body.
-pub fn encode_answer(answer: &HttpAnswer, only_head: bool, keep_alive: bool, now: UnixTime) -> [Bytes; 2] {
+pub fn encode_answer(answer: &HttpAnswer, head_only: bool, keep_alive: bool, now: UnixTime) -> [Bytes; 2] {
     let mut head = http::status_and_date(answer.status, now);
     let mut line = |name: &str, value: &dyn std::fmt::Display| http::push_header(&mut head, name, value);
     match answer.status {
@@ -150,7 +150,7 @@
         line("Connection", &"close");
     }
     head.push_str("\r\n");
-    let body = if only_head || answer.status != 200 { Bytes::new() } else { answer.body.clone() };
+    let body = if head_only || answer.status != 200 { Bytes::new() } else { answer.body.clone() };
     [head.into(), body]
 }
 
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn requests_are_read_as_the_table_says() {
+fn parses_request_heads() {
     let cases = [
         ("GET /a HTTP/1.1\r\nHost: h\r\n\r\n", "GET http://h/a keep"),
         ("HEAD /a HTTP/1.1\r\nHost: h\r\nConnection: Close\r\n\r\n", "HEAD http://h/a close"),
@@ -37,7 +37,7 @@
             Ok(None) => "partial".into(),
             Err(bad) => format!("{bad:?}"),
             Ok(Some(head)) => {
-                let method = if head.only_head { "HEAD" } else { "GET" };
+                let method = if head.head_only { "HEAD" } else { "GET" };
                 let keep = if head.keep_alive { "keep" } else { "close" };
                 let etags: String = head.etags.iter().map(|etag| format!(" {etag}")).collect();
                 format!("{method} {} {keep}{etags}", head.uri)
@@ -54,15 +54,15 @@
 }
 
 #[test]
-fn answers_say_what_their_status_needs() {
-    let text = |given: HttpAnswer, only_head, keep| {
-        String::from_utf8(encode_answer(&given, only_head, keep, UnixTime::EPOCH).concat()).expect("text")
+fn answers_have_the_headers_of_their_status() {
+    let text = |given: HttpAnswer, head_only, keep| {
+        String::from_utf8(encode_answer(&given, head_only, keep, UnixTime::EPOCH).concat()).expect("text")
     };
     let served = HttpAnswer {
         body: Bytes::from_static(b"hi"),
         etag: Some("t".into()),
         age: Some(3),
-        ..HttpAnswer::bare(200)
+        ..HttpAnswer::status_only(200)
     };
     let date = "Date: Thu, 01 Jan 1970 00:00:00 GMT\r\n";
     let kind = "Content-Type: application/octet-stream\r\nContent-Length: 2\r\n";
@@ -70,11 +70,11 @@
     assert_eq!(text(served.clone(), false, true), format!("{head}hi"));
     assert_eq!(text(served, true, true), head);
     let none = "Cache-Control: no-store\r\nContent-Length: 0\r\n";
-    let refused = HttpAnswer { retry_after: Some(1), ..HttpAnswer::bare(503) };
+    let refused = HttpAnswer { retry_after: Some(1), ..HttpAnswer::status_only(503) };
     let wanted = format!(
         "HTTP/1.1 503 Service Unavailable\r\n{date}{none}Retry-After: 1\r\nConnection: close\r\n\r\n"
     );
     assert_eq!(text(refused, false, false), wanted);
     let wanted = format!("HTTP/1.1 405 Method Not Allowed\r\n{date}{none}Allow: GET, HEAD\r\n\r\n");
-    assert_eq!(text(HttpAnswer::bare(405), false, true), wanted);
+    assert_eq!(text(HttpAnswer::status_only(405), false, true), wanted);
 }
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -91,7 +91,7 @@
         self.config = config;
     }
 
-    /// Takes the handles, given by [`SignedFront::bind`], of requests that were cancelled or whose connection ended. No
+    /// Takes the handles, given by [`SignedFront::set_handle`], of requests that were cancelled or whose connection ended. No
     /// answer is owed to them.
     pub fn take_cancelled(&mut self) -> Vec<RequestHandle> {
         std::mem::take(&mut self.cancelled)
@@ -126,7 +126,7 @@
 
     /// Gives an open request the handle by which [`SignedFront::take_cancelled`] and [`SignedFront::next_to_answer`]
     /// name it.
-    pub fn bind(&mut self, conn: ConnectionKey, index: RequestIndex, handle: RequestHandle) {
+    pub fn set_handle(&mut self, conn: ConnectionKey, index: RequestIndex, handle: RequestHandle) {
         let session = self.sessions.get_mut(conn);
         if let Some(request) = session.and_then(|session| session.request_mut(index)) {
             request.state = RequestState::Open(Some(handle));
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -88,7 +88,7 @@
         if has_begun_head && session.client_timeout.is_none() && session.requests.len() < MAX_OPEN_REQUESTS {
             let at = now + self.config.head_timeout;
             session.client_timeout = Some(deadlines.add(at, SessionDeadline::ClientTimeout(conn)));
-        } else if !has_begun_head && session.received > 0 && !session.is_lingering {
+        } else if !has_begun_head && session.received_requests > 0 && !session.is_lingering {
             session.clear_client_timeout(deadlines);
         }
     }
@@ -132,7 +132,7 @@
         head: RequestHead,
         events: &mut Vec<SignedEvent>,
     ) -> PipelinedRequest {
-        let only_head = head.only_head;
+        let head_only = head.head_only;
         let keep_alive = head.keep_alive && !self.is_draining;
         let state = match self.authorize(head, now) {
             Err(answer) => RequestState::Answered(answer),
@@ -141,7 +141,7 @@
                 RequestState::Open(None)
             }
         };
-        PipelinedRequest { index, state, only_head, keep_alive }
+        PipelinedRequest { index, state, head_only, keep_alive }
     }
 
     /// The answered request of a head that cannot be served.
@@ -159,22 +159,23 @@
                 (400, false)
             }
         };
-        let state = RequestState::Answered(HttpAnswer::bare(status));
-        PipelinedRequest { index, state, only_head: false, keep_alive }
+        let state = RequestState::Answered(HttpAnswer::status_only(status));
+        PipelinedRequest { index, state, head_only: false, keep_alive }
     }
 
     /// Checks a request's credential. Credentials expire at a Unix time, which is converted to an instant here, once,
     /// so that a later step of the wall clock does not move it.
     fn authorize(&self, head: RequestHead, now: Now) -> Result<AuthorizedRequest, HttpAnswer> {
         if !self.config.hosts.contains(&head.uri.host) {
-            return Err(HttpAnswer::bare(421));
+            return Err(HttpAnswer::status_only(421));
         }
         let expires = self.keyring.verify(&head.uri, head.cookie.as_deref(), now.unix).map_err(|denial| {
             // The path only: what follows it is a credential.
             info!("denied: {denial} {}", head.uri.path);
-            HttpAnswer::bare(if denial == Denial::SeveralCredentials { 400 } else { 403 })
+            HttpAnswer::status_only(if denial == Denial::SeveralCredentials { 400 } else { 403 })
         })?;
-        let target = route::find_target(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::bare(404))?;
+        let target =
+            route::find_target(&self.config.routes, &head.uri.path).ok_or(HttpAnswer::status_only(404))?;
         let expires = now.monotonic.saturating_add(expires - now.unix);
         Ok(AuthorizedRequest { target, etags: head.etags, expires })
     }
--- a/src/front/signed/route/tests.rs
+++ b/src/front/signed/route/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn paths_name_what_the_routes_say() {
+fn paths_are_matched_segment_by_segment() {
     let route = |path: &str, group| Route { path: path.into(), class: "c".into(), group, patience_ms: None };
     let routes = [route("/replays/{group}/{object}/{part}", 0), route("/art/{object}", 9)];
     let object = ObjectId(0x7f3a_9c21_e0b4_d655);
--- a/src/front/signed/session.rs
+++ b/src/front/signed/session.rs
@@ -23,7 +23,7 @@
     pub index: RequestIndex,
     pub state: RequestState,
     /// Only the answer's head is sent.
-    pub only_head: bool,
+    pub head_only: bool,
     /// The connection stays open after the answer.
     pub keep_alive: bool,
 }
@@ -33,10 +33,10 @@
     /// The requests that are not answered yet, in their order.
     pub requests: VecDeque<PipelinedRequest>,
     /// How many requests were received.
-    pub received: u64,
+    pub received_requests: u64,
     /// When the client must have sent a complete head, or must have closed.
     pub client_timeout: Option<DeadlineHandle>,
-    pub check: DeadlineHandle,
+    pub check_deadline: DeadlineHandle,
     /// Bytes written so far, as of the last check.
     pub written_bytes: u64,
     /// When something last came or was answered.
@@ -51,7 +51,7 @@
 
 impl sessions::Session for Session {
     fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle> {
-        std::iter::once(self.check).chain(self.client_timeout)
+        std::iter::once(self.check_deadline).chain(self.client_timeout)
     }
 
     fn has_open_requests(&self) -> bool {
@@ -62,8 +62,8 @@
         self.is_lingering
     }
 
-    fn has_asked(&self) -> bool {
-        self.received > 0
+    fn has_sent_message(&self) -> bool {
+        self.received_requests > 0
     }
 
     fn last_active(&self) -> Instant {
@@ -73,12 +73,12 @@
 
 impl Session {
     /// A connection that has just been accepted.
-    pub(super) fn new(now: Instant, check: DeadlineHandle, client_timeout: DeadlineHandle) -> Self {
+    pub(super) fn new(now: Instant, check_deadline: DeadlineHandle, client_timeout: DeadlineHandle) -> Self {
         Session {
             requests: VecDeque::new(),
-            received: 0,
+            received_requests: 0,
             client_timeout: Some(client_timeout),
-            check,
+            check_deadline,
             written_bytes: 0,
             last_active: now,
             ends_after_answers: false,
@@ -89,7 +89,7 @@
 
     /// The place of the next request.
     pub(super) fn next_index(&self) -> RequestIndex {
-        RequestIndex(self.received)
+        RequestIndex(self.received_requests)
     }
 
     /// A request that is not answered yet.
@@ -104,7 +104,7 @@
 
     /// Adds the next request.
     pub(super) fn push(&mut self, request: PipelinedRequest) {
-        self.received += 1;
+        self.received_requests += 1;
         self.ends_after_answers = !request.keep_alive;
         self.requests.push_back(request);
     }
--- a/src/front/signed/uri/tests.rs
+++ b/src/front/signed/uri/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn equal_uris_have_one_form() {
+fn equivalent_uris_have_one_normal_form() {
     let cases = [
         ("/a/b?x=1", "https://h.example/a/b?x=1"),
         ("/a/./c/../b/", "https://h.example/a/b/"),
--- a/src/front/thrift/answering.rs
+++ b/src/front/thrift/answering.rs
@@ -22,8 +22,8 @@
             return Vec::new();
         }
         session.last_active = now;
-        let close_reason = session.unreadable.filter(|_| session.open_requests.is_empty());
-        let mut events = self.answer_unbound(now, conn, seqid, reply, net, deadlines);
+        let close_reason = session.unreadable_reason.filter(|_| session.open_requests.is_empty());
+        let mut events = self.answer_untracked(now, conn, seqid, reply, net, deadlines);
         if let Some(reason) = close_reason {
             events.extend(self.close_gracefully(now, conn, reason, net, deadlines));
         }
@@ -31,7 +31,7 @@
     }
 
     /// Writes an answer to a call that was never open: a ping, or a request over the limit.
-    pub fn answer_unbound(
+    pub fn answer_untracked(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
--- a/src/front/thrift/closing.rs
+++ b/src/front/thrift/closing.rs
@@ -52,7 +52,7 @@
         deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> TimeoutCheck {
         let Some(session) = self.sessions.get_mut(conn) else { return TimeoutCheck::Passed };
-        session.check = deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn));
+        session.check_deadline = deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn));
         let written_bytes = net.wrote(conn);
         let has_unwritten = net.unwritten(conn) > 0;
         if written_bytes != session.written_bytes || !has_unwritten {
--- a/src/front/thrift/codec/tests.rs
+++ b/src/front/thrift/codec/tests.rs
@@ -14,13 +14,13 @@
     parts.iter().flat_map(part).collect()
 }
 
-fn shown(bytes: &[u8]) -> String {
+fn printable(bytes: &[u8]) -> String {
     let plain = |b: &u8| b.is_ascii_alphanumeric() || *b == b' ';
     bytes.iter().map(|b| if plain(b) { char::from(*b).into() } else { format!("<{b:02x}>") }).collect()
 }
 
 #[test]
-fn calls_are_decoded_as_the_table_says() {
+fn decodes_calls_and_reports_malformed_ones() {
     let invoke = "80 01 00 01 00 00 00 06";
     let abort = "80 01 00 04 00 00 00 05";
     let map = "0d 00 01 0b 0b 00 00 00 01 00 00 00 01";
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn replies_are_encoded_as_the_table_says() {
+fn encodes_each_kind_of_reply() {
     let cases = [
         ThriftReply::Answer { body: Bytes::from_static(b"body"), fields: vec![("current", "1".into())] },
         ThriftReply::Pong(true),
@@ -65,13 +65,14 @@
             text: "why".into(),
         },
     ];
-    let lines: Vec<String> = cases.map(|given| shown(&encode_reply(SequenceId(7), given).concat())).into();
+    let lines: Vec<String> =
+        cases.map(|given| printable(&encode_reply(SequenceId(7), given).concat())).into();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 /// Clients get these texts with a protocol error.
 #[test]
-fn decode_errors_have_the_texts_of_the_table() {
+fn decode_error_texts_are_fixed() {
     let cases = [
         (DecodeError::Truncated, "a message ends early"),
         (DecodeError::NegativeLength, "a negative length"),
--- a/src/front/thrift/handover.rs
+++ b/src/front/thrift/handover.rs
@@ -22,7 +22,7 @@
     ) {
         self.open(now, conn, deadlines);
         if let Some(session) = self.sessions.get_mut(conn) {
-            session.has_asked = true;
+            session.has_sent_message = true;
             session.awaiting_message_since = None;
             // What the other process read may have waited for the whole pause before the handover.
             let unused = net.input(conn, |input| input.len()).unwrap_or(0);
@@ -32,12 +32,12 @@
 
     /// The connections that can be handed over, since none of their requests is open. Reading pauses for
     /// [`HANDOVER_PAUSE`] on those that have at most `max_open` open requests, and goes on for as long afterwards; all
-    /// of them pause `before_end`.
+    /// of them pause `is_end_near`.
     pub fn connections_to_hand_over(
         &mut self,
         now: Instant,
         max_open: usize,
-        before_end: bool,
+        is_end_near: bool,
         net: &Net,
     ) -> Vec<ConnectionKey> {
         let mut ready: Vec<ConnectionKey> = Vec::new();
@@ -46,11 +46,11 @@
                 continue;
             }
             match session.paused_since {
-                Some(since) if !before_end && since + HANDOVER_PAUSE <= now => {
+                Some(since) if !is_end_near && since + HANDOVER_PAUSE <= now => {
                     session.pause_allowed_at = now + HANDOVER_PAUSE;
                     session.resume(conn, &mut self.turns);
                 }
-                None if before_end
+                None if is_end_near
                     || (session.open_requests.len() <= max_open && session.pause_allowed_at <= now) =>
                 {
                     session.paused_since = Some(now);
@@ -65,7 +65,7 @@
     }
 
     /// Removes a connection that was handed over.
-    pub fn handed_over(&mut self, conn: ConnectionKey, deadlines: &mut dyn Schedule<SessionDeadline>) {
+    pub fn remove_handed_over(&mut self, conn: ConnectionKey, deadlines: &mut dyn Schedule<SessionDeadline>) {
         self.sessions.remove(conn, deadlines);
     }
 
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -51,7 +51,7 @@
         /// When its first byte came. It may have waited unread since.
         arrived: Instant,
     },
-    /// A request beyond [`MAX_OPEN_REQUESTS`]; [`ThriftFront::answer_unbound`] answers it.
+    /// A request beyond [`MAX_OPEN_REQUESTS`]; [`ThriftFront::answer_untracked`] answers it.
     RequestOverLimit {
         /// Its connection.
         conn: ConnectionKey,
@@ -113,8 +113,8 @@
     }
 
     /// Whether a connection has sent a complete message.
-    pub fn has_asked(&self, conn: ConnectionKey) -> bool {
-        self.sessions.get(conn).is_some_and(|session| session.has_asked)
+    pub fn has_sent_message(&self, conn: ConnectionKey) -> bool {
+        self.sessions.get(conn).is_some_and(|session| session.has_sent_message)
     }
 
     /// Takes the next connection that has more to read than its last turn allowed.
@@ -142,7 +142,7 @@
     }
 
     /// Gives an open request the handle by which [`ThriftEvent::Cancelled`] names it.
-    pub fn bind(&mut self, conn: ConnectionKey, seqid: SequenceId, handle: RequestHandle) {
+    pub fn set_handle(&mut self, conn: ConnectionKey, seqid: SequenceId, handle: RequestHandle) {
         let session = self.sessions.get_mut(conn);
         if let Some(bound) = session.and_then(|session| session.open_requests.get_mut(&seqid)) {
             *bound = Some(handle);
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -23,13 +23,13 @@
 }
 
 impl ThriftFront {
-    /// Handles a connection that may be read from or written to, or whose client has `closed` it. Requests of a client
+    /// Handles a connection that may be read from or written to, or whose client has closed it (`peer_closed`). Requests of a client
     /// that closed are cancelled, also those still unread.
     pub fn on_ready(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
-        closed: bool,
+        peer_closed: bool,
         net: &mut Net,
         deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<ThriftEvent> {
@@ -38,10 +38,10 @@
             self.continue_lingering(now, conn, net, deadlines);
             return Vec::new();
         }
-        if closed {
+        if peer_closed {
             return self.close(now, conn, Reason::PeerClosed, net, deadlines);
         }
-        if session.unreadable.is_some() {
+        if session.unreadable_reason.is_some() {
             return self.on_ready_unreadable(now, conn, net, deadlines);
         }
         let mut events = Vec::new();
@@ -83,7 +83,7 @@
         if session.open_requests.is_empty() {
             return self.close_gracefully(now, conn, reason, net, deadlines);
         }
-        session.unreadable = Some(reason);
+        session.unreadable_reason = Some(reason);
         session.drop_input(conn, net);
         Vec::new()
     }
@@ -109,7 +109,7 @@
             let turn_end = self.take_frames(now, conn, &mut taken, net, events)?;
             let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
             let has_begun_message = net.input(conn, |input| !input.is_empty()).unwrap_or(false);
-            session.awaiting_message_since = if has_begun_message || !session.has_asked {
+            session.awaiting_message_since = if has_begun_message || !session.has_sent_message {
                 session.awaiting_message_since.or(Some(now))
             } else {
                 None
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -15,7 +15,7 @@
 /// One client's connection.
 pub(super) struct Session {
     pub open_requests: OpenRequests,
-    pub check: DeadlineHandle,
+    pub check_deadline: DeadlineHandle,
     /// Bytes written so far, as of the last check.
     pub written_bytes: u64,
     /// When some bytes were last written, or none were waiting.
@@ -25,7 +25,7 @@
     /// Since when a message is awaited that has begun, or a first one.
     pub awaiting_message_since: Option<Instant>,
     /// It has sent a complete message.
-    pub has_asked: bool,
+    pub has_sent_message: bool,
     /// It waits for a turn to be read from.
     pub is_queued: bool,
     /// Since when reading pauses, so that the connection can be handed over once its requests are answered.
@@ -37,7 +37,7 @@
     /// The write side is shut down.
     pub is_shut_down: bool,
     /// Input cannot be read any further. The connection ends for this reason once its open requests are answered.
-    pub unreadable: Option<Reason>,
+    pub unreadable_reason: Option<Reason>,
     /// Bytes of unread messages that were already searched for cancellations.
     pub scanned_bytes: usize,
     /// When the unused bytes came.
@@ -48,7 +48,7 @@
 
 impl sessions::Session for Session {
     fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle> {
-        std::iter::once(self.check)
+        std::iter::once(self.check_deadline)
     }
 
     fn has_open_requests(&self) -> bool {
@@ -59,8 +59,8 @@
         self.lingering_since.is_some()
     }
 
-    fn has_asked(&self) -> bool {
-        self.has_asked
+    fn has_sent_message(&self) -> bool {
+        self.has_sent_message
     }
 
     fn last_active(&self) -> Instant {
@@ -77,18 +77,18 @@
     ) -> Self {
         Session {
             open_requests: BTreeMap::new(),
-            check: deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn)),
+            check_deadline: deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn)),
             written_bytes: 0,
             last_write_progress: now,
             last_active: now,
             awaiting_message_since: Some(now),
-            has_asked: false,
+            has_sent_message: false,
             is_queued: false,
             paused_since: None,
             pause_allowed_at: now,
             lingering_since: None,
             is_shut_down: false,
-            unreadable: None,
+            unreadable_reason: None,
             scanned_bytes: 0,
             arrivals: Arrivals::default(),
             waiting_since: None,
@@ -105,7 +105,7 @@
     pub(super) fn note_message(&mut self, now: Instant, bytes: usize) -> Instant {
         self.last_active = now;
         self.awaiting_message_since = None;
-        self.has_asked = true;
+        self.has_sent_message = true;
         self.arrivals.take(bytes).unwrap_or(now)
     }
 
@@ -118,7 +118,7 @@
     /// Whether all its requests are answered and no further message has begun.
     pub(super) fn is_idle(&self, now: Instant, conn: ConnectionKey, net: &mut Net) -> bool {
         let has_unused_input = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
-        let is_past_first_request = self.has_asked || self.last_active + FIRST_REQUEST_GRACE <= now;
+        let is_past_first_request = self.has_sent_message || self.last_active + FIRST_REQUEST_GRACE <= now;
         is_past_first_request
             && self.lingering_since.is_none()
             && !self.is_queued
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_message_is_read_however_it_is_cut() {
+fn a_message_that_arrives_byte_by_byte_is_read() {
     let mut fixture = Fixture::new();
     for message in [PING, &invoke(1)] {
         for (i, byte) in message.iter().enumerate() {
@@ -93,7 +93,7 @@
 
 /// A client that reads its answers slowly sends the rest of its next message when it comes to it.
 #[test]
-fn a_message_begun_while_requests_are_open_has_its_full_time_out_after_their_answers() {
+fn message_timeout_starts_after_open_requests_are_answered() {
     for open in [true, false] {
         let mut fixture = Fixture::new();
         let first = if open { invoke(1) } else { PING.to_vec() };
@@ -125,11 +125,11 @@
 
 /// One request that stayed open for long kept all that came behind it unread, to the end of its time.
 #[test]
-fn a_pause_before_handover_ends_whatever_is_open() {
+fn a_handover_pause_ends_even_with_open_requests() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
-    let hand_over = |fixture: &mut Fixture, now, most, before_end| {
-        let all = fixture.front.connections_to_hand_over(now, most, before_end, &fixture.net);
+    let hand_over = |fixture: &mut Fixture, now, max_open, is_end_near| {
+        let all = fixture.front.connections_to_hand_over(now, max_open, is_end_near, &fixture.net);
         (all.len(), fixture.session().paused_since.is_some(), fixture.front.waiting_turns())
     };
     assert_eq!(hand_over(&mut fixture, at(10 * US), 0, false), (0, false, 0), "too much is open");
@@ -174,7 +174,7 @@
 fn a_cancellation_is_found_while_reading_is_paused() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
-    fixture.front.bind(fixture.conn, SequenceId(1), HANDLE);
+    fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
     fixture.front.connections_to_hand_over(at(10 * US), 1, false, &fixture.net);
     assert!(fixture.session().paused_since.is_some());
     // A request behind it stays unread, and so does its own cancellation.
@@ -189,7 +189,7 @@
 fn a_close_cancels_open_requests_and_drops_unread_ones() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
-    fixture.front.bind(fixture.conn, SequenceId(1), HANDLE);
+    fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
     fixture.client.write_all(&invoke(2)).expect("written");
     let events = fixture.front.on_ready(at(US), fixture.conn, true, &mut fixture.net, &mut fixture.deadlines);
     assert_eq!(events, [ThriftEvent::Cancelled(HANDLE)]);
@@ -198,7 +198,7 @@
 
 /// The client's time-out runs while its request waits unread.
 #[test]
-fn a_request_that_waited_unread_has_its_arrival_time() {
+fn a_request_that_waited_unread_keeps_its_arrival_time() {
     let arrived = |events: &[ThriftEvent]| match events {
         [ThriftEvent::Request { arrived, .. }] => *arrived,
         other => panic!("{other:?}"),
@@ -225,7 +225,7 @@
 
 /// The same for a connection that was handed over, or waited to be accepted.
 #[test]
-fn requests_on_adopted_or_late_accepted_connections_have_waited() {
+fn arrival_time_includes_waiting_for_accept_or_handover() {
     let mut fixture = Fixture::new();
     let waits_since = at(-70 * US);
     fixture.front.set_waiting_since(fixture.conn, waits_since);
@@ -254,7 +254,7 @@
 fn a_cancellation_is_found_behind_long_messages() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
-    fixture.front.bind(fixture.conn, SequenceId(1), HANDLE);
+    fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
     fixture.front.connections_to_hand_over(at(10 * US), 1, false, &fixture.net);
     let mut long = (MAX_FRAME_BYTES as u32).to_be_bytes().to_vec();
     long.resize(long.len() + MAX_FRAME_BYTES, 0);
@@ -284,14 +284,14 @@
 fn a_repeated_sequence_number_leaves_other_requests_open() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
-    fixture.front.bind(fixture.conn, SequenceId(1), HANDLE);
+    fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
     fixture.client.write_all(&[invoke(2), invoke(2)].concat()).expect("written");
-    while fixture.session().unreadable.is_none() {
+    while fixture.session().unreadable_reason.is_none() {
         let events =
             fixture.front.on_ready(at(US), fixture.conn, false, &mut fixture.net, &mut fixture.deadlines);
         assert!(events.iter().all(|event| event.is_request(fixture.conn, SequenceId(2))), "{events:?}");
     }
-    assert_eq!(fixture.session().unreadable, Some(Reason::DuplicateSeqid));
+    assert_eq!(fixture.session().unreadable_reason, Some(Reason::DuplicateSeqid));
     assert!(
         fixture.front.is_open(fixture.conn, SequenceId(1))
             && !fixture.front.is_open(fixture.conn, SequenceId(2))
--- a/src/server/admin_calls.rs
+++ b/src/server/admin_calls.rs
@@ -16,7 +16,7 @@
 
 impl AdminReply {
     fn text(status: u16, body: impl Into<String>) -> Self {
-        AdminReply { status, content_type: admin::TEXT, body: body.into() }
+        AdminReply { status, content_type: admin::TEXT_CONTENT_TYPE, body: body.into() }
     }
 }
 
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -56,7 +56,7 @@
         for conn in connections {
             let handover = &mut self.handover;
             if self.net.hand_over(self.now, conn, |stream, unused| handover.pass_on(stream, unused)) {
-                self.thrift.handed_over(conn, &mut self.deadlines);
+                self.thrift.remove_handed_over(conn, &mut self.deadlines);
             }
         }
     }
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -83,7 +83,7 @@
         }
         let request = ClientRequest { class, object, part, group, timeout, authorized_until: Some(expires) };
         let key = self.core.submit(self.now, request, &mut self.deadlines);
-        signed.front.bind(conn, index, RequestHandle::from_number(key.number()));
+        signed.front.set_handle(conn, index, RequestHandle::from_number(key.number()));
         let pending = PendingRequest {
             client: Client::Signed { conn },
             etags,
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -111,7 +111,7 @@
         let timeout = (client_timeout - waited - CLIENT_TO_PROXY).max(MIN_TIMEOUT);
         let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
         let key = self.core.submit(self.now, submitted, &mut self.deadlines);
-        self.thrift.bind(conn, seqid, RequestHandle::from_number(key.number()));
+        self.thrift.set_handle(conn, seqid, RequestHandle::from_number(key.number()));
         let pending = PendingRequest {
             client: Client::Thrift { conn, seqid },
             etags: Vec::from_iter(request.etag),
@@ -134,7 +134,7 @@
     /// Answers a call that the front does not track as open.
     fn answer_untracked_call(&mut self, conn: ConnectionKey, seqid: SequenceId, reply: ThriftReply) {
         let events =
-            self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
+            self.thrift.answer_untracked(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
     }
 }
--- a/src/server/translate/answers.rs
+++ b/src/server/translate/answers.rs
@@ -22,15 +22,18 @@
     match answer {
         FinalAnswer::Served(copy) => served(copy, etags, now),
         FinalAnswer::Rejected { timed_out: true, .. } | FinalAnswer::Failed { timed_out: true } => {
-            HttpAnswer::bare(504)
+            HttpAnswer::status_only(504)
         }
         FinalAnswer::Rejected { retry_after, .. } => {
             // Whole seconds, rounded up: a client that keeps to them is never early.
             let seconds = retry_after.as_secs_rounded_up();
-            HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
+            HttpAnswer {
+                retry_after: Some(seconds).filter(|seconds| *seconds > 0),
+                ..HttpAnswer::status_only(503)
+            }
         }
-        FinalAnswer::Failed { timed_out: false } => HttpAnswer::bare(502),
-        FinalAnswer::Denied => HttpAnswer::bare(403),
+        FinalAnswer::Failed { timed_out: false } => HttpAnswer::status_only(502),
+        FinalAnswer::Denied => HttpAnswer::status_only(403),
     }
 }
 
@@ -39,5 +42,10 @@
     let client_has_copy = copy.not_modified || etag.as_ref().is_some_and(|etag| etags.contains(etag));
     let generated_at_ms = i64::try_from(copy.generated_at_ms).ok().filter(|ms| *ms > 0);
     let age = generated_at_ms.map(|generated_at_ms| (now.as_millis() - generated_at_ms).max(0) / 1000);
-    HttpAnswer { body: copy.body, etag, age, ..HttpAnswer::bare(if client_has_copy { 304 } else { 200 }) }
+    HttpAnswer {
+        body: copy.body,
+        etag,
+        age,
+        ..HttpAnswer::status_only(if client_has_copy { 304 } else { 200 })
+    }
 }
