--- a/src/front/admin/call.rs
+++ b/src/front/admin/call.rs
@@ -1,24 +1,24 @@
-//! Calls of the admin endpoint.
+//! Parsing of the calls to the admin endpoint.
 
 use crate::front::http::{self, HeadError};
 use bytes::BytesMut;
 
-/// A call.
+/// A call to the admin endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process takes clients.
+    /// `/healthcheck`: whether this process takes clients.
     Healthcheck,
-    /// The figures.
+    /// `/stats`: the metrics.
     Stats,
-    /// The federation, as JSON.
+    /// `/federation`: the state of the federation, as JSON.
     Federation,
 }
 
-/// Takes the call, once its head is complete.
+/// Removes the call from the input; `None` if its head is not complete.
 ///
 /// # Errors
 ///
-/// The HTTP status that answers what is not a call.
+/// The request is not a call; the error is the HTTP status of the answer.
 pub(super) fn take_call(input: &mut BytesMut) -> Result<Option<AdminCall>, u16> {
     let read = http::take_head(input, |head| {
         if head.method != Some("GET") {
--- a/src/front/admin/call/tests.rs
+++ b/src/front/admin/call/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `call`.
+//! Tests of parsing admin calls.
 
 use super::*;
 
@@ -18,7 +18,7 @@
     for (text, wanted) in cases {
         let (mut input, mut read) = (BytesMut::new(), Ok(None));
         for byte in text.bytes() {
-            assert_eq!(read, Ok(None), "{text:?} is read at its end");
+            assert_eq!(read, Ok(None), "{text:?} is complete before its last byte");
             input.extend_from_slice(&[byte]);
             read = take_call(&mut input);
             if read.is_err() {
--- a/src/front/admin/mod.rs
+++ b/src/front/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The admin endpoint: HTTP/1.1, one call per connection. Its callers have a few descriptors of their own, so that
-//! neither clients nor callers that hold a connection open keep an answer from the next.
+//! The admin endpoint for operators: HTTP/1.1 with one call per connection. A few descriptors are reserved
+//! for its callers, and a new caller may evict an old one, so that neither clients nor callers that hold a
+//! connection open can block further calls.
 //!
-//! - `call`: reads calls.
+//! - `call`: parses calls.
 
 mod call;
 
@@ -16,16 +17,17 @@
 use bytes::{Bytes, BytesMut};
 use call::take_call;
 
-/// The content type of lines of text.
+/// The content type of answers in plain text.
 pub const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
-/// Connections at a time; one more evicts the one that has been silent longest.
+/// Maximum number of callers' connections. A further one evicts another, those with an answer first and among
+/// these the one that was inactive longest.
 pub const MAX_CALLERS: usize = 8;
-/// A call must be complete this long after its caller connected.
+/// A call must be complete within this time after its caller connected.
 const CALL_TIMEOUT: Span = Span::from_secs(6);
-/// How long a caller may take to close after its answer.
+/// A connection is closed this long after its answer, even if the caller has not closed it.
 const LINGER_TIMEOUT: Span = Span::from_secs(1);
 
-/// The time-out of a caller.
+/// The deadline of a caller to complete its call, or to close after its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerDeadline(ConnectionKey);
 
@@ -36,17 +38,17 @@
     pub status: u16,
     /// The content type.
     pub content_type: &'a str,
-    /// The body.
+    /// The body, which may be empty.
     pub body: &'a str,
 }
 
 impl AdminAnswer<'_> {
-    /// An answer of a status alone.
+    /// Returns an answer with this status and no body.
     fn status_only(status: u16) -> Self {
         AdminAnswer { status, content_type: TEXT_CONTENT_TYPE, body: "" }
     }
 
-    /// The answer's bytes. The connection closes after it.
+    /// Encodes the answer, after which the connection closes.
     fn encode(&self, net: &Net) -> Bytes {
         let mut text = http::status_and_date(self.status, net.unix_time());
         http::push_header(&mut text, "Content-Type", &self.content_type);
@@ -62,11 +64,10 @@
     }
 }
 
-/// One caller's connection.
 struct Caller {
     timeout: DeadlineHandle,
     last_active: Instant,
-    /// It has its answer, and only its close is awaited.
+    /// Whether the call is answered, so that the connection only waits for the caller to close it.
     is_answered: bool,
 }
 
@@ -76,7 +77,7 @@
     }
 
     fn has_open_requests(&self) -> bool {
-        false // a call is answered as it is taken
+        false // a call is answered as soon as it is read
     }
 
     fn is_lingering(&self) -> bool {
@@ -92,14 +93,14 @@
     }
 }
 
-/// The callers' connections.
+/// The admin endpoint with its callers' connections.
 #[derive(Default)]
 pub struct AdminFront {
     callers: Sessions<Caller>,
 }
 
 impl AdminFront {
-    /// Adds a caller's connection, in place of another where there are too many.
+    /// Adds a caller's connection, and evicts another one if there are [`MAX_CALLERS`] already.
     pub fn open(
         &mut self,
         now: Instant,
@@ -116,13 +117,13 @@
         self.callers.insert(conn, Caller { timeout, last_active: now, is_answered: false });
     }
 
-    /// Whether a connection is a caller's.
+    /// Whether a connection belongs to the admin endpoint.
     pub fn owns(&self, conn: ConnectionKey) -> bool {
         self.callers.contains(conn)
     }
 
-    /// Handles a connection that may be read from or written to. Returns the call if it is complete now;
-    /// [`AdminFront::answer`] answers it.
+    /// Handles a connection that may be read from or written to. Returns the call if it is complete now, to
+    /// be answered with [`AdminFront::answer`].
     pub fn on_ready(
         &mut self,
         now: Instant,
@@ -149,7 +150,7 @@
         }
         match net.input(conn, take_call).unwrap_or(Ok(None)) {
             Ok(Some(call)) => return Some(call),
-            // It writes nothing more, so an incomplete head is never completed.
+            // The caller sends nothing more, so the incomplete head is never completed.
             Ok(None) if progress.end => self.close(now, conn, Reason::PeerClosed, net, deadlines),
             Ok(None) => {}
             Err(status) => self.answer(now, conn, AdminAnswer::status_only(status), net, deadlines),
@@ -157,7 +158,7 @@
         None
     }
 
-    /// Answers a connection's one call.
+    /// Answers the call of a connection, which then lingers.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -173,13 +174,15 @@
         caller.timeout = deadlines.add(now + LINGER_TIMEOUT, CallerDeadline(conn));
         net.input(conn, BytesMut::clear);
         match net.write(conn, [answer.encode(net)]) {
-            // What is not written yet ends where its length says.
+            // With bytes still unwritten, the write side stays open: `Content-Length` gives the end of the
+            // answer.
             Ok(()) => drop(lingering::shut_down_if_flushed(conn, net)),
             Err(reason) => self.close(now, conn, reason, net, deadlines),
         }
     }
 
-    /// Handles a caller's time-out: an incomplete call is answered, what was answered is closed.
+    /// Handles a caller's timeout: an incomplete call is answered with 408. A connection that is already
+    /// answered, or that has sent nothing, is closed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -209,7 +212,7 @@
         self.callers.close(now, conn, reason, net, deadlines);
     }
 
-    /// Closes all connections.
+    /// Closes all connections, when the process stops.
     pub fn close_all(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<CallerDeadline>) {
         self.callers.close_all(now, net, deadlines);
     }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -1,35 +1,36 @@
-//! What the fronts that speak HTTP/1.1 share: request heads, and the first lines of answers.
+//! HTTP/1.1 code that the signed front and the admin endpoint share: request heads and the first lines of
+//! answers.
 
 use crate::interface::UnixTime;
 use bytes::{Buf, BytesMut};
 use std::fmt::Write;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// The longest head, in bytes.
+/// Maximum length of a request head, in bytes; a longer one is answered with 431.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Why a head cannot be taken.
+/// Why a request head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is not HTTP/1: 400, and the connection ends.
-    #[error("head")]
+    /// The head is not HTTP/1. It is answered with 400, and the connection closes.
+    #[error("the head is not HTTP/1")]
     Syntax,
-    /// The request has a body: 400, and the connection ends.
-    #[error("a body")]
+    /// The request has a body, or may have one. It is answered with 400, and the connection closes.
+    #[error("the request has a body")]
     Body,
-    /// The method is not served: 405.
-    #[error("a method that is not served")]
+    /// The method is not served. It is answered with 405.
+    #[error("the method is not served")]
     Method {
-        /// Whether more requests may follow.
+        /// Whether the connection stays open after the answer.
         keep_alive: bool,
     },
-    /// The head is too long: 431, and the connection ends.
-    #[error("the head is too long")]
+    /// The head has too many bytes or headers. It is answered with 431, and the connection closes.
+    #[error("the head has more than {} bytes or {} headers", MAX_HEAD_BYTES, MAX_HEADERS)]
     Oversize,
 }
 
-/// Takes the next head and reads it with `read`; `None` if it is not complete.
+/// Parses the next head of the input with `read` and removes it. Returns `None` if the head is not complete.
 ///
 /// # Errors
 ///
@@ -51,18 +52,18 @@
     read.map(Some)
 }
 
-/// The values of a header, in their order.
+/// Returns the values of a header in the order received. A value that is not UTF-8 becomes U+FFFD.
 pub fn header_values<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a str> {
     let has_name = move |header: &&httparse::Header| header.name.eq_ignore_ascii_case(name);
     head.headers.iter().filter(has_name).map(|header| std::str::from_utf8(header.value).unwrap_or("\u{fffd}"))
 }
 
-/// Checks that a request has no body, by its head. Bodies are not read: where a request ends must be beyond doubt, or
-/// one client's bytes become another's request.
+/// Checks by its head that a request has no body. Bodies are not read, and it must be certain where a request
+/// ends: otherwise one client's bytes could be taken for another client's request.
 ///
 /// # Errors
 ///
-/// It has a body, or may have one.
+/// The request has a body, or may have one.
 pub fn check_no_body(head: &httparse::Request) -> Result<(), HeadError> {
     let has_encoding = header_values(head, "transfer-encoding").next().is_some();
     if has_encoding || header_values(head, "content-length").any(|length| length != "0") {
@@ -71,7 +72,7 @@
     Ok(())
 }
 
-/// The status line and the date of an answer.
+/// Returns the status line and the `Date` header of an answer.
 pub fn status_and_date(status: u16, now: UnixTime) -> String {
     let reason = match status {
         200 => "OK",
@@ -92,7 +93,7 @@
     format!("HTTP/1.1 {status} {reason}\r\nDate: {date}\r\n")
 }
 
-/// Appends a header.
+/// Appends a header line to the head of an answer.
 pub fn push_header(head: &mut String, name: &str, value: &dyn std::fmt::Display) {
     let _ = write!(head, "{name}: {value}\r\n"); // writing to a string cannot fail
 }
--- a/src/front/http/tests.rs
+++ b/src/front/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `http`.
+//! Tests of the shared HTTP/1.1 code.
 
 use super::*;
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,13 +1,15 @@
-//! The fronts: each reads its wire's requests, hands them in as events, and writes the final answers back. They make no
-//! routing decisions and do not know the core.
+//! The fronts. Each reads the requests of one protocol, returns them as events, and writes the final answers.
+//! A front makes no routing decisions and does not depend on the core.
 //!
-//! - `thrift`: the platform's framed Thrift. `signed`: HTTP/1.1 for signed URLs and tokens. Both have the same modules:
-//!   `session` (what is kept of one connection), `reading` (requests in), `answering` (answers out), `closing`
-//!   (time-outs and the ends of connections) and `handover` (to a newer process).
-//! - `admin`: the endpoint for operators.
+//! - `thrift`: the platform's framed Thrift. `signed`: HTTP/1.1 for signed URLs and tokens. Both have the
+//!   same modules: `session` (state of one connection), `reading` (reads requests), `answering` (writes
+//!   answers), `closing` (timeouts and closing of connections) and `handover` (what happens to connections
+//!   when a newer process takes over).
+//! - `admin`: the admin endpoint for operators.
 //!
-//! What they share: `sessions` (a front's table of connections), `lingering` (closing without loss of the last answer),
-//! `http` (heads of HTTP/1.1) and `request_handle` (the name under which a caller knows a request).
+//! Shared by the fronts: `sessions` (a front's connections), `lingering` (closing without losing the last
+//! answer), `http` (HTTP/1.1 request heads) and `request_handle` (by which a front's caller identifies a
+//! request).
 
 pub mod admin;
 pub mod http;
--- a/src/front/request_handle.rs
+++ b/src/front/request_handle.rs
@@ -1,16 +1,16 @@
-//! The handle by which a front's caller names a request.
+//! The handle by which a front's caller identifies a request.
 
-/// Names a request to the caller of a front. The caller chooses it and the front only hands it back.
+/// Identifies a request to the caller of a front. The caller chooses it, and the front only returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestHandle(u64);
 
 impl RequestHandle {
-    /// The handle of a number of the caller's.
+    /// Creates a handle from a number that the caller chooses.
     pub const fn from_number(number: u64) -> Self {
         RequestHandle(number)
     }
 
-    /// The caller's number.
+    /// Returns the number that the caller chose.
     pub const fn number(self) -> u64 {
         self.0
     }
--- a/src/front/sessions.rs
+++ b/src/front/sessions.rs
@@ -1,21 +1,21 @@
-//! The connections of one front, and what every front does with its connections in the same way: eviction and closing.
+//! The connections of one front, with the eviction and closing that all fronts share.
 
 use crate::deadlines::{DeadlineHandle, Schedule};
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::BTreeMap;
 
-/// What a front keeps of one connection, as far as eviction and closing need it.
+/// State of one connection, as far as eviction and closing need it.
 pub(super) trait Session {
-    /// The deadlines that end with the connection.
+    /// Returns the deadlines to remove when the connection closes.
     fn deadlines(&self) -> impl Iterator<Item = DeadlineHandle>;
-    /// Whether requests are open.
+    /// Whether the connection has a request that is not answered yet.
     fn has_open_requests(&self) -> bool;
-    /// Whether only the client's close is awaited.
+    /// Whether the connection only waits for the client to close it.
     fn is_lingering(&self) -> bool;
-    /// Whether it has sent a complete request.
+    /// Whether the client has sent a complete message.
     fn has_sent_message(&self) -> bool;
-    /// When it was last used.
+    /// Returns when the connection was last used.
     fn last_active(&self) -> Instant;
 }
 
@@ -31,66 +31,59 @@
 }
 
 impl<S: Session> Sessions<S> {
-    /// Adds a connection.
     pub fn insert(&mut self, conn: ConnectionKey, session: S) {
         self.by_connection.insert(conn, session);
     }
 
-    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.by_connection.len()
     }
 
-    /// Whether a connection is one of this front's.
     pub fn contains(&self, conn: ConnectionKey) -> bool {
         self.by_connection.contains_key(&conn)
     }
 
-    /// The session of a connection.
     pub fn get(&self, conn: ConnectionKey) -> Option<&S> {
         self.by_connection.get(&conn)
     }
 
-    /// The session of a connection, to be changed.
     pub fn get_mut(&mut self, conn: ConnectionKey) -> Option<&mut S> {
         self.by_connection.get_mut(&conn)
     }
 
-    /// All connections.
     pub fn connections(&self) -> Vec<ConnectionKey> {
         self.by_connection.keys().copied().collect()
     }
 
-    /// All connections with their sessions.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &S)> {
         self.by_connection.iter().map(|(conn, session)| (*conn, session))
     }
 
-    /// All connections with their sessions, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (ConnectionKey, &mut S)> {
         self.by_connection.iter_mut().map(|(conn, session)| (*conn, session))
     }
 
-    /// The connection to close in favour of a new one, of those that are idle.
+    /// Returns the connection to evict first among those that are idle: no request is open and all bytes are
+    /// written.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
         let is_idle =
             |(conn, session): &(ConnectionKey, &S)| !session.has_open_requests() && net.unwritten(*conn) == 0;
         first_to_evict(self.iter().filter(is_idle))
     }
 
-    /// The connection to close in favour of a new one, of all.
+    /// Returns the connection to evict first, whether idle or not.
     pub fn forced_eviction_candidate(&self) -> Option<ConnectionKey> {
         first_to_evict(self.iter())
     }
 
-    /// Removes a connection and its deadlines without closing it.
+    /// Removes a connection and its deadlines without closing the socket.
     pub fn remove<D>(&mut self, conn: ConnectionKey, deadlines: &mut dyn Schedule<D>) -> Option<S> {
         let session = self.by_connection.remove(&conn)?;
         session.deadlines().for_each(|handle| deadlines.remove(handle));
         Some(session)
     }
 
-    /// Closes a connection. Returns its session.
+    /// Closes a connection and removes its deadlines. Returns its session.
     pub fn close<D>(
         &mut self,
         now: Instant,
@@ -104,7 +97,7 @@
         Some(session)
     }
 
-    /// Closes all connections as the process stops.
+    /// Closes all connections because the process stops.
     pub fn close_all<D>(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<D>) {
         for conn in self.connections() {
             self.close(now, conn, Reason::Stopping, net, deadlines);
@@ -112,7 +105,8 @@
     }
 }
 
-/// The first to close: those that linger before those that never asked before the others, the longest unused first.
+/// Returns the connection to evict first. Lingering connections come first, then those that never sent a
+/// message, then the others; within each group, the one unused for longest comes first.
 fn first_to_evict<'a, S: Session + 'a>(
     candidates: impl Iterator<Item = (ConnectionKey, &'a S)>,
 ) -> Option<ConnectionKey> {
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, in the order of a connection's requests.
+//! Writing answers to clients, in the order of a connection's requests.
 
 use super::http::{self, HttpAnswer};
 use super::session::RequestState;
@@ -8,11 +8,12 @@
 use crate::interface::Instant;
 use crate::net::{ConnectionKey, Net};
 
-/// The shortest Retry-After that is sent, in seconds.
+/// Minimum Retry-After that is sent with a rejected connection, in seconds.
 const MIN_RETRY_AFTER_SECS: i64 = 1;
 
 impl SignedFront {
-    /// Sets the answer of a request that is not handed on to the core. It is written when it is its turn.
+    /// Sets the answer of a request that is not passed on to the core. It is written after the answers to the
+    /// requests before it.
     pub fn set_answer(&mut self, conn: ConnectionKey, index: RequestIndex, answer: HttpAnswer) {
         let session = self.sessions.get_mut(conn);
         if let Some(request) = session.and_then(|session| session.request_mut(index)) {
@@ -20,8 +21,8 @@
         }
     }
 
-    /// The request that is to be answered next, if the caller is to answer it and the answer before it is written.
-    /// Answers of the front itself are written here.
+    /// Returns the handle of the next request to answer, if the caller has to answer it and all previous
+    /// answers are written. Answers that are already set are written on the way.
     pub fn next_to_answer(
         &mut self,
         now: Instant,
@@ -44,8 +45,9 @@
         }
     }
 
-    /// Begins to answer the connection's first request. Returns whether a byte has been written, which ends the
-    /// request.
+    /// Begins to answer the first open request of a connection. Returns whether the request has ended: some
+    /// bytes of the answer were written, or the connection is broken. Otherwise nothing was written or
+    /// buffered.
     pub fn begin_answer(
         &mut self,
         now: Instant,
@@ -61,7 +63,7 @@
             Ok(false) => return false,
             Ok(true) => {}
             Err(reason) => {
-                // The request ends as well: it was answered, and its client is not there to take the answer.
+                // The request has ended too: it was answered, but its client is gone.
                 session.requests.pop_front();
                 self.close(now, conn, reason, net, deadlines);
                 return true;
@@ -72,8 +74,8 @@
         true
     }
 
-    /// Rejects a connection that admission control refused, before anything is read there: one 503 with `Retry-After`,
-    /// then a graceful close.
+    /// Rejects a connection that admission refused, before anything is read from it: writes a 503 with
+    /// `Retry-After`, then closes the connection gracefully.
     pub fn reject_connection(
         &mut self,
         now: Instant,
--- a/src/front/signed/closing.rs
+++ b/src/front/signed/closing.rs
@@ -1,4 +1,4 @@
-//! The ends of clients' connections: time-outs, graceful and immediate closes.
+//! Closing of clients' connections: timeouts, graceful and immediate closing.
 
 use super::http::HttpAnswer;
 use super::session::{PipelinedRequest, RequestState};
@@ -9,7 +9,7 @@
 use crate::net::{ConnectionKey, Net, Reason};
 
 impl SignedFront {
-    /// Handles a connection's deadline. Returns the connection, which may have an answer to write.
+    /// Handles a connection's deadline. Returns the connection, on which an answer may have to be written.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -29,7 +29,9 @@
         }
     }
 
-    /// The client has not sent a complete head in time, or has not closed.
+    /// Handles a client that has not sent a complete head in time, or has not closed a lingering connection.
+    /// An incomplete head is answered with 408; a connection that has sent nothing is closed without an
+    /// answer.
     fn client_timed_out(
         &mut self,
         now: Instant,
@@ -50,7 +52,7 @@
         session.push(PipelinedRequest { index, state, head_only: false, keep_alive: false });
     }
 
-    /// Closes a connection that is stalled or idle.
+    /// Closes a connection that is stalled or idle, and adds its next check.
     fn check_timeouts(
         &mut self,
         now: Instant,
@@ -72,8 +74,8 @@
         }
     }
 
-    /// Ends a connection gracefully if its last answer is written: shuts down the write side and awaits the client's
-    /// close.
+    /// Shuts down the write side of a connection that is to close, if its last answer is written. The
+    /// connection then waits for the client to close it, for at most [`LINGER_TIMEOUT`].
     pub fn linger_if_answered(
         &mut self,
         now: Instant,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Closes a connection that its client has closed, whatever of its input is still unread.
+    /// Closes a connection that its client has closed, even if some of its input is still unread.
     pub fn on_peer_closed(
         &mut self,
         now: Instant,
@@ -104,12 +106,14 @@
         self.close(now, conn, reason, net, deadlines);
     }
 
-    /// The connection to close in favour of a new one, if there is one without an open request.
+    /// Returns the idle connection to evict first when a new one needs its place; `None` if no connection is
+    /// idle.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
         self.sessions.eviction_candidate(net)
     }
 
-    /// Closes a connection. Its open requests are cancelled.
+    /// Closes a connection at once. Its open requests are cancelled; [`SignedFront::take_cancelled`] returns
+    /// them.
     pub fn close(
         &mut self,
         now: Instant,
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Closes all connections.
+    /// Closes all connections at once, when the process stops.
     pub fn close_all(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<SessionDeadline>) {
         self.sessions.close_all(now, net, deadlines);
     }
--- a/src/front/signed/credentials/error.rs
+++ b/src/front/signed/credentials/error.rs
@@ -1,23 +1,23 @@
-//! Why a credential is denied, and why one cannot be issued.
+//! Errors of verifying and of issuing credentials.
 
 use crate::front::signed::uri::UriError;
 
-/// Why a request is denied. The texts are the codes of the log.
+/// Why a request is denied. The texts are the codes after `denied:` in the log, and must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denial {
-    /// It has more than one credential: 400.
+    /// The request has more than one credential. It is answered with 400.
     #[error("several credentials")]
     SeveralCredentials,
-    /// It has neither a signature nor a token.
+    /// The request has neither a signature nor a token.
     #[error("missing")]
     Missing,
-    /// Its credential is not genuine, or not for this URI.
+    /// The credential is malformed, not genuine, or not valid for this request.
     #[error(transparent)]
     Invalid(#[from] InvalidCredential),
-    /// Its credential has expired.
+    /// The credential has expired.
     #[error("expired")]
     Expired,
-    /// Its credential is not valid yet.
+    /// The credential is not valid yet.
     #[error("early")]
     NotYetValid,
 }
@@ -25,13 +25,13 @@
 /// What is wrong with a credential.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCredential {
-    /// The parameters of a signed URL are not the last ones, or not in their order.
+    /// The credential's parameters are not the last ones of the URL, or are in the wrong order.
     #[error("parameters")]
     Parameters,
-    /// The expiry is not a Unix time.
+    /// The expiry of a signed URL is not a Unix time.
     #[error("expires")]
     Expires,
-    /// The key is unknown, or is not for this kind of credential.
+    /// The key is unknown, or cannot be used for this kind of credential.
     #[error("key")]
     Key,
     /// The signature is wrong.
@@ -46,28 +46,28 @@
     /// The token has a critical header parameter.
     #[error("critical header")]
     CriticalHeader,
-    /// A claim has a value of another type.
+    /// The value of a claim has the wrong type, or is out of range.
     #[error("claims")]
     Claims,
-    /// A critical claim is not understood.
+    /// A claim that is declared critical is not supported, or missing.
     #[error("critical claim")]
     CriticalClaim,
-    /// A claim restricts the token in a way that is not supported.
+    /// A claim restricts or renews the token in a way that is not supported.
     #[error("unsupported claim")]
     UnsupportedClaim,
     /// The version of the claims is not supported.
     #[error("version")]
     Version,
-    /// The key is not for tokens of this issuer.
+    /// The key may not be used for tokens of this issuer.
     #[error("issuer")]
     Issuer,
-    /// The token is for another service.
+    /// The token's audience does not include this service.
     #[error("audience")]
     Audience,
-    /// The token is for another URI.
+    /// The token is not valid for this URI.
     #[error("container")]
     Container,
-    /// The token does not expire.
+    /// The token has no expiry.
     #[error("no end")]
     NoExpiry,
 }
@@ -75,19 +75,20 @@
 /// Why a credential cannot be issued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SignError {
-    /// There is no key of this name that signs this kind of credential.
-    #[error("no key {0:?} signs this")]
+    /// There is no key of this name that can sign this kind of credential.
+    #[error("key {0:?} does not exist or cannot sign this kind of credential")]
     Key(String),
-    /// The text to be signed is not a URI.
-    #[error("not a URI that can be signed: {0}")]
+    /// The text to be signed is not a valid URI.
+    #[error("the URI cannot be signed: {0}")]
     Uri(#[from] UriError),
-    /// The URI of a table does not end in a slash: a credential for table 1 would be valid for table 17.
-    #[error("not a URI that can be signed: a table's URI ends in a slash")]
+    /// The URI of a table does not end in a slash. Without it, a credential for table 1 would also be valid
+    /// for table 17.
+    #[error("the URI cannot be signed: the URI of a table must end in a slash")]
     NoTrailingSlash,
-    /// The URI has a credential already.
-    #[error("not a URI that can be signed: it holds a credential")]
+    /// The URI already has a credential.
+    #[error("the URI cannot be signed: it already has a credential")]
     HoldsCredential,
-    /// The key cannot be read.
-    #[error("the key is of no use")]
-    Unusable,
+    /// The key cannot be decoded, or signing with it fails.
+    #[error("the key cannot be used to sign")]
+    UnusableKey,
 }
--- a/src/front/signed/credentials/tests.rs
+++ b/src/front/signed/credentials/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of signed URLs and tokens: which are valid, and why others are denied.
+//! Tests of signed URLs and tokens: which are valid, and why others are denied.
 
 use super::token::hash_container;
 use super::*;
@@ -27,7 +27,7 @@
 }
 
 fn check(keyring: &Keyring, url: &str, cookie: Option<&str>) -> String {
-    let uri = Uri::parse_absolute(url).expect("a URI");
+    let uri = Uri::parse_absolute(url).expect("a valid URI");
     match keyring.verify(&uri, cookie, UnixTime::from_secs(NOW)) {
         Ok(end) => format!("until {}", end.as_secs() - NOW),
         Err(denial) => format!("{denial:?}"),
@@ -36,8 +36,8 @@
 
 #[test]
 fn a_signed_url_matches_a_known_example() {
-    // HMAC-SHA1 over the whole URL up to the signature, written in base64url with padding: RFC 2104's
-    // construction, computed apart from this program.
+    // HMAC-SHA1 (RFC 2104) over the whole URL up to the signature, in base64url with padding. The expected
+    // value was computed independently of this program.
     let mut keyring = keyring();
     keyring.keys[0].verification_key = Secret((0..16).collect());
     let url = keyring.sign_url("u1", "https://replays.example.org/a", NOW + 9).expect("signed");
@@ -112,14 +112,18 @@
     for (url, wanted) in cases {
         assert_eq!(check(&keyring, &url, None), wanted, "{url}");
     }
-    // The published form signs the parameters alone: computed apart from this program.
+    // The signature covers only the parameters. The expected value was computed independently of this
+    // program.
     keyring.keys[0].verification_key = Secret((0..16).collect());
     let text = keyring.sign_prefix("u1", "https://replays.example.org/17/", NOW + 9).expect("signed");
     let prefix = "aHR0cHM6Ly9yZXBsYXlzLmV4YW1wbGUub3JnLzE3Lw==";
     let wanted =
         format!("URLPrefix={prefix}&Expires=1700000009&KeyName=u1&Signature=t-7CWWPwVOIe4MEIj4eBsZOAwLM=");
     assert_eq!(text, wanted);
-    assert!(keyring.sign_prefix("u1", "https://h.example/replays/17", NOW).is_err(), "17 would open 170");
+    assert!(
+        keyring.sign_prefix("u1", "https://h.example/replays/17", NOW).is_err(),
+        "a prefix for 17 would also match 170"
+    );
 }
 
 fn token(kid: Option<&str>, algorithm: Jose, secret: &str, claims: Value) -> String {
@@ -244,14 +248,14 @@
     let package = signing_keyring.sign_token("e1", &grant).expect("a token");
     assert_eq!(check(&verifying_keyring, url, Some(&package)), "until 60");
     assert!(verifying_keyring.sign_token("e1", &grant).is_err());
-    // The public half is no secret: a token that takes it for one is not genuine.
+    // The public key is not secret: a token with an HMAC keyed by it must be denied.
     let claims = json!({ "exp": NOW + 60, "cdniuc": hash_container(url) });
     let head = Header { kid: Some("e1".into()), ..Header::new(Jose::HS256) };
     let forged = jsonwebtoken::encode(&head, &claims, &EncodingKey::from_secret(&public)).expect("a token");
     assert_eq!(check(&verifying_keyring, url, Some(&forged)), "Invalid(Signature)");
 }
 
-/// The log has these codes.
+/// The log has these codes, so they must not change.
 #[test]
 fn denial_codes_are_fixed() {
     let cases: [(Denial, &str); 19] = [
--- a/src/front/signed/credentials/token.rs
+++ b/src/front/signed/credentials/token.rs
@@ -1,4 +1,4 @@
-//! Tokens: signed JSON web tokens that are valid for one URI, or for all with a prefix.
+//! Tokens: signed JSON web tokens, valid for one URI or for all URIs that match a pattern.
 
 use super::claims::Claims;
 use super::{
@@ -15,7 +15,7 @@
 use serde_json::{json, Map, Value};
 use sha2::{Digest, Sha256};
 
-/// The largest program that a token's regular expression may become, in bytes.
+/// Maximum size of the compiled regular expression of a token, in bytes.
 const MAX_REGEX_BYTES: usize = 1 << 18;
 
 impl Keyring {
@@ -30,7 +30,7 @@
         self.check_claims(&claims, key, uri, now)
     }
 
-    /// The key that a token names, or the only one if it names none.
+    /// Returns the key that a token names, or the only key for tokens if it names none.
     fn token_key(&self, header: &Map<String, Value>) -> Option<&Key> {
         let mut keys = self.keys.iter().filter(|key| jwt_algorithm(key.algorithm).is_some());
         match header.get("kid") {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Checks the claims of a genuine token. Returns when it expires.
+    /// Checks the claims of a token whose signature is valid. Returns when it expires.
     fn check_claims(&self, claims: &Claims, key: &Key, uri: &Uri, now: UnixTime) -> Result<UnixTime, Denial> {
         claims.check_supported()?;
         if !accepts_issuer(key, claims.text("iss")?) {
@@ -58,7 +58,7 @@
         check_expiry(claims.time("exp")?.ok_or(InvalidCredential::NoExpiry)?, now)
     }
 
-    /// Whether a token is for this service, or names none.
+    /// Whether a token's audience includes this service, or it names no audience.
     fn is_audience_accepted(&self, claims: &Claims) -> bool {
         let is_this_service = |name: &Value| self.audience.iter().any(|known| name.as_str() == Some(known));
         match claims.0.get("aud") {
@@ -68,18 +68,18 @@
         }
     }
 
-    /// Issues a token.
+    /// Issues a token, signed with the key of this name.
     ///
     /// # Errors
     ///
-    /// There is no such key, or the URI cannot be signed.
+    /// There is no such key for signing tokens, or the URI cannot be signed.
     pub fn sign_token(&self, key: &str, grant: &Grant) -> Result<String, SignError> {
         let unknown = || SignError::Key(key.to_owned());
         let known = self.keys.iter().find(|known| known.name == key).ok_or_else(unknown)?;
         let algorithm = jwt_algorithm(known.algorithm).ok_or_else(unknown)?;
         let Secret(bytes) = known.signing_key.as_ref().ok_or_else(unknown)?;
         let signing_key = match known.algorithm {
-            Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::Unusable)?,
+            Algorithm::Es256 => EncodingKey::from_ec_pem(bytes).map_err(|_| SignError::UnusableKey)?,
             _ => EncodingKey::from_secret(bytes),
         };
         let container = match &grant.scope {
@@ -96,11 +96,11 @@
             claims["iss"] = iss.as_str().into();
         }
         let head = Header { kid: Some(key.to_owned()), ..Header::new(algorithm) };
-        jsonwebtoken::encode(&head, &claims, &signing_key).map_err(|_| SignError::Unusable)
+        jsonwebtoken::encode(&head, &claims, &signing_key).map_err(|_| SignError::UnusableKey)
     }
 }
 
-/// The header of a token, which is not verified yet.
+/// Decodes the header of a token, whose signature is not verified yet.
 fn read_header(token: &str) -> Option<Map<String, Value>> {
     let header = token.split('.').next().unwrap_or_default();
     let header = URL_SAFE_NO_PAD.decode(header).ok()?;
@@ -109,11 +109,11 @@
 
 /// Verifies a token's signature. Returns its claims.
 fn verify_signature(token: &str, key: &Key) -> Result<Claims, InvalidCredential> {
-    // The key says which algorithm it is for; what the token says must be the same.
+    // The key determines the algorithm; the token's header must have the same one.
     let algorithm = jwt_algorithm(key.algorithm).ok_or(InvalidCredential::Key)?;
     let mut validation = Validation::new(algorithm);
     validation.required_spec_claims.clear();
-    // The claims are checked in this module.
+    // These claims are checked in `check_claims`.
     validation.validate_exp = false;
     validation.validate_nbf = false;
     validation.validate_aud = false;
@@ -126,7 +126,7 @@
     decoded.map(|token| Claims(token.claims)).map_err(|_| InvalidCredential::Signature)
 }
 
-/// Whether a key is for tokens of this issuer, or of none.
+/// Whether a key may be used for tokens of this issuer. Tokens without an issuer need a key without issuers.
 fn accepts_issuer(key: &Key, issuer: Option<&str>) -> bool {
     match issuer {
         Some(issuer) => key.issuers.iter().any(|known| known == issuer),
@@ -134,7 +134,7 @@
     }
 }
 
-/// The algorithm of a key for tokens.
+/// Returns the JWT algorithm of a key; `None` if the key is not for tokens.
 fn jwt_algorithm(algorithm: Algorithm) -> Option<jsonwebtoken::Algorithm> {
     match algorithm {
         Algorithm::Hs256 => Some(jsonwebtoken::Algorithm::HS256),
@@ -143,15 +143,16 @@
     }
 }
 
-/// The URI container that is a hash of the whole URI, as RFC 6920 writes it in a segment.
+/// Returns the URI container with the hash of the whole URI, written as in a path segment of RFC 6920.
 pub(super) fn hash_container(uri: &str) -> String {
     format!("hash:sha-256;{}", URL_SAFE_NO_PAD.encode(Sha256::digest(uri)))
 }
 
-/// Whether a URI container holds a URI.
+/// Whether a URI container, a regular expression or a hash, matches a URI.
 fn container_matches(container: &str, uri: &str) -> bool {
     match container.strip_prefix("regex:") {
-        // The whole URI must match: a pattern for one place must not open what only contains it.
+        // The pattern must match the whole URI: otherwise it would also permit URIs that only contain a
+        // match.
         Some(pattern) => RegexBuilder::new(&format!("^(?:{pattern})$"))
             .size_limit(MAX_REGEX_BYTES)
             .build()
--- a/src/front/signed/credentials/url.rs
+++ b/src/front/signed/credentials/url.rs
@@ -13,13 +13,13 @@
 use sha2::Sha256;
 use std::ops::RangeInclusive;
 
-/// How many digits an expiry may have.
+/// Number of digits that an expiry may have.
 const EXPIRY_DIGITS: RangeInclusive<usize> = 1..=11;
 
 impl Keyring {
     /// Verifies a signed URL. Returns when it expires.
     pub(super) fn verify_url(&self, uri: &Uri, now: UnixTime) -> Result<UnixTime, Denial> {
-        // What follows the signature is not covered by it, so nothing may.
+        // The signature does not cover what follows it, so it must be the last parameter.
         let names: Vec<&str> = uri.query.iter().rev().take(3).map(|p| p.name.as_str()).collect();
         if names != [SIGNATURE, KEY_NAME, EXPIRES] {
             return Err(InvalidCredential::Parameters.into());
@@ -42,11 +42,11 @@
         check_expiry(expires as f64, now)
     }
 
-    /// Signs a URL; the signature expires at a Unix second.
+    /// Signs a URL with the key of this name; the signature expires at `expires`, in Unix seconds.
     ///
     /// # Errors
     ///
-    /// There is no such key, or the URL cannot be signed.
+    /// There is no such key for signed URLs, or the URL cannot be signed.
     pub fn sign_url(&self, key: &str, url: &str, expires: i64) -> Result<String, SignError> {
         let uri = unsigned_uri(url)?;
         let uri = uri.with(EXPIRES, &expires.to_string()).with(KEY_NAME, key);
@@ -54,12 +54,12 @@
         Ok(uri.with(SIGNATURE, &BASE64.encode(mac)).to_string())
     }
 
-    /// Signs a prefix of URLs; the signature expires at a Unix second. Returns the parameters that are appended to any
-    /// URL with this prefix.
+    /// Signs a prefix of URLs with the key of this name; the signature expires at `expires`, in Unix seconds.
+    /// Returns the parameters to append to any URL with this prefix.
     ///
     /// # Errors
     ///
-    /// There is no such key, or the prefix is not a URL that ends in a slash.
+    /// There is no such key for signed URLs, or the prefix is not a URL that ends in a slash.
     pub fn sign_prefix(&self, key: &str, prefix: &str, expires: i64) -> Result<String, SignError> {
         let uri = table_uri(prefix)?;
         let text = prefix_parameters(&BASE64.encode(uri.to_string()), &expires.to_string(), key);
@@ -67,27 +67,28 @@
         Ok(format!("{text}&{SIGNATURE}={}", BASE64.encode(mac)))
     }
 
-    /// The signature of a text by the key of a name.
+    /// Returns the signature of a text by the key of this name.
     fn sign(&self, key: &str, text: &str) -> Result<Vec<u8>, SignError> {
         let known = self.keys.iter().find(|known| known.name == key);
         known.and_then(|key| mac(key, text)).ok_or_else(|| SignError::Key(key.to_owned()))
     }
 }
 
-/// Reads an expiry in Unix seconds: digits alone, so that one time has one form.
+/// Parses an expiry in Unix seconds. Only digits are accepted, so that signs and other forms of a number are
+/// rejected.
 fn parse_expiry(text: &str) -> Option<i64> {
     let is_number = EXPIRY_DIGITS.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| is_number)
 }
 
-/// The parameters that a signature for a prefix covers.
+/// Returns the query parameters that the signature of a prefix covers.
 fn prefix_parameters(prefix: &str, expires: &str, key: &str) -> String {
     format!("{URL_PREFIX}={prefix}&{EXPIRES}={expires}&{KEY_NAME}={key}")
 }
 
-/// Checks that a prefix stands where its signature covers it, and that the URI begins with it.
+/// Checks that the prefix is the parameter just before the signed ones, and that the URI begins with it.
 fn check_prefix(prefix: &str, uri: &Uri) -> Result<(), InvalidCredential> {
-    // What stands before the prefix is not covered by the signature, and is no part of it.
+    // The signature covers the prefix and the parameters after it, but nothing before it.
     if uri.query.iter().rev().nth(3).is_none_or(|parameter| parameter.name != URL_PREFIX) {
         return Err(InvalidCredential::Parameters);
     }
@@ -97,8 +98,8 @@
     Ok(())
 }
 
-/// Whether a URI begins with a prefix in base64url, both in their normal form: a prefix names scheme, host and the
-/// beginning of a path.
+/// Whether a URI begins with a prefix, given in base64url. Both are compared in normal form. A prefix
+/// consists of scheme, host and the beginning of a path.
 fn has_prefix(uri: &Uri, prefix: &str) -> bool {
     let prefix = BASE64.decode(prefix).ok().and_then(|bytes| String::from_utf8(bytes).ok());
     let prefix = prefix.and_then(|text| Uri::parse_absolute(&text).ok());
@@ -107,7 +108,7 @@
     })
 }
 
-/// The signature of a text, by a key for signed URLs.
+/// Returns the MAC of a text; `None` if the key is not for signed URLs.
 fn mac(key: &Key, text: &str) -> Option<Vec<u8>> {
     let Secret(secret) = &key.verification_key;
     Some(match key.algorithm {
@@ -121,7 +122,7 @@
     })
 }
 
-/// Whether a signature is that of a text. The comparison takes constant time.
+/// Whether a signature is the MAC of a text. The comparison takes constant time.
 fn is_signature_valid(key: &Key, text: &str, signature: &[u8]) -> bool {
     let Secret(secret) = &key.verification_key;
     match key.algorithm {
--- a/src/front/signed/handover.rs
+++ b/src/front/signed/handover.rs
@@ -1,4 +1,5 @@
-//! Connections that end as a newer process takes the clients: those of this front are not handed over.
+//! Closing of connections when the process stops taking clients: this front's connections are not handed
+//! over.
 
 use super::{SessionDeadline, SignedFront};
 use crate::deadlines::Schedule;
@@ -6,7 +7,8 @@
 use crate::net::Net;
 
 impl SignedFront {
-    /// Ends each connection with the answers to its open requests, or with its next answer.
+    /// Starts draining: each connection closes after the answers to its open requests. One that has begun a
+    /// head, or has sent no request yet, closes after its next answer; other idle ones close at once.
     pub fn start_draining(
         &mut self,
         now: Instant,
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -1,4 +1,4 @@
-//! Heads of HTTP/1.1 requests, and answers to them.
+//! Parsing of HTTP/1.1 request heads, and encoding of answers.
 
 use super::credentials::TOKEN_PARAMETER;
 use super::uri::{Uri, UriError};
@@ -10,36 +10,36 @@
 /// Why a request cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Its head cannot be taken.
+    /// The head cannot be parsed or is not accepted.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// It does not have exactly one host.
-    #[error("host")]
+    /// The request does not have exactly one `Host` header. HTTP/1.0 requests may have none.
+    #[error("the request does not have exactly one Host header")]
     Host,
-    /// Its target is malformed.
+    /// The request's target is malformed.
     #[error(transparent)]
     Uri(#[from] UriError),
-    /// It has more than one credential.
-    #[error("several credentials")]
+    /// The request has more than one cookie with a token.
+    #[error("the request has several cookies with a token")]
     SeveralCredentials,
 }
 
-/// A request without a body.
+/// The parsed head of a request, which has no body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Whether only the answer's head is sent.
+    /// Whether only the head of the answer is sent, as for HEAD.
     pub head_only: bool,
-    /// The requested URI.
+    /// The requested URI, in normal form.
     pub uri: Uri,
-    /// The token in a cookie.
+    /// The token in a cookie; `None` if there is none.
     pub cookie: Option<String>,
-    /// The entity tags of the client's copies.
+    /// The entity tags of the client's copies, from `If-None-Match`, without quotes.
     pub etags: Vec<String>,
-    /// Whether more requests may follow.
+    /// Whether the client keeps the connection open after the answer.
     pub keep_alive: bool,
 }
 
-/// Takes the next head; `None` if it is not complete.
+/// Parses the next head of the input and removes it. Returns `None` if the head is not complete.
 ///
 /// # Errors
 ///
@@ -71,7 +71,8 @@
     Ok(RequestHead { head_only, uri, cookie, etags, keep_alive })
 }
 
-/// Whether the connection stays open after the answer, as far as the client says.
+/// Whether the connection stays open after the answer, according to the HTTP version and the `Connection`
+/// header.
 fn keeps_alive(head: &httparse::Request, is_http_1_1: bool) -> bool {
     let says = |option: &str| {
         let mut options = http::header_values(head, "connection").flat_map(|value| value.split(','));
@@ -84,7 +85,7 @@
     }
 }
 
-/// The token in a cookie.
+/// Returns the token in a cookie, if there is one.
 fn token_cookie(head: &httparse::Request) -> Result<Option<String>, RequestError> {
     let cookies = http::header_values(head, "cookie").flat_map(|value| value.split(';'));
     let pairs = cookies.filter_map(|cookie| cookie.split_once('='));
@@ -96,29 +97,29 @@
     Ok(token)
 }
 
-/// An answer.
+/// An answer to a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpAnswer {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The body; sent only with status 200.
     pub body: Bytes,
-    /// The copy's entity tag.
+    /// The entity tag of the cached copy, without quotes; `None` sends no `ETag`.
     pub etag: Option<String>,
-    /// The copy's age, in seconds.
+    /// The age of the cached copy, in seconds; `None` sends no `Age`.
     pub age: Option<i64>,
-    /// How long the client should stay away, in seconds.
+    /// Retry-After, in seconds; `None` sends none.
     pub retry_after: Option<i64>,
 }
 
 impl HttpAnswer {
-    /// An answer of a status alone.
+    /// Returns an answer with this status and nothing else.
     pub fn status_only(status: u16) -> Self {
         HttpAnswer { status, ..HttpAnswer::default() }
     }
 }
 
-/// Encodes an answer: its head and its body.
+/// Encodes an answer as its head and its body. The body is empty if `head_only`, or if the status is not 200.
 pub fn encode_answer(answer: &HttpAnswer, head_only: bool, keep_alive: bool, now: UnixTime) -> [Bytes; 2] {
     let mut head = http::status_and_date(answer.status, now);
     let mut line = |name: &str, value: &dyn std::fmt::Display| http::push_header(&mut head, name, value);
@@ -128,7 +129,7 @@
             line("Content-Length", &answer.body.len());
         }
         304 => {}
-        // A denied or failed request may succeed the next moment.
+        // Must not be cached: a denied or failed request may succeed shortly afterwards.
         _ => {
             line("Cache-Control", &"no-store");
             line("Content-Length", &0);
--- a/src/front/signed/http/tests.rs
+++ b/src/front/signed/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `http`.
+//! Tests of parsing request heads and encoding answers.
 
 use super::*;
 
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -1,4 +1,5 @@
-//! Reading from clients: complete heads, whose credentials are checked before anything else is done with them.
+//! Reading from clients: complete request heads, whose credentials are verified before they are processed
+//! further.
 
 use super::credentials::Denial;
 use super::http::{self, HeadError, HttpAnswer, RequestError, RequestHead};
@@ -10,7 +11,7 @@
 use crate::net::{ConnectionKey, Net, Reason};
 use tracing::info;
 
-/// One moment on both clocks.
+/// The current time on the monotonic clock and as Unix time.
 #[derive(Clone, Copy)]
 struct Now {
     monotonic: Instant,
@@ -20,9 +21,9 @@
 /// A request whose credential is valid.
 struct AuthorizedRequest {
     target: RequestTarget,
-    /// The entity tags of the client's copies.
+    /// The entity tags of the client's copies, from `If-None-Match`.
     etags: Vec<String>,
-    /// When its credential expires, on the monotonic clock.
+    /// When the request's credential expires, on the monotonic clock.
     expires: Instant,
 }
 
@@ -66,7 +67,7 @@
             if session.ends_after_answers {
                 net.input(conn, |input| input.clear());
             }
-            // What is left unread is read once fewer requests are open: no event will announce it.
+            // The rest is read once fewer requests are open; no event announces it.
             session.has_unread = !session.ends_after_answers && session.requests.len() >= MAX_OPEN_REQUESTS;
             if session.ends_after_answers || session.has_unread || !progress.more {
                 return Ok(());
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Starts the time-out of a head that has begun, or clears it: between requests the idle time-out holds.
+    /// Starts the timeout of a head that has begun, or clears it if there is none: between requests, only the
+    /// idle timeout applies.
     fn update_client_timeout(
         &mut self,
         now: Instant,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Takes the complete heads of the input.
+    /// Takes the complete heads of the input, up to [`MAX_OPEN_REQUESTS`] open requests.
     fn take_heads(
         &mut self,
         now: Instant,
@@ -117,13 +119,14 @@
                 Err(error) => self.unreadable_request(conn, index, error),
             };
             let Some(session) = self.sessions.get_mut(conn) else { return };
-            // The next head has a time-out of its own.
+            // The next head has its own timeout.
             session.clear_client_timeout(deadlines);
             session.push(request);
         }
     }
 
-    /// The request of a head. Its event is pushed if its credential is valid; else it is answered here.
+    /// Returns the request of a head. Adds its event if it is authorized; otherwise, the request is already
+    /// answered.
     fn authorized_request(
         &self,
         now: Now,
@@ -144,7 +147,7 @@
         PipelinedRequest { index, state, head_only, keep_alive }
     }
 
-    /// The answered request of a head that cannot be served.
+    /// Returns the request of a head that cannot be served, with its answer.
     fn unreadable_request(
         &self,
         conn: ConnectionKey,
@@ -155,7 +158,7 @@
             RequestError::Head(HeadError::Method { keep_alive }) => (405, keep_alive && !self.is_draining),
             RequestError::Head(HeadError::Oversize) => (431, false),
             malformed => {
-                info!("conn={conn} malformed: {malformed}");
+                info!("conn={conn} malformed request: {malformed}");
                 (400, false)
             }
         };
@@ -163,14 +166,15 @@
         PipelinedRequest { index, state, head_only: false, keep_alive }
     }
 
-    /// Checks a request's credential. Credentials expire at a Unix time, which is converted to an instant here, once,
-    /// so that a later step of the wall clock does not move it.
+    /// Verifies a request's host and credential, and finds its object. A credential expires at a Unix time,
+    /// which is converted to an instant once, here, so that a later step of the wall clock does not change
+    /// the expiry.
     fn authorize(&self, head: RequestHead, now: Now) -> Result<AuthorizedRequest, HttpAnswer> {
         if !self.config.hosts.contains(&head.uri.host) {
             return Err(HttpAnswer::status_only(421));
         }
         let expires = self.keyring.verify(&head.uri, head.cookie.as_deref(), now.unix).map_err(|denial| {
-            // The path only: what follows it is a credential.
+            // Only the path is logged: the query may hold a credential.
             info!("denied: {denial} {}", head.uri.path);
             HttpAnswer::status_only(if denial == Denial::SeveralCredentials { 400 } else { 403 })
         })?;
@@ -180,7 +184,8 @@
         Ok(AuthorizedRequest { target, etags: head.etags, expires })
     }
 
-    /// Whether input was left unread that can be read now, since fewer requests are open.
+    /// Whether input that was left unread can be read now, since less than half of [`MAX_OPEN_REQUESTS`] are
+    /// open.
     pub fn has_unread_requests(&self, conn: ConnectionKey) -> bool {
         let can_read = |open: usize| open < MAX_OPEN_REQUESTS / 2;
         self.sessions.get(conn).is_some_and(|session| session.has_unread && can_read(session.requests.len()))
--- a/src/front/signed/route.rs
+++ b/src/front/signed/route.rs
@@ -1,26 +1,26 @@
-//! Finds the object that a path names, by the operator's routes.
+//! Finds the object that a path names, according to the operator's routes.
 
 use crate::config::signed::Route;
 use crate::interface::{GroupId, ObjectId};
 
-/// A route, by its place in the operator's file.
+/// A route's position in the operator's file, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteIndex(pub usize);
 
-/// The object that a path names.
+/// The object that a path names, with the route that was matched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTarget {
-    /// The route that the path fits.
+    /// The route that matches the path.
     pub route: RouteIndex,
-    /// The object.
+    /// The object's ID.
     pub object: ObjectId,
-    /// Its group.
+    /// The object's group: `{group}` of the path, or else the route's own.
     pub group: GroupId,
-    /// Its part.
+    /// The part of the object; 0 if the route has no `{part}`.
     pub part: u32,
 }
 
-/// Finds the object that a path names by the first route that the path fits.
+/// Finds the object that a path names by the first route that matches it; `None` if no route does.
 pub fn find_target(routes: &[Route], path: &str) -> Option<RequestTarget> {
     routes.iter().enumerate().find_map(|(index, route)| match_route(RouteIndex(index), route, path))
 }
@@ -46,14 +46,15 @@
     }
 }
 
-/// One object has one path: 16 hexadecimal digits, in lower case.
+/// Parses an object's ID of exactly 16 hexadecimal digits in lower case, so that each object has only one
+/// path.
 fn parse_object(segment: &str) -> Option<u64> {
     let is_lower_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     let is_valid = segment.len() == 16 && segment.bytes().all(is_lower_hex);
     u64::from_str_radix(segment, 16).ok().filter(|_| is_valid)
 }
 
-/// One number has one path: no leading zeros and no sign.
+/// Parses a number without leading zeros or a sign, so that each number has only one form in a path.
 fn parse_decimal(segment: &str) -> Option<u32> {
     let number: u32 = segment.parse().ok()?;
     (number.to_string() == segment).then_some(number)
--- a/src/front/signed/route/tests.rs
+++ b/src/front/signed/route/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `route`.
+//! Tests of matching paths with routes.
 
 use super::*;
 
--- a/src/front/signed/session.rs
+++ b/src/front/signed/session.rs
@@ -1,4 +1,4 @@
-//! What is kept of one client's connection.
+//! The state of one client's connection.
 
 use super::http::HttpAnswer;
 use crate::deadlines::{DeadlineHandle, Schedule};
@@ -6,15 +6,15 @@
 use crate::interface::Instant;
 use std::collections::VecDeque;
 
-/// A request's place among all requests of its connection.
+/// A request's position among all requests of its connection, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestIndex(pub(super) u64);
 
 /// Who answers a request.
 pub(super) enum RequestState {
-    /// The front itself, with this answer.
+    /// The front, with this answer.
     Answered(HttpAnswer),
-    /// The front's caller, with this handle once it is bound.
+    /// The front's caller, which knows the request by this handle once it is set.
     Open(Option<RequestHandle>),
 }
 
@@ -22,30 +22,30 @@
 pub(super) struct PipelinedRequest {
     pub index: RequestIndex,
     pub state: RequestState,
-    /// Only the answer's head is sent.
+    /// Whether only the head of the answer is sent, as for HEAD.
     pub head_only: bool,
-    /// The connection stays open after the answer.
+    /// Whether the connection stays open after the answer.
     pub keep_alive: bool,
 }
 
-/// One client's connection.
 pub(super) struct Session {
-    /// The requests that are not answered yet, in their order.
+    /// The requests that are not answered yet, in the order received.
     pub requests: VecDeque<PipelinedRequest>,
-    /// How many requests were received.
+    /// Number of requests received so far, including malformed ones and those that timed out.
     pub received_requests: u64,
-    /// When the client must have sent a complete head, or must have closed.
+    /// The deadline by which the client must have sent a complete head, or have closed; `None` between
+    /// requests.
     pub client_timeout: Option<DeadlineHandle>,
     pub check_deadline: DeadlineHandle,
-    /// Bytes written so far, as of the last check.
+    /// Number of bytes written up to the last check.
     pub written_bytes: u64,
-    /// When something last came or was answered.
+    /// When bytes last arrived or a request was last answered.
     pub last_active: Instant,
-    /// Nothing more is read, and the connection ends once all requests are answered.
+    /// Whether no more requests are read and the connection closes once all requests are answered.
     pub ends_after_answers: bool,
-    /// The write side is shut down, and only the client's close is awaited.
+    /// Whether the write side is shut down, so that the connection only waits for the client to close it.
     pub is_lingering: bool,
-    /// Input was left unread, since too many requests were open.
+    /// Whether input was left unread because too many requests were open.
     pub has_unread: bool,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Session {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(now: Instant, check_deadline: DeadlineHandle, client_timeout: DeadlineHandle) -> Self {
         Session {
             requests: VecDeque::new(),
@@ -87,36 +87,35 @@
         }
     }
 
-    /// The place of the next request.
+    /// Returns the position that the next request gets.
     pub(super) fn next_index(&self) -> RequestIndex {
         RequestIndex(self.received_requests)
     }
 
-    /// A request that is not answered yet.
+    /// Returns a request that is not answered yet; `None` if it is answered.
     pub(super) fn request(&self, index: RequestIndex) -> Option<&PipelinedRequest> {
         self.requests.iter().find(|request| request.index == index)
     }
 
-    /// A request that is not answered yet, to be changed.
     pub(super) fn request_mut(&mut self, index: RequestIndex) -> Option<&mut PipelinedRequest> {
         self.requests.iter_mut().find(|request| request.index == index)
     }
 
-    /// Adds the next request.
+    /// Adds the next request. If it closes the connection, no more requests are read.
     pub(super) fn push(&mut self, request: PipelinedRequest) {
         self.received_requests += 1;
         self.ends_after_answers = !request.keep_alive;
         self.requests.push_back(request);
     }
 
-    /// Removes the deadline of the client's head or close.
+    /// Removes the deadline for the client's next head or its close.
     pub(super) fn clear_client_timeout<D>(&mut self, deadlines: &mut dyn Schedule<D>) {
         if let Some(handle) = self.client_timeout.take() {
             deadlines.remove(handle);
         }
     }
 
-    /// The handles of the requests that the caller was to answer.
+    /// Returns the handles of the requests that the caller has not answered.
     pub(super) fn into_handles(self) -> impl Iterator<Item = RequestHandle> {
         self.requests.into_iter().filter_map(|request| match request.state {
             RequestState::Open(handle) => handle,
--- a/src/front/signed/uri.rs
+++ b/src/front/signed/uri.rs
@@ -1,38 +1,40 @@
-//! The URIs of requests, in one normal form, in which URLs are signed and checked and paths are routed.
+//! The URIs of requests, in one normal form. URLs are signed and verified, and paths are routed, in this
+//! form.
 //!
-//! Escapes of unreserved characters are undone and the others written in upper case, in path and query; dot
-//! segments are removed from the path; the host is in lower case without the scheme's own port. Raw bytes
-//! outside RFC 3986, broken escapes, an escaped NUL, fragments and a parameter named twice are rejected.
+//! In path and query, escapes of unreserved characters are decoded and the others are written in upper case.
+//! Dot segments are removed from the path. The host is in lower case, without the scheme's default port. Raw
+//! bytes that RFC 3986 does not allow, invalid escapes, an escaped NUL, fragments and a parameter that occurs
+//! twice are rejected.
 
-/// Why a text is not the URI of a request.
+/// Why a text is not accepted as the URI of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UriError {
-    /// There is no host.
-    #[error("no host")]
+    /// Neither the target nor the `Host` header has a host.
+    #[error("the request has no host")]
     NoHost,
-    /// It has a fragment.
-    #[error("a fragment")]
+    /// The URI has a fragment.
+    #[error("the URI has a fragment")]
     Fragment,
-    /// Its path is not absolute.
-    #[error("no absolute path")]
+    /// The path does not begin with a slash.
+    #[error("the path is not absolute")]
     NoAbsolutePath,
-    /// A parameter comes more than once.
-    #[error("a parameter comes twice")]
+    /// A query parameter occurs more than once.
+    #[error("a query parameter occurs twice")]
     RepeatedParameter,
-    /// It has no scheme.
-    #[error("no scheme")]
+    /// An absolute URI is required, but the text has no scheme.
+    #[error("the URI has no scheme")]
     NoScheme,
-    /// Its scheme is neither http nor https.
+    /// The scheme is neither http nor https.
     #[error("the scheme is neither http nor https")]
     UnknownScheme,
-    /// Its host is empty or has bytes that no host has.
-    #[error("the host is none")]
+    /// The host is empty or has a byte that is not allowed in a host.
+    #[error("the host is empty or has an invalid byte")]
     InvalidHost,
-    /// A percent sign is not followed by two hexadecimal digits, or escapes a NUL.
-    #[error("an escape")]
+    /// A percent sign is not followed by two hexadecimal digits, or the escaped byte is NUL.
+    #[error("a percent escape is invalid")]
     InvalidEscape,
-    /// It has a byte that belongs in no URI.
-    #[error("a byte that belongs in no URI")]
+    /// The path or the query has a raw byte that RFC 3986 does not allow there.
+    #[error("the URI has an invalid byte")]
     InvalidByte,
 }
 
@@ -41,20 +43,20 @@
 pub struct Uri {
     /// `http` or `https`.
     pub scheme: String,
-    /// The host, with its port if it is not the scheme's own.
+    /// The host in lower case, with its port unless that is the scheme's default port.
     pub host: String,
-    /// The path.
+    /// The path, which begins with a slash.
     pub path: String,
-    /// The parameters in their order.
+    /// The query parameters in the order received.
     pub query: Vec<Parameter>,
 }
 
-/// A parameter of the query, as it stands there.
+/// A query parameter, with its escapes in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// Its name.
+    /// The part before the first `=`.
     pub name: String,
-    /// What follows the first `=`; `None` if there is none.
+    /// The part after the first `=`; `None` if there is no `=`.
     pub value: Option<String>,
 }
 
@@ -72,11 +74,11 @@
 }
 
 impl Uri {
-    /// Reads a request's target. Its own authority, if it has one, takes precedence over the `Host` header.
+    /// Parses the target of a request. If the target has a host, it takes precedence over the `Host` header.
     ///
     /// # Errors
     ///
-    /// The target is not the URI of a request.
+    /// The target is malformed, or there is no host.
     pub fn parse(scheme: &str, host: Option<&str>, target: &str) -> Result<Self, UriError> {
         let absolute = ["http://", "https://"].iter().find_map(|start| {
             let known = target.get(..start.len()).is_some_and(|s| s.eq_ignore_ascii_case(start));
@@ -102,7 +104,7 @@
         Ok(Uri { scheme: scheme.to_owned(), host: normalize_authority(scheme, host)?, path, query })
     }
 
-    /// Reads an absolute URI.
+    /// Parses an absolute URI.
     ///
     /// # Errors
     ///
@@ -116,20 +118,20 @@
         }
     }
 
-    /// The value of a parameter; `Some("")` where it has none.
+    /// Returns the value of a parameter: `Some("")` if it has no value, `None` if it is missing.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let found = self.query.iter().find(|parameter| parameter.name == name)?;
         Some(found.value.as_deref().unwrap_or(""))
     }
 
-    /// The URI without one parameter.
+    /// Returns the URI without a parameter.
     pub fn without(&self, name: &str) -> Uri {
         let mut uri = self.clone();
         uri.query.retain(|parameter| parameter.name != name);
         uri
     }
 
-    /// The URI with one more parameter at its end.
+    /// Returns the URI with one more parameter at its end.
     pub fn with(&self, name: &str, value: &str) -> Uri {
         let mut uri = self.clone();
         uri.query.push(Parameter { name: name.to_owned(), value: Some(value.to_owned()) });
@@ -137,7 +139,7 @@
     }
 }
 
-/// Reads the parameters of a query.
+/// Parses the parameters of a query.
 fn parse_query(query: Option<&str>) -> Result<Vec<Parameter>, UriError> {
     let mut parameters: Vec<Parameter> = Vec::new();
     for part in query.into_iter().flat_map(|query| query.split('&')) {
@@ -154,7 +156,7 @@
     Ok(parameters)
 }
 
-/// The host in lower case, without the scheme's default port.
+/// Returns the host in lower case, without the scheme's default port.
 fn normalize_authority(scheme: &str, host: &str) -> Result<String, UriError> {
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b);
     if host.is_empty() || !host.bytes().all(fits) {
@@ -165,8 +167,8 @@
     Ok(host.strip_suffix(default_port).unwrap_or(&host).to_owned())
 }
 
-/// Undoes the escapes of unreserved characters and writes the others in upper case. `allowed` are the other characters
-/// that may stand unescaped.
+/// Decodes the escapes of unreserved characters and writes the other escapes in upper case. `allowed` holds
+/// the reserved characters that may occur unescaped.
 fn normalize_escapes(text: &str, allowed: &[u8]) -> Result<String, UriError> {
     let bytes = text.as_bytes();
     let (mut out, mut at) = (String::with_capacity(bytes.len()), 0);
@@ -192,7 +194,7 @@
     Ok(out)
 }
 
-/// Removes the segments `.` and `..`, as RFC 3986 does.
+/// Removes the segments `.` and `..` as RFC 3986 specifies.
 fn remove_dot_segments(path: &str) -> String {
     let mut kept: Vec<&str> = Vec::new();
     let mut segments = path.split('/').skip(1).peekable();
--- a/src/front/thrift/answering.rs
+++ b/src/front/thrift/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Writing answers to clients.
 
 use super::codec::{self, ThriftReply};
 use super::{SequenceId, SessionDeadline, ThriftEvent, ThriftFront};
@@ -7,7 +7,7 @@
 use crate::net::{ConnectionKey, Net};
 
 impl ThriftFront {
-    /// Writes a request's one answer, if the request is still open.
+    /// Writes the answer to a request, if the request is still open.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -30,7 +30,7 @@
         events
     }
 
-    /// Writes an answer to a call that was never open: a ping, or a request over the limit.
+    /// Writes an answer to a call that is not tracked as open: a ping, or a request over the limit.
     pub fn answer_untracked(
         &mut self,
         now: Instant,
--- a/src/front/thrift/arrivals.rs
+++ b/src/front/thrift/arrivals.rs
@@ -1,21 +1,21 @@
-//! When the bytes came that are not used yet.
+//! Arrival times of input that is not consumed yet.
 
 use crate::interface::Instant;
 use std::collections::VecDeque;
 
-/// Unused bytes that came together.
+/// Unconsumed bytes that arrived together.
 struct Arrival {
     bytes: usize,
     at: Instant,
 }
 
-/// When the unused bytes of a connection came, the oldest first. A request may wait unread while its client's time-out
-/// runs.
+/// Arrival times of a connection's unconsumed input, the oldest first. They are needed since a request may
+/// wait unread while its client's timeout runs.
 #[derive(Default)]
 pub(super) struct Arrivals(VecDeque<Arrival>);
 
 impl Arrivals {
-    /// Adds bytes that came.
+    /// Adds bytes that arrived at an instant.
     pub(super) fn add(&mut self, bytes: usize, at: Instant) {
         match self.0.back_mut() {
             Some(last) if last.at == at => last.bytes += bytes,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Uses the oldest bytes. Returns when the first of them came.
+    /// Removes the oldest bytes. Returns when the first of them arrived; `None` if there are none.
     pub(super) fn take(&mut self, mut bytes: usize) -> Option<Instant> {
         let at = self.0.front()?.at;
         while let Some(first) = self.0.front_mut().filter(|_| bytes > 0) {
@@ -38,7 +38,6 @@
         Some(at)
     }
 
-    /// Drops all.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/src/front/thrift/closing.rs
+++ b/src/front/thrift/closing.rs
@@ -1,4 +1,4 @@
-//! The ends of clients' connections: time-outs, graceful and immediate closes.
+//! Closing of clients' connections: timeouts, graceful and immediate closing.
 
 use super::limits::{CHECK_INTERVAL, IDLE_TIMEOUT, LINGER_TIMEOUT, MESSAGE_TIMEOUT, WRITE_STALL_TIMEOUT};
 use super::session::OpenRequests;
@@ -10,17 +10,17 @@
 use crate::net::{ConnectionKey, Net, Reason};
 use tracing::info;
 
-/// What a check of a connection's time-outs found.
+/// Result of checking a connection's timeouts.
 enum TimeoutCheck {
     Passed,
     CloseGracefully(Reason),
     Close(Reason),
-    /// It was not used for long, as far as its input has been read.
+    /// The connection was unused for [`IDLE_TIMEOUT`], but may have input that was not read yet.
     Idle,
 }
 
 impl ThriftFront {
-    /// Checks a connection's time-outs.
+    /// Checks a connection's timeouts and closes it if one has passed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -33,7 +33,7 @@
             TimeoutCheck::CloseGracefully(reason) => self.close_gracefully(now, conn, reason, net, deadlines),
             TimeoutCheck::Close(reason) => self.close(now, conn, reason, net, deadlines),
             TimeoutCheck::Idle => {
-                // A request that came just now is answered.
+                // A request that has just arrived is still read, and keeps the connection open.
                 let events = self.on_ready(now, conn, false, net, deadlines);
                 let session = self.sessions.get(conn);
                 if session.is_some_and(|session| session.last_active + IDLE_TIMEOUT <= now) {
@@ -61,7 +61,8 @@
         }
         let is_quiet = session.open_requests.is_empty() && !has_unwritten && !session.is_queued;
         if !is_quiet {
-            // Its answers come first: a message that it has begun meanwhile may have waited for them.
+            // A client may read its answers before it sends the rest of a message that it has begun, so the
+            // timeout of this message starts after them.
             session.awaiting_message_since = session.awaiting_message_since.map(|_| now);
         }
         let is_over = |since: Option<Instant>, limit| since.is_some_and(|since| since + limit <= now);
@@ -70,7 +71,7 @@
         } else if session.last_write_progress + WRITE_STALL_TIMEOUT <= now {
             TimeoutCheck::Close(Reason::Stalled)
         } else if session.lingering_since.is_some() || !is_quiet {
-            TimeoutCheck::Passed // open requests are not lost for a message that does not come
+            TimeoutCheck::Passed // open requests are not cancelled because of an incomplete message
         } else if is_over(session.awaiting_message_since, MESSAGE_TIMEOUT) {
             TimeoutCheck::CloseGracefully(Reason::HeadTimeout)
         } else if session.last_active + IDLE_TIMEOUT <= now {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Ends a connection from this side and lets it linger. Its open requests are cancelled.
+    /// Closes a connection gracefully: it lingers, and its open requests are cancelled.
     pub(super) fn close_gracefully(
         &mut self,
         now: Instant,
@@ -91,9 +92,9 @@
     ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get_mut(conn) else { return Vec::new() };
         if net.wrote(conn) == 0 {
-            return self.close(now, conn, reason, net, deadlines); // there is no answer to lose
+            return self.close(now, conn, reason, net, deadlines); // no answer that a reset could discard
         }
-        info!("conn={conn} is told the end: {}", reason.code());
+        info!("conn={conn} closing gracefully: {}", reason.code());
         session.lingering_since = Some(now);
         session.drop_input(conn, net);
         let mut events = cancellations(std::mem::take(&mut session.open_requests));
@@ -101,7 +102,7 @@
         events
     }
 
-    /// Ends every connection gracefully that does not linger yet.
+    /// Closes all connections gracefully that do not linger yet.
     pub fn close_all_gracefully(
         &mut self,
         now: Instant,
@@ -114,8 +115,8 @@
         active.into_iter().flat_map(|conn| self.close_gracefully(now, conn, reason, net, deadlines)).collect()
     }
 
-    /// Goes on with a lingering connection: shuts down the write side once all answers are written, drops what comes,
-    /// and closes once the client has closed.
+    /// Continues with a lingering connection: discards its input, shuts down the write side once all answers
+    /// are written, and closes the connection once the client has closed.
     pub(super) fn continue_lingering(
         &mut self,
         now: Instant,
@@ -134,12 +135,13 @@
         }
     }
 
-    /// The connection to close in favour of a new one, if there is one without an open request.
+    /// Returns the idle connection to evict first when a new one needs its place; `None` if no connection is
+    /// idle.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
         self.sessions.eviction_candidate(net)
     }
 
-    /// Closes a connection. Its open requests are cancelled.
+    /// Closes a connection at once and returns the cancellations of its open requests.
     pub fn close(
         &mut self,
         now: Instant,
@@ -152,13 +154,13 @@
         session.map_or_else(Vec::new, |session| cancellations(session.open_requests))
     }
 
-    /// Closes all connections.
+    /// Closes all connections at once, when the process stops.
     pub fn close_all(&mut self, now: Instant, net: &mut Net, deadlines: &mut dyn Schedule<SessionDeadline>) {
         self.sessions.close_all(now, net, deadlines);
     }
 }
 
-/// The cancellations of requests whose connection ends.
+/// Returns the cancellations of requests whose connection ends, in the order of their handles.
 fn cancellations(open_requests: OpenRequests) -> Vec<ThriftEvent> {
     let mut handles: Vec<RequestHandle> = open_requests.into_values().flatten().collect();
     handles.sort_unstable();
--- a/src/front/thrift/codec/format.rs
+++ b/src/front/thrift/codec/format.rs
@@ -1,6 +1,6 @@
-//! Constants of Thrift's binary protocol and of the service `Front`.
+//! Constants of Thrift's binary protocol and of the Thrift service `Front`.
 
-/// Bytes of the length before a frame.
+/// Size of the length that precedes a frame's message, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
 /// The version bits of the strict protocol, in a message's first word.
@@ -48,7 +48,7 @@
     pub const FIELDS: i16 = 1;
     /// The body of `invoke`.
     pub const BODY: i16 = 2;
-    /// What `abort` cancels.
+    /// The sequence number of the request that `abort` cancels.
     pub const TARGET: i16 = 1;
 }
 
@@ -71,7 +71,7 @@
 
 /// The field number of the fields of `Trylater` and `Aborted`.
 pub(super) const REJECTION_FIELDS: i16 = 1;
-/// The field of `Trylater` that is its Retry-After, in milliseconds.
+/// The key in the fields of `Trylater` whose value is the Retry-After, in ms.
 pub(super) const RETRY_AFTER_FIELD: &str = "pause";
 
 /// The field numbers of an application exception.
--- a/src/front/thrift/codec/mod.rs
+++ b/src/front/thrift/codec/mod.rs
@@ -1,6 +1,6 @@
-//! Thrift's strict binary protocol, as far as the service `Front` needs it.
+//! Thrift's strict binary protocol, as far as the Thrift service `Front` needs it.
 //!
-//! - `reading`: decodes calls; `error`: why a message cannot be decoded.
+//! - `reading`: decodes calls; `error`: errors of decoding.
 //! - `writing`: encodes replies.
 //! - `format`: the constants of the protocol and of the service.
 
--- a/src/front/thrift/codec/reading.rs
+++ b/src/front/thrift/codec/reading.rs
@@ -6,15 +6,15 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// How deep structs and containers in unknown fields may nest.
+/// Maximum nesting depth of structs and containers in unknown fields.
 const MAX_DEPTH: u32 = 16;
 
-/// A call.
+/// A decoded call.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The sequence number.
+    /// The sequence number, which the reply repeats.
     pub seqid: SequenceId,
-    /// The method's name, which the answer repeats.
+    /// The method's name, which an exception repeats.
     pub name: String,
     /// The method with its arguments.
     pub method: Method,
@@ -23,29 +23,29 @@
 /// A method with its arguments.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Method {
-    /// A request.
+    /// `invoke`: a request.
     Invoke {
-        /// Its fields.
+        /// The request's fields by name.
         fields: BTreeMap<String, String>,
-        /// Its body.
+        /// The request's body; empty if it has none.
         body: Bytes,
     },
-    /// The client cancels a request.
+    /// `abort`: cancels the request with this sequence number.
     Abort(SequenceId),
-    /// Whether this edge proxy is ready.
+    /// `ping`: asks whether the edge proxy is ready.
     Ping,
     /// A method that the service does not have.
     Unknown,
-    /// Arguments that cannot be decoded.
+    /// Arguments of `invoke` or `ping` that cannot be decoded.
     Malformed(DecodeError),
 }
 
-/// Decodes a frame's message.
+/// Decodes the message of a frame.
 ///
 /// # Errors
 ///
-/// Its head cannot be decoded, so there is no sequence number to answer under. Arguments that cannot be decoded are
-/// [`Method::Malformed`].
+/// The message's head cannot be decoded, so no sequence number is known for an answer, or it is an `abort`
+/// with invalid arguments. Other arguments that cannot be decoded give [`Method::Malformed`].
 pub fn decode_call(frame: Bytes) -> Result<Call, DecodeError> {
     let mut reader = Reader { bytes: frame };
     let first_word = reader.i32()? as u32;
@@ -59,7 +59,8 @@
     let seqid = SequenceId(reader.i32()?);
     let method = match name.as_str() {
         method::INVOKE => reader.invoke_arguments(),
-        // It is one-way: there is nothing to answer, not even that it can't be decoded.
+        // `abort` is one-way, so invalid arguments cannot be answered with an exception: the whole message
+        // fails.
         method::ABORT => Ok(reader.abort_arguments()?),
         method::PING => reader.fields(|_, _, _| Ok(FieldUse::Unknown)).map(|()| Method::Ping),
         _ => Ok(Method::Unknown),
@@ -74,7 +75,7 @@
     Unknown,
 }
 
-/// What is left of a message.
+/// Reads values from the rest of a message.
 struct Reader {
     bytes: Bytes,
 }
@@ -122,11 +123,12 @@
         if count > 0 && (key_type, value_type) != (field_type::STRING, field_type::STRING) {
             return Err(DecodeError::MapNotOfStrings);
         }
-        // Each pair takes eight bytes at least, so a huge count ends early.
+        // Each pair takes at least eight bytes, so too large a count fails early with `Truncated`.
         (0..count).map(|_| Ok((self.text()?, self.text()?))).collect()
     }
 
-    /// Reads a struct's fields. `read_field` reads those that it knows by number and type; the others are skipped.
+    /// Reads the fields of a struct. `read_field` reads those whose number and type it knows; the others are
+    /// skipped.
     fn fields(
         &mut self,
         mut read_field: impl FnMut(&mut Self, i16, u8) -> Result<FieldUse, DecodeError>,
@@ -203,9 +205,9 @@
         }
     }
 
-    /// Skips so many elements of a container, each of one value of each type.
+    /// Skips `count` elements of a container; each element has one value of each of the `types`.
     fn skip_elements(&mut self, count: usize, types: &[u8], depth: u32) -> Result<(), DecodeError> {
-        // Every element takes a byte at least, so a larger count is false and is not walked through.
+        // Every element takes at least one byte, so a larger count is wrong and must not be looped over.
         if count > self.bytes.len() {
             return Err(DecodeError::Truncated);
         }
--- a/src/front/thrift/codec/tests.rs
+++ b/src/front/thrift/codec/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `codec`.
+//! Tests of decoding calls and encoding replies.
 
 use super::*;
 use crate::front::thrift::SequenceId;
 use crate::interface::Span;
 use bytes::Bytes;
 
-/// A message in bytes, its texts in quotes.
+/// Builds a message from parts: hexadecimal bytes, or a text after a single quote.
 fn bytes(parts: &[&str]) -> Bytes {
     let part = |part: &&str| match part.strip_prefix('\'') {
         Some(text) => text.as_bytes().to_vec(),
@@ -15,8 +15,8 @@
 }
 
 fn printable(bytes: &[u8]) -> String {
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || *b == b' ';
-    bytes.iter().map(|b| if plain(b) { char::from(*b).into() } else { format!("<{b:02x}>") }).collect()
+    let is_plain = |b: &u8| b.is_ascii_alphanumeric() || *b == b' ';
+    bytes.iter().map(|b| if is_plain(b) { char::from(*b).into() } else { format!("<{b:02x}>") }).collect()
 }
 
 #[test]
@@ -70,7 +70,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Clients get these texts with a protocol error.
+/// Clients get these texts in exceptions, so they must not change.
 #[test]
 fn decode_error_texts_are_fixed() {
     let cases = [
--- a/src/front/thrift/codec/writing.rs
+++ b/src/front/thrift/codec/writing.rs
@@ -8,35 +8,35 @@
 use crate::interface::Span;
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Room for the head of a usual frame, in bytes.
+/// Initial capacity for the part of a frame before the body, in bytes; most frames fit.
 const HEAD_CAPACITY: usize = 64;
 
 /// A reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ThriftReply {
-    /// `Answer` of `invoke`.
+    /// The result `Answer` of `invoke`: the request was served.
     Answer {
-        /// The object's bytes.
+        /// The object's content.
         body: Bytes,
-        /// Its fields.
+        /// The fields of the answer, as pairs of name and value.
         fields: Vec<(&'static str, String)>,
     },
-    /// `Answer` of `ping`: whether the edge proxy is ready.
+    /// The result `Answer` of `ping`: whether the edge proxy is ready.
     Pong(bool),
-    /// `Trylater`.
+    /// The result `Trylater`: the request was rejected.
     Rejected {
-        /// How long the client should stay away; zero leaves it out.
+        /// Retry-After: how long the client should wait. Below 1 ms, the reply has none.
         retry_after: Span,
     },
-    /// `Aborted`.
+    /// The result `Aborted`: the request failed.
     Failed,
     /// An application exception.
     Exception {
         /// The name of the method that was called.
         name: String,
-        /// Its type.
+        /// The type of the exception.
         kind: ExceptionKind,
-        /// What is wrong.
+        /// The message of the exception.
         text: String,
     },
 }
@@ -58,16 +58,16 @@
     }
 }
 
-/// The types of application exceptions that are sent.
+/// The types of Thrift application exceptions that are sent, with their numbers in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExceptionKind {
     /// The service has no such method.
     UnknownMethod = 1,
-    /// The arguments cannot be used.
+    /// The arguments cannot be decoded or are not valid.
     ProtocolError = 7,
 }
 
-/// Encodes a reply's frame, in parts: the object's bytes are passed on without another copy.
+/// Encodes the frame of a reply, in parts, so that the object's content is not copied.
 pub fn encode_reply(seqid: SequenceId, reply: ThriftReply) -> [Bytes; 3] {
     let mut frame = FrameWriter::new(seqid, &reply);
     match reply {
@@ -84,7 +84,7 @@
     frame.finish()
 }
 
-/// A frame that is being written.
+/// Builds the frame of a reply: `head`, `body` and `tail` are sent one after the other.
 struct FrameWriter {
     head: BytesMut,
     body: Bytes,
@@ -94,7 +94,7 @@
 impl FrameWriter {
     fn new(seqid: SequenceId, reply: &ThriftReply) -> Self {
         let mut head = BytesMut::with_capacity(HEAD_CAPACITY);
-        head.put_bytes(0, LENGTH_BYTES); // the length, once it is known
+        head.put_bytes(0, LENGTH_BYTES); // replaced by the length in `finish`
         head.put_u32(VERSION | reply.message_type());
         put_text(&mut head, reply.method_name());
         head.put_i32(seqid.0);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Ends the inner struct and the result.
+/// Writes the ends of the inner struct and of the result.
 fn put_ends(out: &mut BytesMut) {
     out.put_slice(&[field_type::STOP, field_type::STOP]);
 }
--- a/src/front/thrift/frames.rs
+++ b/src/front/thrift/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: a length, and a message of so many bytes.
+//! Splits the input into frames: a length of four bytes, followed by a message of that many bytes.
 
 use super::codec::{self, Method, LENGTH_BYTES};
 use super::limits::MAX_FRAME_BYTES;
@@ -6,11 +6,11 @@
 use crate::net::Reason;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Takes the next complete frame.
+/// Removes the next frame from the input and returns its message; `None` if it is not complete.
 ///
 /// # Errors
 ///
-/// The length is negative or beyond the limit.
+/// The length is negative, or above [`MAX_FRAME_BYTES`].
 pub(super) fn next_frame(input: &mut BytesMut) -> Result<Option<Bytes>, Reason> {
     let Some(prefix) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = usize::try_from(i32::from_be_bytes(*prefix)).map_err(|_| Reason::BadMessage)?;
@@ -24,8 +24,9 @@
     Ok(Some(input.split_to(length).freeze()))
 }
 
-/// The sequence numbers that the complete messages of the input cancel. The first `scanned` bytes were searched before;
-/// `scanned` is moved on.
+/// Returns the sequence numbers that complete messages of the input cancel. The search starts after the first
+/// `scanned` bytes, which were searched before, and advances `scanned` past the messages that it has
+/// searched.
 pub(super) fn find_cancellations(input: &[u8], scanned: &mut usize) -> Vec<SequenceId> {
     let mut cancelled = Vec::new();
     while let Some((prefix, rest)) = input.get(*scanned..).and_then(<[u8]>::split_first_chunk::<LENGTH_BYTES>)
--- a/src/front/thrift/handover.rs
+++ b/src/front/thrift/handover.rs
@@ -1,4 +1,4 @@
-//! Connections that are handed over to a newer process, or end once they are idle where there is none.
+//! Handover of connections to a newer process; if there is none, they are closed once they are idle.
 
 use super::limits::HANDOVER_PAUSE;
 use super::{SessionDeadline, ThriftFront};
@@ -7,12 +7,13 @@
 use crate::net::{ConnectionKey, Net, Reason};
 
 impl ThriftFront {
-    /// Ends each connection once it is idle, as another process takes the clients.
+    /// Starts draining: this process takes no more clients, and [`ThriftFront::idle_connection`] returns
+    /// those to close.
     pub fn start_draining(&mut self) {
         self.is_draining = true;
     }
 
-    /// Adds a connection that another process had.
+    /// Adds a connection that another process has handed over.
     pub fn adopt(
         &mut self,
         now: Instant,
@@ -24,15 +25,15 @@
         if let Some(session) = self.sessions.get_mut(conn) {
             session.has_sent_message = true;
             session.awaiting_message_since = None;
-            // What the other process read may have waited for the whole pause before the handover.
+            // Input that the other process read may have waited for the whole pause before the handover.
             let unused = net.input(conn, |input| input.len()).unwrap_or(0);
             session.arrivals.add(unused, now - HANDOVER_PAUSE);
         }
     }
 
-    /// The connections that can be handed over, since none of their requests is open. Reading pauses for
-    /// [`HANDOVER_PAUSE`] on those that have at most `max_open` open requests, and goes on for as long afterwards; all
-    /// of them pause `is_end_near`.
+    /// Returns the connections that can be handed over: they have no open request and no unwritten answer. On
+    /// those with at most `max_open` open requests, reading pauses for [`HANDOVER_PAUSE`], then goes on for
+    /// as long before the next pause. If `is_end_near`, reading pauses on all connections, and no pause ends.
     pub fn connections_to_hand_over(
         &mut self,
         now: Instant,
@@ -64,12 +65,12 @@
         ready
     }
 
-    /// Removes a connection that was handed over.
+    /// Removes a connection that was handed over, without closing it.
     pub fn remove_handed_over(&mut self, conn: ConnectionKey, deadlines: &mut dyn Schedule<SessionDeadline>) {
         self.sessions.remove(conn, deadlines);
     }
 
-    /// Reads from all connections again: no process takes them.
+    /// Ends all pauses of reading, since there is no process to hand the connections over to.
     pub fn resume_reading(&mut self) {
         for (conn, session) in self.sessions.iter_mut() {
             if session.paused_since.is_some() {
@@ -78,14 +79,14 @@
         }
     }
 
-    /// An idle connection, if they are to end. One that has just connected does not count: its first request is
-    /// coming.
+    /// Returns an idle connection if the front is draining. A connection that was just accepted does not
+    /// count as idle, since its first request is about to arrive.
     pub fn idle_connection(&self, now: Instant, net: &mut Net) -> Option<ConnectionKey> {
         let mut draining = self.sessions.iter().filter(|_| self.is_draining);
         draining.find(|(conn, session)| session.is_idle(now, *conn, net)).map(|(conn, _)| conn)
     }
 
-    /// Ends a connection gracefully if it is still idle.
+    /// Closes a connection gracefully if it is still idle.
     pub fn close_if_idle(
         &mut self,
         now: Instant,
--- a/src/front/thrift/limits.rs
+++ b/src/front/thrift/limits.rs
@@ -1,33 +1,33 @@
-//! Limits of a client's connection: sizes, counts and time-outs.
+//! Limits of a client's connection: sizes, counts and timeouts.
 
 use crate::interface::Span;
 
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection; further ones are rejected.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// The longest body, a write's, in bytes.
+/// Maximum length of a request's body, in bytes. Only writes have one.
 pub const MAX_BODY_BYTES: usize = 48_000;
-/// The longest frame: the longest body and its fields.
+/// Maximum length of a frame, in bytes: the longest body and the request's fields.
 pub(super) const MAX_FRAME_BYTES: usize = 64 * 1024;
-/// Nothing is read from a client that has this many bytes of answers to take.
+/// No requests are read from a connection that has this many unwritten bytes of answers.
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 1 << 20;
-/// Unread bytes that are searched for cancellations, and handed over with a connection.
+/// Maximum number of unread bytes that are searched for cancellations and handed over with a connection.
 pub(super) const MAX_SCANNED_BYTES: usize = 512 * 1024;
-/// Messages taken from one connection before the others have their turn.
+/// Maximum number of messages taken from one connection before the others have their turns.
 pub(super) const MESSAGES_PER_TURN: usize = 8;
 
-/// How often a connection's time-outs are checked.
+/// Interval between checks of a connection's timeouts.
 pub(super) const CHECK_INTERVAL: Span = Span::from_millis(400);
-/// A client that takes no byte of its answers for this long is closed.
+/// A connection is closed if its client takes no byte of its answers for this long.
 pub(super) const WRITE_STALL_TIMEOUT: Span = Span::from_secs(10);
-/// A message must be complete this long after it began, and a first one after its client connected: clients are owed an
-/// end within 3 s.
+/// A message must be complete within this time after it began, and the first one after the client connected:
+/// clients must see their connection end within 3 s.
 pub(super) const MESSAGE_TIMEOUT: Span = Span::from_secs(2);
-/// A connection without open requests is closed after this time. Clients close theirs after 4 s.
+/// A connection without open requests is closed after this time. Clients close idle connections after 4 s.
 pub(super) const IDLE_TIMEOUT: Span = Span::from_secs(6);
-/// How long a client may take to close once the write side is shut down.
+/// A lingering connection is closed after this time, even if the client has not closed it.
 pub(super) const LINGER_TIMEOUT: Span = Span::from_secs(1);
-/// A connection that never sent a request counts as idle after this time: a first request follows sooner.
+/// A connection that never sent a message counts as idle after this time: a first request arrives sooner.
 pub(super) const FIRST_REQUEST_GRACE: Span = Span::from_millis(200);
-/// How long reading may pause so that a connection's open requests end before its handover. Most answers come within
-/// it.
+/// Maximum time for which reading pauses so that a connection's open requests end before its handover. Most
+/// answers take less.
 pub const HANDOVER_PAUSE: Span = Span::from_millis(300);
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -1,12 +1,13 @@
-//! The platform's front: framed Thrift. It reads calls, tracks which of them are open on a connection, and writes one
-//! answer to each.
+//! The Thrift front, for the platform's clients. It reads framed Thrift calls, tracks the open requests of
+//! each connection, and writes one answer to each.
 //!
-//! - `session`: what is kept of one connection; `arrivals`: when its unused bytes came.
-//! - `reading`: messages in turns, and cancellations; `frames` cuts the input, `codec` decodes and encodes messages.
-//! - `answering`: answers out.
-//! - `closing`: time-outs, graceful and immediate closes.
-//! - `handover`: connections that go to a newer process, or end once they are idle.
-//! - `limits`: sizes, counts and time-outs; `sequence_id`: the type of sequence numbers.
+//! - `session`: state of one connection; `arrivals`: when its unconsumed input arrived.
+//! - `reading`: reads messages, the connections taking turns, and cancellations; `frames` splits the input
+//!   into frames; `codec` decodes calls and encodes replies.
+//! - `answering`: writes answers.
+//! - `closing`: timeouts, graceful and immediate closing.
+//! - `handover`: hands connections over to a newer process, or closes them once they are idle.
+//! - `limits`: sizes, counts and timeouts; `sequence_id`: the type of sequence numbers.
 
 mod answering;
 mod arrivals;
@@ -31,60 +32,60 @@
 use session::Session;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The next check of a connection's time-outs.
+/// The deadline of a connection's next timeout check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionDeadline(ConnectionKey);
 
-/// What clients want of the edge proxy.
+/// An event from a client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ThriftEvent {
-    /// A request.
+    /// A request, which is open until it is answered or cancelled.
     Request {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionKey,
-        /// Its sequence number.
+        /// The sequence number, which the reply repeats.
         seqid: SequenceId,
-        /// Its fields.
+        /// The request's fields by name.
         fields: BTreeMap<String, String>,
-        /// Its body.
+        /// The request's body; empty if it has none.
         body: Bytes,
-        /// When its first byte came. It may have waited unread since.
+        /// When the first byte arrived. The request may have waited unread since then.
         arrived: Instant,
     },
-    /// A request beyond [`MAX_OPEN_REQUESTS`]; [`ThriftFront::answer_untracked`] answers it.
+    /// A request beyond [`MAX_OPEN_REQUESTS`]. It is not open; [`ThriftFront::answer_untracked`] answers it.
     RequestOverLimit {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionKey,
-        /// Its sequence number.
+        /// The sequence number, which the reply repeats.
         seqid: SequenceId,
-        /// Its fields.
+        /// The request's fields by name.
         fields: BTreeMap<String, String>,
     },
-    /// A question whether the edge proxy is ready.
+    /// A `ping`, which asks whether the edge proxy is ready.
     Ping {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionKey,
-        /// Its sequence number.
+        /// The sequence number, which the reply repeats.
         seqid: SequenceId,
     },
-    /// A client has cancelled a request, or its connection has ended. No answer is owed.
+    /// The client has cancelled a request, or its connection has ended. The request needs no answer.
     Cancelled(RequestHandle),
 }
 
 impl ThriftEvent {
-    /// Whether it is the request of a connection under a sequence number.
+    /// Whether the event is the request with this sequence number on this connection.
     fn is_request(&self, on: ConnectionKey, number: SequenceId) -> bool {
         matches!(self, ThriftEvent::Request { conn, seqid, .. } if (*conn, *seqid) == (on, number))
     }
 }
 
-/// The clients' connections.
+/// The Thrift front with its clients' connections.
 #[derive(Default)]
 pub struct ThriftFront {
     sessions: Sessions<Session>,
-    /// Connections that have more to read than their last turn allowed.
+    /// Connections that may have more to read than their last turn allowed, in the order of their next turns.
     turns: VecDeque<ConnectionKey>,
-    /// Each connection ends once it is idle.
+    /// Whether connections are closed once they are idle.
     is_draining: bool,
 }
 
@@ -95,29 +96,29 @@
         self.sessions.insert(conn, session);
     }
 
-    /// Notes that a new connection may have waited to be accepted since an instant, and its first bytes with it.
+    /// Records since when a new connection, and its first bytes with it, may have waited to be accepted.
     pub fn set_waiting_since(&mut self, conn: ConnectionKey, since: Instant) {
         if let Some(session) = self.sessions.get_mut(conn) {
             session.waiting_since = Some(since);
         }
     }
 
-    /// All connections.
+    /// Returns all connections, including those that linger.
     pub fn connections(&self) -> Vec<ConnectionKey> {
         self.sessions.connections()
     }
 
-    /// Whether a connection is a client's.
+    /// Whether a connection belongs to this front.
     pub fn owns(&self, conn: ConnectionKey) -> bool {
         self.sessions.contains(conn)
     }
 
-    /// Whether a connection has sent a complete message.
+    /// Whether a connection's client has sent a complete message, or the connection was adopted.
     pub fn has_sent_message(&self, conn: ConnectionKey) -> bool {
         self.sessions.get(conn).is_some_and(|session| session.has_sent_message)
     }
 
-    /// Takes the next connection that has more to read than its last turn allowed.
+    /// Removes and returns the next connection that may have more to read than its last turn allowed.
     pub fn next_turn(&mut self) -> Option<ConnectionKey> {
         let conn = self.turns.pop_front()?;
         if let Some(session) = self.sessions.get_mut(conn) {
@@ -126,22 +127,23 @@
         Some(conn)
     }
 
-    /// How many connections wait for a turn.
+    /// Returns the number of connections that wait for a turn.
     pub fn waiting_turns(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether all answers are written.
+    /// Whether all answers are written on all connections.
     pub fn is_flushed(&self, net: &Net) -> bool {
         self.sessions.iter().all(|(conn, _)| net.unwritten(conn) == 0)
     }
 
-    /// Whether a request is still open: its client may have closed within the read that brought it.
+    /// Whether a request is still open. Its client may have closed the connection right after the request, in
+    /// the same read.
     pub fn is_open(&self, conn: ConnectionKey, seqid: SequenceId) -> bool {
         self.sessions.get(conn).is_some_and(|session| session.open_requests.contains_key(&seqid))
     }
 
-    /// Gives an open request the handle by which [`ThriftEvent::Cancelled`] names it.
+    /// Sets the handle of an open request, which [`ThriftEvent::Cancelled`] returns.
     pub fn set_handle(&mut self, conn: ConnectionKey, seqid: SequenceId, handle: RequestHandle) {
         let session = self.sessions.get_mut(conn);
         if let Some(bound) = session.and_then(|session| session.open_requests.get_mut(&seqid)) {
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -1,4 +1,5 @@
-//! Reading from clients: complete messages in turns, and cancellations also where nothing else is taken.
+//! Reading from clients: complete messages, a limited number per turn, and cancellations even where no other
+//! messages are taken.
 
 use super::codec::{self, ExceptionKind, Method, ThriftReply, LENGTH_BYTES};
 use super::frames::{find_cancellations, next_frame};
@@ -16,15 +17,16 @@
 /// How a connection's turn ended.
 #[derive(PartialEq, Eq)]
 enum TurnEnd {
-    /// All complete messages are taken.
+    /// All complete messages of the input are taken.
     Drained,
-    /// There may be more of them.
+    /// The turn's limit is reached, and the input may have more complete messages.
     LimitReached,
 }
 
 impl ThriftFront {
-    /// Handles a connection that may be read from or written to, or whose client has closed it (`peer_closed`). Requests of a client
-    /// that closed are cancelled, also those still unread.
+    /// Handles a connection that may be read from or written to, or that its client has closed
+    /// (`peer_closed`). If the client has closed it, its open requests are cancelled and its unread ones are
+    /// dropped.
     pub fn on_ready(
         &mut self,
         now: Instant,
@@ -55,7 +57,7 @@
         events
     }
 
-    /// Handles a connection that is no longer read from: only answers are written.
+    /// Handles a connection from which no more messages are read: only answers are written.
     fn on_ready_unreadable(
         &mut self,
         now: Instant,
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Ends a connection whose input cannot be read any further: at once, or after the answers to its open requests.
+    /// Closes a connection whose input cannot be read any further: at once, or after its open requests are
+    /// answered.
     fn stop_reading(
         &mut self,
         now: Instant,
@@ -88,7 +91,7 @@
         Vec::new()
     }
 
-    /// Reads a connection for one turn.
+    /// Reads from a connection for one turn.
     fn read(
         &mut self,
         now: Instant,
@@ -99,7 +102,8 @@
         let mut taken = 0;
         loop {
             let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
-            // Its next read comes with the write event that says that some bytes were taken.
+            // If too much is unwritten, the write event that follows once the client takes bytes triggers the
+            // next read.
             if session.paused_since.is_some() || net.unwritten(conn) >= MAX_UNWRITTEN_BYTES {
                 return self.read_cancellations(now, conn, net, events);
             }
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Takes the complete frames of the input, up to the turn's limit.
+    /// Takes the complete frames of the input, up to the limit of the turn.
     fn take_frames(
         &mut self,
         now: Instant,
@@ -145,8 +149,8 @@
         Ok(TurnEnd::LimitReached)
     }
 
-    /// Searches the input of a connection from which no request is taken now: an open request may have been cancelled
-    /// there. The bytes stay for the connection's next turn.
+    /// Searches the input of a connection from which no request is taken now for cancellations of its open
+    /// requests. The bytes stay in the input for the connection's next turn.
     fn read_cancellations(
         &mut self,
         now: Instant,
@@ -169,7 +173,7 @@
         Ok(())
     }
 
-    /// Takes one message: hands it in as an event, or answers what is no valid call.
+    /// Takes one message: adds its event, or answers a call that is unknown or malformed.
     fn take_message(
         &mut self,
         now: Instant,
@@ -181,13 +185,14 @@
         let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
         let arrived = session.note_message(now, LENGTH_BYTES + frame.len());
         let call = codec::decode_call(frame).map_err(|error| {
-            warn!("conn={conn} a message can't be read: {error}");
+            warn!("conn={conn} cannot decode a message: {error}");
             Reason::BadMessage
         })?;
         let seqid = call.seqid;
         let exception = |kind, text| ThriftReply::Exception { name: call.name, kind, text };
         match call.method {
-            // Two answers under one number could not be told apart: neither request gets one.
+            // The client could not tell two answers with one sequence number apart, so neither request is
+            // answered.
             Method::Invoke { .. } | Method::Malformed(_) if session.open_requests.contains_key(&seqid) => {
                 session.cancel(conn, seqid, events);
                 return Err(Reason::DuplicateSeqid);
--- a/src/front/thrift/sequence_id.rs
+++ b/src/front/thrift/sequence_id.rs
@@ -1,5 +1,5 @@
-//! Sequence numbers.
+//! Sequence numbers of calls.
 
-/// The number by which a client tells its requests on one connection apart.
+/// The number by which a client distinguishes its calls on one connection; replies repeat it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SequenceId(pub i32);
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -1,4 +1,4 @@
-//! What is kept of one client's connection.
+//! The state of one client's connection.
 
 use super::arrivals::Arrivals;
 use super::limits::{CHECK_INTERVAL, FIRST_REQUEST_GRACE};
@@ -9,40 +9,41 @@
 use crate::net::{ConnectionKey, Net, Reason};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The open requests of a connection, with their handles once these are bound.
+/// The open requests of a connection, with their handles once these are set.
 pub(super) type OpenRequests = BTreeMap<SequenceId, Option<RequestHandle>>;
 
-/// One client's connection.
 pub(super) struct Session {
     pub open_requests: OpenRequests,
     pub check_deadline: DeadlineHandle,
-    /// Bytes written so far, as of the last check.
+    /// Number of bytes written up to the last timeout check.
     pub written_bytes: u64,
-    /// When some bytes were last written, or none were waiting.
+    /// When a timeout check last found that bytes had been written or that none were waiting.
     pub last_write_progress: Instant,
-    /// When a message last came or was answered.
+    /// When a message last arrived or a request was last answered.
     pub last_active: Instant,
-    /// Since when a message is awaited that has begun, or a first one.
+    /// Since when the rest of an incomplete message, or the first message, is awaited.
     pub awaiting_message_since: Option<Instant>,
-    /// It has sent a complete message.
+    /// Whether the client has sent a complete message, or the connection was adopted.
     pub has_sent_message: bool,
-    /// It waits for a turn to be read from.
+    /// Whether the connection is queued for its next turn.
     pub is_queued: bool,
-    /// Since when reading pauses, so that the connection can be handed over once its requests are answered.
+    /// Since when reading is paused, so that the connection can be handed over once its open requests are
+    /// answered.
     pub paused_since: Option<Instant>,
-    /// Reading may not pause again before this.
+    /// When reading may be paused again.
     pub pause_allowed_at: Instant,
-    /// Since when only the client's close is awaited.
+    /// Since when the connection lingers: it only writes what is left and waits for the client to close.
     pub lingering_since: Option<Instant>,
-    /// The write side is shut down.
+    /// Whether the write side is shut down.
     pub is_shut_down: bool,
-    /// Input cannot be read any further. The connection ends for this reason once its open requests are answered.
+    /// Why the input cannot be read any further; `None` while it can. The connection closes for this reason
+    /// once its open requests are answered.
     pub unreadable_reason: Option<Reason>,
-    /// Bytes of unread messages that were already searched for cancellations.
+    /// Number of bytes of unconsumed messages that were already searched for cancellations.
     pub scanned_bytes: usize,
-    /// When the unused bytes came.
+    /// When the unconsumed input arrived.
     pub arrivals: Arrivals,
-    /// What the next read brings may have waited since then.
+    /// Since when the bytes of the next read may have waited; `None` if they have just arrived.
     pub waiting_since: Option<Instant>,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl Session {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted, and adds its timeout check.
     pub(super) fn new(
         now: Instant,
         conn: ConnectionKey,
@@ -95,13 +96,13 @@
         }
     }
 
-    /// Notes bytes that were just read.
+    /// Records the arrival of bytes that were just read.
     pub(super) fn add_arrival(&mut self, now: Instant, bytes: usize) {
         let at = self.waiting_since.take().unwrap_or(now);
         self.arrivals.add(bytes, at);
     }
 
-    /// Notes a complete message of so many bytes. Returns when its first byte came.
+    /// Records a complete message of this many bytes. Returns when its first byte arrived.
     pub(super) fn note_message(&mut self, now: Instant, bytes: usize) -> Instant {
         self.last_active = now;
         self.awaiting_message_since = None;
@@ -109,13 +110,14 @@
         self.arrivals.take(bytes).unwrap_or(now)
     }
 
-    /// Drops what was read and not used.
+    /// Discards the unconsumed input.
     pub(super) fn drop_input(&mut self, conn: ConnectionKey, net: &mut Net) {
         self.arrivals.clear();
         net.input(conn, |input| input.clear());
     }
 
-    /// Whether all its requests are answered and no further message has begun.
+    /// Whether all requests are answered and no further message has begun. A connection without a first
+    /// message counts as idle only after [`FIRST_REQUEST_GRACE`].
     pub(super) fn is_idle(&self, now: Instant, conn: ConnectionKey, net: &mut Net) -> bool {
         let has_unused_input = |net: &mut Net| net.input(conn, |input| !input.is_empty()).unwrap_or(false);
         let is_past_first_request = self.has_sent_message || self.last_active + FIRST_REQUEST_GRACE <= now;
@@ -127,7 +129,7 @@
             && !has_unused_input(net)
     }
 
-    /// Queues the connection to be read from, if it is not queued.
+    /// Queues the connection for its next turn, unless it is queued already.
     pub(super) fn queue(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
         if !self.is_queued {
             self.is_queued = true;
@@ -135,13 +137,14 @@
         }
     }
 
-    /// Ends the pause of reading.
+    /// Ends the pause and queues the connection for its next turn.
     pub(super) fn resume(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
         self.paused_since = None;
         self.queue(conn, turns);
     }
 
-    /// Cancels an open request. If it came in the same read, its event is taken back and the server never sees it.
+    /// Cancels an open request. If the request arrived in the same read and has no handle yet, its event is
+    /// removed instead, so that the server never sees it.
     pub(super) fn cancel(&mut self, conn: ConnectionKey, seqid: SequenceId, events: &mut Vec<ThriftEvent>) {
         match self.open_requests.remove(&seqid) {
             Some(Some(handle)) => events.push(ThriftEvent::Cancelled(handle)),
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading, of time-outs and of the handover of connections.
+//! Tests of reading, timeouts and the handover of connections.
 
 use super::codec::ThriftReply;
 use super::limits::{CHECK_INTERVAL, IDLE_TIMEOUT, MAX_FRAME_BYTES, MESSAGE_TIMEOUT};
@@ -17,14 +17,14 @@
     Instant::ZERO + span
 }
 
-/// A call of `invoke` under this number, without fields that matter here.
+/// Returns the frame of an `invoke` call with this sequence number and an empty map of fields.
 fn invoke(seqid: u8) -> Vec<u8> {
     let head =
         [b"\x80\x01\0\x01\0\0\0\x06invoke\0\0\0", &[seqid][..], b"\x0d\0\x01\x0b\x0b\0\0\0\0\0"].concat();
     [&(head.len() as u32).to_be_bytes()[..], &head].concat()
 }
 
-/// The cancellation of a request.
+/// Returns the frame that cancels the request with this sequence number.
 fn abort(target: u8) -> Vec<u8> {
     let head = [b"\x80\x01\0\x04\0\0\0\x05abort\0\0\0\x63\x08\0\x01\0\0\0", &[target][..], b"\0"].concat();
     [&(head.len() as u32).to_be_bytes()[..], &head].concat()
@@ -41,11 +41,13 @@
 
 impl Fixture {
     fn new() -> Self {
-        let mut net = Net::new().expect("a poll");
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-        let conn =
-            net.adopt(Instant::ZERO, listener.accept().expect("one").0, Role::Thrift, b"").expect("taken");
+        let mut net = Net::new().expect("the poll is created");
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let client =
+            TcpStream::connect(listener.local_addr().expect("the local address")).expect("a connection");
+        let conn = net
+            .adopt(Instant::ZERO, listener.accept().expect("an accepted connection").0, Role::Thrift, b"")
+            .expect("adopted");
         let mut front = ThriftFront::default();
         let mut deadlines = Deadlines::default();
         front.open(Instant::ZERO, conn, &mut deadlines);
@@ -53,10 +55,10 @@
     }
 
     fn session(&self) -> &Session {
-        self.front.sessions.get(self.conn).expect("open")
+        self.front.sessions.get(self.conn).expect("the connection is open")
     }
 
-    /// The events of these bytes, once they have come.
+    /// Sends these bytes and reads until they have arrived. Returns their events.
     fn send(&mut self, now: Instant, bytes: &[u8]) -> Vec<ThriftEvent> {
         self.client.write_all(bytes).expect("written");
         let unused = |net: &mut Net, conn| net.input(conn, |input| input.len()).unwrap_or(0);
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Lets the checks up to an instant pass. Returns whether the connection is still open.
+    /// Runs the timeout checks up to an instant. Returns whether the connection is still open and does not
+    /// linger.
     fn pass_time(&mut self, until: Instant) -> bool {
         while let Some(at) = self.deadlines.next().filter(|at| *at <= until) {
             while let Some(what) = self.deadlines.pop(at) {
@@ -91,7 +94,8 @@
     }
 }
 
-/// A client that reads its answers slowly sends the rest of its next message when it comes to it.
+/// A client that reads its answers slowly may send the rest of its next message late: it must not be closed
+/// for that before it has had the full timeout after its answers.
 #[test]
 fn message_timeout_starts_after_open_requests_are_answered() {
     for open in [true, false] {
@@ -116,14 +120,15 @@
             );
             assert!(
                 fixture.pass_time(now + MESSAGE_TIMEOUT - 2 * CHECK_INTERVAL),
-                "its time begins with the answer"
+                "the timeout starts with the answer"
             );
-            assert!(!fixture.pass_time(now + MESSAGE_TIMEOUT + CHECK_INTERVAL), "and ends");
+            assert!(!fixture.pass_time(now + MESSAGE_TIMEOUT + CHECK_INTERVAL), "the timeout passes");
         }
     }
 }
 
-/// One request that stayed open for long kept all that came behind it unread, to the end of its time.
+/// Guards against a fault in which reading stayed paused while one request was open for long, so that all
+/// requests behind it stayed unread until its deadline.
 #[test]
 fn a_handover_pause_ends_even_with_open_requests() {
     let mut fixture = Fixture::new();
@@ -132,7 +137,11 @@
         let all = fixture.front.connections_to_hand_over(now, max_open, is_end_near, &fixture.net);
         (all.len(), fixture.session().paused_since.is_some(), fixture.front.waiting_turns())
     };
-    assert_eq!(hand_over(&mut fixture, at(10 * US), 0, false), (0, false, 0), "too much is open");
+    assert_eq!(
+        hand_over(&mut fixture, at(10 * US), 0, false),
+        (0, false, 0),
+        "more than 0 requests are open"
+    );
     let start = at(20 * US);
     assert_eq!(hand_over(&mut fixture, start, 1, false), (0, true, 0));
     fixture.client.write_all(&invoke(2)).expect("written");
@@ -143,7 +152,7 @@
     assert_eq!(
         hand_over(&mut fixture, start + HANDOVER_PAUSE, 1, false),
         (0, false, 1),
-        "what waits has its turn"
+        "the unread request is queued for its turn"
     );
     assert_eq!(hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE - US, 1, false), (0, false, 1));
     assert_eq!(fixture.front.next_turn(), Some(fixture.conn));
@@ -151,9 +160,13 @@
     assert_eq!(
         hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE, 1, false),
         (0, false, 0),
-        "two are open now"
+        "two requests are open"
+    );
+    assert_eq!(
+        hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE, 1, true),
+        (0, true, 0),
+        "every connection pauses near the end"
     );
-    assert_eq!(hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE, 1, true), (0, true, 0), "the end is near");
     assert_eq!(hand_over(&mut fixture, start + 4 * HANDOVER_PAUSE, 1, true), (0, true, 0));
     for seqid in [SequenceId(1), SequenceId(2)] {
         let reply = ThriftReply::Pong(true);
@@ -166,10 +179,14 @@
             &mut fixture.deadlines,
         );
     }
-    assert_eq!(hand_over(&mut fixture, start + 4 * HANDOVER_PAUSE, 1, true), (1, true, 0), "nothing is open");
+    assert_eq!(
+        hand_over(&mut fixture, start + 4 * HANDOVER_PAUSE, 1, true),
+        (1, true, 0),
+        "no request is open"
+    );
 }
 
-/// A cancelled request must not be tried again for as long as its cancellation waits unread.
+/// A cancelled request must not be retried while its cancellation waits unread.
 #[test]
 fn a_cancellation_is_found_while_reading_is_paused() {
     let mut fixture = Fixture::new();
@@ -177,14 +194,15 @@
     fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
     fixture.front.connections_to_hand_over(at(10 * US), 1, false, &fixture.net);
     assert!(fixture.session().paused_since.is_some());
-    // A request behind it stays unread, and so does its own cancellation.
+    // The second request stays unread, and so does its cancellation.
     let bytes = [invoke(2), abort(1), abort(2)].concat();
     assert_eq!(fixture.send(at(20 * US), &bytes), [ThriftEvent::Cancelled(HANDLE)]);
     assert_eq!(fixture.net.input(fixture.conn, |input| input.len()), Some(bytes.len()));
     assert!(!fixture.front.is_open(fixture.conn, SequenceId(1)));
 }
 
-/// What a client asked for just before it closed is asked for nobody.
+/// A request that arrives just before its client closes the connection must not be passed on: no one reads
+/// the answer.
 #[test]
 fn a_close_cancels_open_requests_and_drops_unread_ones() {
     let mut fixture = Fixture::new();
@@ -196,7 +214,7 @@
     assert!(!fixture.front.owns(fixture.conn));
 }
 
-/// The client's time-out runs while its request waits unread.
+/// The client's timeout runs while its request waits unread, so the request must keep its arrival time.
 #[test]
 fn a_request_that_waited_unread_keeps_its_arrival_time() {
     let arrived = |events: &[ThriftEvent]| match events {
@@ -218,12 +236,12 @@
         &mut fixture.net,
         &mut fixture.deadlines,
     );
-    assert_eq!(arrived(&events), at(20 * US), "as its first byte came");
+    assert_eq!(arrived(&events), at(20 * US), "when its first byte arrived");
     let later = at(20 * US + HANDOVER_PAUSE);
-    assert_eq!(arrived(&fixture.send(later, &invoke(3))), later, "and what comes later is new");
+    assert_eq!(arrived(&fixture.send(later, &invoke(3))), later, "a later request has a later arrival time");
 }
 
-/// The same for a connection that was handed over, or waited to be accepted.
+/// The client's timeout also runs while a connection waits to be accepted or to be handed over.
 #[test]
 fn arrival_time_includes_waiting_for_accept_or_handover() {
     let mut fixture = Fixture::new();
@@ -236,11 +254,12 @@
     let events = fixture.send(now, &invoke(3));
     assert!(matches!(events[..], [ThriftEvent::Request { arrived, .. }] if arrived == now), "{events:?}");
 
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let _client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    let stream = listener.accept().expect("one").0;
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let _client =
+        TcpStream::connect(listener.local_addr().expect("the local address")).expect("a connection");
+    let stream = listener.accept().expect("an accepted connection").0;
     let now = at(50 * US);
-    let conn = fixture.net.adopt(now, stream, Role::Thrift, &invoke(4)).expect("taken");
+    let conn = fixture.net.adopt(now, stream, Role::Thrift, &invoke(4)).expect("adopted");
     fixture.front.adopt(now, conn, &mut fixture.net, &mut fixture.deadlines);
     let events = fixture.front.on_ready(now, conn, false, &mut fixture.net, &mut fixture.deadlines);
     assert!(
@@ -249,7 +268,8 @@
     );
 }
 
-/// Behind more unread bytes than a message has, a cancellation was not seen.
+/// Guards against a fault in which a cancellation was not found behind more unread bytes than one frame may
+/// have.
 #[test]
 fn a_cancellation_is_found_behind_long_messages() {
     let mut fixture = Fixture::new();
@@ -258,7 +278,7 @@
     fixture.front.connections_to_hand_over(at(10 * US), 1, false, &fixture.net);
     let mut long = (MAX_FRAME_BYTES as u32).to_be_bytes().to_vec();
     long.resize(long.len() + MAX_FRAME_BYTES, 0);
-    let mut client = fixture.client.try_clone().expect("a second handle");
+    let mut client = fixture.client.try_clone().expect("a second handle of the socket");
     let bytes = [&long[..], &long, &abort(1)].concat();
     let writer = std::thread::spawn(move || client.write_all(&bytes).expect("written"));
     let mut events = Vec::new();
@@ -279,7 +299,8 @@
     writer.join().expect("written");
 }
 
-/// Requests beside two that share a number are owed their answers; only those two can't be told apart.
+/// A client cannot tell answers to two requests with one sequence number apart, so these two are cancelled.
+/// The others must still get their answers.
 #[test]
 fn a_repeated_sequence_number_leaves_other_requests_open() {
     let mut fixture = Fixture::new();
@@ -304,10 +325,10 @@
         &mut fixture.net,
         &mut fixture.deadlines,
     );
-    assert!(fixture.session().lingering_since.is_some(), "then it ends");
+    assert!(fixture.session().lingering_since.is_some(), "the connection closes after the last answer");
 }
 
-/// What comes just before an idle connection is closed is answered.
+/// A request that arrives just before its idle connection would be closed must be answered.
 #[test]
 fn an_idle_connection_is_read_once_more_before_it_is_closed() {
     let mut fixture = Fixture::new();
@@ -315,7 +336,7 @@
     fixture.client.write_all(&invoke(1)).expect("written");
     let mut ready = Vec::new();
     while !ready.iter().any(|one| matches!(one, Ready::Conn { read: true, .. })) {
-        fixture.net.poll(None, &mut ready).expect("a poll");
+        fixture.net.poll(None, &mut ready).expect("the poll succeeds");
     }
     let events = fixture.front.deadline_passed(
         at(IDLE_TIMEOUT),
--- a/tests/sockets/crossings.rs
+++ b/tests/sockets/crossings.rs
@@ -118,7 +118,7 @@
     site.proxy.signal("-TERM");
     site.proxy.logged("stopping");
     got.answer("200", "ver=a", &body);
-    site.proxy.logged("is told the end: ");
+    site.proxy.logged("closing gracefully: ");
     client.send(&request(2, "replay"));
     assert_eq!(client.reply(), (1, served(&body)));
     assert!(client.is_closed());
--- a/tests/sockets/platform.rs
+++ b/tests/sockets/platform.rs
@@ -456,7 +456,7 @@
     cache.next().answer("200", "ver=a", &[7; 200_000]);
     let huge = [&(60_000_000i32).to_be_bytes()[..], &[0; 100_000]].concat();
     client.send(&huge);
-    proxy.logged("is told the end: oversize");
+    proxy.logged("closing gracefully: oversize");
     assert_eq!(client.reply(), (1, served(&[7; 200_000])));
     assert!(client.is_closed());
 }
