--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns the handle of the next request to answer, if the caller has to answer it and all previous
-    /// answers are written. Answers that are already set are written on the way.
+    /// answers are written. Before that, writes the answers that are already set.
     pub fn next_to_answer(
         &mut self,
         now: Instant,
--- a/src/front/signed/closing.rs
+++ b/src/front/signed/closing.rs
@@ -75,7 +75,7 @@
     }
 
     /// Shuts down the write side of a connection that is to close, if its last answer is written. The
-    /// connection then waits for the client to close it, for at most [`LINGER_TIMEOUT`].
+    /// connection then waits for the client to close it, for at most `LINGER_TIMEOUT`.
     pub fn linger_if_answered(
         &mut self,
         now: Instant,
@@ -106,8 +106,7 @@
         self.close(now, conn, reason, net, deadlines);
     }
 
-    /// Returns the idle connection to evict first when a new one needs its place; `None` if no connection is
-    /// idle.
+    /// Returns the idle connection to evict first for a new one; `None` if no connection is idle.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
         self.sessions.eviction_candidate(net)
     }
--- a/src/front/signed/credentials/mod.rs
+++ b/src/front/signed/credentials/mod.rs
@@ -97,7 +97,7 @@
     Ok(uri)
 }
 
-/// Converts fractional Unix seconds.
+/// Converts Unix seconds, which may have a fraction.
 fn unix_time(seconds: f64) -> UnixTime {
     UnixTime::from_micros((seconds * MICROS_PER_SEC) as i64)
 }
--- a/src/front/signed/credentials/url.rs
+++ b/src/front/signed/credentials/url.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// Parses an expiry in Unix seconds. Only digits are accepted, so that signs and other forms of a number are
-/// rejected.
+/// Parses an expiry in Unix seconds. Only digits are accepted, so that a time cannot also be written in other
+/// forms, such as with a sign.
 fn parse_expiry(text: &str) -> Option<i64> {
     let is_number = EXPIRY_DIGITS.contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| is_number)
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -184,8 +184,8 @@
         Ok(AuthorizedRequest { target, etags: head.etags, expires })
     }
 
-    /// Whether input that was left unread can be read now, since less than half of [`MAX_OPEN_REQUESTS`] are
-    /// open.
+    /// Whether input that was left unread can be read now, since less than half of the maximum number of
+    /// requests are open.
     pub fn has_unread_requests(&self, conn: ConnectionKey) -> bool {
         let can_read = |open: usize| open < MAX_OPEN_REQUESTS / 2;
         self.sessions.get(conn).is_some_and(|session| session.has_unread && can_read(session.requests.len()))
--- a/src/front/thrift/closing.rs
+++ b/src/front/thrift/closing.rs
@@ -135,8 +135,7 @@
         }
     }
 
-    /// Returns the idle connection to evict first when a new one needs its place; `None` if no connection is
-    /// idle.
+    /// Returns the idle connection to evict first for a new one; `None` if no connection is idle.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
         self.sessions.eviction_candidate(net)
     }
