--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
     /// The head is not HTTP/1. It is answered with 400, and the connection closes.
-    #[error("the head is not HTTP/1")]
+    #[error("head")]
     Syntax,
     /// The request has a body, or may have one. It is answered with 400, and the connection closes.
     #[error("the request has a body")]
--- a/src/front/signed/http.rs
+++ b/src/front/signed/http.rs
@@ -14,7 +14,7 @@
     #[error(transparent)]
     Head(#[from] HeadError),
     /// The request does not have exactly one `Host` header. HTTP/1.0 requests may have none.
-    #[error("the request does not have exactly one Host header")]
+    #[error("host")]
     Host,
     /// The request's target is malformed.
     #[error(transparent)]
