--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -1,4 +1,4 @@
-//! Converts the settings message into the types of the program, one function a section.
+//! Converts the settings message into the types of the program, one function for each section.
 
 use super::error::SettingsParseError;
 use super::message::{ClassMessage, DomainMessage, LimitsMessage, RulesMessage, SettingsMessage};
@@ -9,7 +9,7 @@
     SlowStartRules, Span, Topology, ZoneId,
 };
 
-/// The value of `weights` where servers' weights do not state their links.
+/// The value of `weights` if the servers' weights are not the capacities of their links.
 const WEIGHTS_NOT_STATED: &str = "silent";
 
 const IDEMPOTENCY: [(&str, Idempotency); 3] =
@@ -49,8 +49,8 @@
         objective_stretch: message.aim_stretch,
         client_deadline: Span::from_millis_f64(message.deadline),
         priority_weight: message.points,
-        idempotency: word("effect", &message.effect, &IDEMPOTENCY)?,
-        dedup_scope: word("dedup_scope", &message.dedup_scope, &DEDUP_SCOPE)?,
+        idempotency: parse_word("effect", &message.effect, &IDEMPOTENCY)?,
+        dedup_scope: parse_word("dedup_scope", &message.dedup_scope, &DEDUP_SCOPE)?,
         dedup_window: Span::from_millis_f64(message.window),
         fresh_for: Span::from_millis_f64(class_entry("fresh_for", &domain.fresh_for, number)?),
         stale_for: Span::from_millis_f64(class_entry("class_grace", &domain.class_grace, number)?),
@@ -104,9 +104,9 @@
         max_retry_after: Span::from_millis_f64(limits.max_retry_after),
         direct_to_source: domain.straight,
         join_fills: domain.collapses,
-        sibling_sources: word("lateral", &domain.lateral, &SIBLING_SOURCES)?,
-        cache_status_detail: word("tells", &domain.tells, &CACHE_STATUS_DETAIL)?,
-        polls_discovery: word("discovery", &message.discovery, &POLLS_DISCOVERY)?,
+        sibling_sources: parse_word("lateral", &domain.lateral, &SIBLING_SOURCES)?,
+        cache_status_detail: parse_word("tells", &domain.tells, &CACHE_STATUS_DETAIL)?,
+        polls_discovery: parse_word("discovery", &message.discovery, &POLLS_DISCOVERY)?,
     })
 }
 
@@ -129,14 +129,14 @@
     }
 }
 
-/// The meaning of a key's value, out of the words that the key may have.
-fn word<T: Copy>(key: &'static str, value: &str, words: &[(&str, T)]) -> Result<T, SettingsParseError> {
+/// Returns the meaning of a key's value, given the words that the key may have.
+fn parse_word<T: Copy>(key: &'static str, value: &str, words: &[(&str, T)]) -> Result<T, SettingsParseError> {
     let found = words.iter().find(|(word, _)| *word == value);
-    let unknown = || SettingsParseError::UnknownWord { key, value: value.to_owned() };
+    let unknown = || SettingsParseError::UnknownValue { key, value: value.to_owned() };
     found.map(|(_, meaning)| *meaning).ok_or_else(unknown)
 }
 
-/// A class's entry in a list of the section `domain`.
+/// Returns a class's entry in a list of the section `domain`.
 fn class_entry<T: Copy>(key: &'static str, list: &[T], class: usize) -> Result<T, SettingsParseError> {
     list.get(class).copied().ok_or(SettingsParseError::MissingClassEntry { key, class })
 }
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -3,7 +3,7 @@
 use super::lint::Finding;
 use super::verdict::{Choices, Verdict};
 use super::*;
-use crate::config::located::Place;
+use crate::config::hcl_document::Position;
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
 use crate::standin::site::{config, Shape};
 use serde_json::Value;
@@ -18,7 +18,7 @@
 }
 
 fn check_text(site: &Site, text: &str) -> Result<Report, String> {
-    let suite = parse(Doc { file: "e.hcl", text }, site);
+    let suite = parse(HclDocument { file: "e.hcl", text }, site);
     let suite = suite.map_err(|errors| ExpectError::Expectations(errors).to_string())?;
     Ok(check_site(site, &suite, "e.hcl").expect("a router starts"))
 }
@@ -53,7 +53,7 @@
     assert!(one(&site, &format!("expect \"e\" {{\n {body}\n}}")).passed);
     let verdict = one(&site, &format!("expect \"e\" {{\n {body}\n when {{ each_drained = \"cache\" }}\n}}"));
     let [broken] = &verdict.broken[..] else { panic!("{verdict:?}") };
-    let at = Place { line: 5, column: 12 };
+    let at = Position { line: 5, column: 12 };
     assert_eq!((broken.rule, broken.at, broken.server.as_deref()), ("goes_to", at, Some(next.as_str())));
     let start = format!(
         "piece 7f3a9c21e0b4d655 at point north, when drained {home}: it goes to {next} (cache:north)"
@@ -119,7 +119,7 @@
         ),
         (
             "expect \"e\" {\n  rank_at_most = 4\n}",
-            "e.hcl:2:18: rank_at_most wants a whole number from 0 to 3",
+            "e.hcl:2:18: rank_at_most must be a whole number from 0 to 3",
         ),
         ("expect \"e\" {\n  answer = \"maybe\"\n}", "e.hcl:2:12: answer is served, refused or failed"),
         (
@@ -135,9 +135,12 @@
             "e.hcl:4:1: expectation \"e\" comes twice",
         ),
         ("expect {\n  acyclic = true\n}", "e.hcl:1:1: an expectation has one name"),
-        ("explore {\n  seeds = 0\n}", "e.hcl:2:11: seeds wants a whole number from 1 to 1000"),
+        ("explore {\n  seeds = 0\n}", "e.hcl:2:11: seeds must be a whole number from 1 to 1000"),
         ("", "e.hcl:1:1: no expect block"),
-        ("expect \"e\" {\n  goes_to = origin\n}", "e.hcl:2:13: goes_to wants a text, or a list of texts"),
+        (
+            "expect \"e\" {\n  goes_to = origin\n}",
+            "e.hcl:2:13: goes_to must be a string, or a list of strings",
+        ),
         ("expect \"e\" {\n  acyclic = true\n  colour = 1\n}", "e.hcl:3:3: no key \"colour\"; there are "),
     ];
     for (text, wanted) in cases {
--- a/src/server/active_config.rs
+++ b/src/server/active_config.rs
@@ -29,14 +29,14 @@
             files,
             name: config.name.clone(),
             listen: config.listen,
-            keys: config.keys.clone(),
+            keys: config.key_paths.clone(),
             limits: config.limits,
             settings: config.settings.clone(),
         }
     }
 
     /// Takes over what a reload may change.
-    pub fn adopt(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
+    pub fn update(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
         self.keys = keys;
         self.limits = limits;
         self.settings = settings;
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -2,7 +2,7 @@
 //! order in which they came on their connection.
 
 use super::pending::{Client, PendingRequest};
-use super::requests::proxy_full;
+use super::requests::proxy_full_rejection;
 use super::signed_endpoint::RouteClass;
 use super::translate;
 use super::Server;
@@ -52,7 +52,7 @@
                 break;
             };
             let request = Key::from_number(handle.number());
-            let Some(answer) = self.core.answer_now(self.now, request) else { break };
+            let Some(answer) = self.core.current_answer(self.now, request) else { break };
             let etags = self.pending.get(request).map(|pending| &pending.etags[..]).unwrap_or_default();
             let answer = translate::http_answer(answer, etags, self.net.unix_time());
             if !signed.front.begin_answer(self.now, conn, answer, &mut self.net, &mut self.deadlines) {
@@ -97,7 +97,7 @@
     }
 
     fn reject_signed_request(&mut self, conn: ConnectionKey, index: RequestIndex, class: ClassId) {
-        let rejected = proxy_full(self.core.retry_after(class));
+        let rejected = proxy_full_rejection(self.core.retry_after(class));
         self.core.count_answer(class, &rejected);
         let answer = translate::http_answer(rejected, &[], self.net.unix_time());
         if let Some(signed) = &mut self.signed {
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -1,28 +1,30 @@
-//! Reading from servers: connections that come up, answers as they arrive, and the deadlines of both.
+//! Reads from servers: connections that come up, received answers, and the deadlines of both.
 
 use super::answers::MalformedAnswer;
 use super::connection::MIN_WRITE_CONNECTION_AGE;
-use super::lines::{self, WireAnswer};
+use super::line_protocol::{self, WireAnswer};
 use super::{ConnectionDeadline, JobEnd, QueueKind, Upstream};
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Net, Reason};
 
-/// Bytes read at a time, besides those of the answer that is being received.
+/// Maximum number of bytes read at a time, in addition to those of the answer that is being received.
 pub(super) const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A whole line must fit, or its connection would be read for ever without coming further.
-const _: () = assert!(READ_BUFFER_BYTES > 2 * lines::MAX_LINE_BYTES);
-/// Reads of one connection in a turn, so that a server that sends without end does not hold up the others.
+/// A whole line must fit. Otherwise its connection would be read again and again without progress.
+const _: () = assert!(READ_BUFFER_BYTES > 2 * line_protocol::MAX_LINE_BYTES);
+/// Maximum number of reads from one connection in a turn, so that a server that sends endlessly does not
+/// block the others.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
-/// An answer of which nothing more is received for this long ends its connection, since everything else that is open
-/// there waits behind it.
+/// Time after which the connection is closed if no more bytes of a partial answer are received, since all
+/// other open jobs of the connection wait behind that answer.
 pub(super) const ANSWER_STALL_TIMEOUT: Span = Span::from_millis(600);
-/// An answer that is not complete this long after it began ends its connection: no client waits longer.
+/// Time after the first bytes of an answer within which it must be complete; otherwise the connection is
+/// closed. No client waits longer than this.
 pub(super) const MAX_ANSWER_TIME: Span = Span::from_secs(3);
 
 impl Upstream {
-    /// Handles a connection that may be readable or writable.
-    pub fn ready(
+    /// Handles a connection that may be readable or writable. It is closed if an error occurs.
+    pub fn on_ready(
         &mut self,
         now: Instant,
         key: ConnectionKey,
@@ -58,12 +60,12 @@
         if read {
             self.read(now, key, net)?;
             self.update_answer_deadline(now, key, net, deadlines);
-            self.settle(now, key, net, deadlines);
+            self.handle_idle(now, key, net, deadlines);
         }
         Ok(())
     }
 
-    /// A connection has come up.
+    /// Handles a connection that has come up.
     fn on_connected(
         &mut self,
         now: Instant,
@@ -84,7 +86,7 @@
         if let Some(queue) = self.queue_mut(server, queue) {
             queue.connect_retries = 0;
         }
-        self.settle(now, key, net, deadlines);
+        self.handle_idle(now, key, net, deadlines);
     }
 
     fn on_writable(&mut self, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
@@ -96,7 +98,8 @@
         Ok(())
     }
 
-    /// Sets the deadline of an answer that was received in part: for its next bytes, and for its end.
+    /// Sets the deadline of an answer that was received in part: the earlier of those for its next bytes and
+    /// for its end.
     fn update_answer_deadline(
         &mut self,
         now: Instant,
@@ -109,7 +112,7 @@
             deadlines.remove(handle);
         }
         let is_partial =
-            connection.reader.is_midway() || net.input(key, |input| !input.is_empty()).unwrap_or(false);
+            connection.reader.is_in_body() || net.input(key, |input| !input.is_empty()).unwrap_or(false);
         if !is_partial {
             connection.answer_started_at = None;
             return;
@@ -119,15 +122,17 @@
         connection.answer_deadline = Some(deadlines.add(until, ConnectionDeadline::AnswerStalled(key)));
     }
 
-    /// Reads answers. A server that sends without end gets its next turn after all others.
+    /// Reads from a connection and ends the jobs that were answered. A connection that still has more to read
+    /// after [`MAX_READS_PER_TURN`] reads gets its next turn after all others.
     pub(super) fn read(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         for _ in 0..MAX_READS_PER_TURN {
-            let wanted = self.connections.get(&key).map_or(0, |connection| connection.reader.wanted());
-            let progress = net.read(key, wanted + READ_BUFFER_BYTES);
+            let needed_bytes =
+                self.connections.get(&key).map_or(0, |connection| connection.reader.needed_bytes());
+            let progress = net.read(key, needed_bytes + READ_BUFFER_BYTES);
             if progress.is_ok_and(|progress| progress.bytes > 0) {
                 self.on_bytes_received(now, key);
             }
-            // What was received before the connection broke counts.
+            // Answers that were received before the connection broke are still used.
             self.take_answers(now, key, net)?;
             let progress = progress?;
             if progress.end {
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Ends the jobs whose answers were received completely.
+    /// Ends the jobs whose answers have been received completely.
     fn take_answers(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         let held_bytes = net.held_bytes() + self.bytes_held_elsewhere;
         let capacity = self.limits.max_buffered_bytes.saturating_sub(held_bytes);
@@ -171,7 +176,8 @@
         }
     }
 
-    /// Ends the job that an answer is for. One under an id that is not open is late: its job was cancelled.
+    /// Ends the job that an answer belongs to. An answer with an id that is not open is ignored, since it
+    /// came after its job was cancelled.
     fn on_answer(&mut self, now: Instant, key: ConnectionKey, answer: WireAnswer) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if let Some(job) = connection.take_answered(now, &answer.id) {
@@ -179,17 +185,17 @@
         }
     }
 
-    /// The next connection that has more to read than its last turn allowed.
+    /// Removes and returns the next connection that had more to read than its last turn allowed.
     pub fn next_turn(&mut self) -> Option<ConnectionKey> {
         self.read_turns.pop_front()
     }
 
-    /// How many connections wait for a turn.
+    /// Returns the number of connections that wait for another turn to be read.
     pub fn waiting_turns(&self) -> usize {
         self.read_turns.len()
     }
 
-    /// Handles a deadline that has passed.
+    /// Handles a deadline of a connection that has passed.
     pub fn deadline_passed(
         &mut self,
         now: Instant,
@@ -198,7 +204,7 @@
         deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let (key, reason) = match deadline {
-            ConnectionDeadline::FitForWrite => return, // the next dispatch writes what waits for it
+            ConnectionDeadline::FitForWrite => return, // the next dispatch writes the waiting jobs
             ConnectionDeadline::Connect(key) => (key, Reason::ConnectTimeout),
             ConnectionDeadline::AnswerStalled(key) => (key, Reason::Stalled),
             ConnectionDeadline::Idle(key) => (key, Reason::Idle),
@@ -206,7 +212,7 @@
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let applies = match deadline {
             ConnectionDeadline::Connect(_) => !connection.is_up,
-            ConnectionDeadline::Idle(_) => connection.open.is_empty(),
+            ConnectionDeadline::Idle(_) => connection.open_jobs.is_empty(),
             ConnectionDeadline::AnswerStalled(_) | ConnectionDeadline::FitForWrite => true,
         };
         if applies {
