--- a/src/front/admin/call/tests.rs
+++ b/src/front/admin/call/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `call`.
+//! Tests of parsing admin calls.
 
 use super::*;
 
 #[test]
-fn calls_are_read_byte_by_byte_as_the_table_says() {
+fn parses_calls_that_arrive_byte_by_byte() {
     let cases = [
         ("GET /healthcheck HTTP/1.1\r\nHost: h\r\n\r\n", Ok(Some(AdminCall::Healthcheck))),
         ("GET /federation HTTP/1.1\r\n\r\n", Ok(Some(AdminCall::Federation))),
@@ -18,7 +18,7 @@
     for (text, wanted) in cases {
         let (mut input, mut read) = (BytesMut::new(), Ok(None));
         for byte in text.bytes() {
-            assert_eq!(read, Ok(None), "{text:?} is read at its end");
+            assert_eq!(read, Ok(None), "{text:?} is complete before its last byte");
             input.extend_from_slice(&[byte]);
             read = take_call(&mut input);
             if read.is_err() {
--- a/src/front/http/tests.rs
+++ b/src/front/http/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `http`.
+//! Tests of the shared HTTP/1.1 code.
 
 use super::*;
 
 #[test]
-fn each_status_has_the_reason_phrase_of_its_rfc() {
+fn each_status_has_its_rfc_reason_phrase() {
     for (status, reason) in [
         (200, "OK"),
         (304, "Not Modified"),
