--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -11,7 +11,7 @@
 pub struct Files {
     /// PROXY_CONFIG: the platform's file.
     pub config: PathBuf,
-    /// The operator's file for the second front; `None` turns that front off.
+    /// The operator's file for the signed front; `None` turns that front off.
     pub signed: Option<PathBuf>,
     /// PROXY_ADMIN: the address of the admin endpoint, which overrides the one in PROXY_CONFIG.
     pub admin: Option<SocketAddr>,
@@ -26,12 +26,12 @@
 pub struct LoadedFiles {
     /// PROXY_CONFIG, with the effective address of the admin endpoint.
     pub config: Config,
-    /// The operator's file for the second front; `None` if there is none.
+    /// The operator's file for the signed front; `None` if there is none.
     pub signed: Option<SignedConfig>,
 }
 
 impl Files {
-    /// Reads and checks PROXY_CONFIG and the file for the second front.
+    /// Reads and checks PROXY_CONFIG and the file for the signed front.
     ///
     /// # Errors
     ///
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,7 +3,7 @@
 //! - `proxy_config`: the platform's file, PROXY_CONFIG.
 //! - `settings`: the settings message in PROXY_CONFIG, converted for the decision module and the program around it.
 //! - `events`: the events of the control feed, which have the same form in PROXY_CONFIG and on the feed.
-//! - `signed`: the operator's file for the second front (HTTP/1.1 with signed URLs and tokens).
+//! - `signed`: the operator's file for the signed front (HTTP/1.1 with signed URLs and tokens).
 //! - `hcl_document`: a reader for operators' HCL files, whose errors state line and column.
 //! - `files`: the files that are read.
 //! - `key_paths`: the keys of a file, by which an incompletely written file is recognised.
--- a/src/config/signed/error.rs
+++ b/src/config/signed/error.rs
@@ -1,6 +1,6 @@
-//! Errors of operator's files for the second front that cannot be used.
+//! Errors of operator's files for the signed front that cannot be used.
 
-/// What is wrong with the file for the second front, or with a file that it names.
+/// What is wrong with the file for the signed front, or with a file that it names.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SignedConfigError {
     #[error("the file is not UTF-8")]
--- a/src/config/signed/keys.rs
+++ b/src/config/signed/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the second front, which are read from their files.
+//! The keys of the signed front, which are read from their files.
 
 use super::error::SignedConfigError;
 use crate::config::{read_file, ConfigError};
--- a/src/config/signed/message.rs
+++ b/src/config/signed/message.rs
@@ -1,4 +1,4 @@
-//! The operator's file for the second front as it is written in TOML, and the checks of its values.
+//! The operator's file for the signed front as it is written in TOML, and the checks of its values.
 
 use super::error::SignedConfigError;
 use super::keys::KeyMessage;
--- a/src/config/signed/mod.rs
+++ b/src/config/signed/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's file for the second front, which serves signed URLs and tokens over HTTP/1.1: its address, its keys,
+//! The operator's file for the signed front, which serves signed URLs and tokens over HTTP/1.1: its address, its keys,
 //! and its routes.
 //!
 //! - `message`: the file as it is written in TOML, and the checks of its values.
@@ -34,7 +34,7 @@
     pub patience_ms: Option<u64>,
 }
 
-/// The operator's file for the second front, read and checked.
+/// The operator's file for the signed front, read and checked.
 #[derive(Clone, Debug)]
 pub struct SignedConfig {
     /// The address at which clients connect.
