--- a/src/server/acceptor.rs
+++ b/src/server/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepting of connections: a limited number at a turn, within the budget, with pauses while the process is out of
-//! descriptors.
+//! Accepts connections: a limited number per turn, within the budget, and with pauses while the process is
+//! out of descriptors.
 
 use super::deadline::ServerDeadline;
 use super::event_source::EventSource;
@@ -11,24 +11,25 @@
 use std::io;
 use tracing::{info, warn};
 
-/// Connections accepted at a turn, so that what is open does not wait for hundreds of new ones.
+/// Maximum number of connections of a role accepted per turn, so that open connections do not wait for
+/// hundreds of new ones.
 const ACCEPTS_PER_TURN: usize = 32;
-/// The pause before the next turn.
+/// Delay before accepting continues after a turn that reached [`ACCEPTS_PER_TURN`].
 const ACCEPT_INTERVAL: Span = Span::from_millis(1);
-/// The pause after accepting failed.
+/// Delay before accepting is tried again after it failed.
 pub(super) const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(50);
 
-/// The timer for accepting without an event.
+/// Timer that makes the event loop accept connections without a readiness event.
 #[derive(Default)]
 pub(super) struct AcceptTimer {
-    /// The only deadline, however many accepts failed.
+    /// The time and handle of the pending deadline. There is at most one, however many accepts failed.
     planned: Option<(Instant, DeadlineHandle)>,
-    /// Out of descriptors or memory: nothing is accepted before this.
+    /// Nothing is accepted before this time, since the process ran out of descriptors or memory.
     paused_until: Instant,
 }
 
 impl AcceptTimer {
-    /// Fires at a time, unless it is to fire sooner anyway.
+    /// Schedules the timer for a time, unless it fires earlier already.
     pub fn schedule(&mut self, at: Instant, deadlines: &mut Deadlines<ServerDeadline>) {
         match self.planned {
             Some((planned, _)) if planned <= at => return,
@@ -38,29 +39,29 @@
         self.planned = Some((at, deadlines.add(at, ServerDeadline::Accept)));
     }
 
-    /// Accepts nothing before a time.
+    /// Pauses accepting until a time.
     pub fn pause(&mut self, until: Instant) {
         self.paused_until = until;
     }
 
-    /// Until when nothing is accepted.
+    /// Returns the end of the pause in accepting, if `now` is within one.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         Some(self.paused_until).filter(|until| now < *until)
     }
 
-    /// The timer has fired.
+    /// Forgets the deadline, which has passed.
     fn on_fired(&mut self) {
         self.planned = None;
     }
 }
 
 impl Server {
-    /// Accepts at a time without an event.
+    /// Schedules accepting for a time, without a readiness event.
     pub(super) fn accept_at(&mut self, at: Instant) {
         self.accept_timer.schedule(at, &mut self.deadlines);
     }
 
-    /// Accepts on all listeners: the timer has fired.
+    /// Accepts on all listeners after the timer has fired.
     pub(super) fn on_accept_timer(&mut self) {
         self.accept_timer.on_fired();
         if self.handover.missed_newer() {
@@ -70,12 +71,13 @@
         self.accept_clients();
     }
 
-    /// Whether connections may wait that cannot be accepted for want of descriptors or memory.
+    /// Whether connections may be waiting that cannot be accepted because descriptors or memory are
+    /// exhausted.
     pub(super) fn is_exhausted(&self) -> bool {
         self.accept_timer.paused_until(self.now).is_some() || self.admission.rules.exhaustion.is_ongoing()
     }
 
-    /// Accepts clients' connections, so many at a turn.
+    /// Accepts clients' connections, at most [`ACCEPTS_PER_TURN`] of each front.
     pub(super) fn accept_clients(&mut self) {
         if let Some(until) = self.accept_timer.paused_until(self.now) {
             return self.accept_at(until);
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Opens a client's connection that was accepted, or refuses it.
+    /// Opens an accepted connection of a client, or refuses it.
     pub(super) fn open_connection(&mut self, role: Role, conn: ConnectionKey) {
         if !self.make_room() {
             let retry_after = self.core.retry_after(ClassId(0));
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Reads from a connection that may have waited while accepting failed: its client's deadline counts from then.
+    /// Reads from a connection that may have waited to be accepted while accepting failed. Its client's
+    /// deadline counts from the start of the failures.
     fn read_delayed_requests(&mut self, conn: ConnectionKey) {
         if let Some(since) = self.admission.accept_failing_since {
             self.thrift.set_waiting_since(conn, since);
@@ -117,12 +120,12 @@
         }
     }
 
-    /// Clients' connections that this process holds.
+    /// Returns the number of clients' connections that this process holds.
     pub(super) fn clients(&self) -> usize {
         self.net.count(Role::Thrift) + self.net.count(Role::Signed)
     }
 
-    /// Accepts the next connection of a role, if one waits.
+    /// Accepts the next connection of a role, if one is waiting.
     pub(super) fn accept_one(&mut self, role: Role) -> Option<ConnectionKey> {
         let accepted = match self.listeners.accept(self.now, role, &mut self.net) {
             Ok(accepted) => accepted,
@@ -145,14 +148,14 @@
         conn
     }
 
-    /// Plans the next attempt to accept. Out of descriptors with admission on, the pauses double, and the spare
-    /// descriptor is given up to accept one waiting connection and refuse it.
+    /// Schedules the next attempt to accept. If descriptors are exhausted and admission is on, the pauses
+    /// double, and the spare descriptor is closed to accept one waiting connection and refuse it.
     fn on_accept_failed(&mut self, role: Role, error: &io::Error) {
         if role == Role::Thrift {
             self.admission.accept_failing_since.get_or_insert(self.now);
         }
         if role == Role::Admin || !(self.admission.rules.is_enabled() && is_exhausted(error)) {
-            warn!("accept: {error}");
+            warn!("accept: failed on the {role:?} listener: {error}");
             let retry_at = self.now + ACCEPT_RETRY_INTERVAL;
             if is_exhausted(error) {
                 self.accept_timer.pause(retry_at);
@@ -161,7 +164,10 @@
         }
         let backoff = self.admission.rules.exhaustion.accept_failed(self.now);
         if backoff.began {
-            warn!("descriptors: out ({error}); accepts pause, one connection at a time is refused with the spare");
+            warn!(
+                "descriptors: exhausted ({error}); accepting pauses, and one connection at a time is refused \
+                 with the spare descriptor"
+            );
         }
         self.accept_at(backoff.until);
         if self.admission.spare_descriptor.take().is_none() {
@@ -173,12 +179,13 @@
         }
     }
 
-    /// Accepting worked or found no connection: an episode of exhaustion is over.
+    /// Ends an episode of exhaustion: an accept returned a connection, or found none waiting.
     fn on_accept_succeeded(&mut self) {
         if let Some(ended) = self.admission.rules.exhaustion.accept_succeeded(self.now) {
             let (ms, tries, shed) = (ended.lasted.as_millis(), ended.failed_accepts, ended.shed);
             info!(
-                "descriptors: episode over after {ms} ms, {tries} accepts failed, {shed} connections refused"
+                "descriptors: no longer exhausted after {ms} ms; {tries} accepts failed, {shed} connections were \
+                 refused"
             );
         }
     }
--- a/src/server/acceptor/tests.rs
+++ b/src/server/acceptor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `acceptor`, on a simulated network whose system calls fail.
+//! Tests of `acceptor` on a simulated network whose system calls fail.
 
 use crate::config::Config;
 use crate::interface::{Instant, Span};
@@ -27,8 +27,8 @@
         let shape = Shape { points: 1, proxies: 1, caches: 1, hubs: 1, parents: 0, seed: 1 };
         let mut text = config(&shape, &host(900).to_string(), |n| host(n as u16).to_string());
         text["listen"] = host(FRONT).to_string().into();
-        let config = Config::parse(text.to_string().as_bytes()).expect("usable");
-        let server = Server::start_on(&fabric, 1, config).expect("started");
+        let config = Config::parse(text.to_string().as_bytes()).expect("the configuration is valid");
+        let server = Server::start_on(&fabric, 1, config).expect("the server starts");
         SimulatedServer { fabric, server, turns: 0 }
     }
 
@@ -40,7 +40,7 @@
             let Some(next) = next.filter(|next| *next <= until) else { break };
             self.fabric.advance(next);
             self.fabric.run_due_events();
-            self.server.turn(&mut ready).expect("a turn");
+            self.server.turn(&mut ready).expect("the turn succeeds");
             self.turns += 1;
         }
         self.fabric.advance(until);
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a client's connection has received.
+/// Returns the events that a client's connection has received.
 fn received(fabric: &Fabric, link: u64) -> Vec<ActorEvent> {
     let concerns = |signal: &ActorEvent| match signal {
         ActorEvent::Opened { link: of, .. } | ActorEvent::Bytes { link: of, .. } => *of == link,
@@ -79,7 +79,7 @@
 fn descriptor_exhaustion_neither_spins_nor_loses_clients() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let mut simulated = SimulatedServer::new();
-        // The turns of the process in a second without clients.
+        // Number of turns in a second without clients.
         simulated.run_until(START + 1000 * MS);
         let idle = simulated.turns;
         simulated.fabric.exhaust(error, START + 2000 * MS);
@@ -109,7 +109,7 @@
     simulated.fabric.send(link, &thrift_client::ping(1));
     simulated.run_until(START + 200 * MS);
     simulated.server.terminate();
-    // The listener would be closed 0.8 s after the signal.
+    // Without the exhaustion, the listener would be closed 0.8 s after the signal.
     simulated.run_until(START + 1400 * MS);
     assert_eq!((simulated.clients(), received(&simulated.fabric, link)), (0, vec![]));
     simulated.run_until(START + 1600 * MS);
--- a/src/server/active_config.rs
+++ b/src/server/active_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, against which a new one is compared at a reload.
+//! The configuration in force, with which a reload compares a new one.
 
 use crate::config::settings::SiteSettings;
 use crate::config::{Config, Files, ProcessLimits};
@@ -6,24 +6,23 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The configuration in force.
 pub(super) struct ActiveConfig {
-    /// The files that a reload reads; none in the simulator.
+    /// The files that a reload reads; `None` in the simulator.
     pub files: Option<Files>,
-    /// The name of the edge proxy.
+    /// Name of the edge proxy; a change takes effect at the next start.
     pub name: String,
-    /// The address of the Thrift front.
+    /// Address of the Thrift front; a change takes effect at the next start.
     pub listen: SocketAddr,
-    /// The keys of the configuration file.
+    /// Keys present in the configuration file. A reload fails if one of them is missing.
     pub keys: BTreeSet<String>,
-    /// What the process may use.
+    /// Limits on memory and descriptors.
     pub limits: ProcessLimits,
-    /// The site's settings.
+    /// The site's settings: policy and program.
     pub settings: SiteSettings,
 }
 
 impl ActiveConfig {
-    /// The configuration at the start.
+    /// Returns the configuration as it is at the start.
     pub fn new(files: Option<Files>, config: &Config) -> Self {
         ActiveConfig {
             files,
@@ -35,19 +34,19 @@
         }
     }
 
-    /// Takes over what a reload may change.
+    /// Replaces the parts that a reload may change.
     pub fn update(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
         self.keys = keys;
         self.limits = limits;
         self.settings = settings;
     }
 
-    /// Whether rejections may tell clients when to come back.
+    /// Whether rejections include a Retry-After time.
     pub fn sends_retry_after(&self) -> bool {
         self.settings.policy.limits.retry_after
     }
 
-    /// The longest that a client of any class waits for its answer.
+    /// Returns the longest client deadline of all classes; zero if there are none.
     pub fn max_client_deadline(&self) -> Span {
         let classes = self.settings.program.classes.iter();
         classes.map(|class| class.client_deadline).max().unwrap_or(Span::ZERO)
--- a/src/server/admin_calls.rs
+++ b/src/server/admin_calls.rs
@@ -1,13 +1,12 @@
-//! The calls of operators on the admin endpoint.
+//! Operators' calls on the admin endpoint.
 
 use super::Server;
 use crate::front::admin::{self, AdminAnswer, AdminCall};
 use crate::net::{ConnectionKey, Role};
 
-/// Type of a body in JSON.
+/// Content type of JSON bodies.
 const JSON: &str = "application/json";
 
-/// The answer to an operator's call.
 struct AdminReply {
     status: u16,
     content_type: &'static str,
@@ -21,7 +20,8 @@
 }
 
 impl Server {
-    /// Accepts the callers that wait. Each is read from at once, since its call has usually arrived already.
+    /// Accepts all waiting connections of the admin endpoint. Each is read at once, since its call has
+    /// usually arrived already.
     pub(super) fn accept_admin_callers(&mut self) {
         while let Some(conn) = self.accept_one(Role::Admin) {
             if let Some(admin) = &mut self.admin {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Answers a caller's call, if it has arrived in full.
+    /// Answers the call on a connection of the admin endpoint, if it has arrived in full.
     pub(super) fn on_admin_ready(&mut self, conn: ConnectionKey) {
         let Some(admin) = &mut self.admin else { return };
         let Some(call) = admin.on_ready(self.now, conn, &mut self.net, &mut self.deadlines) else { return };
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a connection is an operator's.
+    /// Whether a connection belongs to the admin endpoint.
     pub(super) fn is_admin_caller(&self, conn: ConnectionKey) -> bool {
         self.admin.as_ref().is_some_and(|admin| admin.owns(conn))
     }
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Whether clients should come here: not during a shutdown, and not before there is an endpoint list, without
-    /// which their requests would be rejected.
+    /// Whether clients should be sent to this process. They should not during a shutdown, nor before the
+    /// first endpoint list, without which their requests would be rejected.
     pub(super) fn is_ready_for_clients(&self) -> bool {
         self.endpoints.has_full_list && !self.phase.is_shutting_down()
     }
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -1,6 +1,6 @@
-//! Admission of new connections: asks [`crate::admission::Admission`] about each new client's connection, rejects
-//! those that it refuses, and reports to it which connections are in good standing and which have ended. The
-//! decisions are all [`crate::admission`]'s.
+//! Admission of new connections. Asks [`crate::admission::Admission`] about each new client's connection,
+//! refuses those that it rejects, and reports to it which connections are in good standing and which are
+//! closed. All decisions are made in [`crate::admission`].
 
 use super::budget::OTHER_DESCRIPTORS;
 use super::refused_connections::{RefusalLog, RefusedConnection};
@@ -16,19 +16,23 @@
 pub(super) struct AdmissionControl {
     /// Decides which connections are admitted.
     pub rules: Admission,
-    /// Connections of the Thrift front that were refused and are still open: each request there is rejected.
+    /// Connections of the Thrift front that were refused and are still open. Each request on them is
+    /// rejected.
     pub refused: BTreeMap<ConnectionKey, RefusedConnection>,
-    /// A descriptor that is given up, when there are no others, to accept one connection and refuse it.
+    /// Descriptor held in reserve. When no others are left, it is closed to accept one connection and refuse
+    /// it.
     pub spare_descriptor: Option<File>,
-    /// Since when connections of the Thrift front may wait in the system's queue because accepting fails.
+    /// Time at which accepting began to fail. Connections of the Thrift front may have waited in the system's
+    /// queue since then. `None` while accepting works.
     pub accept_failing_since: Option<Instant>,
-    /// Descriptors that are no connection (listeners, poll, signals, standard streams), once they were counted.
+    /// Number of open descriptors that are not connections (listeners, poll, signals, standard streams).
+    /// `None` until they are counted.
     other_descriptors: Option<usize>,
     refusal_log: RefusalLog,
 }
 
 impl AdmissionControl {
-    /// Begins with no connections.
+    /// Returns the state without connections, and opens the spare descriptor if the settings ask for one.
     pub fn new(settings: AdmissionSettings) -> Self {
         let mut control = AdmissionControl {
             rules: Admission::new(settings),
@@ -42,7 +46,7 @@
         control
     }
 
-    /// Adopts settings that were read again.
+    /// Applies the settings of a reload.
     pub fn reconfigure(&mut self, settings: AdmissionSettings) {
         self.rules.reconfigure(settings);
         self.other_descriptors = None;
@@ -56,15 +60,17 @@
         self.rules.is_enabled() && self.rules.settings().spare_descriptor
     }
 
-    /// Opens the spare descriptor where one is wanted and none is open; that may fail while descriptors are exhausted.
+    /// Opens the spare descriptor if the settings ask for one and none is open. This may fail while
+    /// descriptors are exhausted.
     fn open_spare_descriptor(&mut self) {
         if self.wants_spare_descriptor() && self.spare_descriptor.is_none() {
             self.spare_descriptor = File::open("/dev/null").ok();
         }
     }
 
-    /// Descriptors that the process may still open, by its soft limit and what it has open. What is no connection is
-    /// counted in `/proc/self/fd` once, and taken as the budget's figure where that cannot be read.
+    /// Returns how many more descriptors the process may open, by its soft limit and the descriptors that it
+    /// has open. Those that are not connections are counted in `/proc/self/fd` once; if that cannot be read,
+    /// the budget's estimate is used. `None` if there is no limit.
     fn free_descriptors(&mut self, connections: usize) -> Option<usize> {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current?;
         let spare = usize::from(self.spare_descriptor.is_some());
@@ -78,7 +84,8 @@
 }
 
 impl Server {
-    /// Decides on a connection that was just accepted; `false` if it was refused, and its client notified.
+    /// Decides on a newly accepted connection. Returns `false` if it was refused, in which case its client
+    /// has been notified.
     pub(super) fn admit(&mut self, role: Role, conn: ConnectionKey) -> bool {
         let Some(address) = self.net.address(conn) else { return false };
         let clients = (self.clients() + self.handover.clients()).saturating_sub(1);
@@ -134,12 +141,12 @@
         self.refuse_connection(role, conn, retry_after, stays_open);
     }
 
-    /// The edge proxy answered a call of this connection: it is in good standing.
+    /// Puts a connection in good standing, since the edge proxy answers one of its calls.
     pub(super) fn mark_good_standing(&mut self, conn: ConnectionKey) {
         self.admission.rules.good(self.now, ConnectionId(conn.number()));
     }
 
-    /// Forgets the connections that have ended.
+    /// Removes the state of connections that have been closed.
     pub(super) fn forget_closed_connections(&mut self) {
         let closed = self.net.take_closed();
         if closed.is_empty() {
@@ -152,7 +159,7 @@
         self.admission.open_spare_descriptor();
     }
 
-    /// Passes the metrics of admission to `line`, by key.
+    /// Passes each metric of admission to `line`, as key and value.
     pub(super) fn admission_metrics(&self, line: &mut dyn FnMut(&str, u64)) {
         let counts = self.admission.rules.counts();
         line("admission_admitted", counts.admitted);
--- a/src/server/attempt_encoder.rs
+++ b/src/server/attempt_encoder.rs
@@ -1,4 +1,4 @@
-//! Encodes attempts for the servers' wire at the moment of their writing.
+//! Encodes attempts for the protocol of the servers at the moment when they are written.
 
 use super::deadline::ServerDeadline;
 use super::pending::PendingRequests;
@@ -12,17 +12,17 @@
 use crate::upstream::lines::WireRequest;
 use crate::upstream::{JobId, RequestEncoder};
 
-/// What the encoding of an attempt needs of the server.
+/// The parts of the server that are needed to encode an attempt.
 pub(super) struct AttemptEncoder<'a> {
-    /// The time of the writing.
+    /// Time of the writing.
     pub now: Instant,
-    /// Says what to write, if the attempt may still be written.
+    /// Decides whether an attempt may still be written, and with what content.
     pub core: &'a mut Core,
-    /// Names fill sources.
+    /// Resolves the names of fill sources.
     pub servers: &'a ServerNames,
-    /// Has the fields of requests that the core does not need.
+    /// Holds the fields of requests that the core does not need.
     pub pending: &'a PendingRequests,
-    /// Names classes.
+    /// Holds the names of classes.
     pub settings: &'a ProgramSettings,
 }
 
--- a/src/server/budget.rs
+++ b/src/server/budget.rs
@@ -1,42 +1,46 @@
-//! What the configured limits on memory and descriptors leave for which purpose.
+//! Divides the configured limits on memory and descriptors among their uses.
 
 use crate::config::settings::ProgramSettings;
 use crate::config::ProcessLimits;
 use crate::upstream::PoolLimits;
 
-/// Descriptors besides clients' and servers' connections: listeners, poll, signals, standard streams, feed.
+/// Number of descriptors besides those of clients' and servers' connections: listeners, poll, signals,
+/// standard streams, feed.
 pub(super) const OTHER_DESCRIPTORS: usize = 24;
-/// Usual clients hold up to a third of the descriptors. One part in so many of the rest is for further connections,
-/// which may stay silent until one of them is evicted for the next.
+/// Clients normally hold up to a third of the descriptors. One in this many of the remaining ones is for
+/// additional connections, which may stay silent until one of them is evicted for a new one.
 const SPARE_CLIENTS_DIVISOR: usize = 4;
-/// Bytes of a megabyte, as the configuration counts memory.
+/// Bytes per megabyte of the `memory_mb` limit.
 const BYTES_PER_MB: f64 = 1e6;
-/// Part of the memory above which new requests of slow readers are rejected, so that those do not fill it for others.
+/// Fraction of the memory above which new requests of slow readers are rejected, so that their answers do not
+/// use up the memory for other clients.
 const SLOW_READERS_REJECTED_ABOVE: f64 = 0.25;
-/// Part of the memory above which all new requests are rejected.
+/// Fraction of the memory above which all new requests are rejected.
 const ALL_REJECTED_ABOVE: f64 = 0.32;
-/// Part of the memory above which no answer is buffered.
+/// Fraction of the memory above which no answer is buffered.
 const ANSWERS_DROPPED_ABOVE: f64 = 0.4;
-/// A client is a slow reader while so many bytes of answers wait for it: the longest answer.
+/// A client is a slow reader while at least this many bytes of answers are queued for it: the size of the
+/// longest answer.
 const SLOW_READER_BYTES: usize = 240_000;
 
-/// What the limits leave for which purpose.
+/// Shares of the limits, by use.
 pub(super) struct ResourceBudget {
-    /// Connections of clients, including those that have sent no request yet.
+    /// Maximum number of clients' connections, including those that have sent no request yet.
     pub max_client_connections: usize,
-    /// Connections to servers.
+    /// Maximum number of connections to servers.
     pub max_server_connections: usize,
-    /// Held bytes above which new requests of slow readers are rejected.
+    /// Number of held bytes above which new requests of slow readers are rejected.
     max_bytes_for_slow_readers: usize,
-    /// Held bytes above which all new requests are rejected.
+    /// Number of held bytes above which all new requests are rejected.
     max_bytes_for_requests: usize,
-    /// Held bytes above which no answer is buffered.
+    /// Number of held bytes above which no answer is buffered.
     max_bytes_for_answers: usize,
 }
 
 impl ResourceBudget {
-    /// What the limits leave to one of so many processes that serve as one edge proxy. Clients' connections are counted
-    /// together, since the system decides which process gets them; the rest is divided.
+    /// Returns the budget of one of `processes` processes that serve as one edge proxy. Clients' connections
+    /// of all processes count against one limit, since the system decides which process gets them. Everything
+    /// else is divided.
     pub fn new(limits: &ProcessLimits, processes: usize) -> Self {
         let memory = limits.memory_mb as f64 * BYTES_PER_MB / processes as f64;
         let sockets = limits.sockets.saturating_sub(OTHER_DESCRIPTORS * processes);
@@ -51,14 +55,14 @@
         }
     }
 
-    /// Whether a new request is rejected, with so many bytes held in all and so many that wait for its client.
+    /// Whether a new request is rejected, given the bytes held in total and those queued for its client.
     pub fn is_full(&self, held_bytes: usize, bytes_for_client: usize) -> bool {
         let is_slow_reader = bytes_for_client >= SLOW_READER_BYTES;
         let max = if is_slow_reader { self.max_bytes_for_slow_readers } else { self.max_bytes_for_requests };
         held_bytes > max
     }
 
-    /// The limits of the connections to servers.
+    /// Returns the limits of the connections to servers.
     pub fn pool_limits(&self, settings: &ProgramSettings) -> PoolLimits {
         PoolLimits {
             connect_timeout: settings.connect_timeout,
--- a/src/server/budget/tests.rs
+++ b/src/server/budget/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Clients that read their answers slowly would else have all others rejected.
+/// Otherwise clients that read their answers slowly would cause all other requests to be rejected.
 #[test]
 fn slow_readers_are_rejected_before_others() {
     let budget = ResourceBudget::new(&ProcessLimits { memory_mb: 48, sockets: 384 }, 1);
@@ -18,14 +18,14 @@
     );
 }
 
-/// Two processes count as one edge proxy.
+/// During an upgrade, two processes share the limits of one edge proxy.
 #[test]
 fn two_processes_together_stay_within_the_limits_of_one() {
     for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
         let limits = ProcessLimits { memory_mb, sockets };
         let (one, two) = (ResourceBudget::new(&limits, 1), ResourceBudget::new(&limits, 2));
         assert!(one.max_client_connections + one.max_server_connections + OTHER_DESCRIPTORS <= sockets);
-        // Clients' connections are counted together.
+        // Clients' connections of both processes count against one limit.
         assert!(
             two.max_client_connections + 2 * (two.max_server_connections + OTHER_DESCRIPTORS) <= sockets,
             "{sockets}"
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -1,5 +1,5 @@
-//! The exchange between the core and the upstream side: the core's commands are carried out, and the ends of attempts
-//! are reported to it.
+//! The exchange between the core and the upstream side: executes the core's commands, and reports the ends of
+//! attempts to the core.
 
 use super::attempt_encoder::AttemptEncoder;
 use super::pending::Client;
@@ -11,24 +11,27 @@
 use tracing::info;
 
 impl Server {
-    /// Carries out commands and reports events until there are none; writes no attempt.
+    /// Executes the core's commands and reports the upstream side's events to it, until there are none left.
+    /// Writes no attempt.
     pub(super) fn process_commands(&mut self) {
         while self.process_commands_once() {}
     }
 
-    /// The same, and writes the attempts that connections take.
+    /// Does the same as [`Server::process_commands`], and writes the attempts for which connections have
+    /// room.
     pub(super) fn process_commands_and_write(&mut self) {
         loop {
             self.process_commands();
             self.write_attempts();
-            // The policy decides anew on an attempt that may not be written any more.
+            // If an attempt must not be written any more, the policy makes a new decision, which may add
+            // commands.
             if !self.process_commands_once() {
                 return;
             }
         }
     }
 
-    /// Returns whether there was a command or an event.
+    /// Processes the events and commands that are queued now. Returns whether there were any.
     fn process_commands_once(&mut self) -> bool {
         let events = self.upstream.take_events();
         let mut is_busy = !events.is_empty();
@@ -41,7 +44,7 @@
     }
 
     fn write_attempts(&mut self) {
-        // The times of attempts count from the writing itself.
+        // The times of attempts count from the moment when they are written.
         self.now = self.clock.now();
         let mut encoder = AttemptEncoder {
             now: self.now,
@@ -64,7 +67,7 @@
 
     fn on_attempt_ended(&mut self, attempt: AttemptKey, end: JobEnd) {
         let end = translate::attempt_end(end, &self.config.settings.program);
-        // Only a copy that was fetched from the origin for this attempt bounds the wall clock.
+        // Only a copy that the origin generated for this attempt gives an upper bound of the wall clock.
         let is_new_copy = end.cache_status == Some(CacheStatus::FilledByOrigin);
         let written_at = self.core.written_at(attempt).filter(|_| is_new_copy);
         self.endpoints.unix_time.observe_copy(self.now, end.copy.generated_at_ms, written_at);
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -1,5 +1,5 @@
-//! Clients' connections during a handover: the older process passes idle ones on, or closes them where no newer process
-//! takes them; the newer one takes them in.
+//! Clients' connections during a handover. The older process hands idle ones over to the newer process, or
+//! closes them if there is none; the newer process adopts them.
 
 use super::acceptor::ACCEPT_RETRY_INTERVAL;
 use super::event_source::EventSource;
@@ -11,12 +11,14 @@
 use crate::net::{Ready, Reason, Role};
 use tracing::warn;
 
-/// Each time this has passed since the signal, one request more may be open on a connection on which reading stops so
-/// that it can be passed on. The fewer there are, the less other requests wait there for the last answer.
+/// To hand a connection over, reading from it pauses, but only if few of its requests are open. The allowed
+/// number starts at 0 and grows by one each time this has passed since the signal. Connections with fewer
+/// open requests come first, since requests that arrive there during the pause wait less long for the last
+/// open answer.
 const PAUSE_LIMIT_STEP: Span = Span::from_millis(400);
 
 impl Server {
-    /// Handles an event of the handover: the other process came, sent something or ended.
+    /// Handles an event of the handover: another process connected, sent something or ended.
     pub(super) fn on_handover_event(&mut self, source: EventSource) {
         let mut inherited = Vec::new();
         let processes_changed = self.handover.on_event(source, &mut self.net, &mut inherited);
@@ -34,8 +36,8 @@
         }
     }
 
-    /// While closing: passes on the connections on which nothing is open, once all that was ready was handled; with no
-    /// newer process, they are closed.
+    /// While closing, hands over the connections without open requests, or closes them if there is no newer
+    /// process. Called after all ready events of the turn were handled.
     pub(super) fn hand_over_or_close_idle(&mut self) {
         if !self.phase.is_closed_to_clients() {
             return;
@@ -66,14 +68,14 @@
 
     fn close_idle(&mut self) {
         while let Some(conn) = self.thrift.idle_connection(self.now, &mut self.net) {
-            // What has come meanwhile is still answered.
+            // Requests that have arrived in the meantime are still answered.
             self.on_ready(Ready::readable(conn));
             self.process_commands_and_write();
             self.thrift.close_if_idle(self.now, conn, Reason::Stopping, &mut self.net, &mut self.deadlines);
         }
     }
 
-    /// Takes over a connection that the older process has passed on.
+    /// Adopts a connection that the older process has handed over.
     fn take_over_connection(&mut self, InheritedConnection { stream, unused }: InheritedConnection) {
         let adopted = match stream {
             InheritedStream::Tcp(stream) => self.net.adopt(self.now, stream, Role::Thrift, &unused),
@@ -83,15 +85,16 @@
         };
         let conn = match adopted {
             Ok(conn) => conn,
-            Err(error) => return warn!("a connection that was handed on: {error}"),
+            Err(error) => return warn!("cannot adopt a connection of the older process: {error}"),
         };
         self.thrift.adopt(self.now, conn, &mut self.net, &mut self.deadlines);
         if let Some(address) = self.net.address(conn) {
             self.admission.rules.adopted(self.now, ConnectionId(conn.number()), address);
         }
-        // The unused bytes bring no event.
+        // There is no readiness event for the bytes that the older process had already read.
         self.on_ready(Ready::readable(conn));
-        // Attempts are written behind all that is ready by now: the client may have closed the connection.
+        // Attempts are written only after all ready events are handled, since the client may have closed the
+        // connection by now.
         self.process_commands();
     }
 }
--- a/src/server/deadline.rs
+++ b/src/server/deadline.rs
@@ -1,4 +1,4 @@
-//! The deadlines of the event loop: each part's own kind, in one type.
+//! The deadlines of the event loop: one type that holds each part's own kind.
 
 use crate::{core, feed, front, upstream};
 use front::{admin, signed, thrift};
@@ -6,21 +6,19 @@
 /// A deadline, by the part of the server that set it.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ServerDeadline {
-    /// A deadline of the core.
     Core(core::CoreDeadline),
     /// A deadline of a connection to a server.
     Upstream(upstream::ConnectionDeadline),
-    /// A deadline of the control feed's client.
     Feed(feed::FeedDeadline),
-    /// A deadline of a connection on the Thrift front.
+    /// A deadline of a connection of the Thrift front.
     Thrift(thrift::SessionDeadline),
-    /// A deadline of a connection on the signed front.
+    /// A deadline of a connection of the signed front.
     Signed(signed::SessionDeadline),
-    /// A deadline of a connection on the admin endpoint.
+    /// A deadline of a connection of the admin endpoint.
     Admin(admin::CallerDeadline),
-    /// Connections are to be accepted without an event.
+    /// Time to accept connections without a readiness event.
     Accept,
-    /// The progress of the shutdown is to be checked.
+    /// Time to check the progress of the shutdown.
     ShutdownCheck,
 }
 
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -8,18 +8,18 @@
 use crate::GroupId;
 use tracing::{info, warn};
 
-/// What is known of the endpoints besides what the core knows.
+/// The server's knowledge of the endpoints, besides that of the core.
 pub(super) struct EndpointRegistry {
-    /// The servers by name.
+    /// Maps the names of servers to their ids.
     pub names: ServerNames,
-    /// Converts the feed's Unix times.
+    /// Converts the feed's Unix times to instants.
     pub unix_time: UnixTimeConverter,
-    /// Whether a full list has arrived.
+    /// Whether a full endpoint list has arrived.
     pub has_full_list: bool,
 }
 
 impl EndpointRegistry {
-    /// Knows no endpoint; the clocks read this.
+    /// Returns the registry without endpoints, at the given readings of the monotonic and the wall clock.
     pub fn new(now: Instant, unix: UnixTime) -> Self {
         EndpointRegistry {
             names: ServerNames::default(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Forgets a server that was removed.
+    /// Removes a server that is no longer listed.
     fn forget(&mut self, server: ServerId) {
         self.names.forget(server);
         self.unix_time.forget(server);
@@ -36,9 +36,10 @@
 }
 
 impl Server {
-    /// Applies events of the control feed, in their order.
+    /// Applies the events of a batch from the control feed, in order.
     pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
-        // Events known at the start, or the first list of the feed, may be of any age.
+        // Events that were known at the start, or that came before or with the first full list, may be of any
+        // age.
         let is_first = self.feed.polls().answered == 0 || !self.endpoints.has_full_list;
         let reception = Reception { now: self.now, unix: self.net.unix_time(), is_first };
         for purge in batch.events.iter().filter_map(|event| event.purge.as_ref()) {
@@ -56,7 +57,10 @@
                     (Some(Ok(object)), _) => Purge::Object(ObjectId(object)),
                     (None, Some(group)) => Purge::Group(GroupId(group)),
                     _ => {
-                        warn!("event {n} purges nothing that can be read");
+                        warn!(
+                            "event {n}: purge ignored: its object key is not hexadecimal, or it names neither \
+                             object nor group"
+                        );
                         continue;
                     }
                 };
@@ -84,7 +88,8 @@
         removed.into_iter().for_each(|server| self.endpoints.forget(server));
     }
 
-    /// Adds, changes or removes the connections' target for an entry of the list.
+    /// Updates the upstream side for one entry of the list: sets or removes the address to connect to.
+    /// Returns the entry as an endpoint for the core.
     fn update_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
         let mut endpoint = self.endpoints.names.endpoint(server, &self.config.settings.program);
         let id = endpoint.server;
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -1,11 +1,11 @@
-//! Errors that keep the edge proxy from starting, or end it.
+//! Errors that keep the edge proxy from starting, or that end it.
 
 use crate::config::ConfigError;
 use crate::SettingsError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the edge proxy cannot start or had to end.
+/// Why the edge proxy cannot start, reload its configuration, or keep running.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
     /// A configuration file cannot be read or is invalid.
@@ -14,29 +14,29 @@
     /// The policy rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// Listening on an address failed.
-    #[error("{addr}: {error}")]
+    /// A listener cannot be opened.
+    #[error("listening on {addr} failed: {error}")]
     Listen {
-        /// The address to listen on.
+        /// Address of the listener.
         addr: SocketAddr,
-        /// The error of the system.
+        /// The system's error.
         error: io::Error,
     },
     /// A route of the signed front names a class that it cannot serve.
-    #[error("route {path:?}: class {class:?} is unknown or never kept")]
+    #[error("route {path:?}: class {class:?} is not defined in the settings or is never cached")]
     Route {
-        /// The path of the route.
+        /// Path of the route.
         path: String,
-        /// The class that the route names.
+        /// Class named by the route.
         class: String,
     },
-    /// The event loop failed.
-    #[error("poll: {0}")]
+    /// A system call of the start or of the event loop failed.
+    #[error("event loop: {0}")]
     Poll(#[from] io::Error),
 }
 
 impl ServerError {
-    /// Whether the configuration is the cause.
+    /// Whether the error is caused by the configuration.
     pub fn is_config(&self) -> bool {
         matches!(self, ServerError::Config(_) | ServerError::Settings(_) | ServerError::Route { .. })
     }
--- a/src/server/event_source.rs
+++ b/src/server/event_source.rs
@@ -1,17 +1,14 @@
-//! What the event loop watches besides connections, and the poll's numbers for it.
+//! The event sources of the loop other than connections, and the numbers under which the poll reports them.
 
-/// A source of events that is no connection.
+/// A source of events that is not a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventSource {
-    /// The listener of the Thrift front.
     ThriftListener,
-    /// The signals of the process.
+    /// The signals that the process receives.
     Signals,
-    /// The listener of the signed front.
     SignedListener,
-    /// The listener of the admin endpoint.
     AdminListener,
-    /// The socket on which a newer process of this edge proxy connects.
+    /// The socket to which a newer process of this edge proxy connects.
     HandoverListener,
     /// The stream to the older process.
     OlderProcess,
@@ -20,7 +17,7 @@
 }
 
 impl EventSource {
-    /// All sources, each at its number.
+    /// All sources, each at the index that is its number.
     const BY_NUMBER: [EventSource; 7] = [
         EventSource::ThriftListener,
         EventSource::Signals,
@@ -31,12 +28,12 @@
         EventSource::NewerProcess,
     ];
 
-    /// The number under which the poll reports this source.
+    /// Returns the number under which the poll reports this source.
     pub const fn number(self) -> usize {
         self as usize
     }
 
-    /// The source that the poll reports under a number.
+    /// Returns the source that the poll reports under a number.
     pub fn from_number(number: usize) -> Option<Self> {
         Self::BY_NUMBER.get(number).copied()
     }
--- a/src/server/eviction.rs
+++ b/src/server/eviction.rs
@@ -1,21 +1,22 @@
-//! Eviction of idle connections, to make room for new ones.
+//! Evicts idle connections to make room for new ones.
 
 use super::Server;
 use crate::net::{ConnectionKey, Ready, Reason};
 
-/// Connections of a front that are looked at for one that can be evicted.
+/// Maximum number of connections of a front that are checked for one that can be evicted.
 const MAX_CANDIDATES: usize = 32;
 
 impl Server {
-    /// Whether one more client is within the budget, if need be after the eviction of another one.
+    /// Whether the clients' connections, a new one included, are within the budget, after the eviction of
+    /// another one if necessary.
     pub(super) fn make_room(&mut self) -> bool {
         self.clients() + self.handover.clients() <= self.budget.max_client_connections
             || self.evict_thrift_connection()
             || self.evict_signed_connection()
     }
 
-    /// Evicts the connection that is least in use. What its client has sent by now is read first, and if that is a
-    /// request it stays.
+    /// Evicts the connection that is the front's next candidate. Bytes that its client has sent by now are
+    /// read first; if they hold a request, the connection stays.
     fn evict_thrift_connection(&mut self) -> bool {
         for _ in 0..MAX_CANDIDATES {
             let Some(conn) = self.thrift.eviction_candidate(&self.net) else { break };
@@ -32,7 +33,7 @@
         false
     }
 
-    /// The same on the signed front.
+    /// Does the same on the signed front.
     fn evict_signed_connection(&mut self) -> bool {
         for _ in 0..MAX_CANDIDATES {
             let Some(conn) = self.signed_eviction_candidate() else { break };
--- a/src/server/federation.rs
+++ b/src/server/federation.rs
@@ -1,7 +1,8 @@
-//! The edge proxy's member of the federation. The event loop starts it, tells it of reloads, of a newer process and of
-//! the end, and reports what it last published. The loop never waits for it.
+//! The edge proxy's member of the federation. The event loop starts it, notifies it of reloads, of a newer
+//! process and of the shutdown, and reports the state that it last published. The loop never waits for it;
+//! only the end of the process does.
 //!
-//! Without the cargo feature, [`FederationHandle`] does nothing.
+//! Without the cargo feature `federation`, [`FederationHandle`] does nothing.
 
 #[cfg(not(feature = "federation"))]
 mod disabled;
--- a/src/server/federation/disabled.rs
+++ b/src/server/federation/disabled.rs
@@ -1,13 +1,13 @@
-//! The handle without the cargo feature `federation`: it does nothing.
+//! The handle without the cargo feature `federation`; it does nothing.
 
 use crate::config::{ConfigError, Files};
 use std::io;
 
-/// No member.
+/// The handle of an edge proxy that has no member.
 #[derive(Default)]
 pub(in crate::server) struct FederationHandle {}
 
-/// No file.
+/// The result of a check that reads no file.
 pub(in crate::server) struct CheckedSettings;
 
 impl FederationHandle {
@@ -38,11 +38,11 @@
     /// Does nothing.
     pub fn finish(&mut self) {}
 
-    /// The edge proxy belongs to no federation.
+    /// Returns `None`, since the edge proxy belongs to no federation.
     pub fn json(&self) -> Option<String> {
         None
     }
 
-    /// No metrics.
+    /// Reports no metrics.
     pub fn metrics(&self, _: &mut impl FnMut(&str, u64)) {}
 }
--- a/src/server/handover/message.rs
+++ b/src/server/handover/message.rs
@@ -1,33 +1,35 @@
-//! The messages between two processes of one edge proxy: a kind, a number in four bytes in network order, and for a
-//! connection as many bytes as the number says. The form is fixed, since the processes may be of different versions.
+//! The messages between two processes of one edge proxy. A message is a kind (one byte) and a number (four
+//! bytes in network order); for a connection, as many bytes follow as the number states. The format is fixed,
+//! since the processes may be of different versions.
 
-/// Bytes of a message's header: its kind and its number.
+/// Length of a message's header: its kind and its number.
 const HEADER_BYTES: usize = 5;
 /// Kind of a message whose number is the sender's count of clients' connections.
 const KIND_CLIENT_COUNT: u8 = 0;
-/// Kind of a message that comes with a descriptor; the number is the length of the unused bytes behind the header.
+/// Kind of a message that is sent with a descriptor. Its number is the length of the unprocessed bytes after
+/// the header.
 const KIND_CONNECTION: u8 = 1;
-/// Longest unused bytes of a connection: more than a client's longest frame.
+/// Maximum length of a connection's unprocessed bytes: more than a client's longest frame.
 const MAX_UNUSED_BYTES: usize = 1 << 20;
 
 /// A message that has arrived in full.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Message {
-    /// The sender holds so many clients' connections.
+    /// The number of clients' connections that the sender holds.
     ClientCount(usize),
-    /// A connection is passed on; its descriptor arrives beside the message.
+    /// A connection is handed over; its descriptor arrives with the message.
     Connection {
-        /// Bytes that were read from the connection and not used.
+        /// Bytes that were read from the connection and not processed.
         unused: Vec<u8>,
     },
 }
 
-/// The other process sent bytes that are no message.
+/// The other process sent bytes that are not a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a message of a process of this edge proxy")]
+#[error("malformed handover message")]
 pub(super) struct MalformedMessage;
 
-/// Takes the first message out of the bytes that have arrived; `None` while it is incomplete.
+/// Removes the first message from the bytes that have arrived and returns it; `None` while it is incomplete.
 pub(super) fn decode(received: &mut Vec<u8>) -> Result<Option<Message>, MalformedMessage> {
     let Some([kind, number @ ..]) = received.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
     let number = u32::from_be_bytes(*number) as usize;
@@ -44,12 +46,12 @@
     Ok(Some(if is_connection { Message::Connection { unused } } else { Message::ClientCount(number) }))
 }
 
-/// The message with a count of clients' connections.
+/// Encodes a message with the count of clients' connections.
 pub(super) fn client_count(clients: usize) -> [u8; HEADER_BYTES] {
     header(KIND_CLIENT_COUNT, clients)
 }
 
-/// The header of the message that passes a connection on; its unused bytes follow.
+/// Encodes the header of a message that hands a connection over; the unprocessed bytes follow it.
 pub(super) fn connection_header(unused: &[u8]) -> [u8; HEADER_BYTES] {
     header(KIND_CONNECTION, unused.len())
 }
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -1,12 +1,13 @@
 //! The handover from an older process of this edge proxy to a newer one.
 //!
-//! The two processes know of each other's end at once, share the limit on clients' connections by telling each
-//! other how many they hold, and the older one passes its connections on to the newer one.
+//! Each process is notified at once when the other one ends. They share the limit on clients' connections by
+//! telling each other how many they hold, and the older one hands its connections over to the newer one.
 //!
-//! - `sibling`: the traits by which [`Handover`] reaches the other processes, and what they send.
-//! - `message`: the form of the messages between the processes.
-//! - `socket`: the traits over Unix sockets in `$TMPDIR`.
-//! - `simulated`: the traits on the simulator's network.
+//! - `sibling`: the traits through which [`Handover`] reaches the other processes, and the connections that
+//!   it receives from them.
+//! - `message`: the format of the messages between the processes.
+//! - `socket`: implements the traits with Unix sockets in `$TMPDIR`.
+//! - `simulated`: implements the traits on the simulator's network.
 
 mod message;
 mod sibling;
@@ -23,12 +24,12 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// How many processes of this edge proxy share its limits, and which of them this one is.
+/// The number of processes of this edge proxy that share its limits, and the position of this one among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProcessShare {
-    /// The processes that serve.
+    /// Number of processes that serve, this one included.
     pub processes: usize,
-    /// This process's position among them, the oldest first.
+    /// Position of this process among them, from 0; the oldest process comes first.
     pub position: usize,
 }
 
@@ -37,21 +38,22 @@
     listener: Box<dyn HandoverListener>,
     older: Option<Box<dyn Sibling>>,
     newer: Option<Box<dyn Sibling>>,
-    /// The count of clients' connections that was last sent to the others.
+    /// Count of clients' connections that was last sent to the other processes. `None` until one was sent to
+    /// all of them.
     announced_clients: Option<usize>,
 }
 
 impl Handover {
-    /// Connects to the process that serves this address now, and lets the next one find this process.
+    /// Connects to the process that serves this address now, and listens for the next one.
     pub fn over_sockets(addr: SocketAddr, net: &mut Net) -> Self {
         let (listener, older) = SocketListener::open(addr, net);
         if older.is_some() {
-            info!("an older process serves here and is taken over from");
+            info!("taking over from the older process on {addr}");
         }
         Self::new(listener, older)
     }
 
-    /// The same for a process of a simulated network.
+    /// Does the same for a process of a simulated network.
     pub fn simulated(addr: SocketAddr, fabric: &Fabric, process: u32) -> Self {
         let (listener, older) = SimulatedListener::open(addr, fabric, process);
         Self::new(listener, older)
@@ -62,8 +64,8 @@
         Handover { listener: Box::new(listener), older, newer: None, announced_clients: None }
     }
 
-    /// Handles an event of a source of the handover, and returns whether a process came or ended. Connections that
-    /// the older process passes on are added to `inherited`.
+    /// Handles an event of a source of the handover, and returns whether a process connected or ended.
+    /// Connections that the older process hands over are added to `inherited`.
     pub fn on_event(
         &mut self,
         source: EventSource,
@@ -100,48 +102,49 @@
         true
     }
 
-    /// Whether a newer process may wait that could not be accepted: no further event reports it.
+    /// Whether a newer process may be waiting that could not be accepted. No further event reports it.
     pub fn missed_newer(&self) -> bool {
         self.listener.missed_newer()
     }
 
-    /// This process's share of the limits.
+    /// Returns this process's share of the limits.
     pub fn process_share(&self) -> ProcessShare {
         let older = usize::from(self.older.is_some());
         let newer = usize::from(self.newer.is_some());
         ProcessShare { processes: 1 + older + newer, position: older }
     }
 
-    /// Whether a newer process accepts clients.
+    /// Whether there is a newer process, which accepts clients.
     pub fn has_newer(&self) -> bool {
         self.newer.is_some()
     }
 
-    /// Clients' connections that the other processes hold.
+    /// Returns the number of clients' connections that the other processes hold.
     pub fn clients(&self) -> usize {
         self.older.iter().chain(&self.newer).map(|sibling| sibling.clients()).sum()
     }
 
-    /// Tells the other processes how many clients' connections this one holds, if the count has changed.
+    /// Sends the count of this process's clients' connections to the other processes, if it has changed.
     pub fn announce_clients(&mut self, clients: usize) {
         if self.announced_clients == Some(clients) {
             return;
         }
         let mut siblings = self.older.iter_mut().chain(&mut self.newer);
-        // A sibling that cannot take the message now gets it at the next call; the end of one is reported by an event.
+        // If a message cannot be sent now, the next call sends it again. If the other process has ended, an
+        // event reports that.
         if siblings.all(|sibling| sibling.send_client_count(clients)) {
             self.announced_clients = Some(clients);
         }
     }
 
-    /// Passes a client's connection on to the newer process; `false` if this process keeps it.
+    /// Hands a client's connection over to the newer process; returns `false` if this process keeps it.
     pub fn hand_over_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
         self.newer.as_mut().is_some_and(|newer| newer.send_connection(stream, unused))
     }
 
-    /// Lets no further process find this one.
+    /// Stops listening for newer processes.
     pub fn close(&mut self, net: &mut Net) {
-        // A newer process that came at the last moment has published itself already.
+        // A newer process that connected at the last moment already listens in this one's place.
         self.accept_newer(net);
         self.listener.close();
     }
--- a/src/server/handover/sibling.rs
+++ b/src/server/handover/sibling.rs
@@ -1,51 +1,54 @@
-//! The traits by which the handover reaches the other processes of this edge proxy.
+//! The traits through which the handover reaches the other processes of this edge proxy.
 
 use crate::net::fabric::VirtualStream;
 use crate::net::{Net, Stream};
 use std::net::TcpStream;
 
-/// A client's connection that the older process has passed on.
+/// A client's connection that the older process has handed over.
 pub(in crate::server) struct InheritedConnection {
-    /// The connection.
     pub stream: InheritedStream,
-    /// Bytes that the older process has read from it and not used.
+    /// Bytes that the older process has read from the connection and not processed.
     pub unused: Vec<u8>,
 }
 
-/// The stream of a connection that was passed on.
+/// The stream of a connection that was handed over.
 pub(in crate::server) enum InheritedStream {
-    /// A socket of the system.
+    /// A socket of the operating system.
     Tcp(TcpStream),
     /// A stream of the simulator.
     Virtual(VirtualStream),
 }
 
-/// The process before this one, or the one after it.
+/// The process started before this one, or the one started after it.
 pub(super) trait Sibling {
-    /// Clients' connections that it holds, by its last message.
+    /// Returns the number of clients' connections that the process holds, by its last message.
     fn clients(&self) -> usize;
 
-    /// Takes in what it has sent; `false` if it has ended. Connections that it passes on are added to `inherited`.
+    /// Handles the messages that the process has sent; returns `false` if it has ended. Connections that it
+    /// hands over are added to `inherited`.
     fn receive(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool;
 
-    /// Tells it how many clients' connections this process holds; `false` if it cannot take that now.
+    /// Sends the number of clients' connections that this process holds; returns `false` if that is not
+    /// possible now.
     fn send_client_count(&mut self, clients: usize) -> bool;
 
-    /// Passes a connection on to it, with the bytes that were read there and not used; `false` if it did not take it.
+    /// Hands a connection over to the process, with the bytes that were read from it and not processed;
+    /// returns `false` if the connection was not sent.
     fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool;
 }
 
-/// Where the next process finds this one.
+/// The place at which a newer process finds this one.
 pub(super) trait HandoverListener {
-    /// Lets the next process find this one.
+    /// Makes this process the one that the next process finds.
     fn publish(&mut self, net: &mut Net);
 
-    /// A newer process that has come, if there is one. `has_newer`: one has come before and still runs.
+    /// Returns a newer process that has connected, if there is one. `has_newer` is whether another one
+    /// connected before and is still running.
     fn accept_newer(&mut self, has_newer: bool, net: &mut Net) -> Option<Box<dyn Sibling>>;
 
-    /// Whether a newer process may wait that could not be accepted.
+    /// Whether a newer process may be waiting that could not be accepted.
     fn missed_newer(&self) -> bool;
 
-    /// Removes what [`HandoverListener::publish`] has set up.
+    /// Undoes [`HandoverListener::publish`].
     fn close(&mut self);
 }
--- a/src/server/handover/simulated.rs
+++ b/src/server/handover/simulated.rs
@@ -9,11 +9,11 @@
 /// Another process of the simulated network.
 pub(super) struct SimulatedSibling {
     fabric: Fabric,
-    /// The number of this process.
+    /// Number of this process.
     this: u32,
-    /// The number of the other process.
+    /// Number of the other process.
     other: u32,
-    /// The source under which the other process watches this one.
+    /// The event source with which the other process watches this one.
     source_at_other: EventSource,
     clients: usize,
 }
@@ -52,12 +52,12 @@
 
     fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
         let Stream::Virtual(stream) = stream else { return false };
-        // A connection that is passed on to an ended process would be lost.
+        // A connection that is handed over to a process that has ended would be lost.
         self.is_alive() && self.send(ProcessMessage::Connection(stream.pass(self.other), unused.to_vec()))
     }
 }
 
-/// The register of processes of the simulated network.
+/// The simulated network's register of processes by address.
 pub(super) struct SimulatedListener {
     fabric: Fabric,
     process: u32,
@@ -65,7 +65,7 @@
 }
 
 impl SimulatedListener {
-    /// Registers this process for an address, and returns the one that was registered before.
+    /// Registers this process for an address, and returns the process that was registered before, if any.
     pub fn open(addr: SocketAddr, fabric: &Fabric, process: u32) -> (Self, Option<SimulatedSibling>) {
         let listener = SimulatedListener { fabric: fabric.clone(), process, addr };
         let older = fabric.take_place(addr, process).map(|older| {
@@ -100,6 +100,6 @@
         false
     }
 
-    // The network forgets a process that has ended.
+    // Nothing to do: the network removes a process that has ended.
     fn close(&mut self) {}
 }
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -1,5 +1,6 @@
-//! The handover between processes of one machine, over a Unix socket in `$TMPDIR` that is named after the clients'
-//! address. The end of a process shows as the end of the stream; connections are passed on by SCM_RIGHTS.
+//! The handover between processes of one machine, over a Unix socket in `$TMPDIR` that is named after the
+//! clients' address. When a process ends, its stream ends. Connections are handed over as descriptors
+//! (SCM_RIGHTS).
 
 use super::message::{self, Message};
 use super::sibling::{HandoverListener, InheritedConnection, InheritedStream, Sibling};
@@ -17,24 +18,24 @@
 use std::path::PathBuf;
 use tracing::{info, warn};
 
-/// Bytes that one read takes.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 4096;
-/// Descriptors that one read takes.
+/// Maximum number of descriptors per read.
 const MAX_DESCRIPTORS_PER_READ: usize = 16;
 
 /// The stream to another process.
 pub(super) struct SocketSibling {
     stream: UnixStream,
     clients: usize,
-    /// Bytes that have arrived and are no full message yet.
+    /// Bytes that have arrived and are not a complete message yet.
     received: Vec<u8>,
-    /// Descriptors that have arrived and whose message has not.
+    /// Descriptors that have arrived before the rest of their message.
     descriptors: VecDeque<OwnedFd>,
     /// The rest of a message that was sent in part.
     unsent: Vec<u8>,
 }
 
-/// What a read from the stream came to.
+/// Result of a read from the stream.
 enum ReadOutcome {
     Data,
     WouldBlock,
@@ -77,7 +78,8 @@
         ReadOutcome::Data
     }
 
-    /// Handles the messages that have arrived in full; `false` if the other process sent something else.
+    /// Handles the messages that have arrived in full; returns `false` if the other process sent something
+    /// else.
     fn handle_messages(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
         loop {
             match message::decode(&mut self.received) {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Sends the rest of the last message; `false` if some of it is still unsent.
+    /// Sends the rest of the last message; returns `false` if some of it is still unsent.
     fn flush(&mut self) -> bool {
         while !self.unsent.is_empty() {
             match self.stream.write(&self.unsent) {
@@ -106,7 +108,7 @@
         true
     }
 
-    /// Sends a message, with a descriptor where one is given; `false` if nothing of it was sent.
+    /// Sends a message, with a descriptor if one is given; returns `false` if nothing of it was sent.
     fn send(&mut self, header: &[u8], unused: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
         if !self.flush() {
             return false;
@@ -155,10 +157,10 @@
     }
 }
 
-/// The path at which the next process finds this one.
+/// The socket path at which the next process finds this one.
 pub(super) struct SocketListener {
     path: PathBuf,
-    /// Accepts the next process; none while there is one.
+    /// Accepts the next process. `None` while there is one, or if listening failed.
     listener: Option<UnixListener>,
     missed_newer: bool,
 }
@@ -166,7 +168,8 @@
 impl SocketListener {
     /// Connects to the process that serves an address now, and listens in its place.
     pub fn open(addr: SocketAddr, net: &mut Net) -> (Self, Option<SocketSibling>) {
-        // Short, since the system takes about a hundred bytes of such a path. Its number is that of the messages' form.
+        // The name is short, since the system limits such a path to about a hundred bytes. The number in
+        // `dt1` is the version of the message format.
         let path = std::env::temp_dir().join(format!("dt1-{}-{}", addr.ip(), addr.port()));
         let mut listener = SocketListener { path, listener: None, missed_newer: false };
         let older = listener.connect_to_older(net);
@@ -179,19 +182,24 @@
             .and_then(|stream| SocketSibling::new(stream, EventSource::OlderProcess, net));
         match connected {
             Ok(older) => Some(older),
-            // A path without a listener was left by a process that was killed; without a path this is the first.
+            // A path without a listener was left by a process that was killed. If there is no path, this is
+            // the first process.
             Err(error) if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::NotFound) => None,
             Err(error) => {
-                warn!("{}: {error}; an older process is not looked for", self.path.display());
+                warn!(
+                    "handover socket {}: connecting failed: {error}; starting without an older process",
+                    self.path.display()
+                );
                 None
             }
         }
     }
 
-    /// Listens at a path of this process and moves it to the common one, which thus always exists.
+    /// Listens at a path of this process and renames it to the common path, so that the common path never
+    /// disappears.
     fn listen(&self, net: &mut Net) -> io::Result<UnixListener> {
         let own_path = PathBuf::from(format!("{}.{}", self.path.display(), std::process::id()));
-        // A process of the same id may have been killed here.
+        // A killed process with the same id may have left its path.
         let _ = std::fs::remove_file(&own_path);
         let mut listener = UnixListener::bind(&own_path)?;
         std::fs::rename(&own_path, &self.path)?;
@@ -209,7 +217,10 @@
                     ErrorKind::WouldBlock => return None,
                     ErrorKind::Interrupted | ErrorKind::ConnectionAborted => {}
                     _ => {
-                        warn!("{}: {error}; a newer process is looked for again", self.path.display());
+                        warn!(
+                            "handover socket {}: accepting a newer process failed: {error}; trying again",
+                            self.path.display()
+                        );
                         self.missed_newer = true;
                         return None;
                     }
@@ -222,14 +233,21 @@
 impl HandoverListener for SocketListener {
     fn publish(&mut self, net: &mut Net) {
         let listener = self.listen(net);
-        self.listener = listener.map_err(|error| warn!("{}: {error}; no upgrade", self.path.display())).ok();
+        self.listener = listener
+            .map_err(|error| {
+                warn!(
+                    "handover socket {}: listening failed: {error}; no newer process can take over",
+                    self.path.display()
+                )
+            })
+            .ok();
     }
 
     fn accept_newer(&mut self, _: bool, net: &mut Net) -> Option<Box<dyn Sibling>> {
         let stream = self.accept()?;
         let newer = SocketSibling::new(stream, EventSource::NewerProcess, net).ok()?;
         info!("a newer process takes over");
-        // The process after that one finds the newer process.
+        // The next process after that one connects to the newer process, not to this one.
         if let Some(mut listener) = self.listener.take() {
             let _ = net.unwatch(&mut listener); // closing the listener ends the watch too
         }
--- a/src/server/lifecycle.rs
+++ b/src/server/lifecycle.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::{Instant, Span};
 
-/// Once all is answered, clients that were notified of the end have this long to close their connections: closing first
-/// could reset a connection whose last answer is not read yet.
+/// Time that clients which were notified of the end have to close their connections, once all requests are
+/// answered. If this process closed first, it could reset a connection whose last answer is not read yet.
 const CLIENT_CLOSE_GRACE: Span = Span::from_millis(500);
 
 /// The phase of the process.
@@ -11,43 +11,43 @@
 pub(super) enum Phase {
     /// Clients are accepted.
     Accepting,
-    /// The process was told to stop and accepts clients for a while longer.
+    /// The shutdown has begun; clients are still accepted for a while.
     Draining {
-        /// When the process was told to stop.
+        /// Time of the signal to stop.
         since: Instant,
     },
-    /// No more clients are accepted; what is open is answered, and connections are passed on or closed.
+    /// No more clients are accepted. Open requests are answered, and connections are handed over or closed.
     Closing {
-        /// When the process was told to stop.
+        /// Time of the signal to stop.
         since: Instant,
-        /// Since when every request has its answer.
+        /// Time since when every request has its answer; `None` while one has not.
         answered_since: Option<Instant>,
     },
-    /// The process may end.
+    /// The event loop ends, and the process with it.
     Stopped {
-        /// When the process was told to stop.
+        /// Time of the signal to stop.
         since: Instant,
     },
 }
 
 impl Phase {
-    /// Begins the shutdown.
+    /// Enters the phase [`Phase::Draining`].
     pub fn begin_shutdown(&mut self, now: Instant) {
         *self = Phase::Draining { since: now };
     }
 
-    /// The listeners are closed.
+    /// Enters the phase [`Phase::Closing`]: the listeners are closed.
     pub fn begin_closing(&mut self, now: Instant) {
         let since = self.shutdown_since().unwrap_or(now);
         *self = Phase::Closing { since, answered_since: None };
     }
 
-    /// The process may end.
+    /// Enters the phase [`Phase::Stopped`]: the process may end.
     pub fn stop(&mut self, now: Instant) {
         *self = Phase::Stopped { since: self.shutdown_since().unwrap_or(now) };
     }
 
-    /// When the shutdown began, if it has.
+    /// Returns when the shutdown began; `None` if it has not.
     pub fn shutdown_since(self) -> Option<Instant> {
         match self {
             Phase::Accepting => None,
@@ -62,7 +62,7 @@
         self.shutdown_since().is_some()
     }
 
-    /// Whether no more clients are accepted.
+    /// Whether clients are no longer accepted.
     pub fn is_closed_to_clients(self) -> bool {
         matches!(self, Phase::Closing { .. } | Phase::Stopped { .. })
     }
@@ -72,19 +72,20 @@
         matches!(self, Phase::Stopped { .. })
     }
 
-    /// While closing: takes note of whether every request has its answer now.
+    /// While closing, records whether every request has its answer now.
     pub fn set_answered(&mut self, is_answered: bool, now: Instant) {
         if let Phase::Closing { answered_since, .. } = self {
             *answered_since = if is_answered { answered_since.or(Some(now)) } else { None };
         }
     }
 
-    /// While closing: whether every request has its answer.
+    /// Whether the process is closing and every request has its answer.
     pub fn is_answered(self) -> bool {
         matches!(self, Phase::Closing { answered_since: Some(_), .. })
     }
 
-    /// While closing: whether every request has had its answer for long enough that clients have closed.
+    /// Whether the process is closing and every request has had its answer for at least
+    /// [`CLIENT_CLOSE_GRACE`].
     pub fn clients_had_time_to_close(self, now: Instant) -> bool {
         match self {
             Phase::Closing { answered_since: Some(since), .. } => since + CLIENT_CLOSE_GRACE <= now,
--- a/src/server/listeners.rs
+++ b/src/server/listeners.rs
@@ -7,17 +7,16 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What accepting on a listener came to.
+/// Result of an accept on a listener.
 pub(super) enum Accepted {
-    /// A connection was accepted.
     Connection(ConnectionKey),
-    /// No connection waits.
+    /// No connection is waiting.
     NoneWaiting,
-    /// There is no such listener, or it is closed.
+    /// The role has no listener, or its listener is closed.
     NoListener,
 }
 
-/// The listening sockets. Those of clients are closed during the shutdown.
+/// The listening sockets. Those of the fronts are closed during the shutdown.
 #[derive(Default)]
 pub(super) struct Listeners {
     thrift: Option<Listener>,
@@ -26,25 +25,27 @@
 }
 
 impl Listeners {
-    /// Listens for clients of the Thrift front, beside other processes of this edge proxy; returns the address.
+    /// Opens the listener of the Thrift front, on an address that it shares with other processes of this edge
+    /// proxy. Returns the actual address.
     pub fn open_thrift(&mut self, addr: SocketAddr, net: &mut Net) -> Result<SocketAddr, ServerError> {
         let listener = self.thrift.insert(listen(addr, true, EventSource::ThriftListener, net)?);
         Ok(listener.local_addr()?)
     }
 
-    /// Listens for clients of the signed front, beside other processes of this edge proxy.
+    /// Opens the listener of the signed front, on an address that it shares with other processes of this edge
+    /// proxy.
     pub fn open_signed(&mut self, addr: SocketAddr, net: &mut Net) -> Result<(), ServerError> {
         self.signed = Some(listen(addr, true, EventSource::SignedListener, net)?);
         Ok(())
     }
 
-    /// Listens for callers of the admin endpoint, which belongs to this process alone.
+    /// Opens the listener of the admin endpoint, whose address is not shared with other processes.
     pub fn open_admin(&mut self, addr: SocketAddr, net: &mut Net) -> Result<(), ServerError> {
         self.admin = Some(listen(addr, false, EventSource::AdminListener, net)?);
         Ok(())
     }
 
-    /// The address of a role's listener, if there is one.
+    /// Returns the address of a role's listener, if there is one.
     pub fn local_addr(&self, role: Role) -> io::Result<Option<SocketAddr>> {
         self.of(role).map(Listener::local_addr).transpose()
     }
@@ -56,7 +57,7 @@
         Ok(conn.map_or(Accepted::NoneWaiting, Accepted::Connection))
     }
 
-    /// Closes the listeners of clients.
+    /// Closes the listeners of both fronts.
     pub fn close_clients(&mut self, net: &mut Net) {
         for listener in self.thrift.take().into_iter().chain(self.signed.take()) {
             net.unlisten(listener);
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -1,11 +1,12 @@
-//! The metrics that the admin endpoint reports. They are read where they are counted; only their keys are here.
+//! The metrics that the admin endpoint reports. The values are kept in the parts that count them; this module
+//! assigns their keys.
 
 use super::Server;
 use crate::interface::ClassId;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Counts of a class, over all the numbers that its name has had.
+/// Counters of a class name, summed over all class ids that it has had.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ClassMetrics {
     success: u64,
@@ -15,7 +16,7 @@
 }
 
 impl Server {
-    /// All metrics, a line each.
+    /// Returns all metrics, one `key=value` per line.
     pub(super) fn metrics(&self) -> String {
         let classes = self.class_metrics();
         let mut text = String::new();
@@ -43,7 +44,7 @@
         text
     }
 
-    /// The counts by class name. A class whose rules were changed has had several numbers.
+    /// Returns the counters by class name. A class gets a new id whenever a reload changes its rules.
     fn class_metrics(&self) -> BTreeMap<&str, ClassMetrics> {
         let mut classes: BTreeMap<&str, ClassMetrics> = BTreeMap::new();
         for (number, name) in self.config.settings.program.class_names().enumerate() {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,20 +1,23 @@
-//! The edge proxy: one event loop over sockets, deadlines and the core's commands. It connects the fronts, the upstream
-//! side and the control feed with the core; decisions on requests are the policy's.
+//! The edge proxy: one event loop over sockets, deadlines and the core's commands. It connects the fronts,
+//! the upstream side and the control feed with the core. Decisions about requests are made by the policy.
 //!
-//! The loop is [`Server::turn`]. What it finds ready goes to one of:
+//! One iteration of the loop is [`Server::turn`]. It passes what is ready to these modules:
 //!
 //! - `requests`, with `thrift_requests` and `signed_requests`: clients' requests and their answers.
-//! - `commands`: the exchange between the core and the upstream side; `attempt_encoder` encodes attempts for the wire.
+//! - `commands`: the exchange between the core and the upstream side; `attempt_encoder` encodes attempts for
+//!   the servers' protocol.
 //! - `endpoint_list`: watch events of the control feed; `unix_time` converts the times in them.
-//! - `acceptor`: new connections, with `admission` (which are admitted), `refused_connections` and `eviction`.
+//! - `acceptor`: new connections, with `admission` (which are admitted), `refused_connections` and
+//!   `eviction`.
 //! - `admin_calls` and `metrics`: operators' calls.
-//! - `reload`: a new configuration. `shutdown`: the end, by the times of `shutdown_schedule`.
-//! - `connection_handover`: connections that pass between processes; `handover` reaches the other process.
+//! - `reload`: a new configuration. `shutdown`: the graceful shutdown, with its times in `shutdown_schedule`.
+//! - `connection_handover`: connections that are handed over between processes; `handover` communicates with
+//!   the other process.
 //!
-//! The state is in parts that know nothing of the server: `active_config`, `budget`, `lifecycle`, `listeners`,
-//! `pending`, `signed_endpoint`, `federation`. `translate` converts messages of the wires to types of the core and
-//! back; `event_source`, `deadline` and `precedence` are types of the loop; `start` builds the server; `error` says
-//! why that failed; `resource_usage` is what the simulator checks against the limits.
+//! The server's state is in modules that do not depend on [`Server`]: `active_config`, `budget`, `lifecycle`,
+//! `listeners`, `pending`, `signed_endpoint`, `federation`. `translate` converts protocol messages to types
+//! of the core and back; `event_source`, `deadline` and `precedence` are types of the loop; `start` builds
+//! the server; `error` has its errors; `resource_usage` is checked against the limits by the simulator.
 
 mod acceptor;
 mod active_config;
@@ -77,17 +80,18 @@
 use signed_endpoint::SignedEndpoint;
 pub use signed_endpoint::{route_classes, RouteClass};
 
-/// The poll's numbers under which the processes of one edge proxy watch each other.
+/// The numbers of the event sources with which the processes of one edge proxy watch each other. The
+/// simulator wakes these sources when a process ends.
 pub const SIBLING_EVENT_SOURCES: [usize; 2] =
     [EventSource::OlderProcess.number(), EventSource::NewerProcess.number()];
 
-/// The edge proxy.
+/// The edge proxy: its event loop with all state.
 pub struct Server {
     clock: Clock,
     now: Instant,
     net: Net,
     deadlines: Deadlines<ServerDeadline>,
-    /// None in the simulator, which calls the handlers itself.
+    /// `None` in the simulator, which calls the handlers itself.
     signals: Option<Signals>,
     core: Core,
     endpoints: EndpointRegistry,
@@ -109,11 +113,11 @@
 }
 
 impl Server {
-    /// Serves until a signal says to stop and all is answered.
+    /// Runs the event loop until a signal to stop has come and the shutdown is complete.
     ///
     /// # Errors
     ///
-    /// The poll failed.
+    /// Returns an error if waiting for events failed.
     pub fn run(&mut self) -> Result<(), ServerError> {
         let mut ready = Vec::new();
         while !self.phase.is_stopped() {
@@ -123,7 +127,7 @@
         Ok(())
     }
 
-    /// When there is something to do even without an event.
+    /// Returns when the next turn is due even if no event comes; `None` if only an event makes one due.
     pub fn next_due(&self) -> Option<Instant> {
         if self.thrift.waiting_turns() + self.upstream.waiting_turns() > 0 {
             Some(self.now)
@@ -132,11 +136,12 @@
         }
     }
 
-    /// Waits for events or the next deadline, and handles all that is ready. `ready` is only a buffer.
+    /// Waits for events or the next deadline, and handles everything that is ready. `ready` is a buffer that
+    /// is reused between turns.
     ///
     /// # Errors
     ///
-    /// The poll failed.
+    /// Returns an error if waiting for events failed.
     pub fn turn(&mut self, ready: &mut Vec<Ready>) -> Result<(), ServerError> {
         self.now = self.clock.now();
         let wait = self.next_due().map(|at| (at - self.now).to_std());
@@ -152,7 +157,8 @@
             self.process_commands();
         }
         self.read_waiting_connections();
-        // Attempts are written behind all that came in the same turn: list changes, and what clients gave up.
+        // Attempts are written after all events of the turn are handled, such as changes of the endpoint list
+        // and cancelled requests.
         self.process_commands_and_write();
         self.hand_over_or_close_idle();
         self.forget_closed_connections();
@@ -160,7 +166,7 @@
         Ok(())
     }
 
-    /// Gives each connection that had more to read than its turn allowed one further turn.
+    /// Reads once more from each connection that had more to read than the limit of its last turn allowed.
     fn read_waiting_connections(&mut self) {
         for _ in 0..self.thrift.waiting_turns() {
             let Some(conn) = self.thrift.next_turn() else { break };
--- a/src/server/pending.rs
+++ b/src/server/pending.rs
@@ -1,4 +1,4 @@
-//! The requests that are owed an answer.
+//! The requests that have no answer yet.
 
 use crate::core::RequestKey;
 use crate::front::thrift::SequenceId;
@@ -13,54 +13,52 @@
 pub(super) enum Client {
     /// A client of the Thrift front.
     Thrift {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionKey,
-        /// The sequence number of its call there.
+        /// Sequence number of the call on that connection.
         seqid: SequenceId,
     },
     /// A client of the signed front.
     Signed {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionKey,
     },
 }
 
-/// A request that is owed an answer, with the fields that the core does not need.
+/// A request whose answer has not begun, with the fields that the core does not need.
 pub(super) struct PendingRequest {
     /// The receiver of the answer.
     pub client: Client,
-    /// The entity tags of the client's copies.
+    /// Entity tags of the copies that the client has.
     pub etags: Vec<String>,
-    /// The class.
     pub class: ClassId,
-    /// The id under which servers know the request.
+    /// The id by which servers identify the request.
     pub trace_id: String,
     /// The object's name on the wire.
     pub object_name: String,
-    /// The key by which servers recognize a repeat.
+    /// The key by which servers recognize a repeated request.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The body.
     pub body: Bytes,
 }
 
-/// All requests that are owed an answer.
+/// All requests whose answer has not begun.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<RequestKey, PendingRequest>,
-    /// The trace ids of these requests, since servers could not tell two requests of one id apart.
+    /// Trace ids of these requests. They must differ, since servers could not tell two requests with the same
+    /// id apart.
     trace_ids: BTreeSet<String>,
     body_bytes: usize,
 }
 
 impl PendingRequests {
-    /// Adds a request.
     pub fn insert(&mut self, key: RequestKey, request: PendingRequest) {
         self.body_bytes += request.body.len();
         self.trace_ids.insert(request.trace_id.clone());
         self.requests.insert(key, request);
     }
 
-    /// Removes a request whose answer has begun or that was given up.
+    /// Removes a request whose answer has begun or that was cancelled.
     pub fn remove(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.remove(&key) {
             self.body_bytes -= request.body.len();
@@ -68,22 +66,20 @@
         }
     }
 
-    /// A request.
     pub fn get(&self, key: RequestKey) -> Option<&PendingRequest> {
         self.requests.get(&key)
     }
 
-    /// The number of requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request has this trace id.
+    /// Whether a pending request has this trace id.
     pub fn has_trace_id(&self, trace_id: &str) -> bool {
         self.trace_ids.contains(trace_id)
     }
 
-    /// Bytes of all bodies.
+    /// Returns the total length of all bodies.
     pub fn body_bytes(&self) -> usize {
         self.body_bytes
     }
--- a/src/server/precedence.rs
+++ b/src/server/precedence.rs
@@ -1,24 +1,24 @@
-//! The order in which events of one turn are handled.
+//! The order in which the events of one turn are handled.
 
 use super::event_source::EventSource;
 use super::Server;
 use crate::net::Ready;
 
-/// The precedence of an event; the lowest is handled first.
+/// Precedence of an event; the lowest is handled first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Precedence {
-    /// An operator's call, which does not wait for what clients send.
+    /// An operator's call. It does not wait until clients' input is handled.
     Admin,
-    /// A watch event, ahead of decisions that depend on the endpoint list.
+    /// A watch event, which is handled before decisions that depend on the endpoint list.
     Feed,
-    /// A client that has closed its connection, ahead of answers to its requests.
+    /// A client has closed its connection, which is handled before answers to its requests.
     ClientClosed,
     /// Any other event.
     Other,
 }
 
 impl Server {
-    /// The precedence of an event.
+    /// Returns the precedence of an event.
     pub(super) fn precedence(&self, ready: Ready) -> Precedence {
         match ready {
             Ready::Source(number) if number == EventSource::AdminListener.number() => Precedence::Admin,
--- a/src/server/refused_connections.rs
+++ b/src/server/refused_connections.rs
@@ -1,22 +1,23 @@
-//! Connections that were refused: their requests are rejected with a time to come back, and then they are closed.
+//! Connections that were refused: their requests are rejected with a Retry-After time, and then they are
+//! closed.
 
 use super::Server;
 use crate::front::thrift::codec::ThriftReply;
 use crate::interface::{ClassId, Instant, Span};
 use crate::net::{ConnectionKey, Ready, Reason, Role};
 
-/// The minimum time between two lines, so that a flood of connections does not flood the log.
+/// Minimum time between two log lines about refusals, so that a flood of connections does not flood the log.
 const LOG_INTERVAL: Span = Span::from_secs(1);
 
-/// A connection of the Thrift front that was refused. Pings are answered there as anywhere.
+/// A connection of the Thrift front that was refused. Pings on it are answered as on any other.
 pub(super) struct RefusedConnection {
-    /// When its client may come back.
+    /// How long the client is told to wait before it retries.
     retry_after: Span,
-    /// Whether a request there was rejected.
+    /// Whether a request on this connection was rejected.
     has_rejected: bool,
 }
 
-/// Limits the lines about refused connections in the log.
+/// Limits the rate of log lines about refused connections.
 #[derive(Default)]
 pub(super) struct RefusalLog {
     last_line: Option<Instant>,
@@ -24,7 +25,8 @@
 }
 
 impl RefusalLog {
-    /// Whether a refusal is logged now, with the number of refusals since the last line; `None`: it is only counted.
+    /// Records a refusal. Returns the number of refusals since the last log line if this one is to be logged,
+    /// and `None` if it is only counted.
     pub fn record_refusal(&mut self, now: Instant) -> Option<u64> {
         if self.last_line.is_some_and(|last| now - last < LOG_INTERVAL) {
             self.suppressed += 1;
@@ -36,8 +38,8 @@
 }
 
 impl Server {
-    /// Refuses a new connection: what its client has sent by now is rejected, and what it sends next if the connection
-    /// `stays_open`.
+    /// Refuses a new connection: rejects what its client has sent by now. If the connection `stays_open`,
+    /// later requests on it are rejected too; otherwise it is closed.
     pub(super) fn refuse_connection(
         &mut self,
         role: Role,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The rejection of a call, if it came on a refused connection.
+    /// Returns the rejection of a request if its connection was refused.
     pub(super) fn reject_if_refused(
         &mut self,
         conn: ConnectionKey,
@@ -74,8 +76,9 @@
         Some(self.reject(class, retry_after))
     }
 
-    /// Closes a refused connection once a request there was rejected and all is answered. A ping alone does not count,
-    /// since its client is about to send a request that would cross the end.
+    /// Closes a refused connection once a request on it was rejected and all its calls are answered. A ping
+    /// alone is no reason to close, since its client is about to send a request, which would then cross the
+    /// close.
     pub(super) fn close_if_refused(&mut self, conn: ConnectionKey) {
         if self.admission.refused.get(&conn).is_some_and(|refused| refused.has_rejected) {
             self.thrift.close_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -1,5 +1,5 @@
-//! The reload at SIGHUP: `feed`, `limits`, `settings` and the operator's files take effect at once, the rest at the
-//! next start.
+//! The reload at SIGHUP: `feed`, `limits`, `settings` and the operator's files take effect at once,
+//! everything else at the next start.
 
 use super::budget::ResourceBudget;
 use super::federation::CheckedSettings;
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Reloads since the start, by outcome.
+/// Number of reloads since the start, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ReloadCounters {
     /// The new configuration took effect.
     pub succeeded: u64,
-    /// The new configuration was rejected and the old one kept.
+    /// The new configuration was rejected, and the old one stayed in force.
     pub failed: u64,
 }
 
@@ -31,13 +31,13 @@
     limits: ProcessLimits,
     feed: SocketAddr,
     settings: SiteSettings,
-    /// Whether some of it takes effect at the next start only.
+    /// Whether some of the changes take effect only at the next start.
     needs_restart: bool,
 }
 
 impl Server {
-    /// Reads the files again. If one of them is unusable, nothing changes. Open requests are not disturbed: each goes
-    /// on by the rules under which it came.
+    /// Reads the files again. If one of them is unusable, nothing changes. Open requests are not affected:
+    /// the rules under which they were submitted still apply to them.
     pub(super) fn reload(&mut self) {
         let Some(files) = &self.config.files else { return };
         match self.check_files(files) {
@@ -47,12 +47,12 @@
             }
             Err(error) => {
                 self.reloads.failed += 1;
-                warn!("reload: {error}; the old configuration stays");
+                warn!("reload: {error}; the old configuration stays in force");
             }
         }
     }
 
-    /// Adopts this process's share of the limits.
+    /// Applies this process's share of the limits.
     pub(super) fn update_process_share(&mut self) {
         let share = self.handover.process_share();
         self.budget = ResourceBudget::new(&self.config.limits, share.processes);
@@ -61,13 +61,17 @@
         self.core.set_process_share(share.processes as u32, share.position as u32);
     }
 
-    /// Reads and checks all files, so that [`Server::apply`] cannot fail halfway.
+    /// Reads and checks all files first, so that [`Server::apply`] cannot fail halfway.
     fn check_files(&self, files: &Files) -> Result<CheckedConfig, ServerError> {
         let admission = files.admission()?;
         let federation = self.federation.check(files)?;
         let LoadedFiles { config, signed } = files.read()?;
         if let Some(key) = self.config.keys.difference(&config.keys).next() {
-            return Err(ConfigError::invalid(&files.config, format!("{key} is missing")).into());
+            return Err(ConfigError::invalid(
+                &files.config,
+                format!("key {key:?} is missing, but the configuration in force has it"),
+            )
+            .into());
         }
         let Config { name, listen, limits, feed, keys, settings, .. } = config;
         let reconfigured = settings.reconfigure(&self.config.settings);
@@ -91,7 +95,10 @@
             endpoint.routes = routes;
             endpoint.front.reload(signed);
         }
-        info!("reloaded: feed {feed}{}", if needs_restart { "; the rest waits for a start" } else { "" });
+        info!(
+            "reloaded: feed {feed}{}",
+            if needs_restart { "; the other changes take effect at the next start" } else { "" }
+        );
         self.feed.move_to(self.now, feed, &mut self.net, &mut self.deadlines);
     }
 }
--- a/src/server/resource_usage.rs
+++ b/src/server/resource_usage.rs
@@ -1,18 +1,18 @@
-//! What a server holds, as the simulator checks it against the limits.
+//! The resources that a server uses, which the simulator checks against the limits.
 
 use super::Server;
 
-/// What a server holds.
+/// The resources that a server uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Bytes that buffers, bodies and waiting copies hold.
+    /// Bytes held in buffers, bodies and copies that wait to be sent.
     pub held_bytes: usize,
-    /// Open requests.
+    /// Number of requests whose answer has not begun.
     pub open_requests: usize,
 }
 
 impl Server {
-    /// What the server holds.
+    /// Returns the resources that the server uses now.
     pub fn resource_usage(&self) -> ResourceUsage {
         let held_bytes = self.net.held_bytes() + self.held_bytes_besides_connections();
         ResourceUsage { held_bytes, open_requests: self.pending.len() }
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -1,8 +1,9 @@
 //! The graceful shutdown, alone or with a newer process that takes over.
 //!
-//! Alone, clients are accepted and requests taken for a while longer; then the listeners close, each connection is
-//! closed as it falls idle, and the process ends once all is answered and the clients have closed, or have had time to.
-//! With a newer process, the listeners close at once and connections are passed on to it.
+//! Without a newer process, clients and requests are accepted for a while longer. Then the listeners are
+//! closed, and each connection is closed once it is idle. The process ends when all requests are answered and
+//! the clients have closed their connections or have had time to. With a newer process, the listeners are
+//! closed at once, and connections are handed over to it.
 
 use super::deadline::ServerDeadline;
 use super::shutdown_schedule::{ShutdownSchedule, CHECK_INTERVAL};
@@ -11,11 +12,12 @@
 use crate::net::{Ready, Reason, Role};
 use tracing::info;
 
-/// Turns for clients' unread requests before the forced end; each takes some requests of one connection.
+/// Maximum number of turns in which clients' unread requests are read before the process may be killed. A
+/// turn reads some requests of one connection.
 const MAX_FINAL_TURNS: usize = 4096;
 
 impl Server {
-    /// Whether all is answered and the process may end.
+    /// Whether the shutdown is complete and the process may end.
     pub fn is_stopped(&self) -> bool {
         self.phase.is_stopped()
     }
@@ -29,7 +31,6 @@
         }
     }
 
-    /// Begins the shutdown.
     pub(super) fn begin_shutdown(&mut self) {
         info!("stopping");
         self.phase.begin_shutdown(self.now);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The times of the shutdown.
+    /// Returns the times of the shutdown, by the current configuration and the current other processes.
     pub(super) fn shutdown_schedule(&self) -> ShutdownSchedule {
         ShutdownSchedule {
             signalled_at: self.phase.shutdown_since().unwrap_or(self.now),
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Closes the listeners. Connections in a listener's queue would be reset with it, so the queue is emptied first,
-    /// or later if there are no descriptors for it.
+    /// Closes the listeners. Connections in a listener's queue would be reset with it, so the queue is
+    /// emptied first. If there are no descriptors for that, this is tried again until the process may be
+    /// killed.
     fn stop_accepting(&mut self) {
         for role in [Role::Thrift, Role::Signed] {
             while let Some(conn) = self.accept_one(role) {
@@ -65,9 +67,9 @@
         self.listeners.close_clients(&mut self.net);
         self.phase.begin_closing(self.now);
         if self.handover.has_newer() {
-            info!("clients are left to the newer process");
+            info!("listeners closed: the newer process accepts clients");
         } else {
-            info!("no more clients are taken");
+            info!("listeners closed: no more clients are accepted");
         }
         self.thrift.start_draining();
         if let Some(signed) = &mut self.signed {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Whether the process may end.
+    /// Whether the process may end now.
     fn may_end(&self) -> bool {
         let schedule = self.shutdown_schedule();
         if schedule.latest_end() <= self.now {
@@ -105,15 +107,15 @@
             return true;
         }
         if schedule.has_newer {
-            // Connections may still be passed on.
+            // Connections may still be handed over until shortly after the final answers.
             schedule.final_answers_at() + CHECK_INTERVAL < self.now
         } else {
             self.phase.clients_had_time_to_close(self.now)
         }
     }
 
-    /// Answers every open request. With no newer process, what clients have sent by now is read and answered too, and
-    /// then all connections are closed, since some never fall idle.
+    /// Answers every open request. With no newer process, requests that clients have sent by now are read and
+    /// answered too. Then all connections are closed, since some never become idle.
     fn answer_all(&mut self) {
         if self.handover.has_newer() {
             return self.core.time_out_all(self.now, &mut self.deadlines);
@@ -134,7 +136,7 @@
         self.on_thrift_events(events);
     }
 
-    /// Whether every request that was read has its answer, down to the last byte.
+    /// Whether every request that was read has been answered and its answer has been written in full.
     fn is_all_answered(&self) -> bool {
         let signed = self.signed.as_ref().map(|signed| &signed.front);
         self.core.unanswered() == 0
@@ -143,7 +145,7 @@
             && signed.is_none_or(|signed| signed.is_flushed(&self.net))
     }
 
-    /// Ends a process that has stopped.
+    /// Releases the resources of a process whose shutdown is complete, and closes all connections.
     pub fn finish(&mut self) {
         self.handover.close(&mut self.net);
         self.federation.finish();
--- a/src/server/shutdown_schedule.rs
+++ b/src/server/shutdown_schedule.rs
@@ -1,58 +1,59 @@
-//! When the steps of a shutdown are due. The operators' tools end a process by force some time after the signal, and
-//! every step comes before that.
+//! When the steps of a shutdown are due. The operators' tools kill a process some time after the signal to
+//! stop. Every step is scheduled before that.
 
 use crate::interface::{Instant, Span};
 
-/// How often the progress of a shutdown is checked.
+/// Interval between checks of the progress of a shutdown.
 pub(super) const CHECK_INTERVAL: Span = Span::from_millis(20);
-/// Clients are accepted for this long after the signal...
+/// Clients are accepted for at most this long after the signal.
 const ACCEPT_FOR: Span = Span::from_millis(800);
-/// ... and where the forced end is near, for this long at least, in which clients may still send requests...
+/// Clients are accepted for at least this long after the signal, even if the kill time is near, since they
+/// may still send requests in that time.
 const MIN_ACCEPT_FOR: Span = Span::from_millis(600);
-/// ... and until this long before the forced end.
+/// Clients are accepted until this long before the kill time, within the two bounds above.
 const STOP_ACCEPTING_BEFORE_KILL: Span = Span::from_millis(300);
-/// The longest client deadline that the forced end waits for...
+/// The kill time allows for client deadlines up to this one.
 const MAX_CLIENT_DEADLINE: Span = Span::from_secs(3);
-/// ... and the time that it leaves beyond that.
+/// Time between the longest client deadline, counted from the signal, and the kill time.
 const KILL_AFTER_DEADLINE: Span = Span::from_millis(700);
-/// Open requests are answered this long before the forced end...
+/// All open requests are answered this long before the kill time.
 const FINAL_ANSWERS_BEFORE_KILL: Span = Span::from_millis(250);
-/// ... and earlier with a newer process, since their connections are then passed on.
+/// The same with a newer process: earlier, since the connections are handed over afterwards.
 const FINAL_ANSWERS_BEFORE_KILL_WITH_NEWER: Span = Span::from_millis(300);
-/// The process ends this long before the forced end at the latest.
+/// The process ends at least this long before the kill time.
 const END_BEFORE_KILL: Span = Span::from_millis(150);
 
 /// The times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownSchedule {
-    /// When the signal came.
+    /// Time of the signal to stop.
     pub signalled_at: Instant,
-    /// The longest that a client of any class waits for its answer.
+    /// The longest client deadline of all classes.
     pub max_client_deadline: Span,
-    /// Whether a newer process accepts clients.
+    /// Whether there is a newer process, which accepts clients.
     pub has_newer: bool,
 }
 
 impl ShutdownSchedule {
-    /// When the process may be ended by force.
+    /// Returns the kill time, from which on the operators' tools may kill the process.
     pub fn kill_at(self) -> Instant {
         self.signalled_at + self.max_client_deadline.min(MAX_CLIENT_DEADLINE) + KILL_AFTER_DEADLINE
     }
 
-    /// When the listeners are closed, if no newer process accepts clients.
+    /// Returns when the listeners are closed, if there is no newer process.
     pub fn stop_accepting_at(self) -> Instant {
         let before_kill = self.kill_at() - STOP_ACCEPTING_BEFORE_KILL;
         before_kill.clamp(self.signalled_at + MIN_ACCEPT_FOR, self.signalled_at + ACCEPT_FOR)
     }
 
-    /// When every open request is answered, since the forced end is near.
+    /// Returns when all requests that are still open are answered, since the kill time is near.
     pub fn final_answers_at(self) -> Instant {
         let before_kill =
             if self.has_newer { FINAL_ANSWERS_BEFORE_KILL_WITH_NEWER } else { FINAL_ANSWERS_BEFORE_KILL };
         self.kill_at() - before_kill
     }
 
-    /// When the process ends at the latest.
+    /// Returns the latest time at which the process ends.
     pub fn latest_end(self) -> Instant {
         self.kill_at() - END_BEFORE_KILL
     }
--- a/src/server/signed_endpoint.rs
+++ b/src/server/signed_endpoint.rs
@@ -1,4 +1,4 @@
-//! The signed front, where there is one, and the classes of its routes.
+//! The signed front, if it is configured, and the classes of its routes.
 
 use super::listeners::Listeners;
 use super::ServerError;
@@ -9,22 +9,22 @@
 use crate::interface::{ClassId, Span};
 use crate::net::Net;
 
-/// The signed front and what its routes serve.
+/// The signed front and the classes that its routes serve.
 pub(super) struct SignedEndpoint {
-    /// The connections and their requests.
+    /// The front's connections and their requests.
     pub front: SignedFront,
     /// The classes of the routes, by route number.
     pub routes: Vec<RouteClass>,
-    /// Makes the trace ids of requests differ from those of other edge proxies.
+    /// Makes trace ids differ from those of other edge proxies.
     trace_id_seed: u64,
 }
 
-/// What requests of a route are.
+/// Class and deadline of the requests on a route of the signed front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteClass {
-    /// The class.
+    /// Class of the route's requests.
     pub class: ClassId,
-    /// How long an answer is waited for.
+    /// How long a client waits for the answer: the route's own value, otherwise the class's client deadline.
     pub timeout: Span,
 }
 
@@ -41,17 +41,18 @@
         Ok(SignedEndpoint { routes, front: SignedFront::new(signed), trace_id_seed: config.seed })
     }
 
-    /// The id under which servers know a request: no other edge proxy's request has it.
+    /// Returns the id by which servers identify a request. It differs from the ids of other edge proxies'
+    /// requests.
     pub(super) fn trace_id(&self, request_number: u64) -> String {
         format!("{:016x}", self.trace_id_seed ^ request_number.rotate_left(32))
     }
 }
 
-/// The classes of the routes, by route number.
+/// Returns the classes of the routes, by route number.
 ///
 /// # Errors
 ///
-/// A class that is unknown, or that is never cached.
+/// Returns an error if a route's class is not defined in the settings or is never cached.
 pub fn route_classes(signed: &SignedConfig, settings: &SiteSettings) -> Result<Vec<RouteClass>, ServerError> {
     let classes = signed.routes.iter().map(|route| {
         let unusable = || ServerError::Route { path: route.path.clone(), class: route.class.clone() };
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of the signed front, which has checked the clients' credentials: submitted to the core, and answered in the
-//! order in which they came on their connection.
+//! Requests of the signed front, which has checked the clients' credentials. They are submitted to the core,
+//! and answered in the order in which they arrived on their connection.
 
 use super::pending::{Client, PendingRequest};
 use super::requests::proxy_full_rejection;
@@ -16,12 +16,12 @@
 use bytes::Bytes;
 
 impl Server {
-    /// Whether a connection is one of the signed front.
+    /// Whether a connection belongs to the signed front.
     pub(super) fn is_signed_client(&self, conn: ConnectionKey) -> bool {
         self.signed.as_ref().is_some_and(|signed| signed.front.owns(conn))
     }
 
-    /// Handles an event of a connection of the signed front.
+    /// Handles a readiness event of a connection of the signed front.
     pub(super) fn on_signed_ready(&mut self, conn: ConnectionKey, closed: bool) {
         match self.signed.as_mut().filter(|_| closed) {
             Some(signed) => signed.front.on_peer_closed(self.now, conn, &mut self.net, &mut self.deadlines),
@@ -30,7 +30,8 @@
         self.write_signed_answers(conn);
     }
 
-    /// Writes the answers of a connection whose turn it is, each as it is when its first byte is written.
+    /// Writes the answers that are next in order on a connection. The content of each is determined when its
+    /// first byte is written.
     pub(super) fn write_signed_answers(&mut self, conn: ConnectionKey) {
         self.write_ready_answers(conn);
         if self.signed.as_ref().is_some_and(|signed| signed.front.has_unread_requests(conn)) {
--- a/src/server/start.rs
+++ b/src/server/start.rs
@@ -1,4 +1,4 @@
-//! The start of the edge proxy: reads the files, listens, and connects to an older process.
+//! The start of the edge proxy: reads the files, opens the listeners, and connects to an older process.
 
 use super::acceptor::AcceptTimer;
 use super::active_config::ActiveConfig;
@@ -39,23 +39,23 @@
     admission: AdmissionSettings,
 }
 
-/// What the server runs on: the system, or a process of a simulated network.
+/// The environment that the server runs in: the operating system, or a process of a simulated network.
 struct Environment {
     net: Net,
     clock: Clock,
-    /// None in the simulator, which calls the handlers itself.
+    /// `None` in the simulator, which calls the handlers itself.
     signals: Option<Signals>,
 }
 
 impl Server {
-    /// Reads the configuration, listens, and applies the events known at the start.
+    /// Reads the configuration, opens the listeners, and applies the events known at the start.
     ///
     /// # Errors
     ///
-    /// Files, settings or routes that cannot be used, or an address on which listening fails.
+    /// Returns an error if files, settings or routes cannot be used, or if a listener cannot be opened.
     pub fn start(files: Files) -> Result<Self, ServerError> {
         let mut net = Net::new()?;
-        // Before all else, since a signal that comes before it is watched for ends the program.
+        // This comes first, since a signal that arrives before it is watched for kills the process.
         let signals = watch_signals(&mut net)?;
         let admission = files.admission()?;
         let LoadedFiles { config, signed } = files.read()?;
@@ -68,11 +68,12 @@
         Ok(server)
     }
 
-    /// Starts as a process of a simulated network, with the configuration that the files would have held.
+    /// Starts as a process of a simulated network. `config` is the configuration that would otherwise be read
+    /// from the files.
     ///
     /// # Errors
     ///
-    /// Settings or routes that cannot be used.
+    /// Returns an error if settings or routes cannot be used.
     pub fn start_on(fabric: &Fabric, process: u32, config: Config) -> Result<Self, ServerError> {
         let admission = AdmissionSettings::disabled();
         let configuration = Configuration { files: None, config, signed: None, admission };
@@ -107,7 +108,7 @@
         let signed = signed.transpose()?;
         config.admin.map(|addr| listeners.open_admin(addr, &mut net)).transpose()?;
         let budget = ResourceBudget::new(&config.limits, 1);
-        // An older process is taken over from only once nothing can fail any more.
+        // An older process is taken over from only after everything that can fail has succeeded.
         let core = Core::new(config.settings.policy.clone(), config.seed, now)?;
         let handover = open_handover(addr, &mut net);
         Ok(Server {
@@ -141,10 +142,10 @@
             info!("{name} listens on {addr}");
         }
         if let Some(addr) = self.listeners.local_addr(Role::Signed)? {
-            info!("links are served on {addr}");
+            info!("signed front: listening on {addr}");
         }
         if let Some(addr) = self.listeners.local_addr(Role::Admin)? {
-            info!("operators are answered on {addr}");
+            info!("admin endpoint: listening on {addr}");
         }
         Ok(())
     }
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the Thrift front: checked, submitted to the core, and answered.
+//! Requests of the Thrift front: they are checked, submitted to the core, and answered.
 
 use super::pending::{Client, PendingRequest};
 use super::translate::{self, InvalidRequest, RequestFields};
@@ -12,12 +12,13 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// A client counts its deadline from when it sends; until the request is read, about this long passes.
+/// Estimated time between the sending of a request, from which the client counts its deadline, and its
+/// arrival here.
 const CLIENT_TO_PROXY_DELAY: Span = Span::from_millis(12);
-/// The shortest time-out that the core takes.
+/// The shortest time-out with which a request is submitted to the core.
 const MIN_TIMEOUT: Span = Span::from_micros(1);
 
-/// A call on the Thrift front.
+/// Identifies a call on the Thrift front.
 #[derive(Clone, Copy)]
 struct CallId {
     conn: ConnectionKey,
@@ -106,7 +107,7 @@
     ) {
         self.mark_good_standing(conn);
         let RequestFields { class, object, part, group, client_timeout, .. } = request;
-        // The client's deadline runs since the request arrived, which may have waited to be read.
+        // The client's deadline counts from the arrival of the request, which may have waited to be read.
         let waited = self.now - arrived;
         let timeout = (client_timeout - waited - CLIENT_TO_PROXY_DELAY).max(MIN_TIMEOUT);
         let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
@@ -119,7 +120,7 @@
             trace_id: request.trace_id,
             object_name: request.object_name,
             idempotency_key: request.idempotency_key,
-            // A copy: a slice would keep the whole buffer in which the frame came.
+            // This copies the body, since a slice would keep the whole buffer of the frame in memory.
             body: Bytes::copy_from_slice(body),
         };
         self.pending.insert(key, pending);
--- a/src/server/translate/answers.rs
+++ b/src/server/translate/answers.rs
@@ -1,11 +1,11 @@
-//! A final answer as each front's clients get it.
+//! Conversion of a final answer to the protocol of each front.
 
 use crate::core::{CachedCopy, FinalAnswer};
 use crate::front::signed::http::HttpAnswer;
 use crate::front::thrift::codec::ThriftReply;
 use crate::interface::UnixTime;
 
-/// A final answer as clients of the Thrift front get it.
+/// Returns the reply that clients of the Thrift front get.
 pub(in crate::server) fn thrift_reply(answer: FinalAnswer) -> ThriftReply {
     match answer {
         FinalAnswer::Served(copy) => {
@@ -17,7 +17,8 @@
     }
 }
 
-/// A final answer as clients of the signed front get it, at a Unix time; `etags` are those of the client's copies.
+/// Returns the answer that clients of the signed front get. `etags` are the entity tags of the client's
+/// copies, and `now` is the time from which the copy's age is computed.
 pub(in crate::server) fn http_answer(answer: FinalAnswer, etags: &[String], now: UnixTime) -> HttpAnswer {
     match answer {
         FinalAnswer::Served(copy) => served(copy, etags, now),
@@ -25,7 +26,7 @@
             HttpAnswer::bare(504)
         }
         FinalAnswer::Rejected { retry_after, .. } => {
-            // Whole seconds, rounded up: a client that keeps to them is never early.
+            // In whole seconds, rounded up, so that a client that waits this long is never early.
             let seconds = retry_after.as_secs_rounded_up();
             HttpAnswer { retry_after: Some(seconds).filter(|seconds| *seconds > 0), ..HttpAnswer::bare(503) }
         }
--- a/src/server/translate/attempts.rs
+++ b/src/server/translate/attempts.rs
@@ -1,4 +1,4 @@
-//! An attempt as the servers' wire has it, and what its end proves.
+//! Conversion of an attempt to the servers' protocol, and of its end to a result for the core.
 
 use crate::config::settings::ProgramSettings;
 use crate::core::{AttemptEnd, CachedCopy, OutgoingAttempt};
@@ -7,7 +7,7 @@
 use crate::upstream::lines::{WireAnswer, WireRequest};
 use crate::upstream::JobEnd;
 
-/// An attempt as the servers' wire has it.
+/// Returns an attempt as a request of the servers' protocol.
 pub(in crate::server) fn wire_request(
     attempt: &OutgoingAttempt,
     class: &str,
@@ -32,7 +32,8 @@
     }
 }
 
-/// Whole milliseconds: an age is never rounded up, and never to 0, which would mean any age.
+/// Returns an age limit in whole milliseconds. It is never rounded up, except that a positive one is at least
+/// 1, since 0 would allow any age.
 fn max_age_ms(max_age: Span) -> i64 {
     if max_age > Span::ZERO {
         max_age.as_millis().max(1)
@@ -41,7 +42,8 @@
     }
 }
 
-/// The servers compare one entity tag; several are compared when the answer is there.
+/// The servers compare one entity tag. If the client has sent several, they are compared when the answer
+/// arrives.
 fn client_etag(etags: &[String]) -> Option<String> {
     match etags {
         [etag] => Some(etag.clone()),
@@ -49,7 +51,7 @@
     }
 }
 
-/// What the end of an attempt on the wire proves.
+/// Converts the end of an attempt on the wire to what it proves about the attempt.
 pub(in crate::server) fn attempt_end(end: JobEnd, settings: &ProgramSettings) -> AttemptEnd {
     let answer = match end {
         JobEnd::NotConnected => return AttemptEnd::without_details(AttemptResult::ConnectFailed),
@@ -75,7 +77,7 @@
         "404" => AttemptResult::Miss,
         "503" => AttemptResult::Rejected,
         "504" => AttemptResult::NotSent,
-        // 500, dead, and any unknown status: the request may have run.
+        // 500, dead, and any unknown status: the request may have been executed.
         _ => AttemptResult::Error,
     }
 }
@@ -96,8 +98,8 @@
     })
 }
 
-/// How long the body takes at full pace. A copy that is not modified has no body, so its time says nothing of the
-/// object's size.
+/// Returns how long the body takes to transfer at the configured full rate; zero if no rate is configured. An
+/// answer without a body (not modified) has zero too, which says nothing about the object's size.
 fn transfer_time(answer: &WireAnswer, settings: &ProgramSettings) -> Span {
     let micros = answer.body.len() as f64 / settings.transfer_bytes_per_s.max(1.0) * 1_000_000.0;
     if settings.transfer_bytes_per_s > 0.0 {
--- a/src/server/translate/mod.rs
+++ b/src/server/translate/mod.rs
@@ -1,8 +1,8 @@
-//! Translation between messages of the wires and types of the core.
+//! Conversion between protocol messages and types of the core.
 //!
 //! - `request_fields`: the fields of a Thrift request.
-//! - `attempts`: an attempt as the servers' wire has it, and what its end proves.
-//! - `answers`: a final answer as each front's clients get it.
+//! - `attempts`: an attempt in the servers' protocol, and the result of its end.
+//! - `answers`: a final answer in the protocol of each front.
 
 mod answers;
 mod attempts;
--- a/src/server/translate/request_fields.rs
+++ b/src/server/translate/request_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a request of the Thrift front. Fields of other names are ignored.
+//! The fields of a request of the Thrift front. Fields with other names are ignored.
 
 use crate::config::settings::ProgramSettings;
 use crate::interface::{ClassId, GroupId, ObjectId, Span};
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// The longest accepted client time-out, as a multiple of the class's longest client deadline.
+/// Maximum time-out of a client, as a multiple of its class's client deadline.
 const MAX_TIMEOUT_MULTIPLE: i64 = 2;
-/// The shortest accepted client time-out.
+/// Minimum time-out of a client.
 const MIN_TIMEOUT: Span = Span::from_micros(1);
-/// The number of object groups.
+/// Number of object groups; groups are numbered from 0.
 const GROUPS: u32 = 256;
-/// Digits of a trace id and of an object's name.
+/// Number of hex digits of a trace id and of an object's name.
 const HEX_DIGITS: usize = 16;
 
 /// Names of the fields on the wire.
@@ -27,28 +27,28 @@
     pub const IDEMPOTENCY_KEY: &str = "nonce";
 }
 
-/// Why a request is rejected as invalid; the text is the client's answer.
+/// Why a request is rejected as invalid. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(in crate::server) enum InvalidRequest {
     /// A required field is absent.
     #[error("{0} is missing")]
     MissingField(&'static str),
-    /// A field is no number, or outside its range.
+    /// A field is not a number, or is outside its range.
     #[error("{0} is no number of its range")]
     OutOfRange(&'static str),
-    /// A field is not the hex form of 64 bits.
+    /// A field is not 64 bits in hex form.
     #[error("{0} is not 16 hex digits")]
     NotHex(&'static str),
     /// No class has this name.
     #[error("route is unknown")]
     UnknownClass,
-    /// The idempotency key could not be sent on unchanged.
+    /// The idempotency key could not be forwarded unchanged.
     #[error("nonce is no plain word")]
     InvalidIdempotencyKey,
-    /// The body is longer than a request's body may be.
+    /// The body exceeds the maximum length of a request's body.
     #[error("the body is too long")]
     BodyTooLong,
-    /// An open request has this trace id.
+    /// An open request has the same trace id.
     #[error("trace is another's")]
     TraceIdInUse,
 }
@@ -56,27 +56,26 @@
 /// The fields of a client's request.
 #[derive(Debug, PartialEq, Eq)]
 pub(in crate::server) struct RequestFields {
-    /// The class.
     pub class: ClassId,
-    /// The object.
     pub object: ObjectId,
-    /// The part of the object.
+    /// Number of the requested part of the object; 0 if the client names none.
     pub part: u32,
-    /// The object's group.
+    /// The object's group; 0 if the client names none.
     pub group: GroupId,
-    /// How long the client waits, from when it sent the request.
+    /// How long the client waits, counted from when it sent the request.
     pub client_timeout: Span,
-    /// The request's id on every wire.
+    /// The request's id in all protocols.
     pub trace_id: String,
-    /// The object's name on the wire.
+    /// The object's name on the wire, in hex.
     pub object_name: String,
-    /// The entity tag of the client's copy.
+    /// Entity tag of the copy that the client has.
     pub etag: Option<String>,
-    /// The key by which servers recognize a repeat.
+    /// The key by which servers recognize a repeated request.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// The class that a request names, even if the request is invalid otherwise.
+/// Returns the class that a request names, even if the request is invalid otherwise. `None` if it names no
+/// class that is defined.
 pub(in crate::server) fn request_class(
     fields: &BTreeMap<String, String>,
     settings: &ProgramSettings,
@@ -84,7 +83,7 @@
     settings.class(fields.get(field::CLASS)?)
 }
 
-/// Parses the fields of a request.
+/// Parses and checks the fields of a request.
 pub(in crate::server) fn parse_request(
     fields: &BTreeMap<String, String>,
     settings: &ProgramSettings,
@@ -125,12 +124,12 @@
     value.parse().map_err(|_| InvalidRequest::OutOfRange(name))
 }
 
-/// A number that is 0 where the field is absent.
+/// Parses a numeric field; 0 if it is absent.
 fn optional_number(fields: &BTreeMap<String, String>, name: &'static str) -> Result<u32, InvalidRequest> {
     optional(fields, name).map_or(Ok(0), |value| number(name, value))
 }
 
-/// A field that is sent on to another wire unchanged, and so must be nothing but hex digits.
+/// Parses a field of hex digits. It is forwarded to servers unchanged, so it must consist of nothing else.
 fn hex<'a>(
     fields: &'a BTreeMap<String, String>,
     name: &'static str,
--- a/src/server/translate/tests.rs
+++ b/src/server/translate/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of what the messages of one part mean in another.
+//! Tests of the conversions between protocol messages and types of the core.
 
 use super::*;
 use crate::config::settings::{ClassInfo, ProgramSettings};
@@ -52,13 +52,14 @@
 
 #[test]
 fn invalid_request_fields_are_named_in_the_error() {
-    let parsed = parse_request(&fields(&[]), &settings()).expect("valid");
+    let parsed = parse_request(&fields(&[]), &settings()).expect("a valid request");
     assert_eq!((parsed.class, parsed.object, parsed.part), (ClassId(1), ObjectId(0x7f3a_9c21_e0b4_d655), 3));
     assert_eq!((parsed.group, parsed.client_timeout, parsed.etag), (GroupId(17), 1500 * MS, None));
     let bare = parse_request(&fields(&[("slice", None), ("set", None), ("seen", Some("t"))]), &settings())
-        .expect("valid");
+        .expect("a valid request");
     assert_eq!((bare.part, bare.group, bare.etag.as_deref()), (0, GroupId(0), Some("t")));
-    let keyed = parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &settings()).expect("valid");
+    let keyed =
+        parse_request(&fields(&[("nonce", Some("4be0c192-7d"))]), &settings()).expect("a valid request");
     assert_eq!(
         (bare.idempotency_key, keyed.idempotency_key.as_ref().map(|key| key.as_str())),
         (None, Some("4be0c192-7d"))
@@ -86,7 +87,7 @@
         ("set", Some("x")),
         ("set", Some("256")),
     ] {
-        let error = parse_request(&fields(&[(name, value)]), &settings()).expect_err("invalid");
+        let error = parse_request(&fields(&[(name, value)]), &settings()).expect_err("an invalid request");
         assert!(error.to_string().contains(name), "{name} {value:?}: {error}");
     }
 }
--- a/src/server/unix_time/tests.rs
+++ b/src/server/unix_time/tests.rs
@@ -5,7 +5,7 @@
 const MS: Span = Span::from_millis(1);
 const SECOND: Span = Span::from_secs(1);
 const HOUR: Span = Span::from_secs(3600);
-/// The true Unix time at the monotonic clock's second 100_000.
+/// The reading of the monotonic clock at which the true Unix time is `UNIX`: second 100_000.
 const NOW: Instant = Instant::from_micros(100_000_000_000);
 const UNIX: UnixTime = UnixTime::from_secs(1_700_000_000);
 const SERVER: ServerId = ServerId(7);
@@ -21,22 +21,23 @@
     Span::from_secs(-3600),
 ];
 
-/// A reception in service, with the wall clock this much ahead.
+/// A time that is received in service, with the wall clock ahead by `ahead`.
 fn in_service(ahead: Span) -> Reception {
     Reception { now: NOW, unix: UNIX + ahead, is_first: false }
 }
 
-/// A reception at the start.
+/// A time that is received at the start.
 fn at_start(ahead: Span) -> Reception {
     Reception { is_first: true, ..in_service(ahead) }
 }
 
-/// The converter of a process that started with the wall clock this much ahead.
+/// The converter of a process that started with the wall clock ahead by `ahead`.
 fn started(ahead: Span) -> UnixTimeConverter {
     UnixTimeConverter::new(NOW - 9 * SECOND, UNIX + ahead - 9 * SECOND)
 }
 
-/// The same, which has observed a copy that the origin generated 3 ms before, for a request sent 8 ms before.
+/// The same converter after it has recorded a copy that the origin generated 3 ms ago, for a request sent 8
+/// ms ago.
 fn with_bounds(ahead: Span) -> UnixTimeConverter {
     let mut converter = started(ahead);
     converter.observe_copy(NOW, (UNIX.as_millis() - 3) as u64, Some(NOW - 8 * MS));
@@ -67,12 +68,12 @@
             assert_eq!(
                 converter.convert_purge_time(in_service(step), UNIX + 9 * HOUR),
                 NOW,
-                "step {step:?}: one to come is now"
+                "step {step:?}: a purge in the future counts as now"
             );
         }
         let made = with_bounds(Span::ZERO).convert_purge_time(in_service(step), UNIX - 2 * SECOND);
-        let certain = if step > Span::ZERO { NOW - 2 * SECOND + 3 * MS } else { made };
-        assert_eq!(made, certain, "step {step:?}: no later than the bounds say");
+        let latest = if step > Span::ZERO { NOW - 2 * SECOND + 3 * MS } else { made };
+        assert_eq!(made, latest, "step {step:?}: no later than the bounds allow");
     }
 }
 
@@ -81,10 +82,10 @@
     for step in STEPS {
         let made = with_bounds(step).convert_purge_time(in_service(step), UNIX - 2 * SECOND);
         assert!((NOW - 2 * SECOND..=NOW).contains(&made), "step {step:?}: {made:?}");
-        // As long as there is no bound, by a step that makes it look long ago.
+        // Without bounds, a purge counts as now if the step makes it look old.
         let made = started(step).convert_purge_time(in_service(step), UNIX);
         assert!(made == NOW || (Span::ZERO..=MAX_FEED_DELAY).contains(&step), "step {step:?}: {made:?}");
-        // Known at the start: whatever the clock reads.
+        // A purge known at the start counts as now, whatever the wall clock reads.
         assert_eq!(started(step).convert_purge_time(at_start(step), UNIX - 2 * SECOND), NOW, "step {step:?}");
     }
 }
@@ -99,25 +100,25 @@
 
 #[test]
 fn server_start_is_converted_once_and_never_too_early() {
-    // At the start: by the wall clock, whatever it reads.
+    // At the start, the wall clock is used, whatever it reads.
     let mut converter = started(Span::ZERO);
     assert_eq!(
         converter.convert_start_time(at_start(Span::ZERO), SERVER, UNIX - 60 * SECOND),
         NOW - 60 * SECOND
     );
-    // Stated again, after a step: the same instant.
+    // If the same start is stated again after a step, the instant stays the same.
     assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - 60 * SECOND), NOW - 60 * SECOND);
-    // A start to come counts as now.
+    // A start in the future counts as now.
     assert_eq!(started(Span::ZERO).convert_start_time(at_start(-HOUR), SERVER, UNIX), NOW);
-    // A new start, which a stepped clock makes look long ago, with and without a bound.
+    // A new start that a stepped clock makes look old, with and without bounds.
     for before in [Span::ZERO, HOUR] {
         let mut converter = started(before);
         assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
-        // A server that came back is converted anew.
+        // The start of a server that was removed and came back is converted again.
         converter.forget(SERVER);
         assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
-        let certain = NOW - SECOND + 3 * MS;
-        assert_eq!(with_bounds(before).convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), certain);
+        let latest = NOW - SECOND + 3 * MS;
+        assert_eq!(with_bounds(before).convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), latest);
     }
 }
 
--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -123,7 +123,7 @@
     let old = rig.running.remove(&leader).expect("it runs");
     let file = rig.file(leader).display().to_string();
     let proxy = old.proxy.newer(&["--admin", "127.0.0.1:0", "--federation", &file]);
-    let admin = address(&proxy.logged("operators are answered on "));
+    let admin = address(&proxy.logged("admin endpoint: listening on "));
     let listen = address(&proxy.logged("federation listens on "));
     old.proxy.logged("federation: left to a newer process");
     let new = crate::rig::Running { proxy, admin, listen };
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -119,7 +119,7 @@
         let name = format!("{}-{id}", self.name);
         let caches = [&self.caches[0], &self.caches[1]];
         let proxy = Proxy::start(&name, &caches, str::to_owned, &["--admin", "127.0.0.1:0"]);
-        let admin = address(&proxy.logged("operators are answered on "));
+        let admin = address(&proxy.logged("admin endpoint: listening on "));
         self.running.insert(id, Running { proxy, admin, listen: admin });
     }
 
@@ -144,7 +144,7 @@
         let file = self.file(id).display().to_string();
         let more = ["--admin", "127.0.0.1:0", "--federation", &file];
         let proxy = Proxy::start(&name, &[&self.caches[0], &self.caches[1]], str::to_owned, &more);
-        let admin = proxy.logged("operators are answered on ");
+        let admin = proxy.logged("admin endpoint: listening on ");
         let admin = address(&admin);
         (proxy, admin)
     }
--- a/tests/sockets/admission.rs
+++ b/tests/sockets/admission.rs
@@ -161,12 +161,12 @@
     // Below what it holds: no new descriptor can be had, but by giving the spare up.
     limit_descriptors(&proxy, descriptors(&proxy) - 2);
     let flood: Vec<TcpStream> = (0..30).map(|_| from("127.0.0.6", proxy.addr)).collect();
-    assert!(proxy.logged("descriptors: out").contains("accepts pause"));
+    assert!(proxy.logged("descriptors: exhausted").contains("accepting pauses"));
     open.answer("200", "ver=a", b"x");
     assert_eq!(player.reply(), (1, served(b"x")), "the item taken before gets its one answer");
     drop(flood);
     limit_descriptors(&proxy, 1024);
-    assert!(proxy.logged("descriptors: episode over").contains("accepts failed"));
+    assert!(proxy.logged("descriptors: no longer exhausted").contains("accepts failed"));
     let mut later = Client::new(&proxy);
     assert!(later.ping(1), "once descriptors are back, connections are taken again");
 }
@@ -186,7 +186,7 @@
     let new = old.newer(&more);
     old.logged("a newer process takes over");
     old.signal("-TERM");
-    old.logged("clients are left to the newer process");
+    old.logged("listeners closed: the newer process accepts clients");
     assert!(players.iter_mut().all(|player| player.ping(2)), "handed on, they go on");
     let mut old = old;
     assert!(old.child.wait().expect("an end").success());
--- a/tests/sockets/links.rs
+++ b/tests/sockets/links.rs
@@ -60,7 +60,7 @@
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let more = [&["--signed", file.to_str().expect("a path")][..], extra].concat();
     let proxy = Proxy::start(name, &[&cache, &parent], change, &more);
-    let addr = proxy.logged("links are served on ").parse().expect("an address");
+    let addr = proxy.logged("signed front: listening on ").parse().expect("an address");
     Site { cache, _parent: parent, proxy, addr, file }
 }
 
@@ -406,7 +406,7 @@
     let without = |text: &str| text.replace("\"name\": \"replay\"", "\"name\": \"table\"");
     site.proxy.rewrite(without);
     site.proxy.signal("-HUP");
-    site.proxy.logged("class \"replay\" is unknown or never kept; the old configuration stays");
+    site.proxy.logged("class \"replay\" is not defined in the settings or is never cached; the old configuration stays");
     std::fs::write(&site.file, OPERATOR.replace("class = \"replay\"", "class = \"table\"")).expect("a file");
     site.proxy.signal("-HUP");
     site.proxy.logged("reloaded: ");
@@ -432,10 +432,10 @@
     let operator = OPERATOR.replace("127.0.0.1:0", &site.addr.to_string());
     std::fs::write(&site.file, operator).expect("a file");
     let new = site.proxy.newer(&["--signed", site.file.to_str().expect("a path")]);
-    new.logged("links are served on ");
+    new.logged("signed front: listening on ");
     site.proxy.logged("a newer process takes over");
     site.proxy.signal("-TERM");
-    site.proxy.logged("clients are left to the newer process");
+    site.proxy.logged("listeners closed: the newer process accepts clients");
     assert_eq!(idle.rest(), b"", "it ends between requests");
     open.answer("200", "ver=a", b"open");
     let last = busy.answer();
--- a/tests/sockets/operators.rs
+++ b/tests/sockets/operators.rs
@@ -12,7 +12,7 @@
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let opened = |text: &str| change(text).replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
     let proxy = Proxy::start(name, &[&cache, &parent], opened, &[]);
-    let addr = proxy.logged("operators are answered on ").parse().expect("an address");
+    let addr = proxy.logged("admin endpoint: listening on ").parse().expect("an address");
     (cache, parent, proxy, addr)
 }
 
--- a/tests/sockets/platform.rs
+++ b/tests/sockets/platform.rs
@@ -564,7 +564,7 @@
     proxy.logged("event 3: ");
     proxy.rewrite(|text| format!("{{{}", text.replace("\"my_zone\": 1", "\"my_zone\": 0")));
     proxy.signal("-HUP");
-    assert!(proxy.logged("reloaded: feed ").ends_with("the rest waits for a start"));
+    assert!(proxy.logged("reloaded: feed ").ends_with("the other changes take effect at the next start"));
     proxy.signal("-TERM");
     proxy.logged("stopping");
     let third = next_feed(&proxy, &[hosts.to_vec(), hosts.to_vec()].concat());
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -24,11 +24,11 @@
         busy.send(&request(20, "result"));
         let mut open = cache.next();
         let new = old.newer(&["--admin", "127.0.0.1:0"]);
-        let addr = new.logged("operators are answered on ").parse().expect("an address");
+        let addr = new.logged("admin endpoint: listening on ").parse().expect("an address");
         assert_eq!((new.addr, get(&new, addr, "/healthcheck").0), (old.addr, 200));
         old.logged("a newer process takes over");
         old.signal("-TERM");
-        old.logged("clients are left to the newer process");
+        old.logged("listeners closed: the newer process accepts clients");
         // Only the newer process listens now, and what was idle is its.
         let mut next = ask(&new, &cache, 30);
         idle.send(&request(11, "replay"));
@@ -59,16 +59,16 @@
 fn a_newer_process_that_ends_early_leaves_the_older_one_serving_and_to_be_found() {
     let (cache, _parent, old, _) = admin("early", str::to_owned);
     let new = old.newer(&["--admin", "127.0.0.1:0"]);
-    new.logged("operators are answered on ");
+    new.logged("admin endpoint: listening on ");
     old.logged("a newer process takes over");
     drop(new);
     old.logged("the newer process has ended");
     ask(&old, &cache, 1);
     let next = old.newer(&["--admin", "127.0.0.1:0"]);
-    next.logged("operators are answered on ");
+    next.logged("admin endpoint: listening on ");
     old.logged("a newer process takes over");
     old.signal("-TERM");
-    old.logged("clients are left to the newer process");
+    old.logged("listeners closed: the newer process accepts clients");
     ask(&next, &cache, 2);
 }
 
@@ -79,7 +79,7 @@
     old.child.kill().expect("killed");
     old.child.wait().expect("an end");
     let new = old.newer(&["--admin", "127.0.0.1:0"]);
-    new.logged("operators are answered on ");
+    new.logged("admin endpoint: listening on ");
     ask(&new, &cache, 1);
     let next = new.newer(&["--admin", "127.0.0.1:0"]);
     new.logged("a newer process takes over");
@@ -94,10 +94,10 @@
     busy.send(&request(1, "result"));
     let mut open = cache.next();
     let new = old.newer(&["--admin", "127.0.0.1:0"]);
-    new.logged("operators are answered on ");
+    new.logged("admin endpoint: listening on ");
     old.logged("a newer process takes over");
     old.signal("-TERM");
-    old.logged("clients are left to the newer process");
+    old.logged("listeners closed: the newer process accepts clients");
     drop(new);
     old.logged("the newer process has ended");
     open.answer("200", "ver=a", b"ran");
