--- a/src/server/budget/tests.rs
+++ b/src/server/budget/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Otherwise clients that read their answers slowly would cause all other requests to be rejected.
+/// Without the lower limit, clients that read their answers slowly would cause all other requests to be
+/// rejected.
 #[test]
 fn slow_readers_are_rejected_before_others() {
     let budget = ResourceBudget::new(&ProcessLimits { memory_mb: 48, sockets: 384 }, 1);
