--- a/src/server/translate/attempts.rs
+++ b/src/server/translate/attempts.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// The servers compare one entity tag. If the client has sent several, they are compared when the answer
-/// arrives.
+/// Returns the entity tag that the server is to compare. Servers compare only one; if the client has sent
+/// several, they are compared when the answer arrives.
 fn client_etag(etags: &[String]) -> Option<String> {
     match etags {
         [etag] => Some(etag.clone()),
