--- a/tests/sockets/links.rs
+++ b/tests/sockets/links.rs
@@ -406,7 +406,9 @@
     let without = |text: &str| text.replace("\"name\": \"replay\"", "\"name\": \"table\"");
     site.proxy.rewrite(without);
     site.proxy.signal("-HUP");
-    site.proxy.logged("class \"replay\" is not defined in the settings or is never cached; the old configuration stays");
+    site.proxy.logged(
+        "class \"replay\" is not defined in the settings or is never cached; the old configuration stays",
+    );
     std::fs::write(&site.file, OPERATOR.replace("class = \"replay\"", "class = \"table\"")).expect("a file");
     site.proxy.signal("-HUP");
     site.proxy.logged("reloaded: ");
