--- a/src/server/acceptor.rs
+++ b/src/server/acceptor.rs
@@ -163,7 +163,7 @@
             return self.accept_at(retry_at);
         }
         let backoff = self.admission.rules.exhaustion.accept_failed(self.now);
-        if backoff.began {
+        if backoff.starts_episode {
             warn!(
                 "descriptors: exhausted ({error}); accepting pauses, and one connection at a time is refused \
                  with the spare descriptor"
@@ -182,7 +182,7 @@
     /// Ends an episode of exhaustion: an accept returned a connection, or found none waiting.
     fn on_accept_succeeded(&mut self) {
         if let Some(ended) = self.admission.rules.exhaustion.accept_succeeded(self.now) {
-            let (ms, tries, shed) = (ended.lasted.as_millis(), ended.failed_accepts, ended.shed);
+            let (ms, tries, shed) = (ended.duration.as_millis(), ended.failed_accepts, ended.shed);
             info!(
                 "descriptors: no longer exhausted after {ms} ms; {tries} accepts failed, {shed} connections were \
                  refused"
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -137,13 +137,13 @@
             );
         }
         let stays_open =
-            self.admission.rules.answers_rejected(self.admission.refused.len(), free_descriptors);
+            self.admission.rules.can_answer_rejected(self.admission.refused.len(), free_descriptors);
         self.refuse_connection(role, conn, retry_after, stays_open);
     }
 
     /// Puts a connection in good standing, since the edge proxy answers one of its calls.
     pub(super) fn mark_good_standing(&mut self, conn: ConnectionKey) {
-        self.admission.rules.good(self.now, ConnectionId(conn.number()));
+        self.admission.rules.set_good_standing(self.now, ConnectionId(conn.number()));
     }
 
     /// Removes the state of connections that have been closed.
@@ -153,7 +153,7 @@
             return; // no descriptor came free, so the spare cannot be opened now either
         }
         for key in closed {
-            self.admission.rules.closed(ConnectionId(key.number()));
+            self.admission.rules.remove(ConnectionId(key.number()));
             self.admission.refused.remove(&key);
         }
         self.admission.open_spare_descriptor();
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -86,7 +86,7 @@
                 self.upstream.cancel(self.now, JobId(attempt.number()), &mut self.net, &mut self.deadlines);
             }
             Command::AnswerRequest(request) => self.answer_request(request),
-            Command::HealthCheck(server) => self.upstream.health_check(self.now, server),
+            Command::HealthCheck(server) => self.upstream.queue_health_check(self.now, server),
             Command::CloseIdleConnections(server) => {
                 self.upstream.close_idle(self.now, server, &mut self.net, &mut self.deadlines);
             }
@@ -104,13 +104,13 @@
         let counted_class = Some(class).filter(|_| self.core.is_cache(server));
         let job = JobId(attempt.number());
         let queued = QueuedRequest { job, server, wire_id, queue, counted_class };
-        self.upstream.queue(self.now, queued);
+        self.upstream.queue_request(self.now, queued);
     }
 
     fn answer_request(&mut self, request: RequestKey) {
         match self.pending.get(request).map(|pending| pending.client) {
             Some(Client::Thrift { conn, seqid }) => {
-                let Some(answer) = self.core.answer_now(self.now, request) else { return };
+                let Some(answer) = self.core.current_answer(self.now, request) else { return };
                 self.on_answer_begun(request);
                 self.answer_call(conn, seqid, translate::thrift_reply(answer));
             }
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -57,23 +57,23 @@
         let share = self.handover.process_share();
         self.budget = ResourceBudget::new(&self.config.limits, share.processes);
         self.upstream.set_limits(self.budget.pool_limits(&self.config.settings.program));
-        self.upstream.trim(self.now, &mut self.net, &mut self.deadlines);
+        self.upstream.close_excess_idle(self.now, &mut self.net, &mut self.deadlines);
         self.core.set_process_share(share.processes as u32, share.position as u32);
     }
 
     /// Reads and checks all files first, so that [`Server::apply`] cannot fail halfway.
     fn check_files(&self, files: &Files) -> Result<CheckedConfig, ServerError> {
-        let admission = files.admission()?;
+        let admission = files.read_admission()?;
         let federation = self.federation.check(files)?;
         let LoadedFiles { config, signed } = files.read()?;
-        if let Some(key) = self.config.keys.difference(&config.keys).next() {
+        if let Some(key) = self.config.keys.difference(&config.key_paths).next() {
             return Err(ConfigError::invalid(
                 &files.config,
                 format!("key {key:?} is missing, but the configuration in force has it"),
             )
             .into());
         }
-        let Config { name, listen, limits, feed, keys, settings, .. } = config;
+        let Config { name, listen, limits, feed, key_paths: keys, settings, .. } = config;
         let reconfigured = settings.reconfigure(&self.config.settings);
         let Reconfiguration { settings, needs_restart } =
             reconfigured.map_err(|error| ConfigError::invalid(&files.config, error))?;
