--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -61,7 +61,7 @@
                 .net
                 .hand_over(self.now, conn, |stream, unused| handover.hand_over_connection(stream, unused))
             {
-                self.thrift.handed_over(conn, &mut self.deadlines);
+                self.thrift.remove_handed_over(conn, &mut self.deadlines);
             }
         }
     }
