--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -70,7 +70,7 @@
             }
         }
         for entry in entries.iter().filter(|entry| entry.state == ServerState::Removed) {
-            self.members.forget(entry.server);
+            self.members.remove(entry.server);
         }
         let lost_ready = !ready_before.is_subset(&self.ready());
         let kind = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
--- a/src/deadlines/tests.rs
+++ b/src/deadlines/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn they_fall_in_order_and_not_when_taken_back() {
+fn deadlines_pass_in_order_unless_removed() {
     let mut deadlines: Deadlines<char> = Deadlines::default();
     let schedule: &mut dyn Schedule<char> = &mut deadlines;
     schedule.add(at(20), 'c');
--- a/src/expect/question.rs
+++ b/src/expect/question.rs
@@ -4,7 +4,7 @@
 use super::explore::at_point;
 use super::site::Site;
 use crate::interface::{ClassId, ObjectId, ZoneId};
-use crate::spread::next;
+use crate::splitmix64::next;
 use std::collections::BTreeMap;
 
 /// Seeds the sampled objects of classes; the class's number is added.
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -84,7 +84,7 @@
 
     /// Sends a frame; `false`: it does not fit.
     fn send(&mut self, net: &mut Net, connection: ConnectionKey, frame: &Frame) -> Result<bool, Reason> {
-        if net.unwritten(connection) >= MAX_QUEUE_BYTES {
+        if net.unwritten_bytes(connection) >= MAX_QUEUE_BYTES {
             return Ok(false);
         }
         match wire::encode(frame, Some(&mut self.sending)) {
@@ -266,8 +266,8 @@
                 return;
             }
             let reason = match got {
-                Ok(got) if got.more => continue,
-                Ok(got) if got.end => Reason::PeerClosed,
+                Ok(got) if got.is_buffer_full => continue,
+                Ok(got) if got.has_peer_ended => Reason::PeerClosed,
                 Ok(_) => return,
                 Err(reason) => reason,
             };
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -50,7 +50,7 @@
         match self {
             Rejection::TooMany => Reason::TooMany,
             Rejection::Malformed(_) => Reason::BadMessage,
-            _ => Reason::Refused,
+            _ => Reason::Rejected,
         }
     }
 }
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -124,7 +124,7 @@
             match catch_unwind(AssertUnwindSafe(|| self.run_once(instructions, woken, &mut ready))) {
                 Ok(true) => {}
                 Ok(false) => break,
-                Err(panic) => self.halt(&HaltReason::Panic(crate::caught::text(&*panic))),
+                Err(panic) => self.halt(&HaltReason::Panic(crate::panics::message(&*panic))),
             }
         }
         let now = self.now();
--- a/src/feed/reading.rs
+++ b/src/feed/reading.rs
@@ -53,10 +53,10 @@
                 self.send_poll(now, net, deadlines);
             }
             let progress = progress?;
-            if progress.end {
+            if progress.has_peer_ended {
                 return Err(Reason::PeerClosed);
             }
-            if !progress.more {
+            if !progress.is_buffer_full {
                 return Ok(());
             }
         }
@@ -96,14 +96,14 @@
     progress: Result<ReadProgress, Reason>,
     net: &mut Net,
 ) -> Result<Option<HttpResponse>, Reason> {
-    let is_at_end = progress.is_ok_and(|progress| progress.end);
+    let is_at_end = progress.is_ok_and(|progress| progress.has_peer_ended);
     let Some(parsed) = net.input(key, |input| http::parse_response(input, is_at_end)) else {
         return Ok(None);
     };
     match parsed {
         Ok(Some(response)) => Ok(Some(response)),
         // A full buffer that holds no complete response cannot take the rest of one.
-        Ok(None) if progress.is_ok_and(|progress| progress.more) => Err(Reason::Oversize),
+        Ok(None) if progress.is_ok_and(|progress| progress.is_buffer_full) => Err(Reason::Oversize),
         Ok(None) => Ok(None),
         Err(MalformedResponse) => Err(Reason::BadMessage),
     }
--- a/src/front/admin/mod.rs
+++ b/src/front/admin/mod.rs
@@ -151,7 +151,7 @@
         match net.input(conn, take_call).unwrap_or(Ok(None)) {
             Ok(Some(call)) => return Some(call),
             // The caller sends nothing more, so the incomplete head is never completed.
-            Ok(None) if progress.end => self.close(now, conn, Reason::PeerClosed, net, deadlines),
+            Ok(None) if progress.has_peer_ended => self.close(now, conn, Reason::PeerClosed, net, deadlines),
             Ok(None) => {}
             Err(status) => self.answer(now, conn, AdminAnswer::status_only(status), net, deadlines),
         }
--- a/src/front/lingering.rs
+++ b/src/front/lingering.rs
@@ -8,7 +8,7 @@
 
 /// Shuts down the write side if all answers are written. Returns whether they are.
 pub(super) fn shut_down_if_flushed(conn: ConnectionKey, net: &mut Net) -> bool {
-    let is_flushed = net.unwritten(conn) == 0;
+    let is_flushed = net.unwritten_bytes(conn) == 0;
     if is_flushed {
         net.shutdown(conn);
     }
@@ -22,5 +22,5 @@
 /// The connection is broken.
 pub(super) fn flush_and_drop_input(conn: ConnectionKey, net: &mut Net) -> Result<bool, Reason> {
     net.flush(conn)?;
-    net.ended(conn)
+    net.has_peer_ended(conn)
 }
--- a/src/front/sessions.rs
+++ b/src/front/sessions.rs
@@ -66,8 +66,9 @@
     /// Returns the connection to evict first among those that are idle: no request is open and all bytes are
     /// written.
     pub fn eviction_candidate(&self, net: &Net) -> Option<ConnectionKey> {
-        let is_idle =
-            |(conn, session): &(ConnectionKey, &S)| !session.has_open_requests() && net.unwritten(*conn) == 0;
+        let is_idle = |(conn, session): &(ConnectionKey, &S)| {
+            !session.has_open_requests() && net.unwritten_bytes(*conn) == 0
+        };
         first_to_evict(self.iter().filter(is_idle))
     }
 
--- a/src/front/signed/answering.rs
+++ b/src/front/signed/answering.rs
@@ -32,7 +32,7 @@
     ) -> Option<RequestHandle> {
         loop {
             let session = self.sessions.get_mut(conn)?;
-            if net.unwritten(conn) > 0 {
+            if net.unwritten_bytes(conn) > 0 {
                 return None;
             }
             match &session.requests.front()?.state {
@@ -59,7 +59,7 @@
         let Some(session) = self.sessions.get_mut(conn) else { return false };
         let Some(request) = session.requests.front() else { return false };
         let parts = http::encode_answer(&answer, request.head_only, request.keep_alive, net.unix_time());
-        match net.begin(conn, parts) {
+        match net.try_write(conn, parts) {
             Ok(false) => return false,
             Ok(true) => {}
             Err(reason) => {
--- a/src/front/signed/closing.rs
+++ b/src/front/signed/closing.rs
@@ -62,8 +62,8 @@
     ) {
         let next_check = now + self.check_interval();
         let Some(session) = self.sessions.get_mut(conn) else { return };
-        let written_bytes = net.wrote(conn);
-        let is_stalled = net.unwritten(conn) > 0 && written_bytes == session.written_bytes;
+        let written_bytes = net.written_bytes(conn);
+        let is_stalled = net.unwritten_bytes(conn) > 0 && written_bytes == session.written_bytes;
         let is_idle = session.requests.is_empty() && session.last_active + self.config.idle_timeout <= now;
         session.written_bytes = written_bytes;
         session.check_deadline = deadlines.add(next_check, SessionDeadline::Check(conn));
--- a/src/front/signed/mod.rs
+++ b/src/front/signed/mod.rs
@@ -118,7 +118,9 @@
 
     /// Whether all requests are answered and all answers written.
     pub fn is_flushed(&self, net: &Net) -> bool {
-        self.sessions.iter().all(|(conn, session)| session.requests.is_empty() && net.unwritten(conn) == 0)
+        self.sessions
+            .iter()
+            .all(|(conn, session)| session.requests.is_empty() && net.unwritten_bytes(conn) == 0)
     }
 
     /// Whether a request is still open. Its client may have closed the connection right after the request, in
--- a/src/front/signed/reading.rs
+++ b/src/front/signed/reading.rs
@@ -58,7 +58,7 @@
             if progress.bytes > 0 {
                 session.last_active = now;
             }
-            if progress.end {
+            if progress.has_peer_ended {
                 return Err(if session.is_lingering { Reason::Done } else { Reason::PeerClosed });
             }
             self.take_heads(now, conn, net, deadlines, events);
@@ -69,7 +69,7 @@
             }
             // The rest is read once fewer requests are open; no event announces it.
             session.has_unread = !session.ends_after_answers && session.requests.len() >= MAX_OPEN_REQUESTS;
-            if session.ends_after_answers || session.has_unread || !progress.more {
+            if session.ends_after_answers || session.has_unread || !progress.is_buffer_full {
                 return Ok(());
             }
         }
--- a/src/front/thrift/closing.rs
+++ b/src/front/thrift/closing.rs
@@ -53,8 +53,8 @@
     ) -> TimeoutCheck {
         let Some(session) = self.sessions.get_mut(conn) else { return TimeoutCheck::Passed };
         session.check_deadline = deadlines.add(now + CHECK_INTERVAL, SessionDeadline(conn));
-        let written_bytes = net.wrote(conn);
-        let has_unwritten = net.unwritten(conn) > 0;
+        let written_bytes = net.written_bytes(conn);
+        let has_unwritten = net.unwritten_bytes(conn) > 0;
         if written_bytes != session.written_bytes || !has_unwritten {
             session.written_bytes = written_bytes;
             session.last_write_progress = now;
@@ -91,7 +91,7 @@
         deadlines: &mut dyn Schedule<SessionDeadline>,
     ) -> Vec<ThriftEvent> {
         let Some(session) = self.sessions.get_mut(conn) else { return Vec::new() };
-        if net.wrote(conn) == 0 {
+        if net.written_bytes(conn) == 0 {
             return self.close(now, conn, reason, net, deadlines); // no answer that a reset could discard
         }
         info!("conn={conn} closing gracefully: {}", reason.code());
--- a/src/front/thrift/handover.rs
+++ b/src/front/thrift/handover.rs
@@ -58,7 +58,7 @@
                 }
                 _ => {}
             }
-            if session.open_requests.is_empty() && net.unwritten(conn) == 0 {
+            if session.open_requests.is_empty() && net.unwritten_bytes(conn) == 0 {
                 ready.push(conn);
             }
         }
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -119,7 +119,7 @@
     }
 
     /// Removes and returns the next connection that may have more to read than its last turn allowed.
-    pub fn next_turn(&mut self) -> Option<ConnectionKey> {
+    pub fn next_readable_connection(&mut self) -> Option<ConnectionKey> {
         let conn = self.turns.pop_front()?;
         if let Some(session) = self.sessions.get_mut(conn) {
             session.is_queued = false;
@@ -128,13 +128,13 @@
     }
 
     /// Returns the number of connections that wait for a turn.
-    pub fn waiting_turns(&self) -> usize {
+    pub fn connections_with_more_to_read(&self) -> usize {
         self.turns.len()
     }
 
     /// Whether all answers are written on all connections.
     pub fn is_flushed(&self, net: &Net) -> bool {
-        self.sessions.iter().all(|(conn, _)| net.unwritten(conn) == 0)
+        self.sessions.iter().all(|(conn, _)| net.unwritten_bytes(conn) == 0)
     }
 
     /// Whether a request is still open. Its client may have closed the connection right after the request, in
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -104,7 +104,7 @@
             let Some(session) = self.sessions.get_mut(conn) else { return Ok(()) };
             // If too much is unwritten, the write event that follows once the client takes bytes triggers the
             // next read.
-            if session.paused_since.is_some() || net.unwritten(conn) >= MAX_UNWRITTEN_BYTES {
+            if session.paused_since.is_some() || net.unwritten_bytes(conn) >= MAX_UNWRITTEN_BYTES {
                 return self.read_cancellations(now, conn, net, events);
             }
             session.scanned_bytes = 0;
@@ -118,14 +118,14 @@
             } else {
                 None
             };
-            if turn_end == TurnEnd::LimitReached || (progress.more && taken > 0) {
+            if turn_end == TurnEnd::LimitReached || (progress.is_buffer_full && taken > 0) {
                 session.queue(conn, &mut self.turns);
                 return Ok(());
             }
-            if progress.end {
+            if progress.has_peer_ended {
                 return Err(Reason::PeerClosed);
             }
-            if !progress.more {
+            if !progress.is_buffer_full {
                 return Ok(());
             }
         }
@@ -167,7 +167,7 @@
             let handles = cancelled.into_iter().filter_map(|seqid| open_requests.remove(&seqid)).flatten();
             events.extend(handles.map(ThriftEvent::Cancelled));
         }
-        if progress.end {
+        if progress.has_peer_ended {
             return Err(Reason::PeerClosed);
         }
         Ok(())
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -125,7 +125,7 @@
             && self.lingering_since.is_none()
             && !self.is_queued
             && self.open_requests.is_empty()
-            && net.unwritten(conn) == 0
+            && net.unwritten_bytes(conn) == 0
             && !has_unused_input(net)
     }
 
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -135,7 +135,7 @@
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     let hand_over = |fixture: &mut Fixture, now, max_open, is_end_near| {
         let all = fixture.front.connections_to_hand_over(now, max_open, is_end_near, &fixture.net);
-        (all.len(), fixture.session().paused_since.is_some(), fixture.front.waiting_turns())
+        (all.len(), fixture.session().paused_since.is_some(), fixture.front.connections_with_more_to_read())
     };
     assert_eq!(
         hand_over(&mut fixture, at(10 * US), 0, false),
@@ -155,7 +155,7 @@
         "the unread request is queued for its turn"
     );
     assert_eq!(hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE - US, 1, false), (0, false, 1));
-    assert_eq!(fixture.front.next_turn(), Some(fixture.conn));
+    assert_eq!(fixture.front.next_readable_connection(), Some(fixture.conn));
     assert_eq!(fixture.send(start + HANDOVER_PAUSE, &[]).len(), 1);
     assert_eq!(
         hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE, 1, false),
@@ -228,7 +228,7 @@
     fixture.send(at(20 * US), &message[..9]);
     fixture.send(at(30 * US), &message[9..]);
     fixture.front.connections_to_hand_over(at(10 * US + HANDOVER_PAUSE), 1, false, &fixture.net);
-    assert_eq!(fixture.front.next_turn(), Some(fixture.conn));
+    assert_eq!(fixture.front.next_readable_connection(), Some(fixture.conn));
     let events = fixture.front.on_ready(
         at(10 * US + HANDOVER_PAUSE),
         fixture.conn,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,7 +12,6 @@
 struct Readme;
 
 pub mod admission;
-pub mod caught;
 pub mod config;
 pub mod control;
 pub mod core;
@@ -26,12 +25,13 @@
 pub mod lab;
 
 pub mod net;
+pub mod panics;
 pub mod policy;
 pub mod server;
 pub mod server_names;
 pub mod sim;
 pub mod slots;
-pub mod spread;
+pub mod splitmix64;
 pub mod standin;
 pub mod trace;
 pub mod upstream;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -24,7 +24,7 @@
 
 impl Clock {
     /// The clock of a simulated network.
-    pub fn of(fabric: &Fabric) -> Self {
+    pub fn simulated(fabric: &Fabric) -> Self {
         Clock { fabric: Some(fabric.clone()), ..Clock::default() }
     }
 
@@ -46,7 +46,7 @@
 
 impl WallClock {
     /// The wall clock of a simulated network's processes.
-    pub fn of(fabric: &Fabric) -> Self {
+    pub fn simulated(fabric: &Fabric) -> Self {
         WallClock { fabric: Some(fabric.clone()) }
     }
 
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_monotonic_clock_is_no_unix_time_and_does_not_go_back() {
+fn monotonic_clock_is_not_unix_time_and_never_goes_back() {
     let (clock, wall) = (Clock::default(), WallClock::default());
     let (first, unix) = (clock.now(), wall.now());
     assert!((START..START + Span::from_secs(60)).contains(&first), "{first:?}");
@@ -12,10 +12,10 @@
 }
 
 #[test]
-fn a_step_of_the_simulated_wall_clock_leaves_the_monotonic_one_alone() {
+fn wall_clock_steps_leave_the_monotonic_clock_unchanged() {
     let fabric =
         Fabric::new(Instant::ZERO + Span::from_secs(5), 1, Span::from_millis(1)..=Span::from_millis(1));
-    let (clock, wall) = (Clock::of(&fabric), WallClock::of(&fabric));
+    let (clock, wall) = (Clock::simulated(&fabric), WallClock::simulated(&fabric));
     let both = || (clock.now(), wall.now());
     let at = |since_zero, unix| (Instant::ZERO + Span::from_secs(since_zero), UnixTime::from_secs(unix));
     assert_eq!(both(), at(5, 5));
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -24,7 +24,7 @@
         let succeeded =
             self.connection(key).is_some_and(|connection| to(&connection.stream, &connection.input));
         if succeeded {
-            self.close(now, key, Reason::HandedOn);
+            self.close(now, key, Reason::HandedOver);
         }
         succeeded
     }
@@ -43,7 +43,7 @@
     pub fn close(&mut self, now: Instant, key: ConnectionKey, reason: Reason) {
         let is_client = self.connection(key).is_some_and(|connection| connection.role.is_client());
         // The process that a connection was handed over to reads what was sent there.
-        if is_client && reason != Reason::HandedOn {
+        if is_client && reason != Reason::HandedOver {
             self.discard_unread(key);
         }
         let Some(mut connection) = self.connections.remove(key.0) else { return };
--- a/src/net/errors.rs
+++ b/src/net/errors.rs
@@ -4,11 +4,11 @@
 use std::io;
 
 /// The process or the system is out of descriptors, buffers or memory for now.
-const EXHAUSTED: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+const EXHAUSTION_ERRORS: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
 
 /// Errors of accept that concern only the connection that it would have returned; the next one may be fine. Linux
 /// returns pending network errors of the new socket, and `EPERM` where a firewall rejected it.
-const OF_ONE_CONNECTION: [Errno; 12] = [
+const SINGLE_CONNECTION_ERRORS: [Errno; 12] = [
     Errno::CONNABORTED,
     Errno::CONNRESET,
     Errno::PERM,
@@ -25,7 +25,7 @@
 
 /// Errors of connect and socket that have their cause in this process or host, not in the peer: no port, descriptor,
 /// memory or watch is left, or the call is not permitted here.
-const LOCAL: [Errno; 9] = [
+const LOCAL_ERRORS: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -43,17 +43,17 @@
 
 /// Whether a call failed for want of descriptors, buffers or memory; it may succeed later.
 pub fn is_exhausted(error: &io::Error) -> bool {
-    is_one_of(error, &EXHAUSTED)
+    is_one_of(error, &EXHAUSTION_ERRORS)
 }
 
 /// Whether accept failed only for the connection that it would have returned.
 pub fn concerns_one_connection(error: &io::Error) -> bool {
-    is_one_of(error, &OF_ONE_CONNECTION)
+    is_one_of(error, &SINGLE_CONNECTION_ERRORS)
 }
 
 /// Whether a connect call failed for a cause in this process or host, not in the peer.
-pub fn is_local(error: &io::Error) -> bool {
-    is_one_of(error, &LOCAL)
+pub fn is_local_error(error: &io::Error) -> bool {
+    is_one_of(error, &LOCAL_ERRORS)
 }
 
 #[cfg(test)]
--- a/src/net/errors/tests.rs
+++ b/src/net/errors/tests.rs
@@ -23,7 +23,7 @@
 #[test]
 fn connect_errors_are_local_or_caused_by_the_peer() {
     let local = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::NOSPC];
-    assert!(errors(&local).iter().all(is_local));
+    assert!(errors(&local).iter().all(is_local_error));
     let of_the_peer = [Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT];
-    assert!(!errors(&of_the_peer).iter().any(is_local));
+    assert!(!errors(&of_the_peer).iter().any(is_local_error));
 }
--- a/src/net/fabric/actors.rs
+++ b/src/net/fabric/actors.rs
@@ -66,15 +66,15 @@
     }
 
     /// Sets how a host behaves; a host that was never set refuses.
-    pub fn set_reach(&self, host: SocketAddr, behaviour: HostBehaviour) {
+    pub fn set_host_behaviour(&self, host: SocketAddr, behaviour: HostBehaviour) {
         let mut state = self.state();
         let is_up = matches!(behaviour, HostBehaviour::Up);
-        state.note((trace::entry::HOST_BEHAVIOUR, host.port(), is_up));
+        state.record((trace::entry_kind::HOST_BEHAVIOUR, host.port(), is_up));
         state.host_behaviours.insert(host, behaviour);
     }
 
     /// Makes the connections to a host that are begun before `until` come up late.
-    pub fn delay_dials(&self, host: SocketAddr, delay: Span, until: Instant) {
+    pub fn delay_connects(&self, host: SocketAddr, delay: Span, until: Instant) {
         self.state().connect_delays.insert(host, ConnectDelay { delay, until });
     }
 
@@ -96,7 +96,7 @@
             link.dialed = Some(DialedPort { port: to.port(), draw });
         }
         state.host_behaviours.entry(from).or_insert(HostBehaviour::Up);
-        state.plan(at, NetworkEvent::ClientArrives(id));
+        state.schedule(at, NetworkEvent::ClientArrives(id));
         id
     }
 
@@ -109,20 +109,20 @@
             Some(at) => at,
             None => state.arrival(link, Direction::ToProcess),
         };
-        state.plan(at, NetworkEvent::BytesAtProcess(link, bytes.to_vec()));
+        state.schedule(at, NetworkEvent::BytesAtProcess(link, bytes.to_vec()));
     }
 
     /// Closes the actor's end: it writes nothing more and takes nothing more.
     pub fn close(&self, link: u64) {
         let mut state = self.state();
         let at = state.arrival(link, Direction::ToProcess);
-        state.plan(at, NetworkEvent::EndAtProcess(link));
+        state.schedule(at, NetworkEvent::EndAtProcess(link));
     }
 
     /// Resets a connection from the actor's end.
     pub fn reset(&self, link: u64) {
         let mut state = self.state();
         let at = state.arrival(link, Direction::ToProcess);
-        state.plan(at, NetworkEvent::BreakAtProcess(link));
+        state.schedule(at, NetworkEvent::BreakAtProcess(link));
     }
 }
--- a/src/net/fabric/endpoint.rs
+++ b/src/net/fabric/endpoint.rs
@@ -28,7 +28,7 @@
 
     /// Accepts the next connection.
     ///
-    /// # PlannedErrors
+    /// # Errors
     ///
     /// `WouldBlock`: none waits; the error of one that was aborted; an error that was planned.
     pub fn accept(&self) -> io::Result<(VirtualStream, SocketAddr)> {
@@ -63,7 +63,7 @@
         let Some(port) = process.and_then(|process| process.ports.remove(&self.addr)) else { return };
         // The system resets connections that nobody accepted.
         for id in port.backlog {
-            state.plan_break_at_actor(id);
+            state.schedule_break_at_actor(id);
         }
     }
 }
@@ -84,15 +84,15 @@
         let Some(link) = state.links.get_mut(&self.id) else { return };
         link.token = Some(token);
         let (read, write) =
-            (!link.input.is_empty() || link.has_ended || link.is_broken, link.is_up || link.is_refused);
+            (!link.input.is_empty() || link.has_actor_ended || link.is_broken, link.is_up || link.is_refused);
         if read || write {
-            state.wake(self.id, read, write);
+            state.mark_ready(self.id, read, write);
         }
     }
 
     /// Whether it is up.
     ///
-    /// # PlannedErrors
+    /// # Errors
     ///
     /// Refused, or reset after it was up.
     pub fn connected(&self) -> Result<bool, Reason> {
@@ -107,7 +107,7 @@
 
     /// Reads.
     ///
-    /// # PlannedErrors
+    /// # Errors
     ///
     /// `WouldBlock`: nothing is there; `ConnectionReset` or another error: it broke; `Interrupted`: to be repeated.
     pub fn read(&self, into: &mut [u8]) -> io::Result<usize> {
@@ -120,7 +120,7 @@
             return Err(link.error.into());
         }
         if link.input.is_empty() {
-            return if link.has_ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) };
+            return if link.has_actor_ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) };
         }
         let count = into.len().min(link.input.len()).min(max_bytes);
         for (to, byte) in into.iter_mut().zip(link.input.drain(..count)) {
@@ -131,7 +131,7 @@
 
     /// Writes.
     ///
-    /// # PlannedErrors
+    /// # Errors
     ///
     /// `NotConnected`: not up yet; `WouldBlock`: as much as may be is in flight; `ConnectionReset` or another error: it
     /// broke; `Interrupted`: to be repeated.
@@ -141,7 +141,7 @@
         state.errors.check_interrupted(now)?;
         let max_bytes = state.errors.max_io_bytes(now);
         let Some(link) = state.links.get_mut(&self.id) else { return Err(ErrorKind::ConnectionReset.into()) };
-        if link.is_broken || link.is_refused || link.is_shut_down {
+        if link.is_broken || link.is_refused || link.is_write_shut_down {
             return Err(link.error.into());
         }
         if !link.is_up {
@@ -149,7 +149,7 @@
         }
         let capacity = WINDOW_BYTES.saturating_sub(link.in_flight_bytes);
         if capacity == 0 {
-            link.is_blocked = true;
+            link.is_write_blocked = true;
             return Err(ErrorKind::WouldBlock.into());
         }
         let bytes: Vec<u8> =
@@ -158,18 +158,18 @@
         link.in_flight_bytes += count;
         let at = state.arrival(self.id, Direction::ToActor);
         let sent = state.now;
-        state.plan(at, NetworkEvent::BytesAtActor(self.id, bytes, sent));
+        state.schedule(at, NetworkEvent::BytesAtActor(self.id, bytes, sent));
         Ok(count)
     }
 
     /// Shuts the write side down.
     pub fn shutdown(&self) {
         let mut state = self.fabric.state();
-        let can_shut_down = |link: &&mut Link| link.is_up && !link.is_shut_down && !link.is_broken;
+        let can_shut_down = |link: &&mut Link| link.is_up && !link.is_write_shut_down && !link.is_broken;
         if let Some(link) = state.links.get_mut(&self.id).filter(can_shut_down) {
-            link.is_shut_down = true;
+            link.is_write_shut_down = true;
             let at = state.arrival(self.id, Direction::ToActor);
-            state.plan(at, NetworkEvent::EndAtActor(self.id));
+            state.schedule(at, NetworkEvent::EndAtActor(self.id));
         }
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Hands the connection over to another process: this end becomes inert, and the peer notices nothing.
-    pub fn pass(&self, to: u32) -> VirtualStream {
+    pub fn hand_over(&self, to: u32) -> VirtualStream {
         self.was_handed_over.store(true, Ordering::SeqCst);
         self.fabric.adopt(self.id, to);
         VirtualStream::new(&self.fabric, self.id)
--- a/src/net/fabric/events.rs
+++ b/src/net/fabric/events.rs
@@ -3,7 +3,7 @@
 use super::link::{Direction, Link};
 use super::network_event::NetworkEvent;
 use super::state::{NetworkState, Process};
-use super::trace::entry;
+use super::trace::entry_kind;
 use super::{ActorEvent, HostBehaviour};
 use crate::interface::{Instant, Span};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     /// Applies an event, or plans it again for when its host is no longer silent.
     pub fn apply(&mut self, event: NetworkEvent) {
         if let Some(until) = event.delayable_link().and_then(|link| self.silent_until(link)) {
-            return self.plan(until + RESEND_DELAY, event);
+            return self.schedule(until + RESEND_DELAY, event);
         }
         match event {
             NetworkEvent::ConnectCompletes(id) => self.complete_connect(id),
@@ -24,12 +24,12 @@
             NetworkEvent::BytesAtActor(id, bytes, sent) => self.bytes_at_actor(id, bytes, sent),
             NetworkEvent::EndAtProcess(id) => self.end_at_process(id),
             NetworkEvent::EndAtActor(id) => {
-                self.note((entry::END_AT_ACTOR, id));
+                self.record((entry_kind::END_AT_ACTOR, id));
                 self.actor_events.push_back(ActorEvent::Closed { link: id });
             }
             NetworkEvent::BreakAtProcess(id) => self.break_at_process(id),
             NetworkEvent::BreakAtActor(id) => {
-                self.note((entry::BREAK_AT_ACTOR, id));
+                self.record((entry_kind::BREAK_AT_ACTOR, id));
                 self.break_for_actor(id);
             }
             NetworkEvent::SourceReady { process, source } => self.source_ready(process, source),
@@ -38,13 +38,13 @@
 
     /// A process's connection comes up, or is refused.
     fn complete_connect(&mut self, id: u64) {
-        let Some(link) = self.links.get(&id).filter(|link| !link.is_dropped) else { return };
+        let Some(link) = self.links.get(&id).filter(|link| !link.is_closed_by_process) else { return };
         let Some(host) = link.host else { return };
         let error = self.errors.late_connect_error(self.now, host);
         let behaviour = self.host_behaviours.get(&host);
         let is_refused =
             error.is_some() || behaviour.is_none_or(|behaviour| *behaviour == HostBehaviour::Refusing);
-        self.note((entry::CONNECT_COMPLETES, id, is_refused));
+        self.record((entry_kind::CONNECT_COMPLETES, id, is_refused));
         if let Some(link) = self.links.get_mut(&id) {
             (link.is_up, link.is_refused) = (!is_refused, is_refused);
             link.error = error.unwrap_or(link.error);
@@ -52,14 +52,14 @@
         if !is_refused {
             self.actor_events.push_back(ActorEvent::Opened { link: id, host });
         }
-        self.wake(id, is_refused, true);
+        self.mark_ready(id, is_refused, true);
     }
 
     /// A client's connection reaches one of the processes that listen on its port, or is refused.
     fn client_arrives(&mut self, id: u64) {
         let Some(dialed) = self.links.get(&id).and_then(|link| link.dialed) else { return };
         let listeners = self.listeners(dialed.port);
-        self.note((entry::CLIENT_ARRIVES, id, listeners.len()));
+        self.record((entry_kind::CLIENT_ARRIVES, id, listeners.len()));
         let selected = (dialed.draw % listeners.len().max(1) as u64) as usize;
         let Some((process, addr)) = listeners.get(selected).copied() else {
             return self.break_for_actor(id);
@@ -84,40 +84,40 @@
     }
 
     fn bytes_at_process(&mut self, id: u64, bytes: Vec<u8>) {
-        self.note((entry::BYTES_AT_PROCESS, id, &bytes));
-        let can_receive = |link: &&mut Link| !link.is_broken && !link.is_dropped;
+        self.record((entry_kind::BYTES_AT_PROCESS, id, &bytes));
+        let can_receive = |link: &&mut Link| !link.is_broken && !link.is_closed_by_process;
         if let Some(link) = self.links.get_mut(&id).filter(can_receive) {
             link.input.extend(bytes);
-            self.wake(id, true, false);
+            self.mark_ready(id, true, false);
         }
     }
 
     fn bytes_at_actor(&mut self, id: u64, bytes: Vec<u8>, sent: Instant) {
-        self.note((entry::BYTES_AT_ACTOR, id, &bytes));
+        self.record((entry_kind::BYTES_AT_ACTOR, id, &bytes));
         let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_broken) else { return };
         link.in_flight_bytes = link.in_flight_bytes.saturating_sub(bytes.len());
-        let was_blocked = std::mem::take(&mut link.is_blocked);
+        let was_blocked = std::mem::take(&mut link.is_write_blocked);
         self.actor_events.push_back(ActorEvent::Bytes { link: id, bytes, sent });
         if was_blocked {
-            self.wake(id, false, true);
+            self.mark_ready(id, false, true);
         }
     }
 
     fn end_at_process(&mut self, id: u64) {
-        self.note((entry::END_AT_PROCESS, id));
+        self.record((entry_kind::END_AT_PROCESS, id));
         if let Some(link) = self.links.get_mut(&id) {
-            link.has_ended = true;
+            link.has_actor_ended = true;
         }
-        self.wake(id, true, false);
+        self.mark_ready(id, true, false);
     }
 
     fn break_at_process(&mut self, id: u64) {
-        self.note((entry::BREAK_AT_PROCESS, id));
+        self.record((entry_kind::BREAK_AT_PROCESS, id));
         if let Some(link) = self.links.get_mut(&id) {
             link.is_broken = true;
             link.input.clear();
         }
-        self.wake(id, true, true);
+        self.mark_ready(id, true, true);
     }
 
     fn break_for_actor(&mut self, id: u64) {
@@ -128,15 +128,15 @@
     }
 
     fn source_ready(&mut self, process: u32, source: usize) {
-        self.note((entry::SOURCE_READY, process, source));
+        self.record((entry_kind::SOURCE_READY, process, source));
         if let Some(process) = self.processes.get_mut(&process) {
             process.ready_sources.insert(source);
         }
     }
 
     /// Plans that a connection breaks at the actor, as soon as word of it can get there.
-    pub fn plan_break_at_actor(&mut self, id: u64) {
+    pub fn schedule_break_at_actor(&mut self, id: u64) {
         let at = self.arrival(id, Direction::ToActor);
-        self.plan(at, NetworkEvent::BreakAtActor(id));
+        self.schedule(at, NetworkEvent::BreakAtActor(id));
     }
 }
--- a/src/net/fabric/planned_errors.rs
+++ b/src/net/fabric/injected_errors.rs
@@ -32,7 +32,7 @@
 
 /// The errors that are planned, each until a time.
 #[derive(Debug, Default)]
-pub(super) struct PlannedErrors {
+pub(super) struct InjectedErrors {
     /// No descriptor can be had.
     exhausted: Option<Exhaustion>,
     connects: BTreeMap<SocketAddr, FailedConnect>,
@@ -43,7 +43,7 @@
     was_interrupted: bool,
 }
 
-impl PlannedErrors {
+impl InjectedErrors {
     /// Fails if a call is interrupted.
     pub fn check_interrupted(&mut self, now: Instant) -> io::Result<()> {
         self.was_interrupted = now < self.interrupted_until && !self.was_interrupted;
@@ -96,7 +96,7 @@
     }
 
     /// Resets a connection as [`Fabric::reset`] does, but the process sees this error.
-    pub fn fail(&self, link: u64, error: Errno) {
+    pub fn reset_with_error(&self, link: u64, error: Errno) {
         if let Some(link) = self.state().links.get_mut(&link) {
             link.error = error;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Lets accepting and connecting fail with this error until a time, as without a descriptor.
-    pub fn exhaust(&self, error: Errno, until: Instant) {
+    pub fn exhaust_descriptors(&self, error: Errno, until: Instant) {
         self.state().errors.exhausted = Some(Exhaustion { error, until });
     }
 
@@ -114,12 +114,12 @@
     }
 
     /// Lets reads and writes of the processes transfer at most `max_bytes` bytes until a time.
-    pub fn shorten(&self, max_bytes: usize, until: Instant) {
+    pub fn limit_io_bytes(&self, max_bytes: usize, until: Instant) {
         self.state().errors.short_io = Some(ShortIo { max_bytes: max_bytes.max(1), until });
     }
 
     /// Lets every other call of the processes be interrupted by a signal until a time.
-    pub fn interrupt(&self, until: Instant) {
+    pub fn interrupt_calls(&self, until: Instant) {
         self.state().errors.interrupted_until = until;
     }
 }
--- a/src/net/fabric/link.rs
+++ b/src/net/fabric/link.rs
@@ -32,17 +32,17 @@
     pub is_refused: bool,
     pub is_broken: bool,
     /// The process has closed its end.
-    pub is_dropped: bool,
+    pub is_closed_by_process: bool,
     /// Bytes that the process has not read yet.
     pub input: VecDeque<u8>,
     /// The actor writes nothing more.
-    pub has_ended: bool,
+    pub has_actor_ended: bool,
     /// The process writes nothing more.
-    pub is_shut_down: bool,
+    pub is_write_shut_down: bool,
     /// Bytes in flight to the actor.
     pub in_flight_bytes: usize,
     /// A write of the process was refused, since too many bytes are in flight.
-    pub is_blocked: bool,
+    pub is_write_blocked: bool,
     /// How long everything takes in either direction.
     pub delay: Span,
     /// When the last thing sent to the process arrives: nothing overtakes it.
@@ -67,12 +67,12 @@
             is_up: false,
             is_refused: false,
             is_broken: false,
-            is_dropped: false,
+            is_closed_by_process: false,
             input: VecDeque::new(),
-            has_ended: false,
-            is_shut_down: false,
+            has_actor_ended: false,
+            is_write_shut_down: false,
             in_flight_bytes: 0,
-            is_blocked: false,
+            is_write_blocked: false,
             delay,
             last_arrival_at_process: Instant::ZERO,
             last_arrival_at_actor: Instant::ZERO,
--- a/src/net/fabric/messages.rs
+++ b/src/net/fabric/messages.rs
@@ -16,7 +16,7 @@
 impl Fabric {
     /// Registers a process at the address at which the next one finds it; returns the process that was registered
     /// there, if it is alive.
-    pub fn take_place(&self, addr: SocketAddr, process: u32) -> Option<u32> {
+    pub fn register_process(&self, addr: SocketAddr, process: u32) -> Option<u32> {
         let mut state = self.state();
         let previous = state.process_addresses.insert(addr, process)?;
         let is_alive = state.processes.get(&previous).is_some_and(|process| process.is_alive);
@@ -24,7 +24,7 @@
     }
 
     /// The process that is registered at an address.
-    pub fn at_place(&self, addr: SocketAddr) -> Option<u32> {
+    pub fn registered_process(&self, addr: SocketAddr) -> Option<u32> {
         self.state().process_addresses.get(&addr).copied()
     }
 
@@ -46,15 +46,15 @@
         };
         process.messages.entry(from).or_default().push_back(message);
         let at = state.now;
-        state.plan(at, NetworkEvent::SourceReady { process: to, source });
+        state.schedule(at, NetworkEvent::SourceReady { process: to, source });
         Ok(())
     }
 
     /// Makes a source of a process ready.
-    pub fn wake_source(&self, process: u32, source: usize) {
+    pub fn mark_source_ready(&self, process: u32, source: usize) {
         let mut state = self.state();
         let at = state.now;
-        state.plan(at, NetworkEvent::SourceReady { process, source });
+        state.schedule(at, NetworkEvent::SourceReady { process, source });
     }
 
     /// Takes the messages that were received from another process.
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -8,16 +8,16 @@
 //! - `actors`: hosts, and the actors' ends of connections;
 //! - `processes`: processes, and their listeners and connections; `endpoint`: their ends of those;
 //! - `messages`: messages between the processes of one edge proxy;
-//! - `planned_errors`: errors of the processes' system calls;
+//! - `injected_errors`: errors of the processes' system calls;
 //! - `state`, `link`: the shared state; `network_event` and `events`: what happens by itself, and its effect; `trace`: the digest of a run.
 
 mod actors;
 mod endpoint;
 mod events;
+mod injected_errors;
 mod link;
 mod messages;
 mod network_event;
-mod planned_errors;
 mod processes;
 mod state;
 mod trace;
@@ -69,7 +69,7 @@
     /// Steps the processes' wall clock forward, or back.
     pub fn step_wall_clock(&self, by: Span) {
         let mut state = self.state();
-        state.note((trace::entry::WALL_CLOCK_STEP, by));
+        state.record((trace::entry_kind::WALL_CLOCK_STEP, by));
         state.wall_offset += by;
     }
 
@@ -97,8 +97,8 @@
     }
 
     /// When the next event happens by itself.
-    pub fn next(&self) -> Option<Instant> {
-        self.state().agenda.keys().next().map(|(at, _)| *at)
+    pub fn next_event_at(&self) -> Option<Instant> {
+        self.state().event_queue.keys().next().map(|(at, _)| *at)
     }
 
     /// Moves the clock forward.
@@ -110,8 +110,8 @@
     /// Applies the events that are due, in their order.
     pub fn run_due_events(&self) {
         let mut state = self.state();
-        while state.agenda.keys().next().is_some_and(|(at, _)| *at <= state.now) {
-            if let Some((_, event)) = state.agenda.pop_first() {
+        while state.event_queue.keys().next().is_some_and(|(at, _)| *at <= state.now) {
+            if let Some((_, event)) = state.event_queue.pop_first() {
                 state.apply(event);
             }
         }
@@ -123,8 +123,8 @@
     }
 
     /// Adds an entry to the trace for what did not happen on the network.
-    pub fn note(&self, what: impl Hash) {
-        self.state().note(what);
+    pub fn record(&self, what: impl Hash) {
+        self.state().record(what);
     }
 }
 
--- a/src/net/fabric/processes.rs
+++ b/src/net/fabric/processes.rs
@@ -18,13 +18,13 @@
     /// Ends a process, whether it stopped or crashed: its connections break.
     pub fn end_process(&self, process: u32) {
         let mut state = self.state();
-        state.note((trace::entry::PROCESS_ENDS, process));
+        state.record((trace::entry_kind::PROCESS_ENDS, process));
         let Some(ended) = state.processes.get_mut(&process) else { return };
         ended.is_alive = false;
         for id in state.links_of(process) {
-            state.plan_break_at_actor(id);
+            state.schedule_break_at_actor(id);
             if let Some(link) = state.links.get_mut(&id) {
-                link.is_dropped = true;
+                link.is_closed_by_process = true;
             }
         }
         state.process_addresses.retain(|_, holder| *holder != process);
@@ -45,10 +45,10 @@
     }
 
     /// How many connections a process holds.
-    pub fn held(&self, process: u32) -> usize {
+    pub fn connection_count(&self, process: u32) -> usize {
         let state = self.state();
         let of_process = state.links.values().filter(|link| link.process == process);
-        of_process.filter(|link| link.token.is_some() && !link.is_dropped).count()
+        of_process.filter(|link| link.token.is_some() && !link.is_closed_by_process).count()
     }
 
     /// Listens on an address; the listener becomes ready as `source`.
@@ -83,7 +83,7 @@
         let late = state.connect_delays.get(&host).filter(|late| now < late.until);
         let late = late.map_or(Span::ZERO, |late| late.delay);
         let round_trip = 2 * state.links[&id].delay;
-        state.plan(now + round_trip + late, NetworkEvent::ConnectCompletes(id));
+        state.schedule(now + round_trip + late, NetworkEvent::ConnectCompletes(id));
         Ok(VirtualStream::new(self, id))
     }
 
@@ -101,7 +101,7 @@
         let ports = self.processes.get(&process).into_iter().flat_map(|process| process.ports.values());
         let waiting = ports.flat_map(|port| port.backlog.iter().copied());
         let of_process = self.links.iter().filter(|(_, link)| link.process == process);
-        let held = of_process.filter(|(_, link)| link.is_up && !link.is_dropped && !link.is_broken);
+        let held = of_process.filter(|(_, link)| link.is_up && !link.is_closed_by_process && !link.is_broken);
         held.map(|(id, _)| *id).chain(waiting).collect()
     }
 }
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,12 +1,12 @@
 //! The network's state: connections, processes and the agenda of what happens, by time.
 
+use super::injected_errors::InjectedErrors;
 use super::link::{Direction, Link};
 use super::network_event::NetworkEvent;
-use super::planned_errors::PlannedErrors;
 use super::trace::Trace;
 use super::{ActorEvent, HostBehaviour, ProcessMessage};
 use crate::interface::{Instant, Span, UnixTime};
-use crate::spread::next;
+use crate::splitmix64::next;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hash;
 use std::net::SocketAddr;
@@ -75,8 +75,8 @@
     /// With the planted bug that deadlines run on the wall clock: the latest time that was read from it.
     pub latest_wall: Option<UnixTime>,
     /// Events planned so far; orders those of one time.
-    pub planned_events: u64,
-    pub agenda: BTreeMap<(Instant, u64), NetworkEvent>,
+    pub scheduled_events: u64,
+    pub event_queue: BTreeMap<(Instant, u64), NetworkEvent>,
     pub links: BTreeMap<u64, Link>,
     pub last_link: u64,
     pub host_behaviours: BTreeMap<SocketAddr, HostBehaviour>,
@@ -91,15 +91,15 @@
     /// State of the random numbers.
     pub random: u64,
     /// Errors of system calls that are planned.
-    pub errors: PlannedErrors,
+    pub errors: InjectedErrors,
     pub trace: Trace,
 }
 
 impl NetworkState {
     /// Plans an event, not before now.
-    pub fn plan(&mut self, at: Instant, event: NetworkEvent) {
-        self.planned_events += 1;
-        self.agenda.insert((at.max(self.now), self.planned_events), event);
+    pub fn schedule(&mut self, at: Instant, event: NetworkEvent) {
+        self.scheduled_events += 1;
+        self.event_queue.insert((at.max(self.now), self.scheduled_events), event);
     }
 
     /// The processes' wall clock: the network's own time as Unix time until it is stepped.
@@ -114,8 +114,8 @@
     }
 
     /// Adds an entry to the trace.
-    pub fn note(&mut self, what: impl Hash) {
-        self.trace.note(self.now, what);
+    pub fn record(&mut self, what: impl Hash) {
+        self.trace.record(self.now, what);
     }
 
     /// Until when nothing reaches a connection's host.
@@ -128,9 +128,9 @@
     }
 
     /// Marks a connection as ready for its process.
-    pub fn wake(&mut self, link: u64, read: bool, write: bool) {
-        let Some(link) = self.links.get(&link).filter(|link| !link.is_dropped) else { return };
-        let closed = link.has_ended || link.is_broken;
+    pub fn mark_ready(&mut self, link: u64, read: bool, write: bool) {
+        let Some(link) = self.links.get(&link).filter(|link| !link.is_closed_by_process) else { return };
+        let closed = link.has_actor_ended || link.is_broken;
         let (Some(process), Some(token)) = (self.processes.get_mut(&link.process), link.token) else {
             return;
         };
@@ -158,15 +158,15 @@
 
     /// The process closes its end: the actor sees an end, or a break where bytes were left unread.
     pub fn drop_process_end(&mut self, id: u64) {
-        let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_dropped) else { return };
-        link.is_dropped = true;
-        let is_known_to_actor = link.is_up && !link.is_broken && !link.is_shut_down;
+        let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_closed_by_process) else { return };
+        link.is_closed_by_process = true;
+        let is_known_to_actor = link.is_up && !link.is_broken && !link.is_write_shut_down;
         if !is_known_to_actor {
             return;
         }
         let has_unread = !link.input.is_empty();
         let at = self.arrival(id, Direction::ToActor);
         let event = if has_unread { NetworkEvent::BreakAtActor(id) } else { NetworkEvent::EndAtActor(id) };
-        self.plan(at, event);
+        self.schedule(at, event);
     }
 }
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -17,7 +17,7 @@
     Instant::ZERO + span
 }
 
-fn pass(fabric: &Fabric, to: Instant) -> Vec<ActorEvent> {
+fn run_until(fabric: &Fabric, to: Instant) -> Vec<ActorEvent> {
     fabric.advance(to);
     fabric.run_due_events();
     fabric.take_actor_events()
@@ -35,52 +35,52 @@
 }
 
 #[test]
-fn bytes_arrive_in_order_and_a_silent_host_holds_them_back() {
-    let (fabric, there) = (fabric(), host(1));
-    fabric.set_reach(there, HostBehaviour::Up);
-    let end = fabric.connect(1, there).expect("begun");
+fn bytes_arrive_in_order_and_silent_hosts_delay_them() {
+    let (fabric, up_host) = (fabric(), host(1));
+    fabric.set_host_behaviour(up_host, HostBehaviour::Up);
+    let end = fabric.connect(1, up_host).expect("begun");
     end.register(7);
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::NotConnected));
-    assert_eq!(pass(&fabric, at(Span::from_micros(1999))), []);
-    assert_eq!(pass(&fabric, at(2 * MS)), [ActorEvent::Opened { link: 1, host: there }]);
+    assert_eq!(run_until(&fabric, at(Span::from_micros(1999))), []);
+    assert_eq!(run_until(&fabric, at(2 * MS)), [ActorEvent::Opened { link: 1, host: up_host }]);
     assert_eq!((ready_connections(&fabric), end.connected()), (vec![(7, false, true)], Ok(true)));
     end.write(&[IoSlice::new(b"a"), IoSlice::new(b"b")]).expect("written");
     fabric.send(1, b"x");
     fabric.send(1, b"y");
     assert_eq!(
-        pass(&fabric, at(3 * MS)),
+        run_until(&fabric, at(3 * MS)),
         [ActorEvent::Bytes { link: 1, bytes: b"ab".to_vec(), sent: at(2 * MS) }]
     );
     assert_eq!((ready_connections(&fabric), read(&end)), (vec![(7, true, false)], Ok("xy".into())));
     assert_eq!(read(&end), Err(ErrorKind::WouldBlock));
-    fabric.set_reach(there, HostBehaviour::SilentUntil(at(50 * MS)));
+    fabric.set_host_behaviour(up_host, HostBehaviour::SilentUntil(at(50 * MS)));
     fabric.send(1, b"z");
     end.write(&[IoSlice::new(b"c")]).expect("written");
     assert_eq!(
-        (pass(&fabric, at(Span::from_micros(49_999))), read(&end)),
+        (run_until(&fabric, at(Span::from_micros(49_999))), read(&end)),
         (vec![], Err(ErrorKind::WouldBlock))
     );
     assert_eq!(
-        pass(&fabric, at(52 * MS)),
+        run_until(&fabric, at(52 * MS)),
         [ActorEvent::Bytes { link: 1, bytes: b"c".to_vec(), sent: at(3 * MS) }]
     );
     assert_eq!(read(&end), Ok("z".into()));
     fabric.close(1);
-    pass(&fabric, at(60 * MS));
+    run_until(&fabric, at(60 * MS));
     assert_eq!(read(&end), Ok(String::new()));
     drop(end);
-    assert_eq!(pass(&fabric, at(70 * MS)), [ActorEvent::Closed { link: 1 }]);
+    assert_eq!(run_until(&fabric, at(70 * MS)), [ActorEvent::Closed { link: 1 }]);
 }
 
 #[test]
-fn refusals_resets_and_windows_are_seen_as_on_a_socket() {
-    let (fabric, there, nobody) = (fabric(), host(1), host(2));
-    fabric.set_reach(there, HostBehaviour::Up);
+fn refusals_resets_and_full_windows_behave_like_a_socket() {
+    let (fabric, up_host, absent_host) = (fabric(), host(1), host(2));
+    fabric.set_host_behaviour(up_host, HostBehaviour::Up);
     let (refused, end) =
-        (fabric.connect(1, nobody).expect("begun"), fabric.connect(1, there).expect("begun"));
+        (fabric.connect(1, absent_host).expect("begun"), fabric.connect(1, up_host).expect("begun"));
     refused.register(7);
     end.register(8);
-    pass(&fabric, at(2 * MS));
+    run_until(&fabric, at(2 * MS));
     assert_eq!(
         (refused.connected(), read(&refused)),
         (Err(crate::net::Reason::ConnectRefused), Err(ErrorKind::ConnectionReset))
@@ -89,10 +89,10 @@
     assert_eq!(end.write(&[IoSlice::new(&much)]).ok(), Some(WINDOW_BYTES));
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::WouldBlock));
     fabric.take_ready(1);
-    pass(&fabric, at(3 * MS));
+    run_until(&fabric, at(3 * MS));
     assert_eq!(ready_connections(&fabric), [(8, false, true)], "there is room again");
     fabric.reset(2);
-    pass(&fabric, at(4 * MS));
+    run_until(&fabric, at(4 * MS));
     assert_eq!(
         (read(&end), end.connected()),
         (Err(ErrorKind::ConnectionReset), Err(crate::net::Reason::PeerReset))
@@ -100,34 +100,36 @@
 }
 
 #[test]
-fn a_connection_that_is_handed_over_outlives_the_process_that_had_it() {
+fn handed_over_connections_outlive_the_old_process() {
     let fabric = fabric();
     fabric.start_process(2);
     let front = host(9);
     let port = fabric.listen(1, front, 0).expect("a port");
     let link = fabric.dial("127.0.2.1:40000".parse().expect("an address"), front);
     fabric.send(link, b"ping");
-    pass(&fabric, at(MS));
+    run_until(&fabric, at(MS));
     assert_eq!(fabric.take_ready(1).sources, [0]);
     let (end, _) = port.accept().expect("one waits");
-    assert!(fabric.send_message(1, 2, 5, ProcessMessage::Connection(end.pass(2), b"pi".to_vec())).is_ok());
+    assert!(fabric
+        .send_message(1, 2, 5, ProcessMessage::Connection(end.hand_over(2), b"pi".to_vec()))
+        .is_ok());
     drop(end);
     drop(port);
     fabric.end_process(1);
-    assert_eq!(pass(&fabric, at(2 * MS)), [], "the client notices nothing");
+    assert_eq!(run_until(&fabric, at(2 * MS)), [], "the client notices nothing");
     assert_eq!(fabric.take_ready(2).sources, [5]);
-    let [ProcessMessage::Connection(end, unused)] = &fabric.take_messages(1, 2)[..] else {
+    let [ProcessMessage::Connection(end, unprocessed)] = &fabric.take_messages(1, 2)[..] else {
         panic!("one message")
     };
-    assert_eq!((read(end), &unused[..]), (Ok("ping".into()), &b"pi"[..]));
+    assert_eq!((read(end), &unprocessed[..]), (Ok("ping".into()), &b"pi"[..]));
     // A process that dies with a connection under way to it breaks it.
     let port = fabric.listen(2, front, 0).expect("a port");
     let other = fabric.dial("127.0.2.2:40000".parse().expect("an address"), front);
-    pass(&fabric, at(3 * MS));
+    run_until(&fabric, at(3 * MS));
     let (end, _) = port.accept().expect("one waits");
     fabric.start_process(3);
-    assert!(fabric.send_message(2, 3, 5, ProcessMessage::Connection(end.pass(3), Vec::new())).is_ok());
+    assert!(fabric.send_message(2, 3, 5, ProcessMessage::Connection(end.hand_over(3), Vec::new())).is_ok());
     fabric.end_process(3);
-    assert_eq!(pass(&fabric, at(5 * MS)), [ActorEvent::Broken { link: other }]);
+    assert_eq!(run_until(&fabric, at(5 * MS)), [ActorEvent::Broken { link: other }]);
     assert!(fabric.send_message(2, 3, 5, ProcessMessage::Clients(1)).is_err());
 }
--- a/src/net/fabric/trace.rs
+++ b/src/net/fabric/trace.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 /// Numbers of the kinds of entries. They are part of the digest.
-pub(super) mod entry {
+pub(super) mod entry_kind {
     pub const BYTES_AT_PROCESS: i32 = 1;
     pub const BYTES_AT_ACTOR: i32 = 2;
     pub const END_AT_PROCESS: i32 = 3;
@@ -38,7 +38,7 @@
 
 impl Trace {
     /// Adds an entry.
-    pub fn note(&mut self, now: Instant, what: impl Hash) {
+    pub fn record(&mut self, now: Instant, what: impl Hash) {
         (now, what).hash(&mut self.hasher);
         self.steps += 1;
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,7 +25,7 @@
 
 pub use clock::{unix_time, Clock, WallClock};
 pub use connection::ConnectionKey;
-pub use errors::{is_exhausted, is_local};
+pub use errors::{is_exhausted, is_local_error};
 pub use poll::Ready;
 pub use reason::Reason;
 pub use role::Role;
@@ -74,8 +74,8 @@
     }
 
     /// An empty table of a process in a simulated network.
-    pub fn on(fabric: &Fabric, process: u32) -> Self {
-        Self::with(Poller::Virtual { fabric: fabric.clone(), process }, WallClock::of(fabric))
+    pub fn simulated(fabric: &Fabric, process: u32) -> Self {
+        Self::with(Poller::Virtual { fabric: fabric.clone(), process }, WallClock::simulated(fabric))
     }
 
     fn with(poller: Poller, wall: WallClock) -> Self {
--- a/src/net/opening.rs
+++ b/src/net/opening.rs
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     ///
-    /// The connection fails at once, or [`is_local`](super::is_local): for want of a descriptor, a port or the like.
+    /// The connection fails at once, or [`is_local_error`](super::is_local_error): for want of a descriptor, a port or the like.
     /// Nothing was sent.
     pub fn connect(&mut self, now: Instant, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
--- a/src/net/reason.rs
+++ b/src/net/reason.rs
@@ -34,11 +34,11 @@
     /// Nothing more is to be sent.
     Done,
     /// It was handed over to another process of this edge proxy.
-    HandedOn,
+    HandedOver,
     /// The edge proxy shuts down.
     Stopping,
     /// Admission rejected it: its calls were answered with a rejection, or it was closed before a byte was read.
-    Refused,
+    Rejected,
 }
 
 impl Reason {
@@ -60,9 +60,9 @@
             Reason::Silent => "silent",
             Reason::Replaced => "replaced",
             Reason::Done => "done",
-            Reason::HandedOn => "handed-on",
+            Reason::HandedOver => "handed-on",
             Reason::Stopping => "stopping",
-            Reason::Refused => "admission",
+            Reason::Rejected => "admission",
         }
     }
 }
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadProgress {
     /// The buffer is full: there may be more to read once some of it is used.
-    pub more: bool,
+    pub is_buffer_full: bool,
     /// The peer writes nothing more.
-    pub end: bool,
+    pub has_peer_ended: bool,
     /// How many bytes were read.
     pub bytes: usize,
 }
@@ -39,8 +39,8 @@
         let bytes = connection.input.len() - before;
         self.held_bytes += bytes;
         stop.map(|stop| ReadProgress {
-            more: matches!(stop, ReadStop::BufferFull),
-            end: matches!(stop, ReadStop::PeerEnded),
+            is_buffer_full: matches!(stop, ReadStop::BufferFull),
+            has_peer_ended: matches!(stop, ReadStop::PeerEnded),
             bytes,
         })
     }
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn ended(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
+    pub fn has_peer_ended(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
         let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         loop {
             match connection.stream.read(&mut self.scratch) {
@@ -75,12 +75,12 @@
     }
 
     /// Bytes that wait to be written.
-    pub fn unwritten(&self, key: ConnectionKey) -> usize {
+    pub fn unwritten_bytes(&self, key: ConnectionKey) -> usize {
         self.connection(key).map_or(0, |connection| connection.unwritten_bytes)
     }
 
     /// Bytes that were written so far.
-    pub fn wrote(&self, key: ConnectionKey) -> u64 {
+    pub fn written_bytes(&self, key: ConnectionKey) -> u64 {
         self.connection(key).map_or(0, |connection| connection.written_bytes)
     }
 
@@ -104,12 +104,12 @@
     /// # Errors
     ///
     /// The connection broke.
-    pub fn begin(
+    pub fn try_write(
         &mut self,
         key: ConnectionKey,
         parts: impl IntoIterator<Item = Bytes>,
     ) -> Result<bool, Reason> {
-        let before = self.wrote(key);
+        let before = self.written_bytes(key);
         self.write(key, parts)?;
         let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         if connection.written_bytes > before {
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -4,7 +4,7 @@
 use super::timing::SECOND;
 use crate::{
     interface::{Instant, RequestId, Span},
-    spread::mix,
+    splitmix64::mix,
 };
 
 /// Initial limit of the router's own fetches in flight.
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -3,7 +3,7 @@
 use super::timing::PROBE_INTERVAL;
 use crate::{
     interface::{Instant, Request, ServerId, Span},
-    spread::mix,
+    splitmix64::mix,
 };
 use std::collections::BTreeMap;
 
--- a/src/policy/rendezvous.rs
+++ b/src/policy/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous (highest random weight) hashing of objects to servers.
 
 use super::popularity::ObjectKey;
-use crate::{interface::ServerId, spread::mix};
+use crate::{interface::ServerId, splitmix64::mix};
 
 /// Returns the score of a server in the rendezvous order of an object; the smallest score is first. The
 /// scores are pseudo-random: a server's chance to be first is proportional to its weight.
--- a/src/server/acceptor/tests.rs
+++ b/src/server/acceptor/tests.rs
@@ -36,7 +36,7 @@
     fn run_until(&mut self, until: Instant) {
         let mut ready = Vec::new();
         loop {
-            let next = self.fabric.next().into_iter().chain(self.server.next_due()).min();
+            let next = self.fabric.next_event_at().into_iter().chain(self.server.next_due()).min();
             let Some(next) = next.filter(|next| *next <= until) else { break };
             self.fabric.advance(next);
             self.fabric.run_due_events();
@@ -82,7 +82,7 @@
         // Number of turns in a second without clients.
         simulated.run_until(START + 1000 * MS);
         let idle = simulated.turns;
-        simulated.fabric.exhaust(error, START + 2000 * MS);
+        simulated.fabric.exhaust_descriptors(error, START + 2000 * MS);
         for number in 0..CLIENTS {
             simulated.run_until(START + 1000 * MS + i64::from(number) * Span::from_micros(2_300));
             simulated.fabric.dial(client(number), host(FRONT));
@@ -104,7 +104,7 @@
 fn shutdown_without_descriptors_answers_waiting_clients() {
     let mut simulated = SimulatedServer::new();
     simulated.run_until(START + 100 * MS);
-    simulated.fabric.exhaust(Errno::MFILE, START + 1500 * MS);
+    simulated.fabric.exhaust_descriptors(Errno::MFILE, START + 1500 * MS);
     let link = simulated.fabric.dial(client(1), host(FRONT));
     simulated.fabric.send(link, &thrift_client::ping(1));
     simulated.run_until(START + 200 * MS);
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -57,10 +57,9 @@
             self.thrift.connections_to_hand_over(self.now, max_open_requests, is_end_near, &self.net);
         for conn in connections {
             let handover = &mut self.handover;
-            if self
-                .net
-                .hand_over(self.now, conn, |stream, unused| handover.hand_over_connection(stream, unused))
-            {
+            if self.net.hand_over(self.now, conn, |stream, unprocessed| {
+                handover.hand_over_connection(stream, unprocessed)
+            }) {
                 self.thrift.remove_handed_over(conn, &mut self.deadlines);
             }
         }
@@ -76,11 +75,11 @@
     }
 
     /// Adopts a connection that the older process has handed over.
-    fn take_over_connection(&mut self, InheritedConnection { stream, unused }: InheritedConnection) {
+    fn take_over_connection(&mut self, InheritedConnection { stream, unprocessed }: InheritedConnection) {
         let adopted = match stream {
-            InheritedStream::Tcp(stream) => self.net.adopt(self.now, stream, Role::Thrift, &unused),
+            InheritedStream::Tcp(stream) => self.net.adopt(self.now, stream, Role::Thrift, &unprocessed),
             InheritedStream::Virtual(stream) => {
-                self.net.adopt_virtual(self.now, stream, Role::Thrift, &unused)
+                self.net.adopt_virtual(self.now, stream, Role::Thrift, &unprocessed)
             }
         };
         let conn = match adopted {
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -30,7 +30,7 @@
 
     /// Removes a server that is no longer listed.
     fn forget(&mut self, server: ServerId) {
-        self.names.forget(server);
+        self.names.remove(server);
         self.unix_time.forget(server);
     }
 }
--- a/src/server/handover/message.rs
+++ b/src/server/handover/message.rs
@@ -20,7 +20,7 @@
     /// A connection is handed over; its descriptor arrives with the message.
     Connection {
         /// Bytes that were read from the connection and not processed.
-        unused: Vec<u8>,
+        unprocessed: Vec<u8>,
     },
 }
 
@@ -41,9 +41,9 @@
     if received.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    let unused = received[HEADER_BYTES..HEADER_BYTES + length].to_vec();
+    let unprocessed = received[HEADER_BYTES..HEADER_BYTES + length].to_vec();
     received.drain(..HEADER_BYTES + length);
-    Ok(Some(if is_connection { Message::Connection { unused } } else { Message::ClientCount(number) }))
+    Ok(Some(if is_connection { Message::Connection { unprocessed } } else { Message::ClientCount(number) }))
 }
 
 /// Encodes a message with the count of clients' connections.
@@ -52,8 +52,8 @@
 }
 
 /// Encodes the header of a message that hands a connection over; the unprocessed bytes follow it.
-pub(super) fn connection_header(unused: &[u8]) -> [u8; HEADER_BYTES] {
-    header(KIND_CONNECTION, unused.len())
+pub(super) fn connection_header(unprocessed: &[u8]) -> [u8; HEADER_BYTES] {
+    header(KIND_CONNECTION, unprocessed.len())
 }
 
 fn header(kind: u8, number: usize) -> [u8; HEADER_BYTES] {
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -138,8 +138,8 @@
     }
 
     /// Hands a client's connection over to the newer process; returns `false` if this process keeps it.
-    pub fn hand_over_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
-        self.newer.as_mut().is_some_and(|newer| newer.send_connection(stream, unused))
+    pub fn hand_over_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool {
+        self.newer.as_mut().is_some_and(|newer| newer.send_connection(stream, unprocessed))
     }
 
     /// Stops listening for newer processes.
--- a/src/server/handover/sibling.rs
+++ b/src/server/handover/sibling.rs
@@ -8,7 +8,7 @@
 pub(in crate::server) struct InheritedConnection {
     pub stream: InheritedStream,
     /// Bytes that the older process has read from the connection and not processed.
-    pub unused: Vec<u8>,
+    pub unprocessed: Vec<u8>,
 }
 
 /// The stream of a connection that was handed over.
@@ -34,7 +34,7 @@
 
     /// Hands a connection over to the process, with the bytes that were read from it and not processed;
     /// returns `false` if the connection was not sent.
-    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool;
+    fn send_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool;
 }
 
 /// The place at which a newer process finds this one.
--- a/src/server/handover/simulated.rs
+++ b/src/server/handover/simulated.rs
@@ -37,9 +37,9 @@
         for message in self.fabric.take_messages(self.other, self.this) {
             match message {
                 ProcessMessage::Clients(clients) => self.clients = clients,
-                ProcessMessage::Connection(stream, unused) => {
+                ProcessMessage::Connection(stream, unprocessed) => {
                     let stream = InheritedStream::Virtual(stream);
-                    inherited.push(InheritedConnection { stream, unused });
+                    inherited.push(InheritedConnection { stream, unprocessed });
                 }
             }
         }
@@ -50,10 +50,11 @@
         self.send(ProcessMessage::Clients(clients))
     }
 
-    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+    fn send_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool {
         let Stream::Virtual(stream) = stream else { return false };
         // A connection that is handed over to a process that has ended would be lost.
-        self.is_alive() && self.send(ProcessMessage::Connection(stream.pass(self.other), unused.to_vec()))
+        self.is_alive()
+            && self.send(ProcessMessage::Connection(stream.hand_over(self.other), unprocessed.to_vec()))
     }
 }
 
@@ -68,8 +69,8 @@
     /// Registers this process for an address, and returns the process that was registered before, if any.
     pub fn open(addr: SocketAddr, fabric: &Fabric, process: u32) -> (Self, Option<SimulatedSibling>) {
         let listener = SimulatedListener { fabric: fabric.clone(), process, addr };
-        let older = fabric.take_place(addr, process).map(|older| {
-            fabric.wake_source(older, EventSource::HandoverListener.number());
+        let older = fabric.register_process(addr, process).map(|older| {
+            fabric.mark_source_ready(older, EventSource::HandoverListener.number());
             listener.sibling(older, EventSource::NewerProcess)
         });
         (listener, older)
@@ -88,11 +89,12 @@
 
 impl HandoverListener for SimulatedListener {
     fn publish(&mut self, _: &mut Net) {
-        self.fabric.take_place(self.addr, self.process);
+        self.fabric.register_process(self.addr, self.process);
     }
 
     fn accept_newer(&mut self, has_newer: bool, _: &mut Net) -> Option<Box<dyn Sibling>> {
-        let newer = self.fabric.at_place(self.addr).filter(|newer| *newer != self.process && !has_newer)?;
+        let newer =
+            self.fabric.registered_process(self.addr).filter(|newer| *newer != self.process && !has_newer)?;
         Some(Box::new(self.sibling(newer, EventSource::OlderProcess)))
     }
 
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -85,11 +85,11 @@
             match message::decode(&mut self.received) {
                 Ok(None) => return true,
                 Ok(Some(Message::ClientCount(clients))) => self.clients = clients,
-                Ok(Some(Message::Connection { unused })) => {
+                Ok(Some(Message::Connection { unprocessed })) => {
                     // A descriptor arrives no later than the first byte of its message.
                     let Some(descriptor) = self.descriptors.pop_front() else { return false };
                     let stream = InheritedStream::Tcp(TcpStream::from(descriptor));
-                    inherited.push(InheritedConnection { stream, unused });
+                    inherited.push(InheritedConnection { stream, unprocessed });
                 }
                 Err(_) => return false,
             }
@@ -109,7 +109,7 @@
     }
 
     /// Sends a message, with a descriptor if one is given; returns `false` if nothing of it was sent.
-    fn send(&mut self, header: &[u8], unused: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
+    fn send(&mut self, header: &[u8], unprocessed: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
         if !self.flush() {
             return false;
         }
@@ -119,7 +119,7 @@
         if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
             return false;
         }
-        let parts = [IoSlice::new(header), IoSlice::new(unused)];
+        let parts = [IoSlice::new(header), IoSlice::new(unprocessed)];
         let sent = loop {
             match sendmsg(&self.stream, &parts, &mut control, SendFlags::NOSIGNAL) {
                 Ok(sent) => break sent,
@@ -127,7 +127,7 @@
                 Err(_) => return false,
             }
         };
-        self.unsent = [header, unused].concat().split_off(sent);
+        self.unsent = [header, unprocessed].concat().split_off(sent);
         true
     }
 }
@@ -151,9 +151,9 @@
         self.send(&message::client_count(clients), &[], None)
     }
 
-    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+    fn send_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool {
         let Stream::Tcp(stream) = stream else { return false };
-        self.send(&message::connection_header(unused), unused, Some(stream))
+        self.send(&message::connection_header(unprocessed), unprocessed, Some(stream))
     }
 }
 
--- a/src/server/handover/tests.rs
+++ b/src/server/handover/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(decode(&mut received), Ok(Some(Message::ClientCount(7))));
     assert_eq!(decode(&mut received), Ok(None));
     received.push(b'c');
-    assert_eq!(decode(&mut received), Ok(Some(Message::Connection { unused: b"abc".to_vec() })));
+    assert_eq!(decode(&mut received), Ok(Some(Message::Connection { unprocessed: b"abc".to_vec() })));
     assert_eq!((decode(&mut received), received.len()), (Ok(None), 0));
 }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -129,7 +129,7 @@
 
     /// Returns when the next turn is due even if no event comes; `None` if only an event makes one due.
     pub fn next_due(&self) -> Option<Instant> {
-        if self.thrift.waiting_turns() + self.upstream.waiting_turns() > 0 {
+        if self.thrift.connections_with_more_to_read() + self.upstream.connections_with_more_to_read() > 0 {
             Some(self.now)
         } else {
             self.deadlines.next()
@@ -168,13 +168,13 @@
 
     /// Reads once more from each connection that had more to read than the limit of its last turn allowed.
     fn read_waiting_connections(&mut self) {
-        for _ in 0..self.thrift.waiting_turns() {
-            let Some(conn) = self.thrift.next_turn() else { break };
+        for _ in 0..self.thrift.connections_with_more_to_read() {
+            let Some(conn) = self.thrift.next_readable_connection() else { break };
             self.on_ready(Ready::readable(conn));
             self.process_commands();
         }
-        for _ in 0..self.upstream.waiting_turns() {
-            let Some(conn) = self.upstream.next_turn() else { break };
+        for _ in 0..self.upstream.connections_with_more_to_read() {
+            let Some(conn) = self.upstream.next_readable_connection() else { break };
             self.on_ready(Ready::readable(conn));
             self.process_commands();
         }
--- a/src/server/refused_connections.rs
+++ b/src/server/refused_connections.rs
@@ -52,14 +52,14 @@
             self.admission.refused.insert(conn, RefusedConnection { retry_after, has_rejected: false });
             self.on_ready(Ready::readable(conn));
             if !stays_open {
-                self.thrift.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
+                self.thrift.close(self.now, conn, Reason::Rejected, &mut self.net, &mut self.deadlines);
             }
         } else if let Some(signed) = &mut self.signed {
             signed.front.open(self.now, conn, &mut self.deadlines);
             let seconds = retry_after.as_secs_rounded_up();
             signed.front.reject_connection(self.now, conn, seconds, &mut self.net, &mut self.deadlines);
             if !stays_open {
-                signed.front.close(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
+                signed.front.close(self.now, conn, Reason::Rejected, &mut self.net, &mut self.deadlines);
             }
         }
     }
@@ -81,7 +81,7 @@
     /// close.
     pub(super) fn close_if_refused(&mut self, conn: ConnectionKey) {
         if self.admission.refused.get(&conn).is_some_and(|refused| refused.has_rejected) {
-            self.thrift.close_if_idle(self.now, conn, Reason::Refused, &mut self.net, &mut self.deadlines);
+            self.thrift.close_if_idle(self.now, conn, Reason::Rejected, &mut self.net, &mut self.deadlines);
         }
     }
 }
--- a/src/server/requests.rs
+++ b/src/server/requests.rs
@@ -32,7 +32,7 @@
     /// has had no effect.
     pub(super) fn is_full(&self, conn: ConnectionKey) -> bool {
         let held = self.net.held_bytes() + self.held_bytes_besides_connections();
-        self.budget.is_full(held, self.net.unwritten(conn))
+        self.budget.is_full(held, self.net.unwritten_bytes(conn))
             || self.pending.len() >= self.config.settings.program.max_open_requests
     }
 
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -124,7 +124,7 @@
             self.on_ready(Ready::readable(conn));
         }
         for _ in 0..MAX_FINAL_TURNS {
-            let Some(conn) = self.thrift.next_turn() else { break };
+            let Some(conn) = self.thrift.next_readable_connection() else { break };
             self.on_ready(Ready::readable(conn));
             self.core.time_out_all(self.now, &mut self.deadlines);
             self.process_commands();
@@ -140,7 +140,7 @@
     fn is_all_answered(&self) -> bool {
         let signed = self.signed.as_ref().map(|signed| &signed.front);
         self.core.unanswered() == 0
-            && self.thrift.waiting_turns() == 0
+            && self.thrift.connections_with_more_to_read() == 0
             && self.thrift.is_flushed(&self.net)
             && signed.is_none_or(|signed| signed.is_flushed(&self.net))
     }
--- a/src/server/start.rs
+++ b/src/server/start.rs
@@ -77,8 +77,11 @@
     pub fn start_on(fabric: &Fabric, process: u32, config: Config) -> Result<Self, ServerError> {
         let admission = AdmissionSettings::disabled();
         let configuration = Configuration { files: None, config, signed: None, admission };
-        let environment =
-            Environment { net: Net::on(fabric, process), clock: Clock::of(fabric), signals: None };
+        let environment = Environment {
+            net: Net::simulated(fabric, process),
+            clock: Clock::simulated(fabric),
+            signals: None,
+        };
         Self::start_in(environment, configuration, |addr, _| Handover::simulated(addr, fabric, process))
     }
 
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A number that no zone and no kind of the settings has.
-const NONE: u16 = u16::MAX;
+const UNKNOWN_INDEX: u16 = u16::MAX;
 
 /// The servers that the list has named so far.
 #[derive(Default)]
@@ -39,7 +39,7 @@
     }
 
     /// Forgets a server that is gone: with new ones all day long, names would grow for good.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove(&mut self, server: ServerId) {
         if let Some(name) = self.names.remove(&server) {
             self.ids.remove(&name);
         }
@@ -47,18 +47,18 @@
 
     /// An entry of the endpoint list for the decision module, without its start: the feed states that in Unix time
     /// ([`FeedServer::started_at`]), which the caller converts.
-    pub fn endpoint(&mut self, host: &FeedServer, names: &ProgramSettings) -> Endpoint {
-        let place = |list: &[String], name: &str| {
-            list.iter().position(|known| known == name).map_or(NONE, |place| place as u16)
+    pub fn endpoint(&mut self, server: &FeedServer, settings: &ProgramSettings) -> Endpoint {
+        let index_of = |list: &[String], name: &str| {
+            list.iter().position(|known| known == name).map_or(UNKNOWN_INDEX, |index| index as u16)
         };
         Endpoint {
-            server: self.id(&host.host),
+            server: self.id(&server.host),
             started_at: None,
-            weight: host.share,
-            kind: place(&names.kinds, &host.class),
-            cell: host.block,
-            zone: ZoneId(place(&names.zones, &host.site)),
-            state: match host.health {
+            weight: server.share,
+            kind: index_of(&settings.kinds, &server.class),
+            cell: server.block,
+            zone: ZoneId(index_of(&settings.zones, &server.site)),
+            state: match server.health {
                 Health::Up => ServerState::Ready,
                 Health::Draining => ServerState::Draining,
                 Health::Removed => ServerState::Removed,
--- a/src/server_names/tests.rs
+++ b/src/server_names/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of `members`.
+//! Tests of `names`.
 
 use super::*;
 
 #[test]
-fn a_server_that_was_forgotten_leaves_nothing_and_may_come_back() {
-    let mut members = ServerNames::default();
-    let id = members.id("s-00c41f7a");
-    assert_eq!((members.name(id), id), (Some("s-00c41f7a"), ServerId(0x00c4_1f7a)));
-    members.forget(id);
-    assert!(members.ids.is_empty() && members.names.is_empty());
-    assert_eq!(members.id("s-00c41f7a"), id);
+fn removed_servers_leave_nothing_and_can_be_added_again() {
+    let mut names = ServerNames::default();
+    let id = names.id("s-00c41f7a");
+    assert_eq!((names.name(id), id), (Some("s-00c41f7a"), ServerId(0x00c4_1f7a)));
+    names.remove(id);
+    assert!(names.ids.is_empty() && names.names.is_empty());
+    assert_eq!(names.id("s-00c41f7a"), id);
 }
--- a/src/sim/federation/summary.rs
+++ b/src/sim/federation/summary.rs
@@ -1,8 +1,8 @@
 //! Plays many seeds on all cores, and says what they came to.
 
 use super::{run, FederationCounts, FederationOutcome, PlantedBug};
-use crate::caught;
 use crate::interface::Span;
+use crate::panics;
 use crate::sim::rules::Breach;
 use rayon::prelude::*;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 fn play(seed: u64, planted: Option<PlantedBug>) -> FederationOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(seed, planted)));
     played.unwrap_or_else(|panic| {
-        let breach = Breach { rule: "panic", at: Span::ZERO, text: caught::text(&*panic) };
+        let breach = Breach { rule: "panic", at: Span::ZERO, text: panics::message(&*panic) };
         FederationOutcome { breaches: vec![breach], ..FederationOutcome::default() }
     })
 }
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -6,8 +6,8 @@
 
 use super::rules::Breach;
 use super::world::{run, AnswerCounts, RunOutcome, Sabotage};
-use crate::caught;
 use crate::interface::Span;
+use crate::panics;
 use crate::standin::faults::{Fault, RunPlan};
 use rayon::prelude::*;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> RunOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, sabotage)));
     played.unwrap_or_else(|panic| {
-        let breach = Breach { rule: "panic", at: Span::ZERO, text: caught::text(&*panic) };
+        let breach = Breach { rule: "panic", at: Span::ZERO, text: panics::message(&*panic) };
         RunOutcome { breaches: vec![breach], ..RunOutcome::default() }
     })
 }
--- a/src/sim/site_variant.rs
+++ b/src/sim/site_variant.rs
@@ -1,7 +1,7 @@
 //! How the site of a run differs from the default one, drawn by seed. One in two runs has the default site; the others
 //! state less or allow less, as a site's settings may (protocol pages: `weights`, `limits`, `domain`).
 
-use crate::spread::mix;
+use crate::splitmix64::mix;
 use serde_json::{json, Value};
 
 /// What a site's settings state and allow, where that is not the default.
--- a/src/sim/world/faults/feed.rs
+++ b/src/sim/world/faults/feed.rs
@@ -17,7 +17,7 @@
 
 impl World<'_> {
     pub(super) fn silence_feed(&mut self, until: Instant) {
-        self.fabric.set_reach(numbered_address(FEED), HostBehaviour::SilentUntil(until));
+        self.fabric.set_host_behaviour(numbered_address(FEED), HostBehaviour::SilentUntil(until));
         self.cut_feed(until);
     }
 
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -13,7 +13,7 @@
 impl World<'_> {
     pub(super) fn silence_host(&mut self, host: HostId, until: Instant) {
         if !self.fleet[host].dead {
-            self.fabric.set_reach(host_address(host), HostBehaviour::SilentUntil(until));
+            self.fabric.set_host_behaviour(host_address(host), HostBehaviour::SilentUntil(until));
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn delay_dials(&mut self, host: HostId, late_ms: i64, until: Instant) {
-        self.fabric.delay_dials(host_address(host), Span::from_millis(late_ms), until);
+        self.fabric.delay_connects(host_address(host), Span::from_millis(late_ms), until);
     }
 
     /// A host closes its idle connections. What is on its way on them is not read.
@@ -58,7 +58,7 @@
     /// All connections of a host fail with an error that is no reset.
     pub(super) fn fail_links(&mut self, host: HostId, error: SystemError) {
         for link in self.forget_links(host) {
-            self.fabric.fail(link.0, error.errno());
+            self.fabric.reset_with_error(link.0, error.errno());
         }
     }
 }
--- a/src/sim/world/faults/mod.rs
+++ b/src/sim/world/faults/mod.rs
@@ -21,7 +21,7 @@
 impl World<'_> {
     /// Begins a fault.
     pub(super) fn begin_fault(&mut self, fault: FaultKind) {
-        self.fabric.note(serde_json::to_string(&fault).unwrap_or_default());
+        self.fabric.record(serde_json::to_string(&fault).unwrap_or_default());
         let now = self.now;
         let after = |ms: i64| -> Instant { now + Span::from_millis(ms) };
         match fault {
@@ -58,8 +58,8 @@
                 self.fabric.fail_connects(host_address(host), error.errno(), at_once, after(ms));
             }
             FaultKind::LinksFail { host, error } => self.fail_links(host, error),
-            FaultKind::ShortIo { bytes, ms } => self.fabric.shorten(bytes, after(ms)),
-            FaultKind::Interrupted { ms } => self.fabric.interrupt(after(ms)),
+            FaultKind::ShortIo { bytes, ms } => self.fabric.limit_io_bytes(bytes, after(ms)),
+            FaultKind::Interrupted { ms } => self.fabric.interrupt_calls(after(ms)),
         }
     }
 }
--- a/src/sim/world/faults/system.rs
+++ b/src/sim/world/faults/system.rs
@@ -25,7 +25,7 @@
     /// No process gets a descriptor until then: what connects meanwhile is accepted afterwards, and a feed that is cut
     /// off is polled again later.
     pub(super) fn exhaust_descriptors(&mut self, error: SystemError, until: Instant) {
-        self.fabric.exhaust(error.errno(), until);
+        self.fabric.exhaust_descriptors(error.errno(), until);
         let shortage = &mut self.descriptor_shortage;
         if shortage.until < self.now {
             shortage.since = self.now;
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -164,7 +164,7 @@
         self.reset_links(host);
         self.fleet[host].copies.clear();
         self.fleet[host].dead = true;
-        self.fabric.set_reach(host_address(host), HostBehaviour::Refusing);
+        self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Refusing);
     }
 
     /// Starts a host's process, unless it runs or is removed from the endpoint list.
@@ -177,7 +177,7 @@
         }
         host.restart(self.now);
         let publishes = host.entry["health"] == "up" && host.tier != Tier::Origin;
-        self.fabric.set_reach(host_address(id), HostBehaviour::Up);
+        self.fabric.set_host_behaviour(host_address(id), HostBehaviour::Up);
         if publishes {
             self.publish_health(id, "up");
         }
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -171,7 +171,7 @@
 
     fn next_moment(&self) -> NextMoment {
         let deadline = self.processes.next_deadline().map(|at| at - self.deadline_clock_lead());
-        let arrival = self.fabric.next().into_iter().chain(self.agenda.next_time()).min();
+        let arrival = self.fabric.next_event_at().into_iter().chain(self.agenda.next_time()).min();
         NextMoment { deadline, arrival }
     }
 
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -157,7 +157,7 @@
             let text = format!("{held_bytes} bytes and {open_requests} requests are held");
             self.rules.breach(self.now, "memory", text);
         }
-        let sockets = self.fabric.held(process.0);
+        let sockets = self.fabric.connection_count(process.0);
         if sockets > MAX_SOCKETS {
             self.rules.breach(self.now, "sockets", format!("{sockets} connections are held"));
         }
@@ -182,7 +182,7 @@
         self.fabric.end_process(process.0);
         for other in self.processes.running.keys() {
             for number in SIBLING_EVENT_SOURCES {
-                self.fabric.wake_source(other.0, number);
+                self.fabric.mark_source_ready(other.0, number);
             }
         }
         if self.processes.is_empty() && !self.is_ending {
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -126,10 +126,10 @@
         for (number, entry) in site.entries().into_iter().enumerate() {
             let host = HostId(number);
             let tier = Tier::of(host, self.plan.caches, self.plan.parents);
-            self.fabric.set_reach(host_address(host), HostBehaviour::Up);
+            self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Up);
             self.host_ids.insert(host_address(host), host);
             self.fleet.hosts.push(Host { link: site.links[number], ..Host::new(tier, entry) });
         }
-        self.fabric.set_reach(numbered_address(FEED), HostBehaviour::Up);
+        self.fabric.set_host_behaviour(numbered_address(FEED), HostBehaviour::Up);
     }
 }
--- a/src/slots/tests.rs
+++ b/src/slots/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_late_key_never_hits_a_reused_slot() {
+fn stale_keys_never_match_a_reused_slot() {
     let mut slots = Slots::default();
     let old = slots.insert('a');
     assert_eq!(slots.remove(old), Some('a'));
--- a/src/spread.rs
+++ b/src/splitmix64.rs
@@ -2,7 +2,7 @@
 //! al., "Fast splittable pseudorandom number generators", 2014).
 
 /// SplitMix64's increment.
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Spreads a number.
 pub fn mix(mut x: u64) -> u64 {
@@ -13,6 +13,6 @@
 
 /// The next number of a sequence.
 pub fn next(state: &mut u64) -> u64 {
-    *state = state.wrapping_add(GOLDEN);
+    *state = state.wrapping_add(INCREMENT);
     mix(*state)
 }
--- a/src/trace/map/rules.rs
+++ b/src/trace/map/rules.rs
@@ -1,6 +1,6 @@
 //! Which rows of a trace are used, when they happened, and of which class they are.
 
-use crate::spread::mix;
+use crate::splitmix64::mix;
 use std::collections::BTreeSet;
 use std::ops::Range;
 
--- a/src/trace/rows.rs
+++ b/src/trace/rows.rs
@@ -3,7 +3,7 @@
 use super::counts::Counts;
 use super::map::TraceMap;
 use crate::interface::{Instant, Span};
-use crate::spread::mix;
+use crate::splitmix64::mix;
 use csv::StringRecord;
 use std::fs::File;
 use std::path::Path;
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -7,7 +7,7 @@
 use super::Upstream;
 use crate::deadlines::Schedule;
 use crate::interface::{Instant, ServerId, Span};
-use crate::net::{is_local, ConnectionKey, Net, Reason, Role};
+use crate::net::{is_local_error, ConnectionKey, Net, Reason, Role};
 use std::collections::BTreeMap;
 
 /// Time after a failed connect in which no additional connection is opened to spread reads, since the server
@@ -140,7 +140,7 @@
         if net.count(Role::Upstream) >= self.limits.max_connections {
             return Err(ConnectError::Exhausted);
         }
-        net.connect(now, addr, Role::Upstream).map_err(|error| match is_local(&error) {
+        net.connect(now, addr, Role::Upstream).map_err(|error| match is_local_error(&error) {
             true => ConnectError::Exhausted,
             false => ConnectError::Unreachable,
         })
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -31,7 +31,7 @@
     let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     fabric.fail_connects(host(1), error, true, Instant::ZERO + 100 * MS);
-    let (mut net, mut deadlines) = (Net::on(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
+    let (mut net, mut deadlines) = (Net::simulated(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
     let limits = PoolLimits {
         connect_timeout: 300 * MS,
         idle_timeout: 1000 * MS,
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -135,10 +135,10 @@
             // Answers that were received before the connection broke are still used.
             self.take_answers(now, key, net)?;
             let progress = progress?;
-            if progress.end {
+            if progress.has_peer_ended {
                 return Err(Reason::PeerClosed);
             }
-            if !progress.more {
+            if !progress.is_buffer_full {
                 return Ok(());
             }
         }
@@ -186,12 +186,12 @@
     }
 
     /// Removes and returns the next connection that had more to read than its last turn allowed.
-    pub fn next_turn(&mut self) -> Option<ConnectionKey> {
+    pub fn next_readable_connection(&mut self) -> Option<ConnectionKey> {
         self.read_turns.pop_front()
     }
 
     /// Returns the number of connections that wait for another turn to be read.
-    pub fn waiting_turns(&self) -> usize {
+    pub fn connections_with_more_to_read(&self) -> usize {
         self.read_turns.len()
     }
 
--- a/src/upstream/selection.rs
+++ b/src/upstream/selection.rs
@@ -59,7 +59,7 @@
     /// drain or a purge could overtake a job that waits in the buffer.
     fn best_connection(&self) -> Option<(ConnectionKey, &Connection)> {
         self.connections()
-            .filter(|(key, connection)| self.can_take(connection) && self.net.unwritten(*key) == 0)
+            .filter(|(key, connection)| self.can_take(connection) && self.net.unwritten_bytes(*key) == 0)
             .min_by_key(|(_, connection)| (connection.is_silent(self.now), connection.open_jobs.len()))
     }
 
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -245,7 +245,7 @@
     pool.upstream.connections.get_mut(&first).expect("known connection").is_up = true;
     drop(peer);
     // Wait until the end of the stream has been received; its readiness event is not handled.
-    while pool.net.ended(first) == Ok(false) {}
+    while pool.net.has_peer_ended(first) == Ok(false) {}
     pool.upstream.dispatch(
         at(MIN_WRITE_CONNECTION_AGE),
         &mut pool.net,
@@ -320,7 +320,7 @@
     fn new() -> Self {
         let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
         fabric.start_process(1);
-        fabric.set_reach(host(1), HostBehaviour::Up);
+        fabric.set_host_behaviour(host(1), HostBehaviour::Up);
         let limits = PoolLimits {
             connect_timeout: 400 * MS,
             idle_timeout: 1000 * MS,
@@ -328,7 +328,7 @@
             max_connections: 9,
             max_buffered_bytes: 1 << 20,
         };
-        let (upstream, net) = (Upstream::new(limits), Net::on(&fabric, 1));
+        let (upstream, net) = (Upstream::new(limits), Net::simulated(&fabric, 1));
         let mut pool =
             SimulatedPool { upstream, net, fabric, deadlines: Deadlines::default(), now: Instant::ZERO };
         pool.upstream.set_server(Instant::ZERO, SERVER, host(1), None, &mut pool.net, &mut pool.deadlines);
@@ -441,8 +441,12 @@
     pool.fabric.send(SimulatedPool::LINK, &endless);
     pool.advance(at(5 * MS));
     let mut turns = 1;
-    while let Some(key) = pool.upstream.next_turn() {
-        assert_eq!(pool.upstream.waiting_turns(), 0, "a connection waits for only one turn at a time");
+    while let Some(key) = pool.upstream.next_readable_connection() {
+        assert_eq!(
+            pool.upstream.connections_with_more_to_read(),
+            0,
+            "a connection waits for only one turn at a time"
+        );
         pool.upstream.on_ready(at(5 * MS), key, true, false, &mut pool.net, &mut pool.deadlines);
         turns += 1;
     }
--- a/src/upstream/writing.rs
+++ b/src/upstream/writing.rs
@@ -98,7 +98,7 @@
     /// Counts the request written last on a connection under its class, if all of its bytes have been
     /// written.
     pub(super) fn count_written(&mut self, key: ConnectionKey, net: &Net) {
-        if net.unwritten(key) > 0 {
+        if net.unwritten_bytes(key) > 0 {
             return;
         }
         let Some(connection) = self.connections.get_mut(&key) else { return };
@@ -132,9 +132,9 @@
 /// left to the client.
 fn write_first(key: ConnectionKey, parts: Vec<Bytes>, net: &mut Net) -> FirstWrite {
     let line_length = parts.first().map_or(0, Bytes::len) as u64;
-    let written_before = net.wrote(key);
-    let begun = net.begin(key, parts);
-    let is_line_sent = net.wrote(key) - written_before >= line_length;
+    let written_before = net.written_bytes(key);
+    let begun = net.try_write(key, parts);
+    let is_line_sent = net.written_bytes(key) - written_before >= line_length;
     match begun {
         Ok(true) if is_line_sent => FirstWrite::LineSent,
         Ok(true) => FirstWrite::LineIncomplete(Reason::Stalled),
--- a/tests/policy/golden.rs
+++ b/tests/policy/golden.rs
@@ -5,7 +5,7 @@
 
 use crate::support::{endpoint, endpoints, request, settings, CACHE, MS, PARENT, SECOND};
 use dahliatrack::policy::CacheCounts;
-use dahliatrack::spread::next;
+use dahliatrack::splitmix64::next;
 use dahliatrack::*;
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
