--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -122,17 +122,17 @@
     let (leader, _) = rig.leader(&[1, 2, 3]);
     let old = rig.running.remove(&leader).expect("it runs");
     let file = rig.file(leader).display().to_string();
-    let proxy = old.proxy.newer(&["--admin", "127.0.0.1:0", "--federation", &file]);
-    let admin = address(&proxy.logged("admin endpoint: listening on "));
-    let listen = address(&proxy.logged("federation listens on "));
-    old.proxy.logged("federation: left to a newer process");
+    let proxy = old.proxy.start_newer(&["--admin", "127.0.0.1:0", "--federation", &file]);
+    let admin = address(&proxy.wait_for_log("admin endpoint: listening on "));
+    let listen = address(&proxy.wait_for_log("federation listens on "));
+    old.proxy.wait_for_log("federation: left to a newer process");
     let new = crate::rig::Running { proxy, admin, listen };
     rig.arrive(leader, &new);
     rig.running.insert(leader, new);
     let (_, term) = rig.leader(&[1, 2, 3]);
     // The newer one is gone before the older one has ended: the older one takes its place again.
     rig.kill(leader);
-    let listen = address(&old.proxy.logged("federation listens on "));
+    let listen = address(&old.proxy.wait_for_log("federation listens on "));
     let old = crate::rig::Running { listen, ..old };
     rig.arrive(leader, &old);
     rig.running.insert(leader, old);
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -57,7 +57,7 @@
     ] {
         rig.write_as(1, 2, &voters(1..=3), |text| text.replace(change.0, change.1));
         rig.signal(1, "-HUP");
-        let line = rig.running[&1].proxy.logged("reload: ");
+        let line = rig.running[&1].proxy.wait_for_log("reload: ");
         assert!(line.contains(wanted), "{line}");
     }
     assert_eq!(rig.view(1)["file_revision"], 1);
@@ -89,7 +89,7 @@
         }
         assert!(rig.init(3, false).status.success());
         let (stranger, _) = rig.launch_only(3);
-        let line = rig.running[&target].proxy.logged("federation: a connection is refused");
+        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is refused");
         assert!(line.contains(wanted), "{case}: {line}");
         drop(stranger);
         std::fs::rename(folder.join("kept"), folder.join("federation.redb")).expect("moved");
@@ -115,7 +115,7 @@
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
         stream.write_all(bytes).expect("written");
-        let line = running.proxy.logged("federation: a connection is refused");
+        let line = running.proxy.wait_for_log("federation: a connection is refused");
         assert!(line.contains(wanted), "{line}");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest); // ended, perhaps by a reset
@@ -149,7 +149,7 @@
             None => std::fs::remove_file(&path).expect("removed"),
         }
         let (proxy, admin) = rig.launch_only(3);
-        proxy.logged("this member takes no part; the edge proxy serves alone");
+        proxy.wait_for_log("this member takes no part; the edge proxy serves alone");
         rig.running.insert(3, crate::rig::Running { proxy, admin, listen: admin });
         let view = rig.view(3);
         assert!(view["halted"].is_string() && view["leader"] == 0, "{what}: {view}");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -119,7 +119,7 @@
         let name = format!("{}-{id}", self.name);
         let caches = [&self.caches[0], &self.caches[1]];
         let proxy = Proxy::start(&name, &caches, str::to_owned, &["--admin", "127.0.0.1:0"]);
-        let admin = address(&proxy.logged("admin endpoint: listening on "));
+        let admin = address(&proxy.wait_for_log("admin endpoint: listening on "));
         self.running.insert(id, Running { proxy, admin, listen: admin });
     }
 
@@ -134,7 +134,7 @@
 
     fn launch(&self, id: u64) -> Running {
         let (proxy, admin) = self.launch_only(id);
-        let listen = address(&proxy.logged("federation listens on "));
+        let listen = address(&proxy.wait_for_log("federation listens on "));
         Running { proxy, admin, listen }
     }
 
@@ -144,7 +144,7 @@
         let file = self.file(id).display().to_string();
         let more = ["--admin", "127.0.0.1:0", "--federation", &file];
         let proxy = Proxy::start(&name, &[&self.caches[0], &self.caches[1]], str::to_owned, &more);
-        let admin = proxy.logged("admin endpoint: listening on ");
+        let admin = proxy.wait_for_log("admin endpoint: listening on ");
         let admin = address(&admin);
         (proxy, admin)
     }
@@ -182,7 +182,7 @@
             if wanted(&view) {
                 return view;
             }
-            assert!(since.elapsed() < LONG, "member {id} never came to: {what}; {view:#}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "member {id} never came to: {what}; {view:#}");
         }
     }
 
@@ -207,7 +207,7 @@
             {
                 return leader;
             }
-            assert!(since.elapsed() < LONG, "{ids:?} never agreed: {views:#?}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "{ids:?} never agreed: {views:#?}");
         }
     }
 
@@ -236,7 +236,7 @@
             ("set", "17"),
         ];
         send(&mut client, &invoke(self.seqid, &fields, b"")).expect("written");
-        self.caches[0].next().answer("200", "ver=a", b"x");
+        self.caches[0].next_line().answer("200", "ver=a", b"x");
         assert_eq!(answer(&mut client).expect("an answer"), (self.seqid, Answered::Served));
     }
 }
--- a/tests/sockets/operators.rs
+++ b/tests/sockets/admin_endpoint.rs
@@ -1,18 +1,18 @@
 //! The admin endpoint: its calls and the figures.
 
-use crate::platform::{request, served, Client, Reply};
 use crate::stand_ins::*;
+use crate::thrift_front::{request, served, Client, Reply};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
 /// A proxy of one cache with an admin endpoint, and its address.
-pub fn admin(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy, SocketAddr) {
+pub fn start_with_admin(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy, SocketAddr) {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let opened = |text: &str| change(text).replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
     let proxy = Proxy::start(name, &[&cache, &parent], opened, &[]);
-    let addr = proxy.logged("admin endpoint: listening on ").parse().expect("an address");
+    let addr = proxy.wait_for_log("admin endpoint: listening on ").parse().expect("an address");
     (cache, parent, proxy, addr)
 }
 
@@ -39,68 +39,68 @@
         .collect()
 }
 
-pub fn figures<const N: usize>(proxy: &Proxy, addr: SocketAddr, keys: [&str; N]) -> [u64; N] {
+pub fn stat_values<const N: usize>(proxy: &Proxy, addr: SocketAddr, keys: [&str; N]) -> [u64; N] {
     let stats = stats(proxy, addr);
     keys.map(|key| *stats.get(key).unwrap_or_else(|| panic!("no {key} in {stats:?}")))
 }
 
 #[test]
-fn each_final_answer_and_each_attempt_to_a_cache_counts_once() {
-    let (cache, parent, proxy, addr) = admin("figures", str::to_owned);
+fn each_final_answer_and_attempt_is_counted_once() {
+    let (cache, parent, proxy, addr) = start_with_admin("figures", str::to_owned);
     assert_eq!(get(&proxy, addr, "/healthcheck").0, 200);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    cache.next().answer("200", "ver=a", b"x");
+    cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
     client.send(&request(2, "result"));
-    cache.next().answer("500", "-", b"");
+    cache.next_line().answer("500", "-", b"");
     assert_eq!(client.reply(), (2, Reply::Failed));
     // More than may be open: the last one is refused before the core hears of it.
     for seqid in 3..=35 {
         client.send(&request(seqid, "replay"));
     }
     assert_eq!(client.reply(), (35, Reply::Refused { pause: true }));
-    let mut open: Vec<Got> = (3..35).map(|_| cache.next()).collect();
+    let mut open: Vec<ReceivedLine> = (3..35).map(|_| cache.next_line()).collect();
     let keys = ["replies.replay.success", "replies.replay.overload", "replies.result.error", "concurrent"];
-    assert_eq!(figures(&proxy, addr, keys), [1, 1, 1, 32]);
+    assert_eq!(stat_values(&proxy, addr, keys), [1, 1, 1, 32]);
     let keys = ["dispatches", "replies.replay.dispatches", "replies.result.dispatches"];
-    assert_eq!(figures(&proxy, addr, keys), [34, 33, 1]);
+    assert_eq!(stat_values(&proxy, addr, keys), [34, 33, 1]);
     // What a client abandons counts nowhere.
     drop(client);
     // The system may bring the answers first where both are sent at once: the test below is about that.
-    proxy.logged("end=peer-closed");
+    proxy.wait_for_log("end=peer-closed");
     open.drain(..).for_each(|mut got| got.answer("200", "ver=a", b"late"));
     let keys = ["replies.replay.success", "replies.replay.error", "concurrent"];
-    assert_eq!(figures(&proxy, addr, keys), [1, 0, 0]);
+    assert_eq!(stat_values(&proxy, addr, keys), [1, 0, 0]);
     let mut client = Client::new(&proxy);
     client.send(&request(99, "unheard-of"));
     assert_eq!(client.reply(), (99, Reply::Exception));
-    assert_eq!(figures(&proxy, addr, ["targets", "targets_disabled"]), [1, 0]);
-    proxy.feed.tell(&members(false, &[host(&cache, "draining")]));
-    proxy.logged("event 2: ");
-    assert_eq!(figures(&proxy, addr, ["targets", "targets_disabled"]), [1, 1]);
-    assert_eq!(parent.rest(), [""; 0], "attempts go by the cache");
+    assert_eq!(stat_values(&proxy, addr, ["targets", "targets_disabled"]), [1, 0]);
+    proxy.feed.publish(&members_event(false, &[host_entry(&cache, "draining")]));
+    proxy.wait_for_log("event 2: ");
+    assert_eq!(stat_values(&proxy, addr, ["targets", "targets_disabled"]), [1, 1]);
+    assert_eq!(parent.unread_lines(), [""; 0], "attempts go by the cache");
 }
 
 /// The answer is ready first in one wake-up, and its client has left.
 #[test]
-fn an_answer_to_a_client_that_has_left_counts_nowhere() {
-    let (cache, _parent, proxy, addr) = admin("left-with-answer", str::to_owned);
+fn answer_to_departed_client_is_not_counted() {
+    let (cache, _parent, proxy, addr) = start_with_admin("left-with-answer", str::to_owned);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut got = cache.next();
-    proxy.stall();
+    let mut got = cache.next_line();
+    proxy.suspend();
     got.answer("200", "ver=a", b"x");
     client.0.shutdown(std::net::Shutdown::Both).expect("closed");
     proxy.signal("-CONT");
-    proxy.logged("end=peer-closed");
-    assert_eq!(figures(&proxy, addr, ["replies.replay.success", "concurrent"]), [0, 0]);
+    proxy.wait_for_log("end=peer-closed");
+    assert_eq!(stat_values(&proxy, addr, ["replies.replay.success", "concurrent"]), [0, 0]);
 }
 
 #[test]
-fn callers_that_sit_on_connections_keep_no_answer_from_the_next() {
-    let (_cache, _parent, proxy, addr) = admin("callers", str::to_owned);
-    let sitting: Vec<_> = (0..40)
+fn idle_admin_connections_do_not_block_others() {
+    let (_cache, _parent, proxy, addr) = start_with_admin("callers", str::to_owned);
+    let idle: Vec<_> = (0..40)
         .map(|i| {
             let mut stream = proxy.connect(addr);
             stream.write_all(if i % 2 == 0 { b"" } else { b"GET /stats HTTP/1.1\r\nHo" }).expect("written");
@@ -111,27 +111,27 @@
     assert_eq!(get(&proxy, addr, "/elsewhere").0, 404);
     assert_eq!(call(&proxy, addr, "POST /stats HTTP/1.1\r\nHost: h\r\n\r\n").0, 405);
     assert_eq!(call(&proxy, addr, "nonsense\r\n\r\n").0, 400);
-    drop(sitting);
-    proxy.logged("role=Admin");
+    drop(idle);
+    proxy.wait_for_log("role=Admin");
 }
 
 #[test]
-fn one_that_stops_says_no() {
-    let (cache, _parent, mut proxy, addr) = admin("admin-stops", str::to_owned);
+fn healthcheck_fails_during_shutdown() {
+    let (cache, _parent, mut proxy, addr) = start_with_admin("admin-stops", str::to_owned);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut open = cache.next();
+    let mut open = cache.next_line();
     proxy.signal("-TERM");
-    proxy.logged("stopping");
+    proxy.wait_for_log("stopping");
     assert_eq!(get(&proxy, addr, "/healthcheck").0, 503);
-    assert_eq!(figures(&proxy, addr, ["concurrent"]), [1]);
+    assert_eq!(stat_values(&proxy, addr, ["concurrent"]), [1]);
     open.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
     assert!(proxy.child.wait().expect("an end").success());
 }
 
-fn edit(proxy: &Proxy, change: impl Fn(&mut Value)) {
-    proxy.rewrite(|text| {
+fn edit_config(proxy: &Proxy, change: impl Fn(&mut Value)) {
+    proxy.rewrite_config(|text| {
         let mut config: Value = serde_json::from_str(text).expect("JSON");
         change(&mut config);
         config.to_string()
@@ -150,38 +150,38 @@
 }
 
 #[test]
-fn sighup_brings_new_classes_and_rules_and_what_is_open_keeps_its_own() {
-    let (cache, _parent, proxy, addr) = admin("reload", str::to_owned);
+fn sighup_applies_new_classes_but_open_requests_keep_old_rules() {
+    let (cache, _parent, proxy, addr) = start_with_admin("reload", str::to_owned);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut open = cache.next();
-    edit(&proxy, change_settings);
+    let mut open = cache.next_line();
+    edit_config(&proxy, change_settings);
     proxy.signal("-HUP");
-    proxy.logged("reloaded: feed ");
+    proxy.wait_for_log("reloaded: feed ");
     open.answer("500", "-", b"");
-    let mut again = cache.next();
+    let mut again = cache.next_line();
     assert_eq!(again.words[1], open.words[1], "it may be repeated, as when it came");
     again.answer("200", "ver=a", b"old");
     assert_eq!(client.reply(), (1, served(b"old")));
     client.send(&request(2, "table"));
-    let mut got = cache.next();
+    let mut got = cache.next_line();
     assert_eq!(got.field("cls"), Some("table"));
     got.answer("200", "ver=a", b"new");
     assert_eq!(client.reply(), (2, served(b"new")));
     client.send(&request(3, "replay"));
-    cache.next().answer("500", "-", b"");
+    cache.next_line().answer("500", "-", b"");
     assert_eq!(client.reply(), (3, Reply::Failed), "it may not be repeated any more");
     client.send(&request(4, "result"));
     assert_eq!(client.reply(), (4, Reply::Exception), "there is no such class any more");
     let keys = ["replies.replay.success", "replies.replay.error", "replies.table.success", "reload_success"];
-    assert_eq!(figures(&proxy, addr, keys), [1, 1, 1, 1]);
+    assert_eq!(stat_values(&proxy, addr, keys), [1, 1, 1, 1]);
 }
 
 #[test]
-fn a_broken_file_changes_nothing_and_counts_as_a_failure() {
-    let (cache, _parent, proxy, addr) = admin("broken", str::to_owned);
+fn invalid_config_is_rejected_and_counted() {
+    let (cache, _parent, proxy, addr) = start_with_admin("broken", str::to_owned);
     let whole = std::cell::RefCell::new(String::new());
-    proxy.rewrite(|text| {
+    proxy.rewrite_config(|text| {
         *whole.borrow_mut() = text.to_owned();
         text.to_owned()
     });
@@ -221,24 +221,24 @@
     }
     breaks(&|config| config["settings"]["grades"][0]["name"] = "table".into());
     for text in &broken {
-        proxy.rewrite(|_| text.clone());
+        proxy.rewrite_config(|_| text.clone());
         proxy.signal("-HUP");
-        proxy.logged("the old configuration stays");
+        proxy.wait_for_log("the old configuration stays");
     }
-    assert_eq!(figures(&proxy, addr, ["reload_success", "reload_failure"]), [0, broken.len() as u64]);
+    assert_eq!(stat_values(&proxy, addr, ["reload_success", "reload_failure"]), [0, broken.len() as u64]);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
-    cache.next().answer("200", "ver=a", b"ran");
+    cache.next_line().answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (1, served(b"ran")));
 }
 
 /// The log as JSON: a line an event, the end of a connection with its reason as fields.
 #[test]
-fn the_log_comes_as_json_where_that_is_asked_for() {
+fn log_format_json_writes_fields() {
     let cache = Cache::new("s-00000001");
     let proxy = Proxy::start("json-log", &[&cache], str::to_owned, &["--log-format", "json"]);
     drop(Client(proxy.connect(proxy.addr)));
-    let rest = proxy.logged("\"role\":\"Thrift\"");
+    let rest = proxy.wait_for_log("\"role\":\"Thrift\"");
     assert!(
         rest.contains("\"end\":\"peer-closed\"") && rest.contains("\"target\":\"dahliatrack::net\""),
         "{rest}"
@@ -247,10 +247,10 @@
 
 /// A log that nobody takes any more is no reason to stop serving.
 #[test]
-fn a_log_that_cannot_be_written_ends_nothing() {
+fn closed_log_pipe_does_not_stop_serving() {
     let cache = Cache::new("s-00000001");
     let mut proxy = Proxy::start("mute-log", &[&cache], str::to_owned, &[]);
-    proxy.mute();
+    proxy.close_log_reader();
     // Each connection's end is a log line; once the reader has seen that nobody listens, none can be written.
     for n in 0..20 {
         let mut client = Client(proxy.connect(proxy.addr));
--- a/tests/sockets/deadlines.rs
+++ b/tests/sockets/deadlines.rs
@@ -1,20 +1,20 @@
 //! What is left of a client's time: told to servers as an attempt is written, and never outlived by an answer.
 
-use crate::admission::{descriptors, limit_descriptors};
-use crate::platform::{request, request_within, served, Client, Reply};
+use crate::admission::{open_descriptors, set_descriptor_limit};
 use crate::stand_ins::*;
+use crate::thrift_front::{request, request_within, served, Client, Reply};
 use std::time::{Duration, Instant};
 
 /// A server may be told of this much more time than its client has left.
-const MORE: Duration = Duration::from_millis(150);
+const TOLERANCE: Duration = Duration::from_millis(150);
 
-fn limit_of(got: &Got) -> Duration {
+fn attempt_limit(got: &ReceivedLine) -> Duration {
     Duration::from_millis(got.field("limit").expect("a limit").parse().expect("a number"))
 }
 
 /// No server answers: each request has its final answer as its client's time ends, and no server was told of more.
 #[test]
-fn requests_with_little_time_left_that_servers_drop_have_their_answers_in_time() {
+fn requests_dropped_by_servers_are_answered_in_time() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let proxy = Proxy::start("little-time", &[&cache, &parent], str::to_owned, &[]);
     let mut client = Client::new(&proxy);
@@ -33,9 +33,9 @@
         assert!(matches!(reply, Reply::Refused { .. } | Reply::Failed), "{patience} ms: {reply:?}");
         let patience = Duration::from_millis(patience.into());
         assert!(since.elapsed() < patience + Duration::from_millis(500), "{:?}", since.elapsed());
-        while let Some(got) = cache.try_next().or_else(|| parent.try_next()) {
+        while let Some(got) = cache.try_next_line().or_else(|| parent.try_next_line()) {
             if got.words[0] == "fetch" {
-                assert!(limit_of(&got) <= patience, "{:?} of {patience:?}", got.words);
+                assert!(attempt_limit(&got) <= patience, "{:?} of {patience:?}", got.words);
             }
         }
     }
@@ -43,30 +43,30 @@
 
 /// A request that waited in the system's queue while no connection could be taken has less time left than it says.
 #[test]
-fn a_request_that_waited_to_be_accepted_promises_no_more_than_is_left() {
+fn attempt_limit_counts_time_waiting_for_accept() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let proxy = Proxy::start("waited", &[&cache, &parent], str::to_owned, &[]);
     let mut first = Client::new(&proxy);
     first.send(&request(1, "replay"));
-    cache.next().answer("200", "ver=a", b"x");
+    cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(first.reply(), (1, served(b"x")));
-    limit_descriptors(&proxy, descriptors(&proxy) - 2);
+    set_descriptor_limit(&proxy, open_descriptors(&proxy) - 2);
     let mut client = Client::new(&proxy);
     let since = Instant::now();
     client.send(&request_within(2, "replay", 3000));
-    proxy.logged("accept: ");
+    proxy.wait_for_log("accept: ");
     std::thread::sleep(Duration::from_millis(600));
-    limit_descriptors(&proxy, 1024);
-    let mut got = cache.next();
+    set_descriptor_limit(&proxy, 1024);
+    let mut got = cache.next_line();
     let left = Duration::from_millis(3000).saturating_sub(since.elapsed());
-    assert!(limit_of(&got) <= left + MORE, "{:?} with {left:?} left", limit_of(&got));
+    assert!(attempt_limit(&got) <= left + TOLERANCE, "{:?} with {left:?} left", attempt_limit(&got));
     got.answer("200", "ver=a", b"y");
     assert_eq!(client.reply(), (2, served(b"y")));
 }
 
 /// The same with a retry: it is told what is left after the first attempt.
 #[test]
-fn a_retry_promises_no_more_than_is_left() {
+fn retry_limit_counts_time_of_first_attempt() {
     let caches = [Cache::new("s-00000001"), Cache::new("s-00000002")];
     let parent = Cache::new("s-0000000p");
     let proxy = Proxy::start("retry-limit", &[&caches[0], &caches[1], &parent], str::to_owned, &[]);
@@ -74,7 +74,7 @@
     let since = Instant::now();
     client.send(&request_within(1, "replay", 3000));
     let next = || loop {
-        match caches.iter().find_map(Cache::try_next) {
+        match caches.iter().find_map(Cache::try_next_line) {
             Some(got) if got.words[0] == "fetch" => break got,
             _ => std::thread::yield_now(),
         }
@@ -84,21 +84,21 @@
     first.answer("503", "-", b"");
     let mut second = next();
     let left = Duration::from_millis(3000).saturating_sub(since.elapsed());
-    assert!(limit_of(&second) <= left + MORE, "{:?} with {left:?} left", limit_of(&second));
+    assert!(attempt_limit(&second) <= left + TOLERANCE, "{:?} with {left:?} left", attempt_limit(&second));
     second.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
 }
 
 /// Other clients that misbehave, servers that break and a feed that is gone free no request of its answer.
 #[test]
-fn trouble_elsewhere_frees_no_request_of_its_answer() {
+fn other_clients_and_feed_faults_do_not_affect_answers() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let proxy = Proxy::start("elsewhere", &[&cache, &parent], str::to_owned, &[]);
     let mut client = Client::new(&proxy);
     client.send(&request_within(1, "result", 1500));
-    let mut write = cache.next();
+    let mut write = cache.next_line();
     client.send(&request_within(2, "replay", 300));
-    let hanging = cache.next();
+    let hanging = cache.next_line();
     for n in 0..50 {
         let mut other = Client::new(&proxy);
         match n % 3 {
@@ -107,7 +107,7 @@
             _ => other.send(&request(100 + n, "replay")[..20]),
         }
     }
-    proxy.feed.tell("\"nonsense\":true");
+    proxy.feed.publish("\"nonsense\":true");
     let (seqid, reply) = client.reply();
     assert_eq!(seqid, 2);
     assert!(matches!(reply, Reply::Refused { .. } | Reply::Failed), "{reply:?}");
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -1,46 +1,46 @@
 //! The end of the process by signal, timed against the end by force: SIGKILL may come as early as the longest deadline
 //! (3 s at most) and 0.7 s after SIGTERM.
 
-use crate::platform::{message, request, request_within, served, Client, Reply};
 use crate::stand_ins::*;
+use crate::thrift_front::{message, request, request_within, served, Client, Reply};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
 /// From the signal to the earliest end by force, beside the longest deadline.
-const FORCE: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 
-fn deadlines_of(ms: u32) -> impl Fn(&str) -> String {
+fn with_deadline(ms: u32) -> impl Fn(&str) -> String {
     move |text: &str| text.replace("\"deadline\": 6000.0", &format!("\"deadline\": {ms}.0"))
 }
 
 /// Waits for the end of a process that was sent SIGTERM at `since`; fails once it may have been ended by force.
-fn ends_before_force(proxy: &mut Proxy, since: Instant, longest: Duration) -> ExitStatus {
-    let force = longest.min(Duration::from_secs(3)) + FORCE;
+fn wait_for_exit_before_kill(proxy: &mut Proxy, since: Instant, longest: Duration) -> ExitStatus {
+    let kill_after = longest.min(Duration::from_secs(3)) + KILL_DELAY;
     loop {
         if let Some(status) = proxy.child.try_wait().expect("its state") {
             let took = since.elapsed();
-            assert!(took < force, "it took {took:?} of {force:?}");
+            assert!(took < kill_after, "it took {took:?} of {kill_after:?}");
             return status;
         }
-        assert!(since.elapsed() < force, "it is still there after {force:?}");
+        assert!(since.elapsed() < kill_after, "it is still there after {kill_after:?}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// What a client that never stops sending got: the numbers that it sent and those that were answered.
-struct Sent {
+struct SentAndAnswered {
     sent: Vec<(i32, Instant)>,
     answered: Vec<i32>,
 }
 
 /// Sends requests until the connection ends, and always has some open.
-fn go_on_sending(proxy: &Proxy, patience_ms: u32) -> std::thread::JoinHandle<Sent> {
+fn send_until_closed(proxy: &Proxy, patience_ms: u32) -> std::thread::JoinHandle<SentAndAnswered> {
     let client = Client::new(proxy);
     let stream = client.0.try_clone().expect("a second handle");
     std::thread::spawn(move || {
-        let reader = std::thread::spawn(move || replies_to_the_end(client.0));
+        let reader = std::thread::spawn(move || reply_numbers_until_closed(client.0));
         let (mut stream, mut sent) = (stream, Vec::new());
         for seqid in 1.. {
             if stream.write_all(&request_within(seqid, "replay", patience_ms)).is_err()
@@ -51,12 +51,12 @@
             sent.push((seqid, Instant::now()));
             std::thread::sleep(Duration::from_millis(5));
         }
-        Sent { sent, answered: reader.join().expect("it reads to the end") }
+        SentAndAnswered { sent, answered: reader.join().expect("it reads to the end") }
     })
 }
 
 /// The numbers of the replies that a connection brings up to its end.
-fn replies_to_the_end(mut stream: TcpStream) -> Vec<i32> {
+fn reply_numbers_until_closed(mut stream: TcpStream) -> Vec<i32> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     let (mut rest, mut numbers) = (&bytes[..], Vec::new());
@@ -71,20 +71,20 @@
 }
 
 #[test]
-fn clients_that_go_on_sending_do_not_hold_the_process_past_its_end_by_force() {
+fn sending_clients_do_not_delay_exit_past_sigkill() {
     for longest_ms in [60, 400, 3000, 6000] {
         let caches = [Cache::new("s-00000001"), Cache::new("s-0000000p")];
         let name = format!("on-and-on-{longest_ms}");
-        let mut proxy = Proxy::start(&name, &[&caches[0], &caches[1]], deadlines_of(longest_ms), &[]);
+        let mut proxy = Proxy::start(&name, &[&caches[0], &caches[1]], with_deadline(longest_ms), &[]);
         // The caches never answer.
-        let clients: Vec<_> = (0..3).map(|_| go_on_sending(&proxy, longest_ms)).collect();
-        caches[0].next();
+        let clients: Vec<_> = (0..3).map(|_| send_until_closed(&proxy, longest_ms)).collect();
+        caches[0].next_line();
         let since = Instant::now();
         proxy.signal("-TERM");
-        let status = ends_before_force(&mut proxy, since, Duration::from_millis(longest_ms.into()));
+        let status = wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(longest_ms.into()));
         assert!(status.success());
         for client in clients {
-            let Sent { sent, answered } = client.join().expect("a client");
+            let SentAndAnswered { sent, answered } = client.join().expect("a client");
             let mut once = answered.clone();
             once.sort_unstable();
             once.dedup();
@@ -98,17 +98,17 @@
 }
 
 #[test]
-fn servers_that_hang_through_the_whole_shutdown_keep_no_answer_back() {
+fn requests_to_hanging_servers_are_answered_at_shutdown() {
     for longest_ms in [100, 900] {
         let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
         let name = format!("hang-{longest_ms}");
-        let mut proxy = Proxy::start(&name, &[&cache, &parent], deadlines_of(longest_ms), &[]);
+        let mut proxy = Proxy::start(&name, &[&cache, &parent], with_deadline(longest_ms), &[]);
         let mut clients = [Client::new(&proxy), Client::new(&proxy), Client::new(&proxy)];
         for (client, (seqid, route)) in clients.iter_mut().zip([(1, "replay"), (2, "result"), (3, "result")])
         {
             client.send(&request_within(seqid, route, longest_ms));
         }
-        cache.next();
+        cache.next_line();
         let since = Instant::now();
         proxy.signal("-TERM");
         for (client, seqid) in clients.iter_mut().zip([1, 2, 3]) {
@@ -116,19 +116,19 @@
             assert_eq!(answered, seqid);
             assert!(matches!(reply, Reply::Refused { .. } | Reply::Failed), "{reply:?}");
         }
-        let status = ends_before_force(&mut proxy, since, Duration::from_millis(longest_ms.into()));
+        let status = wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(longest_ms.into()));
         assert!(status.success());
     }
 }
 
 /// New requests may come for 0.6 s after the signal, whatever the deadlines are.
 #[test]
-fn with_short_deadlines_what_still_comes_is_answered() {
+fn new_requests_after_sigterm_are_answered_with_short_deadlines() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let mut proxy = Proxy::start("short", &[&cache, &parent], deadlines_of(50), &[]);
+    let mut proxy = Proxy::start("short", &[&cache, &parent], with_deadline(50), &[]);
     let since = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("stopping");
+    proxy.wait_for_log("stopping");
     let mut seqid = 0;
     while since.elapsed() < Duration::from_millis(500) {
         seqid += 1;
@@ -136,13 +136,13 @@
         client.send(&request_within(seqid, "replay", 50));
         assert_eq!(client.reply().0, seqid);
     }
-    assert!(ends_before_force(&mut proxy, since, Duration::from_millis(50)).success());
+    assert!(wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(50)).success());
 }
 
 #[test]
-fn a_client_that_takes_no_answer_does_not_hold_the_process() {
+fn client_that_does_not_read_does_not_delay_exit() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let mut proxy = Proxy::start("takes-none", &[&cache, &parent], deadlines_of(500), &[]);
+    let mut proxy = Proxy::start("takes-none", &[&cache, &parent], with_deadline(500), &[]);
     let mut client = Client::new(&proxy);
     // More than the system holds for it; what comes behind is not read until it takes some of it.
     for seqid in 1..=30 {
@@ -153,15 +153,15 @@
     }
     let since = Instant::now();
     proxy.signal("-TERM");
-    assert!(ends_before_force(&mut proxy, since, Duration::from_millis(500)).success());
+    assert!(wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(500)).success());
 }
 
 /// A client whose connection the system took, and the process never: it sees an end, and nothing was forwarded.
 #[test]
-fn a_process_that_is_killed_behind_an_accept_has_forwarded_nothing() {
+fn process_killed_before_accept_has_forwarded_nothing() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let mut proxy = Proxy::start("killed", &[&cache, &parent], str::to_owned, &[]);
-    proxy.stall();
+    proxy.suspend();
     let mut clients: Vec<Client> = (0..5).map(|_| Client::new(&proxy)).collect();
     for (seqid, client) in (1..).zip(&mut clients) {
         client.send(&request(seqid, "result"));
@@ -171,55 +171,55 @@
     for client in &mut clients {
         assert!(client.is_closed(), "a reset or an end, and no byte before");
     }
-    assert_eq!((cache.rest(), parent.rest()), (vec![], vec![]));
+    assert_eq!((cache.unread_lines(), parent.unread_lines()), (vec![], vec![]));
     // The next process serves the same requests, once each.
-    let next = proxy.newer(&[]);
+    let next = proxy.start_newer(&[]);
     let mut client = Client::new(&next);
     client.send(&request(1, "result"));
-    cache.next().answer("200", "ver=a", b"ran");
+    cache.next_line().answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (1, served(b"ran")));
-    assert_eq!(cache.rest(), Vec::<String>::new());
+    assert_eq!(cache.unread_lines(), Vec::<String>::new());
 }
 
 /// The same beside a newer process: what the killed one had taken is not sent on by the newer one by itself.
 #[test]
-fn beside_a_newer_process_a_killed_one_loses_only_its_own_connections() {
+fn killed_older_process_loses_only_its_own_connections() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let mut old = Proxy::start("killed-beside", &[&cache, &parent], str::to_owned, &[]);
     let mut open = Client::new(&old);
     open.send(&request(1, "result"));
-    let first = cache.next();
-    assert_eq!(first.words[1], crate::platform::trace(1));
-    let new = old.newer(&[]);
-    old.logged("a newer process takes over");
+    let first = cache.next_line();
+    assert_eq!(first.words[1], crate::thrift_front::trace(1));
+    let new = old.start_newer(&[]);
+    old.wait_for_log("a newer process takes over");
     old.signal("-KILL");
     old.child.wait().expect("an end");
     assert!(open.is_closed(), "its client knows, and asks again if that does no harm");
-    new.logged("the older process has ended");
+    new.wait_for_log("the older process has ended");
     for seqid in 2..6 {
         let mut client = Client::new(&new);
         client.send(&request(seqid, "replay"));
-        cache.next().answer("200", "ver=a", b"x");
+        cache.next_line().answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (seqid, served(b"x")));
     }
-    assert_eq!(cache.rest(), Vec::<String>::new(), "the write went out once");
+    assert_eq!(cache.unread_lines(), Vec::<String>::new(), "the write went out once");
 }
 
 /// A restarted process is ready, and says so, long before it has to be: within 10 s.
 #[test]
-fn a_killed_process_is_ready_again_in_time() {
+fn restarted_process_is_ready_in_time() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let mut proxy = Proxy::start("again", &[&cache, &parent], str::to_owned, &[]);
     for _ in 0..3 {
         proxy.signal("-KILL");
         proxy.child.wait().expect("an end");
         let since = Instant::now();
-        let next = proxy.newer(&[]);
+        let next = proxy.start_newer(&[]);
         let mut client = Client::new(&next);
         assert!(client.ping(1), "ready at its first answer");
         assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
         client.send(&request(2, "replay"));
-        cache.next().answer("200", "ver=a", b"x");
+        cache.next_line().answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (2, served(b"x")));
         proxy = next;
     }
@@ -227,18 +227,18 @@
 
 /// Clients that only shut down their sending side, or send a ping at the last, keep nothing open.
 #[test]
-fn half_closed_and_pinging_clients_end_with_the_process() {
+fn half_closed_and_pinging_clients_do_not_delay_exit() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let mut proxy = Proxy::start("half-closed", &[&cache, &parent], deadlines_of(300), &[]);
+    let mut proxy = Proxy::start("half-closed", &[&cache, &parent], with_deadline(300), &[]);
     let mut pinging = Client::new(&proxy);
     let half = Client::new(&proxy);
     assert!(pinging.ping(1));
     half.0.shutdown(Shutdown::Write).expect("half closed");
     let since = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("stopping");
+    proxy.wait_for_log("stopping");
     pinging.send(&message(1, "ping", 2, &[2, 0, 1, 0]));
     let (seqid, reply) = pinging.reply();
     assert!(seqid == 2 && matches!(reply, Reply::Pong(_)));
-    assert!(ends_before_force(&mut proxy, since, Duration::from_millis(300)).success());
+    assert!(wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(300)).success());
 }
--- a/tests/sockets/links.rs
+++ b/tests/sockets/signed_front.rs
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const OBJECT: &str = "7f3a9c21e0b4d655";
-const OPERATOR: &str = r#"
+const SIGNED_CONFIG: &str = r#"
 listen = "127.0.0.1:0"
 scheme = "https"
 hosts = ["replays.example.org"]
@@ -31,7 +31,7 @@
 patience_ms = 50
 "#;
 
-struct Site {
+struct Setup {
     cache: Cache,
     _parent: Cache,
     proxy: Proxy,
@@ -39,29 +39,34 @@
     file: PathBuf,
 }
 
-fn site(name: &str) -> Site {
-    site_by(name, OPERATOR)
+fn setup(name: &str) -> Setup {
+    setup_with_config(name, SIGNED_CONFIG)
 }
 
-fn site_by(name: &str, operator: &str) -> Site {
-    site_with(name, operator, str::to_owned)
+fn setup_with_config(name: &str, signed_config: &str) -> Setup {
+    setup_with_changes(name, signed_config, str::to_owned)
 }
 
-fn site_with(name: &str, operator: &str, change: impl Fn(&str) -> String) -> Site {
-    site_full(name, operator, change, &[])
+fn setup_with_changes(name: &str, signed_config: &str, change: impl Fn(&str) -> String) -> Setup {
+    setup_with_args(name, signed_config, change, &[])
 }
 
-fn site_full(name: &str, operator: &str, change: impl Fn(&str) -> String, extra: &[&str]) -> Site {
+fn setup_with_args(
+    name: &str,
+    signed_config: &str,
+    change: impl Fn(&str) -> String,
+    extra: &[&str],
+) -> Setup {
     let folder = folder(name);
     let file = folder.join("signed.toml");
-    std::fs::write(&file, operator).expect("a file");
+    std::fs::write(&file, signed_config).expect("a file");
     std::fs::write(folder.join("links.secret"), "AAECAwQFBgcICQoLDA0ODw==\n").expect("a file");
     std::fs::write(folder.join("tables.secret"), "Dw4NDAsKCQgHBgUEAwIBAA\n").expect("a file");
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let more = [&["--signed", file.to_str().expect("a path")][..], extra].concat();
     let proxy = Proxy::start(name, &[&cache, &parent], change, &more);
-    let addr = proxy.logged("signed front: listening on ").parse().expect("an address");
-    Site { cache, _parent: parent, proxy, addr, file }
+    let addr = proxy.wait_for_log("signed front: listening on ").parse().expect("an address");
+    Setup { cache, _parent: parent, proxy, addr, file }
 }
 
 fn now() -> u64 {
@@ -69,13 +74,13 @@
 }
 
 /// Waits for a second of the clock, on which the links' ends are counted.
-fn wait_for(second: u64) {
+fn wait_for_second(second: u64) {
     while now() < second {
         std::thread::yield_now();
     }
 }
 
-impl Site {
+impl Setup {
     /// What the command line issues.
     fn sign(&self, arguments: &[&str]) -> String {
         let program = env!("CARGO_BIN_EXE_dahliatrack");
@@ -87,19 +92,19 @@
     }
 
     /// A signed path that ends at a second.
-    fn path(&self, path: &str, expires: u64) -> String {
+    fn signed_path(&self, path: &str, expires: u64) -> String {
         let url = format!("https://replays.example.org{path}");
         let signed = self.sign(&["url", "--key", "links", "--expires", &expires.to_string(), &url]);
         signed.strip_prefix("https://replays.example.org").expect("the host").to_owned()
     }
 
-    fn replay(&self, part: u32, expires: u64) -> String {
-        self.path(&format!("/replays/17/{OBJECT}/{part}"), expires)
+    fn signed_replay_path(&self, part: u32, expires: u64) -> String {
+        self.signed_path(&format!("/replays/17/{OBJECT}/{part}"), expires)
     }
 
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.addr).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client(stream)
     }
 }
@@ -136,180 +141,180 @@
 
     fn answer(&mut self) -> Answer {
         let (status, head) = self.head();
-        let length = field(&head, "Content-Length").map_or(0, |length| length.parse().expect("a length"));
+        let length = header(&head, "Content-Length").map_or(0, |length| length.parse().expect("a length"));
         let mut body = vec![0; length];
         self.0.read_exact(&mut body).expect("a body");
         Answer { status, head, body }
     }
 
     /// The rest until the edge proxy closes.
-    fn rest(&mut self) -> Vec<u8> {
+    fn read_until_closed(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).expect("an end");
         rest
     }
 }
 
-fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
 #[test]
-fn valid_forged_expired_and_missing_links_each_have_one_answer() {
-    let site = site("links");
-    let mut client = site.client();
-    let good = site.replay(3, now() + 60);
+fn valid_forged_expired_and_missing_links_get_one_answer_each() {
+    let setup = setup("links");
+    let mut client = setup.client();
+    let good = setup.signed_replay_path(3, now() + 60);
     client.get(&good);
-    let mut got = site.cache.next();
+    let mut got = setup.cache.next_line();
     assert_eq!((got.field("item"), got.field("chunk")), (Some(OBJECT), Some("3")));
     got.answer("200", "ver=a1,born=5", b"a game");
     let served = client.answer();
     assert_eq!((served.status, &served.body[..]), (200, &b"a game"[..]));
-    assert_eq!(field(&served.head, "ETag"), Some("\"a1\""));
+    assert_eq!(header(&served.head, "ETag"), Some("\"a1\""));
     for (path, status, what) in [
         (good.replace("/17/", "/18/"), 403, "for another group"),
         (good.replace("Expires=1", "Expires=2"), 403, "with a longer life"),
-        (site.replay(3, now() - 1), 403, "expired"),
+        (setup.signed_replay_path(3, now() - 1), 403, "expired"),
         (format!("/replays/17/{OBJECT}/3"), 403, "without a credential"),
         (format!("{good}&URISigningPackage=x"), 400, "with two credentials"),
         (good.replace('?', "?Expires=1&"), 400, "with a parameter twice"),
-        (site.path("/elsewhere", now() + 60), 404, "to no route"),
+        (setup.signed_path("/elsewhere", now() + 60), 404, "to no route"),
     ] {
-        let mut client = site.client();
+        let mut client = setup.client();
         client.get(&path);
         assert_eq!(client.answer().status, status, "{what}");
     }
-    assert_eq!(site.cache.rest(), Vec::<String>::new(), "no attempt for any of these");
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt for any of these");
 }
 
 #[test]
-fn tokens_are_issued_for_one_object_or_one_table() {
-    let site = site("tokens");
+fn token_opens_only_its_object_or_table() {
+    let setup = setup("tokens");
     let end = (now() + 60).to_string();
     let issue = |bound: &str, url: &str| {
         let url = format!("https://replays.example.org{url}");
-        site.sign(&["token", "--key", "tables", "--issuer", "games", "--expires", &end, bound, &url])
+        setup.sign(&["token", "--key", "tables", "--issuer", "games", "--expires", &end, bound, &url])
     };
     let (path, other) = (format!("/replays/17/{OBJECT}/3"), format!("/replays/18/{OBJECT}/3"));
     for token in [issue("--object", &path), issue("--table", "/replays/17/")] {
-        let mut client = site.client();
+        let mut client = setup.client();
         client.get(&format!("{path}?URISigningPackage={token}"));
-        site.cache.next().answer("200", "ver=a1", b"a game");
+        setup.cache.next_line().answer("200", "ver=a1", b"a game");
         assert_eq!(client.answer().status, 200);
         client.send("GET", &path, &format!("Cookie: URISigningPackage={token}\r\n"));
-        site.cache.next().answer("200", "ver=a1", b"a game");
+        setup.cache.next_line().answer("200", "ver=a1", b"a game");
         assert_eq!(client.answer().status, 200);
         client.get(&format!("{other}?URISigningPackage={token}"));
         assert_eq!(client.answer().status, 403);
         client.get(&format!("{path}?URISigningPackage={token}A"));
         assert_eq!(client.answer().status, 403);
     }
-    assert_eq!(site.cache.rest(), Vec::<String>::new());
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new());
 }
 
 #[test]
-fn a_link_that_ends_mid_fill_is_denied_at_once_and_the_fill_called_off() {
-    let site = site("mid-fill");
-    let mut client = site.client();
-    client.get(&site.replay(3, now() + 3));
-    let mut got = site.cache.next();
+fn link_expiring_during_fill_is_denied_and_fill_aborted() {
+    let setup = setup("mid-fill");
+    let mut client = setup.client();
+    client.get(&setup.signed_replay_path(3, now() + 3));
+    let mut got = setup.cache.next_line();
     assert_eq!(client.answer().status, 403, "while the fill is still out");
-    assert_eq!(site.cache.next().words[0], "abort");
+    assert_eq!(setup.cache.next_line().words[0], "abort");
     got.answer("200", "ver=a1", b"too late");
-    client.get(&site.replay(4, now() + 60));
-    site.cache.next().answer("200", "ver=a1", b"next");
+    client.get(&setup.signed_replay_path(4, now() + 60));
+    setup.cache.next_line().answer("200", "ver=a1", b"next");
     assert_eq!(client.answer().body, b"next", "and the late copy is nobody's answer");
 }
 
 #[test]
-fn a_link_that_ends_once_a_copy_is_chosen_gives_no_byte_of_it() {
-    let site = site("chosen");
-    let mut client = site.client();
+fn link_expiring_while_answer_is_queued_sends_no_body() {
+    let setup = setup("chosen");
+    let mut client = setup.client();
     let end = now() + 3;
-    client.get(&site.replay(1, now() + 60));
-    let mut first = site.cache.next();
+    client.get(&setup.signed_replay_path(1, now() + 60));
+    let mut first = setup.cache.next_line();
     // Its copy is there, but its turn is behind the first.
-    client.get(&site.replay(2, end));
-    site.cache.next().answer("200", "ver=b2", b"leaked");
-    client.get(&site.replay(3, now() + 60));
-    let mut third = site.cache.next();
-    wait_for(end);
+    client.get(&setup.signed_replay_path(2, end));
+    setup.cache.next_line().answer("200", "ver=b2", b"leaked");
+    client.get(&setup.signed_replay_path(3, now() + 60));
+    let mut third = setup.cache.next_line();
+    wait_for_second(end);
     first.answer("200", "ver=b1", b"first");
     third.answer("200", "ver=b3", b"third");
     let answers = [client.answer(), client.answer(), client.answer()];
     let said = answers.map(|answer| (answer.status, answer.body));
     assert_eq!(said, [(200, b"first".to_vec()), (403, vec![]), (200, b"third".to_vec())]);
-    assert_eq!(site.cache.rest(), Vec::<String>::new());
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new());
 }
 
 #[test]
-fn a_body_that_has_begun_runs_on_past_the_links_end() {
-    let site = site("begun");
-    let mut client = site.client();
+fn body_in_progress_continues_past_link_expiry() {
+    let setup = setup("begun");
+    let mut client = setup.client();
     let end = now() + 3;
     let body = vec![7; 240_000];
-    client.get(&site.replay(1, end));
-    site.cache.next().answer("200", "ver=a", &body);
+    client.get(&setup.signed_replay_path(1, end));
+    setup.cache.next_line().answer("200", "ver=a", &body);
     let (status, _) = client.head();
-    wait_for(end);
+    wait_for_second(end);
     let mut rest = vec![0; body.len()];
     client.0.read_exact(&mut rest).expect("the body");
     assert_eq!((status, rest == body), (200, true));
 }
 
 #[test]
-fn a_client_that_leaves_calls_its_fill_off() {
-    let site = site("gone");
-    let mut client = site.client();
-    client.get(&site.replay(1, now() + 60));
-    let trace = site.cache.next().words[1].clone();
+fn fill_is_aborted_when_client_leaves() {
+    let setup = setup("gone");
+    let mut client = setup.client();
+    client.get(&setup.signed_replay_path(1, now() + 60));
+    let trace = setup.cache.next_line().words[1].clone();
     drop(client);
-    assert_eq!(site.cache.next().words, ["abort", &trace]);
+    assert_eq!(setup.cache.next_line().words, ["abort", &trace]);
 }
 
 #[test]
-fn a_head_has_no_body_and_a_copy_that_holds_is_not_sent_again() {
-    let site = site("head");
-    let mut client = site.client();
-    client.send("HEAD", &site.replay(1, now() + 60), "");
-    site.cache.next().answer("200", "ver=a", b"12345");
+fn head_has_no_body_and_matching_etag_gets_304() {
+    let setup = setup("head");
+    let mut client = setup.client();
+    client.send("HEAD", &setup.signed_replay_path(1, now() + 60), "");
+    setup.cache.next_line().answer("200", "ver=a", b"12345");
     let (status, head) = client.head();
-    assert_eq!((status, field(&head, "Content-Length")), (200, Some("5")));
-    client.send("GET", &site.replay(1, now() + 60), "If-None-Match: \"a\"\r\n");
-    let mut got = site.cache.next();
+    assert_eq!((status, header(&head, "Content-Length")), (200, Some("5")));
+    client.send("GET", &setup.signed_replay_path(1, now() + 60), "If-None-Match: \"a\"\r\n");
+    let mut got = setup.cache.next_line();
     assert_eq!(got.field("seen"), Some("a"));
     got.answer("304", "ver=a", b"");
     let same = client.answer();
-    assert_eq!((same.status, field(&same.head, "ETag")), (304, Some("\"a\"")));
-    client.send("GET", &site.replay(1, now() + 60), "If-None-Match: \"z\", \"a\"\r\n");
-    site.cache.next().answer("200", "ver=a", b"12345");
+    assert_eq!((same.status, header(&same.head, "ETag")), (304, Some("\"a\"")));
+    client.send("GET", &setup.signed_replay_path(1, now() + 60), "If-None-Match: \"z\", \"a\"\r\n");
+    setup.cache.next_line().answer("200", "ver=a", b"12345");
     assert_eq!(client.answer().status, 304, "of several tags the answer's is found here");
 }
 
 #[test]
-fn outcomes_have_their_status() {
-    let site = site("status");
-    let mut client = site.client();
+fn each_outcome_has_its_http_status() {
+    let setup = setup("status");
+    let mut client = setup.client();
     // Each attempt errs; the module may ask again before it gives up.
-    client.get(&site.replay(1, now() + 60));
-    let mut failed = site.cache.next();
+    client.get(&setup.signed_replay_path(1, now() + 60));
+    let mut failed = setup.cache.next_line();
     failed.answer("503", "tell=turned_away", b"");
     let answer = std::thread::scope(|scope| {
         let rest = scope.spawn(|| client.answer());
         while !rest.is_finished() {
-            if let Some(mut again) = site.cache.try_next().filter(|again| again.words[0] == "fetch") {
+            if let Some(mut again) = setup.cache.try_next_line().filter(|again| again.words[0] == "fetch") {
                 again.answer("503", "tell=turned_away", b"");
             }
         }
         rest.join().expect("an answer")
     });
-    assert_eq!((answer.status, field(&answer.head, "Retry-After")), (503, Some("2")), "1.5 s, rounded up");
-    client.get(&site.path(&format!("/short/{OBJECT}"), now() + 60));
+    assert_eq!((answer.status, header(&answer.head, "Retry-After")), (503, Some("2")), "1.5 s, rounded up");
+    client.get(&setup.signed_path(&format!("/short/{OBJECT}"), now() + 60));
     assert_eq!(client.answer().status, 504, "out of time");
-    client.send("POST", &site.replay(1, now() + 60), "");
+    client.send("POST", &setup.signed_replay_path(1, now() + 60), "");
     assert_eq!(client.answer().status, 405);
-    let mut other = site.client();
-    let path = site.replay(1, now() + 60);
+    let mut other = setup.client();
+    let path = setup.signed_replay_path(1, now() + 60);
     other.0.write_all(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).expect("written");
     assert_eq!(other.answer().status, 421);
     for (text, status) in [
@@ -317,48 +322,51 @@
         ("GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx".to_owned(), 400),
         (format!("GET /{} HTTP/1.1\r\n", "x".repeat(20_000)), 431),
     ] {
-        let mut client = site.client();
+        let mut client = setup.client();
         client.0.write_all(text.as_bytes()).expect("written");
         assert_eq!(client.answer().status, status);
-        assert!(client.rest().is_empty(), "and the connection ends");
+        assert!(client.read_until_closed().is_empty(), "and the connection ends");
     }
-    let mut many = site.client();
+    let mut many = setup.client();
     (0..40).for_each(|part| many.get(&format!("/replays/17/{OBJECT}/{part}")));
     (0..40)
         .for_each(|_| assert_eq!(many.answer().status, 403, "more than are open at a time are read in turn"));
 }
 
 #[test]
-fn a_head_that_does_not_come_has_an_end() {
-    let site = site_by("slow-head", &OPERATOR.replace("10000", "100"));
-    let mut client = site.client();
+fn incomplete_request_head_times_out() {
+    let setup = setup_with_config("slow-head", &SIGNED_CONFIG.replace("10000", "100"));
+    let mut client = setup.client();
     client.0.write_all(b"GET / HTTP/1.1\r\nHost").expect("written");
     assert_eq!(client.answer().status, 408);
-    assert!(client.rest().is_empty());
-    assert!(site.client().rest().is_empty(), "a connection that says nothing ends without an answer");
+    assert!(client.read_until_closed().is_empty());
+    assert!(
+        setup.client().read_until_closed().is_empty(),
+        "a connection that says nothing ends without an answer"
+    );
 }
 
 #[test]
-fn sighup_changes_the_keys_and_a_bad_file_changes_none() {
-    let site = site("rotate");
-    let (mut waits, mut client) = (site.client(), site.client());
-    let (old, open) = (site.replay(1, now() + 1000), site.replay(2, now() + 1000));
+fn sighup_changes_keys_and_bad_file_changes_none() {
+    let setup = setup("rotate");
+    let (mut waits, mut client) = (setup.client(), setup.client());
+    let (old, open) = (setup.signed_replay_path(1, now() + 1000), setup.signed_replay_path(2, now() + 1000));
     waits.get(&open);
-    let mut fill = site.cache.next();
-    let secret = site.file.with_file_name("links.secret");
+    let mut fill = setup.cache.next_line();
+    let secret = setup.file.with_file_name("links.secret");
     std::fs::write(&secret, "too short\n").expect("a file");
-    site.proxy.signal("-HUP");
-    site.proxy.logged("the old configuration stays");
+    setup.proxy.signal("-HUP");
+    setup.proxy.wait_for_log("the old configuration stays");
     client.get(&old);
-    site.cache.next().answer("200", "ver=a", b"x");
+    setup.cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.answer().status, 200, "the old key still counts");
     std::fs::write(&secret, "DwAODwAODwAODwAODwAODw==\n").expect("a file");
-    site.proxy.signal("-HUP");
-    site.proxy.logged("reloaded: feed ");
+    setup.proxy.signal("-HUP");
+    setup.proxy.wait_for_log("reloaded: feed ");
     client.get(&old);
     assert_eq!(client.answer().status, 403, "a key that was replaced opens nothing");
-    client.get(&site.replay(3, now() + 1000));
-    site.cache.next().answer("200", "ver=a", b"z");
+    client.get(&setup.signed_replay_path(3, now() + 1000));
+    setup.cache.next_line().answer("200", "ver=a", b"z");
     assert_eq!(client.answer().body, b"z", "the new one opens");
     fill.answer("200", "ver=a", b"y");
     assert_eq!(waits.answer().body, b"y", "what was let in stays");
@@ -366,15 +374,16 @@
 
 /// Connections that say nothing must not keep out who has a link, nor end one that waits for its answer.
 #[test]
-fn a_flood_of_connections_makes_room_for_a_link() {
-    let site = site_with("link-flood", OPERATOR, |c| c.replace("\"sockets\":1024", "\"sockets\":64"));
-    let (mut old, path) = (site.client(), site.replay(1, now() + 1000));
+fn idle_connection_flood_does_not_block_a_link() {
+    let setup =
+        setup_with_changes("link-flood", SIGNED_CONFIG, |c| c.replace("\"sockets\":1024", "\"sockets\":64"));
+    let (mut old, path) = (setup.client(), setup.signed_replay_path(1, now() + 1000));
     old.get(&path);
-    let mut open = site.cache.next();
-    let flood: Vec<Client> = (0..100).map(|_| site.client()).collect();
-    let mut new = site.client();
-    new.get(&site.replay(2, now() + 1000));
-    site.cache.next().answer("200", "ver=a", b"new");
+    let mut open = setup.cache.next_line();
+    let flood: Vec<Client> = (0..100).map(|_| setup.client()).collect();
+    let mut new = setup.client();
+    new.get(&setup.signed_replay_path(2, now() + 1000));
+    setup.cache.next_line().answer("200", "ver=a", b"new");
     assert_eq!(new.answer().body, b"new");
     open.answer("200", "ver=a", b"old");
     assert_eq!(old.answer().body, b"old");
@@ -382,115 +391,116 @@
 }
 
 #[test]
-fn a_link_is_read_however_its_head_is_cut() {
-    let site = site("cut-head");
-    let path = site.replay(3, now() + 60);
-    let mut client = site.client();
+fn request_head_may_arrive_in_pieces() {
+    let setup = setup("cut-head");
+    let path = setup.signed_replay_path(3, now() + 60);
+    let mut client = setup.client();
     client.0.set_nodelay(true).expect("no delay");
     let text = format!("GET {path} HTTP/1.1\r\nHost: replays.example.org\r\n\r\n");
     text.bytes().for_each(|byte| client.0.write_all(&[byte]).expect("written"));
-    site.cache.next().answer("200", "ver=a", b"x");
+    setup.cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.answer().status, 200);
     client.0.write_all(&text.as_bytes()[..text.len() / 2]).expect("written");
     client.0.shutdown(std::net::Shutdown::Write).expect("an end");
-    assert_eq!(client.rest(), b"", "half a head and an end gets nothing");
+    assert_eq!(client.read_until_closed(), b"", "half a head and an end gets nothing");
 }
 
 #[test]
-fn sighup_gives_the_routes_the_new_classes() {
-    let site = site("link-classes");
-    let path = site.replay(3, now() + 60);
-    let mut client = site.client();
+fn sighup_updates_classes_of_routes() {
+    let setup = setup("link-classes");
+    let path = setup.signed_replay_path(3, now() + 60);
+    let mut client = setup.client();
     client.get(&path);
-    let mut open = site.cache.next();
+    let mut open = setup.cache.next_line();
     let without = |text: &str| text.replace("\"name\": \"replay\"", "\"name\": \"table\"");
-    site.proxy.rewrite(without);
-    site.proxy.signal("-HUP");
-    site.proxy.logged(
+    setup.proxy.rewrite_config(without);
+    setup.proxy.signal("-HUP");
+    setup.proxy.wait_for_log(
         "class \"replay\" is not defined in the settings or is never cached; the old configuration stays",
     );
-    std::fs::write(&site.file, OPERATOR.replace("class = \"replay\"", "class = \"table\"")).expect("a file");
-    site.proxy.signal("-HUP");
-    site.proxy.logged("reloaded: ");
+    std::fs::write(&setup.file, SIGNED_CONFIG.replace("class = \"replay\"", "class = \"table\""))
+        .expect("a file");
+    setup.proxy.signal("-HUP");
+    setup.proxy.wait_for_log("reloaded: ");
     open.answer("200", "ver=a", b"old");
     assert_eq!(client.answer().body, b"old");
     client.get(&path);
-    let mut got = site.cache.next();
+    let mut got = setup.cache.next_line();
     assert_eq!(got.field("cls"), Some("table"));
     got.answer("200", "ver=a", b"new");
     assert_eq!(client.answer().body, b"new");
 }
 
 #[test]
-fn an_upgrade_answers_the_links_that_are_open_and_leaves_the_next_to_the_newer_process() {
-    let mut site = site("link-upgrade");
-    let path = site.replay(3, now() + 60);
-    let (mut idle, mut busy) = (site.client(), site.client());
+fn upgrade_answers_open_links_then_newer_process_serves() {
+    let mut setup = setup("link-upgrade");
+    let path = setup.signed_replay_path(3, now() + 60);
+    let (mut idle, mut busy) = (setup.client(), setup.client());
     idle.get(&path);
-    site.cache.next().answer("200", "ver=a", b"x");
+    setup.cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(idle.answer().status, 200);
     busy.get(&path);
-    let mut open = site.cache.next();
-    let operator = OPERATOR.replace("127.0.0.1:0", &site.addr.to_string());
-    std::fs::write(&site.file, operator).expect("a file");
-    let new = site.proxy.newer(&["--signed", site.file.to_str().expect("a path")]);
-    new.logged("signed front: listening on ");
-    site.proxy.logged("a newer process takes over");
-    site.proxy.signal("-TERM");
-    site.proxy.logged("listeners closed: the newer process accepts clients");
-    assert_eq!(idle.rest(), b"", "it ends between requests");
+    let mut open = setup.cache.next_line();
+    let signed_config = SIGNED_CONFIG.replace("127.0.0.1:0", &setup.addr.to_string());
+    std::fs::write(&setup.file, signed_config).expect("a file");
+    let new = setup.proxy.start_newer(&["--signed", setup.file.to_str().expect("a path")]);
+    new.wait_for_log("signed front: listening on ");
+    setup.proxy.wait_for_log("a newer process takes over");
+    setup.proxy.signal("-TERM");
+    setup.proxy.wait_for_log("listeners closed: the newer process accepts clients");
+    assert_eq!(idle.read_until_closed(), b"", "it ends between requests");
     open.answer("200", "ver=a", b"open");
     let last = busy.answer();
     assert_eq!((last.status, &last.body[..]), (200, &b"open"[..]));
-    assert_eq!((field(&last.head, "Connection"), busy.rest()), (Some("close"), Vec::new()));
-    assert!(site.proxy.child.wait().expect("an end").success());
-    let mut next = site.client();
+    assert_eq!((header(&last.head, "Connection"), busy.read_until_closed()), (Some("close"), Vec::new()));
+    assert!(setup.proxy.child.wait().expect("an end").success());
+    let mut next = setup.client();
     next.get(&path);
-    site.cache.next().answer("200", "ver=a", b"new");
+    setup.cache.next_line().answer("200", "ver=a", b"new");
     assert_eq!(next.answer().body, b"new");
     // With nobody to take over, what is open at SIGTERM is answered, too.
     next.get(&path);
-    let mut open = site.cache.next();
+    let mut open = setup.cache.next_line();
     new.signal("-TERM");
-    new.logged("stopping");
+    new.wait_for_log("stopping");
     open.answer("200", "ver=a", b"last");
     assert_eq!(next.answer().body, b"last");
 }
 
 #[test]
-fn a_prefix_that_was_issued_opens_a_table_and_no_other() {
-    let site = site("prefix");
+fn signed_prefix_opens_only_its_table() {
+    let setup = setup("prefix");
     let end = (now() + 60).to_string();
     let table = "https://replays.example.org/replays/17/";
-    let signed = site.sign(&["prefix", "--key", "links", "--expires", &end, table]);
-    let mut client = site.client();
+    let signed = setup.sign(&["prefix", "--key", "links", "--expires", &end, table]);
+    let mut client = setup.client();
     for part in [3, 4] {
         client.get(&format!("/replays/17/{OBJECT}/{part}?{signed}"));
-        site.cache.next().answer("200", "ver=a", b"a game");
+        setup.cache.next_line().answer("200", "ver=a", b"a game");
         assert_eq!(client.answer().status, 200);
     }
     client.get(&format!("/replays/18/{OBJECT}/3?{signed}"));
     assert_eq!(client.answer().status, 403);
-    assert_eq!(site.cache.rest(), Vec::<String>::new(), "no attempt for what it does not open");
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt for what it does not open");
 }
 
 #[test]
-fn a_link_that_admission_refuses_gets_one_503_with_retry_after_before_its_end() {
+fn link_refused_by_admission_gets_503_with_retry_after() {
     let path = folder("links-admission").join("admission.hcl");
     std::fs::write(&path, "admission {\n per_address = 1\n rate_per_s = 0\n pause_ms = 1500\n}\n")
         .expect("a file");
-    let site = site_full(
+    let setup = setup_with_args(
         "links-admission",
-        OPERATOR,
+        SIGNED_CONFIG,
         str::to_owned,
         &["--admission", path.to_str().expect("a path")],
     );
-    let _held = TcpStream::connect(site.addr).expect("a connection");
-    let mut refused = TcpStream::connect(site.addr).expect("a connection");
-    refused.set_read_timeout(Some(LONG)).expect("a time-out");
+    let _held = TcpStream::connect(setup.addr).expect("a connection");
+    let mut refused = TcpStream::connect(setup.addr).expect("a connection");
+    refused.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     let mut answer = String::new();
     refused.read_to_string(&mut answer).expect("an answer, then the end");
     assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\r\n"), "{answer}");
     // 1.5 s, rounded up to whole seconds.
-    assert_eq!((field(&answer, "Retry-After"), field(&answer, "Connection")), (Some("2"), Some("close")));
+    assert_eq!((header(&answer, "Retry-After"), header(&answer, "Connection")), (Some("2"), Some("close")));
 }
--- a/tests/sockets/stand_ins.rs
+++ b/tests/sockets/stand_ins.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 /// Longer than anything takes that a test waits for: past it the test has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A line that a table cache was sent, and the connection to answer it on.
-pub struct Got {
-    pub by: &'static str,
+pub struct ReceivedLine {
+    pub cache_name: &'static str,
     pub words: Vec<String>,
     pub body: Vec<u8>,
     stream: TcpStream,
 }
 
-impl Got {
+impl ReceivedLine {
     pub fn field(&self, name: &str) -> Option<&str> {
         let pairs = self.words[2].split(',').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(known, _)| *known == name).map(|(_, value)| value).next()
@@ -33,18 +33,18 @@
     }
 
     /// Answers whatever bytes.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn answer_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
     /// Answers the head and half of the bytes, and breaks off.
-    pub fn half(&mut self, body: &[u8]) {
+    pub fn answer_half_and_close(&mut self, body: &[u8]) {
         let head = format!("{} 200 ver=a {}\r\n", self.words[1], body.len());
         let _ = self.stream.write_all(&[head.as_bytes(), &body[..body.len() / 2]].concat());
-        self.reset();
+        self.close_connection();
     }
 
-    pub fn reset(&mut self) {
+    pub fn close_connection(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 }
@@ -53,8 +53,8 @@
 pub struct Cache {
     pub name: &'static str,
     pub addr: SocketAddr,
-    pub lines: Receiver<Got>,
-    pub ends: Receiver<()>,
+    pub lines: Receiver<ReceivedLine>,
+    pub closed_connections: Receiver<()>,
 }
 
 impl Cache {
@@ -62,40 +62,44 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let (sender, lines) = channel();
-        let (ended, ends) = channel();
+        let (closed, closed_connections) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (sender, ended) = (sender.clone(), ended.clone());
+                let (sender, closed) = (sender.clone(), closed.clone());
                 thread::spawn(move || {
-                    let _ = pass_on(name, stream, &sender);
-                    let _ = ended.send(());
+                    let _ = forward_lines(name, stream, &sender);
+                    let _ = closed.send(());
                 });
             }
         });
-        Cache { name, addr, lines, ends }
+        Cache { name, addr, lines, closed_connections }
     }
 
-    pub fn next(&self) -> Got {
-        self.lines.recv_timeout(LONG).unwrap_or_else(|_| panic!("{} was sent nothing", self.name))
+    pub fn next_line(&self) -> ReceivedLine {
+        self.lines.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("{} was sent nothing", self.name))
     }
 
     /// What it was sent next, if anything was yet.
-    pub fn try_next(&self) -> Option<Got> {
+    pub fn try_next_line(&self) -> Option<ReceivedLine> {
         self.lines.try_recv().ok()
     }
 
     /// Waits until one of its connections has ended.
-    pub fn ended(&self) {
-        self.ends.recv_timeout(LONG).expect("a connection ends");
+    pub fn wait_for_closed_connection(&self) {
+        self.closed_connections.recv_timeout(TEST_TIMEOUT).expect("a connection ends");
     }
 
     /// What it was sent and nobody looked at.
-    pub fn rest(&self) -> Vec<String> {
+    pub fn unread_lines(&self) -> Vec<String> {
         self.lines.try_iter().map(|got| got.words.join(" ")).collect()
     }
 }
 
-fn pass_on(by: &'static str, stream: TcpStream, sender: &Sender<Got>) -> std::io::Result<()> {
+fn forward_lines(
+    cache_name: &'static str,
+    stream: TcpStream,
+    sender: &Sender<ReceivedLine>,
+) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let mut line = String::new();
@@ -110,7 +114,7 @@
             reader.read_exact(&mut body)?;
             assert_eq!(body.split_off(length), b"\r\n");
         }
-        let _ = sender.send(Got { by, words, body, stream: stream.try_clone()? });
+        let _ = sender.send(ReceivedLine { cache_name, words, body, stream: stream.try_clone()? });
     }
 }
 
@@ -119,14 +123,14 @@
 pub struct Feed(Arc<(Mutex<Vec<String>>, Condvar)>);
 
 impl Feed {
-    pub fn tell(&self, event: &str) {
+    pub fn publish(&self, event: &str) {
         let mut events = self.0 .0.lock().expect("a lock");
         let n = events.len() + 1;
         events.push(format!("{{\"n\":{n},{event}}}"));
         self.0 .1.notify_all();
     }
 
-    fn batch(&self, after: usize) -> String {
+    fn events_after(&self, after: usize) -> String {
         let events = self.0 .0.lock().expect("a lock");
         format!("{{\"n\":{},\"events\":[{}]}}", events.len(), events[after..].join(","))
     }
@@ -138,13 +142,13 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let feed = feed.clone();
-                thread::spawn(move || feed.poll(stream));
+                thread::spawn(move || feed.answer_polls(stream));
             }
         });
         addr
     }
 
-    fn poll(&self, mut stream: TcpStream) -> Option<()> {
+    fn answer_polls(&self, mut stream: TcpStream) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         loop {
             let mut head = String::new();
@@ -156,14 +160,14 @@
             let after: usize = head.strip_prefix("GET /v1/events?SUB=")?.split('&').next()?.parse().ok()?;
             let events = self.0 .0.lock().ok()?;
             drop(self.0 .1.wait_while(events, |events| events.len() <= after).ok()?);
-            let batch = self.batch(after);
+            let batch = self.events_after(after);
             let length = batch.len();
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{batch}").ok()?;
         }
     }
 }
 
-pub fn host(cache: &Cache, health: &str) -> String {
+pub fn host_entry(cache: &Cache, health: &str) -> String {
     let class = match cache.name {
         "s-0000000p" => "parent",
         _ => "small",
@@ -175,11 +179,11 @@
     )
 }
 
-pub fn members(whole: bool, hosts: &[String]) -> String {
+pub fn members_event(whole: bool, hosts: &[String]) -> String {
     format!(r#""members":{{"seq":1,"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
 }
 
-const SETTINGS: &str = include_str!("../../src/config/settings/example.json");
+const EXAMPLE_SETTINGS: &str = include_str!("../../src/config/settings/example.json");
 
 /// The edge proxy's process.
 pub struct Proxy {
@@ -200,40 +204,45 @@
 
 impl Proxy {
     /// Starts one that knows these caches; `change` is applied to its configuration's text.
-    pub fn start(name: &str, caches: &[&Cache], change: impl Fn(&str) -> String, more: &[&str]) -> Self {
-        let (path, feed) = Self::configure(name, caches, change);
-        Self::spawn(path, feed, more)
+    pub fn start(
+        name: &str,
+        caches: &[&Cache],
+        change: impl Fn(&str) -> String,
+        extra_args: &[&str],
+    ) -> Self {
+        let (path, feed) = Self::write_config(name, caches, change);
+        Self::spawn(path, feed, extra_args)
     }
 
     /// Starts one that the system lets hold so many descriptors.
-    pub fn start_with_descriptors(
-        most: usize,
+    pub fn start_with_descriptor_limit(
+        limit: usize,
         name: &str,
         caches: &[&Cache],
         change: impl Fn(&str) -> String,
     ) -> Self {
-        let (path, feed) = Self::configure(name, caches, change);
+        let (path, feed) = Self::write_config(name, caches, change);
         let mut shell = Command::new("sh");
-        shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\" \"$@\"")]);
+        shell.args(["-c", &format!("ulimit -n {limit} && exec \"$0\" \"$@\"")]);
         shell.arg(env!("CARGO_BIN_EXE_dahliatrack"));
-        Self::spawn_by(shell, path, feed, &[])
+        Self::spawn_command(shell, path, feed, &[])
     }
 
     /// Writes the configuration of one that knows these caches.
-    fn configure(
+    fn write_config(
         name: &str,
         caches: &[&Cache],
         change: impl Fn(&str) -> String,
     ) -> (std::path::PathBuf, Feed) {
         let feed = Feed::default();
-        let hosts: Vec<String> = caches.iter().map(|cache| host(cache, "up")).collect();
-        feed.tell(&members(true, &hosts));
+        let hosts: Vec<String> = caches.iter().map(|cache| host_entry(cache, "up")).collect();
+        feed.publish(&members_event(true, &hosts));
         let config = format!(
             r#"{{"name":"{name}","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
                "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"feed":"{}","known":{},"settings":{}}}"#,
             feed.serve(),
-            feed.batch(0),
-            SETTINGS
+            feed.events_after(0),
+            EXAMPLE_SETTINGS
         );
         let path = folder(name).join("config.json");
         std::fs::write(&path, change(&config)).expect("a file");
@@ -241,21 +250,28 @@
     }
 
     /// Starts a newer process beside this one: the same files, folder and addresses but for the admin endpoint's.
-    pub fn newer(&self, more: &[&str]) -> Self {
+    pub fn start_newer(&self, extra_args: &[&str]) -> Self {
         let addr = self.addr.to_string();
-        self.rewrite(|text| text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{addr}\"")));
-        Self::spawn(self.config.clone(), self.feed.clone(), more)
+        self.rewrite_config(|text| {
+            text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{addr}\""))
+        });
+        Self::spawn(self.config.clone(), self.feed.clone(), extra_args)
     }
 
-    fn spawn(config: std::path::PathBuf, feed: Feed, more: &[&str]) -> Self {
-        Self::spawn_by(Command::new(env!("CARGO_BIN_EXE_dahliatrack")), config, feed, more)
+    fn spawn(config: std::path::PathBuf, feed: Feed, extra_args: &[&str]) -> Self {
+        Self::spawn_command(Command::new(env!("CARGO_BIN_EXE_dahliatrack")), config, feed, extra_args)
     }
 
-    fn spawn_by(mut program: Command, config: std::path::PathBuf, feed: Feed, more: &[&str]) -> Self {
+    fn spawn_command(
+        mut program: Command,
+        config: std::path::PathBuf,
+        feed: Feed,
+        extra_args: &[&str],
+    ) -> Self {
         let mut child = program
             .args(["serve", "--config"])
             .arg(&config)
-            .args(more)
+            .args(extra_args)
             // By a short path, wherever the tests are built: a socket's has to be.
             .current_dir(config.parent().expect("a folder"))
             .env("TMPDIR", ".")
@@ -266,13 +282,13 @@
         let lines = BufReader::new(child.stderr.take().expect("piped"));
         thread::spawn(move || lines.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let mut proxy = Proxy { child, config, addr: "127.0.0.1:0".parse().expect("an address"), feed, log };
-        let line = proxy.logged("listens on ");
+        let line = proxy.wait_for_log("listens on ");
         proxy.addr = line.split('"').next().and_then(|addr| addr.parse().ok()).expect("an address");
         proxy
     }
 
     /// Changes the configuration's text.
-    pub fn rewrite(&self, change: impl Fn(&str) -> String) {
+    pub fn rewrite_config(&self, change: impl Fn(&str) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("a file");
         std::fs::write(&self.config, change(&text)).expect("a file");
     }
@@ -283,7 +299,7 @@
     }
 
     /// Stops the process where it is, and waits until it is stopped; SIGCONT lets it go on.
-    pub fn stall(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
@@ -292,11 +308,11 @@
     }
 
     /// Waits for a log line that holds these words; gives what follows them.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         // Lines that keep coming (a feed that falls silent logs every 1.7 s) must not make the wait endless.
         let since = std::time::Instant::now();
         loop {
-            let left = LONG.saturating_sub(since.elapsed());
+            let left = TEST_TIMEOUT.saturating_sub(since.elapsed());
             let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no log line with {words:?}"));
             if let Some((_, rest)) = line.split_once(words) {
                 return rest.to_owned();
@@ -305,18 +321,18 @@
     }
 
     /// Stops taking the log: at its next line the pipe is closed.
-    pub fn mute(&mut self) {
+    pub fn close_log_reader(&mut self) {
         self.log = channel().1;
     }
 
     /// The log lines that came and nobody looked at.
-    pub fn rest_of_log(&self) -> Vec<String> {
+    pub fn unread_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     pub fn connect(&self, addr: SocketAddr) -> TcpStream {
         let stream = TcpStream::connect(addr).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         stream
     }
 }
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -1,44 +1,44 @@
 //! What the system does to sockets: signals in a wait, clients that reset before they are accepted, short reads and
 //! writes, descriptors that run out, and peers that send without end.
 
-use crate::admission::{descriptors, limit_descriptors};
-use crate::platform::{request, served, Client, Reply};
+use crate::admission::{open_descriptors, set_descriptor_limit};
 use crate::stand_ins::*;
+use crate::thrift_front::{request, served, Client, Reply};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-fn single(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy) {
+fn start_with_one_cache(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy) {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let proxy = Proxy::start(name, &[&cache, &parent], change, &[]);
     (cache, parent, proxy)
 }
 
-fn few_connections(config: &str) -> String {
+fn low_socket_limit(config: &str) -> String {
     config.replace("\"sockets\":1024", "\"sockets\":64")
 }
 
 /// Closes a connection with a reset.
-fn reset(stream: TcpStream) {
+fn close_with_reset(stream: TcpStream) {
     let socket = Socket::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("a linger");
     drop(socket);
 }
 
 #[test]
-fn signals_in_a_wait_change_nothing() {
-    let (cache, _parent, proxy) = single("signals", str::to_owned);
+fn signals_during_wait_change_nothing() {
+    let (cache, _parent, proxy) = start_with_one_cache("signals", str::to_owned);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
-    let mut open = cache.next();
+    let mut open = cache.next_line();
     for seqid in 2..12 {
         proxy.signal("-HUP");
         proxy.signal("-STOP");
         proxy.signal("-CONT");
         proxy.signal("-WINCH");
         client.send(&request(seqid, "replay"));
-        cache.next().answer("200", "ver=a", b"x");
+        cache.next_line().answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (seqid, served(b"x")));
     }
     open.answer("200", "ver=a", b"ran");
@@ -46,30 +46,30 @@
 }
 
 #[test]
-fn clients_that_reset_before_they_are_accepted_disturb_nobody() {
-    let (cache, _parent, proxy) = single("reset-before-accept", str::to_owned);
+fn clients_reset_before_accept_do_not_affect_others() {
+    let (cache, _parent, proxy) = start_with_one_cache("reset-before-accept", str::to_owned);
     let mut client = Client::new(&proxy);
     assert!(client.ping(1));
-    proxy.stall();
+    proxy.suspend();
     for n in 0..40 {
         let mut gone = Client::new(&proxy);
         if n % 2 == 0 {
             gone.send(&request(100 + n, "replay"));
         }
-        reset(gone.0);
+        close_with_reset(gone.0);
     }
     client.send(&request(2, "replay"));
     proxy.signal("-CONT");
-    let mut got = cache.next();
-    assert_eq!(got.words[1], crate::platform::trace(2), "nothing is forwarded for those that reset");
+    let mut got = cache.next_line();
+    assert_eq!(got.words[1], crate::thrift_front::trace(2), "nothing is forwarded for those that reset");
     got.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (2, served(b"x")));
     assert!(Client::new(&proxy).ping(3));
-    assert_eq!(cache.rest(), Vec::<String>::new());
+    assert_eq!(cache.unread_lines(), Vec::<String>::new());
 }
 
 /// A listener whose connections hold few bytes that nobody has read.
-fn narrow_listener() -> TcpListener {
+fn small_buffer_listener() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(2048).expect("a small buffer");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -79,7 +79,7 @@
 }
 
 /// Reads a byte at a time and answers so, with as small buffers as the system allows.
-fn serve_by_bytes(listener: TcpListener, body: Vec<u8>) {
+fn serve_byte_by_byte(listener: TcpListener, body: Vec<u8>) {
     for stream in listener.incoming().flatten() {
         let body = body.clone();
         std::thread::spawn(move || {
@@ -110,12 +110,12 @@
 }
 
 #[test]
-fn short_reads_and_writes_on_all_sides_lose_no_byte() {
-    let listener = narrow_listener();
+fn short_reads_and_writes_lose_no_bytes() {
+    let listener = small_buffer_listener();
     let addr = listener.local_addr().expect("an address");
     let body: Vec<u8> = (0..240_000).map(|i| (i % 251) as u8).collect();
     let serving = body.clone();
-    std::thread::spawn(move || serve_by_bytes(listener, serving));
+    std::thread::spawn(move || serve_byte_by_byte(listener, serving));
     let (cache, parent) = (Cache { addr, ..Cache::new("s-00000001") }, Cache::new("s-0000000p"));
     let proxy = Proxy::start("short", &[&cache, &parent], str::to_owned, &[]);
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -123,21 +123,21 @@
     socket.set_send_buffer_size(2048).expect("a small buffer");
     socket.connect(&proxy.addr.into()).expect("a connection");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     let mut client = Client(stream);
     client.send(&request(1, "replay"));
     assert_eq!(client.reply(), (1, served(&body)));
-    let trace = crate::platform::trace(2);
+    let trace = crate::thrift_front::trace(2);
     let fields =
         [("route", "result"), ("trace", &trace[..]), ("patience", "4000"), ("entity", "7f3a9c21e0b4d655")];
     let long: Vec<u8> = (0..48_000).map(|i| (i % 241) as u8).collect();
-    client.send(&crate::platform::invoke(2, &fields, &long));
+    client.send(&crate::thrift_front::invoke(2, &fields, &long));
     assert_eq!(client.reply(), (2, served(&long)));
 }
 
 /// A server that sends what nobody asked for, as fast as it can and without end.
 #[test]
-fn a_server_that_sends_without_end_keeps_nobody_waiting() {
+fn flooding_server_does_not_block_other_clients() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     let (asked, was_asked) = std::sync::mpsc::channel();
@@ -155,8 +155,8 @@
     let (cache, parent) = (Cache { addr, ..Cache::new("s-00000001") }, Cache::new("s-0000000p"));
     let proxy = Proxy::start("without-end", &[&cache, &parent], str::to_owned, &[]);
     let mut client = Client::new(&proxy);
-    client.send(&crate::platform::request_within(1, "result", 1500));
-    was_asked.recv_timeout(LONG).expect("the server is asked");
+    client.send(&crate::thrift_front::request_within(1, "result", 1500));
+    was_asked.recv_timeout(TEST_TIMEOUT).expect("the server is asked");
     let mut other = Client::new(&proxy);
     for seqid in 2..20 {
         assert!(other.ping(seqid));
@@ -167,16 +167,16 @@
 
 /// An answer of which a byte comes now and then: its connection ends, though it never stops.
 #[test]
-fn an_answer_that_trickles_without_end_loses_its_connection() {
-    let (cache, _parent, proxy) = single("trickle", str::to_owned);
+fn trickling_answer_gets_its_connection_closed() {
+    let (cache, _parent, proxy) = start_with_one_cache("trickle", str::to_owned);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut got = cache.next();
-    got.raw(format!("{} 200 ver=a 200000\r\n", crate::platform::trace(1)).as_bytes());
+    let mut got = cache.next_line();
+    got.answer_raw(format!("{} 200 ver=a 200000\r\n", crate::thrift_front::trace(1)).as_bytes());
     let since = Instant::now();
-    while cache.ends.try_recv().is_err() {
-        assert!(since.elapsed() < LONG, "it goes on for ever");
-        got.raw(b"x");
+    while cache.closed_connections.try_recv().is_err() {
+        assert!(since.elapsed() < TEST_TIMEOUT, "it goes on for ever");
+        got.answer_raw(b"x");
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(client.reply().0, 1);
@@ -184,27 +184,27 @@
 
 /// A server that gives an idle connection up at the moment of its next use: the request goes by another.
 #[test]
-fn a_request_that_crosses_the_end_of_an_idle_connection_is_served() {
-    let (cache, _parent, proxy) = single("idle-crossing", str::to_owned);
+fn request_is_served_when_idle_connection_closes_meanwhile() {
+    let (cache, _parent, proxy) = start_with_one_cache("idle-crossing", str::to_owned);
     let mut client = Client::new(&proxy);
     for seqid in 1..8 {
         client.send(&request(seqid, "replay"));
-        let mut got = cache.next();
+        let mut got = cache.next_line();
         got.answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (seqid, served(b"x")));
-        proxy.stall();
-        got.reset();
+        proxy.suspend();
+        got.close_connection();
         client.send(&request(100 + seqid, "replay"));
         proxy.signal("-CONT");
-        cache.next().answer("200", "ver=a", b"y");
+        cache.next_line().answer("200", "ver=a", b"y");
         assert_eq!(client.reply(), (100 + seqid, served(b"y")));
     }
 }
 
 /// Where all that is held is busy, a new connection's request is refused with a pause, not closed upon.
 #[test]
-fn beyond_the_budget_a_request_is_refused_and_not_closed_upon() {
-    let (cache, _parent, proxy) = single("beyond-budget", few_connections);
+fn request_beyond_connection_budget_is_refused_not_closed() {
+    let (cache, _parent, proxy) = start_with_one_cache("beyond-budget", low_socket_limit);
     // One at a time, so that each has asked before the next one comes.
     let mut clients = Vec::new();
     let mut refused = 0;
@@ -213,14 +213,14 @@
         client.send(&request(seqid, "result"));
         client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("a time-out");
         let open = loop {
-            if let Some(got) = cache.try_next() {
+            if let Some(got) = cache.try_next_line() {
                 break Some(got);
             }
             if client.0.peek(&mut [0]).is_ok() {
                 break None;
             }
         };
-        client.0.set_read_timeout(Some(LONG)).expect("a time-out");
+        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         match open {
             Some(got) => clients.push((seqid, client, got)),
             None => {
@@ -238,9 +238,9 @@
 
 /// More connections than there is room for, each with a request that waits unread as the next one comes.
 #[test]
-fn a_flood_of_connections_that_have_asked_is_answered_one_and_all() {
-    let (cache, parent, proxy) = single("flood-asked", few_connections);
-    proxy.stall();
+fn every_connection_of_a_request_flood_is_answered() {
+    let (cache, parent, proxy) = start_with_one_cache("flood-asked", low_socket_limit);
+    proxy.suspend();
     let mut clients: Vec<Client> = (0..100).map(|_| Client::new(&proxy)).collect();
     for (seqid, client) in (1..).zip(&mut clients) {
         client.send(&request(seqid, "replay"));
@@ -262,7 +262,7 @@
 
 /// Admission that holds no connection open for its refusal still answers what was sent there.
 #[test]
-fn a_connection_that_admission_sheds_has_its_request_answered() {
+fn request_on_connection_shed_by_admission_is_answered() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let hcl = "admission {\n per_address = 1\n per_prefix = 0\n rate_per_s = 0\n most_refusing = 0\n}\n";
     let path = folder("shed").join("admission.hcl");
@@ -271,7 +271,7 @@
     let proxy = Proxy::start("shed", &[&cache, &parent], str::to_owned, &more);
     let held = Client::new(&proxy);
     // Both came before any of them is accepted.
-    proxy.stall();
+    proxy.suspend();
     let mut clients: Vec<Client> = (0..5).map(|_| Client::new(&proxy)).collect();
     for (seqid, client) in (1..).zip(&mut clients) {
         client.send(&request(seqid, "replay"));
@@ -281,28 +281,28 @@
         assert_eq!(client.reply(), (seqid, Reply::Refused { pause: true }));
         assert!(client.is_closed());
     }
-    assert_eq!(cache.rest(), Vec::<String>::new());
+    assert_eq!(cache.unread_lines(), Vec::<String>::new());
     drop(held);
 }
 
 /// With no descriptor left, what waits is neither read nor closed, and is served once there is one.
 #[test]
-fn without_descriptors_new_connections_wait_and_are_served() {
-    let (cache, _parent, proxy) = single("no-descriptors", str::to_owned);
+fn connections_wait_for_descriptors_and_are_then_served() {
+    let (cache, _parent, proxy) = start_with_one_cache("no-descriptors", str::to_owned);
     let mut old = Client::new(&proxy);
     old.send(&request(1, "replay"));
-    let mut open = cache.next();
-    limit_descriptors(&proxy, descriptors(&proxy) - 2);
+    let mut open = cache.next_line();
+    set_descriptor_limit(&proxy, open_descriptors(&proxy) - 2);
     let mut waiting: Vec<Client> = (0..5).map(|_| Client::new(&proxy)).collect();
     for (seqid, client) in (10..).zip(&mut waiting) {
         client.send(&request(seqid, "replay"));
     }
-    proxy.logged("accept: ");
+    proxy.wait_for_log("accept: ");
     open.answer("200", "ver=a", b"x");
     assert_eq!(old.reply(), (1, served(b"x")), "what was open is answered");
-    limit_descriptors(&proxy, 1024);
+    set_descriptor_limit(&proxy, 1024);
     for _ in 0..5 {
-        cache.next().answer("200", "ver=a", b"y");
+        cache.next_line().answer("200", "ver=a", b"y");
     }
     for (seqid, client) in (10..).zip(&mut waiting) {
         assert_eq!(client.reply(), (seqid, served(b"y")));
@@ -312,15 +312,15 @@
 /// A server that nothing can be sent to for want of a local port or descriptor is not held for failed: the request is
 /// refused, which promises that it never ran, and the server is used again at once when there is one.
 #[test]
-fn without_a_descriptor_for_a_dial_a_write_is_refused_and_the_server_not_blamed() {
-    let (cache, _parent, proxy) = single("no-dial", str::to_owned);
+fn write_is_refused_when_no_descriptor_is_left_for_connect() {
+    let (cache, _parent, proxy) = start_with_one_cache("no-dial", str::to_owned);
     let mut client = Client::new(&proxy);
     assert!(client.ping(1));
-    limit_descriptors(&proxy, descriptors(&proxy) - 2);
+    set_descriptor_limit(&proxy, open_descriptors(&proxy) - 2);
     client.send(&request(2, "result"));
     assert!(matches!(client.reply(), (2, Reply::Refused { .. })));
-    limit_descriptors(&proxy, 1024);
+    set_descriptor_limit(&proxy, 1024);
     client.send(&request(3, "result"));
-    cache.next().answer("200", "ver=a", b"ran");
+    cache.next_line().answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (3, served(b"ran")));
 }
--- a/tests/sockets/platform.rs
+++ b/tests/sockets/thrift_front.rs
@@ -16,18 +16,19 @@
     Pong(bool),
 }
 
-fn text(text: &str) -> Vec<u8> {
+fn thrift_string(text: &str) -> Vec<u8> {
     [&(text.len() as i32).to_be_bytes()[..], text.as_bytes()].concat()
 }
 
 pub fn message(kind: u8, name: &str, seqid: i32, arguments: &[u8]) -> Vec<u8> {
-    let head = [&[0x80, 1, 0, kind][..], &text(name), &seqid.to_be_bytes(), arguments, &[0]].concat();
+    let head =
+        [&[0x80, 1, 0, kind][..], &thrift_string(name), &seqid.to_be_bytes(), arguments, &[0]].concat();
     [&(head.len() as i32).to_be_bytes()[..], &head].concat()
 }
 
 pub fn invoke(seqid: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut map = [&[13, 0, 1, 11, 11][..], &(fields.len() as i32).to_be_bytes()].concat();
-    fields.iter().for_each(|(name, value)| map.extend([text(name), text(value)].concat()));
+    fields.iter().for_each(|(name, value)| map.extend([thrift_string(name), thrift_string(value)].concat()));
     map.extend([&[11, 0, 2][..], &(body.len() as i32).to_be_bytes(), body].concat());
     message(1, "invoke", seqid, &map)
 }
@@ -60,7 +61,7 @@
     invoke(seqid, &fields, if route == "result" { b"won" } else { b"" })
 }
 
-fn long_body(seqid: i32) -> Vec<u8> {
+fn request_with_oversized_body(seqid: i32) -> Vec<u8> {
     let trace = trace(seqid);
     let fields =
         [("route", "result"), ("trace", &trace[..]), ("patience", "4000"), ("entity", "7f3a9c21e0b4d655")];
@@ -76,14 +77,14 @@
         self.0.write_all(bytes).expect("written");
     }
 
-    fn take<const N: usize>(&mut self) -> [u8; N] {
+    fn read_array<const N: usize>(&mut self) -> [u8; N] {
         let mut bytes = [0; N];
         self.0.read_exact(&mut bytes).expect("bytes");
         bytes
     }
 
     pub fn reply(&mut self) -> (i32, Reply) {
-        let mut frame = vec![0; i32::from_be_bytes(self.take()) as usize];
+        let mut frame = vec![0; i32::from_be_bytes(self.read_array()) as usize];
         self.0.read_exact(&mut frame).expect("a frame");
         let name = i32::from_be_bytes(frame[4..8].try_into().expect("4 bytes")) as usize;
         let (kind, rest) = (frame[3], &frame[8 + name..]);
@@ -119,28 +120,28 @@
     Reply::Served { body: body.to_vec(), current: false }
 }
 
-fn same(settings: &str) -> String {
+fn unchanged(settings: &str) -> String {
     settings.to_owned()
 }
 
-fn pair(name: &str) -> (Cache, Cache, Cache, Proxy) {
+fn start_with_two_caches(name: &str) -> (Cache, Cache, Cache, Proxy) {
     let (one, two, parent) = (Cache::new("s-00000001"), Cache::new("s-00000002"), Cache::new("s-0000000p"));
-    let proxy = Proxy::start(name, &[&one, &two, &parent], same, &[]);
+    let proxy = Proxy::start(name, &[&one, &two, &parent], unchanged, &[]);
     (one, two, parent, proxy)
 }
 
-fn single(name: &str) -> (Cache, Cache, Proxy) {
+fn start_with_one_cache(name: &str) -> (Cache, Cache, Proxy) {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let proxy = Proxy::start(name, &[&cache, &parent], same, &[]);
+    let proxy = Proxy::start(name, &[&cache, &parent], unchanged, &[]);
     (cache, parent, proxy)
 }
 
 #[test]
-fn a_read_is_passed_on_and_its_bytes_come_back_unchanged() {
-    let (cache, _parent, proxy) = single("read");
+fn read_is_forwarded_and_body_returned_unchanged() {
+    let (cache, _parent, proxy) = start_with_one_cache("read");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut got = cache.next();
+    let mut got = cache.next_line();
     assert_eq!(got.words[1], trace(1));
     let fields = ["cls", "item", "chunk", "from"].map(|name| got.field(name).expect("a field").to_owned());
     assert_eq!(fields, ["replay", "7f3a9c21e0b4d655", "0", "s-0000000p"]);
@@ -150,11 +151,11 @@
 }
 
 #[test]
-fn answers_come_in_any_order_and_a_copy_that_holds_has_no_bytes() {
-    let (cache, _parent, proxy) = single("order");
+fn answers_come_in_any_order_and_304_has_no_body() {
+    let (cache, _parent, proxy) = start_with_one_cache("order");
     let mut client = Client::new(&proxy);
     client.send(&[request(1, "replay"), request(2, "replay")].concat());
-    let (mut one, mut two) = (cache.next(), cache.next());
+    let (mut one, mut two) = (cache.next_line(), cache.next_line());
     two.answer("304", "ver=a1,born=5", b"");
     assert_eq!(client.reply(), (2, Reply::Served { body: vec![], current: true }));
     one.answer("200", "ver=a1", b"x");
@@ -162,33 +163,33 @@
 }
 
 #[test]
-fn a_write_whose_connection_breaks_has_failed_and_goes_out_once() {
-    let (one, two, _parent, proxy) = pair("write");
+fn write_on_broken_connection_fails_and_is_not_retried() {
+    let (one, two, _parent, proxy) = start_with_two_caches("write");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
-    let mut got = any(&one, &two);
+    let mut got = next_line_of_either(&one, &two);
     assert_eq!(got.body, b"won");
-    got.reset();
+    got.close_connection();
     assert_eq!(client.reply(), (1, Reply::Failed));
     assert!(client.ping(2), "and the edge proxy goes on");
-    assert_eq!(one.rest().len() + two.rest().len(), 0);
+    assert_eq!(one.unread_lines().len() + two.unread_lines().len(), 0);
 }
 
 #[test]
-fn a_read_whose_answer_breaks_off_is_asked_for_elsewhere() {
-    let (one, two, _parent, proxy) = pair("break");
+fn read_with_truncated_answer_is_retried() {
+    let (one, two, _parent, proxy) = start_with_two_caches("break");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut first = any(&one, &two);
-    first.half(&[1; 1000]);
-    any(&one, &two).answer("200", "ver=b", b"whole");
+    let mut first = next_line_of_either(&one, &two);
+    first.answer_half_and_close(&[1; 1000]);
+    next_line_of_either(&one, &two).answer("200", "ver=b", b"whole");
     assert_eq!(client.reply(), (1, served(b"whole")), "and no byte of the broken one");
 }
 
 /// A connection is of no use after an answer that can't be read: what else is open there ends with it, and a
 /// write would have failed for a read's sake.
 #[test]
-fn a_spoilt_answer_takes_no_write_with_it() {
+fn malformed_answer_to_read_does_not_fail_open_write() {
     let spoilt: [&[u8]; 5] = [
         b"\xff\xfe\x00noise \r\n",
         b"7 200 ver=a 3000000000\r\nxx",
@@ -196,18 +197,18 @@
         b"7 200 ver=a 0\r\nbytes\r\n",
         &[b'x'; 8192],
     ];
-    let (cache, _parent, proxy) = single("spoilt");
+    let (cache, _parent, proxy) = start_with_one_cache("spoilt");
     let mut client = Client::new(&proxy);
     for (i, noise) in (0..).zip(spoilt) {
         let (write, read) = (2 * i + 1, 2 * i + 2);
         client.send(&request(write, "result"));
-        let mut open = cache.next();
+        let mut open = cache.next_line();
         client.send(&request(read, "replay"));
-        let mut first = cache.next();
+        let mut first = cache.next_line();
         assert_eq!(first.words[1], trace(read));
         let text = noise.strip_prefix(b"7").map(|rest| [trace(read).as_bytes(), rest].concat());
-        first.raw(&text.unwrap_or(noise.to_vec()));
-        let mut again = cache.next();
+        first.answer_raw(&text.unwrap_or(noise.to_vec()));
+        let mut again = cache.next_line();
         assert_eq!((&again.words[0][..], &again.words[1]), ("fetch", &trace(read)), "{i}: read anew");
         again.answer("200", "ver=a", b"whole");
         assert_eq!(client.reply(), (read, served(b"whole")), "{i}");
@@ -216,15 +217,15 @@
         // Without good answers in between, the cache would be left for a while.
         for seqid in 100 * (i + 1)..100 * (i + 1) + 8 {
             client.send(&request(seqid, "replay"));
-            cache.next().answer("200", "ver=a", b"x");
+            cache.next_line().answer("200", "ver=a", b"x");
             assert_eq!(client.reply(), (seqid, served(b"x")));
         }
     }
 }
 
-fn any(one: &Cache, two: &Cache) -> Got {
+fn next_line_of_either(one: &Cache, two: &Cache) -> ReceivedLine {
     loop {
-        if let Some(got) = one.try_next().or_else(|| two.try_next()) {
+        if let Some(got) = one.try_next_line().or_else(|| two.try_next_line()) {
             return got;
         }
         std::thread::yield_now();
@@ -232,103 +233,103 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_a_write_never_ran() {
+fn write_is_refused_when_connection_is_refused() {
     let parent = Cache::new("s-0000000p");
     let closed = Cache { addr: "127.0.0.1:1".parse().expect("an address"), ..Cache::new("s-00000001") };
-    let proxy = Proxy::start("refused", &[&closed, &parent], same, &[]);
+    let proxy = Proxy::start("refused", &[&closed, &parent], unchanged, &[]);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
     assert_eq!(client.reply(), (1, Reply::Refused { pause: true }));
 }
 
 #[test]
-fn an_abort_stops_the_fill_and_its_late_answer_goes_nowhere() {
-    let (cache, _parent, proxy) = single("abort");
+fn cancel_aborts_fill_and_late_answer_is_dropped() {
+    let (cache, _parent, proxy) = start_with_one_cache("abort");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut got = cache.next();
+    let mut got = cache.next_line();
     client.send(&cancel(2, 1));
-    assert_eq!(cache.next().words, ["abort", &trace(1)]);
+    assert_eq!(cache.next_line().words, ["abort", &trace(1)]);
     got.answer("200", "ver=a", b"late");
     client.send(&request(3, "replay"));
-    cache.next().answer("200", "ver=a", b"x");
+    cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (3, served(b"x")));
 }
 
 #[test]
-fn a_client_that_closes_gives_up_what_it_asked_for() {
-    let (cache, _parent, proxy) = single("close");
+fn client_close_aborts_its_request() {
+    let (cache, _parent, proxy) = start_with_one_cache("close");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let _got = cache.next();
+    let _got = cache.next_line();
     drop(client);
-    assert_eq!(cache.next().words, ["abort", &trace(1)]);
-    assert!(proxy.logged("end=").starts_with("peer-closed"));
+    assert_eq!(cache.next_line().words, ["abort", &trace(1)]);
+    assert!(proxy.wait_for_log("end=").starts_with("peer-closed"));
 }
 
 #[test]
-fn nothing_new_goes_to_a_cache_that_drains() {
-    let (one, two, _parent, proxy) = pair("drain");
+fn draining_cache_gets_no_new_requests() {
+    let (one, two, _parent, proxy) = start_with_two_caches("drain");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut first = any(&one, &two);
-    let (drained, other) = if first.by == one.name { (&one, &two) } else { (&two, &one) };
-    proxy.feed.tell(&members(false, &[host(drained, "draining")]));
-    proxy.logged("is Draining");
+    let mut first = next_line_of_either(&one, &two);
+    let (drained, other) = if first.cache_name == one.name { (&one, &two) } else { (&two, &one) };
+    proxy.feed.publish(&members_event(false, &[host_entry(drained, "draining")]));
+    proxy.wait_for_log("is Draining");
     first.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")), "what it has is finished");
     for seqid in 2..6 {
         client.send(&request(seqid, "replay"));
-        other.next().answer("200", "ver=a", b"y");
+        other.next_line().answer("200", "ver=a", b"y");
         assert_eq!(client.reply(), (seqid, served(b"y")));
     }
-    assert_eq!(drained.rest(), Vec::<String>::new());
+    assert_eq!(drained.unread_lines(), Vec::<String>::new());
 }
 
 #[test]
-fn after_a_purge_only_newer_copies_are_asked_for() {
-    let (cache, _parent, proxy) = single("purge");
+fn purge_limits_age_of_requested_copies() {
+    let (cache, _parent, proxy) = start_with_one_cache("purge");
     let mut client = Client::new(&proxy);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time");
     let at = now.as_millis() - 1500;
-    proxy.feed.tell(&format!(r#""purge":{{"group":17,"at":{at}}}"#));
+    proxy.feed.publish(&format!(r#""purge":{{"group":17,"at":{at}}}"#));
     // The next event is told after it, so once that is logged the purge has been taken in.
-    proxy.feed.tell(&members(false, &[host(&cache, "up")]));
-    proxy.logged("event 3: ");
+    proxy.feed.publish(&members_event(false, &[host_entry(&cache, "up")]));
+    proxy.wait_for_log("event 3: ");
     client.send(&request(1, "replay"));
-    let got = cache.next();
+    let got = cache.next_line();
     let oldest: u128 = got.field("oldest").expect("a limit").parse().expect("a number");
     let since = now.as_millis() - at;
-    assert!((since..since + LONG.as_millis()).contains(&oldest), "{oldest}");
+    assert!((since..since + TEST_TIMEOUT.as_millis()).contains(&oldest), "{oldest}");
 }
 
 #[test]
-fn a_reused_address_closes_the_old_servers_connections() {
-    let (cache, _parent, proxy) = single("reuse");
+fn reused_address_closes_connections_of_old_server() {
+    let (cache, _parent, proxy) = start_with_one_cache("reuse");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
-    let _got = cache.next();
+    let _got = cache.next_line();
     let heir = Cache { addr: cache.addr, ..Cache::new("s-00000009") };
-    proxy.feed.tell(&members(false, &[host(&heir, "up")]));
-    cache.ended();
+    proxy.feed.publish(&members_event(false, &[host_entry(&heir, "up")]));
+    cache.wait_for_closed_connection();
     assert_eq!(client.reply(), (1, Reply::Failed), "it may have run at the old one");
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_cache_would() {
+fn idle_cache_connection_is_closed_first_by_proxy() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let short = |settings: &str| settings.replace("\"conn_idle\": 15000.0", "\"conn_idle\": 100.0");
     let proxy = Proxy::start("idle", &[&cache, &parent], short, &[]);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    cache.next().answer("200", "ver=a", b"x");
+    cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
-    cache.ended();
-    assert!(proxy.logged("end=").starts_with("idle"));
+    cache.wait_for_closed_connection();
+    assert!(proxy.wait_for_log("end=").starts_with("idle"));
 }
 
 #[test]
-fn a_full_edge_proxy_refuses_what_is_new_and_goes_on() {
+fn exhausted_memory_budget_refuses_new_requests_then_recovers() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let small = |config: &str| config.replace("\"memory_mb\":192", "\"memory_mb\":1");
     let proxy = Proxy::start("full", &[&cache, &parent], small, &[]);
@@ -340,11 +341,11 @@
         client.send(&request(seqid, "replay"));
         client.0.set_read_timeout(Some(std::time::Duration::from_millis(5))).expect("a time-out");
         while client.0.peek(&mut [0]).is_err() {
-            if let Some(mut got) = cache.try_next() {
+            if let Some(mut got) = cache.try_next_line() {
                 got.answer("200", "ver=a", b"x");
             }
         }
-        client.0.set_read_timeout(Some(LONG)).expect("a time-out");
+        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         if client.reply() == (seqid, wanted.clone()) {
             break;
         }
@@ -362,8 +363,8 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_not_taken_a_second_time() {
-    let (cache, _parent, proxy) = single("same-id");
+fn trace_id_of_open_request_is_not_accepted_twice() {
+    let (cache, _parent, proxy) = start_with_one_cache("same-id");
     let mut client = Client::new(&proxy);
     let again = |seqid, entity| {
         let trace = trace(1);
@@ -371,41 +372,41 @@
         invoke(seqid, &fields, b"")
     };
     client.send(&[again(1, "7f3a9c21e0b4d655"), again(2, "7f3a9c21e0b4d656")].concat());
-    let mut first = cache.next();
+    let mut first = cache.next_line();
     assert_eq!(client.reply(), (2, Reply::Exception), "a cache could not tell the two apart");
     first.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
     client.send(&again(3, "7f3a9c21e0b4d656"));
-    cache.next().answer("200", "ver=a", b"y");
+    cache.next_line().answer("200", "ver=a", b"y");
     assert_eq!(client.reply(), (3, served(b"y")), "free again once it is answered");
 }
 
 /// Clients that leave at once by the hundred used to have every connection to a cache held for silent.
 #[test]
-fn what_is_withdrawn_at_once_says_nothing_of_a_cache() {
-    let (cache, _parent, proxy) = single("withdrawn");
+fn cancelled_requests_do_not_mark_cache_connection_silent() {
+    let (cache, _parent, proxy) = start_with_one_cache("withdrawn");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    let mut open = cache.next();
+    let mut open = cache.next_line();
     for seqid in 2..=6 {
         client.send(&request(seqid, "replay"));
-        let _unanswered = cache.next();
+        let _unanswered = cache.next_line();
         client.send(&cancel(100 + seqid, seqid));
-        assert_eq!(cache.next().words[0], "abort");
+        assert_eq!(cache.next_line().words[0], "abort");
     }
     open.answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (1, served(b"ran")));
     client.send(&request(7, "replay"));
-    cache.next().answer("200", "ver=a", b"x");
+    cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (7, served(b"x")));
-    assert!(cache.ends.try_recv().is_err(), "on the connections there are");
+    assert!(cache.closed_connections.try_recv().is_err(), "on the connections there are");
 }
 
 /// A client that says nothing, or leaves a message half said, is owed an end within 3 s, without a signal from it; one
 /// that has asked may be idle for longer.
 #[test]
-fn who_never_asks_or_stops_half_way_is_closed_and_who_asked_is_not() {
-    let (_cache, _parent, proxy) = single("half");
+fn silent_and_stalled_clients_are_closed_but_not_idle_ones() {
+    let (_cache, _parent, proxy) = start_with_one_cache("half");
     let (mut idle, mut mute, mut half) = (Client::new(&proxy), Client::new(&proxy), Client::new(&proxy));
     assert!(idle.ping(1));
     assert!(half.ping(1));
@@ -416,13 +417,13 @@
 
 /// Connections that say nothing must not keep out who asks.
 #[test]
-fn a_flood_of_connections_makes_room_for_who_asks() {
+fn idle_connection_flood_does_not_block_requests() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let few = |config: &str| config.replace("\"sockets\":1024", "\"sockets\":64");
     let proxy = Proxy::start("flood", &[&cache, &parent], few, &[]);
     let mut old = Client::new(&proxy);
     old.send(&request(1, "replay"));
-    let mut open = cache.next();
+    let mut open = cache.next_line();
     let mut idle = Client::new(&proxy);
     assert!(idle.ping(1));
     let flood: Vec<Client> = (0..100).map(|_| Client::new(&proxy)).collect();
@@ -435,8 +436,8 @@
 
 /// One client at full speed must not have all the loop's time: others have their turns in between.
 #[test]
-fn a_client_at_full_speed_takes_turns_with_the_others() {
-    let (_cache, _parent, proxy) = single("turns");
+fn fast_client_does_not_starve_others() {
+    let (_cache, _parent, proxy) = start_with_one_cache("turns");
     let mut fast = Client::new(&proxy);
     let mut slow = Client::new(&proxy);
     let many: Vec<u8> = (1..=400).flat_map(|seqid| invoke(seqid, &[("route", "x")], b"")).collect();
@@ -449,35 +450,35 @@
 
 /// No reset may take an answer away: with bytes of the client unread, closing at once would.
 #[test]
-fn an_answer_before_the_end_is_not_lost_to_a_reset() {
-    let (cache, _parent, proxy) = single("linger");
+fn answer_before_close_is_not_lost_to_reset() {
+    let (cache, _parent, proxy) = start_with_one_cache("linger");
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
-    cache.next().answer("200", "ver=a", &[7; 200_000]);
+    cache.next_line().answer("200", "ver=a", &[7; 200_000]);
     let huge = [&(60_000_000i32).to_be_bytes()[..], &[0; 100_000]].concat();
     client.send(&huge);
-    proxy.logged("closing gracefully: oversize");
+    proxy.wait_for_log("closing gracefully: oversize");
     assert_eq!(client.reply(), (1, served(&[7; 200_000])));
     assert!(client.is_closed());
 }
 
 #[test]
-fn more_than_32_open_are_refused_at_once() {
-    let (cache, _parent, proxy) = single("many");
+fn more_than_32_open_requests_are_refused() {
+    let (cache, _parent, proxy) = start_with_one_cache("many");
     let mut client = Client::new(&proxy);
     for seqid in 1..=33 {
         client.send(&request(seqid, "result"));
     }
-    let mut open: Vec<Got> = (1..=32).map(|_| cache.next()).collect();
+    let mut open: Vec<ReceivedLine> = (1..=32).map(|_| cache.next_line()).collect();
     assert_eq!(client.reply(), (33, Reply::Refused { pause: true }));
     open[4].answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (5, served(b"ran")));
-    assert_eq!(cache.rest(), Vec::<String>::new());
+    assert_eq!(cache.unread_lines(), Vec::<String>::new());
 }
 
 #[test]
-fn hostile_bytes_have_a_defined_end() {
-    let (_cache, _parent, proxy) = single("hostile");
+fn malformed_input_gets_exception_or_close() {
+    let (_cache, _parent, proxy) = start_with_one_cache("hostile");
     let bad_text =
         invoke(5, &[("route", "x")], b"").iter().map(|b| if *b == b'x' { 0xff } else { *b }).collect();
     let wild = message(1, "invoke", 5, &[14, 0, 9, 3, 0x7f, 0xff, 0xff, 0xff]);
@@ -490,7 +491,7 @@
         (wild, "a count beyond the frame"),
         (deep, "endless nesting"),
         (message(1, "invoke", 5, &[8, 0, 1, 0, 0, 0, 1]), "a field of another type"),
-        (long_body(5), "a body that is too long"),
+        (request_with_oversized_body(5), "a body that is too long"),
     ];
     for (bytes, what) in answered {
         let mut client = Client::new(&proxy);
@@ -511,22 +512,22 @@
         let mut client = Client::new(&proxy);
         client.send(&bytes);
         assert!(client.is_closed(), "{code}");
-        proxy.logged(&format!("end={code} "));
+        proxy.wait_for_log(&format!("end={code} "));
     }
     assert!(Client::new(&proxy).ping(1));
 }
 
 #[test]
-fn sigterm_lets_what_is_open_and_what_still_comes_be_answered() {
-    let (cache, _parent, mut proxy) = single("term");
+fn sigterm_answers_open_and_new_requests() {
+    let (cache, _parent, mut proxy) = start_with_one_cache("term");
     let mut old = Client::new(&proxy);
     old.send(&request(1, "replay"));
-    let mut open = cache.next();
+    let mut open = cache.next_line();
     proxy.signal("-TERM");
-    proxy.logged("stopping");
+    proxy.wait_for_log("stopping");
     let mut new = Client::new(&proxy);
     new.send(&request(2, "replay"));
-    cache.next().answer("200", "ver=a", b"new");
+    cache.next_line().answer("200", "ver=a", b"new");
     assert_eq!(new.reply(), (2, served(b"new")));
     open.answer("200", "ver=a", b"old");
     assert_eq!(old.reply(), (1, served(b"old")));
@@ -534,11 +535,11 @@
 }
 
 /// A feed at another address that goes on under the same numbers.
-fn next_feed(proxy: &Proxy, hosts: &[String]) -> Feed {
+fn move_feed(proxy: &Proxy, hosts: &[String]) -> Feed {
     let next = Feed::default();
-    next.tell(&members(true, hosts));
+    next.publish(&members_event(true, hosts));
     let addr = next.serve();
-    proxy.rewrite(|text| {
+    proxy.rewrite_config(|text| {
         let (before, rest) = text.split_once("\"feed\":\"").expect("a feed");
         format!("{before}\"feed\":\"{addr}{}", &rest[rest.find('"').expect("its end")..])
     });
@@ -546,41 +547,43 @@
 }
 
 #[test]
-fn sighup_moves_the_feed_at_once_and_disturbs_nothing() {
-    let (cache, parent, mut proxy) = single("hup");
-    let hosts = [host(&cache, "up"), host(&parent, "up")];
+fn sighup_moves_feed_without_disturbing_requests() {
+    let (cache, parent, mut proxy) = start_with_one_cache("hup");
+    let hosts = [host_entry(&cache, "up"), host_entry(&parent, "up")];
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
-    let mut open = cache.next();
-    let second = next_feed(&proxy, &hosts);
+    let mut open = cache.next_line();
+    let second = move_feed(&proxy, &hosts);
     proxy.signal("-HUP");
-    proxy.logged("reloaded: feed ");
-    second.tell(&members(false, &hosts));
-    proxy.logged("event 2: "); // the old address never tells it
-    proxy.rewrite(|text| text[1..].to_owned());
+    proxy.wait_for_log("reloaded: feed ");
+    second.publish(&members_event(false, &hosts));
+    proxy.wait_for_log("event 2: "); // the old address never tells it
+    proxy.rewrite_config(|text| text[1..].to_owned());
     proxy.signal("-HUP");
-    proxy.logged("the old configuration stays");
-    second.tell(&members(false, &hosts));
-    proxy.logged("event 3: ");
-    proxy.rewrite(|text| format!("{{{}", text.replace("\"my_zone\": 1", "\"my_zone\": 0")));
+    proxy.wait_for_log("the old configuration stays");
+    second.publish(&members_event(false, &hosts));
+    proxy.wait_for_log("event 3: ");
+    proxy.rewrite_config(|text| format!("{{{}", text.replace("\"my_zone\": 1", "\"my_zone\": 0")));
     proxy.signal("-HUP");
-    assert!(proxy.logged("reloaded: feed ").ends_with("the other changes take effect at the next start"));
+    assert!(proxy
+        .wait_for_log("reloaded: feed ")
+        .ends_with("the other changes take effect at the next start"));
     proxy.signal("-TERM");
-    proxy.logged("stopping");
-    let third = next_feed(&proxy, &[hosts.to_vec(), hosts.to_vec()].concat());
+    proxy.wait_for_log("stopping");
+    let third = move_feed(&proxy, &[hosts.to_vec(), hosts.to_vec()].concat());
     proxy.signal("-HUP");
-    proxy.logged("reloaded: feed ");
-    third.tell(&members(false, &hosts));
-    third.tell(&members(false, &hosts));
-    third.tell(&members(false, &hosts));
-    proxy.logged("event 4: "); // a drain or a purge counts while it stops, too
+    proxy.wait_for_log("reloaded: feed ");
+    third.publish(&members_event(false, &hosts));
+    third.publish(&members_event(false, &hosts));
+    third.publish(&members_event(false, &hosts));
+    proxy.wait_for_log("event 4: "); // a drain or a purge counts while it stops, too
     open.answer("200", "ver=a", b"ran");
     assert_eq!(client.reply(), (1, served(b"ran")), "on the connection and by the attempt of before");
     assert!(proxy.child.wait().expect("an end").success());
 }
 
 #[test]
-fn a_bad_configuration_ends_with_one_line_and_code_2() {
+fn invalid_config_exits_with_one_line_and_code_2() {
     let folder = folder("bad-config");
     for (text, wanted) in
         [("{", "EOF"), ("{\"name\":1}", "name"), ("{\"name\":\"n\",\"listen\":\"nowhere\"}", "listen")]
