--- a/src/commands/federation.rs
+++ b/src/commands/federation.rs
@@ -34,7 +34,7 @@
 
 fn init(file: &Path, join: bool) -> Result<(), CommandError> {
     let settings = FederationSettings::read(file)?;
-    store::found(&settings, join, rand::random())
+    store::create_member_store(&settings, join, rand::random())
         .map_err(|error| ConfigError::invalid(&settings.store, error))?;
     print(&format!("{}: made for member {}", settings.store.display(), settings.id));
     Ok(())
--- a/src/federation/hello.rs
+++ b/src/federation/hello.rs
@@ -8,7 +8,7 @@
 use sha2::Sha256;
 
 /// Bytes of a message's tag.
-pub const TAG: usize = 16;
+pub const TAG_BYTES: usize = 16;
 
 /// The federation's key, or one that a connection made of it.
 #[derive(Clone, PartialEq, Eq)]
@@ -74,65 +74,70 @@
         mac
     }
 
-    fn hello(&self, challenge: &Challenge, hello: &Hello) -> Hmac<Sha256> {
+    fn hello_mac(&self, challenge: &Challenge, hello: &Hello) -> Hmac<Sha256> {
         let numbers =
             [hello.identity, hello.from.0, hello.to.0, hello.incarnation].map(u64::to_be_bytes).concat();
         self.mac(&[b"hello", hello.cluster.as_bytes(), &numbers, &challenge.nonce, &hello.nonce])
     }
 
     /// The dialling side's answer with its proof.
-    pub fn prove(&self, challenge: &Challenge, hello: Hello) -> Hello {
-        let proof = self.hello(challenge, &hello).finalize().into_bytes().into();
+    pub fn sign_hello(&self, challenge: &Challenge, hello: Hello) -> Hello {
+        let proof = self.hello_mac(challenge, &hello).finalize().into_bytes().into();
         Hello { proof, ..hello }
     }
 
     /// Whether the dialling side holds the key.
-    pub fn proves(&self, challenge: &Challenge, hello: &Hello) -> bool {
-        self.hello(challenge, hello).verify_slice(&hello.proof).is_ok()
+    pub fn verify_hello(&self, challenge: &Challenge, hello: &Hello) -> bool {
+        self.hello_mac(challenge, hello).verify_slice(&hello.proof).is_ok()
     }
 
     /// The listening side's proof.
-    pub fn welcome(&self, challenge: &Challenge, hello: &Hello) -> Welcome {
+    pub fn sign_welcome(&self, challenge: &Challenge, hello: &Hello) -> Welcome {
         let mac = self.mac(&[b"welcome", &challenge.nonce, &hello.nonce]);
         Welcome { proof: mac.finalize().into_bytes().into() }
     }
 
     /// Whether the listening side holds the key.
-    pub fn welcomes(&self, challenge: &Challenge, hello: &Hello, welcome: &Welcome) -> bool {
+    pub fn verify_welcome(&self, challenge: &Challenge, hello: &Hello, welcome: &Welcome) -> bool {
         self.mac(&[b"welcome", &challenge.nonce, &hello.nonce]).verify_slice(&welcome.proof).is_ok()
     }
 
     /// The seal of one direction of a connection.
-    pub fn seal(&self, challenge: &Challenge, hello: &Hello, from_dialler: bool) -> Seal {
-        let way: &[u8] = if from_dialler { b"out" } else { b"back" };
-        let key = self.mac(&[b"session", way, &challenge.nonce, &hello.nonce]).finalize().into_bytes();
-        Seal { key: Key(key.to_vec()), count: 0 }
+    pub fn message_authenticator(
+        &self,
+        challenge: &Challenge,
+        hello: &Hello,
+        from_dialler: bool,
+    ) -> MessageAuthenticator {
+        let direction: &[u8] = if from_dialler { b"out" } else { b"back" };
+        let key = self.mac(&[b"session", direction, &challenge.nonce, &hello.nonce]).finalize().into_bytes();
+        MessageAuthenticator { key: Key(key.to_vec()), count: 0 }
     }
 }
 
 /// Seals messages of one direction, or checks their seals, each with its place in the order.
 #[derive(Debug)]
-pub struct Seal {
+pub struct MessageAuthenticator {
     key: Key,
     count: u64,
 }
 
-impl Seal {
-    fn next(&mut self, message: &[u8]) -> Hmac<Sha256> {
+impl MessageAuthenticator {
+    fn next_mac(&mut self, message: &[u8]) -> Hmac<Sha256> {
         self.count += 1;
         self.key.mac(&[&self.count.to_be_bytes(), message])
     }
 
     /// The tag of the next message.
-    pub fn tag(&mut self, message: &[u8]) -> [u8; TAG] {
-        let whole: [u8; 32] = self.next(message).finalize().into_bytes().into();
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&whole[..TAG]);
+    pub fn tag(&mut self, message: &[u8]) -> [u8; TAG_BYTES] {
+        let whole: [u8; 32] = self.next_mac(message).finalize().into_bytes().into();
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&whole[..TAG_BYTES]);
         tag
     }
 
     /// Whether this is the next message, unchanged.
-    pub fn fits(&mut self, message: &[u8], tag: &[u8]) -> bool {
-        tag.len() == TAG && self.next(message).verify_truncated_left(tag).is_ok()
+    pub fn verify(&mut self, message: &[u8], tag: &[u8]) -> bool {
+        tag.len() == TAG_BYTES && self.next_mac(message).verify_truncated_left(tag).is_ok()
     }
 }
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -7,14 +7,14 @@
 mod inbound;
 mod outbound;
 
-use super::hello::{Challenge, Hello, Key, Nonce, Seal};
+use super::hello::{Challenge, Hello, Key, MessageAuthenticator, Nonce};
 use super::settings::FederationSettings;
 use super::state::AdmissionError;
 use super::wire::{self, Frame, WireError};
 use super::MemberId;
 use crate::interface::{Instant, Span};
 use crate::net::{ConnectionKey, Listener, Net, Ready, Reason};
-use inbound::Inbound;
+use inbound::InboundState;
 use outbound::Peer;
 use rand_chacha::ChaCha8Rng;
 use serde::de::DeserializeOwned;
@@ -24,11 +24,11 @@
 use tracing::warn;
 
 /// The poll's token of the listener.
-pub(super) const LISTENER: usize = 0;
+pub(super) const LISTENER_TOKEN: usize = 0;
 /// The maximum number of unwritten bytes to one peer.
 const MAX_QUEUE_BYTES: usize = 256 * 1024;
 /// The maximum number of bytes read from one connection at a time.
-const READ_BYTES: usize = wire::MAX_MESSAGE + 64;
+const READ_BYTES: usize = wire::MAX_MESSAGE_BYTES + 64;
 /// How long the handshake of a connection may take.
 const HANDSHAKE_TIMEOUT: Span = Span::from_secs(1);
 /// The number of pings within the silence timeout of a connection.
@@ -62,23 +62,24 @@
             nonce,
             proof: [0; 32],
         };
-        self.key.prove(challenge, hello)
+        self.key.sign_hello(challenge, hello)
     }
 }
 
 /// A connection whose two sides have authenticated each other.
 struct PeerSession {
     /// Seals what is sent.
-    sending: Seal,
+    sending: MessageAuthenticator,
     /// Verifies what is received.
-    receiving: Seal,
+    receiving: MessageAuthenticator,
     /// When a frame was last received.
     received_at: Instant,
 }
 
 impl PeerSession {
     fn new(key: &Key, challenge: &Challenge, hello: &Hello, dialled: bool, now: Instant) -> Self {
-        let [sending, receiving] = [dialled, !dialled].map(|way| key.seal(challenge, hello, way));
+        let [sending, receiving] =
+            [dialled, !dialled].map(|from_dialler| key.message_authenticator(challenge, hello, from_dialler));
         PeerSession { sending, receiving, received_at: now }
     }
 
@@ -103,7 +104,7 @@
         connection: ConnectionKey,
         now: Instant,
     ) -> Result<Option<Frame>, WireError> {
-        let frame = take_message(net, connection, Some(&mut self.receiving))?;
+        let frame = read_message(net, connection, Some(&mut self.receiving))?;
         if frame.is_some() {
             self.received_at = now;
         }
@@ -112,18 +113,18 @@
 }
 
 /// Takes the next message that a connection has received, if it is complete.
-fn take_message<T: DeserializeOwned>(
+fn read_message<T: DeserializeOwned>(
     net: &mut Net,
     connection: ConnectionKey,
-    seal: Option<&mut Seal>,
+    authenticator: Option<&mut MessageAuthenticator>,
 ) -> Result<Option<T>, WireError> {
-    net.input(connection, |input| wire::decode(input, seal)).unwrap_or(Ok(None))
+    net.input(connection, |input| wire::decode(input, authenticator)).unwrap_or(Ok(None))
 }
 
 /// The result of reading one message from a connection.
 enum ReceiveStep {
     /// A message was read.
-    Taken,
+    Received,
     /// It is not complete yet.
     Incomplete,
     /// The connection is closed.
@@ -151,7 +152,7 @@
     peers: BTreeMap<MemberId, Peer>,
     /// The connections that this member dialled, and to whom.
     dialled: BTreeMap<ConnectionKey, MemberId>,
-    inbound: BTreeMap<ConnectionKey, Inbound>,
+    inbound: BTreeMap<ConnectionKey, InboundState>,
     random: ChaCha8Rng,
     /// The number of messages that were dropped.
     pub dropped: u64,
@@ -180,7 +181,7 @@
     }
 
     /// Sets the identity of this member and the silence timeout.
-    pub fn introduce(&mut self, identity: Identity, silence_timeout: Span) {
+    pub fn configure(&mut self, identity: Identity, silence_timeout: Span) {
         (self.identity, self.silence_timeout) = (identity, silence_timeout);
     }
 
@@ -190,8 +191,8 @@
     }
 
     /// Opens the listener.
-    pub fn open(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
-        let listener = self.net.listen(address, false, LISTENER)?;
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
+        let listener = self.net.listen(address, false, LISTENER_TOKEN)?;
         let address = listener.local_addr();
         self.listener = Some(listener);
         address
@@ -214,14 +215,14 @@
         let sent = if self.peers.contains_key(&to) {
             self.send_to_peer(now, to, frame)
         } else {
-            self.send_back(now, to, frame)
+            self.send_on_inbound(now, to, frame)
         };
         self.dropped += u64::from(!sent);
         sent
     }
 
     /// Handles a ready connection and appends the frames that members sent to `received`.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         now: Instant,
         ready: Ready,
@@ -236,15 +237,15 @@
         match self.flush(key, peer.is_some()) {
             Ok(true) if read => self.read(now, key, peer, admits, received),
             Ok(_) => {}
-            Err(reason) => self.end(now, key, peer, reason),
+            Err(reason) => self.close_connection(now, key, peer, reason),
         }
     }
 
     /// Writes queued bytes. Returns `false` if the connection is not established yet.
     fn flush(&mut self, connection: ConnectionKey, dialled: bool) -> Result<bool, Reason> {
-        let up = !dialled || self.net.connected(connection)?;
+        let established = !dialled || self.net.connected(connection)?;
         self.net.flush(connection)?;
-        Ok(up)
+        Ok(established)
     }
 
     /// Reads a connection until it has no more.
@@ -271,14 +272,20 @@
                 Ok(_) => return,
                 Err(reason) => reason,
             };
-            return self.end(now, connection, peer, reason);
+            return self.close_connection(now, connection, peer, reason);
         }
     }
 
     /// Ends a connection, which this member dialled to `peer` or accepted.
-    fn end(&mut self, now: Instant, connection: ConnectionKey, peer: Option<MemberId>, reason: Reason) {
+    fn close_connection(
+        &mut self,
+        now: Instant,
+        connection: ConnectionKey,
+        peer: Option<MemberId>,
+        reason: Reason,
+    ) {
         match peer {
-            Some(id) => self.lost(now, id, reason),
+            Some(id) => self.close_outbound(now, id, reason),
             None => self.close_inbound(now, connection, reason),
         }
     }
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -1,6 +1,6 @@
 //! The connections that other members dial: each is challenged, and accepted once it has proved who it is.
 
-use super::{take_message, AdmissionCheck, Links, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT};
+use super::{read_message, AdmissionCheck, Links, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT};
 use crate::federation::hello::{Challenge, Hello};
 use crate::federation::state::AdmissionError;
 use crate::federation::wire::{self, Frame, WireError};
@@ -14,7 +14,7 @@
 const MAX_UNAUTHENTICATED: usize = 64;
 
 /// A connection that this member accepted.
-pub(super) enum Inbound {
+pub(super) enum InboundState {
     /// It was challenged at `since`, and has not answered yet.
     Challenged { challenge: Challenge, since: Instant },
     /// It is in use by this member.
@@ -56,20 +56,20 @@
 }
 
 /// Why an inbound connection ends.
-enum InboundEnd {
+enum InboundError {
     Rejected(Rejection),
     Closed(Reason),
 }
 
-impl From<Rejection> for InboundEnd {
+impl From<Rejection> for InboundError {
     fn from(rejection: Rejection) -> Self {
-        InboundEnd::Rejected(rejection)
+        InboundError::Rejected(rejection)
     }
 }
 
-impl From<WireError> for InboundEnd {
+impl From<WireError> for InboundError {
     fn from(bad: WireError) -> Self {
-        InboundEnd::Rejected(bad.into())
+        InboundError::Rejected(bad.into())
     }
 }
 
@@ -90,13 +90,13 @@
     }
 
     fn challenge(&mut self, now: Instant, connection: ConnectionKey) {
-        let unauthenticated = |one: &&Inbound| matches!(one, Inbound::Challenged { .. });
+        let unauthenticated = |one: &&InboundState| matches!(one, InboundState::Challenged { .. });
         if self.inbound.values().filter(unauthenticated).count() >= MAX_UNAUTHENTICATED {
             return self.reject(now, connection, Rejection::TooMany);
         }
         let challenge = Challenge { nonce: self.random.random() };
         let bytes = wire::encode(&challenge, None).unwrap_or_default();
-        self.inbound.insert(connection, Inbound::Challenged { challenge, since: now });
+        self.inbound.insert(connection, InboundState::Challenged { challenge, since: now });
         if let Err(reason) = self.net.write(connection, [bytes]) {
             self.close_inbound(now, connection, reason);
         }
@@ -116,11 +116,11 @@
     }
 
     pub(super) fn close_silent_inbound(&mut self, now: Instant) {
-        let overdue = |one: &Inbound| match one {
-            Inbound::Challenged { since, .. } if now - *since > HANDSHAKE_TIMEOUT => {
+        let overdue = |one: &InboundState| match one {
+            InboundState::Challenged { since, .. } if now - *since > HANDSHAKE_TIMEOUT => {
                 Some(Reason::HeadTimeout)
             }
-            Inbound::Established { session, .. } if now - session.received_at > self.silence_timeout => {
+            InboundState::Established { session, .. } if now - session.received_at > self.silence_timeout => {
                 Some(Reason::Silent)
             }
             _ => None,
@@ -131,9 +131,9 @@
     }
 
     /// Sends to a member that the own file does not list (any more), on the connection that it opened.
-    pub(super) fn send_back(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
+    pub(super) fn send_on_inbound(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let dialled = self.inbound.iter_mut().find_map(|(connection, one)| match one {
-            Inbound::Established { from, session } if *from == to => Some((*connection, session)),
+            InboundState::Established { from, session } if *from == to => Some((*connection, session)),
             _ => None,
         });
         let Some((connection, session)) = dialled else { return false };
@@ -153,39 +153,41 @@
         received: &mut Vec<(MemberId, Frame)>,
     ) -> bool {
         loop {
-            match self.take_inbound(now, connection, admits, received) {
-                Ok(ReceiveStep::Taken) => continue,
+            match self.process_inbound_message(now, connection, admits, received) {
+                Ok(ReceiveStep::Received) => continue,
                 Ok(ReceiveStep::Incomplete) => return true,
                 Ok(ReceiveStep::Closed) => {}
-                Err(InboundEnd::Rejected(rejection)) => self.reject(now, connection, rejection),
-                Err(InboundEnd::Closed(reason)) => self.close_inbound(now, connection, reason),
+                Err(InboundError::Rejected(rejection)) => self.reject(now, connection, rejection),
+                Err(InboundError::Closed(reason)) => self.close_inbound(now, connection, reason),
             }
             return false;
         }
     }
 
-    fn take_inbound(
+    fn process_inbound_message(
         &mut self,
         now: Instant,
         connection: ConnectionKey,
         admits: AdmissionCheck<'_>,
         received: &mut Vec<(MemberId, Frame)>,
-    ) -> Result<ReceiveStep, InboundEnd> {
+    ) -> Result<ReceiveStep, InboundError> {
         match self.inbound.get_mut(&connection) {
             None => Ok(ReceiveStep::Closed),
-            Some(Inbound::Challenged { challenge, .. }) => {
+            Some(InboundState::Challenged { challenge, .. }) => {
                 let challenge = challenge.clone();
                 self.authenticate(now, connection, &challenge, admits)
             }
-            Some(Inbound::Established { from, session }) => {
+            Some(InboundState::Established { from, session }) => {
                 match session.receive(&mut self.net, connection, now)? {
                     None => return Ok(ReceiveStep::Incomplete),
                     Some(Frame::Ping) => {
-                        session.send(&mut self.net, connection, &Frame::Pong).map_err(InboundEnd::Closed)?;
+                        session
+                            .send(&mut self.net, connection, &Frame::Pong)
+                            .map_err(InboundError::Closed)?;
                     }
                     Some(frame) => received.push((*from, frame)),
                 }
-                Ok(ReceiveStep::Taken)
+                Ok(ReceiveStep::Received)
             }
         }
     }
@@ -197,16 +199,16 @@
         connection: ConnectionKey,
         challenge: &Challenge,
         admits: AdmissionCheck<'_>,
-    ) -> Result<ReceiveStep, InboundEnd> {
-        let hello: Option<Hello> = take_message(&mut self.net, connection, None)?;
+    ) -> Result<ReceiveStep, InboundError> {
+        let hello: Option<Hello> = read_message(&mut self.net, connection, None)?;
         let Some(hello) = hello else { return Ok(ReceiveStep::Incomplete) };
         self.verify(now, challenge, &hello, admits)?;
         let key = &self.identity.key;
-        let bytes = wire::encode(&key.welcome(challenge, &hello), None).unwrap_or_default();
+        let bytes = wire::encode(&key.sign_welcome(challenge, &hello), None).unwrap_or_default();
         let session = PeerSession::new(key, challenge, &hello, false, now);
-        self.inbound.insert(connection, Inbound::Established { from: hello.from, session });
-        self.net.write(connection, [bytes]).map_err(InboundEnd::Closed)?;
-        Ok(ReceiveStep::Taken)
+        self.inbound.insert(connection, InboundState::Established { from: hello.from, session });
+        self.net.write(connection, [bytes]).map_err(InboundError::Closed)?;
+        Ok(ReceiveStep::Received)
     }
 
     /// Checks that the dialling member is authenticated and admitted.
@@ -221,7 +223,7 @@
         if hello.cluster != own.cluster {
             return Err(Rejection::OtherFederation);
         }
-        if !own.key.proves(challenge, hello) {
+        if !own.key.verify_hello(challenge, hello) {
             return Err(Rejection::WrongKey);
         }
         if hello.to != own.id {
@@ -234,8 +236,8 @@
             return Err(Rejection::OtherFounders);
         }
         admits(hello)?;
-        let connected = |one: &Inbound| {
-            matches!(one, Inbound::Established { from, session }
+        let connected = |one: &InboundState| {
+            matches!(one, InboundState::Established { from, session }
                 if *from == hello.from && now - session.received_at < self.silence_timeout)
         };
         if self.inbound.values().any(connected) {
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -1,7 +1,7 @@
 //! The connections that this member dials: one to each peer, dialled again after a pause.
 
 use super::{
-    take_message, Links, PeerAddress, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE,
+    read_message, Links, PeerAddress, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE,
 };
 use crate::federation::backoff::Backoff;
 use crate::federation::hello::{Challenge, Hello, Welcome};
@@ -17,24 +17,24 @@
 const REDIAL_PAUSES: [Span; 2] = [Span::from_millis(20), Span::from_secs(1)];
 
 /// The connection to a peer.
-enum Outbound {
+enum OutboundState {
     /// There is none; it may be dialled at `until`.
     Waiting { until: Instant },
     /// It was dialled at `since`, and the peer's challenge is awaited.
     Dialled { connection: ConnectionKey, since: Instant },
     /// The challenge was answered, and the peer's welcome is awaited.
-    Greeted { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
+    HelloSent { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
     /// It is in use.
     Established { connection: ConnectionKey, session: PeerSession, pinged_at: Instant },
 }
 
-impl Outbound {
+impl OutboundState {
     fn connection(&self) -> Option<ConnectionKey> {
         match self {
-            Outbound::Waiting { .. } => None,
-            Outbound::Dialled { connection, .. }
-            | Outbound::Greeted { connection, .. }
-            | Outbound::Established { connection, .. } => Some(*connection),
+            OutboundState::Waiting { .. } => None,
+            OutboundState::Dialled { connection, .. }
+            | OutboundState::HelloSent { connection, .. }
+            | OutboundState::Established { connection, .. } => Some(*connection),
         }
     }
 }
@@ -43,18 +43,18 @@
 pub(super) struct Peer {
     target: PeerAddress,
     backoff: Backoff,
-    outbound: Outbound,
+    outbound: OutboundState,
 }
 
 impl Peer {
     fn new(now: Instant, target: PeerAddress) -> Self {
         let backoff = Backoff::new(REDIAL_PAUSES[0], REDIAL_PAUSES[1]);
-        Peer { target, backoff, outbound: Outbound::Waiting { until: now } }
+        Peer { target, backoff, outbound: OutboundState::Waiting { until: now } }
     }
 
     /// Marks its connection as closed; it may be dialled again at `until`.
     pub fn wait_until(&mut self, until: Instant) {
-        self.outbound = Outbound::Waiting { until };
+        self.outbound = OutboundState::Waiting { until };
     }
 }
 
@@ -78,20 +78,20 @@
 
     /// Whether the connection to a peer is in use.
     pub fn connected(&self, id: MemberId) -> bool {
-        self.peers.get(&id).is_some_and(|peer| matches!(peer.outbound, Outbound::Established { .. }))
+        self.peers.get(&id).is_some_and(|peer| matches!(peer.outbound, OutboundState::Established { .. }))
     }
 
     pub(super) fn send_to_peer(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let Some(peer) = self.peers.get_mut(&to) else { return false };
         match &mut peer.outbound {
-            Outbound::Established { connection, session, .. } => {
+            OutboundState::Established { connection, session, .. } => {
                 let sent = session.send(&mut self.net, *connection, frame);
                 sent.unwrap_or_else(|reason| {
-                    self.lost(now, to, reason);
+                    self.close_outbound(now, to, reason);
                     false
                 })
             }
-            Outbound::Waiting { until } if *until <= now => {
+            OutboundState::Waiting { until } if *until <= now => {
                 self.dial(now, to);
                 false
             }
@@ -103,7 +103,7 @@
         let Some(peer) = self.peers.get_mut(&to) else { return };
         match self.net.connect(now, peer.target.address, Role::Federation) {
             Ok(connection) => {
-                peer.outbound = Outbound::Dialled { connection, since: now };
+                peer.outbound = OutboundState::Dialled { connection, since: now };
                 self.dialled.insert(connection, to);
             }
             Err(_) => {
@@ -114,15 +114,15 @@
     }
 
     /// Handles the loss of the connection to a peer.
-    pub(super) fn lost(&mut self, now: Instant, to: MemberId, reason: Reason) {
+    pub(super) fn close_outbound(&mut self, now: Instant, to: MemberId, reason: Reason) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         let until = now + peer.backoff.pause(&mut self.random);
-        let before = std::mem::replace(&mut peer.outbound, Outbound::Waiting { until });
+        let before = std::mem::replace(&mut peer.outbound, OutboundState::Waiting { until });
         if let Some(connection) = before.connection() {
             self.dialled.remove(&connection);
             self.net.close(now, connection, reason);
         }
-        if matches!(before, Outbound::Established { .. }) {
+        if matches!(before, OutboundState::Established { .. }) {
             info!(peer = to.get(), end = reason.code(), "federation: a member is not reached any more");
         }
     }
@@ -136,19 +136,19 @@
         received: &mut Vec<(MemberId, Frame)>,
     ) -> bool {
         loop {
-            match self.take_from_peer(now, connection, id, received) {
-                Ok(ReceiveStep::Taken) => {}
+            match self.process_peer_message(now, connection, id, received) {
+                Ok(ReceiveStep::Received) => {}
                 Ok(ReceiveStep::Incomplete) => return true,
                 Ok(ReceiveStep::Closed) => return false,
                 Err(reason) => {
-                    self.lost(now, id, reason);
+                    self.close_outbound(now, id, reason);
                     return false;
                 }
             }
         }
     }
 
-    fn take_from_peer(
+    fn process_peer_message(
         &mut self,
         now: Instant,
         connection: ConnectionKey,
@@ -156,20 +156,20 @@
         received: &mut Vec<(MemberId, Frame)>,
     ) -> Result<ReceiveStep, Reason> {
         match self.peers.get_mut(&id).map(|peer| &mut peer.outbound) {
-            None | Some(Outbound::Waiting { .. }) => Ok(ReceiveStep::Closed),
-            Some(Outbound::Dialled { since, .. }) => {
+            None | Some(OutboundState::Waiting { .. }) => Ok(ReceiveStep::Closed),
+            Some(OutboundState::Dialled { since, .. }) => {
                 let since = *since;
                 self.answer_challenge(connection, id, since)
             }
-            Some(Outbound::Greeted { .. }) => self.take_welcome(now, connection, id),
-            Some(Outbound::Established { session, .. }) => {
+            Some(OutboundState::HelloSent { .. }) => self.process_welcome(now, connection, id),
+            Some(OutboundState::Established { session, .. }) => {
                 let frame = session.receive(&mut self.net, connection, now);
                 match frame.map_err(|_| Reason::BadMessage)? {
                     None => return Ok(ReceiveStep::Incomplete),
                     Some(Frame::Ping | Frame::Pong) => {}
                     Some(frame) => received.push((id, frame)),
                 }
-                Ok(ReceiveStep::Taken)
+                Ok(ReceiveStep::Received)
             }
         }
     }
@@ -182,40 +182,40 @@
         since: Instant,
     ) -> Result<ReceiveStep, Reason> {
         let challenge: Option<Challenge> =
-            take_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
+            read_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
         let Some(challenge) = challenge else { return Ok(ReceiveStep::Incomplete) };
         let hello = self.identity.hello(&challenge, id, self.random.random());
         let bytes = wire::encode(&hello, None).unwrap_or_default();
         if let Some(peer) = self.peers.get_mut(&id) {
-            peer.outbound = Outbound::Greeted { connection, since, challenge, hello };
+            peer.outbound = OutboundState::HelloSent { connection, since, challenge, hello };
         }
         self.net.write(connection, [bytes])?;
-        Ok(ReceiveStep::Taken)
+        Ok(ReceiveStep::Received)
     }
 
     /// Verifies the welcome with which a peer authenticates itself.
-    fn take_welcome(
+    fn process_welcome(
         &mut self,
         now: Instant,
         connection: ConnectionKey,
         id: MemberId,
     ) -> Result<ReceiveStep, Reason> {
         let welcome: Option<Welcome> =
-            take_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
+            read_message(&mut self.net, connection, None).map_err(|_| Reason::BadMessage)?;
         let Some(welcome) = welcome else { return Ok(ReceiveStep::Incomplete) };
         let Some(peer) = self.peers.get_mut(&id) else { return Ok(ReceiveStep::Closed) };
-        let Outbound::Greeted { challenge, hello, .. } = &peer.outbound else {
+        let OutboundState::HelloSent { challenge, hello, .. } = &peer.outbound else {
             return Ok(ReceiveStep::Closed);
         };
         let key = &self.identity.key;
-        if !key.welcomes(challenge, hello, &welcome) {
+        if !key.verify_welcome(challenge, hello, &welcome) {
             return Err(Reason::BadMessage);
         }
         let session = PeerSession::new(key, challenge, hello, true, now);
-        peer.outbound = Outbound::Established { connection, session, pinged_at: now };
+        peer.outbound = OutboundState::Established { connection, session, pinged_at: now };
         peer.backoff.reset();
         info!(peer = id.get(), "federation: a member is reached");
-        Ok(ReceiveStep::Taken)
+        Ok(ReceiveStep::Received)
     }
 
     pub(super) fn tick_peers(&mut self, now: Instant) {
@@ -226,19 +226,19 @@
     fn tick_peer(&mut self, now: Instant, id: MemberId) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         match &mut peer.outbound {
-            Outbound::Waiting { until } => {
+            OutboundState::Waiting { until } => {
                 if peer.target.eager && *until <= now {
                     self.dial(now, id);
                 }
             }
-            Outbound::Dialled { since, .. } | Outbound::Greeted { since, .. } => {
+            OutboundState::Dialled { since, .. } | OutboundState::HelloSent { since, .. } => {
                 if now - *since > HANDSHAKE_TIMEOUT {
-                    self.lost(now, id, Reason::ConnectTimeout);
+                    self.close_outbound(now, id, Reason::ConnectTimeout);
                 }
             }
-            Outbound::Established { session, pinged_at, .. } => {
+            OutboundState::Established { session, pinged_at, .. } => {
                 if now - session.received_at > self.silence_timeout {
-                    self.lost(now, id, Reason::Silent);
+                    self.close_outbound(now, id, Reason::Silent);
                 } else if now - *pinged_at > self.silence_timeout / PINGS_PER_SILENCE {
                     *pinged_at = now;
                     self.send(now, id, &Frame::Ping);
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -19,7 +19,7 @@
 
 pub use handle::Handle;
 
-use super::links::{Identity, Links, PeerAddress, LISTENER};
+use super::links::{Identity, Links, PeerAddress, LISTENER_TOKEN};
 use super::log::StoredLog;
 use super::settings::{FederationSettings, ListedMember};
 use super::store::{Store, StoreError};
@@ -29,7 +29,7 @@
 use crate::interface::{Instant, Span};
 use crate::net::{Net, Ready};
 use handle::Instruction;
-use lifecycle::{HandOver, Phase};
+use lifecycle::{GracefulStop, Phase};
 use mio::net::UnixStream;
 use outage::{HaltReason, Outage};
 use participant::{Counters, Membership};
@@ -45,9 +45,9 @@
 use tracing::info;
 
 /// The poll token of the instruction pipe.
-const WAKE: usize = 1;
+const WAKE_TOKEN: usize = 1;
 /// The interval between publications of the view.
-const PUBLISH_EVERY: Span = Span::from_millis(50);
+const PUBLISH_INTERVAL: Span = Span::from_millis(50);
 
 /// The view that was published last.
 type SharedView = Arc<Mutex<Arc<View>>>;
@@ -60,7 +60,7 @@
     open_store: OpenStore,
     phase: Phase,
     outage: Outage,
-    hand_over: Option<HandOver>,
+    graceful_stop: Option<GracefulStop>,
     counters: Counters,
     /// Where this member listens.
     listen: Option<SocketAddr>,
@@ -88,7 +88,7 @@
             open_store,
             phase: Phase::Halted { until: Instant::ZERO },
             outage: Outage::none(),
-            hand_over: None,
+            graceful_stop: None,
             counters: Counters::default(),
             listen: None,
             view: View::default(),
@@ -118,10 +118,10 @@
 
     /// Runs until it is stopped. A panic, for example a failed assertion of the library, halts this member and nothing
     /// else.
-    fn run(&mut self, instructions: &Receiver<Instruction>, woken: &mut UnixStream) {
+    fn run(&mut self, instructions: &Receiver<Instruction>, wake_pipe: &mut UnixStream) {
         let mut ready = Vec::new();
         loop {
-            match catch_unwind(AssertUnwindSafe(|| self.run_once(instructions, woken, &mut ready))) {
+            match catch_unwind(AssertUnwindSafe(|| self.run_once(instructions, wake_pipe, &mut ready))) {
                 Ok(true) => {}
                 Ok(false) => break,
                 Err(panic) => self.halt(&HaltReason::Panic(crate::caught::text(&*panic))),
@@ -136,14 +136,14 @@
     fn run_once(
         &mut self,
         instructions: &Receiver<Instruction>,
-        woken: &mut UnixStream,
+        wake_pipe: &mut UnixStream,
         ready: &mut Vec<Ready>,
     ) -> bool {
         let timeout = self.timeout();
         if let Err(error) = self.links.net().poll(timeout, ready) {
             self.halt(&HaltReason::Poll(error));
         }
-        drain(woken);
+        drain(wake_pipe);
         if !self.process_instructions(instructions) {
             return false;
         }
@@ -155,7 +155,7 @@
         if let Err(reason) = self.advance(now, received) {
             self.halt(&reason);
         }
-        !self.complete_hand_over(now)
+        !self.complete_graceful_stop(now)
     }
 
     /// The poll timeout, `None` for no limit.
@@ -173,9 +173,9 @@
         loop {
             let now = self.now();
             match instructions.try_recv() {
-                Ok(Instruction::Stop) => self.begin_hand_over(now, true),
+                Ok(Instruction::Stop) => self.begin_graceful_stop(now, true),
                 Ok(Instruction::Pause) if matches!(self.phase, Phase::Paused) => {}
-                Ok(Instruction::Pause) => self.begin_hand_over(now, false),
+                Ok(Instruction::Pause) => self.begin_graceful_stop(now, false),
                 Ok(Instruction::Resume) => self.resume(now),
                 Ok(Instruction::Reload(settings)) => self.reload(now, *settings),
                 Err(TryRecvError::Empty) => return true,
@@ -187,16 +187,16 @@
     fn reload(&mut self, now: Instant, settings: FederationSettings) {
         info!(revision = settings.revision, "federation: a new file");
         self.membership = Membership::new(settings);
-        self.introduce(now);
+        self.configure_links(now);
     }
 
     /// Sets the identity and the peers of the connections; a member that is not running does so when it starts.
-    fn introduce(&mut self, now: Instant) {
+    fn configure_links(&mut self, now: Instant) {
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
         let identity = Identity::of(settings, participant.identity(), participant.incarnation());
-        self.links.introduce(identity, settings.silence_timeout);
-        self.links.set_peers(now, &peers(settings));
+        self.links.configure(identity, settings.silence_timeout);
+        self.links.set_peers(now, &peer_addresses(settings));
     }
 
     /// Reads the frames that have arrived on ready connections.
@@ -204,12 +204,12 @@
         let mut received = Vec::new();
         for source in ready.drain(..) {
             match (source, &self.phase) {
-                (Ready::Source(LISTENER), _) => self.links.accept(now),
+                (Ready::Source(LISTENER_TOKEN), _) => self.links.accept(now),
                 (Ready::Source(_), _) => {}
                 (connection, Phase::Running(participant)) => {
                     let settings = &self.membership.settings;
                     let admits = |hello: &_| participant.admits(settings, hello);
-                    self.links.ready(now, connection, &admits, &mut received);
+                    self.links.handle_ready(now, connection, &admits, &mut received);
                 }
                 _ => {}
             }
@@ -223,7 +223,7 @@
         for (from, frame) in received {
             participant.receive(from, frame);
         }
-        participant.tick(now, &self.membership, &mut self.links, self.hand_over.is_some())?;
+        participant.tick(now, &self.membership, &mut self.links, self.graceful_stop.is_some())?;
         participant.drive(now, &mut self.links, &mut self.counters)?;
         let changed = participant.log_events(&mut self.counters);
         if let Some(recovery) = self.outage.recovered(now) {
@@ -231,7 +231,7 @@
             info!(lasted_ms, failures, "federation: this member takes part again");
         }
         if changed || self.next_publication <= now {
-            self.next_publication = now + PUBLISH_EVERY;
+            self.next_publication = now + PUBLISH_INTERVAL;
             let now = Instant::ZERO + Span::from(self.started.elapsed()); // storing may have taken a while
             let view = participant.view(now, &self.membership.settings, &self.links);
             self.view = View { listen: self.listen.map(|address| address.to_string()), ..view };
@@ -242,16 +242,16 @@
 }
 
 /// Discards the bytes that woke the poll.
-fn drain(woken: &mut UnixStream) {
+fn drain(wake_pipe: &mut UnixStream) {
     let mut bytes = [0; 64];
-    while woken.read(&mut bytes).is_ok_and(|count| count == bytes.len()) {}
+    while wake_pipe.read(&mut bytes).is_ok_and(|count| count == bytes.len()) {}
 }
 
 /// How the other members are reached: voters dial each other at once, and a leader dials the rest.
-fn peers(settings: &FederationSettings) -> BTreeMap<MemberId, PeerAddress> {
-    let votes = settings.members.get(&settings.id).is_some_and(|own| own.voter);
+fn peer_addresses(settings: &FederationSettings) -> BTreeMap<MemberId, PeerAddress> {
+    let is_voter = settings.members.get(&settings.id).is_some_and(|own| own.voter);
     let others = settings.members.iter().filter(|(id, _)| **id != settings.id);
     let reached =
-        |member: &ListedMember| PeerAddress { address: member.address, eager: votes && member.voter };
+        |member: &ListedMember| PeerAddress { address: member.address, eager: is_voter && member.voter };
     others.map(|(id, member)| (*id, reached(member))).collect()
 }
--- a/src/federation/runtime/handle.rs
+++ b/src/federation/runtime/handle.rs
@@ -1,6 +1,6 @@
 //! The edge proxy's handle on its member: instructions go in, the last published view comes out, and neither waits.
 
-use super::{OpenStore, Runtime, SharedView, WAKE};
+use super::{OpenStore, Runtime, SharedView, WAKE_TOKEN};
 use crate::federation::settings::{FederationSettings, FixedSetting};
 use crate::federation::store::Store;
 use crate::federation::view::View;
@@ -50,13 +50,13 @@
         seed: u64,
         open_store: OpenStore,
     ) -> io::Result<Self> {
-        let (wake, mut woken) = UnixStream::pair()?;
+        let (wake, mut wake_pipe) = UnixStream::pair()?;
         let (instructions, received) = channel();
         let view = Arc::new(Mutex::new(Arc::new(View::default())));
         let mut net = Net::new()?;
-        net.watch(&mut woken, WAKE)?;
+        net.watch(&mut wake_pipe, WAKE_TOKEN)?;
         let mut runtime = Runtime::new(settings.clone(), net, seed, view.clone(), open_store);
-        let run = move || runtime.run(&received, &mut woken);
+        let run = move || runtime.run(&received, &mut wake_pipe);
         let thread = Some(std::thread::Builder::new().name("federation".into()).spawn(run)?);
         Ok(Handle { instructions, wake, view, thread, settings })
     }
--- a/src/federation/runtime/lifecycle.rs
+++ b/src/federation/runtime/lifecycle.rs
@@ -9,9 +9,9 @@
 use tracing::{error, info};
 
 /// How long a leader that stops waits for another leader.
-const HAND_OVER_TIMEOUT: Span = Span::from_millis(200);
+const LEADERSHIP_TRANSFER_TIMEOUT: Span = Span::from_millis(200);
 /// The reason that the view states for a paused member.
-const PAUSED: &str = "a newer process has the store";
+const PAUSED_REASON: &str = "a newer process has the store";
 
 /// Whether the member runs.
 pub(super) enum Phase {
@@ -25,11 +25,11 @@
 
 /// A graceful shutdown or pause: the member releases its leases and transfers its leadership first.
 #[derive(Clone, Copy)]
-pub(super) struct HandOver {
+pub(super) struct GracefulStop {
     /// When it stops waiting for another leader.
-    pub(super) until: Instant,
+    pub(super) deadline: Instant,
     /// Whether the thread ends afterwards; otherwise the member is paused.
-    pub(super) ends: bool,
+    pub(super) ends_thread: bool,
 }
 
 impl Runtime {
@@ -38,9 +38,9 @@
         match self.try_start(now) {
             Ok((participant, address)) => {
                 self.phase = Phase::Running(Box::new(participant));
-                self.introduce(now);
+                self.configure_links(now);
                 // In an outage each attempt may reach this point.
-                if !self.outage.lasts() || self.listen != Some(address) {
+                if !self.outage.is_ongoing() || self.listen != Some(address) {
                     info!(id = self.membership.settings.id.get(), "federation listens on {address}");
                 }
                 self.listen = Some(address);
@@ -56,7 +56,7 @@
             .map_err(|source| HaltReason::Store { path: settings.store.clone(), source })?;
         let participant = Participant::new(settings, opened, now, &mut self.random)?;
         let address = settings.listen;
-        let opened = self.links.open(address);
+        let opened = self.links.listen(address);
         Ok((participant, opened.map_err(|source| HaltReason::Listen { address, source })?))
     }
 
@@ -84,8 +84,8 @@
     }
 
     pub(super) fn resume(&mut self, now: Instant) {
-        if self.hand_over.is_some_and(|hand_over| !hand_over.ends) {
-            self.hand_over = None;
+        if self.graceful_stop.is_some_and(|graceful_stop| !graceful_stop.ends_thread) {
+            self.graceful_stop = None;
         }
         if matches!(self.phase, Phase::Paused) {
             self.phase = Phase::Halted { until: now };
@@ -93,33 +93,34 @@
     }
 
     /// Begins a graceful shutdown, or a pause.
-    pub(super) fn begin_hand_over(&mut self, now: Instant, ends: bool) {
-        let ends = ends || self.hand_over.is_some_and(|hand_over| hand_over.ends);
+    pub(super) fn begin_graceful_stop(&mut self, now: Instant, ends_thread: bool) {
+        let ends_thread =
+            ends_thread || self.graceful_stop.is_some_and(|graceful_stop| graceful_stop.ends_thread);
         if let Phase::Running(participant) = &mut self.phase {
-            participant.hand_over(now, &mut self.links);
+            participant.step_down(now, &mut self.links);
         }
-        self.hand_over = Some(HandOver { until: now + HAND_OVER_TIMEOUT, ends });
+        self.graceful_stop = Some(GracefulStop { deadline: now + LEADERSHIP_TRANSFER_TIMEOUT, ends_thread });
     }
 
     /// Completes a graceful shutdown or a pause. Returns `true` when the thread should end.
-    pub(super) fn complete_hand_over(&mut self, now: Instant) -> bool {
-        let Some(hand_over) = self.hand_over else { return false };
+    pub(super) fn complete_graceful_stop(&mut self, now: Instant) -> bool {
+        let Some(graceful_stop) = self.graceful_stop else { return false };
         let leads = matches!(&self.phase, Phase::Running(participant) if participant.is_leader());
-        if leads && now < hand_over.until {
+        if leads && now < graceful_stop.deadline {
             return false;
         }
-        if !hand_over.ends {
+        if !graceful_stop.ends_thread {
             self.pause(now);
         }
-        hand_over.ends
+        graceful_stop.ends_thread
     }
 
     pub(super) fn pause(&mut self, now: Instant) {
-        self.hand_over = None;
+        self.graceful_stop = None;
         self.phase = Phase::Paused;
         self.links.close(now);
         info!("federation: left to a newer process");
-        self.view.halted = Some(PAUSED.to_owned());
+        self.view.halted = Some(PAUSED_REASON.to_owned());
         self.publish();
     }
 }
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(super) struct Outage {
     backoff: Backoff,
-    lasting: Option<OngoingOutage>,
+    ongoing: Option<OngoingOutage>,
 }
 
 #[derive(Debug)]
@@ -93,41 +93,41 @@
 
 impl Outage {
     pub fn none() -> Self {
-        Outage { backoff: Backoff::new(RETRY_PAUSES[0], RETRY_PAUSES[1]), lasting: None }
+        Outage { backoff: Backoff::new(RETRY_PAUSES[0], RETRY_PAUSES[1]), ongoing: None }
     }
 
     /// Records that the member failed, or could not be started.
     pub fn failed(&mut self, now: Instant, reason: &HaltReason, random: &mut impl Rng) -> Failure {
         let new = || OngoingOutage { since: now, failures: 0, reported: Vec::new(), running_since: None };
-        let lasting = self.lasting.get_or_insert_with(new);
-        lasting.failures += 1;
-        lasting.running_since = None;
+        let ongoing = self.ongoing.get_or_insert_with(new);
+        ongoing.failures += 1;
+        ongoing.running_since = None;
         let kind = reason.kind();
-        let report = !lasting.reported.contains(&kind);
+        let report = !ongoing.reported.contains(&kind);
         if report {
-            lasting.reported.push(kind);
+            ongoing.reported.push(kind);
         }
         Failure { retry_at: now + self.backoff.pause(random), report }
     }
 
     /// Records that the member runs.
     pub fn started(&mut self, now: Instant) {
-        if let Some(lasting) = &mut self.lasting {
-            lasting.running_since = Some(now);
+        if let Some(ongoing) = &mut self.ongoing {
+            ongoing.running_since = Some(now);
         }
     }
 
     /// Whether an outage lasts; the member may be running again already.
-    pub fn lasts(&self) -> bool {
-        self.lasting.is_some()
+    pub fn is_ongoing(&self) -> bool {
+        self.ongoing.is_some()
     }
 
     /// The outage, if it is over now.
     pub fn recovered(&mut self, now: Instant) -> Option<Recovery> {
-        let lasting = self.lasting.as_ref()?;
-        let running_since = lasting.running_since.filter(|since| now - *since >= RECOVERED_AFTER)?;
-        let recovery = Recovery { lasted: running_since - lasting.since, failures: lasting.failures };
-        self.lasting = None;
+        let ongoing = self.ongoing.as_ref()?;
+        let running_since = ongoing.running_since.filter(|since| now - *since >= RECOVERED_AFTER)?;
+        let recovery = Recovery { lasted: running_since - ongoing.since, failures: ongoing.failures };
+        self.ongoing = None;
         self.backoff.reset();
         Some(recovery)
     }
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -118,7 +118,7 @@
                     warn!(peer = from.get(), %why, "federation: a message is passed over");
                 }
             }
-            Frame::Propose(command) if speaks_for(from, &command) => {
+            Frame::Propose(command) if may_propose(from, &command) => {
                 let enrols = matches!(command, Command::Enrol { .. });
                 let member = self.node.state().members.get(&from);
                 if member.is_some_and(|member| !enrols || member.incarnation.is_none()) {
@@ -135,7 +135,7 @@
         now: Instant,
         membership: &Membership,
         links: &mut Links,
-        leaving: bool,
+        stopping: bool,
     ) -> Result<(), HaltReason> {
         if now < self.next_tick {
             return Ok(());
@@ -145,7 +145,7 @@
         self.next_tick = now + settings.tick;
         self.node.tick();
         links.tick(now);
-        if !leaving {
+        if !stopping {
             self.node.reconcile(settings.revision, &membership.wanted);
             self.renew_leases(now, links);
         }
@@ -158,12 +158,12 @@
 
     /// Requests and renews leases if this member is a voter, and expires leases if it leads.
     fn renew_leases(&mut self, now: Instant, links: &mut Links) {
-        let (state, leads) = (self.node.state(), self.node.is_leader());
-        let votes = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
-        let duties = votes.then(|| PUBLISH_DUTY.to_owned()).into_iter().collect();
+        let (state, is_leader) = (self.node.state(), self.node.is_leader());
+        let is_voter = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
+        let duties = is_voter.then(|| PUBLISH_DUTY.to_owned()).into_iter().collect();
         let mut commands = self.holder.set_candidacies(&duties);
         commands.extend(self.holder.due_requests(now, state));
-        commands.extend(self.grantor.due_expiries(now, state, leads));
+        commands.extend(self.grantor.due_expiries(now, state, is_leader));
         commands.into_iter().for_each(|command| self.propose(now, links, command));
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Releases the leases and transfers leadership, if this member leads.
-    pub fn hand_over(&mut self, now: Instant, links: &mut Links) {
+    pub fn step_down(&mut self, now: Instant, links: &mut Links) {
         // Leases first: what is proposed before the transfer is still in the log.
         for command in self.holder.set_candidacies(&BTreeSet::new()) {
             self.propose(now, links, command);
@@ -226,7 +226,7 @@
 }
 
 /// Whether a member may have this command proposed: a member acts for itself alone.
-fn speaks_for(from: MemberId, command: &Command) -> bool {
+fn may_propose(from: MemberId, command: &Command) -> bool {
     match command {
         Command::Enrol { id, .. }
         | Command::Acquire { id, .. }
--- a/src/federation/runtime/tests.rs
+++ b/src/federation/runtime/tests.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 
 /// How long a test waits for what must come.
-const LONG: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const SECOND: Span = Span::from_secs(1);
 
 fn store_fails(source: StoreError) -> HaltReason {
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn an_outage_is_reported_once_for_each_kind_and_its_pauses_grow_until_it_is_over() {
+fn outage_reports_each_failure_kind_once_with_backoff() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut outage = Outage::none();
-    assert!(!outage.lasts() && outage.recovered(Instant::ZERO).is_none());
+    assert!(!outage.is_ongoing() && outage.recovered(Instant::ZERO).is_none());
     let mut now = Instant::ZERO;
     let mut pauses = Vec::new();
     for attempt in 0..10 {
@@ -58,14 +58,14 @@
     FederationSettings::parse(HclDocument { file: "f.hcl", text }).expect("usable").0
 }
 
-fn until(handle: &Handle, what: &str, wanted: impl Fn(&View) -> bool) -> Arc<View> {
+fn wait_for(handle: &Handle, what: &str, wanted: impl Fn(&View) -> bool) -> Arc<View> {
     let since = time::Instant::now();
     loop {
         let view = handle.view();
         if wanted(&view) {
             return view;
         }
-        assert!(since.elapsed() < LONG, "it never came to: {what}; {view:?}");
+        assert!(since.elapsed() < WAIT_TIMEOUT, "it never came to: {what}; {view:?}");
         std::thread::yield_now();
     }
 }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_member_whose_disk_fails_is_halted_and_goes_on_with_all_it_acknowledged_once_the_disk_works() {
+fn member_halts_on_disk_failure_and_recovers_without_loss() {
     for error in [ENOSPC, EIO] {
         let settings = settings();
         let disk = FaultyDisk::default();
@@ -84,18 +84,18 @@
         let open_store =
             move |settings: &FederationSettings| opened.open_store(&settings.cluster, settings.id);
         let mut handle = Handle::start_with(settings, 1, Box::new(open_store)).expect("a thread");
-        let mut before = until(&handle, "it leads", leads);
+        let mut before = wait_for(&handle, "it leads", leads);
         for round in 0..3 {
-            disk.break_down(error);
-            let halted = until(&handle, "it is halted", |view| view.halted.is_some());
+            disk.fail_all(error);
+            let halted = wait_for(&handle, "it is halted", |view| view.halted.is_some());
             let why = halted.halted.as_deref().unwrap_or_default();
             assert!(why.contains(&std::io::Error::from_raw_os_error(error).to_string()), "{why}");
             assert_eq!((halted.leader, &halted.role[..]), (MemberId::NONE, ""));
             let failures = disk.failures();
-            until(&handle, "it tries again", |_| disk.failures() > failures + 3);
+            wait_for(&handle, "it tries again", |_| disk.failures() > failures + 3);
             assert!(handle.view().halted.is_some(), "round {round}");
-            disk.heal();
-            let after = until(&handle, "it leads again", leads);
+            disk.repair();
+            let after = wait_for(&handle, "it leads again", leads);
             assert!(after.term > before.term && after.committed >= before.committed, "{after:?} {before:?}");
             before = after;
         }
--- a/src/federation/store.rs
+++ b/src/federation/store.rs
@@ -47,7 +47,7 @@
 /// What errors call the records of the table [`META`].
 const HARD_STATE_NAME: &str = "the vote";
 /// The version of the stored records.
-const FORMAT: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 /// The owner of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 impl Owner {
     /// The owner of a new store.
     pub fn new(cluster: &str, id: MemberId, incarnation: u64) -> Self {
-        Owner { format: FORMAT, cluster: cluster.to_owned(), id, incarnation }
+        Owner { format: FORMAT_VERSION, cluster: cluster.to_owned(), id, incarnation }
     }
 }
 
@@ -94,7 +94,7 @@
     /// There is a store already, or the disk fails.
     pub fn create(path: &Path, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
         if path.exists() {
-            return Err(StoreError::Present);
+            return Err(StoreError::AlreadyExists);
         }
         // Written under another name and renamed once it is complete: there is never half a store under the real name.
         let draft = path.with_extension("draft");
@@ -119,7 +119,7 @@
     /// There is no store, it is another member's, it is damaged, or another process has it open.
     pub fn open(path: &Path, cluster: &str, id: MemberId) -> Result<(Self, StoredLog), StoreError> {
         if !path.exists() {
-            return Err(StoreError::Absent);
+            return Err(StoreError::NotFound);
         }
         Self::open_database(cluster, id, |builder| builder.open(path))
     }
@@ -135,7 +135,7 @@
         let opened = catch_unwind(AssertUnwindSafe(|| Self::read(open(&mut builder)?)));
         let (store, saved) = opened.map_err(|_| Damage::Unopenable)??;
         if (store.owner.id, &store.owner.cluster[..]) != (id, cluster) {
-            return Err(StoreError::Other(store.owner.id, store.owner.cluster.clone()));
+            return Err(StoreError::OtherOwner(store.owner.id, store.owner.cluster.clone()));
         }
         Ok((store, saved))
     }
@@ -172,7 +172,11 @@
 /// # Errors
 ///
 /// There is a store already, or the disk fails.
-pub fn found(settings: &FederationSettings, joins: bool, incarnation: u64) -> Result<(), StoreError> {
+pub fn create_member_store(
+    settings: &FederationSettings,
+    joins: bool,
+    incarnation: u64,
+) -> Result<(), StoreError> {
     let saved = if joins { StoredLog::default() } else { founding_log(&settings.founding_state()) };
     let owner = Owner::new(&settings.cluster, settings.id, incarnation);
     Store::create(&settings.store, &owner, &saved)
@@ -255,8 +259,8 @@
         Ok(found.value().to_vec())
     };
     let owner: Owner = record::decode("the owner", &stored(OWNER_KEY, "the owner")?)?;
-    if owner.format != FORMAT {
-        return Err(StoreError::Format { found: owner.format, known: FORMAT });
+    if owner.format != FORMAT_VERSION {
+        return Err(StoreError::Format { found: owner.format, known: FORMAT_VERSION });
     }
     let hard = record::decode(HARD_STATE_NAME, &stored(HARD_STATE_KEY, HARD_STATE_NAME)?)?;
     let snapshot: SnapshotRecord = record::decode("the snapshot", &stored(SNAPSHOT_KEY, "the snapshot")?)?;
--- a/src/federation/store/error.rs
+++ b/src/federation/store/error.rs
@@ -8,16 +8,16 @@
 pub enum StoreError {
     /// There is no store at this path.
     #[error("there is no store; a new member's is made by `dahliatrack federation init`")]
-    Absent,
+    NotFound,
     /// There is a store at this path already.
     #[error("there is a store already; it is never written over")]
-    Present,
+    AlreadyExists,
     /// Another process has the store open.
     #[error("another process has it open")]
     Locked,
     /// The store belongs to another member or another federation.
     #[error("it is member {0}'s of federation {1:?}")]
-    Other(MemberId, String),
+    OtherOwner(MemberId, String),
     /// The store has a format version that this program does not know.
     #[error("its form is {found}, this program knows {known}")]
     Format {
--- a/src/federation/store/faulty_disk.rs
+++ b/src/federation/store/faulty_disk.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// What survives of a write that was not synced when the power was lost is a multiple of this, bytes.
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 /// Error numbers as Linux has them.
 pub(crate) const EIO: i32 = 5;
 pub(crate) const ENOSPC: i32 = 28;
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Contents {
+struct DiskState {
     /// What reads see: the page cache.
     cached: Vec<u8>,
     /// What is on the platter.
@@ -75,16 +75,16 @@
 
 /// The disk; clones are the same one.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FaultyDisk(Arc<Mutex<Contents>>);
+pub(crate) struct FaultyDisk(Arc<Mutex<DiskState>>);
 
 impl FaultyDisk {
     /// A disk that holds these bytes.
-    pub fn holding(bytes: Vec<u8>) -> Self {
-        let contents = Contents { cached: bytes.clone(), durable: bytes, ..Contents::default() };
+    pub fn with_contents(bytes: Vec<u8>) -> Self {
+        let contents = DiskState { cached: bytes.clone(), durable: bytes, ..DiskState::default() };
         FaultyDisk(Arc::new(Mutex::new(contents)))
     }
 
-    fn contents(&self) -> MutexGuard<'_, Contents> {
+    fn contents(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().expect("no test panics while it holds the disk")
     }
 
@@ -93,14 +93,14 @@
         self.contents().faults.push(fault);
     }
 
-    /// All calls fail from now on, until [`FaultyDisk::heal`].
-    pub fn break_down(&self, error: i32) {
+    /// All calls fail from now on, until [`FaultyDisk::repair`].
+    pub fn fail_all(&self, error: i32) {
         let from = self.calls() + 1;
         self.fail(Fault { calls: from..u64::MAX, only: None, error });
     }
 
     /// No call fails any more.
-    pub fn heal(&self) {
+    pub fn repair(&self) {
         self.contents().faults.clear();
     }
 
@@ -137,7 +137,7 @@
 
     /// The disk as the next process finds it: the page cache outlives a process.
     pub fn after_kill(&self) -> Self {
-        Self::holding(self.contents().cached.clone())
+        Self::with_contents(self.contents().cached.clone())
     }
 
     /// The disk as it is after a loss of power: of what was not synced each sector is there or not. Changes of the
@@ -155,8 +155,8 @@
                 }
                 DiskWrite::SetLen(_) => {}
                 DiskWrite::Write(offset, data) => {
-                    for (number, sector) in data.chunks(SECTOR).enumerate() {
-                        let start = offset + number * SECTOR;
+                    for (number, sector) in data.chunks(SECTOR_BYTES).enumerate() {
+                        let start = offset + number * SECTOR_BYTES;
                         if start + sector.len() <= bytes.len() && random.random() {
                             DiskWrite::Write(start, sector.to_vec()).apply(&mut bytes);
                         }
@@ -164,7 +164,7 @@
                 }
             }
         }
-        Self::holding(bytes)
+        Self::with_contents(bytes)
     }
 
     /// The bytes that reads see.
@@ -187,7 +187,7 @@
     }
 }
 
-impl Contents {
+impl DiskState {
     fn count(&self) -> u64 {
         self.calls.len() as u64
     }
--- a/src/federation/store/tests.rs
+++ b/src/federation/store/tests.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn draw(random: &mut ChaCha8Rng, saved: &StoredLog) -> LogUpdate {
+fn random_update(random: &mut ChaCha8Rng, saved: &StoredLog) -> LogUpdate {
     let HardState { term, commit, .. } = saved.hard_state;
     let last = saved.last_index();
     let next_term = Term(term.0 + random.random_range(0..2));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_store_that_is_opened_again_holds_what_the_copy_in_memory_holds() {
+fn reopened_store_equals_in_memory_log() {
     let folder = tempfile::tempdir().expect("a folder");
     for seed in 0..6 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -62,13 +62,13 @@
         Store::create(&path, &Owner::new("c", MemberId(1), 77), &copy).expect("made");
         assert!(matches!(
             Store::create(&path, &Owner::new("c", MemberId(1), 78), &copy),
-            Err(StoreError::Present)
+            Err(StoreError::AlreadyExists)
         ));
         for _ in 0..8 {
             let (mut store, saved) = Store::open(&path, "c", MemberId(1)).expect("opened");
             assert_eq!((&saved, store.owner().incarnation), (&copy, 77), "seed {seed}");
             for _ in 0..random.random_range(0..6) {
-                let save = draw(&mut random, &copy);
+                let save = random_update(&mut random, &copy);
                 copy.apply(&save);
                 assert_eq!(copy.check(), Ok(()), "seed {seed}: {save:?}");
                 store.save(&save).expect("kept");
@@ -78,15 +78,15 @@
                 "one process at a time"
             );
         }
-        assert!(matches!(Store::open(&path, "c", MemberId(2)), Err(StoreError::Other(MemberId(1), _))));
-        assert!(matches!(Store::open(&path, "d", MemberId(1)), Err(StoreError::Other(MemberId(1), _))));
+        assert!(matches!(Store::open(&path, "c", MemberId(2)), Err(StoreError::OtherOwner(MemberId(1), _))));
+        assert!(matches!(Store::open(&path, "d", MemberId(1)), Err(StoreError::OtherOwner(MemberId(1), _))));
     }
-    assert!(matches!(Store::open(&folder.path().join("none"), "c", MemberId(1)), Err(StoreError::Absent)));
+    assert!(matches!(Store::open(&folder.path().join("none"), "c", MemberId(1)), Err(StoreError::NotFound)));
 }
 
 /// Each byte of a small store, altered one at a time (every 37th here): it is an error, or it holds what it held.
 #[test]
-fn a_store_that_was_altered_or_torn_is_an_error_and_never_another_store() {
+fn altered_or_truncated_store_never_opens_with_other_data() {
     let folder = tempfile::tempdir().expect("a folder");
     let (path, broken) = (folder.path().join("good"), folder.path().join("broken"));
     let kept = founding_log(&state(&[(1, true), (2, true), (3, true)]));
@@ -115,19 +115,19 @@
     assert!(errors > 10, "{errors}");
 }
 
-/// Steps of one play.
-const STEPS: usize = 10;
+/// Steps of one scenario.
+const UPDATES_PER_RUN: usize = 10;
 /// Attempts to open a store whose disk works again in the end.
-const MOST_ATTEMPTS: usize = 100;
+const MAX_OPEN_ATTEMPTS: usize = 100;
 /// Bytes of an entry for which the file has to grow.
-const LARGE_ENTRY: usize = 300_000;
+const LARGE_ENTRY_BYTES: usize = 300_000;
 /// Bytes with which the file begins: its form, the newest of its two transactions, and its size.
-const HEADER: usize = 64;
+const HEADER_BYTES: usize = 64;
 /// The one bit that no checksum covers: it names which of the two newest transactions is the newer one.
-const SLOT_BIT: (usize, u8) = (9, 1);
+const PRIMARY_SLOT_BIT: (usize, u8) = (9, 1);
 
 /// A member that stores steps, as the runtime does it: after a failure the store is opened again until that works.
-struct Play {
+struct Scenario {
     disk: FaultyDisk,
     random: ChaCha8Rng,
     /// What the disk may hold: what was acknowledged, and that with the step whose storing failed or was cut off.
@@ -138,12 +138,12 @@
     padding: usize,
 }
 
-impl Play {
+impl Scenario {
     fn new(seed: u64, padding: usize) -> Self {
         let disk = FaultyDisk::default();
         let founded = founding_log(&state(&[(1, true), (2, true), (3, false)]));
         disk.create_store(&Owner::new("c", MemberId(1), 77), &founded);
-        Play {
+        Scenario {
             disk,
             random: ChaCha8Rng::seed_from_u64(seed),
             possible: vec![founded],
@@ -154,7 +154,7 @@
 
     /// Opens the store; `None`: the process was killed.
     fn open(&mut self) -> Option<Store> {
-        for _ in 0..MOST_ATTEMPTS {
+        for _ in 0..MAX_OPEN_ATTEMPTS {
             match self.disk.open_store("c", MemberId(1)) {
                 Ok((store, saved)) => {
                     assert!(self.possible.contains(&saved), "{saved:?} instead of {:?}", self.possible);
@@ -174,9 +174,9 @@
     /// Stores steps and gives the open store; `None`: the process was killed.
     fn run(&mut self) -> Option<Store> {
         let mut store = self.open()?;
-        for _ in 0..STEPS {
+        for _ in 0..UPDATES_PER_RUN {
             let before = self.possible[0].clone();
-            let mut save = draw(&mut self.random, &before);
+            let mut save = random_update(&mut self.random, &before);
             save.entries.iter_mut().for_each(|entry| entry.data.resize(3 + self.padding, 7));
             let mut after = before.clone();
             after.apply(&save);
@@ -215,45 +215,45 @@
 
 /// Runs a test at every call of a play that changes the disk, or at those of a kind, on a disk that `set_up` prepared
 /// for the call; gives how many that were.
-fn at_each_call(
+fn for_each_disk_call(
     (seed, padding): (u64, usize),
     only: Option<DiskCall>,
     set_up: impl Fn(&FaultyDisk, u64),
-    mut check: impl FnMut(&mut Play),
+    mut check: impl FnMut(&mut Scenario),
 ) -> usize {
-    let mut sound = Play::new(seed, padding);
+    let mut sound = Scenario::new(seed, padding);
     let created = sound.disk.calls();
     drop(sound.run());
     let mut calls = sound.disk.calls_of(only);
     calls.retain(|call| *call > created);
     for call in &calls {
-        let mut play = Play::new(seed, padding);
-        set_up(&play.disk, *call);
-        check(&mut play);
+        let mut scenario = Scenario::new(seed, padding);
+        set_up(&scenario.disk, *call);
+        check(&mut scenario);
     }
     calls.len()
 }
 
 #[test]
-fn what_was_acknowledged_outlives_a_disk_that_fails_and_works_again() {
+fn acknowledged_updates_survive_temporary_disk_failures() {
     for (seed, padding, only, error) in [
         (1, 0, None, ENOSPC),
         (2, 0, None, EIO),
         (3, 0, Some(DiskCall::Write), ENOSPC),
         (4, 0, Some(DiskCall::Sync), EIO),
-        (5, LARGE_ENTRY, Some(DiskCall::SetLen), ENOSPC),
+        (5, LARGE_ENTRY_BYTES, Some(DiskCall::SetLen), ENOSPC),
     ] {
         let (mut recoveries, mut failures) = (0, 0);
         let fail =
             |disk: &FaultyDisk, call| disk.fail(Fault { calls: call..call + 1 + call % 20, only, error });
-        let calls = at_each_call((seed, padding), only, fail, |play| {
-            let store = play.run().expect("nobody kills it");
-            play.check(&play.disk.after_kill(), "after a kill");
-            play.check_after_power_loss();
+        let calls = for_each_disk_call((seed, padding), only, fail, |scenario| {
+            let store = scenario.run().expect("nobody kills it");
+            scenario.check(&scenario.disk.after_kill(), "after a kill");
+            scenario.check_after_power_loss();
             drop(store); // closing may fail, too
-            play.check(&play.disk.after_kill(), "after it was closed");
-            recoveries += play.recoveries;
-            failures += play.disk.failures();
+            scenario.check(&scenario.disk.after_kill(), "after it was closed");
+            recoveries += scenario.recoveries;
+            failures += scenario.disk.failures();
         });
         assert!(
             calls > 1 && failures > 0 && recoveries > 0,
@@ -263,13 +263,15 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_a_kill_and_a_loss_of_power_in_any_call() {
-    for (seed, padding, only) in [(11, 0, None), (12, 0, None), (13, LARGE_ENTRY, Some(DiskCall::SetLen))] {
-        let calls = at_each_call((seed, padding), only, FaultyDisk::kill_at, |play| {
-            drop(play.run()); // the kill may be in the closing
-            assert!(play.disk.killed());
-            play.check(&play.disk.after_kill(), "after a kill");
-            play.check_after_power_loss();
+fn acknowledged_updates_survive_kill_and_power_loss() {
+    for (seed, padding, only) in
+        [(11, 0, None), (12, 0, None), (13, LARGE_ENTRY_BYTES, Some(DiskCall::SetLen))]
+    {
+        let calls = for_each_disk_call((seed, padding), only, FaultyDisk::kill_at, |scenario| {
+            drop(scenario.run()); // the kill may be in the closing
+            assert!(scenario.disk.killed());
+            scenario.check(&scenario.disk.after_kill(), "after a kill");
+            scenario.check_after_power_loss();
         });
         assert!(calls > 1, "seed {seed}: {calls} calls");
     }
@@ -278,19 +280,21 @@
 /// With commits in one phase the library fell back to the state before the last vote where the newest pages were
 /// altered.
 #[test]
-fn a_store_that_was_altered_after_a_crash_never_holds_an_older_state() {
-    let mut play = Play::new(21, 0);
-    let store = play.run().expect("nobody kills it");
-    let good = play.disk.bytes();
+fn altered_store_never_reverts_to_older_state() {
+    let mut scenario = Scenario::new(21, 0);
+    let store = scenario.run().expect("nobody kills it");
+    let good = scenario.disk.bytes();
     drop(store);
     let mut errors = 0;
-    let header = (0..HEADER).flat_map(|at| (0..8).map(move |bit| (at, 1 << bit)));
-    let pages = (HEADER..good.len()).step_by(19).map(|at| (at, 0x55));
-    for (at, change) in header.chain(pages).filter(|altered| *altered != SLOT_BIT) {
+    let header = (0..HEADER_BYTES).flat_map(|at| (0..8).map(move |bit| (at, 1 << bit)));
+    let pages = (HEADER_BYTES..good.len()).step_by(19).map(|at| (at, 0x55));
+    for (at, change) in header.chain(pages).filter(|altered| *altered != PRIMARY_SLOT_BIT) {
         let mut bytes = good.clone();
         bytes[at] ^= change;
-        match FaultyDisk::holding(bytes).open_store("c", MemberId(1)) {
-            Ok((_, saved)) => assert!(play.possible.contains(&saved), "byte {at}, {change:#x}: {saved:?}"),
+        match FaultyDisk::with_contents(bytes).open_store("c", MemberId(1)) {
+            Ok((_, saved)) => {
+                assert!(scenario.possible.contains(&saved), "byte {at}, {change:#x}: {saved:?}")
+            }
             Err(_) => errors += 1,
         }
     }
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -7,7 +7,7 @@
 use super::settings::FederationSettings;
 use super::state::{Change, Command, Roster, State, WantedMember};
 use super::store::Owner;
-use super::wire::{decode, encode, Frame, WireError, MAX_HELLO, MAX_MESSAGE};
+use super::wire::{decode, encode, Frame, WireError, MAX_HANDSHAKE_BYTES, MAX_MESSAGE_BYTES};
 use super::{LogIndex, MemberId, Term};
 use crate::config::hcl_document::HclDocument;
 use crate::interface::Span;
@@ -191,8 +191,8 @@
         nonce: [4; 16],
         proof: [0; 32],
     };
-    let hello = key.prove(&challenge, plain.clone());
-    assert!(key.proves(&challenge, &hello) && !other.proves(&challenge, &hello));
+    let hello = key.sign_hello(&challenge, plain.clone());
+    assert!(key.verify_hello(&challenge, &hello) && !other.verify_hello(&challenge, &hello));
     for changed in [
         Hello { from: MemberId(3), ..hello.clone() },
         Hello { to: MemberId(3), ..hello.clone() },
@@ -200,13 +200,16 @@
         Hello { identity: 8, ..hello.clone() },
         Hello { cluster: "d".into(), ..hello.clone() },
     ] {
-        assert!(!key.proves(&challenge, &changed), "{changed:?}");
+        assert!(!key.verify_hello(&challenge, &changed), "{changed:?}");
     }
-    assert!(!key.proves(&Challenge { nonce: [9; 16] }, &hello), "another connection's hello");
-    let welcome = key.welcome(&challenge, &hello);
-    assert!(key.welcomes(&challenge, &hello, &welcome));
-    assert!(!key.welcomes(&challenge, &hello, &Welcome { proof: hello.proof }));
-    let (mut out, mut seen) = (key.seal(&challenge, &hello, true), key.seal(&challenge, &hello, true));
+    assert!(!key.verify_hello(&Challenge { nonce: [9; 16] }, &hello), "another connection's hello");
+    let welcome = key.sign_welcome(&challenge, &hello);
+    assert!(key.verify_welcome(&challenge, &hello, &welcome));
+    assert!(!key.verify_welcome(&challenge, &hello, &Welcome { proof: hello.proof }));
+    let (mut out, mut seen) = (
+        key.message_authenticator(&challenge, &hello, true),
+        key.message_authenticator(&challenge, &hello, true),
+    );
     let first = encode(&Frame::Ping, Some(&mut out)).expect("short");
     let second =
         encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out)).expect("short");
@@ -217,7 +220,7 @@
         Ok(Some(Frame::Propose(Command::RevisionApplied { revision: 3 })))
     );
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
-        let mut seal = key.seal(&challenge, &hello, way);
+        let mut seal = key.message_authenticator(&challenge, &hello, way);
         if way {
             // Said again, or out of its order.
             seal.tag(b"");
@@ -290,7 +293,7 @@
     input.extend_from_slice(&bytes[bytes.len() - 1..]);
     assert_eq!(decode(&mut input, None), Ok(Some(hello)));
     assert!(input.is_empty());
-    let long = (MAX_HELLO as u32 + 1).to_be_bytes();
+    let long = (MAX_HANDSHAKE_BYTES as u32 + 1).to_be_bytes();
     for (bytes, wanted) in [
         (&[2][..], WireError::Version(2)),
         (&[&[1][..], &long].concat()[..], WireError::Oversize),
@@ -299,7 +302,11 @@
     ] {
         assert_eq!(decode::<Challenge>(&mut BytesMut::from(bytes), None), Err(wanted), "{bytes:?}");
     }
-    assert_eq!(encode(&vec![0u8; MAX_MESSAGE + 1], None), None, "a message that is too long is not sent");
+    assert_eq!(
+        encode(&vec![0u8; MAX_MESSAGE_BYTES + 1], None),
+        None,
+        "a message that is too long is not sent"
+    );
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let mut bytes = vec![0; random.random_range(0..64)];
--- a/src/federation/wire.rs
+++ b/src/federation/wire.rs
@@ -1,7 +1,7 @@
 //! The frames between members: a version, a length and a message in postcard, whose decoder does not recurse; once
 //! the members have authenticated each other, with a tag before the message.
 
-use super::hello::{Seal, TAG};
+use super::hello::{MessageAuthenticator, TAG_BYTES};
 use super::records::MessageRecord;
 use super::state::Command;
 use bytes::{Buf, Bytes, BytesMut};
@@ -12,9 +12,9 @@
 /// Bytes of the header: version and length.
 const HEADER_BYTES: usize = 5;
 /// Bytes of one message of the handshake.
-pub const MAX_HELLO: usize = 1024;
+pub const MAX_HANDSHAKE_BYTES: usize = 1024;
 /// Bytes of one message.
-pub const MAX_MESSAGE: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// What members send after the handshake.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,9 +44,9 @@
 }
 
 /// The frame of a message, with a tag if there is a seal; `None`: it is too long.
-pub fn encode(message: &impl Serialize, seal: Option<&mut Seal>) -> Option<Bytes> {
-    let body = postcard::to_stdvec(message).ok().filter(|body| body.len() <= MAX_MESSAGE)?;
-    let tag = seal.map(|seal| seal.tag(&body));
+pub fn encode(message: &impl Serialize, authenticator: Option<&mut MessageAuthenticator>) -> Option<Bytes> {
+    let body = postcard::to_stdvec(message).ok().filter(|body| body.len() <= MAX_MESSAGE_BYTES)?;
+    let tag = authenticator.map(|authenticator| authenticator.tag(&body));
     let length = body.len() + tag.map_or(0, |tag| tag.len());
     let mut out = Vec::with_capacity(HEADER_BYTES + length);
     out.push(VERSION);
@@ -63,7 +63,7 @@
 /// The input does not begin with a frame.
 pub fn decode<T: DeserializeOwned>(
     input: &mut BytesMut,
-    seal: Option<&mut Seal>,
+    authenticator: Option<&mut MessageAuthenticator>,
 ) -> Result<Option<T>, WireError> {
     let Some([version, length @ ..]) = input.first_chunk::<HEADER_BYTES>() else {
         return match input.first() {
@@ -75,15 +75,15 @@
         return Err(WireError::Version(*version));
     }
     let length = u32::from_be_bytes(*length) as usize;
-    if length > if seal.is_some() { MAX_MESSAGE + TAG } else { MAX_HELLO } {
+    if length > if authenticator.is_some() { MAX_MESSAGE_BYTES + TAG_BYTES } else { MAX_HANDSHAKE_BYTES } {
         return Err(WireError::Oversize);
     }
     let Some(message) = input.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
-    let body = match seal {
+    let body = match authenticator {
         None => message,
-        Some(seal) => {
-            let (tag, body) = message.split_at_checked(TAG).ok_or(WireError::Malformed)?;
-            if !seal.fits(body, tag) {
+        Some(authenticator) => {
+            let (tag, body) = message.split_at_checked(TAG_BYTES).ok_or(WireError::Malformed)?;
+            if !authenticator.verify(body, tag) {
                 return Err(WireError::Malformed);
             }
             body
