--- a/src/control/clock.rs
+++ b/src/control/clock.rs
@@ -18,7 +18,7 @@
 pub struct ServiceClock {
     started: std::time::Instant,
     /// The monotonic time of `started`.
-    origin: Instant,
+    start_time: Instant,
     wall: WallClockReader,
 }
 
@@ -52,13 +52,13 @@
 
     /// A clock that converts Unix times by another wall clock.
     pub fn with_wall_clock(wall: WallClockReader) -> Self {
-        let origin = Instant::from_micros(unix_time(wall()).as_micros());
-        ServiceClock { started: std::time::Instant::now(), origin, wall }
+        let start_time = Instant::from_micros(unix_time(wall()).as_micros());
+        ServiceClock { started: std::time::Instant::now(), start_time, wall }
     }
 
     /// Monotonic time.
     pub fn now(&self) -> Instant {
-        self.origin + Span::from(self.started.elapsed())
+        self.start_time + Span::from(self.started.elapsed())
     }
 
     /// The present moment on both time lines.
@@ -68,7 +68,7 @@
 
     /// The system's instant of a monotonic time; times before the clock was made are that instant.
     pub fn instant_at(&self, at: Instant) -> std::time::Instant {
-        self.started + (at - self.origin).to_std()
+        self.started + (at - self.start_time).to_std()
     }
 }
 
--- a/src/control/clock/tests.rs
+++ b/src/control/clock/tests.rs
@@ -9,7 +9,7 @@
 const SLACK: Span = Span::from_secs(60);
 
 #[test]
-fn steps_of_the_wall_clock_neither_stop_nor_move_the_monotonic_time() {
+fn wall_clock_steps_do_not_change_monotonic_time() {
     let wall_us = Arc::new(AtomicI64::new((1_000 * HOUR).as_micros()));
     let read = Arc::clone(&wall_us);
     let wall: WallClockReader = Arc::new(move || {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn unix_times_are_converted_by_their_age_and_never_lie_in_the_future() {
+fn unix_times_convert_by_age_and_never_to_the_future() {
     let moment = Moment { now: Instant::from_micros(500), unix: UnixTime::from_micros(7_000) };
     let converted = |unix_us: i64| {
         let unix = UnixTime::from_micros(unix_us);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn instants_follow_the_monotonic_time() {
+fn instant_at_follows_monotonic_time() {
     let clock = ServiceClock::system();
     let now = clock.now();
     let later = clock.instant_at(now + HOUR);
--- a/src/control/debounce.rs
+++ b/src/control/debounce.rs
@@ -24,15 +24,15 @@
 #[derive(Debug)]
 pub struct Debounce {
     quiet: Duration,
-    limit: Duration,
+    max_delay: Duration,
     pending: Option<Pending>,
 }
 
 impl Debounce {
     /// Publishes changes that may wait once no change came for `quiet`, and `limit` after the first one at the
     /// latest.
-    pub fn new(quiet: Duration, limit: Duration) -> Self {
-        Debounce { quiet, limit, pending: None }
+    pub fn new(quiet: Duration, max_delay: Duration) -> Self {
+        Debounce { quiet, max_delay, pending: None }
     }
 
     /// Takes a change; returns whether all pending changes are to be published now.
@@ -54,7 +54,7 @@
     /// When the pending changes are to be published, if there are any.
     pub fn due(&self) -> Option<Instant> {
         let pending = self.pending?;
-        Some((pending.last + self.quiet).min(pending.first + self.limit))
+        Some((pending.last + self.quiet).min(pending.first + self.max_delay))
     }
 
     /// Whether the pending changes are to be published by now; they are then no longer pending.
--- a/src/control/debounce/tests.rs
+++ b/src/control/debounce/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_may_wait_is_told_when_it_is_quiet_or_late_and_drains_at_once() {
+fn soon_changes_are_debounced_and_now_publishes_at_once() {
     let ms = Duration::from_millis;
     let start = Instant::now();
     let mut debounce = Debounce::new(ms(50), ms(250));
--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -32,7 +32,7 @@
 
 impl PollCounter {
     /// A poll that is certainly begun after this call.
-    pub fn next_poll(&self) -> PollNumber {
+    pub fn newest_poll(&self) -> PollNumber {
         // One more may have been begun and not counted yet; polls after this one say what the feed had by now.
         PollNumber(self.0.load(Ordering::SeqCst) + 1)
     }
@@ -48,7 +48,7 @@
     /// One update for each answered poll; the thread ends once this is dropped.
     pub updates: UnboundedReceiver<FeedUpdate>,
     /// Counts polls as they are begun.
-    pub polls_begun: PollCounter,
+    pub polls_sent: PollCounter,
 }
 
 impl FeedWatch {
@@ -60,7 +60,7 @@
     pub fn start(addr: SocketAddr, last: u64, wait: Duration, clock: ServiceClock) -> std::io::Result<Self> {
         // Bounded by the feed: one poll is out at a time, and each answer leaves one update that is taken at once.
         let (sender, updates) = unbounded_channel();
-        let polls_begun = PollCounter::default();
+        let polls_sent = PollCounter::default();
         let feed = Feed::new(addr, last).with_poll_wait(Span::from_millis(wait.as_millis() as i64));
         let mut poller = Poller {
             clock,
@@ -68,11 +68,11 @@
             deadlines: Deadlines::default(),
             feed,
             answered_poll: 0,
-            polls_begun: polls_begun.clone(),
+            polls_sent: polls_sent.clone(),
             updates: sender,
         };
         thread::Builder::new().name("feed".into()).spawn(move || poller.run())?;
-        Ok(FeedWatch { updates, polls_begun })
+        Ok(FeedWatch { updates, polls_sent })
     }
 }
 
@@ -83,7 +83,7 @@
     deadlines: Deadlines<FeedDeadline>,
     feed: Feed,
     answered_poll: u64,
-    polls_begun: PollCounter,
+    polls_sent: PollCounter,
     updates: UnboundedSender<FeedUpdate>,
 }
 
@@ -128,7 +128,7 @@
     /// Sends an update if a poll was answered; an error if nobody receives it.
     fn report(&mut self, batches: Vec<FeedBatch>) -> Result<(), ReceiverGone> {
         let PollCounts { sent, answered } = self.feed.polls();
-        self.polls_begun.set(sent);
+        self.polls_sent.set(sent);
         if answered <= self.answered_poll && batches.is_empty() {
             return Ok(());
         }
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -11,7 +11,7 @@
 const WEIGHT_UNIT: f64 = 100.0;
 /// A weight that differs from the published one by less than this part of it is not published, unless it is the full
 /// one.
-const WEIGHT_STEP: f64 = 0.1;
+const MIN_WEIGHT_CHANGE: f64 = 0.1;
 /// Fill sources have this many priorities: the point's hub, other hubs, the origin.
 const FILL_LEVELS: usize = 3;
 
@@ -31,7 +31,7 @@
         for (id, server) in caches {
             let capacity = capacities.get(&id).copied().unwrap_or(0.0);
             let published = self.weights.get(&id).copied();
-            let weight = next_weight(published, capacity, server.member.weight);
+            let weight = weight_to_publish(published, capacity, server.member.weight);
             weights.insert(id, weight);
             endpoints.extend(endpoint(site, server, weight));
         }
@@ -72,12 +72,12 @@
 }
 
 /// The weight to publish for a capacity; `full` is the capacity of the warm cache.
-fn next_weight(published: Option<u32>, capacity: f64, full: f64) -> u32 {
+fn weight_to_publish(published: Option<u32>, capacity: f64, full: f64) -> u32 {
     let weight = weight_of(capacity);
     if capacity >= full {
         return weight;
     }
-    let is_near = |old: &u32| f64::from(weight.abs_diff(*old)) < WEIGHT_STEP * f64::from(*old);
+    let is_near = |old: &u32| f64::from(weight.abs_diff(*old)) < MIN_WEIGHT_CHANGE * f64::from(*old);
     published.filter(is_near).unwrap_or(weight)
 }
 
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 
 /// Requests by which a router is asked for a hot object: enough for its directory entry to pass any threshold.
-const QUERIES: usize = 12;
+const QUERY_COUNT: usize = 12;
 /// The first queries go to the home and start delegates; the ones from here on show where it settled.
-const SETTLED_AFTER: usize = QUERIES / 2;
+const FIRST_COUNTED_QUERY: usize = QUERY_COUNT / 2;
 /// How long a query takes, as it is reported to the router.
 const QUERY_TIME: Span = Span::from_millis(5);
 
@@ -91,23 +91,23 @@
     classes: &[Class],
     next_request: &mut u64,
 ) -> Option<Placement> {
-    let patience = classes[usize::from(hot.class.0)].client_deadline;
+    let client_timeout = classes[usize::from(hot.class.0)].client_deadline;
     let mut placement = Placement::default();
-    for query in 0..QUERIES {
-        let request = request(RequestId(*next_request), hot, patience);
+    for query in 0..QUERY_COUNT {
+        let request = request(RequestId(*next_request), hot, client_timeout);
         *next_request += 1;
-        let Some(get) = answer(router, now, request) else { continue };
-        placement.rank = placement.rank.max(get.cache_rank);
-        if query >= SETTLED_AFTER {
-            let source = Some(get.source).filter(|source| *source != get.server);
-            placement.caches.insert(get.server, source);
+        let Some(attempt) = answer(router, now, request) else { continue };
+        placement.rank = placement.rank.max(attempt.cache_rank);
+        if query >= FIRST_COUNTED_QUERY {
+            let source = Some(attempt.source).filter(|source| *source != attempt.server);
+            placement.caches.insert(attempt.server, source);
         }
     }
     Some(placement).filter(|placement| !placement.caches.is_empty())
 }
 
 /// A request for a hot object as a client would send it.
-fn request(id: RequestId, hot: HotObject, patience: Span) -> Request {
+fn request(id: RequestId, hot: HotObject, client_timeout: Span) -> Request {
     Request {
         id,
         class: hot.class,
@@ -115,7 +115,7 @@
         object: hot.object,
         part: 0,
         group: GroupId(0),
-        client_timeout: patience,
+        client_timeout,
         size_kb: 0.0,
         is_retry: false,
         is_write: false,
@@ -127,15 +127,15 @@
     let id = request.id;
     let mut actions = Vec::new();
     router.handle(now, Event::Request(request), &mut actions);
-    let get = actions.into_iter().find_map(|action| match action {
-        Action::SendWithFill(get) => Some(get),
+    let attempt = actions.into_iter().find_map(|action| match action {
+        Action::SendWithFill(attempt) => Some(attempt),
         _ => None,
     })?;
     let outcome = AttemptOutcome {
         transfer_time: Span::ZERO,
         request: id,
         attempt: 0,
-        server: get.server,
+        server: attempt.server,
         result: AttemptResult::Ok,
         cache_status: Some(CacheStatus::Hit),
         elapsed: QUERY_TIME,
@@ -144,5 +144,5 @@
         load_report: Vec::new(),
     };
     router.handle(now, Event::AttemptEnded(outcome), &mut Vec::new());
-    Some(get)
+    Some(attempt)
 }
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -28,7 +28,7 @@
 use point::Point;
 use purges::PurgeLog;
 use registry::ServerRegistry;
-pub use site::Encode;
+pub use site::EncodeFn;
 use site::Site;
 use std::sync::Arc;
 
@@ -73,7 +73,7 @@
         parsed: SiteSettings,
         seed: u64,
         control: &ControlSettings,
-        encode: Encode,
+        encode: EncodeFn,
         epoch: Epoch,
         now: Instant,
     ) -> Result<Self, ModelError> {
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// Hot objects of a class that can have none; nothing changes then.
-    pub fn set_hot(&mut self, now: Instant, control: &ControlSettings) -> Result<(), ModelError> {
+    pub fn set_hot_objects(&mut self, now: Instant, control: &ControlSettings) -> Result<(), ModelError> {
         self.hot = hot_objects(&self.site.settings, &self.site.names, control)?;
         self.refresh = control.refresh.into();
         self.refresh_at = now;
@@ -139,7 +139,7 @@
     }
 
     fn apply_purge(&mut self, moment: Moment, event: &events::FeedPurge) -> Urgency {
-        let Some(purge) = purged(event) else { return Urgency::None };
+        let Some(purge) = parse_purge(event) else { return Urgency::None };
         let made_at = UnixTime::from_micros((event.at * 1000.0) as i64);
         self.purges.record(moment, purge, made_at);
         for point in &mut self.points {
@@ -185,7 +185,7 @@
         }
         self.refresh_at = now + self.refresh;
         for point in &mut self.points {
-            point.refresh_hot(now, &self.hot, &self.site.settings.classes, &mut self.next_request);
+            point.refresh_hot_objects(now, &self.hot, &self.site.settings.classes, &mut self.next_request);
         }
         true
     }
@@ -215,7 +215,7 @@
 }
 
 /// What a purge event is about; `None`: neither an object nor a group.
-fn purged(event: &events::FeedPurge) -> Option<Purge> {
+fn parse_purge(event: &events::FeedPurge) -> Option<Purge> {
     let object = event.key.as_ref().and_then(|key| u64::from_str_radix(key, 16).ok());
     let object = object.map(|object| Purge::Object(ObjectId(object)));
     object.or_else(|| event.group.map(|group| Purge::Group(GroupId(group))))
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -3,7 +3,7 @@
 use super::hot::{placement, HotObject, Placement};
 use super::purges::PurgeLog;
 use super::registry::{ListChange, ServerRegistry};
-use super::site::{Encode, Site};
+use super::site::{EncodeFn, Site};
 use crate::control::resource::{Content, PerType, Resource, ResourceType};
 use crate::control::snapshot::{PointSnapshot, ResourceSet};
 use crate::control::version::Sequence;
@@ -57,7 +57,7 @@
     }
 
     /// Asks the router again where it sends the hot objects' requests.
-    pub(super) fn refresh_hot(
+    pub(super) fn refresh_hot_objects(
         &mut self,
         now: Instant,
         hot: &[HotObject],
@@ -88,28 +88,33 @@
         let mut contents = Contents::default();
 
         let connect_timeout = site.names.connect_timeout;
-        let clusters = contents.of_mut(ResourceType::Clusters);
+        let clusters = contents.get_mut(ResourceType::Clusters);
         clusters.insert(caches.clone(), Content::Cluster { hashed: true, connect_timeout });
         clusters.insert(fill.clone(), Content::Cluster { hashed: false, connect_timeout });
 
-        let endpoints = contents.of_mut(ResourceType::Endpoints);
+        let endpoints = contents.get_mut(ResourceType::Endpoints);
         endpoints.insert(caches.clone(), Content::Endpoints(vec![self.cache_endpoints(now, site, registry)]));
         endpoints.insert(fill.clone(), Content::Endpoints(self.fill_levels(site, registry)));
 
         let routes = self.routes(site, registry, hot, purges);
         let routes = Content::Routes { cluster: caches, fill, routes };
-        contents.of_mut(ResourceType::Routes).insert(format!("routes/{name}"), routes);
+        contents.get_mut(ResourceType::Routes).insert(format!("routes/{name}"), routes);
         contents
     }
 
     /// Publishes contents: each type that differs from what was published last takes the next sequence number.
     /// Returns the last number taken.
-    pub(super) fn publish(&mut self, contents: Contents, mut sequence: Sequence, encode: Encode) -> Sequence {
+    pub(super) fn publish(
+        &mut self,
+        contents: Contents,
+        mut sequence: Sequence,
+        encode: EncodeFn,
+    ) -> Sequence {
         let mut published = PointSnapshot::clone(&self.published);
         let mut changed = false;
         for (resource_type, contents) in contents {
-            let known = published.types.of_mut(resource_type);
-            if let Some(next) = changed_set(known, contents, sequence.next(), encode) {
+            let known = published.types.get_mut(resource_type);
+            if let Some(next) = updated_set(known, contents, sequence.next(), encode) {
                 sequence = next.version;
                 *known = next;
                 changed = true;
@@ -123,11 +128,11 @@
 }
 
 /// The resources of a type with new contents, those that differ in a new version; `None`: nothing differs.
-fn changed_set(
+fn updated_set(
     known: &ResourceSet,
     contents: BTreeMap<String, Content>,
     version: Sequence,
-    encode: Encode,
+    encode: EncodeFn,
 ) -> Option<ResourceSet> {
     let mut changed = known.resources.len() != contents.len();
     let mut resources = BTreeMap::new();
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -17,7 +17,7 @@
     /// Its address, if the list states one.
     pub(super) addr: Option<SocketAddr>,
     /// Its start as the list states it.
-    born_unix: Option<UnixTime>,
+    started_unix: Option<UnixTime>,
 }
 
 impl Server {
@@ -56,12 +56,13 @@
         names: &ProgramSettings,
     ) -> ListChange {
         let ready_before = self.ready();
-        let stated: Vec<Server> = change.hosts.iter().map(|host| self.stated(moment, host, names)).collect();
-        let entries: Vec<Endpoint> = stated.iter().map(|server| server.member).collect();
+        let servers: Vec<Server> =
+            change.hosts.iter().map(|host| self.server_from_entry(moment, host, names)).collect();
+        let entries: Vec<Endpoint> = servers.iter().map(|server| server.member).collect();
         if change.whole {
             self.servers.clear();
         }
-        for (host, server) in change.hosts.iter().zip(stated) {
+        for (host, server) in change.hosts.iter().zip(servers) {
             let id = server.member.server;
             if host.health == Health::Removed {
                 self.servers.remove(&id);
@@ -78,19 +79,25 @@
     }
 
     /// A server as an entry of the list states it.
-    fn stated(&mut self, moment: Moment, host: &events::FeedServer, names: &ProgramSettings) -> Server {
+    fn server_from_entry(
+        &mut self,
+        moment: Moment,
+        host: &events::FeedServer,
+        names: &ProgramSettings,
+    ) -> Server {
         let mut member = self.members.endpoint(host, names);
-        let born_unix = host.started_at();
-        member.started_at = born_unix.map(|born_unix| self.start_of(moment, member.server, born_unix));
-        Server { member, name: host.host.clone(), addr: host.dial, born_unix }
+        let started_unix = host.started_at();
+        member.started_at =
+            started_unix.map(|started_unix| self.start_time(moment, member.server, started_unix));
+        Server { member, name: host.host.clone(), addr: host.dial, started_unix }
     }
 
     /// A server's start on the monotonic clock. A start that the list states again keeps its first conversion,
     /// since the decision module takes another start for a restart.
-    fn start_of(&self, moment: Moment, server: ServerId, born_unix: UnixTime) -> Instant {
-        let known = self.servers.get(&server).filter(|known| known.born_unix == Some(born_unix));
+    fn start_time(&self, moment: Moment, server: ServerId, started_unix: UnixTime) -> Instant {
+        let known = self.servers.get(&server).filter(|known| known.started_unix == Some(started_unix));
         let known_start = known.and_then(|known| known.member.started_at);
-        known_start.unwrap_or_else(|| moment.monotonic_of(born_unix))
+        known_start.unwrap_or_else(|| moment.monotonic_of(started_unix))
     }
 
     fn ready(&self) -> BTreeSet<ServerId> {
--- a/src/control/model/routes.rs
+++ b/src/control/model/routes.rs
@@ -59,7 +59,7 @@
     /// A hot object's own route; `None`: it has no cache to which requests can be sent.
     fn hot_route(&self, registry: &ServerRegistry, class: &ClassRoute, hot: HotObject) -> Option<Route> {
         let placement = self.placements.get(&hot)?;
-        let caches = holders(registry, placement);
+        let caches = route_caches(registry, placement);
         if caches.is_empty() {
             return None;
         }
@@ -69,15 +69,15 @@
 }
 
 /// The caches of a placement to which requests can be sent.
-fn holders(registry: &ServerRegistry, placement: &Placement) -> Vec<RouteCache> {
+fn route_caches(registry: &ServerRegistry, placement: &Placement) -> Vec<RouteCache> {
     let name_of = |server: ServerId| registry.usable(server).map(|server| server.name.clone());
-    let mut holders = Vec::new();
+    let mut route_caches = Vec::new();
     for (cache, source) in &placement.caches {
         let Some(name) = name_of(*cache) else { continue };
         let fill = source.and_then(name_of);
-        holders.push(RouteCache { name, fill });
+        route_caches.push(RouteCache { name, fill });
     }
-    holders
+    route_caches
 }
 
 /// The routes of all classes that are not retired.
--- a/src/control/model/site.rs
+++ b/src/control/model/site.rs
@@ -5,13 +5,13 @@
 use crate::interface::{Settings, ZoneId};
 
 /// Encodes a resource, by its name and content, in its wire form.
-pub type Encode = fn(&str, &Content) -> Vec<u8>;
+pub type EncodeFn = fn(&str, &Content) -> Vec<u8>;
 
 /// What stays the same for all points and all snapshots of a run.
 pub(super) struct Site {
     pub(super) settings: Settings,
     pub(super) names: ProgramSettings,
-    pub(super) encode: Encode,
+    pub(super) encode: EncodeFn,
 }
 
 impl Site {
--- a/src/control/resource.rs
+++ b/src/control/resource.rs
@@ -32,12 +32,12 @@
     }
 
     /// The value of a type.
-    pub fn of(&self, resource_type: ResourceType) -> &T {
+    pub fn get(&self, resource_type: ResourceType) -> &T {
         &self.0[resource_type as usize]
     }
 
     /// The value of a type, to be changed.
-    pub fn of_mut(&mut self, resource_type: ResourceType) -> &mut T {
+    pub fn get_mut(&mut self, resource_type: ResourceType) -> &mut T {
         &mut self.0[resource_type as usize]
     }
 
--- a/src/control/service/message.rs
+++ b/src/control/service/message.rs
@@ -23,7 +23,7 @@
     fn type_url(&self) -> &str;
 
     /// The request.
-    fn read(self) -> ClientRequest;
+    fn into_request(self) -> ClientRequest;
 
     /// The message of a response.
     fn response(response: &ServerResponse) -> Self::Response;
@@ -48,7 +48,7 @@
         &self.type_url
     }
 
-    fn read(self) -> ClientRequest {
+    fn into_request(self) -> ClientRequest {
         wire::request(self)
     }
 
@@ -69,7 +69,7 @@
         &self.type_url
     }
 
-    fn read(self) -> ClientRequest {
+    fn into_request(self) -> ClientRequest {
         wire::delta_request(self)
     }
 
--- a/src/control/service/mod.rs
+++ b/src/control/service/mod.rs
@@ -159,7 +159,7 @@
     let remembered_nodes = REMEMBERED_NODES_PER_CLIENT * settings.max_clients;
     let context = StreamContext {
         snapshots,
-        polls_begun: feed.polls_begun,
+        polls_sent: feed.polls_sent,
         metrics: Arc::clone(&metrics),
         stopping: stopping.clone(),
         rejections: Arc::new(RejectionStore::new(remembered_nodes)),
--- a/src/control/service/publisher.rs
+++ b/src/control/service/publisher.rs
@@ -109,7 +109,7 @@
     }
 
     fn reload(&mut self, settings: &ControlSettings) {
-        match self.model.set_hot(self.clock.now(), settings) {
+        match self.model.set_hot_objects(self.clock.now(), settings) {
             Ok(()) => {
                 self.debounce = debounce(settings);
                 info!(
--- a/src/control/service/stream.rs
+++ b/src/control/service/stream.rs
@@ -64,7 +64,7 @@
     /// The newest snapshot.
     pub(super) snapshots: watch::Receiver<Arc<Snapshot>>,
     /// The polls of the control feed.
-    pub(super) polls_begun: PollCounter,
+    pub(super) polls_sent: PollCounter,
     pub(super) metrics: Arc<Metrics>,
     /// Whether the service is to stop.
     pub(super) stopping: watch::Receiver<bool>,
@@ -130,11 +130,11 @@
     /// newest snapshot at that moment. Returns whether one was sent.
     fn send_next(&mut self, snapshot: &Snapshot) -> bool {
         let Some(session) = &mut self.session else { return false };
-        let Ok(room) = self.responses.try_reserve() else { return false };
+        let Ok(permit) = self.responses.try_reserve() else { return false };
         let Some(response) = session.next(snapshot) else { return false };
         self.counts.sent += 1;
         self.context.metrics.sent.fetch_add(1, Ordering::Relaxed);
-        room.send(Ok(M::response(&response)));
+        permit.send(Ok(M::response(&response)));
         true
     }
 
@@ -146,7 +146,7 @@
                 Ok(()) => Wakeup::Send,
                 Err(_) => Wakeup::Stopping,
             },
-            room = self.responses.reserve(), if is_full => match room {
+            permit = self.responses.reserve(), if is_full => match permit {
                 Ok(_) => Wakeup::Send,
                 Err(_) => Wakeup::ClientGone,
             },
@@ -160,8 +160,8 @@
         if self.session.is_none() {
             self.session = Some(self.open_session(message.node(), snapshot)?);
         }
-        let request = message.read();
-        if request.names() > MAX_NAMES {
+        let request = message.into_request();
+        if request.name_count() > MAX_NAMES {
             return Err(Status::invalid_argument(format!("over {MAX_NAMES} names in one request")));
         }
         self.handle_request(resource_type, &request);
@@ -186,7 +186,7 @@
 
     fn handle_request(&mut self, resource_type: ResourceType, request: &ClientRequest) {
         let Some(session) = &mut self.session else { return };
-        let effect = session.handle(resource_type, request, self.context.polls_begun.next_poll());
+        let effect = session.handle(resource_type, request, self.context.polls_sent.newest_poll());
         match effect {
             RequestEffect::Acked(_) => {
                 self.counts.acks += 1;
--- a/src/control/session/message.rs
+++ b/src/control/session/message.rs
@@ -33,7 +33,7 @@
 
 impl ClientRequest {
     /// How many names it holds in all.
-    pub fn names(&self) -> usize {
+    pub fn name_count(&self) -> usize {
         self.subscribe.len() + self.unsubscribe.len() + self.initial_versions.len()
     }
 }
--- a/src/control/session/mod.rs
+++ b/src/control/session/mod.rs
@@ -52,13 +52,13 @@
     /// Goes on with what the same client rejected on an earlier stream of this run: that is not sent again either.
     pub fn restore_rejections(&mut self, rejections: Rejections) {
         for (resource_type, rejected) in rejections.0 {
-            self.subscriptions.of_mut(resource_type).rejected = rejected;
+            self.subscriptions.get_mut(resource_type).rejected = rejected;
         }
     }
 
     /// What the client has rejected and not replaced.
     pub fn rejections(&self) -> Rejections {
-        let rejected = |resource_type| self.subscriptions.of(resource_type).rejected.clone();
+        let rejected = |resource_type| self.subscriptions.get(resource_type).rejected.clone();
         Rejections(PerType::from_fn(rejected))
     }
 
@@ -69,22 +69,22 @@
 
     /// The sequence number of a type that the client ACKed last.
     pub fn acked(&self, resource_type: ResourceType) -> Option<Sequence> {
-        self.subscriptions.of(resource_type).acked
+        self.subscriptions.get(resource_type).acked
     }
 
-    /// Takes a request. `next_poll` is a poll of the control feed that is begun after it came.
+    /// Takes a request. `newest_poll` is a poll of the control feed that is begun after it came.
     pub fn handle(
         &mut self,
         resource_type: ResourceType,
         request: &ClientRequest,
-        next_poll: PollNumber,
+        newest_poll: PollNumber,
     ) -> RequestEffect {
-        let subscription = self.subscriptions.of_mut(resource_type);
+        let subscription = self.subscriptions.get_mut(resource_type);
         let mut effect = RequestEffect::Subscribed;
         if let Some(nonce) = &request.nonce {
-            effect = subscription.answered(nonce, request.error.as_deref());
-        } else if !subscription.is_begun() {
-            subscription.begin(self.epoch, request, next_poll);
+            effect = subscription.handle_answer(nonce, request.error.as_deref());
+        } else if !subscription.is_started() {
+            subscription.start(self.epoch, request, newest_poll);
         }
         // Incremental subscriptions may change with any message; of a stale one only the ACK or NACK is ignored.
         if effect != RequestEffect::Stale || self.variant == Variant::Incremental {
@@ -98,7 +98,7 @@
         let point = Arc::clone(snapshot.points.get(&self.point)?);
         let mut types = ResourceType::ALL.into_iter();
         types.find_map(|resource_type| {
-            self.next_of(resource_type, point.of(resource_type), snapshot.answered_poll)
+            self.next_of(resource_type, point.get(resource_type), snapshot.answered_poll)
         })
     }
 
@@ -108,7 +108,7 @@
         set: &ResourceSet,
         answered_poll: PollNumber,
     ) -> Option<ServerResponse> {
-        let subscription = self.subscriptions.of_mut(resource_type);
+        let subscription = self.subscriptions.get_mut(resource_type);
         if !subscription.is_ready(answered_poll) {
             return None;
         }
--- a/src/control/session/subscription.rs
+++ b/src/control/session/subscription.rs
@@ -98,19 +98,19 @@
 
 impl Subscription {
     /// Whether the client has asked for this type on this stream.
-    pub(super) fn is_begun(&self) -> bool {
+    pub(super) fn is_started(&self) -> bool {
         self.subscribed.is_some()
     }
 
     /// Whether the next response may be sent from a snapshot with this newest answered poll.
     pub(super) fn is_ready(&self, answered_poll: PollNumber) -> bool {
         let is_recent = self.after_poll.is_none_or(|poll| answered_poll > poll);
-        self.is_begun() && self.in_flight.is_none() && is_recent
+        self.is_started() && self.in_flight.is_none() && is_recent
     }
 
-    /// The first request of a type on this stream: takes in what the client had before. `next_poll` is the next poll
+    /// The first request of a type on this stream: takes in what the client had before. `newest_poll` is the next poll
     /// of the control feed.
-    pub(super) fn begin(&mut self, epoch: Epoch, request: &ClientRequest, next_poll: PollNumber) {
+    pub(super) fn start(&mut self, epoch: Epoch, request: &ClientRequest, newest_poll: PollNumber) {
         let mut of_other_run = false;
         let mut of_this_run = |text: &str| match text.parse::<Version>() {
             Ok(version) if version.epoch == epoch => Some(version.sequence),
@@ -127,11 +127,11 @@
             let sequence = of_this_run(version);
             self.client_versions.insert(name.clone(), sequence);
         }
-        self.after_poll = of_other_run.then_some(next_poll);
+        self.after_poll = of_other_run.then_some(newest_poll);
     }
 
     /// Takes the answer to the response in flight, an ACK or a NACK with its error.
-    pub(super) fn answered(&mut self, nonce: &Nonce, error: Option<&str>) -> RequestEffect {
+    pub(super) fn handle_answer(&mut self, nonce: &Nonce, error: Option<&str>) -> RequestEffect {
         let Some(response) = self.in_flight.take_if(|response| response.nonce == *nonce) else {
             return RequestEffect::Stale;
         };
@@ -165,13 +165,13 @@
     /// Changes what the client wants as a request says.
     pub(super) fn resubscribe(&mut self, variant: Variant, request: &ClientRequest) {
         match variant {
-            Variant::StateOfTheWorld => self.replace_wanted(request),
-            Variant::Incremental => self.change_wanted(request),
+            Variant::StateOfTheWorld => self.replace_names(request),
+            Variant::Incremental => self.change_names(request),
         }
     }
 
     /// State of the world: a request holds the complete subscription.
-    fn replace_wanted(&mut self, request: &ClientRequest) {
+    fn replace_names(&mut self, request: &ClientRequest) {
         let names = &request.subscribe;
         let all = names.is_empty() || names.iter().any(|name| name == WILDCARD);
         let wanted =
@@ -183,8 +183,8 @@
     }
 
     /// Incremental: a request holds what is added and what is taken away.
-    fn change_wanted(&mut self, request: &ClientRequest) {
-        let is_first = !self.is_begun();
+    fn change_names(&mut self, request: &ClientRequest) {
+        let is_first = !self.is_started();
         let names_all = request.subscribe.iter().any(|name| name == WILDCARD);
         let wanted = self.subscribed.get_or_insert_with(|| ResourceNames::Named(BTreeSet::new()));
         if names_all || (is_first && request.subscribe.is_empty()) {
@@ -238,10 +238,10 @@
 
     /// Incremental: what the client lacks and what it has that was removed, if there is anything.
     fn incremental_update(&self, wanted: &ResourceNames, set: &ResourceSet) -> Option<Update> {
-        let is_sent = |resource: &&Arc<Resource>| wanted.contains(&resource.name) && self.lacks(resource);
+        let is_missing = |resource: &&Arc<Resource>| wanted.contains(&resource.name) && self.lacks(resource);
         let is_gone = |name: &&String| wanted.contains(name) && !set.resources.contains_key(*name);
         let update = Update {
-            resources: set.resources.values().filter(is_sent).cloned().collect(),
+            resources: set.resources.values().filter(is_missing).cloned().collect(),
             removed: self.client_versions.keys().filter(is_gone).cloned().collect(),
         };
         (self.response_due || !update.is_empty()).then_some(update)
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -81,7 +81,7 @@
                 reader.position_of("debounce_ms").or(reader.position_of("debounce_most_ms")).unwrap_or(start);
             return Err(doc.error(at, "debounce_ms is over debounce_most_ms"));
         }
-        let hot = read_hot(doc, &mut reader)?;
+        let hot = read_hot_classes(doc, &mut reader)?;
         reader.finish()?;
         check_hot_count(doc, &hot)?;
         Ok(ControlSettings {
@@ -112,14 +112,14 @@
     reader: &mut BlockReader<'_>,
     key: &str,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<u64, HclError> {
-    let number = reader.integer(key, least, most)?;
+    let number = reader.integer(key, min, max)?;
     Ok(number.map_or(default, |number| number.value))
 }
 
-fn read_hot(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Vec<HotClass>, HclError> {
+fn read_hot_classes(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Vec<HotClass>, HclError> {
     let blocks = reader.blocks("hot");
     blocks.into_iter().map(|block| read_hot_class(doc, block)).collect()
 }
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -23,8 +23,8 @@
 
 impl PointSnapshot {
     /// The resources of a type.
-    pub fn of(&self, resource_type: ResourceType) -> &ResourceSet {
-        self.types.of(resource_type)
+    pub fn get(&self, resource_type: ResourceType) -> &ResourceSet {
+        self.types.get(resource_type)
     }
 }
 
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -63,16 +63,16 @@
         self.moment().unix.as_millis()
     }
 
-    fn take(&mut self, event: Value) -> Urgency {
+    fn apply(&mut self, event: Value) -> Urgency {
         let batch: FeedBatch = serde_json::from_value(json!({"n": 2, "events": [event]})).expect("a batch");
         let urgency = self.model.apply(self.moment(), &batch);
         urgency.max(self.model.tick(self.now))
     }
 
-    fn health(&mut self, host: &Value, health: &str) -> Urgency {
+    fn set_health(&mut self, host: &Value, health: &str) -> Urgency {
         let mut host = host.clone();
         host["health"] = health.into();
-        self.take(json!({"n": 2, "members": {"whole": false, "hosts": [host]}}))
+        self.apply(json!({"n": 2, "members": {"whole": false, "hosts": [host]}}))
     }
 
     fn snapshot(&mut self) -> Snapshot {
@@ -80,16 +80,16 @@
     }
 
     /// The caches of the north point, by name with their weights.
-    fn north(&mut self) -> BTreeMap<String, u32> {
+    fn north_weights(&mut self) -> BTreeMap<String, u32> {
         let snapshot = self.snapshot();
-        let resource = &snapshot.points["north"].of(ResourceType::Endpoints).resources["cache/north"];
+        let resource = &snapshot.points["north"].get(ResourceType::Endpoints).resources["cache/north"];
         let Content::Endpoints(levels) = &resource.content else { panic!("{resource:?}") };
         levels.iter().flatten().map(|endpoint| (endpoint.name.clone(), endpoint.weight)).collect()
     }
 
     fn routes(&mut self) -> Vec<Route> {
         let snapshot = self.snapshot();
-        let resource = &snapshot.points["north"].of(ResourceType::Routes).resources["routes/north"];
+        let resource = &snapshot.points["north"].get(ResourceType::Routes).resources["routes/north"];
         let Content::Routes { routes, .. } = &resource.content else { panic!("{resource:?}") };
         routes.clone()
     }
--- a/src/control/tests/model.rs
+++ b/src/control/tests/model.rs
@@ -11,16 +11,16 @@
 const TICK: Span = Span::from_micros(1);
 
 #[test]
-fn a_drain_leaves_the_views_of_its_point_at_once_and_no_other() {
+fn drain_changes_only_its_points_endpoints_at_once() {
     let mut fixture = Fixture::new();
     let cache = fixture.cache(1);
     let before = fixture.snapshot();
-    assert!(fixture.north().contains_key(&name(&cache)));
-    assert_eq!(fixture.health(&cache, "draining"), Urgency::Now);
+    assert!(fixture.north_weights().contains_key(&name(&cache)));
+    assert_eq!(fixture.set_health(&cache, "draining"), Urgency::Now);
     let after = fixture.snapshot();
-    assert!(!fixture.north().contains_key(&name(&cache)));
+    assert!(!fixture.north_weights().contains_key(&name(&cache)));
     let versions = |snapshot: &Snapshot, point: &str| {
-        ResourceType::ALL.map(|kind| snapshot.points[point].of(kind).version)
+        ResourceType::ALL.map(|kind| snapshot.points[point].get(kind).version)
     };
     let (old, new) = (versions(&before, "north"), versions(&after, "north"));
     assert_eq!((new[0] == old[0], new[1] > old[1]), (true, true), "endpoints alone change");
@@ -28,35 +28,37 @@
     // What changes nothing has no new version; what comes back may wait for others.
     let again = fixture.snapshot();
     assert_eq!((again.sequence, versions(&again, "north")), (after.sequence, new));
-    assert_eq!(fixture.health(&cache, "draining"), Urgency::Soon);
+    assert_eq!(fixture.set_health(&cache, "draining"), Urgency::Soon);
     assert_eq!(fixture.snapshot().sequence, after.sequence);
-    assert_eq!(fixture.health(&cache, "up"), Urgency::Soon);
-    assert!(fixture.snapshot().sequence > after.sequence && fixture.north().contains_key(&name(&cache)));
-    assert_eq!(fixture.health(&cache, "removed"), Urgency::Now);
-    assert!(!fixture.north().contains_key(&name(&cache)));
+    assert_eq!(fixture.set_health(&cache, "up"), Urgency::Soon);
+    assert!(
+        fixture.snapshot().sequence > after.sequence && fixture.north_weights().contains_key(&name(&cache))
+    );
+    assert_eq!(fixture.set_health(&cache, "removed"), Urgency::Now);
+    assert!(!fixture.north_weights().contains_key(&name(&cache)));
 }
 
 #[test]
-fn a_whole_list_without_a_server_is_as_urgent_as_its_removal() {
+fn full_list_without_a_server_is_urgent_like_a_removal() {
     let mut fixture = Fixture::new();
     let gone = name(&fixture.cache(0));
     let rest: Vec<Value> = fixture.hosts.iter().filter(|host| name(host) != gone).cloned().collect();
     let whole = json!({"n": 2, "members": {"whole": true, "hosts": rest}});
-    assert_eq!(fixture.take(whole), Urgency::Now);
-    assert!(!fixture.north().contains_key(&gone));
+    assert_eq!(fixture.apply(whole), Urgency::Now);
+    assert!(!fixture.north_weights().contains_key(&gone));
 }
 
 #[test]
-fn a_hot_object_goes_where_the_module_sends_it_and_never_to_who_left() {
+fn hot_object_routes_follow_router_and_skip_left_servers() {
     let mut fixture = Fixture::new();
     let hot = |routes: &[Route]| routes.iter().find(|route| route.object.is_some()).cloned();
     let route = hot(&fixture.routes()).expect("a route of its own");
     assert_eq!(route.object.map(|o| format!("{:016x}", o.0)).as_deref(), Some(HOT));
     assert!((1..=3).contains(&route.caches.len()), "{route:?}");
     // A delegate is filled from the object's home, a cache of the point as well.
-    let caches: Vec<String> = fixture.north().into_keys().collect();
-    let own = |holder: &RouteCache| {
-        holder.fill.as_ref().is_some_and(|fill| caches.contains(fill) && *fill != holder.name)
+    let caches: Vec<String> = fixture.north_weights().into_keys().collect();
+    let own = |route_cache: &RouteCache| {
+        route_cache.fill.as_ref().is_some_and(|fill| caches.contains(fill) && *fill != route_cache.name)
     };
     assert!(route.caches.iter().all(own), "{route:?}");
     // It goes before its class, so that a proxy that takes the first that fits takes it.
@@ -65,10 +67,11 @@
     assert!(place(true) < place(false));
     for RouteCache { name: cache, .. } in route.caches {
         let host = fixture.hosts.iter().find(|host| name(host) == cache).cloned().expect("listed");
-        fixture.health(&host, "draining");
+        fixture.set_health(&host, "draining");
         let left = hot(&fixture.routes()).map(|route| route.caches).unwrap_or_default();
         assert!(
-            left.iter().all(|holder| holder.name != cache && holder.fill.as_ref() != Some(&cache)),
+            left.iter()
+                .all(|route_cache| route_cache.name != cache && route_cache.fill.as_ref() != Some(&cache)),
             "{left:?} without {cache}"
         );
     }
@@ -82,21 +85,21 @@
     let moment = fixture.moment();
     fixture.model.apply(moment, &serde_json::from_value(gone).expect("a batch"));
     let left = hot(&fixture.routes()).map(|route| route.caches).unwrap_or_default();
-    assert!(left.iter().all(|holder| holder.name != held), "{left:?} without {held}");
+    assert!(left.iter().all(|route_cache| route_cache.name != held), "{left:?} without {held}");
     let mut refused = Fixture::new().model;
     for (class, wanted) in [("peice", "did you mean"), ("result", "is never kept")] {
         let file = parse_settings(&format!("hot \"{class}\" {{\n objects = [\"{HOT}\"]\n }}"));
-        let error = refused.set_hot(START, &file).expect_err(class).to_string();
+        let error = refused.set_hot_objects(START, &file).expect_err(class).to_string();
         assert!(error.starts_with("3:2: ") && error.contains(wanted), "{error}");
     }
 }
 
 #[test]
-fn a_purge_is_told_at_once_before_all_other_routes_and_ends_by_itself() {
+fn purge_routes_come_first_at_once_and_expire() {
     let mut fixture = Fixture::new();
     let at = fixture.unix_ms();
-    assert_eq!(fixture.take(json!({"n": 2, "purge": {"key": HOT, "at": at}})), Urgency::Now);
-    assert_eq!(fixture.take(json!({"n": 3, "purge": {"group": 17, "at": at}})), Urgency::Now);
+    assert_eq!(fixture.apply(json!({"n": 2, "purge": {"key": HOT, "at": at}})), Urgency::Now);
+    assert_eq!(fixture.apply(json!({"n": 3, "purge": {"group": 17, "at": at}})), Urgency::Now);
     let routes = fixture.routes();
     let purged: Vec<&Route> = routes.iter().take_while(|route| route.purge.is_some()).collect();
     assert_eq!(purged.len(), 6, "object and group, for each of three classes that are kept");
@@ -105,7 +108,7 @@
         .iter()
         .any(|r| r.purge == Some(Purge::Object(ObjectId(0x7f3a_9c21_e0b4_d655))) && !r.caches.is_empty()));
     // A later purge of the same counts, an earlier one that comes late does not.
-    fixture.take(json!({"n": 4, "purge": {"group": 17, "at": at - 5000}}));
+    fixture.apply(json!({"n": 4, "purge": {"group": 17, "at": at - 5000}}));
     assert_eq!(fixture.routes(), routes);
     fixture.now += 12 * SECOND - TICK;
     fixture.model.tick(fixture.now);
@@ -116,21 +119,21 @@
 }
 
 #[test]
-fn a_cold_cache_starts_at_its_cold_share_and_grows_by_steps() {
+fn cold_cache_weight_starts_at_cold_share_and_grows() {
     let mut fixture = Fixture::new();
     let cache = fixture.cache(2);
-    let full = fixture.north()[&name(&cache)];
+    let full = fixture.north_weights()[&name(&cache)];
     let mut born = cache.clone();
     born["born_ms"] = fixture.unix_ms().into();
-    fixture.health(&born, "up");
-    let cold = fixture.north()[&name(&cache)];
+    fixture.set_health(&born, "up");
+    let cold = fixture.north_weights()[&name(&cache)];
     assert_eq!(cold, full * 3 / 10, "cold_share of the settings");
     let (mut steps, mut last) = (0, cold);
     for _ in 0..25 {
         fixture.now += SECOND;
         assert!(fixture.model.due() <= fixture.now || last == full, "it is looked at again while it is cold");
         fixture.model.tick(fixture.now);
-        let weight = fixture.north()[&name(&cache)];
+        let weight = fixture.north_weights()[&name(&cache)];
         assert!(weight >= last);
         steps += u32::from(weight > last);
         last = weight;
@@ -140,36 +143,36 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_neither_ends_a_purge_nor_restarts_or_warms_a_cache() {
+fn wall_clock_steps_do_not_affect_purges_or_slow_start() {
     const HOUR: Span = Span::from_secs(3600);
     for step in [HOUR, -HOUR] {
         let step_us = step.as_micros();
         let mut fixture = Fixture::new();
         let cache = fixture.cache(2);
-        let full = fixture.north()[&name(&cache)];
+        let full = fixture.north_weights()[&name(&cache)];
         let mut born = cache.clone();
         born["born_ms"] = fixture.unix_ms().into();
-        fixture.health(&born, "up");
-        let cold = fixture.north()[&name(&cache)];
-        fixture.take(json!({"n": 2, "purge": {"group": 17, "at": fixture.unix_ms()}}));
+        fixture.set_health(&born, "up");
+        let cold = fixture.north_weights()[&name(&cache)];
+        fixture.apply(json!({"n": 2, "purge": {"group": 17, "at": fixture.unix_ms()}}));
         // The wall clock is stepped, and the list states the same start again.
         fixture.wall_step = step;
         fixture.now += SECOND;
-        fixture.health(&born, "up");
-        assert!((cold..full).contains(&fixture.north()[&name(&cache)]), "a step of {step_us} us");
+        fixture.set_health(&born, "up");
+        assert!((cold..full).contains(&fixture.north_weights()[&name(&cache)]), "a step of {step_us} us");
         assert!(fixture.routes()[0].purge.is_some(), "a step of {step_us} us");
         fixture.now += 11 * SECOND;
         fixture.model.tick(fixture.now);
         assert!(fixture.routes()[0].purge.is_none(), "a step of {step_us} us");
         fixture.now += 20 * SECOND;
         fixture.model.tick(fixture.now);
-        assert_eq!(fixture.north()[&name(&cache)], full, "a step of {step_us} us");
+        assert_eq!(fixture.north_weights()[&name(&cache)], full, "a step of {step_us} us");
         // What is made after the step is converted by the wall clock as it is then.
         let unix_ms = fixture.unix_ms();
         born["born_ms"] = unix_ms.into();
-        fixture.health(&born, "up");
-        assert_eq!(fixture.north()[&name(&cache)], cold, "a step of {step_us} us");
-        fixture.take(json!({"n": 3, "purge": {"group": 18, "at": unix_ms}}));
+        fixture.set_health(&born, "up");
+        assert_eq!(fixture.north_weights()[&name(&cache)], cold, "a step of {step_us} us");
+        fixture.apply(json!({"n": 3, "purge": {"group": 18, "at": unix_ms}}));
         assert_eq!(fixture.routes()[0].newer_than_ms, unix_ms + 1, "a step of {step_us} us");
         fixture.now += 12 * SECOND;
         fixture.model.tick(fixture.now);
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn routes_repeat_only_what_never_ran_unless_repeats_do_no_harm() {
+fn route_fields_follow_class_and_fill_levels_have_no_gap() {
     let mut fixture = Fixture::new();
     let routes = fixture.routes();
     let class = |name: &str| routes.iter().find(|r| r.class == name && r.object.is_none()).expect("a route");
@@ -187,7 +190,7 @@
     let fills = |fixture: &mut Fixture| {
         let snapshot = fixture.snapshot();
         let Content::Endpoints(levels) =
-            &snapshot.points["north"].of(ResourceType::Endpoints).resources["fill/north"].content
+            &snapshot.points["north"].get(ResourceType::Endpoints).resources["fill/north"].content
         else {
             panic!("no endpoints")
         };
@@ -196,6 +199,6 @@
     assert_eq!(fills(&mut fixture), [2, 2, 1], "the hub, the other hub, the origin");
     let hub: Vec<Value> =
         fixture.hosts.iter().filter(|h| h["site"] == "harbour" && h["class"] == "hub").cloned().collect();
-    hub.iter().for_each(|host| assert_eq!(fixture.health(host, "draining"), Urgency::Now));
+    hub.iter().for_each(|host| assert_eq!(fixture.set_health(host, "draining"), Urgency::Now));
     assert_eq!(fills(&mut fixture), [2, 1], "priorities have no gap");
 }
--- a/src/control/tests/session.rs
+++ b/src/control/tests/session.rs
@@ -13,7 +13,7 @@
     Version { epoch, sequence }.to_string()
 }
 
-fn first(version: &str) -> ClientRequest {
+fn first_request(version: &str) -> ClientRequest {
     ClientRequest { version: version.to_owned(), ..ClientRequest::default() }
 }
 
@@ -26,12 +26,12 @@
     ClientRequest { error: Some(text.to_owned()), version: String::new(), ..ack(reply) }
 }
 
-fn nacked(reply: &ServerResponse) -> RequestEffect {
+fn nacked_effect(reply: &ServerResponse) -> RequestEffect {
     RequestEffect::Nacked { sequence: reply.version.sequence, error: "no".into() }
 }
 
 #[test]
-fn versions_are_read_as_they_are_written_and_other_texts_are_none() {
+fn version_round_trips_and_other_texts_are_errors() {
     let written = version(EPOCH, Sequence(12));
     assert_eq!(written, "e.12");
     assert_eq!(written.parse(), Ok(Version { epoch: EPOCH, sequence: Sequence(12) }));
@@ -42,11 +42,11 @@
 
 /// An answer with a nonce that was never sent says nothing; an incremental one may subscribe all the same.
 #[test]
-fn answers_to_what_was_never_sent_are_ignored() {
+fn answers_with_unknown_nonces_are_ignored() {
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let mut fixture = Fixture::new();
         let mut stream = Session::new(variant, "north", EPOCH);
-        let strange = ClientRequest { nonce: Some(Nonce("7".into())), ..first("") };
+        let strange = ClientRequest { nonce: Some(Nonce("7".into())), ..first_request("") };
         let effect = stream.handle(ResourceType::Endpoints, &strange, NO_POLL);
         assert_eq!(effect, RequestEffect::Stale);
         let subscribed = stream.next(&fixture.snapshot()).is_some();
@@ -55,16 +55,19 @@
 }
 
 #[test]
-fn one_response_is_out_at_a_time_and_the_next_is_the_newest() {
+fn one_response_is_in_flight_and_the_next_is_newest() {
     let mut fixture = Fixture::new();
     let mut stream = Session::new(Variant::StateOfTheWorld, "north", EPOCH);
     assert!(stream.next(&fixture.snapshot()).is_none(), "nothing was asked for");
-    assert_eq!(stream.handle(ResourceType::Endpoints, &first(""), NO_POLL), RequestEffect::Subscribed);
+    assert_eq!(
+        stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL),
+        RequestEffect::Subscribed
+    );
     let reply = stream.next(&fixture.snapshot()).expect("the view");
     assert_eq!((reply.resource_type, reply.resources.len()), (ResourceType::Endpoints, 2));
     for n in 0..3 {
         let cache = fixture.cache(n);
-        fixture.health(&cache, "draining");
+        fixture.set_health(&cache, "draining");
         assert!(stream.next(&fixture.snapshot()).is_none(), "one is out");
     }
     assert_eq!(
@@ -74,7 +77,7 @@
     let newest = stream.next(&fixture.snapshot()).expect("the newest");
     assert_eq!(
         newest.version.sequence,
-        fixture.snapshot().points["north"].of(ResourceType::Endpoints).version
+        fixture.snapshot().points["north"].get(ResourceType::Endpoints).version
     );
     assert!(newest.version.sequence > reply.version.sequence);
     // An answer to the one before says nothing of this one.
@@ -88,18 +91,18 @@
 }
 
 #[test]
-fn a_rejected_view_is_not_sent_again_and_the_next_one_is() {
+fn rejected_version_is_not_resent_but_the_next_is_sent() {
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let mut fixture = Fixture::new();
         let mut stream = Session::new(variant, "north", EPOCH);
-        stream.handle(ResourceType::Endpoints, &first(""), NO_POLL);
+        stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
         let good = stream.next(&fixture.snapshot()).expect("the view");
         stream.handle(ResourceType::Endpoints, &ack(&good), NO_POLL);
         let cache = fixture.cache(0);
-        fixture.health(&cache, "draining");
+        fixture.set_health(&cache, "draining");
         let bad = stream.next(&fixture.snapshot()).expect("the change");
-        let meaning = stream.handle(ResourceType::Endpoints, &nack(&bad, "no"), NO_POLL);
-        assert_eq!(meaning, nacked(&bad));
+        let effect = stream.handle(ResourceType::Endpoints, &nack(&bad, "no"), NO_POLL);
+        assert_eq!(effect, nacked_effect(&bad));
         assert_eq!(
             stream.acked(ResourceType::Endpoints),
             Some(good.version.sequence),
@@ -107,46 +110,46 @@
         );
         assert!(stream.next(&fixture.snapshot()).is_none(), "{variant:?}");
         let other = fixture.cache(1);
-        fixture.health(&other, "draining");
+        fixture.set_health(&other, "draining");
         let next = stream.next(&fixture.snapshot()).expect("another view");
         assert!(next.version.sequence > bad.version.sequence, "{variant:?}");
     }
 }
 
 #[test]
-fn a_rejected_view_does_not_come_back_by_another_subscription() {
+fn rejected_version_is_not_resent_after_resubscribing() {
     let fixture = &mut Fixture::new();
     let mut stream = Session::new(Variant::StateOfTheWorld, "north", EPOCH);
-    stream.handle(ResourceType::Endpoints, &first(""), NO_POLL);
+    stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
     let bad = stream.next(&fixture.snapshot()).expect("the view");
     let narrower = ClientRequest { subscribe: vec!["cache/north".into()], ..nack(&bad, "no") };
-    assert_eq!(stream.handle(ResourceType::Endpoints, &narrower, NO_POLL), nacked(&bad));
+    assert_eq!(stream.handle(ResourceType::Endpoints, &narrower, NO_POLL), nacked_effect(&bad));
     assert!(stream.next(&fixture.snapshot()).is_none());
     let cache = fixture.cache(0);
-    fixture.health(&cache, "draining");
+    fixture.set_health(&cache, "draining");
     let next = stream.next(&fixture.snapshot()).expect("another view");
     assert_eq!(next.resources.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["cache/north"]);
 }
 
 #[test]
-fn a_rejected_view_does_not_come_back_by_another_stream() {
+fn rejected_version_is_not_resent_on_another_stream() {
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let fixture = &mut Fixture::new();
         let mut stream = Session::new(variant, "north", EPOCH);
-        stream.handle(ResourceType::Endpoints, &first(""), NO_POLL);
+        stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
         let bad = stream.next(&fixture.snapshot()).expect("the view");
         stream.handle(ResourceType::Endpoints, &nack(&bad, "no"), NO_POLL);
         let mut again = Session::new(variant, "north", EPOCH);
         assert!(again.rejections().is_empty() && !stream.rejections().is_empty());
         again.restore_rejections(stream.rejections());
-        again.handle(ResourceType::Endpoints, &first(""), NO_POLL);
-        let told = again.next(&fixture.snapshot()).map(|reply| reply.resources.len()).unwrap_or(0);
-        assert_eq!(told, 0, "{variant:?}");
+        again.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
+        let sent = again.next(&fixture.snapshot()).map(|reply| reply.resources.len()).unwrap_or(0);
+        assert_eq!(sent, 0, "{variant:?}");
         let mut next = Session::new(variant, "north", EPOCH);
         next.restore_rejections(stream.rejections());
-        next.handle(ResourceType::Endpoints, &first(""), NO_POLL);
+        next.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
         let cache = fixture.cache(0);
-        fixture.health(&cache, "draining");
+        fixture.set_health(&cache, "draining");
         let reply = next.next(&fixture.snapshot()).expect("another view");
         next.handle(ResourceType::Endpoints, &ack(&reply), NO_POLL);
         assert!(
@@ -157,24 +160,24 @@
 }
 
 #[test]
-fn a_client_of_this_run_is_told_what_is_newer_and_one_of_another_waits_for_the_feed() {
+fn version_of_another_run_waits_for_a_newer_poll() {
     let mut fixture = Fixture::new();
-    let current = fixture.snapshot().points["north"].of(ResourceType::Endpoints).version;
-    let stream = |had: &str, next_poll| {
+    let current = fixture.snapshot().points["north"].get(ResourceType::Endpoints).version;
+    let stream = |had: &str, newest_poll| {
         let mut stream = Session::new(Variant::StateOfTheWorld, "north", EPOCH);
-        stream.handle(ResourceType::Endpoints, &first(had), PollNumber(next_poll));
+        stream.handle(ResourceType::Endpoints, &first_request(had), PollNumber(newest_poll));
         stream
     };
     let mut same = stream(&version(EPOCH, current), 9);
     assert!(same.next(&fixture.snapshot()).is_none(), "it has this one");
     let cache = fixture.cache(0);
-    fixture.health(&cache, "draining");
+    fixture.set_health(&cache, "draining");
     assert!(same.next(&fixture.snapshot()).is_some());
     // Another run may have known more: only what was heard after the client came is surely not older.
     let mut other = stream(&version(Epoch(0xd), Sequence(99)), 9);
-    for (answered, told) in [(0, false), (9, false), (10, true)] {
+    for (answered, sent) in [(0, false), (9, false), (10, true)] {
         let snapshot = fixture.model.snapshot(fixture.now, PollNumber(answered));
-        assert_eq!(other.next(&snapshot).is_some(), told, "poll {answered}");
+        assert_eq!(other.next(&snapshot).is_some(), sent, "poll {answered}");
     }
     let mut strange = stream("not-ours", 9);
     assert!(strange.next(&fixture.snapshot()).is_none());
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn incremental_streams_get_what_they_lack_and_what_is_gone() {
+fn incremental_updates_hold_missing_and_removed_resources() {
     let mut fixture = Fixture::new();
     let mut stream = Session::new(Variant::Incremental, "north", EPOCH);
     let names = |reply: &ServerResponse| reply.resources.iter().map(|r| r.name.clone()).collect::<Vec<_>>();
@@ -204,13 +207,13 @@
         .find(|h| h["site"] == "harbour" && h["class"] == "hub")
         .cloned()
         .expect("a parent");
-    fixture.health(&hub, "draining");
+    fixture.set_health(&hub, "draining");
     assert!(stream.next(&fixture.snapshot()).is_none(), "it left that one");
     // A stream that comes back with what it had gets what differs, and the names of what is gone.
     let mut again = Session::new(Variant::Incremental, "north", EPOCH);
     let has = |name: &str, sequence| (name.to_owned(), version(EPOCH, sequence));
     let snapshot = fixture.snapshot();
-    let current = |name: &str| snapshot.points["north"].of(ResourceType::Endpoints).resources[name].version;
+    let current = |name: &str| snapshot.points["north"].get(ResourceType::Endpoints).resources[name].version;
     let had = BTreeMap::from([
         has("cache/north", current("cache/north")),
         has("fill/north", Sequence(1)),
@@ -231,25 +234,25 @@
 /// does not come again, and a client that answers ends up with the newest view.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one play with one list of rules")]
-fn streams_keep_their_rules_whatever_comes() {
+fn random_events_keep_the_stream_rules() {
     for seed in 0..100 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut pick = |n: u64| random.next_u64() % n;
         let mut fixture = Fixture::new();
         let variant = [Variant::StateOfTheWorld, Variant::Incremental][pick(2) as usize];
         let mut stream = Session::new(variant, "north", EPOCH);
-        let mut out: BTreeMap<ResourceType, ServerResponse> = BTreeMap::new();
+        let mut in_flight: BTreeMap<ResourceType, ServerResponse> = BTreeMap::new();
         let mut last: BTreeMap<ResourceType, Sequence> = BTreeMap::new();
         let mut rejected: Vec<(ResourceType, Sequence)> = Vec::new();
         for kind in ResourceType::ALL {
-            stream.handle(kind, &first(""), NO_POLL);
+            stream.handle(kind, &first_request(""), NO_POLL);
         }
         for step in 0..80 {
             match pick(5) {
                 0 => {
                     let (cache, health) =
                         (fixture.cache(pick(4) as usize), ["up", "draining", "removed"][pick(3) as usize]);
-                    fixture.health(&cache, health);
+                    fixture.set_health(&cache, health);
                 }
                 1 => {
                     fixture.now += Span::from_micros(pick(3_000_000) as i64);
@@ -269,14 +272,14 @@
                             "{label} comes again"
                         );
                         assert!(
-                            out.insert(reply.resource_type, reply).is_none(),
+                            in_flight.insert(reply.resource_type, reply).is_none(),
                             "{label} is the second one out"
                         );
                     }
                 }
                 _ => {
                     let kind = ResourceType::ALL[pick(3) as usize];
-                    if let Some(reply) = out.remove(&kind) {
+                    if let Some(reply) = in_flight.remove(&kind) {
                         let reject = pick(4) == 0;
                         let ask = if reject { nack(&reply, "no") } else { ack(&reply) };
                         rejected.extend(reject.then_some((kind, reply.version.sequence)));
@@ -285,14 +288,14 @@
                 }
             }
         }
-        for reply in std::mem::take(&mut out).into_values() {
+        for reply in std::mem::take(&mut in_flight).into_values() {
             stream.handle(reply.resource_type, &ack(&reply), NO_POLL);
         }
         while let Some(reply) = stream.next(&fixture.snapshot()) {
             stream.handle(reply.resource_type, &ack(&reply), NO_POLL);
         }
         for kind in ResourceType::ALL {
-            let newest = fixture.snapshot().points["north"].of(kind).version;
+            let newest = fixture.snapshot().points["north"].get(kind).version;
             let settled = stream.acked(kind) == Some(newest) || rejected.contains(&(kind, newest));
             assert!(settled, "seed {seed}: {kind:?} stays at {:?}, not {newest}", stream.acked(kind));
         }
--- a/src/control/tests/settings.rs
+++ b/src/control/tests/settings.rs
@@ -5,7 +5,7 @@
 use crate::control::settings::ControlSettings;
 
 #[test]
-fn bad_files_are_told_with_their_place() {
+fn invalid_files_are_reported_with_position() {
     for (text, wanted) in [
         ("control {\n}", "c.hcl:1:1: control names no listen"),
         ("", "c.hcl:1:1: no control block"),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_example_file_holds_the_defaults() {
+fn example_file_holds_the_defaults() {
     let text = include_str!("../../../deploy/control.hcl");
     let read = ControlSettings::parse(HclDocument { file: "deploy/control.hcl", text }).expect("usable");
     let usual = parse_settings("");
--- a/src/control/version.rs
+++ b/src/control/version.rs
@@ -45,17 +45,17 @@
 pub enum VersionError {
     /// It lacks the dot between epoch and sequence number.
     #[error("a version is EPOCH.SEQUENCE")]
-    NoDot,
+    MissingDot,
     /// One of its parts is no number.
     #[error("a version is EPOCH.SEQUENCE: {0}")]
-    NoNumber(#[from] ParseIntError),
+    InvalidNumber(#[from] ParseIntError),
 }
 
 impl FromStr for Version {
     type Err = VersionError;
 
     fn from_str(text: &str) -> Result<Self, VersionError> {
-        let (epoch, sequence) = text.split_once('.').ok_or(VersionError::NoDot)?;
+        let (epoch, sequence) = text.split_once('.').ok_or(VersionError::MissingDot)?;
         let epoch = Epoch(u64::from_str_radix(epoch, 16)?);
         let sequence = Sequence(sequence.parse()?);
         Ok(Version { epoch, sequence })
--- a/src/control/wire/cluster.rs
+++ b/src/control/wire/cluster.rs
@@ -1,6 +1,6 @@
 //! Clusters (CDS) and their endpoints (EDS).
 
-use super::common::{duration, server_metadata, SERVER};
+use super::common::{duration, server_metadata, SERVER_METADATA_KEY};
 use crate::control::resource::{Endpoint, PriorityLevel};
 use crate::interface::Span;
 use envoy_types::pb::envoy::config::cluster::v3::cluster::lb_subset_config::{
@@ -33,7 +33,7 @@
     let subsets = LbSubsetConfig {
         fallback_policy: LbSubsetFallbackPolicy::AnyEndpoint.into(),
         subset_selectors: vec![LbSubsetSelector {
-            keys: vec![SERVER.to_owned()],
+            keys: vec![SERVER_METADATA_KEY.to_owned()],
             ..LbSubsetSelector::default()
         }],
         ..LbSubsetConfig::default()
--- a/src/control/wire/common.rs
+++ b/src/control/wire/common.rs
@@ -8,21 +8,21 @@
 use std::collections::HashMap;
 
 /// The header that names a request's class.
-pub const CLASS: &str = "x-dahlia-class";
+pub const CLASS_HEADER: &str = "x-dahlia-class";
 /// The header that names its object, 16 hex digits; what picks its cache.
-pub const OBJECT: &str = "x-dahlia-object";
+pub const OBJECT_HEADER: &str = "x-dahlia-object";
 /// The header that names its object's group.
-pub const GROUP: &str = "x-dahlia-group";
+pub const GROUP_HEADER: &str = "x-dahlia-group";
 /// Added: who fills a miss, a cluster or a server.
-pub const FROM: &str = "x-dahlia-from";
+pub const FROM_HEADER: &str = "x-dahlia-from";
 /// Added: the rank at which the copy is cached; 0: it is not.
-pub const RANK: &str = "x-dahlia-rank";
+pub const RANK_HEADER: &str = "x-dahlia-rank";
 /// Added: the Unix millisecond that a copy must be newer than.
-pub const NEWER_THAN: &str = "x-dahlia-newer-than";
+pub const NEWER_THAN_HEADER: &str = "x-dahlia-newer-than";
 /// Added: for how long a copy is fresh, ms; absent: until it is purged.
-pub const FRESH: &str = "x-dahlia-fresh-ms";
+pub const FRESH_HEADER: &str = "x-dahlia-fresh-ms";
 /// The key of endpoints' metadata that names a server, for subsets.
-pub const SERVER: &str = "server";
+pub const SERVER_METADATA_KEY: &str = "server";
 
 /// The type URL of a resource type.
 pub fn type_url(resource_type: ResourceType) -> &'static str {
@@ -47,7 +47,7 @@
 /// The metadata that names a server, of an endpoint or of a route's subset.
 pub(super) fn server_metadata(server: &str) -> Metadata {
     let value = Value { kind: Some(ValueKind::StringValue(server.to_owned())) };
-    let fields = HashMap::from([(SERVER.to_owned(), value)]);
+    let fields = HashMap::from([(SERVER_METADATA_KEY.to_owned(), value)]);
     let filter_metadata = HashMap::from([("envoy.lb".to_owned(), Struct { fields })]);
     Metadata { filter_metadata, ..Metadata::default() }
 }
--- a/src/control/wire/mod.rs
+++ b/src/control/wire/mod.rs
@@ -10,7 +10,10 @@
 mod route;
 
 use super::resource::Content;
-pub use common::{resource_type, type_url, CLASS, FRESH, FROM, GROUP, NEWER_THAN, OBJECT, RANK, SERVER};
+pub use common::{
+    resource_type, type_url, CLASS_HEADER, FRESH_HEADER, FROM_HEADER, GROUP_HEADER, NEWER_THAN_HEADER,
+    OBJECT_HEADER, RANK_HEADER, SERVER_METADATA_KEY,
+};
 pub use discovery::{delta_request, delta_response, point, request, response};
 use prost::Message;
 
--- a/src/control/wire/route.rs
+++ b/src/control/wire/route.rs
@@ -1,6 +1,9 @@
 //! Routes (RDS).
 
-use super::common::{duration, server_metadata, CLASS, FRESH, FROM, GROUP, NEWER_THAN, OBJECT, RANK};
+use super::common::{
+    duration, server_metadata, CLASS_HEADER, FRESH_HEADER, FROM_HEADER, GROUP_HEADER, NEWER_THAN_HEADER,
+    OBJECT_HEADER, RANK_HEADER,
+};
 use crate::control::resource::{Route, RouteCache};
 use crate::interface::{ObjectId, Purge, Span};
 use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
@@ -66,19 +69,20 @@
     }
 
     fn added_headers(&self, route: &Route) -> Vec<HeaderValueOption> {
-        let mut headers = vec![overwrite(FROM, self.fill), overwrite(RANK, &route.rank.to_string())];
+        let mut headers =
+            vec![overwrite(FROM_HEADER, self.fill), overwrite(RANK_HEADER, &route.rank.to_string())];
         if route.newer_than_ms > 0 {
-            headers.push(overwrite(NEWER_THAN, &route.newer_than_ms.to_string()));
+            headers.push(overwrite(NEWER_THAN_HEADER, &route.newer_than_ms.to_string()));
         }
         if route.fresh > Span::ZERO {
             let fresh_ms = route.fresh.as_millis();
-            headers.push(overwrite(FRESH, &fresh_ms.to_string()));
+            headers.push(overwrite(FRESH_HEADER, &fresh_ms.to_string()));
         }
         headers
     }
 
     fn action(&self, route: &Route) -> RouteAction {
-        let hashed_header = Header { header_name: OBJECT.to_owned(), regex_rewrite: None };
+        let hashed_header = Header { header_name: OBJECT_HEADER.to_owned(), regex_rewrite: None };
         let hash_policy =
             HashPolicy { policy_specifier: Some(PolicySpecifier::Header(hashed_header)), terminal: true };
         let retry_on = if route.idempotent { RETRY_IDEMPOTENT } else { RETRY_NEVER_RAN };
@@ -101,18 +105,18 @@
         if caches.is_empty() {
             return ClusterSpecifier::Cluster(self.caches.to_owned());
         }
-        let clusters = caches.iter().map(|holder| self.subset(holder)).collect();
+        let clusters = caches.iter().map(|cache| self.subset(cache)).collect();
         ClusterSpecifier::WeightedClusters(WeightedCluster { clusters, ..WeightedCluster::default() })
     }
 
     /// One cache as a subset of the cluster.
-    fn subset(&self, holder: &RouteCache) -> ClusterWeight {
+    fn subset(&self, cache: &RouteCache) -> ClusterWeight {
         // What a cluster's weight adds overrides what its route adds: a delegate is filled from the home.
-        let fill = holder.fill.iter().map(|fill| overwrite(FROM, fill));
+        let fill = cache.fill.iter().map(|fill| overwrite(FROM_HEADER, fill));
         ClusterWeight {
             name: self.caches.to_owned(),
             weight: Some(UInt32Value { value: 1 }),
-            metadata_match: Some(server_metadata(&holder.name)),
+            metadata_match: Some(server_metadata(&cache.name)),
             request_headers_to_add: fill.collect(),
             ..ClusterWeight::default()
         }
@@ -132,12 +136,12 @@
 }
 
 fn matched_headers(route: &Route) -> Vec<HeaderMatcher> {
-    let mut headers = vec![exact(CLASS, route.class.clone())];
+    let mut headers = vec![exact(CLASS_HEADER, route.class.clone())];
     if let Some(object) = matched_object(route) {
-        headers.push(exact(OBJECT, object_text(object)));
+        headers.push(exact(OBJECT_HEADER, object_text(object)));
     }
     if let Some(Purge::Group(group)) = route.purge {
-        headers.push(exact(GROUP, group.0.to_string()));
+        headers.push(exact(GROUP_HEADER, group.0.to_string()));
     }
     headers
 }
--- a/src/lab/xds/decode.rs
+++ b/src/lab/xds/decode.rs
@@ -46,8 +46,10 @@
 
 fn add_routes(configuration: &RouteConfiguration, view: &mut View) {
     for route in configuration.virtual_hosts.iter().flat_map(|host| &host.routes) {
-        if let Some(newer_than) = added_header(route, wire::NEWER_THAN).and_then(|ms| ms.parse().ok()) {
-            let what = matched_header(route, wire::OBJECT).or_else(|| matched_header(route, wire::GROUP));
+        if let Some(newer_than) = added_header(route, wire::NEWER_THAN_HEADER).and_then(|ms| ms.parse().ok())
+        {
+            let what = matched_header(route, wire::OBJECT_HEADER)
+                .or_else(|| matched_header(route, wire::GROUP_HEADER));
             view.newer_than_ms.extend(what.map(|what| (what.to_owned(), newer_than)));
         }
         view.servers.extend(subset_servers(route));
@@ -86,7 +88,7 @@
 
 fn named_servers(metadata: &Metadata) -> Vec<String> {
     let fields = metadata.filter_metadata.values().flat_map(|filter| &filter.fields);
-    let servers = fields.filter(|(key, _)| *key == wire::SERVER);
+    let servers = fields.filter(|(key, _)| *key == wire::SERVER_METADATA_KEY);
     let names = servers.filter_map(|(_, value)| match &value.kind {
         Some(ValueKind::StringValue(server)) => Some(server.clone()),
         _ => None,
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -23,9 +23,9 @@
 use tokio::time::timeout;
 
 /// Longer than anything takes that a test waits for: past it the test has failed.
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// From the telling of a drain to the last view with the cache: the platform's bound.
-const BOUND: Span = Span::from_secs(1);
+const DRAIN_BOUND: Span = Span::from_secs(1);
 
 const CONTROL: &str =
     "control {\n listen = \"127.0.0.1:0\"\n hot \"piece\" {\n objects = [\"7f3a9c21e0b4d655\"]\n }\n}";
@@ -38,7 +38,7 @@
     hosts.iter().filter(|host| host["site"] == point).cloned().collect()
 }
 
-fn plan(running: &Running, name: &str, point: &str, variant: Variant) -> ClientPlan {
+fn client_plan(running: &Running, name: &str, point: &str, variant: Variant) -> ClientPlan {
     ClientPlan {
         target: running.addr,
         name: name.into(),
@@ -71,7 +71,12 @@
     }
 
     /// Waits until the last accepted view of a type fits for this many clients.
-    async fn until(&mut self, resource_type: ResourceType, clients: usize, fits: impl Fn(&View) -> bool) {
+    async fn wait_for_view(
+        &mut self,
+        resource_type: ResourceType,
+        clients: usize,
+        matches: impl Fn(&View) -> bool,
+    ) {
         loop {
             let mut last: BTreeMap<&str, &View> = BTreeMap::new();
             for entry in &self.all {
@@ -81,16 +86,16 @@
                     }
                 }
             }
-            if last.values().filter(|view| fits(view)).count() == clients {
+            if last.values().filter(|view| matches(view)).count() == clients {
                 return;
             }
             let entry =
-                timeout(LONG, self.entries.recv()).await.expect("a view in time").expect("clients run");
+                timeout(TIMEOUT, self.entries.recv()).await.expect("a view in time").expect("clients run");
             self.all.push(entry);
         }
     }
 
-    async fn end(mut self, running: Running) -> Vec<LogEntry> {
+    async fn finish(mut self, running: Running) -> Vec<LogEntry> {
         let _ = self.stop.send(true);
         running.stop().await.expect("it ends well");
         drop(self.sender);
@@ -102,9 +107,9 @@
 }
 
 /// Receives until a view of a type comes, accepting it and the others.
-async fn view(stream: &mut ClientStream, state: &mut ClientState, wanted: ResourceType) -> View {
+async fn next_view(stream: &mut ClientStream, state: &mut ClientState, wanted: ResourceType) -> View {
     loop {
-        let received = timeout(LONG, stream.receive(state)).await.expect("a response in time");
+        let received = timeout(TIMEOUT, stream.receive(state)).await.expect("a response in time");
         let received = received.expect("no rejection").expect("the stream goes on");
         state.versions.insert(received.resource_type, received.version.clone());
         stream.ack(&received).await;
@@ -115,52 +120,64 @@
 }
 
 #[tokio::test]
-async fn what_drains_vanishes_from_every_client_within_the_bound_and_purges_are_told() {
+async fn drains_reach_all_clients_in_bound_and_purges_are_sent() {
     let feed = StandInFeed::default();
     let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
     let mut logs = Logs::new();
     for n in 0..24 {
         let variant = [Variant::StateOfTheWorld, Variant::Incremental][n % 2];
-        logs.start(plan(&running, &format!("client-{n}"), ["north", "south", "east"][n / 2 % 3], variant));
+        logs.start(client_plan(
+            &running,
+            &format!("client-{n}"),
+            ["north", "south", "east"][n / 2 % 3],
+            variant,
+        ));
     }
-    logs.until(ResourceType::Routes, 24, |_| true).await;
-    logs.until(ResourceType::Endpoints, 24, |_| true).await;
+    logs.wait_for_view(ResourceType::Routes, 24, |_| true).await;
+    logs.wait_for_view(ResourceType::Endpoints, 24, |_| true).await;
     let mut feed_events = Vec::new();
     for (n, health) in ["draining", "removed", "draining"].into_iter().enumerate() {
         let host = &caches(&hosts, "north")[n];
         let at = log_time();
         feed_events.push(FeedEvent { at, change: FeedChange::ServerLeft(name(host)) });
         feed.publish_health(host, health);
-        logs.until(ResourceType::Endpoints, 24, |view| !view.servers.contains(&name(host))).await;
-        logs.until(ResourceType::Routes, 24, |view| !view.servers.contains(&name(host))).await;
+        logs.wait_for_view(ResourceType::Endpoints, 24, |view| !view.servers.contains(&name(host))).await;
+        logs.wait_for_view(ResourceType::Routes, 24, |view| !view.servers.contains(&name(host))).await;
     }
     let ms = log_time().as_micros() / 1000;
     let change = FeedChange::Purged { what: "17".into(), at_ms: ms };
     feed_events.push(FeedEvent { at: log_time(), change });
     feed.publish(json!({"purge": {"group": 17, "at": ms}}));
-    logs.until(ResourceType::Routes, 24, |view| {
+    logs.wait_for_view(ResourceType::Routes, 24, |view| {
         view.newer_than_ms.get("17").is_some_and(|newer| *newer > ms)
     })
     .await;
-    let log = logs.end(running).await;
-    assert_eq!(check(&log, &feed_events, BOUND), []);
+    let log = logs.finish(running).await;
+    assert_eq!(check(&log, &feed_events, DRAIN_BOUND), []);
     let delays = drain_delays(&log, &feed_events);
     assert_eq!(delays.len(), 24, "eight clients of the point, three drains");
 }
 
 #[tokio::test]
-async fn who_comes_back_never_gets_an_older_view_even_from_a_run_that_knows_less() {
+async fn returning_client_never_gets_an_older_view() {
     let feed = StandInFeed::default();
     let StartedSite { running: first, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
     let old = feed.known();
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let cache = &caches(&hosts, "north")[usize::from(variant == Variant::Incremental)];
         let mut state = ClientState::default();
-        let mut stream = ClientStream::open(&plan(&first, "a", "north", variant)).await.expect("a stream");
+        let mut stream =
+            ClientStream::open(&client_plan(&first, "a", "north", variant)).await.expect("a stream");
         stream.subscribe(ResourceType::Endpoints, &state).await;
-        assert!(view(&mut stream, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)));
+        assert!(next_view(&mut stream, &mut state, ResourceType::Endpoints)
+            .await
+            .servers
+            .contains(&name(cache)));
         feed.publish_health(cache, "draining");
-        assert!(!view(&mut stream, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)));
+        assert!(!next_view(&mut stream, &mut state, ResourceType::Endpoints)
+            .await
+            .servers
+            .contains(&name(cache)));
         drop(stream);
         // A run that starts from the old list, and whose feed says nothing yet.
         feed.set_silent(true);
@@ -169,12 +186,14 @@
                 .start()
                 .await
                 .expect("it starts");
-        let mut back = ClientStream::open(&plan(&second, "a", "north", variant)).await.expect("a stream");
+        let mut back =
+            ClientStream::open(&client_plan(&second, "a", "north", variant)).await.expect("a stream");
         back.subscribe(ResourceType::Endpoints, &state).await;
         // Who has nothing is told what this run knows: it serves, and its view is the old one.
-        let mut new = ClientStream::open(&plan(&second, "b", "north", variant)).await.expect("a stream");
+        let mut new =
+            ClientStream::open(&client_plan(&second, "b", "north", variant)).await.expect("a stream");
         new.subscribe(ResourceType::Endpoints, &ClientState::default()).await;
-        assert!(view(&mut new, &mut ClientState::default(), ResourceType::Endpoints)
+        assert!(next_view(&mut new, &mut ClientState::default(), ResourceType::Endpoints)
             .await
             .servers
             .contains(&name(cache)));
@@ -184,7 +203,7 @@
             "{variant:?}: the one that came back waits"
         );
         feed.set_silent(false);
-        let next = view(&mut back, &mut state, ResourceType::Endpoints).await;
+        let next = next_view(&mut back, &mut state, ResourceType::Endpoints).await;
         assert!(!next.servers.contains(&name(cache)), "{variant:?}: {next:?}");
         second.stop().await.expect("it ends well");
     }
@@ -194,7 +213,7 @@
 /// A purge is announced for twelve seconds of the monotonic clock: an hour's step of the wall clock, either way, does
 /// not end it, and what may wait is still published.
 #[tokio::test]
-async fn a_step_of_the_wall_clock_neither_ends_a_purge_nor_holds_back_what_waits() {
+async fn wall_clock_steps_do_not_affect_purges_or_debounce() {
     const HOUR_S: i64 = 3600;
     for step_s in [HOUR_S, -HOUR_S] {
         let offset_s = Arc::new(AtomicI64::new(0));
@@ -214,64 +233,75 @@
         let StartedSite { running, hosts } = setup.start().await.expect("it starts");
         let cache = &caches(&hosts, "north")[0];
         let mut state = ClientState::default();
-        let mut before = ClientStream::open(&plan(&running, "before", "north", Variant::Incremental))
+        let mut before = ClientStream::open(&client_plan(&running, "before", "north", Variant::Incremental))
             .await
             .expect("a stream");
         before.subscribe(ResourceType::Routes, &state).await;
         before.subscribe(ResourceType::Endpoints, &state).await;
         let ms = log_time().as_micros() / 1000;
         feed.publish(json!({"purge": {"group": 17, "at": ms}}));
-        while !view(&mut before, &mut state, ResourceType::Routes).await.newer_than_ms.contains_key("17") {}
+        while !next_view(&mut before, &mut state, ResourceType::Routes).await.newer_than_ms.contains_key("17")
+        {
+        }
         offset_s.store(step_s, Ordering::SeqCst);
         // A drain is told at once, a return when it has become quiet; a client that comes after both is told of the
         // purge.
         feed.publish_health(cache, "draining");
-        while view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)) {}
+        while next_view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache))
+        {
+        }
         feed.publish_health(cache, "up");
-        while !view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache)) {}
-        let mut after = ClientStream::open(&plan(&running, "after", "north", Variant::Incremental))
+        while !next_view(&mut before, &mut state, ResourceType::Endpoints)
+            .await
+            .servers
+            .contains(&name(cache))
+        {}
+        let mut after = ClientStream::open(&client_plan(&running, "after", "north", Variant::Incremental))
             .await
             .expect("a stream");
         after.subscribe(ResourceType::Routes, &ClientState::default()).await;
-        let routes = view(&mut after, &mut ClientState::default(), ResourceType::Routes).await;
+        let routes = next_view(&mut after, &mut ClientState::default(), ResourceType::Routes).await;
         assert_eq!(routes.newer_than_ms.get("17"), Some(&(ms + 1)), "a step of {step_s} s");
         running.stop().await.expect("it ends well");
     }
 }
 
 #[tokio::test]
-async fn a_rejected_view_is_not_resent_and_other_clients_are_not_kept_from_it() {
+async fn rejected_view_is_not_resent_but_other_clients_get_it() {
     let feed = StandInFeed::default();
     let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
     let north = caches(&hosts, "north");
     let mut logs = Logs::new();
     for (n, variant) in [Variant::StateOfTheWorld, Variant::Incremental].into_iter().enumerate() {
         let rejects_without = Some(name(&north[0]));
-        logs.start(ClientPlan { rejects_without, ..plan(&running, &format!("picky-{n}"), "north", variant) });
-        logs.start(plan(&running, &format!("plain-{n}"), "north", variant));
+        logs.start(ClientPlan {
+            rejects_without,
+            ..client_plan(&running, &format!("picky-{n}"), "north", variant)
+        });
+        logs.start(client_plan(&running, &format!("plain-{n}"), "north", variant));
     }
-    logs.until(ResourceType::Endpoints, 4, |_| true).await;
+    logs.wait_for_view(ResourceType::Endpoints, 4, |_| true).await;
     feed.publish_health(&north[0], "draining");
-    logs.until(ResourceType::Endpoints, 2, |view| !view.servers.contains(&name(&north[0]))).await;
+    logs.wait_for_view(ResourceType::Endpoints, 2, |view| !view.servers.contains(&name(&north[0]))).await;
     while running.metrics.nacks.load(Ordering::SeqCst) < 2 {
         tokio::task::yield_now().await;
     }
     // The last good view stays in force there until one comes that differs.
     feed.publish_health(&north[1], "draining");
-    logs.until(ResourceType::Endpoints, 4, |view| !view.servers.contains(&name(&north[1]))).await;
+    logs.wait_for_view(ResourceType::Endpoints, 4, |view| !view.servers.contains(&name(&north[1]))).await;
     assert_eq!(running.metrics.nacks.load(Ordering::SeqCst), 2);
-    let log = logs.end(running).await;
-    assert_eq!(check(&log, &[], BOUND), []);
+    let log = logs.finish(running).await;
+    assert_eq!(check(&log, &[], DRAIN_BOUND), []);
     let refused =
         log.iter().filter(|entry| matches!(&entry.event, ClientEvent::Received(view) if !view.accepted));
     assert_eq!(refused.count(), 2);
 }
 
 #[tokio::test]
-async fn a_rejection_is_remembered_when_the_client_comes_back() {
+async fn rejection_is_remembered_on_the_next_stream() {
     let feed = StandInFeed::default();
     let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
-    let picky = plan(&running, "picky", "north", Variant::StateOfTheWorld);
+    let picky = client_plan(&running, "picky", "north", Variant::StateOfTheWorld);
     let mut first = ClientStream::open(&picky).await.expect("a stream");
     first.subscribe(ResourceType::Endpoints, &ClientState::default()).await;
     let rejected = first.receive(&mut ClientState::default()).await.expect("no rejection").expect("a view");
@@ -285,46 +315,46 @@
     // What it gets first is the next view: the one that it rejected is not sent again.
     let north = caches(&hosts, "north");
     let mut other_state = ClientState::default();
-    let mut other = ClientStream::open(&plan(&running, "other", "north", Variant::StateOfTheWorld))
+    let mut other = ClientStream::open(&client_plan(&running, "other", "north", Variant::StateOfTheWorld))
         .await
         .expect("a stream");
     other.subscribe(ResourceType::Endpoints, &other_state).await;
-    view(&mut other, &mut other_state, ResourceType::Endpoints).await;
+    next_view(&mut other, &mut other_state, ResourceType::Endpoints).await;
     feed.publish_health(&north[0], "draining");
-    let newer = view(&mut other, &mut other_state, ResourceType::Endpoints).await;
-    let got = view(&mut back, &mut ClientState::default(), ResourceType::Endpoints).await;
+    let newer = next_view(&mut other, &mut other_state, ResourceType::Endpoints).await;
+    let got = next_view(&mut back, &mut ClientState::default(), ResourceType::Endpoints).await;
     assert_eq!((&got.version, got.servers.contains(&name(&north[0]))), (&newer.version, false));
     running.stop().await.expect("it ends well");
 }
 
 #[tokio::test]
-async fn a_client_that_does_not_answer_costs_one_response_and_then_gets_the_newest() {
+async fn unanswering_client_costs_one_response_then_gets_newest() {
     let feed = StandInFeed::default();
     let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
     let mut state = ClientState::default();
     let mut other_state = ClientState::default();
-    let mut slow = ClientStream::open(&plan(&running, "slow", "north", Variant::StateOfTheWorld))
+    let mut slow = ClientStream::open(&client_plan(&running, "slow", "north", Variant::StateOfTheWorld))
         .await
         .expect("a stream");
     slow.subscribe(ResourceType::Endpoints, &state).await;
     let unanswered = slow.receive(&mut state).await.expect("no rejection").expect("a view");
-    let mut other = ClientStream::open(&plan(&running, "other", "north", Variant::StateOfTheWorld))
+    let mut other = ClientStream::open(&client_plan(&running, "other", "north", Variant::StateOfTheWorld))
         .await
         .expect("a stream");
     other.subscribe(ResourceType::Endpoints, &other_state).await;
-    let mut newest = view(&mut other, &mut other_state, ResourceType::Endpoints).await;
+    let mut newest = next_view(&mut other, &mut other_state, ResourceType::Endpoints).await;
     let north = caches(&hosts, "north");
     for n in 0..12 {
         let host = &north[n % 3];
         let gone = n / 3 % 2 == 0;
         feed.publish_health(host, if gone { "draining" } else { "up" });
         while newest.servers.contains(&name(host)) == gone {
-            newest = view(&mut other, &mut other_state, ResourceType::Endpoints).await;
+            newest = next_view(&mut other, &mut other_state, ResourceType::Endpoints).await;
         }
     }
     assert_eq!(running.metrics.clients.load(Ordering::SeqCst), 2);
     slow.ack(&unanswered).await;
-    let caught_up = view(&mut slow, &mut state, ResourceType::Endpoints).await;
+    let caught_up = next_view(&mut slow, &mut state, ResourceType::Endpoints).await;
     assert_eq!(
         (caught_up.version, caught_up.servers),
         (newest.version, newest.servers),
@@ -334,22 +364,22 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_served_is_refused_with_a_reason_and_harms_nobody() {
+async fn refused_streams_get_a_reason_and_affect_no_other() {
     let feed = StandInFeed::default();
     let control = "control {\n listen = \"127.0.0.1:0\"\n most_clients = 2\n}";
     let StartedSite { running, hosts } = start_site(control, &feed).await.expect("it starts");
-    let good = plan(&running, "good", "north", Variant::Incremental);
+    let good = client_plan(&running, "good", "north", Variant::Incremental);
     let mut state = ClientState::default();
     let mut stream = ClientStream::open(&good).await.expect("a stream");
     stream.subscribe(ResourceType::Endpoints, &state).await;
-    view(&mut stream, &mut state, ResourceType::Endpoints).await;
+    next_view(&mut stream, &mut state, ResourceType::Endpoints).await;
     for (point, wanted) in
         [("nroth", "did you mean \"north\"?"), ("castle", "no point"), ("", "names no point")]
     {
         let lost = ClientPlan { point: point.into(), ..good.clone() };
         let mut lost = ClientStream::open(&lost).await.expect("a stream");
         lost.subscribe(ResourceType::Routes, &ClientState::default()).await;
-        let status = timeout(LONG, lost.receive(&mut ClientState::default()))
+        let status = timeout(TIMEOUT, lost.receive(&mut ClientState::default()))
             .await
             .expect("an answer")
             .expect_err("refused");
@@ -365,15 +395,15 @@
     assert_eq!(full.code(), tonic::Code::ResourceExhausted, "{full:?}");
     drop(second);
     feed.publish_health(&caches(&hosts, "north")[0], "draining");
-    let next = view(&mut stream, &mut state, ResourceType::Endpoints).await;
+    let next = next_view(&mut stream, &mut state, ResourceType::Endpoints).await;
     assert!(!next.servers.contains(&name(&caches(&hosts, "north")[0])));
     running.stop().await.expect("it ends well");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_thousand_clients_are_told_of_drains_within_the_bound() {
+async fn thousand_clients_get_drains_within_the_bound() {
     let shape = Shape { points: 10, proxies: 10, caches: 60, ..Shape::default() };
-    let plan = MeasurePlan { clients: 1000, shape, drains: 3, wait: LONG };
+    let plan = MeasurePlan { clients: 1000, shape, drains: 3, wait: TIMEOUT };
     let measured = measure(&plan).await.expect("measured");
     assert_eq!(measured.ready_clients, 1000, "{measured}");
     assert_eq!((measured.last_client.len(), measured.each_client.len()), (3, 300), "{measured}");
@@ -382,7 +412,7 @@
 
 /// The program itself: a file that does not check changes nothing, one that does is taken, and SIGTERM ends it.
 #[test]
-fn the_program_reloads_and_stops_by_signals() {
+fn program_reloads_on_sighup_and_stops_on_sigterm() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("control-signals");
     std::fs::create_dir_all(&folder).expect("a folder");
     let feed = StandInFeed::default().serve().expect("a port");
