--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,21 +1,22 @@
-//! All deadlines of the program, in one ordered structure.
+//! All deadlines of the program, ordered by time.
 
 use crate::interface::Instant;
 use std::collections::BTreeMap;
 
-/// Names one deadline, to take it back.
+/// Identifies one deadline, so that it can be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineHandle(Instant, u64);
 
-/// Where a part of the program hangs its own kind of deadline, without knowing of the others' kinds.
+/// Adds and removes deadlines of one kind. Each part of the program uses it for its own kind and does not
+/// depend on the kinds of the other parts.
 pub trait Schedule<T> {
-    /// Hangs a deadline.
+    /// Adds a deadline at a time.
     fn add(&mut self, at: Instant, what: T) -> DeadlineHandle;
-    /// Takes a deadline back, if it is not over.
+    /// Removes a deadline; does nothing if it has passed and was taken already.
     fn remove(&mut self, handle: DeadlineHandle);
 }
 
-/// The deadlines, by time, and at one time in the order in which they were hung.
+/// The deadlines, ordered by time; those at the same time are in the order in which they were added.
 pub struct Deadlines<D> {
     due: BTreeMap<DeadlineHandle, D>,
     count: u64,
@@ -28,12 +29,12 @@
 }
 
 impl<D> Deadlines<D> {
-    /// When the next one falls.
+    /// Returns the time of the next deadline; `None` if there is none.
     pub fn next(&self) -> Option<Instant> {
         self.due.first_key_value().map(|(handle, _)| handle.0)
     }
 
-    /// Takes the next one that has fallen by now.
+    /// Removes and returns the next deadline that has passed by `now`; `None` if none has.
     pub fn pop(&mut self, now: Instant) -> Option<D> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! An edge proxy for a two-tier cache: real sockets around a decision module.
+//! An edge proxy for a two-tier cache: an event loop with sockets around a decision module.
 //!
-//! [`Router`], the module, is a pure state machine: it does no I/O, reads no clock and keeps no globals. The program
-//! that loads it passes in the time and one [`Event`] after another, and carries out the [`Action`]s that
-//! come back. Two routers with equal settings, seed and events decide alike.
+//! [`Router`], the decision module, is a pure state machine: it does no I/O, reads no clock and has no global
+//! state. The calling program passes it the time and one [`Event`] after another, and carries out the
+//! [`Action`]s that it returns. Two routers with equal settings, seeds and events return equal actions.
 //!
-//! All types are in [`interface`]; every decision is in [`policy`].
+//! Its types are in [`interface`], its decisions in [`policy`].
 
-/// The README's example, compiled and run by the tests.
+/// Compiles and runs the example of the README as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,7 +1,8 @@
-//! The log: structured events of `tracing`, one line each on standard error, as text or as JSON.
+//! Writes the log: each structured event of `tracing` as one line on standard error, as text or as JSON.
 //!
-//! Text: `MILLISECONDS LEVEL MODULE: TEXT FIELD=VALUE...`, JSON: one object a line with `timestamp` (Unix time in
-//! milliseconds), `level`, `target` and the event's `fields`.
+//! - Text: `MILLISECONDS LEVEL MODULE: TEXT FIELD=VALUE...`;
+//! - JSON: one object per line with `timestamp` (Unix time in milliseconds), `level`, `target` and the
+//!   event's `fields`.
 
 use clap::ValueEnum;
 use std::fmt;
@@ -10,16 +11,16 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum LogFormat {
-    /// A line of words an event
+    /// One line of text per event
     Text,
-    /// A JSON object an event
+    /// One JSON object per event
     Json,
 }
 
-/// The Unix time in milliseconds.
+/// Writes the current Unix time in milliseconds.
 struct UnixMillis;
 
 impl FormatTime for UnixMillis {
@@ -29,8 +30,9 @@
     }
 }
 
-/// Starts to log; a second start does nothing. The proxy keeps serving when its log cannot be written, so errors of
-/// the writer are ignored (the subscriber's own report of them would panic on a broken pipe).
+/// Starts logging; a second call does nothing. Errors of the writer are ignored, since the proxy must keep
+/// serving when its log can't be written. The subscriber's own report of such errors would panic on a broken
+/// pipe.
 pub fn start(level: LevelFilter, format: LogFormat) {
     let builder = tracing_subscriber::fmt()
         .with_max_level(level)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the edge proxy.
+//! The command line program of the edge proxy.
 
 mod commands;
 mod logger;
@@ -7,7 +7,7 @@
 use commands::Command;
 use std::process::ExitCode;
 
-/// A real edge proxy for a two-tier cache.
+/// An edge proxy for a two-tier cache.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,18 +1,20 @@
-//! The two clocks of a process. Every span (deadline, window, backoff, idle time) runs on the monotonic [`Clock`];
-//! the [`WallClock`] may be stepped at any time and is read only where a protocol states Unix time.
+//! The two clocks of a process. All deadlines, windows, backoffs and idle times are measured on the monotonic
+//! [`Clock`]. The [`WallClock`] may be stepped at any time, so it is read only where a protocol uses Unix
+//! time.
 
 use super::fabric::Fabric;
 use crate::interface::{Instant, Span, UnixTime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time on the monotonic clock at the start of a process: no Unix time, and far enough from zero that the zero
-/// instant is long ago for every span.
+/// Time on the monotonic clock when a process starts. It is no Unix time, and it is so far from zero that the
+/// zero instant lies further back than any span that the program measures.
 const START: Instant = Instant::from_micros(1 << 49);
 
-/// The monotonic clock: it is not affected by steps of the wall clock, and each process has a zero of its own.
+/// The monotonic clock. Steps of the wall clock do not affect it, and its zero differs from process to
+/// process.
 pub struct Clock {
     started: std::time::Instant,
-    /// The simulated network that has the time, in place of the system.
+    /// The simulated network whose time is used instead of the system's.
     fabric: Option<Fabric>,
 }
 
@@ -23,12 +25,12 @@
 }
 
 impl Clock {
-    /// The clock of a simulated network.
+    /// Creates the monotonic clock of the processes in a simulated network.
     pub fn simulated(fabric: &Fabric) -> Self {
         Clock { fabric: Some(fabric.clone()), ..Clock::default() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         match &self.fabric {
             Some(fabric) => fabric.process_time(),
@@ -37,20 +39,20 @@
     }
 }
 
-/// The wall clock: the system's Unix time. It may be stepped forward or back, so the difference of two readings is no
-/// span.
+/// The system's Unix time. It may be stepped forward or back, so the difference of two readings is not the
+/// time that has passed between them.
 #[derive(Clone, Default)]
 pub struct WallClock {
     fabric: Option<Fabric>,
 }
 
 impl WallClock {
-    /// The wall clock of a simulated network's processes.
+    /// Creates the wall clock of the processes in a simulated network.
     pub fn simulated(fabric: &Fabric) -> Self {
         WallClock { fabric: Some(fabric.clone()) }
     }
 
-    /// Unix time.
+    /// Returns the current Unix time.
     pub fn now(&self) -> UnixTime {
         match &self.fabric {
             Some(fabric) => fabric.wall_time(),
@@ -59,7 +61,7 @@
     }
 }
 
-/// A system time as Unix time; one before 1970 counts as 0.
+/// Converts a system time to Unix time; times before 1970 become 0.
 pub fn unix_time(time: SystemTime) -> UnixTime {
     let since = time.duration_since(UNIX_EPOCH);
     since.map_or(UnixTime::EPOCH, |since| UnixTime::from_micros(since.as_micros() as i64))
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -1,4 +1,4 @@
-//! The ends of connections.
+//! Hands over, shuts down and closes connections.
 
 use super::connection::Connection;
 use super::poll::Poller;
@@ -7,14 +7,16 @@
 use std::io;
 use tracing::info;
 
-/// The target of the log lines of connections that end.
+/// Log target of the lines for connections that end.
 const LOG_TARGET: &str = "dahliatrack::net";
-/// The most bytes that a client may have sent unread as its connection is closed; more of them reset it.
+/// Maximum number of unread bytes from a client that are discarded before its connection is closed. If more
+/// are unread, the system resets the connection.
 const MAX_DISCARDED_BYTES: usize = 16 * READ_CHUNK_BYTES;
 
 impl Net {
-    /// Hands a connection over by `to`, with the bytes that were read there and not used; returns whether it succeeded.
-    /// The connection then continues without this process.
+    /// Hands a connection over to another process. `to` sends it, with the bytes that were read and not
+    /// processed yet, and returns whether it succeeded. If so, the connection is removed here, and the other
+    /// process continues it.
     pub fn hand_over(
         &mut self,
         now: Instant,
@@ -29,26 +31,27 @@
         succeeded
     }
 
-    /// Shuts the write side of a connection down.
+    /// Shuts down the write side of a connection.
     pub fn shutdown(&mut self, key: ConnectionKey) {
         if let Some(connection) = self.connection(key) {
             match &connection.stream {
-                Stream::Tcp(stream) => drop(stream.shutdown(std::net::Shutdown::Write)), // a broken one ends anyway
+                // On failure the connection is broken and ends anyway.
+                Stream::Tcp(stream) => drop(stream.shutdown(std::net::Shutdown::Write)),
                 Stream::Virtual(stream) => stream.shutdown(),
             }
         }
     }
 
-    /// Closes a connection, with its log line.
+    /// Closes a connection and logs its end.
     pub fn close(&mut self, now: Instant, key: ConnectionKey, reason: Reason) {
         let is_client = self.connection(key).is_some_and(|connection| connection.role.is_client());
-        // The process that a connection was handed over to reads what was sent there.
+        // The other process reads the remaining bytes of a connection that was handed over.
         if is_client && reason != Reason::HandedOver {
             self.discard_unread(key);
         }
         let Some(mut connection) = self.connections.remove(key.0) else { return };
         if let (Stream::Tcp(stream), Poller::Mio { poll, .. }) = (&mut connection.stream, &self.poller) {
-            let _ = poll.registry().deregister(stream); // closing it ends the watch, too
+            let _ = poll.registry().deregister(stream); // closing the socket deregisters it, too
         }
         self.counts.remove(connection.role);
         if is_client {
@@ -58,8 +61,9 @@
         log_end(now, key, reason, &connection);
     }
 
-    /// Shuts a client's connection down and discards what it still sent, up to a bound. Closing over unread bytes would
-    /// reset the connection, and with it answers that the client has not read yet.
+    /// Shuts down a client's connection and discards its unread bytes, at most [`MAX_DISCARDED_BYTES`].
+    /// Closing a connection with unread bytes would reset it, and the client would lose answers that it has
+    /// not read yet.
     fn discard_unread(&mut self, key: ConnectionKey) {
         self.shutdown(key);
         let Some(connection) = self.connections.get_mut(key.0) else { return };
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! The record of one connection, and its key.
+//! The state of one connection, and its key.
 
 use super::{Role, Stream};
 use crate::interface::Instant;
@@ -7,17 +7,17 @@
 use std::collections::VecDeque;
 use std::net::{IpAddr, SocketAddr};
 
-/// Identifies a connection; never used again for another one.
+/// Identifies a connection; a key is never reused for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionKey(pub(super) Key);
 
 impl ConnectionKey {
-    /// The key as a number of at least 2^32.
+    /// Returns the key as a number, which is at least 2^32.
     pub fn number(self) -> u64 {
         self.0.number()
     }
 
-    /// The key that has a number.
+    /// Returns the key whose [`ConnectionKey::number`] is `number`.
     pub fn from_number(number: u64) -> Self {
         ConnectionKey(Key::from_number(number))
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// A connection with its buffers.
+/// An open connection with its buffers.
 pub(super) struct Connection {
     pub stream: Stream,
     pub role: Role,
@@ -37,18 +37,18 @@
     pub peer: String,
     pub address: IpAddr,
     pub opened_at: Instant,
-    /// Bytes that were read and not used yet.
+    /// Bytes that were read from the socket and are not processed yet.
     pub input: BytesMut,
-    /// Bytes that wait to be written.
+    /// Bytes that wait to be written to the socket.
     pub output: VecDeque<Bytes>,
-    /// The length of `output`.
+    /// Total number of bytes in `output`.
     pub unwritten_bytes: usize,
     pub read_bytes: u64,
     pub written_bytes: u64,
 }
 
 impl Connection {
-    /// A connection with empty buffers.
+    /// Creates a connection with empty buffers.
     pub fn new(now: Instant, stream: Stream, role: Role, peer: SocketAddr) -> Self {
         Connection {
             stream,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Queues bytes for writing; returns how many.
+    /// Queues bytes for writing; returns the number of queued bytes.
     pub fn queue_output(&mut self, parts: impl IntoIterator<Item = Bytes>) -> usize {
         let before = self.unwritten_bytes;
         for part in parts.into_iter().filter(|part| !part.is_empty()) {
@@ -74,7 +74,7 @@
         self.unwritten_bytes - before
     }
 
-    /// Removes the first `count` bytes of the output, which were written.
+    /// Removes the first `count` bytes of the output after they were written.
     pub fn advance_output(&mut self, count: usize) {
         self.written_bytes += count as u64;
         self.unwritten_bytes -= count;
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Discards the output; returns how many bytes that were.
+    /// Discards the output; returns the number of discarded bytes.
     pub fn clear_output(&mut self) -> usize {
         self.output.clear();
         std::mem::take(&mut self.unwritten_bytes)
     }
 
-    /// Bytes that its buffers hold.
+    /// Returns the number of bytes in both buffers.
     pub fn held_bytes(&self) -> usize {
         self.input.len() + self.unwritten_bytes
     }
--- a/src/net/errors/tests.rs
+++ b/src/net/errors/tests.rs
@@ -17,7 +17,7 @@
     for error in errors(&[Errno::INVAL, Errno::BADF, Errno::AGAIN]) {
         assert!(!is_exhausted(&error) && !concerns_one_connection(&error), "{error}");
     }
-    assert!(!is_exhausted(&io::Error::other("no call of the system")));
+    assert!(!is_exhausted(&io::Error::other("not from a system call")));
 }
 
 #[test]
--- a/src/net/fabric/actors.rs
+++ b/src/net/fabric/actors.rs
@@ -1,4 +1,4 @@
-//! Hosts of the network, and the actors' ends of connections.
+//! The hosts of the network, and the actors' ends of connections.
 
 use super::link::{DialedPort, Direction};
 use super::network_event::NetworkEvent;
@@ -7,38 +7,38 @@
 use crate::interface::{Instant, Span};
 use std::net::{IpAddr, SocketAddr};
 
-/// The port of host number 0.
+/// Port of host number 0.
 const FIRST_HOST_PORT: u16 = 10_000;
-/// The process of a client's connection that has not arrived yet.
+/// Process number of a client's connection that has not arrived at a process yet.
 const NO_PROCESS: u32 = 0;
 
-/// An event that an actor is notified of.
+/// An event for an actor, which is a simulated host or client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActorEvent {
-    /// A process has connected to a host.
+    /// A process connected to a host.
     Opened {
-        /// The connection.
+        /// Number of the connection.
         link: u64,
         /// The host's address.
         host: SocketAddr,
     },
     /// Bytes were received from the process.
     Bytes {
-        /// The connection.
+        /// Number of the connection.
         link: u64,
-        /// The bytes.
+        /// The received bytes.
         bytes: Vec<u8>,
-        /// When they were written: a silent host holds them back.
+        /// Time at which the process wrote them, which may be long ago if the host was silent since.
         sent: Instant,
     },
-    /// The process writes nothing more.
+    /// The process has stopped writing.
     Closed {
-        /// The connection.
+        /// Number of the connection.
         link: u64,
     },
-    /// The connection has broken, or never came up.
+    /// The connection is broken, or was never established.
     Broken {
-        /// The connection.
+        /// Number of the connection.
         link: u64,
     },
 }
@@ -46,26 +46,27 @@
 /// How a host behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostBehaviour {
-    /// Connections come up.
+    /// Connections are established.
     Up,
     /// Connections are refused.
     Refusing,
-    /// Nothing gets there or comes from there until a time; it is held back, as retransmission would.
+    /// Nothing arrives at the host or from it until this time. It is delayed, not lost, since TCP would
+    /// retransmit it.
     SilentUntil(Instant),
 }
 
-/// The loopback address of a host of the simulation, by number.
+/// Returns the loopback address of the simulated host with a number.
 pub fn host(number: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::from([127, 0, 1, 1]), FIRST_HOST_PORT + number)
 }
 
 impl Fabric {
-    /// Takes the events for actors since the last call, in order.
+    /// Removes and returns the events for actors since the last call, in order.
     pub fn take_actor_events(&self) -> Vec<ActorEvent> {
         self.state().actor_events.drain(..).collect()
     }
 
-    /// Sets how a host behaves; a host that was never set refuses.
+    /// Sets how a host behaves. A host whose behaviour was never set refuses connections.
     pub fn set_host_behaviour(&self, host: SocketAddr, behaviour: HostBehaviour) {
         let mut state = self.state();
         let is_up = matches!(behaviour, HostBehaviour::Up);
@@ -73,12 +74,12 @@
         state.host_behaviours.insert(host, behaviour);
     }
 
-    /// Makes the connections to a host that are begun before `until` come up late.
+    /// Delays the establishment of the connections to a host that are started before `until`.
     pub fn delay_connects(&self, host: SocketAddr, delay: Span, until: Instant) {
         self.state().connect_delays.insert(host, ConnectDelay { delay, until });
     }
 
-    /// Until when a host is silent; the first instant if it is not.
+    /// Returns the time until which a host is silent; [`Instant::MIN`] if it is not set to be silent.
     pub fn silent_until(&self, host: SocketAddr) -> Instant {
         match self.state().host_behaviours.get(&host) {
             Some(HostBehaviour::SilentUntil(until)) => *until,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Connects a client to a port that processes listen on; returns the connection.
+    /// Connects a client to a port on which processes listen; returns the connection's number.
     pub fn dial(&self, from: SocketAddr, to: SocketAddr) -> u64 {
         let mut state = self.state();
         let draw = state.draw();
@@ -103,7 +104,7 @@
     /// Sends bytes from the actor to the process.
     pub fn send(&self, link: u64, bytes: &[u8]) {
         let mut state = self.state();
-        // What a client sends before the connection is up arrives right behind it.
+        // Bytes that a client sends before its connection is established arrive directly after it.
         let connecting = state.links.get(&link).filter(|link| !link.is_up && !link.is_refused);
         let at = match connecting.map(|link| link.last_arrival_at_actor) {
             Some(at) => at,
@@ -112,7 +113,7 @@
         state.schedule(at, NetworkEvent::BytesAtProcess(link, bytes.to_vec()));
     }
 
-    /// Closes the actor's end: it writes nothing more and takes nothing more.
+    /// Closes the actor's end of a connection, so that the process reads the end of its bytes.
     pub fn close(&self, link: u64) {
         let mut state = self.state();
         let at = state.arrival(link, Direction::ToProcess);
--- a/src/net/fabric/endpoint.rs
+++ b/src/net/fabric/endpoint.rs
@@ -1,4 +1,4 @@
-//! A process's ends of the network: its listeners and its connections, with the calls of sockets.
+//! The listeners and connections of a process, with the same calls as sockets.
 
 use super::link::{Direction, Link};
 use super::network_event::NetworkEvent;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The most bytes in flight to an actor on one connection.
+/// Maximum number of bytes in flight to an actor on one connection.
 pub(super) const WINDOW_BYTES: usize = 256 * 1024;
 
 /// A listener of a process.
@@ -21,7 +21,7 @@
 }
 
 impl VirtualListener {
-    /// Its address.
+    /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// `WouldBlock`: none waits; the error of one that was aborted; an error that was planned.
+    /// `WouldBlock` if no connection is waiting, the error of an aborted connection, or an injected error.
     pub fn accept(&self) -> io::Result<(VirtualStream, SocketAddr)> {
         let mut state = self.fabric.state();
         let now = state.now;
@@ -61,24 +61,24 @@
         let mut state = self.fabric.state();
         let process = state.processes.get_mut(&self.process);
         let Some(port) = process.and_then(|process| process.ports.remove(&self.addr)) else { return };
-        // The system resets connections that nobody accepted.
+        // The operating system resets connections that were not accepted.
         for id in port.backlog {
             state.schedule_break_at_actor(id);
         }
     }
 }
 
-/// A process's end of a connection; it is closed as it is dropped.
+/// A process's end of a connection. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct VirtualStream {
     fabric: Fabric,
     id: u64,
-    /// It was handed over to another process.
+    /// Whether the connection was handed over to another process.
     was_handed_over: AtomicBool,
 }
 
 impl VirtualStream {
-    /// Watches it under a token. What happened before makes it ready at once.
+    /// Registers the connection under a token. If something happened on it before, it is ready at once.
     pub fn register(&self, token: usize) {
         let mut state = self.fabric.state();
         let Some(link) = state.links.get_mut(&self.id) else { return };
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Whether it is up.
+    /// Whether the connection is established.
     ///
     /// # Errors
     ///
-    /// Refused, or reset after it was up.
+    /// The connection was refused, or is broken.
     pub fn connected(&self) -> Result<bool, Reason> {
         let state = self.fabric.state();
         match state.links.get(&self.id) {
@@ -105,11 +105,13 @@
         }
     }
 
-    /// Reads.
+    /// Reads bytes into a buffer; returns their number, which is 0 once the actor has stopped writing and all
+    /// its bytes were read.
     ///
     /// # Errors
     ///
-    /// `WouldBlock`: nothing is there; `ConnectionReset` or another error: it broke; `Interrupted`: to be repeated.
+    /// `WouldBlock` if there are no bytes, `Interrupted` if the call must be repeated, `ConnectionReset` or
+    /// another error if the connection is broken.
     pub fn read(&self, into: &mut [u8]) -> io::Result<usize> {
         let mut state = self.fabric.state();
         let now = state.now;
@@ -129,12 +131,13 @@
         Ok(count)
     }
 
-    /// Writes.
+    /// Writes bytes; returns how many of them were accepted.
     ///
     /// # Errors
     ///
-    /// `NotConnected`: not up yet; `WouldBlock`: as much as may be is in flight; `ConnectionReset` or another error: it
-    /// broke; `Interrupted`: to be repeated.
+    /// `NotConnected` if the connection is not established yet, `WouldBlock` if the maximum number of bytes
+    /// is in flight, `Interrupted` if the call must be repeated, `ConnectionReset` or another error if the
+    /// connection is broken.
     pub fn write(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         let mut state = self.fabric.state();
         let now = state.now;
@@ -162,7 +165,7 @@
         Ok(count)
     }
 
-    /// Shuts the write side down.
+    /// Shuts down the write side.
     pub fn shutdown(&self) {
         let mut state = self.fabric.state();
         let can_shut_down = |link: &&mut Link| link.is_up && !link.is_write_shut_down && !link.is_broken;
@@ -173,12 +176,13 @@
         }
     }
 
-    /// The peer's address.
+    /// Returns the peer's address; `None` if the connection is unknown.
     pub fn peer(&self) -> Option<SocketAddr> {
         self.fabric.state().links.get(&self.id).and_then(|link| link.host)
     }
 
-    /// Hands the connection over to another process: this end becomes inert, and the peer notices nothing.
+    /// Hands the connection over to another process and returns that process's end of it. Dropping this end
+    /// no longer closes the connection, and the peer does not notice the change.
     pub fn hand_over(&self, to: u32) -> VirtualStream {
         self.was_handed_over.store(true, Ordering::SeqCst);
         self.fabric.adopt(self.id, to);
--- a/src/net/fabric/events.rs
+++ b/src/net/fabric/events.rs
@@ -1,4 +1,4 @@
-//! What happens on the network by itself, and the effect of each kind of event.
+//! The effects of the scheduled events of the network.
 
 use super::link::{Direction, Link};
 use super::network_event::NetworkEvent;
@@ -8,11 +8,11 @@
 use crate::interface::{Instant, Span};
 use std::net::SocketAddr;
 
-/// What a silent host held back arrives this long after the host is back.
+/// Time from the end of a host's silence to the arrival of the delayed events.
 const RESEND_DELAY: Span = Span::from_millis(1);
 
 impl NetworkState {
-    /// Applies an event, or plans it again for when its host is no longer silent.
+    /// Applies an event. If its host is silent, schedules it again for [`RESEND_DELAY`] after the silence.
     pub fn apply(&mut self, event: NetworkEvent) {
         if let Some(until) = event.delayable_link().and_then(|link| self.silent_until(link)) {
             return self.schedule(until + RESEND_DELAY, event);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A process's connection comes up, or is refused.
+    /// Establishes or refuses a connection that a process started.
     fn complete_connect(&mut self, id: u64) {
         let Some(link) = self.links.get(&id).filter(|link| !link.is_closed_by_process) else { return };
         let Some(host) = link.host else { return };
@@ -55,7 +55,8 @@
         self.mark_ready(id, is_refused, true);
     }
 
-    /// A client's connection reaches one of the processes that listen on its port, or is refused.
+    /// Adds a client's connection to the backlog of one of the processes that listen on its port. Without a
+    /// listener, the connection is refused.
     fn client_arrives(&mut self, id: u64) {
         let Some(dialed) = self.links.get(&id).and_then(|link| link.dialed) else { return };
         let listeners = self.listeners(dialed.port);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The processes that listen on a port, with the address on which they do.
+    /// Returns the live processes that listen on a port, each with its listening address.
     fn listeners(&self, port: u16) -> Vec<(u32, SocketAddr)> {
         let listening = |(number, process): (&u32, &Process)| {
             let addr = process.ports.keys().find(|addr| addr.port() == port)?;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Plans that a connection breaks at the actor, as soon as word of it can get there.
+    /// Schedules a break of a connection at the actor, for the arrival time of an event that is sent now.
     pub fn schedule_break_at_actor(&mut self, id: u64) {
         let at = self.arrival(id, Direction::ToActor);
         self.schedule(at, NetworkEvent::BreakAtActor(id));
--- a/src/net/fabric/injected_errors.rs
+++ b/src/net/fabric/injected_errors.rs
@@ -1,4 +1,5 @@
-//! Errors of the processes' system calls that the owner of a network plans, as Linux documents them.
+//! Errors that the owner of a network injects into the processes' system calls. They are those that Linux
+//! documents.
 
 use super::Fabric;
 use crate::interface::Instant;
@@ -7,44 +8,45 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How connecting to a host fails until a time.
+/// An error of connecting to a host, which is injected until a time.
 #[derive(Clone, Copy, Debug)]
 struct FailedConnect {
     error: Errno,
-    /// Whether the call itself fails, or the connection later.
+    /// Whether the connect call itself fails; otherwise the connection fails later.
     at_once: bool,
     until: Instant,
 }
 
-/// No descriptor can be had until a time.
+/// The error of calls that need a descriptor, which is injected until a time.
 #[derive(Clone, Copy, Debug)]
 struct Exhaustion {
     error: Errno,
     until: Instant,
 }
 
-/// Reads and writes transfer few bytes at a time until a time.
+/// The limit on the bytes that one read or write transfers, which applies until a time.
 #[derive(Clone, Copy, Debug)]
 struct ShortIo {
     max_bytes: usize,
     until: Instant,
 }
 
-/// The errors that are planned, each until a time.
+/// The injected errors, each with the time at which it ends.
 #[derive(Debug, Default)]
 pub(super) struct InjectedErrors {
-    /// No descriptor can be had.
+    /// Set while descriptors are exhausted.
     exhausted: Option<Exhaustion>,
     connects: BTreeMap<SocketAddr, FailedConnect>,
-    /// Reads and writes are short.
+    /// Set while reads and writes are short.
     short_io: Option<ShortIo>,
     interrupted_until: Instant,
-    /// Whether the last call was interrupted; the next one is not.
+    /// Whether the last call was interrupted. The next call is not, so a repeated call is not interrupted
+    /// again.
     was_interrupted: bool,
 }
 
 impl InjectedErrors {
-    /// Fails if a call is interrupted.
+    /// Returns an error if the current call is interrupted.
     pub fn check_interrupted(&mut self, now: Instant) -> io::Result<()> {
         self.was_interrupted = now < self.interrupted_until && !self.was_interrupted;
         if self.was_interrupted {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Fails if a call needs a descriptor and none can be had.
+    /// Returns an error if descriptors are exhausted; for calls that need one.
     pub fn check_exhausted(&self, now: Instant) -> io::Result<()> {
         match self.exhausted {
             Some(exhaustion) if now < exhaustion.until => Err(exhaustion.error.into()),
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Fails if a connect call fails at once.
+    /// Returns an error if a connect call to a host fails at once.
     pub fn check_connect(&self, now: Instant, host: SocketAddr) -> io::Result<()> {
         self.check_exhausted(now)?;
         match self.failed_connect(now, host) {
@@ -71,12 +73,12 @@
         }
     }
 
-    /// The error of a connection that would come up now.
+    /// Returns the error of a connection to a host that would be established now; `None` if it succeeds.
     pub fn late_connect_error(&self, now: Instant, host: SocketAddr) -> Option<Errno> {
         self.failed_connect(now, host).filter(|failed| !failed.at_once).map(|failed| failed.error)
     }
 
-    /// The most bytes that a read or write transfers.
+    /// Returns the maximum number of bytes that a read or write transfers.
     pub fn max_io_bytes(&self, now: Instant) -> usize {
         self.short_io.filter(|short| now < short.until).map_or(usize::MAX, |short| short.max_bytes)
     }
@@ -87,7 +89,8 @@
 }
 
 impl Fabric {
-    /// Connects a client that is gone before it is accepted: accepting its connection fails with this error.
+    /// Connects a client that is gone before its connection is accepted. Accepting the connection fails with
+    /// `error`.
     pub fn dial_aborted(&self, from: SocketAddr, to: SocketAddr, error: Errno) {
         let link = self.dial(from, to);
         if let Some(link) = self.state().links.get_mut(&link) {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Resets a connection as [`Fabric::reset`] does, but the process sees this error.
+    /// Resets a connection as [`Fabric::reset`] does, but the process's calls fail with `error`.
     pub fn reset_with_error(&self, link: u64, error: Errno) {
         if let Some(link) = self.state().links.get_mut(&link) {
             link.error = error;
@@ -103,22 +106,23 @@
         self.reset(link);
     }
 
-    /// Lets accepting and connecting fail with this error until a time, as without a descriptor.
+    /// Makes accept and connect calls fail with `error` until a time, as if descriptors were exhausted.
     pub fn exhaust_descriptors(&self, error: Errno, until: Instant) {
         self.state().errors.exhausted = Some(Exhaustion { error, until });
     }
 
-    /// Lets connecting to a host fail with this error until a time, at once or when the connection would come up.
+    /// Makes connections to a host fail with `error` until a time. With `at_once` the connect call fails,
+    /// otherwise the connection fails when it would be established.
     pub fn fail_connects(&self, host: SocketAddr, error: Errno, at_once: bool, until: Instant) {
         self.state().errors.connects.insert(host, FailedConnect { error, at_once, until });
     }
 
-    /// Lets reads and writes of the processes transfer at most `max_bytes` bytes until a time.
+    /// Limits each read and write of the processes to `max_bytes` bytes (at least 1) until a time.
     pub fn limit_io_bytes(&self, max_bytes: usize, until: Instant) {
         self.state().errors.short_io = Some(ShortIo { max_bytes: max_bytes.max(1), until });
     }
 
-    /// Lets every other call of the processes be interrupted by a signal until a time.
+    /// Makes every other socket call of the processes fail as interrupted by a signal until a time.
     pub fn interrupt_calls(&self, until: Instant) {
         self.state().errors.interrupted_until = until;
     }
--- a/src/net/fabric/link.rs
+++ b/src/net/fabric/link.rs
@@ -1,11 +1,11 @@
-//! The record of one connection of the network.
+//! The state of one connection of the network.
 
 use crate::interface::{Instant, Span};
 use rustix::io::Errno;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Where something on a connection goes.
+/// Direction of bytes and other events on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     ToProcess,
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DialedPort {
     pub port: u16,
-    /// Selects one of the processes that listen there.
+    /// Random number that selects one of the processes that listen on the port.
     pub draw: u64,
 }
 
@@ -24,41 +24,41 @@
 #[derive(Debug)]
 pub(super) struct Link {
     pub process: u32,
-    /// The number under which the process watches it.
+    /// Number under which the process has registered the connection; `None` before that.
     pub token: Option<usize>,
-    /// The actor's address; for a client's connection the client's.
+    /// Address of the actor: the host that a process connects to, or the client that connected.
     pub host: Option<SocketAddr>,
     pub is_up: bool,
     pub is_refused: bool,
     pub is_broken: bool,
-    /// The process has closed its end.
+    /// Whether the process has closed its end.
     pub is_closed_by_process: bool,
     /// Bytes that the process has not read yet.
     pub input: VecDeque<u8>,
-    /// The actor writes nothing more.
+    /// Whether the actor has stopped writing.
     pub has_actor_ended: bool,
-    /// The process writes nothing more.
+    /// Whether the process has shut down its write side.
     pub is_write_shut_down: bool,
-    /// Bytes in flight to the actor.
+    /// Number of bytes in flight to the actor.
     pub in_flight_bytes: usize,
-    /// A write of the process was refused, since too many bytes are in flight.
+    /// Whether a write of the process got `WouldBlock`, since too many bytes were in flight.
     pub is_write_blocked: bool,
-    /// How long everything takes in either direction.
+    /// Delay of each byte and event, in either direction.
     pub delay: Span,
-    /// When the last thing sent to the process arrives: nothing overtakes it.
+    /// Arrival time of the last event sent to the process. Later events do not arrive before it.
     pub last_arrival_at_process: Instant,
-    /// The same for what was sent to the actor.
+    /// Arrival time of the last event sent to the actor. Later events do not arrive before it.
     pub last_arrival_at_actor: Instant,
-    /// Set for a client's connection.
+    /// Port that the client connected to; `None` for a connection that a process started.
     pub dialed: Option<DialedPort>,
-    /// The client is gone before it is accepted.
+    /// Whether the client is gone before the connection is accepted.
     pub is_aborted: bool,
-    /// The error that the process sees once the connection is broken or refused.
+    /// Error of the process's calls once the connection is broken or refused.
     pub error: Errno,
 }
 
 impl Link {
-    /// A connection that is not up yet.
+    /// Creates a connection that is not established yet.
     pub fn new(process: u32, host: SocketAddr, delay: Span) -> Self {
         Link {
             process,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// When something sent now arrives, behind all that was sent before it.
+    /// Returns the arrival time of an event that is sent now. It is not before that of any earlier event.
     pub fn arrival(&mut self, now: Instant, direction: Direction) -> Instant {
         let delay = self.delay;
         let last = self.last_arrival_mut(direction);
--- a/src/net/fabric/mod.rs
+++ b/src/net/fabric/mod.rs
@@ -1,15 +1,19 @@
-//! A network in memory with a clock of its own: what [`super::Net`] runs on in the simulator, in place of the
-//! system's sockets. Its owner moves the clock; everything that happens has a time and a place in one order, so that a
-//! run repeats bit for bit.
+//! A simulated network in memory with its own clock. The simulator runs [`super::Net`] on it instead of on
+//! the sockets of the operating system. The owner of the network advances the clock. All events are ordered
+//! by time and by the order in which they were scheduled, so that a run with the same seed repeats bit for
+//! bit.
 //!
-//! The processes (edge proxies) use it through `Net`. The other side (table caches, clients, the control feed) is
-//! played by its owner, as actors: it takes [`ActorEvent`]s and answers by [`Fabric::send`] and the like.
+//! The processes (edge proxies) use the network through `Net`. The owner of the network simulates the other
+//! side (table caches, clients, the control feed) as actors: it takes [`ActorEvent`]s and answers with
+//! [`Fabric::send`] and similar calls.
 //!
 //! - `actors`: hosts, and the actors' ends of connections;
-//! - `processes`: processes, and their listeners and connections; `endpoint`: their ends of those;
+//! - `processes`: processes, their listeners and connections; `endpoint`: the socket calls on these;
 //! - `messages`: messages between the processes of one edge proxy;
 //! - `injected_errors`: errors of the processes' system calls;
-//! - `state`, `link`: the shared state; `network_event` and `events`: what happens by itself, and its effect; `trace`: the digest of a run.
+//! - `state`, `link`: the shared state;
+//! - `network_event`: scheduled events; `events`: their effects;
+//! - `trace`: the digest of a run.
 
 mod actors;
 mod endpoint;
@@ -34,7 +38,7 @@
 use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The network; clones are the same one.
+/// A simulated network. Clones share its state.
 #[derive(Clone, Default)]
 pub struct Fabric(Arc<Mutex<NetworkState>>);
 
@@ -45,7 +49,7 @@
 }
 
 impl Fabric {
-    /// A network whose clock reads `now`. Each connection's delay is drawn from `delays`.
+    /// Creates a network whose clock reads `now`. The delay of each connection is drawn from `delays`.
     pub fn new(now: Instant, seed: u64, delays: RangeInclusive<Span>) -> Self {
         let (min_delay, max_delay) = delays.into_inner();
         let state = NetworkState { now, random: seed, min_delay, max_delay, ..NetworkState::default() };
@@ -56,34 +60,35 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time on the network's clock, which is never stepped. It is the actors' clock.
+    /// Returns the time on the network's clock, which is never stepped. The actors use this clock.
     pub fn now(&self) -> Instant {
         self.state().now
     }
 
-    /// The wall clock of the processes.
+    /// Returns the time on the processes' wall clock.
     pub fn wall_time(&self) -> UnixTime {
         self.state().wall_time()
     }
 
-    /// Steps the processes' wall clock forward, or back.
+    /// Steps the processes' wall clock forward, or back if `by` is negative.
     pub fn step_wall_clock(&self, by: Span) {
         let mut state = self.state();
         state.record((trace::entry_kind::WALL_CLOCK_STEP, by));
         state.wall_offset += by;
     }
 
-    /// By how much the processes' wall clock is ahead.
+    /// Returns by how much the processes' wall clock is ahead of the network's clock.
     pub fn wall_offset(&self) -> Span {
         self.state().wall_offset
     }
 
-    /// Plants a bug: the processes' deadlines run on the wall clock, except that it never goes back.
+    /// Enables a planted bug: the processes measure deadlines on the wall clock, whose steps back are
+    /// ignored.
     pub fn run_deadlines_on_wall_clock(&self) {
         self.state().latest_wall = Some(UnixTime::from_micros(i64::MIN));
     }
 
-    /// The time on the processes' monotonic clock.
+    /// Returns the time on the processes' monotonic clock.
     pub(super) fn process_time(&self) -> Instant {
         let mut state = self.state();
         let (now, wall) = (state.now, state.wall_time());
@@ -96,18 +101,18 @@
         }
     }
 
-    /// When the next event happens by itself.
+    /// Returns the time of the next scheduled event; `None` if no event is scheduled.
     pub fn next_event_at(&self) -> Option<Instant> {
         self.state().event_queue.keys().next().map(|(at, _)| *at)
     }
 
-    /// Moves the clock forward.
+    /// Advances the clock to a time; does nothing if that has passed.
     pub fn advance(&self, to: Instant) {
         let mut state = self.state();
         state.now = state.now.max(to);
     }
 
-    /// Applies the events that are due, in their order.
+    /// Applies the events that are due, in order.
     pub fn run_due_events(&self) {
         let mut state = self.state();
         while state.event_queue.keys().next().is_some_and(|(at, _)| *at <= state.now) {
@@ -117,12 +122,12 @@
         }
     }
 
-    /// The digest of all that has happened: equal runs have equal ones.
+    /// Returns the digest of all events so far; equal runs have equal digests.
     pub fn trace(&self) -> TraceSummary {
         self.state().trace.summary()
     }
 
-    /// Adds an entry to the trace for what did not happen on the network.
+    /// Adds an entry to the trace for an event outside the network.
     pub fn record(&self, what: impl Hash) {
         self.state().record(what);
     }
--- a/src/net/fabric/network_event.rs
+++ b/src/net/fabric/network_event.rs
@@ -1,31 +1,32 @@
-//! What happens on the network by itself.
+//! The scheduled events of the network.
 
 use crate::interface::Instant;
 
-/// A planned event. Connections are named by their id.
+/// A scheduled event. A connection is identified by its number.
 pub(super) enum NetworkEvent {
-    /// A process's connection comes up, or is refused.
+    /// A connection that a process started is established or refused.
     ConnectCompletes(u64),
-    /// A client's connection reaches the process.
+    /// A client's connection arrives at a process that listens on its port.
     ClientArrives(u64),
-    /// Bytes reach the process.
+    /// Bytes arrive at the process.
     BytesAtProcess(u64, Vec<u8>),
-    /// Bytes that were sent at a time reach the actor.
+    /// Bytes that were sent at the given time arrive at the actor.
     BytesAtActor(u64, Vec<u8>, Instant),
-    /// The end of what the actor writes reaches the process.
+    /// The end of the actor's bytes arrives at the process.
     EndAtProcess(u64),
-    /// The end of what the process writes reaches the actor.
+    /// The end of the process's bytes arrives at the actor.
     EndAtActor(u64),
     /// The connection breaks at the process.
     BreakAtProcess(u64),
     /// The connection breaks at the actor.
     BreakAtActor(u64),
-    /// A process's source becomes ready.
+    /// An event source of a process becomes ready.
     SourceReady { process: u32, source: usize },
 }
 
 impl NetworkEvent {
-    /// The connection whose host holds the event back while it is silent.
+    /// Returns the connection whose host delays the event while it is silent; `None` if the event is never
+    /// delayed.
     pub(super) fn delayable_link(&self) -> Option<u64> {
         match self {
             NetworkEvent::ConnectCompletes(link)
--- a/src/net/fabric/processes.rs
+++ b/src/net/fabric/processes.rs
@@ -1,4 +1,4 @@
-//! Processes, and their listeners and connections.
+//! The processes, their listeners and their connections.
 
 use super::network_event::NetworkEvent;
 use super::state::{ListeningPort, NetworkState, Process, ReadySet};
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 
 impl Fabric {
-    /// Starts a process.
+    /// Adds a process that is alive.
     pub fn start_process(&self, process: u32) {
         let mut state = self.state();
         state.processes.insert(process, Process { is_alive: true, ..Process::default() });
     }
 
-    /// Ends a process, whether it stopped or crashed: its connections break.
+    /// Ends a process that has stopped or crashed, and breaks its connections.
     pub fn end_process(&self, process: u32) {
         let mut state = self.state();
         state.record((trace::entry_kind::PROCESS_ENDS, process));
@@ -28,7 +28,8 @@
             }
         }
         state.process_addresses.retain(|_, holder| *holder != process);
-        // Connections that were handed over to it and not taken are dropped with its messages, which locks the state.
+        // Connections that were handed over to the process and not taken yet are dropped with its messages.
+        // Dropping them locks the state, so the lock is released first.
         let messages = state.processes.get_mut(&process).map(|ended| std::mem::take(&mut ended.messages));
         drop(state);
         drop(messages);
@@ -39,19 +40,19 @@
         self.state().processes.get(&process).is_some_and(|process| process.is_alive)
     }
 
-    /// The process at the other end of a connection.
+    /// Returns the process that holds a connection; `None` if the connection is unknown.
     pub fn process_of(&self, link: u64) -> Option<u32> {
         self.state().links.get(&link).map(|link| link.process)
     }
 
-    /// How many connections a process holds.
+    /// Returns the number of open connections that a process has registered.
     pub fn connection_count(&self, process: u32) -> usize {
         let state = self.state();
         let of_process = state.links.values().filter(|link| link.process == process);
         of_process.filter(|link| link.token.is_some() && !link.is_closed_by_process).count()
     }
 
-    /// Listens on an address; the listener becomes ready as `source`.
+    /// Listens on an address. The listener becomes ready as event source `source`.
     pub(in crate::net) fn listen(
         &self,
         process: u32,
@@ -64,7 +65,7 @@
         Ok(VirtualListener { fabric: self.clone(), process, addr })
     }
 
-    /// Takes what is ready for a process.
+    /// Removes and returns the sources and connections of a process that are ready.
     pub(in crate::net) fn take_ready(&self, process: u32) -> ReadySet {
         let mut state = self.state();
         let Some(process) = state.processes.get_mut(&process) else { return ReadySet::default() };
@@ -73,7 +74,7 @@
         ReadySet { sources: sources.into_iter().collect(), connections: connections.into_values().collect() }
     }
 
-    /// Begins to connect to a host.
+    /// Starts to connect to a host.
     pub(in crate::net) fn connect(&self, process: u32, host: SocketAddr) -> io::Result<VirtualStream> {
         let mut state = self.state();
         let now = state.now;
@@ -87,7 +88,7 @@
         Ok(VirtualStream::new(self, id))
     }
 
-    /// Makes a connection that was handed over another process's.
+    /// Assigns a connection to the process that it was handed over to.
     pub(super) fn adopt(&self, id: u64, process: u32) {
         if let Some(link) = self.state().links.get_mut(&id) {
             (link.process, link.token) = (process, None);
@@ -96,7 +97,8 @@
 }
 
 impl NetworkState {
-    /// The connections of a process that are not broken, and those that wait to be accepted there.
+    /// Returns the connections of a process that are established and not broken, and those that wait to be
+    /// accepted.
     fn links_of(&self, process: u32) -> BTreeSet<u64> {
         let ports = self.processes.get(&process).into_iter().flat_map(|process| process.ports.values());
         let waiting = ports.flat_map(|port| port.backlog.iter().copied());
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -1,4 +1,4 @@
-//! The network's state: connections, processes and the agenda of what happens, by time.
+//! The network's state: connections, processes and the queue of scheduled events.
 
 use super::injected_errors::InjectedErrors;
 use super::link::{Direction, Link};
@@ -11,38 +11,38 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Delays of connections are multiples of this many microseconds. Whole milliseconds make it more frequent than chance
-/// that something arrives just as something else falls due.
+/// Delays of connections are multiples of this, in microseconds. With whole milliseconds, an event more often
+/// arrives at the same time as a deadline passes, so runs cover such coincidences.
 const DELAY_STEP_MICROS: i64 = 1_000;
 
-/// A connection of a process on which something has happened.
+/// A registered connection of a process on which something happened.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadyConnection {
-    /// The number under which the process watches it.
+    /// Number under which the process has registered the connection.
     pub token: usize,
-    /// It may be readable.
+    /// Whether the connection may be readable.
     pub read: bool,
-    /// It may be writable.
+    /// Whether the connection may be writable.
     pub write: bool,
-    /// The actor writes nothing more.
+    /// Whether the actor has stopped writing, or the connection is broken.
     pub closed: bool,
 }
 
-/// What a process finds ready.
+/// The event sources and connections of a process that are ready.
 #[derive(Clone, Debug, Default)]
 pub struct ReadySet {
-    /// Listeners and other sources, by number.
+    /// Numbers of the listeners and other sources, in ascending order.
     pub sources: Vec<usize>,
-    /// Connections, by token.
+    /// Connections, ordered by token.
     pub connections: Vec<ReadyConnection>,
 }
 
 /// A port that a process listens on.
 #[derive(Debug)]
 pub(super) struct ListeningPort {
-    /// The number under which the process watches it.
+    /// Number under which the process has registered the listener.
     pub source: usize,
-    /// Connections that wait to be accepted.
+    /// Numbers of the connections that wait to be accepted.
     pub backlog: VecDeque<u64>,
 }
 
@@ -50,31 +50,32 @@
 #[derive(Debug, Default)]
 pub(super) struct Process {
     pub is_alive: bool,
-    /// The numbers of listeners and other sources that are ready.
+    /// Numbers of the listeners and other sources that are ready.
     pub ready_sources: BTreeSet<usize>,
-    /// Connections on which something has happened, by token.
+    /// Connections on which something happened, by token.
     pub ready_connections: BTreeMap<usize, ReadyConnection>,
     pub ports: BTreeMap<SocketAddr, ListeningPort>,
-    /// Messages that it has not taken yet, by their sender.
+    /// Messages that the process has not taken yet, by sender.
     pub messages: BTreeMap<u32, VecDeque<ProcessMessage>>,
 }
 
-/// By how much connections to a host come up late.
+/// Additional delay of the connections to a host that are started before `until`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectDelay {
     pub delay: Span,
     pub until: Instant,
 }
 
-/// All that the clones of a network share.
+/// The state that the clones of a network share.
 #[derive(Default)]
 pub(super) struct NetworkState {
     pub now: Instant,
-    /// By how much the processes' wall clock is ahead.
+    /// By how much the processes' wall clock is ahead of `now`.
     pub wall_offset: Span,
-    /// With the planted bug that deadlines run on the wall clock: the latest time that was read from it.
+    /// Latest time that was read from the wall clock; `None` unless the planted bug that measures deadlines
+    /// on the wall clock is enabled.
     pub latest_wall: Option<UnixTime>,
-    /// Events planned so far; orders those of one time.
+    /// Number of events scheduled so far. It orders events that are due at the same time.
     pub scheduled_events: u64,
     pub event_queue: BTreeMap<(Instant, u64), NetworkEvent>,
     pub links: BTreeMap<u64, Link>,
@@ -82,32 +83,33 @@
     pub host_behaviours: BTreeMap<SocketAddr, HostBehaviour>,
     pub connect_delays: BTreeMap<SocketAddr, ConnectDelay>,
     pub processes: BTreeMap<u32, Process>,
-    /// Addresses at which the process that serves there is found by the next one.
+    /// Addresses at which the next process of an edge proxy finds the current one.
     pub process_addresses: BTreeMap<SocketAddr, u32>,
     pub actor_events: VecDeque<ActorEvent>,
-    /// The shortest and the longest delay of a connection.
+    /// Shortest and longest delay of a connection.
     pub min_delay: Span,
     pub max_delay: Span,
-    /// State of the random numbers.
+    /// State of the random number generator.
     pub random: u64,
-    /// Errors of system calls that are planned.
+    /// Errors that are injected into the processes' system calls.
     pub errors: InjectedErrors,
     pub trace: Trace,
 }
 
 impl NetworkState {
-    /// Plans an event, not before now.
+    /// Schedules an event; one in the past is scheduled for now.
     pub fn schedule(&mut self, at: Instant, event: NetworkEvent) {
         self.scheduled_events += 1;
         self.event_queue.insert((at.max(self.now), self.scheduled_events), event);
     }
 
-    /// The processes' wall clock: the network's own time as Unix time until it is stepped.
+    /// Returns the time on the processes' wall clock. Until it is stepped, that is the network's time as Unix
+    /// time.
     pub fn wall_time(&self) -> UnixTime {
         UnixTime::from_micros((self.now + self.wall_offset).as_micros())
     }
 
-    /// When something sent now on a connection arrives.
+    /// Returns the arrival time of an event that is sent on a connection now.
     pub fn arrival(&mut self, link: u64, direction: Direction) -> Instant {
         let now = self.now;
         self.links.get_mut(&link).map_or(now, |link| link.arrival(now, direction))
@@ -118,7 +120,7 @@
         self.trace.record(self.now, what);
     }
 
-    /// Until when nothing reaches a connection's host.
+    /// Returns the time until which a connection's host is silent; `None` if it is not silent now.
     pub fn silent_until(&self, link: u64) -> Option<Instant> {
         let host = self.links.get(&link)?.host?;
         match self.host_behaviours.get(&host) {
@@ -141,12 +143,12 @@
         ready.closed |= closed;
     }
 
-    /// Draws a random number, which has to repeat with the seed and need not be good.
+    /// Draws a random number. It must repeat with the seed; its quality does not matter.
     pub fn draw(&mut self) -> u64 {
         next(&mut self.random)
     }
 
-    /// Adds a connection that is not up yet; returns its id.
+    /// Adds a connection that is not established yet; returns its number.
     pub fn new_link(&mut self, process: u32, host: SocketAddr) -> u64 {
         self.last_link += 1;
         let (min, max) = (self.min_delay.as_micros(), self.max_delay.as_micros());
@@ -156,7 +158,8 @@
         self.last_link
     }
 
-    /// The process closes its end: the actor sees an end, or a break where bytes were left unread.
+    /// Closes the process's end of a connection. The actor sees its end, or a break if the process left bytes
+    /// unread.
     pub fn drop_process_end(&mut self, id: u64) {
         let Some(link) = self.links.get_mut(&id).filter(|link| !link.is_closed_by_process) else { return };
         link.is_closed_by_process = true;
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fabric`: connections, refusals and ends as a socket would show them.
+//! Tests of `fabric`: connections, refusals and closes behave as on a socket.
 
 use super::endpoint::WINDOW_BYTES;
 use super::*;
@@ -6,7 +6,7 @@
 
 const MS: Span = Span::from_millis(1);
 
-/// A network with one process, whose connections take 1 ms each way.
+/// Returns a network with one process, whose connections have a delay of 1 ms in each direction.
 fn fabric() -> Fabric {
     let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
@@ -23,7 +23,7 @@
     fabric.take_actor_events()
 }
 
-/// What is ready of connections: the number, and whether to read and to write.
+/// Returns the ready connections of process 1: the token, and whether it is readable and writable.
 fn ready_connections(fabric: &Fabric) -> Vec<(usize, bool, bool)> {
     fabric.take_ready(1).connections.into_iter().map(|conn| (conn.token, conn.read, conn.write)).collect()
 }
@@ -38,13 +38,13 @@
 fn bytes_arrive_in_order_and_silent_hosts_delay_them() {
     let (fabric, up_host) = (fabric(), host(1));
     fabric.set_host_behaviour(up_host, HostBehaviour::Up);
-    let end = fabric.connect(1, up_host).expect("begun");
+    let end = fabric.connect(1, up_host).expect("connecting starts");
     end.register(7);
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::NotConnected));
     assert_eq!(run_until(&fabric, at(Span::from_micros(1999))), []);
     assert_eq!(run_until(&fabric, at(2 * MS)), [ActorEvent::Opened { link: 1, host: up_host }]);
     assert_eq!((ready_connections(&fabric), end.connected()), (vec![(7, false, true)], Ok(true)));
-    end.write(&[IoSlice::new(b"a"), IoSlice::new(b"b")]).expect("written");
+    end.write(&[IoSlice::new(b"a"), IoSlice::new(b"b")]).expect("the write succeeds");
     fabric.send(1, b"x");
     fabric.send(1, b"y");
     assert_eq!(
@@ -55,7 +55,7 @@
     assert_eq!(read(&end), Err(ErrorKind::WouldBlock));
     fabric.set_host_behaviour(up_host, HostBehaviour::SilentUntil(at(50 * MS)));
     fabric.send(1, b"z");
-    end.write(&[IoSlice::new(b"c")]).expect("written");
+    end.write(&[IoSlice::new(b"c")]).expect("the write succeeds");
     assert_eq!(
         (run_until(&fabric, at(Span::from_micros(49_999))), read(&end)),
         (vec![], Err(ErrorKind::WouldBlock))
@@ -76,8 +76,10 @@
 fn refusals_resets_and_full_windows_behave_like_a_socket() {
     let (fabric, up_host, absent_host) = (fabric(), host(1), host(2));
     fabric.set_host_behaviour(up_host, HostBehaviour::Up);
-    let (refused, end) =
-        (fabric.connect(1, absent_host).expect("begun"), fabric.connect(1, up_host).expect("begun"));
+    let (refused, end) = (
+        fabric.connect(1, absent_host).expect("connecting starts"),
+        fabric.connect(1, up_host).expect("connecting starts"),
+    );
     refused.register(7);
     end.register(8);
     run_until(&fabric, at(2 * MS));
@@ -90,7 +92,7 @@
     assert_eq!(end.write(&[IoSlice::new(b"a")]).map_err(|e| e.kind()), Err(ErrorKind::WouldBlock));
     fabric.take_ready(1);
     run_until(&fabric, at(3 * MS));
-    assert_eq!(ready_connections(&fabric), [(8, false, true)], "there is room again");
+    assert_eq!(ready_connections(&fabric), [(8, false, true)], "the connection is writable again");
     fabric.reset(2);
     run_until(&fabric, at(4 * MS));
     assert_eq!(
@@ -104,12 +106,12 @@
     let fabric = fabric();
     fabric.start_process(2);
     let front = host(9);
-    let port = fabric.listen(1, front, 0).expect("a port");
-    let link = fabric.dial("127.0.2.1:40000".parse().expect("an address"), front);
+    let port = fabric.listen(1, front, 0).expect("listening succeeds");
+    let link = fabric.dial("127.0.2.1:40000".parse().expect("the address is valid"), front);
     fabric.send(link, b"ping");
     run_until(&fabric, at(MS));
     assert_eq!(fabric.take_ready(1).sources, [0]);
-    let (end, _) = port.accept().expect("one waits");
+    let (end, _) = port.accept().expect("a connection is waiting");
     assert!(fabric
         .send_message(1, 2, 5, ProcessMessage::Connection(end.hand_over(2), b"pi".to_vec()))
         .is_ok());
@@ -119,14 +121,14 @@
     assert_eq!(run_until(&fabric, at(2 * MS)), [], "the client notices nothing");
     assert_eq!(fabric.take_ready(2).sources, [5]);
     let [ProcessMessage::Connection(end, unprocessed)] = &fabric.take_messages(1, 2)[..] else {
-        panic!("one message")
+        panic!("expected one connection message")
     };
     assert_eq!((read(end), &unprocessed[..]), (Ok("ping".into()), &b"pi"[..]));
-    // A process that dies with a connection under way to it breaks it.
-    let port = fabric.listen(2, front, 0).expect("a port");
-    let other = fabric.dial("127.0.2.2:40000".parse().expect("an address"), front);
+    // A connection that is being handed over to a process that ends is broken.
+    let port = fabric.listen(2, front, 0).expect("listening succeeds");
+    let other = fabric.dial("127.0.2.2:40000".parse().expect("the address is valid"), front);
     run_until(&fabric, at(3 * MS));
-    let (end, _) = port.accept().expect("one waits");
+    let (end, _) = port.accept().expect("a connection is waiting");
     fabric.start_process(3);
     assert!(fabric.send_message(2, 3, 5, ProcessMessage::Connection(end.hand_over(3), Vec::new())).is_ok());
     fabric.end_process(3);
--- a/src/net/fabric/trace.rs
+++ b/src/net/fabric/trace.rs
@@ -1,10 +1,11 @@
-//! The digest of all that happens on a network: equal runs have equal digests.
+//! The digest of all events of a network. Equal runs have equal digests.
 
 use crate::interface::Instant;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Numbers of the kinds of entries. They are part of the digest.
+/// Numbers of the kinds of entries. The digest includes them, so changing one changes the digest of every
+/// run.
 pub(super) mod entry_kind {
     pub const BYTES_AT_PROCESS: i32 = 1;
     pub const BYTES_AT_ACTOR: i32 = 2;
@@ -20,16 +21,16 @@
     pub const WALL_CLOCK_STEP: i32 = 12;
 }
 
-/// What has happened on a network so far.
+/// Summary of all events of a network so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceSummary {
-    /// The digest of all entries.
+    /// Digest of all entries.
     pub digest: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub steps: u64,
 }
 
-/// Hashes entries one after another.
+/// Hashes the entries of a run in order.
 #[derive(Default)]
 pub(super) struct Trace {
     hasher: DefaultHasher,
@@ -43,7 +44,7 @@
         self.steps += 1;
     }
 
-    /// The digest so far.
+    /// Returns the digest and the number of entries so far.
     pub fn summary(&self) -> TraceSummary {
         TraceSummary { digest: self.hasher.finish(), steps: self.steps }
     }
--- a/src/net/listening.rs
+++ b/src/net/listening.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that they accept.
+//! Opens and closes listeners, and accepts connections.
 
 use super::errors::concerns_one_connection;
 use super::poll::Poller;
@@ -9,17 +9,19 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted on a listener.
 const BACKLOG: i32 = 1024;
-/// The most connections in a row that fail before one is accepted; then accepting pauses.
+/// Maximum number of consecutive failed connections that one accept call skips; after them it returns an
+/// error, and the caller pauses accepting.
 const MAX_FAILED_ACCEPTS: usize = 64;
 
 impl Net {
-    /// Listens on an address, beside another process if `shared`, and watches it under a number below 2^32.
+    /// Listens on an address and registers the listener under a number, which must be below 2^32. With
+    /// `shared`, other processes may listen on the same address.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// A system call fails, for example since the address is in use or not available.
     pub fn listen(&mut self, addr: SocketAddr, shared: bool, number: usize) -> io::Result<Listener> {
         if let Poller::Virtual { fabric, process } = &self.poller {
             return fabric.listen(*process, addr, number).map(Listener::Virtual);
@@ -35,18 +37,20 @@
         Ok(Listener::Tcp(listener))
     }
 
-    /// Closes a listener; connections that were not accepted are reset.
+    /// Closes a listener; the system resets connections that were not accepted.
     pub fn unlisten(&mut self, listener: Listener) {
         if let Listener::Tcp(mut listener) = listener {
-            let _ = self.unwatch(&mut listener); // closing it ends the watch, too
+            let _ = self.unwatch(&mut listener); // closing the socket deregisters it, too
         }
     }
 
-    /// Accepts the next connection, past those that have failed already; `None` when none waits.
+    /// Accepts the next connection, skipping those that have already failed; `None` if no connection is
+    /// waiting.
     ///
     /// # Errors
     ///
-    /// The process is out of descriptors or the like, or too many connections in a row have failed.
+    /// The process is out of descriptors or other resources, or more than `MAX_FAILED_ACCEPTS` connections in
+    /// a row have failed.
     pub fn accept(
         &mut self,
         now: Instant,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,13 @@
-//! The sockets of the event loop: a table of connections with bounded buffers, partial reads and writes, and one log
-//! line with a reason code for each connection that ends.
+//! The sockets of the event loop: a table of connections with bounded buffers and non-blocking reads and
+//! writes. Each connection that ends is logged in one line with a reason code.
 //!
-//! - `poll`: waiting until something is ready;
-//! - `listening`: listeners and accepted connections; `opening`: connections that are begun here or taken over;
-//!   `closing`: their ends, with `reason`, the codes of the log;
-//! - `transfer`: reading and writing;
-//! - `connection`: the record of one connection; `role`: what it is for; `stream`: its socket;
-//! - `errors`: what errors of system calls mean;
+//! - `poll`: waits until a connection, listener or other source is ready;
+//! - `listening`: listeners and accepted connections; `opening`: outgoing connections and connections taken
+//!   over from another process; `closing`: closes connections and logs their ends, with the codes of
+//!   `reason`;
+//! - `transfer`: reads and writes;
+//! - `connection`: the state of one connection; `role`: its purpose; `stream`: its socket;
+//! - `errors`: classifies the errors of system calls;
 //! - `clock`: the monotonic clock and the wall clock;
 //! - `fabric`: the simulated network.
 
@@ -42,38 +43,38 @@
 use std::io;
 use std::net::IpAddr;
 
-/// The most bytes that one system call reads.
+/// Maximum number of bytes that one system call reads.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// The most events that one poll returns.
+/// Maximum number of events that one poll returns.
 const EVENT_CAPACITY: usize = 1024;
 
-/// The poll and the table of connections.
+/// The poller and the table of connections of one process.
 pub struct Net {
     poller: Poller,
     wall: WallClock,
     connections: Slots<Connection>,
     counts: RoleCounts,
-    /// The buffer of read calls.
+    /// Buffer that read calls fill before the bytes are appended to a connection's input.
     scratch: Vec<u8>,
-    /// Bytes that all connections' buffers hold.
+    /// Number of bytes in the buffers of all connections.
     held_bytes: usize,
-    /// Clients' connections that ended since [`Net::take_closed`] was last called.
+    /// Client connections that were closed since the last call of [`Net::take_closed`].
     closed: Vec<ConnectionKey>,
 }
 
 impl Net {
-    /// An empty table.
+    /// Creates an empty table that uses the sockets of the operating system.
     ///
     /// # Errors
     ///
-    /// The system provides no poll.
+    /// The system call that creates the poller fails.
     pub fn new() -> io::Result<Self> {
         let poller = Poller::Mio { poll: Poll::new()?, events: Events::with_capacity(EVENT_CAPACITY) };
         Ok(Self::with(poller, WallClock::default()))
     }
 
-    /// An empty table of a process in a simulated network.
+    /// Creates an empty table for a process of a simulated network.
     pub fn simulated(fabric: &Fabric, process: u32) -> Self {
         Self::with(Poller::Virtual { fabric: fabric.clone(), process }, WallClock::simulated(fabric))
     }
@@ -90,27 +91,27 @@
         }
     }
 
-    /// The Unix time; see [`WallClock`].
+    /// Returns the Unix time of the [`WallClock`].
     pub fn unix_time(&self) -> UnixTime {
         self.wall.now()
     }
 
-    /// How many connections of a role there are.
+    /// Returns the number of open connections of a role.
     pub fn count(&self, role: Role) -> usize {
         self.counts.of(role)
     }
 
-    /// How many connections of all roles there are.
+    /// Returns the number of open connections of all roles.
     pub fn total(&self) -> usize {
         self.counts.total()
     }
 
-    /// The address of a connection's peer.
+    /// Returns the IP address of a connection's peer; `None` if the connection is closed.
     pub fn address(&self, key: ConnectionKey) -> Option<IpAddr> {
         self.connection(key).map(|connection| connection.address)
     }
 
-    /// Takes the clients' connections that ended since the last call.
+    /// Removes and returns the client connections that were closed since the last call.
     pub fn take_closed(&mut self) -> Vec<ConnectionKey> {
         std::mem::take(&mut self.closed)
     }
@@ -123,7 +124,7 @@
         self.connections.get_mut(key.0)
     }
 
-    /// Bytes that all connections' buffers hold.
+    /// Returns the number of bytes in the input and output buffers of all connections.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
--- a/src/net/opening.rs
+++ b/src/net/opening.rs
@@ -1,4 +1,4 @@
-//! Opening connections: those that are begun here, and those that another process handed over.
+//! Opens connections, and takes over connections that another process handed over.
 
 use super::connection::Connection;
 use super::poll::Poller;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 
 impl Net {
-    /// Begins to connect; [`Net::connected`] says when the connection has come up.
+    /// Starts to connect to `peer`; [`Net::connected`] returns whether the connection is established.
     ///
     /// # Errors
     ///
-    /// The connection fails at once, or [`is_local_error`](super::is_local_error): for want of a descriptor, a port or the like.
-    /// Nothing was sent.
+    /// The connect call fails at once. [`is_local_error`](super::is_local_error) tells whether the cause is
+    /// local, such as a missing descriptor or port. No bytes were sent in either case.
     pub fn connect(&mut self, now: Instant, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
             match self.begin_connect(peer) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Adds a connection to the table and watches it.
+    /// Adds a connection to the table and registers it with the poller.
     pub(super) fn add(
         &mut self,
         now: Instant,
@@ -42,7 +42,7 @@
         peer: SocketAddr,
     ) -> io::Result<ConnectionKey> {
         if let Stream::Tcp(stream) = &stream {
-            let _ = stream.set_nodelay(true); // without it the connection is only slower
+            let _ = stream.set_nodelay(true); // on failure the connection is only slower
         }
         let key = ConnectionKey(self.connections.insert(Connection::new(now, stream, role, peer)));
         if let Err(error) = self.watch_connection(key) {
@@ -68,20 +68,21 @@
         }
     }
 
-    /// Whether a connection has come up.
+    /// Whether a connection is established.
     ///
     /// # Errors
     ///
-    /// It was refused or failed.
+    /// The connection was refused or has failed.
     pub fn connected(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
         self.connection(key).map_or(Err(Reason::PeerReset), |connection| connection.stream.connected())
     }
 
-    /// Adds a connection that another process has handed over, with the bytes that were read there and not used.
+    /// Adds a connection that another process handed over; `input` holds the bytes that it read and did not
+    /// process.
     ///
     /// # Errors
     ///
-    /// It is broken, or can't be watched.
+    /// The connection is broken, or the poller can't register it.
     pub fn adopt(
         &mut self,
         now: Instant,
@@ -94,11 +95,11 @@
         self.adopt_stream(now, Stream::Tcp(TcpStream::from_std(stream)), role, peer, input)
     }
 
-    /// The same in the simulator, see [`Net::adopt`].
+    /// Adds a connection of the simulated network that another process handed over; see [`Net::adopt`].
     ///
     /// # Errors
     ///
-    /// It has ended.
+    /// The connection does not exist any more.
     pub fn adopt_virtual(
         &mut self,
         now: Instant,
--- a/src/net/poll.rs
+++ b/src/net/poll.rs
@@ -1,4 +1,4 @@
-//! Waiting for what is ready: connections, listeners and other sources.
+//! Waits until connections, listeners or other event sources are ready.
 
 use super::{fabric, ConnectionKey, Net};
 use fabric::Fabric;
@@ -6,43 +6,43 @@
 use std::io;
 use std::time::Duration;
 
-/// Something that is ready.
+/// A connection or event source that is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ready {
-    /// A listener, or another source registered under this number (below 2^32).
+    /// The listener or other source that is registered under this number (below 2^32).
     Source(usize),
-    /// A connection.
+    /// A connection on which something happened.
     Conn {
-        /// Which.
+        /// Key of the connection.
         key: ConnectionKey,
-        /// There may be bytes, or an end.
+        /// Whether there may be bytes to read, or the end of the peer's bytes.
         read: bool,
-        /// It may take bytes, has come up, or has failed.
+        /// Whether the connection may accept bytes, is established now, or has failed.
         write: bool,
-        /// The peer writes nothing more, though bytes may still be unread.
+        /// Whether the peer has stopped writing; bytes may still be unread.
         closed: bool,
     },
 }
 
 impl Ready {
-    /// A connection that may have more to read without an event of the poll.
+    /// Returns the readiness of a connection that may have more to read although the poll reported no event.
     pub fn readable(key: ConnectionKey) -> Self {
         Ready::Conn { key, read: true, write: false, closed: false }
     }
 }
 
-/// The system's poll, or that of the simulated network.
+/// The poller of the operating system, or that of the simulated network.
 pub(super) enum Poller {
     Mio { poll: Poll, events: Events },
     Virtual { fabric: Fabric, process: u32 },
 }
 
 impl Net {
-    /// Watches a listener or another source under a number below 2^32.
+    /// Registers a listener or another source under a number, which must be below 2^32.
     ///
     /// # Errors
     ///
-    /// The system rejects it.
+    /// The system call fails.
     pub fn watch(&mut self, source: &mut impl mio::event::Source, number: usize) -> io::Result<()> {
         match &self.poller {
             Poller::Mio { poll, .. } => poll.registry().register(source, Token(number), Interest::READABLE),
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Ends the watch of a listener.
+    /// Removes a listener or another source from the poller.
     ///
     /// # Errors
     ///
-    /// It was not watched.
+    /// The source was not registered.
     pub fn unwatch(&mut self, source: &mut impl mio::event::Source) -> io::Result<()> {
         match &self.poller {
             Poller::Mio { poll, .. } => poll.registry().deregister(source),
@@ -62,17 +62,18 @@
         }
     }
 
-    /// Waits until something is ready, for `wait` at most.
+    /// Waits until something is ready, for at most `wait`, and replaces the contents of `ready` by it. In a
+    /// simulated network the call does not wait.
     ///
     /// # Errors
     ///
-    /// The poll failed.
+    /// The system call fails.
     pub fn poll(&mut self, wait: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
         let (poll, events) = match &mut self.poller {
             Poller::Mio { poll, events } => (poll, events),
             Poller::Virtual { fabric, process } => {
-                // The network's owner moves its clock, so there is no waiting here.
+                // The owner of the network advances its clock, so this call does not wait.
                 let found = fabric.take_ready(*process);
                 ready.extend(found.sources.into_iter().map(Ready::Source));
                 let conn = |fabric::ReadyConnection { token, read, write, closed }| Ready::Conn {
--- a/src/net/reason.rs
+++ b/src/net/reason.rs
@@ -1,48 +1,49 @@
-//! Why a connection ended, as a code for the log.
+//! The reasons for which connections end, with their codes for the log.
 
-/// Why a connection ended.
+/// The reason why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The peer closed it.
+    /// The peer closed the connection.
     PeerClosed,
-    /// The peer reset it, or it broke by another error.
+    /// The peer reset the connection, or reading or writing failed with another error.
     PeerReset,
-    /// Connecting failed.
+    /// The connect attempt failed.
     ConnectRefused,
-    /// It did not come up in time.
+    /// The connection was not established before its deadline.
     ConnectTimeout,
-    /// It was idle for too long.
+    /// The connection was idle for longer than its limit.
     Idle,
-    /// The peer sent something that can't be parsed.
+    /// The peer sent a message that can't be parsed.
     BadMessage,
-    /// A message is longer than allowed.
+    /// A message exceeds the maximum length.
     Oversize,
-    /// A sequence number came twice.
+    /// The peer used the sequence number of an open request again.
     DuplicateSeqid,
-    /// The peer takes no bytes, or stopped within a message.
+    /// The peer does not read, or stopped sending within a message.
     Stalled,
-    /// A request head was not complete in time.
+    /// A message, request head or handshake was not complete before its deadline.
     HeadTimeout,
-    /// There are too many connections.
+    /// The limit on the number of connections is reached.
     TooMany,
-    /// It was closed in favour of another.
+    /// The connection was closed to make room for another one.
     Evicted,
     /// The peer does not answer.
     Silent,
-    /// The server was removed, or has another address or another process now.
+    /// The server was removed, or its address or process has changed.
     Replaced,
-    /// Nothing more is to be sent.
+    /// The exchange on the connection is complete, and nothing more is to be sent.
     Done,
-    /// It was handed over to another process of this edge proxy.
+    /// The connection was handed over to another process of this edge proxy.
     HandedOver,
-    /// The edge proxy shuts down.
+    /// The edge proxy is shutting down.
     Stopping,
-    /// Admission rejected it: its calls were answered with a rejection, or it was closed before a byte was read.
+    /// Admission rejected the connection: its calls were answered with a rejection, or it was closed before a
+    /// byte was read. Also used for a federation member whose handshake was rejected.
     Rejected,
 }
 
 impl Reason {
-    /// The code for the log.
+    /// Returns the code for the log; programs that read the log match it.
     pub fn code(self) -> &'static str {
         match self {
             Reason::PeerClosed => "peer-closed",
--- a/src/net/role.rs
+++ b/src/net/role.rs
@@ -1,9 +1,9 @@
-//! What connections are for, and how many there are of each.
+//! The purposes of connections, and the number of connections of each.
 
-/// What a connection is for, as its log line says.
+/// The purpose of a connection; it is written to the log under the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A client of the platform's protocol.
+    /// A client of the platform's Thrift protocol.
     Thrift,
     /// A client of the signed front.
     Signed,
@@ -18,7 +18,7 @@
 }
 
 impl Role {
-    /// How many roles there are.
+    /// Number of roles.
     const COUNT: usize = Role::Federation as usize + 1;
 
     /// Whether the peer is a client.
@@ -27,27 +27,27 @@
     }
 }
 
-/// How many connections there are of each role.
+/// Number of open connections of each role.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RoleCounts([usize; Role::COUNT]);
 
 impl RoleCounts {
-    /// The connections of a role.
+    /// Returns the number of connections of a role.
     pub fn of(&self, role: Role) -> usize {
         self.0[role as usize]
     }
 
-    /// The connections of all roles.
+    /// Returns the number of connections of all roles.
     pub fn total(&self) -> usize {
         self.0.iter().sum()
     }
 
-    /// Counts a connection that was opened.
+    /// Counts an opened connection.
     pub fn add(&mut self, role: Role) {
         self.0[role as usize] += 1;
     }
 
-    /// Counts a connection that was closed.
+    /// Counts a closed connection.
     pub fn remove(&mut self, role: Role) {
         self.0[role as usize] -= 1;
     }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Sockets and listeners, of the system or of the simulated network.
+//! Sockets and listeners of the operating system or of the simulated network.
 
 use super::{fabric, Reason};
 use mio::net::{TcpListener, TcpStream};
@@ -7,9 +7,9 @@
 
 /// The socket of a connection.
 pub enum Stream {
-    /// Of the system.
+    /// A socket of the operating system.
     Tcp(TcpStream),
-    /// Of the simulated network.
+    /// A connection of the simulated network.
     Virtual(fabric::VirtualStream),
 }
 
@@ -35,7 +35,7 @@
         };
         match stream.take_error() {
             Ok(None) => {}
-            // It did come up, and was reset before this call.
+            // The connection was established, and was reset before this call.
             Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionReset => {
                 return Err(Reason::PeerReset)
             }
@@ -52,14 +52,14 @@
 /// A listening socket.
 #[derive(Debug)]
 pub enum Listener {
-    /// Of the system.
+    /// A listener of the operating system.
     Tcp(TcpListener),
-    /// Of the simulated network.
+    /// A listener of the simulated network.
     Virtual(fabric::VirtualListener),
 }
 
 impl Listener {
-    /// Its address.
+    /// Returns the address that it listens on.
     ///
     /// # Errors
     ///
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `net` on a simulated network whose system calls fail.
+//! Tests of `net` on a simulated network with injected errors of system calls.
 
 use super::fabric::{host, ActorEvent, HostBehaviour};
 use super::*;
@@ -14,12 +14,13 @@
     Instant::ZERO + span
 }
 
-/// A network in which process 1 listens, with its table of connections.
-fn listening() -> (Fabric, Net, Listener) {
+/// Returns a network in which process 1 listens, with the table of connections and the listener of that
+/// process.
+fn listening_process() -> (Fabric, Net, Listener) {
     let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     let mut net = Net::simulated(&fabric, 1);
-    let listener = net.listen(host(FRONT_HOST), true, 0).expect("a listener");
+    let listener = net.listen(host(FRONT_HOST), true, 0).expect("listening succeeds");
     (fabric, net, listener)
 }
 
@@ -33,10 +34,10 @@
     fabric.take_actor_events()
 }
 
-/// A connection from the process to host 1, which is up.
+/// Connects the process to host 1, which accepts connections.
 fn connected(fabric: &Fabric, net: &mut Net) -> ConnectionKey {
     fabric.set_host_behaviour(host(1), HostBehaviour::Up);
-    let key = net.connect(Instant::ZERO, host(1), Role::Upstream).expect("begun");
+    let key = net.connect(Instant::ZERO, host(1), Role::Upstream).expect("connecting starts");
     run_until(fabric, fabric.now() + 2 * MS);
     assert_eq!(net.connected(key), Ok(true));
     key
@@ -45,7 +46,7 @@
 #[test]
 fn accept_skips_connections_that_failed_in_the_backlog() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::PERM] {
-        let (fabric, mut net, listener) = listening();
+        let (fabric, mut net, listener) = listening_process();
         (0..10).for_each(|number| fabric.dial_aborted(client(number), host(FRONT_HOST), error));
         fabric.dial(client(99), host(FRONT_HOST));
         run_until(&fabric, at(MS));
@@ -57,7 +58,7 @@
 
 #[test]
 fn accepting_stops_after_too_many_failures_in_a_row() {
-    let (fabric, mut net, listener) = listening();
+    let (fabric, mut net, listener) = listening_process();
     (0..500).for_each(|number| fabric.dial_aborted(client(number), host(FRONT_HOST), Errno::PROTO));
     run_until(&fabric, at(MS));
     assert!(net.accept(at(MS), &listener, Role::Thrift).is_err());
@@ -66,13 +67,13 @@
 #[test]
 fn exhaustion_is_an_error_and_loses_no_waiting_connection() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
-        let (fabric, mut net, listener) = listening();
+        let (fabric, mut net, listener) = listening_process();
         fabric.dial(client(1), host(FRONT_HOST));
         fabric.exhaust_descriptors(error, at(5 * MS));
         run_until(&fabric, at(MS));
-        let failed = net.accept(at(MS), &listener, Role::Thrift).expect_err("exhausted");
+        let failed = net.accept(at(MS), &listener, Role::Thrift).expect_err("descriptors are exhausted");
         assert!(is_exhausted(&failed), "{failed}");
-        let failed = net.connect(at(MS), host(1), Role::Upstream).expect_err("exhausted");
+        let failed = net.connect(at(MS), host(1), Role::Upstream).expect_err("descriptors are exhausted");
         assert!(is_local_error(&failed), "{failed}");
         run_until(&fabric, at(5 * MS));
         assert!(matches!(net.accept(at(5 * MS), &listener, Role::Thrift), Ok(Some(_))));
@@ -81,11 +82,14 @@
 
 #[test]
 fn interrupted_calls_are_repeated() {
-    let (fabric, mut net, listener) = listening();
+    let (fabric, mut net, listener) = listening_process();
     fabric.dial(client(1), host(FRONT_HOST));
     run_until(&fabric, at(MS));
     fabric.interrupt_calls(at(100 * MS));
-    let accepted = net.accept(at(MS), &listener, Role::Thrift).expect("repeated").expect("one waits");
+    let accepted = net
+        .accept(at(MS), &listener, Role::Thrift)
+        .expect("accept is repeated")
+        .expect("a connection is waiting");
     assert_eq!(net.has_peer_ended(accepted), Ok(false));
     assert_eq!(net.has_peer_ended(accepted), Ok(false));
     let key = connected(&fabric, &mut net);
@@ -99,15 +103,19 @@
     );
 }
 
-/// A client's last bytes are dropped before its connection is closed, or it would be reset.
+/// Unread bytes of a client must be discarded before its connection is closed, otherwise the close resets it.
+/// An interrupted read must not end the discarding early.
 #[test]
 fn interrupted_calls_do_not_turn_a_close_into_a_reset() {
     for calls in 0..3 {
-        let (fabric, mut net, listener) = listening();
+        let (fabric, mut net, listener) = listening_process();
         let link = fabric.dial(client(1), host(FRONT_HOST));
         fabric.send(link, b"never read");
         run_until(&fabric, at(MS));
-        let key = net.accept(at(MS), &listener, Role::Thrift).expect("accepted").expect("one waits");
+        let key = net
+            .accept(at(MS), &listener, Role::Thrift)
+            .expect("accept succeeds")
+            .expect("a connection is waiting");
         fabric.interrupt_calls(at(100 * MS));
         for _ in 0..calls {
             assert_eq!(net.has_peer_ended(key), Ok(false));
@@ -121,7 +129,7 @@
 
 #[test]
 fn short_reads_and_writes_lose_nothing() {
-    let (fabric, mut net, _listener) = listening();
+    let (fabric, mut net, _listener) = listening_process();
     let key = connected(&fabric, &mut net);
     fabric.limit_io_bytes(3, at(100 * MS));
     let text = Bytes::from_static(b"0123456789");
@@ -142,15 +150,15 @@
 #[test]
 fn socket_errors_are_resets_and_connect_errors_refusals() {
     for error in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::NETUNREACH] {
-        let (fabric, mut net, _listener) = listening();
+        let (fabric, mut net, _listener) = listening_process();
         let key = connected(&fabric, &mut net);
         fabric.reset_with_error(1, error);
         run_until(&fabric, at(3 * MS));
         assert_eq!(net.read(key, 100), Err(Reason::PeerReset), "{error}");
         assert_eq!(net.write(key, [Bytes::from_static(b"x")]), Err(Reason::PeerReset), "{error}");
-        // One that never came up, by the same errors.
+        // The same error on a connection that is not established yet.
         fabric.fail_connects(host(1), error, false, at(100 * MS));
-        let key = net.connect(at(3 * MS), host(1), Role::Upstream).expect("begun");
+        let key = net.connect(at(3 * MS), host(1), Role::Upstream).expect("connecting starts");
         run_until(&fabric, at(5 * MS));
         assert_eq!(net.connected(key), Err(Reason::ConnectRefused), "{error}");
     }
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,25 +1,25 @@
-//! Reading from connections and writing to them, through bounded buffers.
+//! Reads from connections and writes to them through bounded buffers.
 
 use super::connection::Connection;
 use super::{ConnectionKey, Net, Reason, READ_CHUNK_BYTES};
 use bytes::{Bytes, BytesMut};
 use std::io::{self, IoSlice};
 
-/// The most buffers that one system call writes.
+/// Maximum number of buffers that one system call writes.
 const MAX_WRITE_SLICES: usize = 16;
 
 /// The result of one call of [`Net::read`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadProgress {
-    /// The buffer is full: there may be more to read once some of it is used.
+    /// Whether the input buffer is full. There may be more to read once some of it is processed.
     pub is_buffer_full: bool,
-    /// The peer writes nothing more.
+    /// Whether the peer has stopped writing and all its bytes were read.
     pub has_peer_ended: bool,
-    /// How many bytes were read.
+    /// Number of bytes that were read.
     pub bytes: usize,
 }
 
-/// Where a call of [`Net::read`] stopped.
+/// Why a call of [`Net::read`] stopped.
 enum ReadStop {
     BufferFull,
     NothingLeft,
@@ -27,11 +27,11 @@
 }
 
 impl Net {
-    /// Reads until nothing is left or the buffer holds `limit` bytes.
+    /// Reads until no more bytes are available or the input buffer holds `limit` bytes.
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// The connection is broken or closed.
     pub fn read(&mut self, key: ConnectionKey, limit: usize) -> Result<ReadProgress, Reason> {
         let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         let before = connection.input.len();
@@ -45,11 +45,12 @@
         })
     }
 
-    /// Whether the peer writes nothing more; bytes that it still wrote are discarded, one call at a time.
+    /// Whether the peer has stopped writing. Each call makes one successful read at most and discards its
+    /// bytes.
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// The connection is broken or closed.
     pub fn has_peer_ended(&mut self, key: ConnectionKey) -> Result<bool, Reason> {
         let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         loop {
@@ -62,33 +63,34 @@
         }
     }
 
-    /// Lets `with` use the bytes that were read and not used yet.
+    /// Calls `with` on the bytes that were read and are not processed yet, and returns its result; `None` if
+    /// the connection is closed. `with` removes the bytes that it has processed.
     pub fn input<T>(&mut self, key: ConnectionKey, with: impl FnOnce(&mut BytesMut) -> T) -> Option<T> {
         let connection = self.connections.get_mut(key.0)?;
         let before = connection.input.len();
         let result = with(&mut connection.input);
         self.held_bytes = (self.held_bytes + connection.input.len()).saturating_sub(before);
         if connection.input.is_empty() {
-            connection.input = BytesMut::new(); // an idle connection holds no memory
+            connection.input = BytesMut::new(); // frees the buffer: idle connections hold no memory
         }
         Some(result)
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of buffered bytes that wait to be written.
     pub fn unwritten_bytes(&self, key: ConnectionKey) -> usize {
         self.connection(key).map_or(0, |connection| connection.unwritten_bytes)
     }
 
-    /// Bytes that were written so far.
+    /// Returns the number of bytes that were written so far.
     pub fn written_bytes(&self, key: ConnectionKey) -> u64 {
         self.connection(key).map_or(0, |connection| connection.written_bytes)
     }
 
-    /// Writes as much as the socket takes now, and buffers the rest for [`Net::flush`].
+    /// Writes as many bytes as the socket accepts now, and buffers the rest for [`Net::flush`].
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// The connection is broken or closed.
     pub fn write(
         &mut self,
         key: ConnectionKey,
@@ -99,11 +101,12 @@
         self.flush(key)
     }
 
-    /// Writes to a connection without unwritten bytes. `false`: the socket takes no byte now, and nothing was buffered.
+    /// Writes like [`Net::write`], but buffers nothing if the socket accepts no byte now; returns `false` in
+    /// that case. The connection must have no unwritten bytes, since they would be discarded.
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// The connection is broken or closed.
     pub fn try_write(
         &mut self,
         key: ConnectionKey,
@@ -119,11 +122,11 @@
         Ok(false)
     }
 
-    /// Writes as much of the buffered bytes as the socket takes now.
+    /// Writes as many of the buffered bytes as the socket accepts now.
     ///
     /// # Errors
     ///
-    /// The connection broke.
+    /// The connection is broken or closed.
     pub fn flush(&mut self, key: ConnectionKey) -> Result<(), Reason> {
         let Some(connection) = self.connections.get_mut(key.0) else { return Err(Reason::PeerReset) };
         let before = connection.unwritten_bytes;
@@ -134,7 +137,7 @@
 }
 
 impl Connection {
-    /// Reads into the input until it holds `limit` bytes.
+    /// Reads until no more bytes are available or the input buffer holds `limit` bytes.
     fn fill_input(&mut self, limit: usize, scratch: &mut [u8]) -> Result<ReadStop, Reason> {
         loop {
             let capacity = limit.saturating_sub(self.input.len()).min(READ_CHUNK_BYTES);
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Writes the output until the socket takes no more.
+    /// Writes the output until the socket accepts no more bytes.
     fn flush_output(&mut self) -> Result<(), Reason> {
         while !self.output.is_empty() {
             let slices: Vec<IoSlice> =
@@ -163,7 +166,7 @@
                 Ok(0) => return Err(Reason::PeerReset),
                 Ok(count) => self.advance_output(count),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                // Not up yet: the bytes are written once it is.
+                // Not connected yet: the bytes are written once the connection is established.
                 Err(error) if error.kind() == io::ErrorKind::NotConnected => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Err(Reason::PeerReset),
--- a/src/server_names.rs
+++ b/src/server_names.rs
@@ -1,14 +1,14 @@
-//! The servers by name: the control feed's words on one side, the decision module's numbers on the other.
+//! The mapping between the servers' names in the control feed and the server ids of the decision module.
 
 use crate::config::events::{FeedServer, Health};
 use crate::config::settings::ProgramSettings;
 use crate::interface::{Endpoint, ServerId, ServerState, ZoneId};
 use std::collections::BTreeMap;
 
-/// A number that no zone and no kind of the settings has.
+/// Index of a zone or kind that the settings do not define.
 const UNKNOWN_INDEX: u16 = u16::MAX;
 
-/// The servers that the list has named so far.
+/// The names and ids of the servers in the endpoint list.
 #[derive(Default)]
 pub struct ServerNames {
     ids: BTreeMap<String, ServerId>,
@@ -16,12 +16,13 @@
 }
 
 impl ServerNames {
-    /// The name of a server.
+    /// Returns the name of a server; `None` if the id is not known.
     pub fn name(&self, server: ServerId) -> Option<&str> {
         self.names.get(&server).map(String::as_str)
     }
 
-    /// The number of a server: the hex digits of its name, or else some number that is free.
+    /// Returns the id of a server, and assigns one to a new name: the hexadecimal number after the last `-`
+    /// of the name, otherwise a hash of the name. If that id is taken, the next free one is used.
     pub fn id(&mut self, name: &str) -> ServerId {
         if let Some(known) = self.ids.get(name) {
             return *known;
@@ -38,15 +39,16 @@
         id
     }
 
-    /// Forgets a server that is gone: with new ones all day long, names would grow for good.
+    /// Removes a server that has left the endpoint list. Otherwise the table would grow without bound, since
+    /// new servers are added all the time.
     pub fn remove(&mut self, server: ServerId) {
         if let Some(name) = self.names.remove(&server) {
             self.ids.remove(&name);
         }
     }
 
-    /// An entry of the endpoint list for the decision module, without its start: the feed states that in Unix time
-    /// ([`FeedServer::started_at`]), which the caller converts.
+    /// Converts an entry of the endpoint list for the decision module, without its start time. The feed sends
+    /// that as Unix time ([`FeedServer::started_at`]), and the caller converts it.
     pub fn endpoint(&mut self, server: &FeedServer, settings: &ProgramSettings) -> Endpoint {
         let index_of = |list: &[String], name: &str| {
             list.iter().position(|known| known == name).map_or(UNKNOWN_INDEX, |index| index as u16)
--- a/src/server_names/tests.rs
+++ b/src/server_names/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `names`.
+//! Tests of `server_names`.
 
 use super::*;
 
