--- a/tests/sockets/admin_endpoint.rs
+++ b/tests/sockets/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: its calls and the figures.
+//! The admin endpoint: its calls and the values of `/stats`; SIGHUP and the log.
 
 use crate::stand_ins::*;
 use crate::thrift_front::{request, served, Client, Reply};
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-/// A proxy of one cache with an admin endpoint, and its address.
+/// Starts a proxy with an admin endpoint. Returns its cache, its parent, the proxy and the endpoint's address.
 pub fn start_with_admin(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy, SocketAddr) {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let opened = |text: &str| change(text).replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
@@ -16,12 +16,12 @@
     (cache, parent, proxy, addr)
 }
 
-/// What a call is answered: the status, and the body.
+/// Sends a raw HTTP request to the admin endpoint and returns the status and body of the response.
 pub fn call(proxy: &Proxy, addr: SocketAddr, text: &str) -> (u16, String) {
     let mut stream = proxy.connect(addr);
-    stream.write_all(text.as_bytes()).expect("written");
+    stream.write_all(text.as_bytes()).expect("write to the connection");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer, and the end of the connection");
+    stream.read_to_string(&mut answer).expect("read until the connection is closed");
     let status = answer.split(' ').nth(1).expect("a status").parse().expect("a number");
     (status, answer.split_once("\r\n\r\n").expect("a body").1.to_owned())
 }
@@ -30,6 +30,7 @@
     call(proxy, addr, &format!("GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n"))
 }
 
+/// Returns all keys and values of `/stats`.
 pub fn stats(proxy: &Proxy, addr: SocketAddr) -> BTreeMap<String, u64> {
     let (status, body) = get(proxy, addr, "/stats");
     assert_eq!(status, 200);
@@ -39,6 +40,7 @@
         .collect()
 }
 
+/// Returns the values of the given keys of `/stats`.
 pub fn stat_values<const N: usize>(proxy: &Proxy, addr: SocketAddr, keys: [&str; N]) -> [u64; N] {
     let stats = stats(proxy, addr);
     keys.map(|key| *stats.get(key).unwrap_or_else(|| panic!("no {key} in {stats:?}")))
@@ -55,7 +57,7 @@
     client.send(&request(2, "result"));
     cache.next_line().answer("500", "-", b"");
     assert_eq!(client.reply(), (2, Reply::Failed));
-    // More than may be open: the last one is refused before the core hears of it.
+    // One more than may be open: the last is refused before it reaches the core.
     for seqid in 3..=35 {
         client.send(&request(seqid, "replay"));
     }
@@ -65,9 +67,10 @@
     assert_eq!(stat_values(&proxy, addr, keys), [1, 1, 1, 32]);
     let keys = ["dispatches", "replies.replay.dispatches", "replies.result.dispatches"];
     assert_eq!(stat_values(&proxy, addr, keys), [34, 33, 1]);
-    // What a client abandons counts nowhere.
+    // Requests of a client that leaves are not counted.
     drop(client);
-    // The system may bring the answers first where both are sent at once: the test below is about that.
+    // Waits for the end of the connection: if both were sent at once, the answers could arrive first, which is the
+    // case of the next test.
     proxy.wait_for_log("end=peer-closed");
     open.drain(..).for_each(|mut got| got.answer("200", "ver=a", b"late"));
     let keys = ["replies.replay.success", "replies.replay.error", "concurrent"];
@@ -79,10 +82,10 @@
     proxy.feed.publish(&members_event(false, &[host_entry(&cache, "draining")]));
     proxy.wait_for_log("event 2: ");
     assert_eq!(stat_values(&proxy, addr, ["targets", "targets_disabled"]), [1, 1]);
-    assert_eq!(parent.unread_lines(), [""; 0], "attempts go by the cache");
+    assert_eq!(parent.unread_lines(), [""; 0], "attempts go to the cache");
 }
 
-/// The answer is ready first in one wake-up, and its client has left.
+/// The answer and the end of its client's connection arrive in the same turn, the answer first.
 #[test]
 fn answer_to_departed_client_is_not_counted() {
     let (cache, _parent, proxy, addr) = start_with_admin("left-with-answer", str::to_owned);
@@ -91,7 +94,7 @@
     let mut got = cache.next_line();
     proxy.suspend();
     got.answer("200", "ver=a", b"x");
-    client.0.shutdown(std::net::Shutdown::Both).expect("closed");
+    client.0.shutdown(std::net::Shutdown::Both).expect("shut down the connection");
     proxy.signal("-CONT");
     proxy.wait_for_log("end=peer-closed");
     assert_eq!(stat_values(&proxy, addr, ["replies.replay.success", "concurrent"]), [0, 0]);
@@ -103,7 +106,9 @@
     let idle: Vec<_> = (0..40)
         .map(|i| {
             let mut stream = proxy.connect(addr);
-            stream.write_all(if i % 2 == 0 { b"" } else { b"GET /stats HTTP/1.1\r\nHo" }).expect("written");
+            stream
+                .write_all(if i % 2 == 0 { b"" } else { b"GET /stats HTTP/1.1\r\nHo" })
+                .expect("write to the connection");
             stream
         })
         .collect();
@@ -127,7 +132,7 @@
     assert_eq!(stat_values(&proxy, addr, ["concurrent"]), [1]);
     open.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
-    assert!(proxy.child.wait().expect("an end").success());
+    assert!(proxy.child.wait().expect("wait for the exit").success());
 }
 
 fn edit_config(proxy: &Proxy, change: impl Fn(&mut Value)) {
@@ -138,7 +143,7 @@
     });
 }
 
-/// Drops `result`, adds `table`, makes `replay` a write, and leaves one attempt.
+/// Removes class `result`, adds class `table`, makes `replay` a write, and allows only one attempt.
 fn change_settings(config: &mut Value) {
     let settings = &mut config["settings"];
     let mut table = settings["grades"][0].clone();
@@ -160,7 +165,7 @@
     proxy.wait_for_log("reloaded: feed ");
     open.answer("500", "-", b"");
     let mut again = cache.next_line();
-    assert_eq!(again.words[1], open.words[1], "it may be repeated, as when it came");
+    assert_eq!(again.words[1], open.words[1], "the request is retried by the rules of when it arrived");
     again.answer("200", "ver=a", b"old");
     assert_eq!(client.reply(), (1, served(b"old")));
     client.send(&request(2, "table"));
@@ -170,9 +175,9 @@
     assert_eq!(client.reply(), (2, served(b"new")));
     client.send(&request(3, "replay"));
     cache.next_line().answer("500", "-", b"");
-    assert_eq!(client.reply(), (3, Reply::Failed), "it may not be repeated any more");
+    assert_eq!(client.reply(), (3, Reply::Failed), "under the new rules the request is not retried");
     client.send(&request(4, "result"));
-    assert_eq!(client.reply(), (4, Reply::Exception), "there is no such class any more");
+    assert_eq!(client.reply(), (4, Reply::Exception), "class `result` no longer exists");
     let keys = ["replies.replay.success", "replies.replay.error", "replies.table.success", "reload_success"];
     assert_eq!(stat_values(&proxy, addr, keys), [1, 1, 1, 1]);
 }
@@ -212,7 +217,7 @@
         let pointer = if parent.is_empty() { String::new() } else { format!("/{parent}") };
         breaks(&|config| {
             let parent = config.pointer_mut(&pointer).and_then(Value::as_object_mut).expect("an object");
-            parent.remove(key).expect("the key");
+            parent.remove(key).expect("the key exists");
         });
     }
     for value in [Value::from(0), Value::from(-1), Value::Null] {
@@ -232,7 +237,7 @@
     assert_eq!(client.reply(), (1, served(b"ran")));
 }
 
-/// The log as JSON: a line an event, the end of a connection with its reason as fields.
+/// With `--log-format json` each event is one JSON line, and the end of a connection has its reason as a field.
 #[test]
 fn log_format_json_writes_fields() {
     let cache = Cache::new("s-00000001");
@@ -245,15 +250,16 @@
     );
 }
 
-/// A log that nobody takes any more is no reason to stop serving.
+/// The process keeps serving if the reader of its log has gone.
 #[test]
 fn closed_log_pipe_does_not_stop_serving() {
     let cache = Cache::new("s-00000001");
     let mut proxy = Proxy::start("mute-log", &[&cache], str::to_owned, &[]);
     proxy.close_log_reader();
-    // Each connection's end is a log line; once the reader has seen that nobody listens, none can be written.
+    // Each end of a connection is logged. The reading thread stops at the first of these lines, since the test no
+    // longer receives it; from then on no line can be written.
     for n in 0..20 {
         let mut client = Client(proxy.connect(proxy.addr));
-        assert!(client.ping(1), "connection {n} is answered");
+        assert!(client.ping(1), "ping on connection {n} is answered");
     }
 }
--- a/tests/sockets/deadlines.rs
+++ b/tests/sockets/deadlines.rs
@@ -1,18 +1,21 @@
-//! What is left of a client's time: told to servers as an attempt is written, and never outlived by an answer.
+//! A client's remaining time: each attempt carries it to the server as its limit, computed when the attempt is
+//! written, and the final answer arrives before it ends.
 
 use crate::admission::{open_descriptors, set_descriptor_limit};
 use crate::stand_ins::*;
 use crate::thrift_front::{request, request_within, served, Client, Reply};
 use std::time::{Duration, Instant};
 
-/// A server may be told of this much more time than its client has left.
+/// An attempt's limit may exceed its client's remaining time by this much.
 const TOLERANCE: Duration = Duration::from_millis(150);
 
+/// Returns the time that an attempt allows its server.
 fn attempt_limit(got: &ReceivedLine) -> Duration {
-    Duration::from_millis(got.field("limit").expect("a limit").parse().expect("a number"))
+    Duration::from_millis(got.field("limit").expect("field `limit`").parse().expect("a number"))
 }
 
-/// No server answers: each request has its final answer as its client's time ends, and no server was told of more.
+/// With servers that answer nothing, each request gets its final answer when its client's time ends, and no attempt
+/// carries a longer limit.
 #[test]
 fn requests_dropped_by_servers_are_answered_in_time() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -41,7 +44,8 @@
     }
 }
 
-/// A request that waited in the system's queue while no connection could be taken has less time left than it says.
+/// While no connection can be accepted, a request waits in the system's queue. It then has less time left than it
+/// states, and the limit of its attempt must take this into account.
 #[test]
 fn attempt_limit_counts_time_waiting_for_accept() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -64,7 +68,7 @@
     assert_eq!(client.reply(), (2, served(b"y")));
 }
 
-/// The same with a retry: it is told what is left after the first attempt.
+/// A retry carries the time that is left after the first attempt.
 #[test]
 fn retry_limit_counts_time_of_first_attempt() {
     let caches = [Cache::new("s-00000001"), Cache::new("s-00000002")];
@@ -89,7 +93,7 @@
     assert_eq!(client.reply(), (1, served(b"x")));
 }
 
-/// Other clients that misbehave, servers that break and a feed that is gone free no request of its answer.
+/// Each request gets its answer although other clients misbehave, a server hangs and the feed sends an invalid event.
 #[test]
 fn other_clients_and_feed_faults_do_not_affect_answers() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The program on real sockets: one test for each rule, with clients and servers written here.
+//! Runs the program on real sockets, with clients and servers implemented by the tests. Each test checks one rule.
 
 mod admin_endpoint;
 mod admission;
--- a/tests/sockets/races.rs
+++ b/tests/sockets/races.rs
@@ -1,5 +1,6 @@
-//! Rare moments, each forced: signals, ends, answers and cancellations that meet in one wake-up of the program, or
-//! between two steps of one request. A stopped process (SIGSTOP) takes in at once what came meanwhile.
+//! Race conditions, each forced: signals, closed connections, answers and cancellations that arrive in the same turn of
+//! the program's event loop, or between two steps of one request. A process that was stopped (SIGSTOP) handles in one
+//! turn all that arrived meanwhile.
 
 use crate::stand_ins::*;
 use crate::thrift_front::{cancel, invoke, message, request, served, trace, Client, Reply};
@@ -7,7 +8,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Two caches, a parent and the edge proxy before them.
+/// An edge proxy with two caches and a parent.
 struct Setup {
     caches: [Cache; 2],
     _parent: Cache,
@@ -26,7 +27,7 @@
 }
 
 impl Setup {
-    /// The next attempt that a cache is sent.
+    /// Waits for the next line that either cache receives.
     fn next_line(&self) -> ReceivedLine {
         loop {
             if let Some(got) = self.caches.iter().find_map(Cache::try_next_line) {
@@ -36,8 +37,8 @@
         }
     }
 
-    /// The attempts for a request that caches were sent and nobody looked at, once a later request has passed through
-    /// the whole program.
+    /// Sends a later request, waits until it is served, and returns how many attempts for request `seqid` the caches
+    /// had received by then, beside those that the test has taken.
     fn attempts_after_probe(&self, seqid: i32) -> usize {
         let mut later = Client::new(&self.proxy);
         later.send(&request(900, "replay"));
@@ -55,17 +56,18 @@
     }
 }
 
-/// A client whose system takes few bytes before it reads them.
+/// Connects a client with a small receive buffer.
 fn client_with_small_buffer(addr: SocketAddr) -> Client {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("a small buffer");
-    socket.connect(&addr.into()).expect("a connection");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(4096).expect("set the buffer size");
+    socket.connect(&addr.into()).expect("connect");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
     Client(stream)
 }
 
-/// A listener that takes no connection until it is released: its queue is full, so the system answers no further dial.
+/// A listener that accepts nothing until [`Self::accept_other`]. Its queue is full, so the system completes no further
+/// connection.
 struct FullListener {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
@@ -73,12 +75,14 @@
 
 impl FullListener {
     fn new() -> Self {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a port");
-        socket.listen(0).expect("listens");
+        socket.bind(&any.into()).expect("bind a port");
+        socket.listen(0).expect("listen");
         let listener = TcpListener::from(socket);
-        let fillers = vec![TcpStream::connect(listener.local_addr().expect("an address")).expect("queued")];
+        let fillers = vec![
+            TcpStream::connect(listener.local_addr().expect("an address")).expect("connection is queued")
+        ];
         FullListener { listener, fillers }
     }
 
@@ -86,20 +90,20 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Takes what waits, until a connection comes from somebody else; gives that one.
+    /// Accepts connections until one arrives that is not from this listener's own fillers, and returns it.
     fn accept_other(&self) -> TcpStream {
         let own: Vec<SocketAddr> = self.fillers.iter().filter_map(|s| s.local_addr().ok()).collect();
         loop {
-            let (stream, peer) = self.listener.accept().expect("a connection");
+            let (stream, peer) = self.listener.accept().expect("connect");
             if !own.contains(&peer) {
-                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
                 return stream;
             }
         }
     }
 }
 
-/// What a connection brings up to its end.
+/// Returns everything that is received on a connection until it ends.
 fn read_until_closed(mut stream: TcpStream) -> String {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
@@ -122,10 +126,10 @@
     client.send(&request(2, "replay"));
     assert_eq!(client.reply(), (1, served(&body)));
     assert!(client.is_closed());
-    assert!(setup.proxy.child.wait().expect("an end").success());
+    assert!(setup.proxy.child.wait().expect("wait for the exit").success());
     assert!(
         setup.caches.iter().all(|cache| cache.unread_lines().is_empty()),
-        "what crosses the end is not sent on"
+        "a request that arrives while the connection is being closed is not forwarded"
     );
 }
 
@@ -153,7 +157,7 @@
     for (seqid, client) in (10..).zip(&mut unaccepted) {
         assert_eq!(client.reply(), (seqid, served(b"x")));
     }
-    assert!(setup.proxy.child.wait().expect("an end").success());
+    assert!(setup.proxy.child.wait().expect("wait for the exit").success());
 }
 
 #[test]
@@ -165,8 +169,8 @@
     setup.proxy.signal("-TERM");
     assert!(asked.is_closed() && silent.is_closed());
     drop((asked, silent));
-    assert!(setup.proxy.child.wait().expect("an end").success());
-    // The longest deadline of these settings is 6 s, and the limit of the end 30 s.
+    assert!(setup.proxy.child.wait().expect("wait for the exit").success());
+    // The longest deadline of these settings is 6 s, and the time limit of the shutdown 30 s.
     assert!(since.elapsed() < std::time::Duration::from_secs(5), "{:?}", since.elapsed());
 }
 
@@ -175,7 +179,7 @@
 #[test]
 fn closed_client_gets_no_retry() {
     check_no_retry_after_client_leaves("left-closed", |client| {
-        client.0.shutdown(Shutdown::Both).expect("closed")
+        client.0.shutdown(Shutdown::Both).expect("shut down the connection")
     });
 }
 
@@ -184,7 +188,8 @@
     check_no_retry_after_client_leaves("left-cancelled", |client| client.send(&cancel(2, 1)));
 }
 
-/// The answer would have its request tried elsewhere, and is ready in the same wake-up as the client's leaving.
+/// The answer causes a retry on another server, but it arrives in the same turn as the end or cancellation of its
+/// client's request. No further attempt may be sent.
 fn check_no_retry_after_client_leaves(name: &str, leave: impl Fn(&mut Client)) {
     let setup = setup(name);
     let mut client = Client::new(&setup.proxy);
@@ -205,7 +210,7 @@
     setup.proxy.suspend();
     let many: Vec<u8> = (1..=20).flat_map(|seqid| request(seqid, "replay")).collect();
     client.send(&many);
-    client.0.shutdown(Shutdown::Both).expect("closed");
+    client.0.shutdown(Shutdown::Both).expect("shut down the connection");
     setup.proxy.signal("-CONT");
     let attempts: usize = setup.attempts_after_probe(1);
     assert_eq!(attempts, 0);
@@ -222,7 +227,7 @@
     let mut client = Client::new(&proxy);
     client.send(&request(1, "replay"));
     client.send(&message(1, "ping", 2, &[2, 0, 1, 0]));
-    assert_eq!(client.reply(), (2, Reply::Pong(true)), "the request was taken in before");
+    assert_eq!(client.reply(), (2, Reply::Pong(true)), "the request before the ping has been read");
     drop(client);
     proxy.wait_for_log("end=peer-closed");
     let connection = full.accept_other();
@@ -230,7 +235,7 @@
     assert_eq!(read_until_closed(connection), "");
 }
 
-// ---- The list.
+// ---- Endpoint list.
 
 #[test]
 fn cache_that_drains_during_connect_is_sent_nothing() {
@@ -238,25 +243,28 @@
     let long_connect_timeout =
         |text: &str| text.replace("\"connect_timeout\": 400.0", "\"connect_timeout\": 5000.0");
     for health in ["draining", "removed"] {
-        // Of its own each time: one that was released takes the next dial at once.
+        // Each round needs its own listener: after `accept_other` its queue has room for the next connection.
         let full = FullListener::new();
         let cache = Cache { addr: full.addr(), ..Cache::new("s-00000001") };
         let proxy = Proxy::start(&format!("dial-{health}"), &[&cache, &parent], long_connect_timeout, &[]);
         let mut client = Client::new(&proxy);
         client.send(&request(1, "result"));
         client.send(&message(1, "ping", 2, &[2, 0, 1, 0]));
-        assert_eq!(client.reply(), (2, Reply::Pong(true)), "the request was taken in before");
+        assert_eq!(client.reply(), (2, Reply::Pong(true)), "the request before the ping has been read");
         proxy.feed.publish(&members_event(false, &[host_entry(&cache, health)]));
         proxy.wait_for_log("event 2: ");
         if health == "draining" {
             let connection = full.accept_other();
-            assert!(matches!(client.reply(), (1, Reply::Refused { .. })), "it never ran");
+            assert!(
+                matches!(client.reply(), (1, Reply::Refused { .. })),
+                "the request never ran, since it was not sent"
+            );
             drop(proxy);
             assert_eq!(read_until_closed(connection), "");
         } else {
             assert!(
                 matches!(client.reply(), (1, Reply::Refused { .. })),
-                "at once, and not as its dial ends"
+                "the request is refused at once, not when the connect ends"
             );
         }
     }
@@ -276,7 +284,7 @@
     setup.proxy.feed.publish(&members_event(true, &[host_entry(other, "up"), parent]));
     setup.proxy.wait_for_log("event 2: ");
     open.answer("200", "ver=a", b"ran");
-    assert_eq!(client.reply(), (1, served(b"ran")), "what it has is finished");
+    assert_eq!(client.reply(), (1, served(b"ran")), "the removed cache finishes its open request");
     for seqid in 2..8 {
         client.send(&request(seqid, "replay"));
         other.next_line().answer("200", "ver=a", b"x");
@@ -287,7 +295,7 @@
 
 #[test]
 fn serves_from_known_hosts_when_feed_is_down_or_silent() {
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let silent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let full = FullListener::new();
     let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     for (name, feed) in [
@@ -296,18 +304,18 @@
         ("feed-held", full.addr()),
     ] {
         let setup = setup_with_changes(name, |text| {
-            let (before, rest) = text.split_once("\"feed\":\"").expect("a feed");
-            format!("{before}\"feed\":\"{feed}{}", &rest[rest.find('"').expect("its end")..])
+            let (before, rest) = text.split_once("\"feed\":\"").expect("an entry for the feed");
+            format!("{before}\"feed\":\"{feed}{}", &rest[rest.find('"').expect("a closing quote")..])
         });
         let mut client = Client::new(&setup.proxy);
-        assert!(client.ping(1), "{name}: ready");
+        assert!(client.ping(1), "{name}: the edge proxy is ready");
         client.send(&request(2, "replay"));
         setup.next_line().answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (2, served(b"x")), "{name}");
     }
 }
 
-// ---- Ends and descriptors.
+// ---- Malformed messages, descriptors and idempotency keys.
 
 #[test]
 fn idle_clients_leave_descriptors_for_caches_and_feed() {
@@ -317,7 +325,7 @@
     let known = [&caches[0], &caches[1], &parent];
     let proxy = Proxy::start_with_descriptor_limit(96, "descriptors", &known, few);
     let setup = Setup { caches, _parent: parent, proxy };
-    // They come before any connection to a cache is open, and each has asked.
+    // They connect before any connection to a cache is open, and each has sent a message.
     let mut idle: Vec<Client> = (0..150).map(|_| Client::new(&setup.proxy)).collect();
     for client in &mut idle {
         let _ = client.0.write_all(&message(1, "ping", 1, &[2, 0, 1, 0]));
@@ -345,12 +353,12 @@
         client.send(&request(seqid + 10, "replay"));
         got.answer("200", "ver=a", b"ran");
         assert_eq!(client.reply(), (seqid, served(b"ran")));
-        assert!(client.is_closed(), "and nothing behind it is read");
+        assert!(client.is_closed(), "nothing after the malformed message is read");
     }
     assert!(setup.caches.iter().all(|cache| cache.unread_lines().is_empty()));
 }
 
-/// Servers know a repeat by its idempotency key: it goes with every attempt as the client gave it.
+/// Servers recognize a repeated request by its idempotency key, so every attempt carries the client's key unchanged.
 #[test]
 fn retry_carries_idempotency_key_of_request() {
     let token = |text: &str| text.replace("\"side_effect\"", "\"token\"");
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of the process by signal, timed against the end by force: SIGKILL may come as early as the longest deadline
-//! (3 s at most) and 0.7 s after SIGTERM.
+//! Graceful shutdown by SIGTERM must be over before the kill time. SIGKILL may follow SIGTERM as early as after the
+//! longest deadline (counted up to 3 s) plus 0.7 s.
 
 use crate::stand_ins::*;
 use crate::thrift_front::{message, request, request_within, served, Client, Reply};
@@ -8,37 +8,39 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-/// From the signal to the earliest end by force, beside the longest deadline.
+/// Time from SIGTERM to the earliest SIGKILL, in addition to the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
+/// Returns a change of the configuration that sets the 6 s deadline to `ms`.
 fn with_deadline(ms: u32) -> impl Fn(&str) -> String {
     move |text: &str| text.replace("\"deadline\": 6000.0", &format!("\"deadline\": {ms}.0"))
 }
 
-/// Waits for the end of a process that was sent SIGTERM at `since`; fails once it may have been ended by force.
+/// Waits for the exit of a process that received SIGTERM at `since`. Fails if it still runs at its kill time.
 fn wait_for_exit_before_kill(proxy: &mut Proxy, since: Instant, longest: Duration) -> ExitStatus {
     let kill_after = longest.min(Duration::from_secs(3)) + KILL_DELAY;
     loop {
-        if let Some(status) = proxy.child.try_wait().expect("its state") {
+        if let Some(status) = proxy.child.try_wait().expect("query the state of the process") {
             let took = since.elapsed();
-            assert!(took < kill_after, "it took {took:?} of {kill_after:?}");
+            assert!(took < kill_after, "the exit took {took:?}, the kill time is {kill_after:?}");
             return status;
         }
-        assert!(since.elapsed() < kill_after, "it is still there after {kill_after:?}");
+        assert!(since.elapsed() < kill_after, "the process still runs after {kill_after:?}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What a client that never stops sending got: the numbers that it sent and those that were answered.
+/// The requests of a client that sent until its connection ended: numbers and times of those sent, and the numbers
+/// of those answered.
 struct SentAndAnswered {
     sent: Vec<(i32, Instant)>,
     answered: Vec<i32>,
 }
 
-/// Sends requests until the connection ends, and always has some open.
+/// Sends a request every 5 ms until the connection ends, in a thread of its own.
 fn send_until_closed(proxy: &Proxy, patience_ms: u32) -> std::thread::JoinHandle<SentAndAnswered> {
     let client = Client::new(proxy);
-    let stream = client.0.try_clone().expect("a second handle");
+    let stream = client.0.try_clone().expect("duplicate the socket");
     std::thread::spawn(move || {
         let reader = std::thread::spawn(move || reply_numbers_until_closed(client.0));
         let (mut stream, mut sent) = (stream, Vec::new());
@@ -51,11 +53,11 @@
             sent.push((seqid, Instant::now()));
             std::thread::sleep(Duration::from_millis(5));
         }
-        SentAndAnswered { sent, answered: reader.join().expect("it reads to the end") }
+        SentAndAnswered { sent, answered: reader.join().expect("the reading thread does not panic") }
     })
 }
 
-/// The numbers of the replies that a connection brings up to its end.
+/// Returns the numbers of the replies that are received until the connection ends.
 fn reply_numbers_until_closed(mut stream: TcpStream) -> Vec<i32> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
@@ -84,7 +86,7 @@
         let status = wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(longest_ms.into()));
         assert!(status.success());
         for client in clients {
-            let SentAndAnswered { sent, answered } = client.join().expect("a client");
+            let SentAndAnswered { sent, answered } = client.join().expect("the client thread does not panic");
             let mut once = answered.clone();
             once.sort_unstable();
             once.dedup();
@@ -92,7 +94,12 @@
             let in_time = sent.iter().filter(|(_, at)| *at < since + Duration::from_millis(400));
             let lost: Vec<i32> =
                 in_time.map(|(seqid, _)| *seqid).filter(|seqid| !answered.contains(seqid)).collect();
-            assert_eq!(lost, Vec::<i32>::new(), "of {} with {longest_ms} ms", sent.len());
+            assert_eq!(
+                lost,
+                Vec::<i32>::new(),
+                "unanswered, of {} sent, with deadline {longest_ms} ms",
+                sent.len()
+            );
         }
     }
 }
@@ -121,7 +128,7 @@
     }
 }
 
-/// New requests may come for 0.6 s after the signal, whatever the deadlines are.
+/// New requests are accepted for 0.6 s after the signal, whatever the deadlines are.
 #[test]
 fn new_requests_after_sigterm_are_answered_with_short_deadlines() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -144,7 +151,8 @@
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let mut proxy = Proxy::start("takes-none", &[&cache, &parent], with_deadline(500), &[]);
     let mut client = Client::new(&proxy);
-    // More than the system holds for it; what comes behind is not read until it takes some of it.
+    // The answers are more than the system's buffers hold, and further requests are not read until the client
+    // reads some of them.
     for seqid in 1..=30 {
         client.send(&request_within(seqid, "replay", 500));
     }
@@ -156,7 +164,8 @@
     assert!(wait_for_exit_before_kill(&mut proxy, since, Duration::from_millis(500)).success());
 }
 
-/// A client whose connection the system took, and the process never: it sees an end, and nothing was forwarded.
+/// The system has completed these clients' connections, but the process is killed before it accepts them. The clients
+/// see a closed connection, and nothing was forwarded.
 #[test]
 fn process_killed_before_accept_has_forwarded_nothing() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -167,12 +176,12 @@
         client.send(&request(seqid, "result"));
     }
     proxy.signal("-KILL");
-    proxy.child.wait().expect("an end");
+    proxy.child.wait().expect("wait for the exit");
     for client in &mut clients {
-        assert!(client.is_closed(), "a reset or an end, and no byte before");
+        assert!(client.is_closed(), "the connection ends or is reset, without an answer");
     }
     assert_eq!((cache.unread_lines(), parent.unread_lines()), (vec![], vec![]));
-    // The next process serves the same requests, once each.
+    // The next process serves the same request, and forwards it once.
     let next = proxy.start_newer(&[]);
     let mut client = Client::new(&next);
     client.send(&request(1, "result"));
@@ -181,7 +190,8 @@
     assert_eq!(cache.unread_lines(), Vec::<String>::new());
 }
 
-/// The same beside a newer process: what the killed one had taken is not sent on by the newer one by itself.
+/// An older process is killed beside a newer one. The newer one does not forward the requests that the killed one had
+/// read.
 #[test]
 fn killed_older_process_loses_only_its_own_connections() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -193,8 +203,8 @@
     let new = old.start_newer(&[]);
     old.wait_for_log("a newer process takes over");
     old.signal("-KILL");
-    old.child.wait().expect("an end");
-    assert!(open.is_closed(), "its client knows, and asks again if that does no harm");
+    old.child.wait().expect("wait for the exit");
+    assert!(open.is_closed(), "the client sees the end, and may repeat the request if that is safe");
     new.wait_for_log("the older process has ended");
     for seqid in 2..6 {
         let mut client = Client::new(&new);
@@ -202,21 +212,21 @@
         cache.next_line().answer("200", "ver=a", b"x");
         assert_eq!(client.reply(), (seqid, served(b"x")));
     }
-    assert_eq!(cache.unread_lines(), Vec::<String>::new(), "the write went out once");
+    assert_eq!(cache.unread_lines(), Vec::<String>::new(), "the write was sent once");
 }
 
-/// A restarted process is ready, and says so, long before it has to be: within 10 s.
+/// A restarted process must be ready within 10 s.
 #[test]
 fn restarted_process_is_ready_in_time() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let mut proxy = Proxy::start("again", &[&cache, &parent], str::to_owned, &[]);
     for _ in 0..3 {
         proxy.signal("-KILL");
-        proxy.child.wait().expect("an end");
+        proxy.child.wait().expect("wait for the exit");
         let since = Instant::now();
         let next = proxy.start_newer(&[]);
         let mut client = Client::new(&next);
-        assert!(client.ping(1), "ready at its first answer");
+        assert!(client.ping(1), "the first ping is answered as ready");
         assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
         client.send(&request(2, "replay"));
         cache.next_line().answer("200", "ver=a", b"x");
@@ -225,7 +235,7 @@
     }
 }
 
-/// Clients that only shut down their sending side, or send a ping at the last, keep nothing open.
+/// Clients that only shut down their sending side, or send a ping during the shutdown, do not delay the exit.
 #[test]
 fn half_closed_and_pinging_clients_do_not_delay_exit() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -233,7 +243,7 @@
     let mut pinging = Client::new(&proxy);
     let half = Client::new(&proxy);
     assert!(pinging.ping(1));
-    half.0.shutdown(Shutdown::Write).expect("half closed");
+    half.0.shutdown(Shutdown::Write).expect("shut down the sending side");
     let since = Instant::now();
     proxy.signal("-TERM");
     proxy.wait_for_log("stopping");
--- a/tests/sockets/signed_front.rs
+++ b/tests/sockets/signed_front.rs
@@ -1,4 +1,4 @@
-//! The second front: signed URLs and tokens, each request with exactly one right final answer.
+//! The signed front: HTTP requests with signed URLs and tokens. Each request gets exactly one correct final answer.
 
 use crate::stand_ins::*;
 use std::io::{Read, Write};
@@ -59,21 +59,21 @@
 ) -> Setup {
     let folder = folder(name);
     let file = folder.join("signed.toml");
-    std::fs::write(&file, signed_config).expect("a file");
-    std::fs::write(folder.join("links.secret"), "AAECAwQFBgcICQoLDA0ODw==\n").expect("a file");
-    std::fs::write(folder.join("tables.secret"), "Dw4NDAsKCQgHBgUEAwIBAA\n").expect("a file");
+    std::fs::write(&file, signed_config).expect("write the file");
+    std::fs::write(folder.join("links.secret"), "AAECAwQFBgcICQoLDA0ODw==\n").expect("write the file");
+    std::fs::write(folder.join("tables.secret"), "Dw4NDAsKCQgHBgUEAwIBAA\n").expect("write the file");
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let more = [&["--signed", file.to_str().expect("a path")][..], extra].concat();
+    let more = [&["--signed", file.to_str().expect("the path is UTF-8")][..], extra].concat();
     let proxy = Proxy::start(name, &[&cache, &parent], change, &more);
     let addr = proxy.wait_for_log("signed front: listening on ").parse().expect("an address");
     Setup { cache, _parent: parent, proxy, addr, file }
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_secs()
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the time is after 1970").as_secs()
 }
 
-/// Waits for a second of the clock, on which the links' ends are counted.
+/// Waits until the wall clock, by which links expire, has reached a Unix time.
 fn wait_for_second(second: u64) {
     while now() < second {
         std::thread::yield_now();
@@ -81,21 +81,21 @@
 }
 
 impl Setup {
-    /// What the command line issues.
+    /// Runs `dahliatrack sign` and returns what it prints.
     fn sign(&self, arguments: &[&str]) -> String {
         let program = env!("CARGO_BIN_EXE_dahliatrack");
         let output =
             Command::new(program).arg("sign").args(arguments).arg("--signed").arg(&self.file).output();
-        let output = output.expect("runs");
+        let output = output.expect("run the program");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        String::from_utf8(output.stdout).expect("text").trim().to_owned()
+        String::from_utf8(output.stdout).expect("the output is UTF-8").trim().to_owned()
     }
 
-    /// A signed path that ends at a second.
+    /// Signs a path that expires at a Unix time, in s.
     fn signed_path(&self, path: &str, expires: u64) -> String {
         let url = format!("https://replays.example.org{path}");
         let signed = self.sign(&["url", "--key", "links", "--expires", &expires.to_string(), &url]);
-        signed.strip_prefix("https://replays.example.org").expect("the host").to_owned()
+        signed.strip_prefix("https://replays.example.org").expect("the URL starts with the host").to_owned()
     }
 
     fn signed_replay_path(&self, part: u32, expires: u64) -> String {
@@ -103,8 +103,8 @@
     }
 
     fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.addr).expect("a connection");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        let stream = TcpStream::connect(self.addr).expect("connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         Client(stream)
     }
 }
@@ -121,7 +121,7 @@
 impl Client {
     fn send(&mut self, method: &str, path: &str, more: &str) {
         let text = format!("{method} {path} HTTP/1.1\r\nHost: replays.example.org\r\n{more}\r\n");
-        self.0.write_all(text.as_bytes()).expect("written");
+        self.0.write_all(text.as_bytes()).expect("write to the connection");
     }
 
     fn get(&mut self, path: &str) {
@@ -132,25 +132,25 @@
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
-            self.0.read_exact(&mut byte).expect("a head");
+            self.0.read_exact(&mut byte).expect("read the response head");
             head.push(byte[0]);
         }
-        let head = String::from_utf8(head).expect("text");
-        (head[9..12].parse().expect("a status"), head)
+        let head = String::from_utf8(head).expect("the output is UTF-8");
+        (head[9..12].parse().expect("a status code"), head)
     }
 
     fn answer(&mut self) -> Answer {
         let (status, head) = self.head();
         let length = header(&head, "Content-Length").map_or(0, |length| length.parse().expect("a length"));
         let mut body = vec![0; length];
-        self.0.read_exact(&mut body).expect("a body");
+        self.0.read_exact(&mut body).expect("read the body");
         Answer { status, head, body }
     }
 
-    /// The rest until the edge proxy closes.
+    /// Returns the remaining bytes until the edge proxy closes the connection.
     fn read_until_closed(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
-        self.0.read_to_end(&mut rest).expect("an end");
+        self.0.read_to_end(&mut rest).expect("read until closed");
         rest
     }
 }
@@ -184,7 +184,7 @@
         client.get(&path);
         assert_eq!(client.answer().status, status, "{what}");
     }
-    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt for any of these");
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt is sent for any of these");
 }
 
 #[test]
@@ -218,12 +218,12 @@
     let mut client = setup.client();
     client.get(&setup.signed_replay_path(3, now() + 3));
     let mut got = setup.cache.next_line();
-    assert_eq!(client.answer().status, 403, "while the fill is still out");
+    assert_eq!(client.answer().status, 403, "denied while the fill is in flight");
     assert_eq!(setup.cache.next_line().words[0], "abort");
     got.answer("200", "ver=a1", b"too late");
     client.get(&setup.signed_replay_path(4, now() + 60));
     setup.cache.next_line().answer("200", "ver=a1", b"next");
-    assert_eq!(client.answer().body, b"next", "and the late copy is nobody's answer");
+    assert_eq!(client.answer().body, b"next", "the late copy is discarded");
 }
 
 #[test]
@@ -233,7 +233,7 @@
     let end = now() + 3;
     client.get(&setup.signed_replay_path(1, now() + 60));
     let mut first = setup.cache.next_line();
-    // Its copy is there, but its turn is behind the first.
+    // The second copy has arrived, but its answer is queued behind the first.
     client.get(&setup.signed_replay_path(2, end));
     setup.cache.next_line().answer("200", "ver=b2", b"leaked");
     client.get(&setup.signed_replay_path(3, now() + 60));
@@ -258,7 +258,7 @@
     let (status, _) = client.head();
     wait_for_second(end);
     let mut rest = vec![0; body.len()];
-    client.0.read_exact(&mut rest).expect("the body");
+    client.0.read_exact(&mut rest).expect("read the body");
     assert_eq!((status, rest == body), (200, true));
 }
 
@@ -288,14 +288,18 @@
     assert_eq!((same.status, header(&same.head, "ETag")), (304, Some("\"a\"")));
     client.send("GET", &setup.signed_replay_path(1, now() + 60), "If-None-Match: \"z\", \"a\"\r\n");
     setup.cache.next_line().answer("200", "ver=a", b"12345");
-    assert_eq!(client.answer().status, 304, "of several tags the answer's is found here");
+    assert_eq!(
+        client.answer().status,
+        304,
+        "the answer's tag is compared with each of several tags in If-None-Match"
+    );
 }
 
 #[test]
 fn each_outcome_has_its_http_status() {
     let setup = setup("status");
     let mut client = setup.client();
-    // Each attempt errs; the module may ask again before it gives up.
+    // Each attempt is answered with an error; the policy module may retry before it gives up.
     client.get(&setup.signed_replay_path(1, now() + 60));
     let mut failed = setup.cache.next_line();
     failed.answer("503", "tell=turned_away", b"");
@@ -310,12 +314,15 @@
     });
     assert_eq!((answer.status, header(&answer.head, "Retry-After")), (503, Some("2")), "1.5 s, rounded up");
     client.get(&setup.signed_path(&format!("/short/{OBJECT}"), now() + 60));
-    assert_eq!(client.answer().status, 504, "out of time");
+    assert_eq!(client.answer().status, 504, "the deadline has passed");
     client.send("POST", &setup.signed_replay_path(1, now() + 60), "");
     assert_eq!(client.answer().status, 405);
     let mut other = setup.client();
     let path = setup.signed_replay_path(1, now() + 60);
-    other.0.write_all(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).expect("written");
+    other
+        .0
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes())
+        .expect("write to the connection");
     assert_eq!(other.answer().status, 421);
     for (text, status) in [
         ("GET / HTTP/1.1\r\n\r\n".to_owned(), 400),
@@ -323,26 +330,27 @@
         (format!("GET /{} HTTP/1.1\r\n", "x".repeat(20_000)), 431),
     ] {
         let mut client = setup.client();
-        client.0.write_all(text.as_bytes()).expect("written");
+        client.0.write_all(text.as_bytes()).expect("write to the connection");
         assert_eq!(client.answer().status, status);
-        assert!(client.read_until_closed().is_empty(), "and the connection ends");
+        assert!(client.read_until_closed().is_empty(), "the connection is closed");
     }
     let mut many = setup.client();
     (0..40).for_each(|part| many.get(&format!("/replays/17/{OBJECT}/{part}")));
-    (0..40)
-        .for_each(|_| assert_eq!(many.answer().status, 403, "more than are open at a time are read in turn"));
+    (0..40).for_each(|_| {
+        assert_eq!(many.answer().status, 403, "requests beyond the limit on open ones are read later")
+    });
 }
 
 #[test]
 fn incomplete_request_head_times_out() {
     let setup = setup_with_config("slow-head", &SIGNED_CONFIG.replace("10000", "100"));
     let mut client = setup.client();
-    client.0.write_all(b"GET / HTTP/1.1\r\nHost").expect("written");
+    client.0.write_all(b"GET / HTTP/1.1\r\nHost").expect("write to the connection");
     assert_eq!(client.answer().status, 408);
     assert!(client.read_until_closed().is_empty());
     assert!(
         setup.client().read_until_closed().is_empty(),
-        "a connection that says nothing ends without an answer"
+        "a connection that sends nothing is closed without an answer"
     );
 }
 
@@ -354,25 +362,26 @@
     waits.get(&open);
     let mut fill = setup.cache.next_line();
     let secret = setup.file.with_file_name("links.secret");
-    std::fs::write(&secret, "too short\n").expect("a file");
+    std::fs::write(&secret, "too short\n").expect("write the file");
     setup.proxy.signal("-HUP");
     setup.proxy.wait_for_log("the old configuration stays");
     client.get(&old);
     setup.cache.next_line().answer("200", "ver=a", b"x");
-    assert_eq!(client.answer().status, 200, "the old key still counts");
-    std::fs::write(&secret, "DwAODwAODwAODwAODwAODw==\n").expect("a file");
+    assert_eq!(client.answer().status, 200, "the old key is still valid");
+    std::fs::write(&secret, "DwAODwAODwAODwAODwAODw==\n").expect("write the file");
     setup.proxy.signal("-HUP");
     setup.proxy.wait_for_log("reloaded: feed ");
     client.get(&old);
-    assert_eq!(client.answer().status, 403, "a key that was replaced opens nothing");
+    assert_eq!(client.answer().status, 403, "a link signed with the replaced key is denied");
     client.get(&setup.signed_replay_path(3, now() + 1000));
     setup.cache.next_line().answer("200", "ver=a", b"z");
-    assert_eq!(client.answer().body, b"z", "the new one opens");
+    assert_eq!(client.answer().body, b"z", "a link signed with the new key is served");
     fill.answer("200", "ver=a", b"y");
-    assert_eq!(waits.answer().body, b"y", "what was let in stays");
+    assert_eq!(waits.answer().body, b"y", "a request that was admitted with the old key is still answered");
 }
 
-/// Connections that say nothing must not keep out who has a link, nor end one that waits for its answer.
+/// A flood of connections that send nothing must neither keep out a client with a link nor close a connection that
+/// waits for its answer.
 #[test]
 fn idle_connection_flood_does_not_block_a_link() {
     let setup =
@@ -395,14 +404,14 @@
     let setup = setup("cut-head");
     let path = setup.signed_replay_path(3, now() + 60);
     let mut client = setup.client();
-    client.0.set_nodelay(true).expect("no delay");
+    client.0.set_nodelay(true).expect("set TCP_NODELAY");
     let text = format!("GET {path} HTTP/1.1\r\nHost: replays.example.org\r\n\r\n");
-    text.bytes().for_each(|byte| client.0.write_all(&[byte]).expect("written"));
+    text.bytes().for_each(|byte| client.0.write_all(&[byte]).expect("write to the connection"));
     setup.cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.answer().status, 200);
-    client.0.write_all(&text.as_bytes()[..text.len() / 2]).expect("written");
-    client.0.shutdown(std::net::Shutdown::Write).expect("an end");
-    assert_eq!(client.read_until_closed(), b"", "half a head and an end gets nothing");
+    client.0.write_all(&text.as_bytes()[..text.len() / 2]).expect("write to the connection");
+    client.0.shutdown(std::net::Shutdown::Write).expect("wait for the exit");
+    assert_eq!(client.read_until_closed(), b"", "a connection that ends within a head gets no answer");
 }
 
 #[test]
@@ -419,7 +428,7 @@
         "class \"replay\" is not defined in the settings or is never cached; the old configuration stays",
     );
     std::fs::write(&setup.file, SIGNED_CONFIG.replace("class = \"replay\"", "class = \"table\""))
-        .expect("a file");
+        .expect("write the file");
     setup.proxy.signal("-HUP");
     setup.proxy.wait_for_log("reloaded: ");
     open.answer("200", "ver=a", b"old");
@@ -442,23 +451,23 @@
     busy.get(&path);
     let mut open = setup.cache.next_line();
     let signed_config = SIGNED_CONFIG.replace("127.0.0.1:0", &setup.addr.to_string());
-    std::fs::write(&setup.file, signed_config).expect("a file");
-    let new = setup.proxy.start_newer(&["--signed", setup.file.to_str().expect("a path")]);
+    std::fs::write(&setup.file, signed_config).expect("write the file");
+    let new = setup.proxy.start_newer(&["--signed", setup.file.to_str().expect("the path is UTF-8")]);
     new.wait_for_log("signed front: listening on ");
     setup.proxy.wait_for_log("a newer process takes over");
     setup.proxy.signal("-TERM");
     setup.proxy.wait_for_log("listeners closed: the newer process accepts clients");
-    assert_eq!(idle.read_until_closed(), b"", "it ends between requests");
+    assert_eq!(idle.read_until_closed(), b"", "the idle connection is closed");
     open.answer("200", "ver=a", b"open");
     let last = busy.answer();
     assert_eq!((last.status, &last.body[..]), (200, &b"open"[..]));
     assert_eq!((header(&last.head, "Connection"), busy.read_until_closed()), (Some("close"), Vec::new()));
-    assert!(setup.proxy.child.wait().expect("an end").success());
+    assert!(setup.proxy.child.wait().expect("wait for the exit").success());
     let mut next = setup.client();
     next.get(&path);
     setup.cache.next_line().answer("200", "ver=a", b"new");
     assert_eq!(next.answer().body, b"new");
-    // With nobody to take over, what is open at SIGTERM is answered, too.
+    // Without a newer process, requests that are open at SIGTERM are answered, too.
     next.get(&path);
     let mut open = setup.cache.next_line();
     new.signal("-TERM");
@@ -481,25 +490,25 @@
     }
     client.get(&format!("/replays/18/{OBJECT}/3?{signed}"));
     assert_eq!(client.answer().status, 403);
-    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt for what it does not open");
+    assert_eq!(setup.cache.unread_lines(), Vec::<String>::new(), "no attempt is sent for another table");
 }
 
 #[test]
 fn link_refused_by_admission_gets_503_with_retry_after() {
     let path = folder("links-admission").join("admission.hcl");
     std::fs::write(&path, "admission {\n per_address = 1\n rate_per_s = 0\n pause_ms = 1500\n}\n")
-        .expect("a file");
+        .expect("write the file");
     let setup = setup_with_args(
         "links-admission",
         SIGNED_CONFIG,
         str::to_owned,
-        &["--admission", path.to_str().expect("a path")],
+        &["--admission", path.to_str().expect("the path is UTF-8")],
     );
-    let _held = TcpStream::connect(setup.addr).expect("a connection");
-    let mut refused = TcpStream::connect(setup.addr).expect("a connection");
-    refused.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    let _held = TcpStream::connect(setup.addr).expect("connect");
+    let mut refused = TcpStream::connect(setup.addr).expect("connect");
+    refused.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
     let mut answer = String::new();
-    refused.read_to_string(&mut answer).expect("an answer, then the end");
+    refused.read_to_string(&mut answer).expect("read until the connection is closed");
     assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\r\n"), "{answer}");
     // 1.5 s, rounded up to whole seconds.
     assert_eq!((header(&answer, "Retry-After"), header(&answer, "Connection")), (Some("2"), Some("close")));
--- a/tests/sockets/stand_ins.rs
+++ b/tests/sockets/stand_ins.rs
@@ -1,5 +1,5 @@
-//! What the edge proxy talks to, in a few lines each: table caches, the control feed, and its process.
-//! All ports are the system's choice; nothing waits for a time to pass.
+//! Minimal stand-ins for the table caches and the control feed, and a handle of the edge proxy's process.
+//! All ports are chosen by the system, and nothing sleeps for a fixed time.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than anything takes that a test waits for: past it the test has failed.
+/// Limit of every wait: longer than anything that a test waits for takes. A test that reaches it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A line that a table cache was sent, and the connection to answer it on.
+/// A line that a table cache received, and the connection to answer it on.
 pub struct ReceivedLine {
     pub cache_name: &'static str,
     pub words: Vec<String>,
@@ -21,23 +21,24 @@
 }
 
 impl ReceivedLine {
+    /// Returns the value of a field of a `fetch` line, `None` if the line does not have it.
     pub fn field(&self, name: &str) -> Option<&str> {
         let pairs = self.words[2].split(',').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(known, _)| *known == name).map(|(_, value)| value).next()
     }
 
-    /// Answers it, if the edge proxy still listens.
+    /// Answers the request, if the edge proxy has not closed the connection.
     pub fn answer(&mut self, word: &str, fields: &str, body: &[u8]) {
         let head = format!("{} {word} {fields} {}\r\n", self.words[1], body.len());
         let _ = self.stream.write_all(&[head.as_bytes(), body, b"\r\n"].concat());
     }
 
-    /// Answers whatever bytes.
+    /// Writes raw bytes to the connection.
     pub fn answer_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Answers the head and half of the bytes, and breaks off.
+    /// Sends the head and half of the body, then closes the connection.
     pub fn answer_half_and_close(&mut self, body: &[u8]) {
         let head = format!("{} 200 ver=a {}\r\n", self.words[1], body.len());
         let _ = self.stream.write_all(&[head.as_bytes(), &body[..body.len() / 2]].concat());
@@ -49,17 +50,18 @@
     }
 }
 
-/// A table cache, parent or origin: it passes on what it is sent, and answers what the test says.
+/// A table cache, parent or origin. It hands each received line to the test, which answers it.
 pub struct Cache {
     pub name: &'static str,
     pub addr: SocketAddr,
     pub lines: Receiver<ReceivedLine>,
+    /// One message for each connection that has ended.
     pub closed_connections: Receiver<()>,
 }
 
 impl Cache {
     pub fn new(name: &'static str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let addr = listener.local_addr().expect("an address");
         let (sender, lines) = channel();
         let (closed, closed_connections) = channel();
@@ -75,21 +77,22 @@
         Cache { name, addr, lines, closed_connections }
     }
 
+    /// Waits for the next line.
     pub fn next_line(&self) -> ReceivedLine {
-        self.lines.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("{} was sent nothing", self.name))
+        self.lines.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("{} received nothing", self.name))
     }
 
-    /// What it was sent next, if anything was yet.
+    /// Returns the next line without waiting, `None` if none has arrived.
     pub fn try_next_line(&self) -> Option<ReceivedLine> {
         self.lines.try_recv().ok()
     }
 
-    /// Waits until one of its connections has ended.
+    /// Waits until a connection to this cache has ended.
     pub fn wait_for_closed_connection(&self) {
-        self.closed_connections.recv_timeout(TEST_TIMEOUT).expect("a connection ends");
+        self.closed_connections.recv_timeout(TEST_TIMEOUT).expect("no connection was closed");
     }
 
-    /// What it was sent and nobody looked at.
+    /// Returns the lines that have arrived and that the test has not taken.
     pub fn unread_lines(&self) -> Vec<String> {
         self.lines.try_iter().map(|got| got.words.join(" ")).collect()
     }
@@ -118,25 +121,28 @@
     }
 }
 
-/// The control feed: its events, told to whoever asks.
+/// A control feed that answers long polls with the published events.
 #[derive(Clone, Default)]
 pub struct Feed(Arc<(Mutex<Vec<String>>, Condvar)>);
 
 impl Feed {
+    /// Adds an event under the next number and wakes the waiting polls.
     pub fn publish(&self, event: &str) {
-        let mut events = self.0 .0.lock().expect("a lock");
+        let mut events = self.0 .0.lock().expect("the lock is not poisoned");
         let n = events.len() + 1;
         events.push(format!("{{\"n\":{n},{event}}}"));
         self.0 .1.notify_all();
     }
 
+    /// Formats the events after number `after` as a feed response.
     fn events_after(&self, after: usize) -> String {
-        let events = self.0 .0.lock().expect("a lock");
+        let events = self.0 .0.lock().expect("the lock is not poisoned");
         format!("{{\"n\":{},\"events\":[{}]}}", events.len(), events[after..].join(","))
     }
 
+    /// Starts to serve the feed and returns its address.
     pub fn serve(&self) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         let addr = listener.local_addr().expect("an address");
         let feed = self.clone();
         thread::spawn(move || {
@@ -167,6 +173,7 @@
     }
 }
 
+/// Formats a host of the endpoint list.
 pub fn host_entry(cache: &Cache, health: &str) -> String {
     let class = match cache.name {
         "s-0000000p" => "parent",
@@ -179,13 +186,14 @@
     )
 }
 
+/// Formats an endpoint list event; if `whole`, hosts that are not in the list are removed.
 pub fn members_event(whole: bool, hosts: &[String]) -> String {
     format!(r#""members":{{"seq":1,"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
 }
 
 const EXAMPLE_SETTINGS: &str = include_str!("../../src/config/settings/example.json");
 
-/// The edge proxy's process.
+/// A running edge proxy process. It is killed when the value is dropped.
 pub struct Proxy {
     pub child: Child,
     config: std::path::PathBuf,
@@ -194,16 +202,16 @@
     log: Receiver<String>,
 }
 
-/// A folder of a test's own, in this run.
+/// Creates a folder for one test of this run and returns its path.
 pub fn folder(name: &str) -> std::path::PathBuf {
     let folder =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("create the folder");
     folder
 }
 
 impl Proxy {
-    /// Starts one that knows these caches; `change` is applied to its configuration's text.
+    /// Starts a process that knows these caches; `change` edits the text of its configuration.
     pub fn start(
         name: &str,
         caches: &[&Cache],
@@ -214,7 +222,7 @@
         Self::spawn(path, feed, extra_args)
     }
 
-    /// Starts one that the system lets hold so many descriptors.
+    /// Starts a process under a limit on its open descriptors.
     pub fn start_with_descriptor_limit(
         limit: usize,
         name: &str,
@@ -228,7 +236,7 @@
         Self::spawn_command(shell, path, feed, &[])
     }
 
-    /// Writes the configuration of one that knows these caches.
+    /// Writes the configuration of a process that knows these caches, and starts its control feed.
     fn write_config(
         name: &str,
         caches: &[&Cache],
@@ -245,11 +253,12 @@
             EXAMPLE_SETTINGS
         );
         let path = folder(name).join("config.json");
-        std::fs::write(&path, change(&config)).expect("a file");
+        std::fs::write(&path, change(&config)).expect("write the configuration");
         (path, feed)
     }
 
-    /// Starts a newer process beside this one: the same files, folder and addresses but for the admin endpoint's.
+    /// Starts a newer process beside this one, with the same files, folder and addresses. Only the address of the
+    /// admin endpoint differs.
     pub fn start_newer(&self, extra_args: &[&str]) -> Self {
         let addr = self.addr.to_string();
         self.rewrite_config(|text| {
@@ -272,14 +281,15 @@
             .args(["serve", "--config"])
             .arg(&config)
             .args(extra_args)
-            // By a short path, wherever the tests are built: a socket's has to be.
-            .current_dir(config.parent().expect("a folder"))
+            // The relative TMPDIR keeps the paths of Unix sockets within their length limit, wherever the tests are
+            // built.
+            .current_dir(config.parent().expect("the file has a parent folder"))
             .env("TMPDIR", ".")
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("start the program");
         let (sender, log) = channel();
-        let lines = BufReader::new(child.stderr.take().expect("piped"));
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped"));
         thread::spawn(move || lines.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let mut proxy = Proxy { child, config, addr: "127.0.0.1:0".parse().expect("an address"), feed, log };
         let line = proxy.wait_for_log("listens on ");
@@ -287,29 +297,31 @@
         proxy
     }
 
-    /// Changes the configuration's text.
+    /// Edits the text of the configuration file.
     pub fn rewrite_config(&self, change: impl Fn(&str) -> String) {
-        let text = std::fs::read_to_string(&self.config).expect("a file");
-        std::fs::write(&self.config, change(&text)).expect("a file");
+        let text = std::fs::read_to_string(&self.config).expect("read the configuration");
+        std::fs::write(&self.config, change(&text)).expect("write the configuration");
     }
 
+    /// Sends the process a signal, given as an option of kill(1).
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &pid]).status().expect("run kill").success());
     }
 
-    /// Stops the process where it is, and waits until it is stopped; SIGCONT lets it go on.
+    /// Stops the process with SIGSTOP and waits until it has stopped. SIGCONT resumes it.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
+        while !std::fs::read_to_string(&stat).expect("read the state of the process").contains(") T ") {
             std::thread::yield_now();
         }
     }
 
-    /// Waits for a log line that holds these words; gives what follows them.
+    /// Waits for a log line that contains `words` and returns the text after them.
     pub fn wait_for_log(&self, words: &str) -> String {
-        // Lines that keep coming (a feed that falls silent logs every 1.7 s) must not make the wait endless.
+        // The time limit is for the whole wait. A limit for each line would never be reached while lines keep
+        // coming: a silent feed, for example, is logged every 1.7 s.
         let since = std::time::Instant::now();
         loop {
             let left = TEST_TIMEOUT.saturating_sub(since.elapsed());
@@ -320,19 +332,19 @@
         }
     }
 
-    /// Stops taking the log: at its next line the pipe is closed.
+    /// Stops reading the log. The pipe is closed when the next line arrives.
     pub fn close_log_reader(&mut self) {
         self.log = channel().1;
     }
 
-    /// The log lines that came and nobody looked at.
+    /// Returns the log lines that have arrived and that the test has not taken.
     pub fn unread_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     pub fn connect(&self, addr: SocketAddr) -> TcpStream {
-        let stream = TcpStream::connect(addr).expect("a connection");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        let stream = TcpStream::connect(addr).expect("connect");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         stream
     }
 }
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -1,5 +1,5 @@
-//! What the system does to sockets: signals in a wait, clients that reset before they are accepted, short reads and
-//! writes, descriptors that run out, and peers that send without end.
+//! Special results of system calls on sockets: signals during a wait, clients that reset before they are accepted, short
+//! reads and writes, exhausted descriptors, and peers that send without end.
 
 use crate::admission::{open_descriptors, set_descriptor_limit};
 use crate::stand_ins::*;
@@ -15,6 +15,7 @@
     (cache, parent, proxy)
 }
 
+/// Lowers the limit on sockets from 1024 to 64.
 fn low_socket_limit(config: &str) -> String {
     config.replace("\"sockets\":1024", "\"sockets\":64")
 }
@@ -22,7 +23,7 @@
 /// Closes a connection with a reset.
 fn close_with_reset(stream: TcpStream) {
     let socket = Socket::from(stream);
-    socket.set_linger(Some(Duration::ZERO)).expect("a linger");
+    socket.set_linger(Some(Duration::ZERO)).expect("set the linger time");
     drop(socket);
 }
 
@@ -61,33 +62,34 @@
     client.send(&request(2, "replay"));
     proxy.signal("-CONT");
     let mut got = cache.next_line();
-    assert_eq!(got.words[1], crate::thrift_front::trace(2), "nothing is forwarded for those that reset");
+    assert_eq!(got.words[1], crate::thrift_front::trace(2), "nothing is forwarded for clients that reset");
     got.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (2, served(b"x")));
     assert!(Client::new(&proxy).ping(3));
     assert_eq!(cache.unread_lines(), Vec::<String>::new());
 }
 
-/// A listener whose connections hold few bytes that nobody has read.
+/// Returns a listener whose connections have a small receive buffer.
 fn small_buffer_listener() -> TcpListener {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(2048).expect("a small buffer");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(2048).expect("set the buffer size");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).expect("a port");
-    socket.listen(16).expect("listens");
+    socket.bind(&any.into()).expect("bind a port");
+    socket.listen(16).expect("listen");
     socket.into()
 }
 
-/// Reads a byte at a time and answers so, with as small buffers as the system allows.
+/// Serves connections with a small send buffer. Reads byte by byte, and writes the first 200 bytes of an answer one by
+/// one and the rest in pieces of 3000.
 fn serve_byte_by_byte(listener: TcpListener, body: Vec<u8>) {
     for stream in listener.incoming().flatten() {
         let body = body.clone();
         std::thread::spawn(move || {
             let socket = Socket::from(stream);
-            socket.set_send_buffer_size(2048).expect("a small buffer");
-            socket.set_tcp_nodelay(true).expect("no delay");
+            socket.set_send_buffer_size(2048).expect("set the buffer size");
+            socket.set_tcp_nodelay(true).expect("set TCP_NODELAY");
             let stream = TcpStream::from(socket);
-            let mut reader = BufReader::with_capacity(1, stream.try_clone().expect("a second handle"));
+            let mut reader = BufReader::with_capacity(1, stream.try_clone().expect("duplicate the socket"));
             let (mut writer, mut line) = (stream, String::new());
             while reader.read_line(&mut line).is_ok_and(|read| read > 0) {
                 let words: Vec<String> = line.trim_end().split(' ').map(str::to_owned).collect();
@@ -118,12 +120,12 @@
     std::thread::spawn(move || serve_byte_by_byte(listener, serving));
     let (cache, parent) = (Cache { addr, ..Cache::new("s-00000001") }, Cache::new("s-0000000p"));
     let proxy = Proxy::start("short", &[&cache, &parent], str::to_owned, &[]);
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(2048).expect("a small buffer");
-    socket.set_send_buffer_size(2048).expect("a small buffer");
-    socket.connect(&proxy.addr.into()).expect("a connection");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.set_recv_buffer_size(2048).expect("set the buffer size");
+    socket.set_send_buffer_size(2048).expect("set the buffer size");
+    socket.connect(&proxy.addr.into()).expect("connect");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
     let mut client = Client(stream);
     client.send(&request(1, "replay"));
     assert_eq!(client.reply(), (1, served(&body)));
@@ -135,10 +137,10 @@
     assert_eq!(client.reply(), (2, served(&long)));
 }
 
-/// A server that sends what nobody asked for, as fast as it can and without end.
+/// The server sends answers to no request, as fast as it can and without end.
 #[test]
 fn flooding_server_does_not_block_other_clients() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let addr = listener.local_addr().expect("an address");
     let (asked, was_asked) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
@@ -156,7 +158,7 @@
     let proxy = Proxy::start("without-end", &[&cache, &parent], str::to_owned, &[]);
     let mut client = Client::new(&proxy);
     client.send(&crate::thrift_front::request_within(1, "result", 1500));
-    was_asked.recv_timeout(TEST_TIMEOUT).expect("the server is asked");
+    was_asked.recv_timeout(TEST_TIMEOUT).expect("the server received nothing");
     let mut other = Client::new(&proxy);
     for seqid in 2..20 {
         assert!(other.ping(seqid));
@@ -165,7 +167,7 @@
     assert!(seqid == 1 && matches!(reply, Reply::Failed | Reply::Refused { .. }), "{reply:?}");
 }
 
-/// An answer of which a byte comes now and then: its connection ends, though it never stops.
+/// The server sends one byte of an answer every 50 ms. The connection must be closed although bytes keep arriving.
 #[test]
 fn trickling_answer_gets_its_connection_closed() {
     let (cache, _parent, proxy) = start_with_one_cache("trickle", str::to_owned);
@@ -175,14 +177,14 @@
     got.answer_raw(format!("{} 200 ver=a 200000\r\n", crate::thrift_front::trace(1)).as_bytes());
     let since = Instant::now();
     while cache.closed_connections.try_recv().is_err() {
-        assert!(since.elapsed() < TEST_TIMEOUT, "it goes on for ever");
+        assert!(since.elapsed() < TEST_TIMEOUT, "the connection was not closed");
         got.answer_raw(b"x");
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(client.reply().0, 1);
 }
 
-/// A server that gives an idle connection up at the moment of its next use: the request goes by another.
+/// The server closes an idle connection just when it is to be used again: the request is sent on another one.
 #[test]
 fn request_is_served_when_idle_connection_closes_meanwhile() {
     let (cache, _parent, proxy) = start_with_one_cache("idle-crossing", str::to_owned);
@@ -201,17 +203,18 @@
     }
 }
 
-/// Where all that is held is busy, a new connection's request is refused with a pause, not closed upon.
+/// While all connections that may be held are busy, the request of a new one is refused with a pause; the connection is
+/// not closed without an answer.
 #[test]
 fn request_beyond_connection_budget_is_refused_not_closed() {
     let (cache, _parent, proxy) = start_with_one_cache("beyond-budget", low_socket_limit);
-    // One at a time, so that each has asked before the next one comes.
+    // One at a time, so that each has sent its request before the next one connects.
     let mut clients = Vec::new();
     let mut refused = 0;
     for seqid in 1..=60 {
         let mut client = Client::new(&proxy);
         client.send(&request(seqid, "result"));
-        client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("a time-out");
+        client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("set the read timeout");
         let open = loop {
             if let Some(got) = cache.try_next_line() {
                 break Some(got);
@@ -220,7 +223,7 @@
                 break None;
             }
         };
-        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         match open {
             Some(got) => clients.push((seqid, client, got)),
             None => {
@@ -232,11 +235,11 @@
     assert!(refused > 20, "{refused}");
     for (seqid, client, got) in &mut clients {
         got.answer("200", "ver=a", b"ran");
-        assert_eq!(client.reply(), (*seqid, served(b"ran")), "and what was taken is answered");
+        assert_eq!(client.reply(), (*seqid, served(b"ran")), "the requests that were accepted are answered");
     }
 }
 
-/// More connections than there is room for, each with a request that waits unread as the next one comes.
+/// More connections than may be held arrive at once, each with an unread request. Each request gets an answer.
 #[test]
 fn every_connection_of_a_request_flood_is_answered() {
     let (cache, parent, proxy) = start_with_one_cache("flood-asked", low_socket_limit);
@@ -257,20 +260,21 @@
         assert_eq!(answered, seqid);
         assert!(matches!(reply, Reply::Served { .. } | Reply::Refused { .. }), "{reply:?}");
     }
-    serving.join().expect("served");
+    serving.join().expect("the serving thread does not panic");
 }
 
-/// Admission that holds no connection open for its refusal still answers what was sent there.
+/// With `most_refusing = 0` admission holds no refused connection open. A request that was already sent on it still
+/// gets its refusal.
 #[test]
 fn request_on_connection_shed_by_admission_is_answered() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let hcl = "admission {\n per_address = 1\n per_prefix = 0\n rate_per_s = 0\n most_refusing = 0\n}\n";
     let path = folder("shed").join("admission.hcl");
-    std::fs::write(&path, hcl).expect("a file");
-    let more = ["--admission", path.to_str().expect("a path")];
+    std::fs::write(&path, hcl).expect("write the file");
+    let more = ["--admission", path.to_str().expect("the path is UTF-8")];
     let proxy = Proxy::start("shed", &[&cache, &parent], str::to_owned, &more);
     let held = Client::new(&proxy);
-    // Both came before any of them is accepted.
+    // The connections and their requests arrive before any of them is accepted.
     proxy.suspend();
     let mut clients: Vec<Client> = (0..5).map(|_| Client::new(&proxy)).collect();
     for (seqid, client) in (1..).zip(&mut clients) {
@@ -285,7 +289,8 @@
     drop(held);
 }
 
-/// With no descriptor left, what waits is neither read nor closed, and is served once there is one.
+/// While no descriptor is left, new connections wait, neither read nor closed. They are served once descriptors are
+/// available.
 #[test]
 fn connections_wait_for_descriptors_and_are_then_served() {
     let (cache, _parent, proxy) = start_with_one_cache("no-descriptors", str::to_owned);
@@ -299,7 +304,7 @@
     }
     proxy.wait_for_log("accept: ");
     open.answer("200", "ver=a", b"x");
-    assert_eq!(old.reply(), (1, served(b"x")), "what was open is answered");
+    assert_eq!(old.reply(), (1, served(b"x")), "the open request is answered");
     set_descriptor_limit(&proxy, 1024);
     for _ in 0..5 {
         cache.next_line().answer("200", "ver=a", b"y");
@@ -309,8 +314,9 @@
     }
 }
 
-/// A server that nothing can be sent to for want of a local port or descriptor is not held for failed: the request is
-/// refused, which promises that it never ran, and the server is used again at once when there is one.
+/// If nothing can be sent to a server because no local port or descriptor is left, this does not count as a failure of
+/// the server. The request is refused, which promises that it never ran, and the server is used again as soon as
+/// there is one.
 #[test]
 fn write_is_refused_when_no_descriptor_is_left_for_connect() {
     let (cache, _parent, proxy) = start_with_one_cache("no-dial", str::to_owned);
--- a/tests/sockets/thrift_front.rs
+++ b/tests/sockets/thrift_front.rs
@@ -1,12 +1,14 @@
-//! The platform's front.
+//! The Thrift front, through which the platform's clients send requests.
 
 use crate::stand_ins::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
 
+/// A client of the Thrift front.
 pub struct Client(pub TcpStream);
 
+/// The outcome of a reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Served { body: Vec<u8>, current: bool },
@@ -16,16 +18,19 @@
     Pong(bool),
 }
 
+/// Encodes a string with its length.
 fn thrift_string(text: &str) -> Vec<u8> {
     [&(text.len() as i32).to_be_bytes()[..], text.as_bytes()].concat()
 }
 
+/// Encodes a framed message; `kind` is the Thrift message type.
 pub fn message(kind: u8, name: &str, seqid: i32, arguments: &[u8]) -> Vec<u8> {
     let head =
         [&[0x80, 1, 0, kind][..], &thrift_string(name), &seqid.to_be_bytes(), arguments, &[0]].concat();
     [&(head.len() as i32).to_be_bytes()[..], &head].concat()
 }
 
+/// Encodes a call of `invoke` with a map of fields and a body.
 pub fn invoke(seqid: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut map = [&[13, 0, 1, 11, 11][..], &(fields.len() as i32).to_be_bytes()].concat();
     fields.iter().for_each(|(name, value)| map.extend([thrift_string(name), thrift_string(value)].concat()));
@@ -33,20 +38,22 @@
     message(1, "invoke", seqid, &map)
 }
 
-/// The client gives up the request of this number.
+/// Encodes the cancellation of request `target`.
 pub fn cancel(seqid: i32, target: i32) -> Vec<u8> {
     message(4, "abort", seqid, &[&[8, 0, 1][..], &target.to_be_bytes()].concat())
 }
 
+/// Returns the trace ID that [`request`] gives request `seqid`.
 pub fn trace(seqid: i32) -> String {
     format!("{:016x}", 0x1b1f_0000 + seqid)
 }
 
+/// Encodes a request whose client waits 4 s.
 pub fn request(seqid: i32, route: &str) -> Vec<u8> {
     request_within(seqid, route, 4000)
 }
 
-/// A request whose client waits this long, ms.
+/// Encodes a request whose client waits `patience` ms. Requests of route `result` are writes.
 pub fn request_within(seqid: i32, route: &str, patience: u32) -> Vec<u8> {
     let (trace, patience) = (trace(seqid), patience.to_string());
     let fields = [
@@ -74,18 +81,18 @@
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("written");
+        self.0.write_all(bytes).expect("write to the connection");
     }
 
     fn read_array<const N: usize>(&mut self) -> [u8; N] {
         let mut bytes = [0; N];
-        self.0.read_exact(&mut bytes).expect("bytes");
+        self.0.read_exact(&mut bytes).expect("read from the connection");
         bytes
     }
 
     pub fn reply(&mut self) -> (i32, Reply) {
         let mut frame = vec![0; i32::from_be_bytes(self.read_array()) as usize];
-        self.0.read_exact(&mut frame).expect("a frame");
+        self.0.read_exact(&mut frame).expect("read a frame");
         let name = i32::from_be_bytes(frame[4..8].try_into().expect("4 bytes")) as usize;
         let (kind, rest) = (frame[3], &frame[8 + name..]);
         let seqid = i32::from_be_bytes(rest[..4].try_into().expect("4 bytes"));
@@ -100,7 +107,7 @@
             }
             (_, [12, 0, 1]) => Reply::Refused { pause: has(b"pause") },
             (_, [12, 0, 2]) => Reply::Failed,
-            other => panic!("no reply: {other:?}"),
+            other => panic!("not a reply: {other:?}"),
         };
         (seqid, reply)
     }
@@ -171,7 +178,7 @@
     assert_eq!(got.body, b"won");
     got.close_connection();
     assert_eq!(client.reply(), (1, Reply::Failed));
-    assert!(client.ping(2), "and the edge proxy goes on");
+    assert!(client.ping(2), "the edge proxy still answers");
     assert_eq!(one.unread_lines().len() + two.unread_lines().len(), 0);
 }
 
@@ -183,11 +190,11 @@
     let mut first = next_line_of_either(&one, &two);
     first.answer_half_and_close(&[1; 1000]);
     next_line_of_either(&one, &two).answer("200", "ver=b", b"whole");
-    assert_eq!(client.reply(), (1, served(b"whole")), "and no byte of the broken one");
+    assert_eq!(client.reply(), (1, served(b"whole")), "nothing of the truncated answer is passed on");
 }
 
-/// A connection is of no use after an answer that can't be read: what else is open there ends with it, and a
-/// write would have failed for a read's sake.
+/// After a malformed answer a connection is closed, and all requests that are open on it end. If reads and writes
+/// shared connections, a malformed answer to a read would fail a write.
 #[test]
 fn malformed_answer_to_read_does_not_fail_open_write() {
     let spoilt: [&[u8]; 5] = [
@@ -209,12 +216,16 @@
         let text = noise.strip_prefix(b"7").map(|rest| [trace(read).as_bytes(), rest].concat());
         first.answer_raw(&text.unwrap_or(noise.to_vec()));
         let mut again = cache.next_line();
-        assert_eq!((&again.words[0][..], &again.words[1]), ("fetch", &trace(read)), "{i}: read anew");
+        assert_eq!(
+            (&again.words[0][..], &again.words[1]),
+            ("fetch", &trace(read)),
+            "{i}: the read is retried"
+        );
         again.answer("200", "ver=a", b"whole");
         assert_eq!(client.reply(), (read, served(b"whole")), "{i}");
         open.answer("200", "ver=a", b"ran");
         assert_eq!(client.reply(), (write, served(b"ran")), "{i}");
-        // Without good answers in between, the cache would be left for a while.
+        // Without good answers in between, the cache would be ejected for a while.
         for seqid in 100 * (i + 1)..100 * (i + 1) + 8 {
             client.send(&request(seqid, "replay"));
             cache.next_line().answer("200", "ver=a", b"x");
@@ -277,7 +288,7 @@
     proxy.feed.publish(&members_event(false, &[host_entry(drained, "draining")]));
     proxy.wait_for_log("is Draining");
     first.answer("200", "ver=a", b"x");
-    assert_eq!(client.reply(), (1, served(b"x")), "what it has is finished");
+    assert_eq!(client.reply(), (1, served(b"x")), "the draining cache finishes its open request");
     for seqid in 2..6 {
         client.send(&request(seqid, "replay"));
         other.next_line().answer("200", "ver=a", b"y");
@@ -290,15 +301,16 @@
 fn purge_limits_age_of_requested_copies() {
     let (cache, _parent, proxy) = start_with_one_cache("purge");
     let mut client = Client::new(&proxy);
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time");
+    let now =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("the time is after 1970");
     let at = now.as_millis() - 1500;
     proxy.feed.publish(&format!(r#""purge":{{"group":17,"at":{at}}}"#));
-    // The next event is told after it, so once that is logged the purge has been taken in.
+    // Events are applied in order, so once the next event is logged the purge has been applied.
     proxy.feed.publish(&members_event(false, &[host_entry(&cache, "up")]));
     proxy.wait_for_log("event 3: ");
     client.send(&request(1, "replay"));
     let got = cache.next_line();
-    let oldest: u128 = got.field("oldest").expect("a limit").parse().expect("a number");
+    let oldest: u128 = got.field("oldest").expect("field `oldest`").parse().expect("a number");
     let since = now.as_millis() - at;
     assert!((since..since + TEST_TIMEOUT.as_millis()).contains(&oldest), "{oldest}");
 }
@@ -312,7 +324,7 @@
     let heir = Cache { addr: cache.addr, ..Cache::new("s-00000009") };
     proxy.feed.publish(&members_event(false, &[host_entry(&heir, "up")]));
     cache.wait_for_closed_connection();
-    assert_eq!(client.reply(), (1, Reply::Failed), "it may have run at the old one");
+    assert_eq!(client.reply(), (1, Reply::Failed), "the write may have run on the old server");
 }
 
 #[test]
@@ -335,17 +347,18 @@
     let proxy = Proxy::start("full", &[&cache, &parent], small, &[]);
     let mut client = Client::new(&proxy);
     let mut seqid = 0;
-    // Asks until the answer is the wanted one: what others wrote or closed is read in no known order.
+    // Sends requests until the reply is the wanted one, since the order is not known in which the edge proxy reads
+    // what other clients have written or closed.
     let mut until = |wanted: Reply| loop {
         seqid += 1;
         client.send(&request(seqid, "replay"));
-        client.0.set_read_timeout(Some(std::time::Duration::from_millis(5))).expect("a time-out");
+        client.0.set_read_timeout(Some(std::time::Duration::from_millis(5))).expect("set the read timeout");
         while client.0.peek(&mut [0]).is_err() {
             if let Some(mut got) = cache.try_next_line() {
                 got.answer("200", "ver=a", b"x");
             }
         }
-        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        client.0.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         if client.reply() == (seqid, wanted.clone()) {
             break;
         }
@@ -373,15 +386,24 @@
     };
     client.send(&[again(1, "7f3a9c21e0b4d655"), again(2, "7f3a9c21e0b4d656")].concat());
     let mut first = cache.next_line();
-    assert_eq!(client.reply(), (2, Reply::Exception), "a cache could not tell the two apart");
+    assert_eq!(
+        client.reply(),
+        (2, Reply::Exception),
+        "a cache could not tell two requests with one trace ID apart"
+    );
     first.answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (1, served(b"x")));
     client.send(&again(3, "7f3a9c21e0b4d656"));
     cache.next_line().answer("200", "ver=a", b"y");
-    assert_eq!(client.reply(), (3, served(b"y")), "free again once it is answered");
+    assert_eq!(
+        client.reply(),
+        (3, served(b"y")),
+        "the trace ID may be used again once its request is answered"
+    );
 }
 
-/// Clients that leave at once by the hundred used to have every connection to a cache held for silent.
+/// Guards against a former fault: when hundreds of clients left at once, their cancelled requests made every
+/// connection to a cache count as silent.
 #[test]
 fn cancelled_requests_do_not_mark_cache_connection_silent() {
     let (cache, _parent, proxy) = start_with_one_cache("withdrawn");
@@ -399,11 +421,11 @@
     client.send(&request(7, "replay"));
     cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.reply(), (7, served(b"x")));
-    assert!(cache.closed_connections.try_recv().is_err(), "on the connections there are");
+    assert!(cache.closed_connections.try_recv().is_err(), "no connection to the cache is closed");
 }
 
-/// A client that says nothing, or leaves a message half said, is owed an end within 3 s, without a signal from it; one
-/// that has asked may be idle for longer.
+/// A client that sends nothing, or only part of a message, must be closed within 3 s without doing anything itself. One
+/// that has sent a whole message may be idle for longer.
 #[test]
 fn silent_and_stalled_clients_are_closed_but_not_idle_ones() {
     let (_cache, _parent, proxy) = start_with_one_cache("half");
@@ -412,10 +434,10 @@
     assert!(half.ping(1));
     half.send(&request(2, "replay")[..20]);
     assert!(half.is_closed() && mute.is_closed());
-    assert!(idle.ping(2), "the one that asked is still there");
+    assert!(idle.ping(2), "the client that has sent a whole message is still connected");
 }
 
-/// Connections that say nothing must not keep out who asks.
+/// A flood of connections that send nothing must not keep out a client with a request.
 #[test]
 fn idle_connection_flood_does_not_block_requests() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
@@ -434,7 +456,8 @@
     drop(flood);
 }
 
-/// One client at full speed must not have all the loop's time: others have their turns in between.
+/// A client that sends as fast as it can must not take all of the event loop's time: other clients are served in
+/// between.
 #[test]
 fn fast_client_does_not_starve_others() {
     let (_cache, _parent, proxy) = start_with_one_cache("turns");
@@ -444,11 +467,12 @@
     fast.send(&many);
     assert!(slow.ping(1));
     for seqid in 1..=400 {
-        assert_eq!(fast.reply(), (seqid, Reply::Exception), "and all are answered in the end");
+        assert_eq!(fast.reply(), (seqid, Reply::Exception), "every request of the fast client is answered");
     }
 }
 
-/// No reset may take an answer away: with bytes of the client unread, closing at once would.
+/// Closing a connection with unread bytes of the client makes the system send a reset, which can discard an answer
+/// that the client has not read. The connection must be closed gracefully.
 #[test]
 fn answer_before_close_is_not_lost_to_reset() {
     let (cache, _parent, proxy) = start_with_one_cache("linger");
@@ -531,17 +555,17 @@
     assert_eq!(new.reply(), (2, served(b"new")));
     open.answer("200", "ver=a", b"old");
     assert_eq!(old.reply(), (1, served(b"old")));
-    assert!(proxy.child.wait().expect("an end").success());
+    assert!(proxy.child.wait().expect("wait for the exit").success());
 }
 
-/// A feed at another address that goes on under the same numbers.
+/// Starts a feed at another address that continues the same event numbers, and configures it for the next reload.
 fn move_feed(proxy: &Proxy, hosts: &[String]) -> Feed {
     let next = Feed::default();
     next.publish(&members_event(true, hosts));
     let addr = next.serve();
     proxy.rewrite_config(|text| {
-        let (before, rest) = text.split_once("\"feed\":\"").expect("a feed");
-        format!("{before}\"feed\":\"{addr}{}", &rest[rest.find('"').expect("its end")..])
+        let (before, rest) = text.split_once("\"feed\":\"").expect("an entry for the feed");
+        format!("{before}\"feed\":\"{addr}{}", &rest[rest.find('"').expect("a closing quote")..])
     });
     next
 }
@@ -557,7 +581,7 @@
     proxy.signal("-HUP");
     proxy.wait_for_log("reloaded: feed ");
     second.publish(&members_event(false, &hosts));
-    proxy.wait_for_log("event 2: "); // the old address never tells it
+    proxy.wait_for_log("event 2: "); // published only by the feed at the new address
     proxy.rewrite_config(|text| text[1..].to_owned());
     proxy.signal("-HUP");
     proxy.wait_for_log("the old configuration stays");
@@ -576,10 +600,14 @@
     third.publish(&members_event(false, &hosts));
     third.publish(&members_event(false, &hosts));
     third.publish(&members_event(false, &hosts));
-    proxy.wait_for_log("event 4: "); // a drain or a purge counts while it stops, too
+    proxy.wait_for_log("event 4: "); // events (drains, purges) are applied during a shutdown, too
     open.answer("200", "ver=a", b"ran");
-    assert_eq!(client.reply(), (1, served(b"ran")), "on the connection and by the attempt of before");
-    assert!(proxy.child.wait().expect("an end").success());
+    assert_eq!(
+        client.reply(),
+        (1, served(b"ran")),
+        "the request is answered on its connection, by the attempt that was open before"
+    );
+    assert!(proxy.child.wait().expect("wait for the exit").success());
 }
 
 #[test]
@@ -589,11 +617,15 @@
         [("{", "EOF"), ("{\"name\":1}", "name"), ("{\"name\":\"n\",\"listen\":\"nowhere\"}", "listen")]
     {
         let path = folder.join("config.json");
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("write the file");
         for command in ["serve", "check-config"] {
             let program = env!("CARGO_BIN_EXE_dahliatrack");
-            let output = Command::new(program).args([command, "--config"]).arg(&path).output().expect("runs");
-            let error = String::from_utf8(output.stderr).expect("text");
+            let output = Command::new(program)
+                .args([command, "--config"])
+                .arg(&path)
+                .output()
+                .expect("run the program");
+            let error = String::from_utf8(output.stderr).expect("the output is UTF-8");
             assert_eq!((output.status.code(), error.lines().count()), (Some(2), 1), "{error}");
             assert!(error.contains(wanted), "{error}");
         }
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -1,10 +1,10 @@
-//! A newer process takes over from an older one under load.
+//! Upgrade: a newer process takes over from an older one that has open and idle connections.
 
 use crate::admin_endpoint::{get, start_with_admin, stat_values};
 use crate::stand_ins::*;
 use crate::thrift_front::{request, served, Client};
 
-/// Asks on a connection of its own and is answered.
+/// Opens a connection and has one read served on it.
 fn send_and_serve(proxy: &Proxy, cache: &Cache, seqid: i32) -> Client {
     let mut client = Client::new(proxy);
     client.send(&request(seqid, "replay"));
@@ -29,22 +29,26 @@
         old.wait_for_log("a newer process takes over");
         old.signal("-TERM");
         old.wait_for_log("listeners closed: the newer process accepts clients");
-        // Only the newer process listens now, and what was idle is its.
+        // Only the newer process listens now, and it has received the idle connections.
         let mut next = send_and_serve(&new, &cache, 30);
         idle.send(&request(11, "replay"));
         cache.next_line().answer("200", "ver=a", b"x");
         assert_eq!(idle.reply(), (11, served(b"x")), "round {round}");
         half.send(&request(12, "replay")[9..]);
         cache.next_line().answer("200", "ver=a", b"x");
-        assert_eq!(half.reply(), (12, served(b"x")), "what was read in part is not lost, round {round}");
+        assert_eq!(
+            half.reply(),
+            (12, served(b"x")),
+            "the part of the request that was already read is not lost, round {round}"
+        );
         assert_eq!(stat_values(&new, addr, ["replies.replay.success"]), [3]);
         open.answer("200", "ver=a", b"ran");
-        assert_eq!(busy.reply(), (20, served(b"ran")), "what was open is answered, round {round}");
+        assert_eq!(busy.reply(), (20, served(b"ran")), "the open request is answered, round {round}");
         busy.send(&request(21, "result"));
         cache.next_line().answer("200", "ver=a", b"ran");
-        assert_eq!(busy.reply(), (21, served(b"ran")), "its connection goes on, round {round}");
+        assert_eq!(busy.reply(), (21, served(b"ran")), "its connection stays open, round {round}");
         assert_eq!(stat_values(&new, addr, ["replies.result.success"]), [1]);
-        assert!(old.child.wait().expect("an end").success());
+        assert!(old.child.wait().expect("wait for the exit").success());
         new.wait_for_log("the older process has ended");
         new.signal("-HUP");
         new.wait_for_log("reloaded: feed ");
@@ -72,12 +76,13 @@
     send_and_serve(&next, &cache, 2);
 }
 
-/// A place that a killed process left behind is no process.
+/// A killed process leaves its handover socket behind. The next process must replace it and not take it for a running
+/// process.
 #[test]
 fn stale_handover_socket_is_replaced() {
     let (cache, _parent, mut old, _) = start_with_admin("stale", str::to_owned);
-    old.child.kill().expect("killed");
-    old.child.wait().expect("an end");
+    old.child.kill().expect("kill the process");
+    old.child.wait().expect("wait for the exit");
     let new = old.start_newer(&["--admin", "127.0.0.1:0"]);
     new.wait_for_log("admin endpoint: listening on ");
     send_and_serve(&new, &cache, 1);
@@ -102,6 +107,6 @@
     old.wait_for_log("the newer process has ended");
     open.answer("200", "ver=a", b"ran");
     assert_eq!(busy.reply(), (1, served(b"ran")));
-    assert!(busy.is_closed(), "there is nobody to hand it to");
-    assert!(old.child.wait().expect("an end").success());
+    assert!(busy.is_closed(), "there is no process to hand the connection over to");
+    assert!(old.child.wait().expect("wait for the exit").success());
 }
