--- a/tests/sockets/admin_endpoint.rs
+++ b/tests/sockets/admin_endpoint.rs
@@ -10,9 +10,9 @@
 /// Starts a proxy with an admin endpoint. Returns its cache, its parent, the proxy and the endpoint's address.
 pub fn start_with_admin(name: &str, change: impl Fn(&str) -> String) -> (Cache, Cache, Proxy, SocketAddr) {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let opened = |text: &str| change(text).replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
-    let proxy = Proxy::start(name, &[&cache, &parent], opened, &[]);
-    let addr = proxy.wait_for_log("admin endpoint: listening on ").parse().expect("an address");
+    let with_admin_endpoint = |text: &str| change(text).replacen('{', "{\"admin\":\"127.0.0.1:0\",", 1);
+    let proxy = Proxy::start(name, &[&cache, &parent], with_admin_endpoint, &[]);
+    let addr = proxy.wait_for_log("admin endpoint: listening on ").parse().expect("a valid address");
     (cache, parent, proxy, addr)
 }
 
@@ -185,14 +185,14 @@
 #[test]
 fn invalid_config_is_rejected_and_counted() {
     let (cache, _parent, proxy, addr) = start_with_admin("broken", str::to_owned);
-    let whole = std::cell::RefCell::new(String::new());
+    let original = std::cell::RefCell::new(String::new());
     proxy.rewrite_config(|text| {
-        *whole.borrow_mut() = text.to_owned();
+        *original.borrow_mut() = text.to_owned();
         text.to_owned()
     });
-    let mut broken = vec![String::new(), whole.borrow()[..whole.borrow().len() / 2].to_owned()];
-    let mut breaks = |change: &dyn Fn(&mut Value)| {
-        let mut config: Value = serde_json::from_str(&whole.borrow()).expect("JSON");
+    let mut broken = vec![String::new(), original.borrow()[..original.borrow().len() / 2].to_owned()];
+    let mut add_broken = |change: &dyn Fn(&mut Value)| {
+        let mut config: Value = serde_json::from_str(&original.borrow()).expect("JSON");
         change_settings(&mut config);
         change(&mut config);
         broken.push(config.to_string());
@@ -215,16 +215,16 @@
     for path in paths {
         let (parent, key) = path.rsplit_once('/').unwrap_or(("", path));
         let pointer = if parent.is_empty() { String::new() } else { format!("/{parent}") };
-        breaks(&|config| {
+        add_broken(&|config| {
             let parent = config.pointer_mut(&pointer).and_then(Value::as_object_mut).expect("an object");
             parent.remove(key).expect("the key exists");
         });
     }
     for value in [Value::from(0), Value::from(-1), Value::Null] {
-        breaks(&|config| config["settings"]["grades"][0]["deadline"] = value.clone());
-        breaks(&|config| config["settings"]["limits"]["max_attempts"] = value.clone());
+        add_broken(&|config| config["settings"]["grades"][0]["deadline"] = value.clone());
+        add_broken(&|config| config["settings"]["limits"]["max_attempts"] = value.clone());
     }
-    breaks(&|config| config["settings"]["grades"][0]["name"] = "table".into());
+    add_broken(&|config| config["settings"]["grades"][0]["name"] = "table".into());
     for text in &broken {
         proxy.rewrite_config(|_| text.clone());
         proxy.signal("-HUP");
--- a/tests/sockets/admission.rs
+++ b/tests/sockets/admission.rs
@@ -9,7 +9,7 @@
 fn connect_from(local: &str, to: SocketAddr) -> TcpStream {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("create a socket");
-    let local: SocketAddr = format!("{local}:0").parse().expect("an address");
+    let local: SocketAddr = format!("{local}:0").parse().expect("a valid address");
     socket.bind(&local.into()).expect("bind the local address");
     socket.connect(&to.into()).expect("connect");
     let stream: TcpStream = socket.into();
@@ -137,15 +137,15 @@
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let hcl = "admission {\n per_address = 0\n per_prefix = 0\n rate_per_s = 0\n reserve_upstream = 8\n}\n";
     let proxy = start_with_admission("admission-descriptors", &[&cache, &parent], hcl);
-    let mut player = Client::new(&proxy);
-    assert!(player.ping(1));
-    player.send(&request(2, "replay"));
+    let mut client = Client::new(&proxy);
+    assert!(client.ping(1));
+    client.send(&request(2, "replay"));
     let mut open = cache.next_line();
     set_descriptor_limit(&proxy, open_descriptors(&proxy) + 12);
     let flood: Vec<TcpStream> = (0..60).map(|_| connect_from("127.0.0.5", proxy.addr)).collect();
     proxy.wait_for_log("refused: descriptors from 127.0.0.5");
     // The write needs a new connection to its cache, for which the reserve keeps a descriptor.
-    player.send(&request(3, "result"));
+    client.send(&request(3, "result"));
     let started = std::time::Instant::now();
     let mut write = loop {
         assert!(
@@ -161,9 +161,13 @@
     };
     write.answer("200", "ver=a", b"");
     open.answer("200", "ver=a", b"x");
-    let mut replies = [player.reply(), player.reply()];
+    let mut replies = [client.reply(), client.reply()];
     replies.sort_by_key(|(seqid, _)| *seqid);
-    assert_eq!(replies[0], (2, served(b"x")), "the request that was open before the shortage is answered");
+    assert_eq!(
+        replies[0],
+        (2, served(b"x")),
+        "the request that was open before the shortage gets one answer"
+    );
     assert_eq!(replies[1].0, 3);
     drop(flood);
 }
@@ -173,8 +177,8 @@
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
     let hcl = "admission {\n per_address = 0\n per_prefix = 0\n rate_per_s = 0\n reserve_upstream = 0\n most_refusing = 1000\n}\n";
     let proxy = start_with_admission("admission-spare", &[&cache, &parent], hcl);
-    let mut player = Client::new(&proxy);
-    player.send(&request(1, "replay"));
+    let mut client = Client::new(&proxy);
+    client.send(&request(1, "replay"));
     let mut open = cache.next_line();
     // A limit below the number of open descriptors: a new one is available only by closing the spare one.
     set_descriptor_limit(&proxy, open_descriptors(&proxy) - 2);
@@ -182,9 +186,9 @@
     assert!(proxy.wait_for_log("descriptors: exhausted").contains("accepting pauses"));
     open.answer("200", "ver=a", b"x");
     assert_eq!(
-        player.reply(),
+        client.reply(),
         (1, served(b"x")),
-        "the request that was open before the shortage is answered"
+        "the request that was open before the shortage gets one answer"
     );
     drop(flood);
     set_descriptor_limit(&proxy, 1024);
@@ -200,17 +204,17 @@
     let hcl = "admission {\n reserve_known = 0.9\n rate_per_s = 0\n}\n";
     let path = folder("admission-upgrade").join("admission.hcl");
     std::fs::write(&path, hcl).expect("write the file");
-    let more = ["--admission", path.to_str().expect("the path is UTF-8")];
-    let few = |config: &str| config.replace("\"sockets\":1024", "\"sockets\":64");
-    let old = Proxy::start("admission-upgrade", &[&cache, &parent], few, &more);
-    let mut players: Vec<Client> = (0..2).map(|_| Client(connect_from("127.0.0.7", old.addr))).collect();
-    assert!(players.iter_mut().all(|player| player.ping(1)));
-    let new = old.start_newer(&more);
+    let extra_args = ["--admission", path.to_str().expect("the path is UTF-8")];
+    let low_socket_limit = |config: &str| config.replace("\"sockets\":1024", "\"sockets\":64");
+    let old = Proxy::start("admission-upgrade", &[&cache, &parent], low_socket_limit, &extra_args);
+    let mut clients: Vec<Client> = (0..2).map(|_| Client(connect_from("127.0.0.7", old.addr))).collect();
+    assert!(clients.iter_mut().all(|client| client.ping(1)));
+    let new = old.start_newer(&extra_args);
     old.wait_for_log("a newer process takes over");
     old.signal("-TERM");
     old.wait_for_log("listeners closed: the newer process accepts clients");
     assert!(
-        players.iter_mut().all(|player| player.ping(2)),
+        clients.iter_mut().all(|client| client.ping(2)),
         "connections that were handed over are still served"
     );
     let mut old = old;
--- a/tests/sockets/races.rs
+++ b/tests/sockets/races.rs
@@ -76,25 +76,24 @@
 impl FullListener {
     fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
         socket.bind(&any.into()).expect("bind a port");
         socket.listen(0).expect("listen");
         let listener = TcpListener::from(socket);
-        let fillers = vec![
-            TcpStream::connect(listener.local_addr().expect("an address")).expect("connection is queued")
-        ];
+        let fillers = vec![TcpStream::connect(listener.local_addr().expect("get the local address"))
+            .expect("connection is queued")];
         FullListener { listener, fillers }
     }
 
     fn addr(&self) -> SocketAddr {
-        self.listener.local_addr().expect("an address")
+        self.listener.local_addr().expect("get the local address")
     }
 
     /// Accepts connections until one arrives that is not from this listener's own fillers, and returns it.
     fn accept_other(&self) -> TcpStream {
         let own: Vec<SocketAddr> = self.fillers.iter().filter_map(|s| s.local_addr().ok()).collect();
         loop {
-            let (stream, peer) = self.listener.accept().expect("connect");
+            let (stream, peer) = self.listener.accept().expect("accept a connection");
             if !own.contains(&peer) {
                 stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
                 return stream;
@@ -297,10 +296,10 @@
 fn serves_from_known_hosts_when_feed_is_down_or_silent() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let full = FullListener::new();
-    let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+    let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("a valid address");
     for (name, feed) in [
         ("feed-down", unreachable),
-        ("feed-silent", silent.local_addr().expect("an address")),
+        ("feed-silent", silent.local_addr().expect("get the local address")),
         ("feed-held", full.addr()),
     ] {
         let setup = setup_with_changes(name, |text| {
@@ -319,11 +318,11 @@
 
 #[test]
 fn idle_clients_leave_descriptors_for_caches_and_feed() {
-    let few = |text: &str| text.replace("\"sockets\":1024", "\"sockets\":96");
+    let low_socket_limit = |text: &str| text.replace("\"sockets\":1024", "\"sockets\":96");
     let caches = [Cache::new("s-00000001"), Cache::new("s-00000002")];
     let parent = Cache::new("s-0000000p");
     let known = [&caches[0], &caches[1], &parent];
-    let proxy = Proxy::start_with_descriptor_limit(96, "descriptors", &known, few);
+    let proxy = Proxy::start_with_descriptor_limit(96, "descriptors", &known, low_socket_limit);
     let setup = Setup { caches, _parent: parent, proxy };
     // They connect before any connection to a cache is open, and each has sent a message.
     let mut idle: Vec<Client> = (0..150).map(|_| Client::new(&setup.proxy)).collect();
--- a/tests/sockets/shutdown.rs
+++ b/tests/sockets/shutdown.rs
@@ -11,7 +11,7 @@
 /// Time from SIGTERM to the earliest SIGKILL, in addition to the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-/// Returns a change of the configuration that sets the 6 s deadline to `ms`.
+/// Returns a change of the configuration that replaces deadlines of 6 s by `ms`.
 fn with_deadline(ms: u32) -> impl Fn(&str) -> String {
     move |text: &str| text.replace("\"deadline\": 6000.0", &format!("\"deadline\": {ms}.0"))
 }
@@ -37,7 +37,7 @@
     answered: Vec<i32>,
 }
 
-/// Sends a request every 5 ms until the connection ends, in a thread of its own.
+/// Sends a request every 5 ms until the connection ends, so that some are always open. Runs in a thread of its own.
 fn send_until_closed(proxy: &Proxy, patience_ms: u32) -> std::thread::JoinHandle<SentAndAnswered> {
     let client = Client::new(proxy);
     let stream = client.0.try_clone().expect("duplicate the socket");
--- a/tests/sockets/signed_front.rs
+++ b/tests/sockets/signed_front.rs
@@ -55,7 +55,7 @@
     name: &str,
     signed_config: &str,
     change: impl Fn(&str) -> String,
-    extra: &[&str],
+    extra_args: &[&str],
 ) -> Setup {
     let folder = folder(name);
     let file = folder.join("signed.toml");
@@ -63,9 +63,9 @@
     std::fs::write(folder.join("links.secret"), "AAECAwQFBgcICQoLDA0ODw==\n").expect("write the file");
     std::fs::write(folder.join("tables.secret"), "Dw4NDAsKCQgHBgUEAwIBAA\n").expect("write the file");
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let more = [&["--signed", file.to_str().expect("the path is UTF-8")][..], extra].concat();
-    let proxy = Proxy::start(name, &[&cache, &parent], change, &more);
-    let addr = proxy.wait_for_log("signed front: listening on ").parse().expect("an address");
+    let args = [&["--signed", file.to_str().expect("the path is UTF-8")][..], extra_args].concat();
+    let proxy = Proxy::start(name, &[&cache, &parent], change, &args);
+    let addr = proxy.wait_for_log("signed front: listening on ").parse().expect("a valid address");
     Setup { cache, _parent: parent, proxy, addr, file }
 }
 
@@ -119,8 +119,8 @@
 }
 
 impl Client {
-    fn send(&mut self, method: &str, path: &str, more: &str) {
-        let text = format!("{method} {path} HTTP/1.1\r\nHost: replays.example.org\r\n{more}\r\n");
+    fn send(&mut self, method: &str, path: &str, headers: &str) {
+        let text = format!("{method} {path} HTTP/1.1\r\nHost: replays.example.org\r\n{headers}\r\n");
         self.0.write_all(text.as_bytes()).expect("write to the connection");
     }
 
@@ -135,7 +135,7 @@
             self.0.read_exact(&mut byte).expect("read the response head");
             head.push(byte[0]);
         }
-        let head = String::from_utf8(head).expect("the output is UTF-8");
+        let head = String::from_utf8(head).expect("the head is UTF-8");
         (head[9..12].parse().expect("a status code"), head)
     }
 
@@ -410,7 +410,7 @@
     setup.cache.next_line().answer("200", "ver=a", b"x");
     assert_eq!(client.answer().status, 200);
     client.0.write_all(&text.as_bytes()[..text.len() / 2]).expect("write to the connection");
-    client.0.shutdown(std::net::Shutdown::Write).expect("wait for the exit");
+    client.0.shutdown(std::net::Shutdown::Write).expect("shut down the sending side");
     assert_eq!(client.read_until_closed(), b"", "a connection that ends within a head gets no answer");
 }
 
@@ -421,8 +421,8 @@
     let mut client = setup.client();
     client.get(&path);
     let mut open = setup.cache.next_line();
-    let without = |text: &str| text.replace("\"name\": \"replay\"", "\"name\": \"table\"");
-    setup.proxy.rewrite_config(without);
+    let rename_class = |text: &str| text.replace("\"name\": \"replay\"", "\"name\": \"table\"");
+    setup.proxy.rewrite_config(rename_class);
     setup.proxy.signal("-HUP");
     setup.proxy.wait_for_log(
         "class \"replay\" is not defined in the settings or is never cached; the old configuration stays",
--- a/tests/sockets/stand_ins.rs
+++ b/tests/sockets/stand_ins.rs
@@ -62,7 +62,7 @@
 impl Cache {
     pub fn new(name: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener.local_addr().expect("get the local address");
         let (sender, lines) = channel();
         let (closed, closed_connections) = channel();
         thread::spawn(move || {
@@ -143,7 +143,7 @@
     /// Starts to serve the feed and returns its address.
     pub fn serve(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener.local_addr().expect("get the local address");
         let feed = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -291,7 +291,8 @@
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("stderr is piped"));
         thread::spawn(move || lines.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let mut proxy = Proxy { child, config, addr: "127.0.0.1:0".parse().expect("an address"), feed, log };
+        let mut proxy =
+            Proxy { child, config, addr: "127.0.0.1:0".parse().expect("a valid address"), feed, log };
         let line = proxy.wait_for_log("listens on ");
         proxy.addr = line.split('"').next().and_then(|addr| addr.parse().ok()).expect("an address");
         proxy
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -1,5 +1,5 @@
-//! Special results of system calls on sockets: signals during a wait, clients that reset before they are accepted, short
-//! reads and writes, exhausted descriptors, and peers that send without end.
+//! Special results of system calls on sockets: signals during a wait, clients that reset before they are accepted,
+//! short reads and writes, exhausted descriptors, and peers that send without end.
 
 use crate::admission::{open_descriptors, set_descriptor_limit};
 use crate::stand_ins::*;
@@ -73,14 +73,14 @@
 fn small_buffer_listener() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
     socket.set_recv_buffer_size(2048).expect("set the buffer size");
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
     socket.bind(&any.into()).expect("bind a port");
     socket.listen(16).expect("listen");
     socket.into()
 }
 
-/// Serves connections with a small send buffer. Reads byte by byte, and writes the first 200 bytes of an answer one by
-/// one and the rest in pieces of 3000.
+/// Serves connections with a send buffer as small as the system allows. Reads byte by byte, and writes the first 200
+/// bytes of an answer one by one and the rest in pieces of 3000.
 fn serve_byte_by_byte(listener: TcpListener, body: Vec<u8>) {
     for stream in listener.incoming().flatten() {
         let body = body.clone();
@@ -114,7 +114,7 @@
 #[test]
 fn short_reads_and_writes_lose_no_bytes() {
     let listener = small_buffer_listener();
-    let addr = listener.local_addr().expect("an address");
+    let addr = listener.local_addr().expect("get the local address");
     let body: Vec<u8> = (0..240_000).map(|i| (i % 251) as u8).collect();
     let serving = body.clone();
     std::thread::spawn(move || serve_byte_by_byte(listener, serving));
@@ -137,11 +137,11 @@
     assert_eq!(client.reply(), (2, served(&long)));
 }
 
-/// The server sends answers to no request, as fast as it can and without end.
+/// The server sends answers that belong to no request, as fast as it can and without end.
 #[test]
 fn flooding_server_does_not_block_other_clients() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
-    let addr = listener.local_addr().expect("an address");
+    let addr = listener.local_addr().expect("get the local address");
     let (asked, was_asked) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -271,8 +271,8 @@
     let hcl = "admission {\n per_address = 1\n per_prefix = 0\n rate_per_s = 0\n most_refusing = 0\n}\n";
     let path = folder("shed").join("admission.hcl");
     std::fs::write(&path, hcl).expect("write the file");
-    let more = ["--admission", path.to_str().expect("the path is UTF-8")];
-    let proxy = Proxy::start("shed", &[&cache, &parent], str::to_owned, &more);
+    let extra_args = ["--admission", path.to_str().expect("the path is UTF-8")];
+    let proxy = Proxy::start("shed", &[&cache, &parent], str::to_owned, &extra_args);
     let held = Client::new(&proxy);
     // The connections and their requests arrive before any of them is accepted.
     proxy.suspend();
--- a/tests/sockets/thrift_front.rs
+++ b/tests/sockets/thrift_front.rs
@@ -246,7 +246,7 @@
 #[test]
 fn write_is_refused_when_connection_is_refused() {
     let parent = Cache::new("s-0000000p");
-    let closed = Cache { addr: "127.0.0.1:1".parse().expect("an address"), ..Cache::new("s-00000001") };
+    let closed = Cache { addr: "127.0.0.1:1".parse().expect("a valid address"), ..Cache::new("s-00000001") };
     let proxy = Proxy::start("refused", &[&closed, &parent], unchanged, &[]);
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
@@ -321,8 +321,8 @@
     let mut client = Client::new(&proxy);
     client.send(&request(1, "result"));
     let _got = cache.next_line();
-    let heir = Cache { addr: cache.addr, ..Cache::new("s-00000009") };
-    proxy.feed.publish(&members_event(false, &[host_entry(&heir, "up")]));
+    let new_server = Cache { addr: cache.addr, ..Cache::new("s-00000009") };
+    proxy.feed.publish(&members_event(false, &[host_entry(&new_server, "up")]));
     cache.wait_for_closed_connection();
     assert_eq!(client.reply(), (1, Reply::Failed), "the write may have run on the old server");
 }
@@ -441,8 +441,8 @@
 #[test]
 fn idle_connection_flood_does_not_block_requests() {
     let (cache, parent) = (Cache::new("s-00000001"), Cache::new("s-0000000p"));
-    let few = |config: &str| config.replace("\"sockets\":1024", "\"sockets\":64");
-    let proxy = Proxy::start("flood", &[&cache, &parent], few, &[]);
+    let low_socket_limit = |config: &str| config.replace("\"sockets\":1024", "\"sockets\":64");
+    let proxy = Proxy::start("flood", &[&cache, &parent], low_socket_limit, &[]);
     let mut old = Client::new(&proxy);
     old.send(&request(1, "replay"));
     let mut open = cache.next_line();
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -24,7 +24,7 @@
         busy.send(&request(20, "result"));
         let mut open = cache.next_line();
         let new = old.start_newer(&["--admin", "127.0.0.1:0"]);
-        let addr = new.wait_for_log("admin endpoint: listening on ").parse().expect("an address");
+        let addr = new.wait_for_log("admin endpoint: listening on ").parse().expect("a valid address");
         assert_eq!((new.addr, get(&new, addr, "/healthcheck").0), (old.addr, 200));
         old.wait_for_log("a newer process takes over");
         old.signal("-TERM");
