--- a/src/federation/hello.rs
+++ b/src/federation/hello.rs
@@ -1,16 +1,18 @@
-//! The handshake of two members: each proves that it holds the federation's key, for this connection alone, and each
-//! message after that carries a tag (HMAC-SHA256, RFC 2104; truncated to 16 bytes, RFC 2104 section 5). It
-//! authenticates the peer, and the content and order of messages; it encrypts nothing.
+//! The handshake between two members. Each side proves that it holds the federation's key; nonces make the
+//! proof valid for this connection only. Every later message carries a tag (HMAC-SHA256, RFC 2104; truncated
+//! to 16 bytes, RFC 2104 section 5).
+//!
+//! This authenticates the peer, and the content and order of messages. Nothing is encrypted.
 
 use super::MemberId;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// Bytes of a message's tag.
+/// Length of a message's tag, in bytes.
 pub const TAG_BYTES: usize = 16;
 
-/// The federation's key, or one that a connection made of it.
+/// The federation's shared key, or a key derived from it for one direction of a connection.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key(Vec<u8>);
 
@@ -20,44 +22,44 @@
     }
 }
 
-/// A number that is used once.
+/// A random number that is used for one connection only.
 pub type Nonce = [u8; 16];
 
-/// The first message, by the listening side.
+/// The first message of the handshake, sent by the listening side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Challenge {
-    /// Its nonce.
+    /// Nonce of the listening side.
     pub nonce: Nonce,
 }
 
-/// The second message, by the dialling side.
+/// The second message of the handshake, sent by the dialling side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The federation's name.
+    /// Name of the federation.
     pub cluster: String,
-    /// The federation's identity, 0 while the dialling side does not know it.
+    /// Identity of the federation, 0 while the dialling side does not know it.
     pub identity: u64,
     /// The dialling member.
     pub from: MemberId,
-    /// The member that is dialled.
+    /// The member that the dialling side wants to reach.
     pub to: MemberId,
-    /// The incarnation of the dialling member's store.
+    /// Incarnation of the dialling member's store.
     pub incarnation: u64,
-    /// Its nonce.
+    /// Nonce of the dialling side.
     pub nonce: Nonce,
-    /// The proof.
+    /// HMAC of all other fields and the challenge's nonce; see [`Key::sign_hello`].
     pub proof: [u8; 32],
 }
 
-/// The third message, by the listening side.
+/// The third message of the handshake, sent by the listening side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// The proof.
+    /// HMAC of both nonces; see [`Key::sign_welcome`].
     pub proof: [u8; 32],
 }
 
 impl Key {
-    /// A key of these bytes.
+    /// Creates a key from the secret's bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         Key(bytes)
     }
@@ -67,7 +69,7 @@
         let mut mac =
             <Hmac<Sha256> as Mac>::new_from_slice(&self.0).unwrap_or_else(|_| unreachable!("any length"));
         for part in parts {
-            // Lengths first: no two lists of parts look alike.
+            // The length goes first, so that different lists of parts never give the same input.
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
         }
@@ -80,29 +82,29 @@
         self.mac(&[b"hello", hello.cluster.as_bytes(), &numbers, &challenge.nonce, &hello.nonce])
     }
 
-    /// The dialling side's answer with its proof.
+    /// Returns `hello` with the proof of the dialling side filled in.
     pub fn sign_hello(&self, challenge: &Challenge, hello: Hello) -> Hello {
         let proof = self.hello_mac(challenge, &hello).finalize().into_bytes().into();
         Hello { proof, ..hello }
     }
 
-    /// Whether the dialling side holds the key.
+    /// Whether the hello's proof is correct, so that the dialling side holds the key.
     pub fn verify_hello(&self, challenge: &Challenge, hello: &Hello) -> bool {
         self.hello_mac(challenge, hello).verify_slice(&hello.proof).is_ok()
     }
 
-    /// The listening side's proof.
+    /// Returns the welcome with the proof of the listening side.
     pub fn sign_welcome(&self, challenge: &Challenge, hello: &Hello) -> Welcome {
         let mac = self.mac(&[b"welcome", &challenge.nonce, &hello.nonce]);
         Welcome { proof: mac.finalize().into_bytes().into() }
     }
 
-    /// Whether the listening side holds the key.
+    /// Whether the welcome's proof is correct, so that the listening side holds the key.
     pub fn verify_welcome(&self, challenge: &Challenge, hello: &Hello, welcome: &Welcome) -> bool {
         self.mac(&[b"welcome", &challenge.nonce, &hello.nonce]).verify_slice(&welcome.proof).is_ok()
     }
 
-    /// The seal of one direction of a connection.
+    /// Returns the authenticator for one direction of a connection, with a key derived for that direction.
     pub fn message_authenticator(
         &self,
         challenge: &Challenge,
@@ -115,7 +117,8 @@
     }
 }
 
-/// Seals messages of one direction, or checks their seals, each with its place in the order.
+/// Computes or verifies the tags of the messages of one direction. A tag covers the message and its sequence
+/// number, so that repeated, missing and reordered messages are detected.
 #[derive(Debug)]
 pub struct MessageAuthenticator {
     key: Key,
@@ -128,7 +131,7 @@
         self.key.mac(&[&self.count.to_be_bytes(), message])
     }
 
-    /// The tag of the next message.
+    /// Returns the tag of the next message to send.
     pub fn tag(&mut self, message: &[u8]) -> [u8; TAG_BYTES] {
         let whole: [u8; 32] = self.next_mac(message).finalize().into_bytes().into();
         let mut tag = [0; TAG_BYTES];
@@ -136,7 +139,7 @@
         tag
     }
 
-    /// Whether this is the next message, unchanged.
+    /// Whether `tag` belongs to `message` as the next message received.
     pub fn verify(&mut self, message: &[u8], tag: &[u8]) -> bool {
         tag.len() == TAG_BYTES && self.next_mac(message).verify_truncated_left(tag).is_ok()
     }
--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -1,8 +1,9 @@
-//! The connections of a member. Each member dials the others for what it has to send and listens for what they send;
-//! back on a connection come pongs, and the messages of a member that cannot dial this one.
+//! The connections between this member and the others. Each member dials the others to send its messages, and
+//! listens for theirs. After the handshake, the accepting side uses a connection only for pongs and for
+//! messages to a member that it cannot dial, because its own settings file does not list that member.
 //!
-//! Queues are bounded: what does not fit is dropped, since the consensus sends it again, and a slow peer delays only
-//! itself.
+//! Queues are bounded, so that a slow peer delays only itself. Messages that do not fit are dropped; the
+//! consensus library sends them again.
 
 mod inbound;
 mod outbound;
@@ -23,23 +24,23 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// The poll's token of the listener.
+/// Poll token of the listener.
 pub(super) const LISTENER_TOKEN: usize = 0;
-/// The maximum number of unwritten bytes to one peer.
+/// Frames are dropped while a connection has at least this many unwritten bytes.
 const MAX_QUEUE_BYTES: usize = 256 * 1024;
-/// The maximum number of bytes read from one connection at a time.
+/// Maximum number of bytes that one read takes from a connection; holds the longest frame.
 const READ_BYTES: usize = wire::MAX_MESSAGE_BYTES + 64;
-/// How long the handshake of a connection may take.
+/// Maximum duration of a connection's handshake.
 const HANDSHAKE_TIMEOUT: Span = Span::from_secs(1);
-/// The number of pings within the silence timeout of a connection.
+/// Number of pings sent within the silence timeout on an established connection.
 const PINGS_PER_SILENCE: i64 = 4;
 
-/// Who this member is to the others.
+/// What this member presents to the others in the handshake.
 #[derive(Clone, Debug)]
 pub(super) struct Identity {
     cluster: String,
     id: MemberId,
-    /// The federation's identity, 0 while it is not known.
+    /// Identity of the federation, 0 while it is not known.
     federation: u64,
     incarnation: u64,
     key: Key,
@@ -51,7 +52,7 @@
         Identity { cluster: cluster.clone(), id: *id, federation, incarnation, key: key.clone() }
     }
 
-    /// The answer to a peer's challenge.
+    /// Returns the signed answer to the challenge of member `to`.
     fn hello(&self, challenge: &Challenge, to: MemberId, nonce: Nonce) -> Hello {
         let hello = Hello {
             cluster: self.cluster.clone(),
@@ -66,11 +67,11 @@
     }
 }
 
-/// A connection whose two sides have authenticated each other.
+/// The state of a connection after both sides have authenticated each other.
 struct PeerSession {
-    /// Seals what is sent.
+    /// Tags the frames that are sent.
     sending: MessageAuthenticator,
-    /// Verifies what is received.
+    /// Verifies the tags of the frames that are received.
     receiving: MessageAuthenticator,
     /// When a frame was last received.
     received_at: Instant,
@@ -83,7 +84,7 @@
         PeerSession { sending, receiving, received_at: now }
     }
 
-    /// Sends a frame; `false`: it does not fit.
+    /// Queues a frame. Returns `false` if the queue is full or the frame is too long.
     fn send(&mut self, net: &mut Net, connection: ConnectionKey, frame: &Frame) -> Result<bool, Reason> {
         if net.unwritten(connection) >= MAX_QUEUE_BYTES {
             return Ok(false);
@@ -91,13 +92,13 @@
         match wire::encode(frame, Some(&mut self.sending)) {
             Some(bytes) => net.write(connection, [bytes]).map(|()| true),
             None => {
-                warn!("federation: a message is longer than any may be");
+                warn!("federation: a message exceeds the maximum length and is dropped");
                 Ok(false)
             }
         }
     }
 
-    /// Takes the next frame that has been received, if it is complete.
+    /// Returns the next received frame, or `None` if it is not complete yet.
     fn receive(
         &mut self,
         net: &mut Net,
@@ -112,7 +113,7 @@
     }
 }
 
-/// Takes the next message that a connection has received, if it is complete.
+/// Returns the next message that a connection has received, or `None` if it is not complete yet.
 fn read_message<T: DeserializeOwned>(
     net: &mut Net,
     connection: ConnectionKey,
@@ -123,26 +124,24 @@
 
 /// The result of reading one message from a connection.
 enum ReceiveStep {
-    /// A message was read.
     Received,
-    /// It is not complete yet.
+    /// The message is not complete yet.
     Incomplete,
-    /// The connection is closed.
     Closed,
 }
 
-/// How a member is reached.
+/// The address of a member, and when it is dialled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PeerAddress {
     pub address: SocketAddr,
-    /// It is dialled before there is anything to send.
+    /// Whether the member is dialled at once; otherwise only when there is something to send.
     pub eager: bool,
 }
 
-/// Decides whether the store that a connecting member comes with may speak for it.
+/// Checks that the connecting member is admitted with the store that it uses.
 pub(super) type AdmissionCheck<'a> = &'a dyn Fn(&Hello) -> Result<(), AdmissionError>;
 
-/// The connections.
+/// All connections to and from other members, and the listener.
 pub(super) struct Links {
     net: Net,
     identity: Identity,
@@ -150,13 +149,13 @@
     silence_timeout: Span,
     listener: Option<Listener>,
     peers: BTreeMap<MemberId, Peer>,
-    /// The connections that this member dialled, and to whom.
+    /// The connections that this member dialled, with the dialled member.
     dialled: BTreeMap<ConnectionKey, MemberId>,
     inbound: BTreeMap<ConnectionKey, InboundState>,
     random: ChaCha8Rng,
-    /// The number of messages that were dropped.
+    /// Number of frames that could not be sent.
     pub dropped: u64,
-    /// The number of connections that were rejected.
+    /// Number of inbound connections that were rejected.
     pub rejected: u64,
 }
 
@@ -190,7 +189,7 @@
         self.identity.federation = federation;
     }
 
-    /// Opens the listener.
+    /// Opens the listener and returns its address.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = self.net.listen(address, false, LISTENER_TOKEN)?;
         let address = listener.local_addr();
@@ -210,7 +209,8 @@
         self.peers.values_mut().for_each(|peer| peer.wait_until(now));
     }
 
-    /// Sends a frame to a member, if it is connected and its queue has room; else it is dialled.
+    /// Sends a frame to a member. Returns `false` and counts it as dropped if the member is not connected or
+    /// its queue is full. A peer without a connection is dialled, unless its backoff lasts.
     pub fn send(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
         let sent = if self.peers.contains_key(&to) {
             self.send_to_peer(now, to, frame)
@@ -221,7 +221,7 @@
         sent
     }
 
-    /// Handles a ready connection and appends the frames that members sent to `received`.
+    /// Writes and reads a ready connection, and appends the received frames to `received`.
     pub fn handle_ready(
         &mut self,
         now: Instant,
@@ -248,7 +248,7 @@
         Ok(established)
     }
 
-    /// Reads a connection until it has no more.
+    /// Reads a connection until no more bytes are available.
     fn read(
         &mut self,
         now: Instant,
@@ -258,7 +258,7 @@
         received: &mut Vec<(MemberId, Frame)>,
     ) {
         loop {
-            let got = self.net.read(connection, READ_BYTES);
+            let outcome = self.net.read(connection, READ_BYTES);
             let open = match peer {
                 Some(id) => self.receive_from_peer(now, connection, id, received),
                 None => self.receive_inbound(now, connection, admits, received),
@@ -266,9 +266,9 @@
             if !open {
                 return;
             }
-            let reason = match got {
-                Ok(got) if got.more => continue,
-                Ok(got) if got.end => Reason::PeerClosed,
+            let reason = match outcome {
+                Ok(read) if read.more => continue,
+                Ok(read) if read.end => Reason::PeerClosed,
                 Ok(_) => return,
                 Err(reason) => reason,
             };
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Ends a connection, which this member dialled to `peer` or accepted.
+    /// Closes a connection: one that this member dialled to `peer`, or an inbound one if `peer` is `None`.
     fn close_connection(
         &mut self,
         now: Instant,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Closes silent connections, pings idle ones, and dials peers.
+    /// Closes silent connections, pings the peers, and dials the peers that are due.
     pub fn tick(&mut self, now: Instant) {
         self.close_silent_inbound(now);
         self.tick_peers(now);
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -1,4 +1,5 @@
-//! The connections that other members dial: each is challenged, and accepted once it has proved who it is.
+//! Inbound connections, which other members dial. Each is sent a challenge, and is established once the peer
+//! has authenticated itself.
 
 use super::{read_message, AdmissionCheck, Links, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT};
 use crate::federation::hello::{Challenge, Hello};
@@ -10,33 +11,33 @@
 use rand::Rng;
 use tracing::warn;
 
-/// Connections that may be open and not authenticated.
+/// Maximum number of open connections that are not authenticated yet.
 const MAX_UNAUTHENTICATED: usize = 64;
 
-/// A connection that this member accepted.
+/// The state of a connection that this member accepted.
 pub(super) enum InboundState {
-    /// It was challenged at `since`, and has not answered yet.
+    /// The challenge was sent at `since`; the peer's hello is awaited.
     Challenged { challenge: Challenge, since: Instant },
-    /// It is in use by this member.
+    /// Member `from` is authenticated and uses the connection.
     Established { from: MemberId, session: PeerSession },
 }
 
 /// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum Rejection {
-    #[error("too many have not said who they are")]
+    #[error("there are {MAX_UNAUTHENTICATED} unauthenticated connections already")]
     TooMany,
-    #[error("it is of another federation")]
+    #[error("the peer belongs to another federation")]
     OtherFederation,
-    #[error("it does not hold the key")]
+    #[error("the peer does not have the federation's key")]
     WrongKey,
-    #[error("it wants another member")]
+    #[error("the peer dialled another member")]
     OtherMember,
-    #[error("it says that it is this member")]
+    #[error("the peer claims this member's own id")]
     ThisMember,
-    #[error("its federation was founded with other members")]
+    #[error("the peer's federation was founded with other members")]
     OtherFounders,
-    #[error("this member is here already")]
+    #[error("the peer has an established connection already")]
     Connected,
     #[error("{0}")]
     NotAdmitted(#[from] AdmissionError),
@@ -45,7 +46,7 @@
 }
 
 impl Rejection {
-    /// The reason with which the connection is closed.
+    /// Returns the reason with which the connection is closed.
     fn reason(self) -> Reason {
         match self {
             Rejection::TooMany => Reason::TooMany,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Why an inbound connection ends.
+/// Why an inbound connection is closed.
 enum InboundError {
     Rejected(Rejection),
     Closed(Reason),
@@ -68,13 +69,13 @@
 }
 
 impl From<WireError> for InboundError {
-    fn from(bad: WireError) -> Self {
-        InboundError::Rejected(bad.into())
+    fn from(error: WireError) -> Self {
+        InboundError::Rejected(error.into())
     }
 }
 
 impl Links {
-    /// Accepts the connections that wait, and challenges each.
+    /// Accepts the pending connections and sends a challenge on each.
     pub fn accept(&mut self, now: Instant) {
         loop {
             let Some(listener) = &self.listener else { return };
@@ -82,7 +83,7 @@
                 Ok(Some(connection)) => self.challenge(now, connection),
                 Ok(None) => return,
                 Err(error) => {
-                    warn!("federation: {error}");
+                    warn!("federation: cannot accept a connection: {error}");
                     return;
                 }
             }
@@ -90,7 +91,7 @@
     }
 
     fn challenge(&mut self, now: Instant, connection: ConnectionKey) {
-        let unauthenticated = |one: &&InboundState| matches!(one, InboundState::Challenged { .. });
+        let unauthenticated = |state: &&InboundState| matches!(state, InboundState::Challenged { .. });
         if self.inbound.values().filter(unauthenticated).count() >= MAX_UNAUTHENTICATED {
             return self.reject(now, connection, Rejection::TooMany);
         }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Closes a connection with one line in the log.
+    /// Closes a connection, counts it as rejected and logs one line.
     fn reject(&mut self, now: Instant, connection: ConnectionKey, rejection: Rejection) {
         let peer = self.net.address(connection).map(|address| address.to_string()).unwrap_or_default();
         warn!(%peer, why = %rejection, "federation: a connection is refused");
@@ -116,7 +117,7 @@
     }
 
     pub(super) fn close_silent_inbound(&mut self, now: Instant) {
-        let overdue = |one: &InboundState| match one {
+        let overdue = |state: &InboundState| match state {
             InboundState::Challenged { since, .. } if now - *since > HANDSHAKE_TIMEOUT => {
                 Some(Reason::HeadTimeout)
             }
@@ -125,14 +126,18 @@
             }
             _ => None,
         };
-        let overdue: Vec<(ConnectionKey, Reason)> =
-            self.inbound.iter().filter_map(|(connection, one)| Some((*connection, overdue(one)?))).collect();
+        let overdue: Vec<(ConnectionKey, Reason)> = self
+            .inbound
+            .iter()
+            .filter_map(|(connection, state)| Some((*connection, overdue(state)?)))
+            .collect();
         overdue.into_iter().for_each(|(connection, reason)| self.close_inbound(now, connection, reason));
     }
 
-    /// Sends to a member that the own file does not list (any more), on the connection that it opened.
+    /// Sends to a member on the connection that it dialled. Used for members that this member's settings file
+    /// does not list (any more), which therefore cannot be dialled.
     pub(super) fn send_on_inbound(&mut self, now: Instant, to: MemberId, frame: &Frame) -> bool {
-        let dialled = self.inbound.iter_mut().find_map(|(connection, one)| match one {
+        let dialled = self.inbound.iter_mut().find_map(|(connection, state)| match state {
             InboundState::Established { from, session } if *from == to => Some((*connection, session)),
             _ => None,
         });
@@ -144,7 +149,7 @@
         })
     }
 
-    /// Reads the messages of an accepted connection. Returns `false` if it was closed.
+    /// Reads the messages of an inbound connection. Returns `false` if it was closed.
     pub(super) fn receive_inbound(
         &mut self,
         now: Instant,
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Reads the answer to a challenge, and welcomes the member if it is authenticated and admitted.
+    /// Reads the hello that answers a challenge, and answers with a welcome if the member is authenticated
+    /// and admitted.
     fn authenticate(
         &mut self,
         now: Instant,
@@ -236,8 +242,8 @@
             return Err(Rejection::OtherFounders);
         }
         admits(hello)?;
-        let connected = |one: &InboundState| {
-            matches!(one, InboundState::Established { from, session }
+        let connected = |state: &InboundState| {
+            matches!(state, InboundState::Established { from, session }
                 if *from == hello.from && now - session.received_at < self.silence_timeout)
         };
         if self.inbound.values().any(connected) {
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -1,4 +1,4 @@
-//! The connections that this member dials: one to each peer, dialled again after a pause.
+//! Outbound connections: one to each peer, dialled again after a backoff when it is lost.
 
 use super::{
     read_message, Links, PeerAddress, PeerSession, ReceiveStep, HANDSHAKE_TIMEOUT, PINGS_PER_SILENCE,
@@ -13,18 +13,18 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// The first and the longest pause before a peer is dialled again.
+/// Minimum and maximum backoff before a peer is dialled again.
 const REDIAL_PAUSES: [Span; 2] = [Span::from_millis(20), Span::from_secs(1)];
 
-/// The connection to a peer.
+/// The state of the connection to a peer.
 enum OutboundState {
-    /// There is none; it may be dialled at `until`.
+    /// There is no connection; the peer may be dialled from `until` on.
     Waiting { until: Instant },
-    /// It was dialled at `since`, and the peer's challenge is awaited.
+    /// The peer was dialled at `since`; its challenge is awaited.
     Dialled { connection: ConnectionKey, since: Instant },
-    /// The challenge was answered, and the peer's welcome is awaited.
+    /// The challenge was answered with a hello; the peer's welcome is awaited.
     HelloSent { connection: ConnectionKey, since: Instant, challenge: Challenge, hello: Hello },
-    /// It is in use.
+    /// Both sides are authenticated; the last ping was sent at `pinged_at`.
     Established { connection: ConnectionKey, session: PeerSession, pinged_at: Instant },
 }
 
@@ -52,14 +52,14 @@
         Peer { target, backoff, outbound: OutboundState::Waiting { until: now } }
     }
 
-    /// Marks its connection as closed; it may be dialled again at `until`.
+    /// Marks the connection as closed; the peer may be dialled again from `until` on.
     pub fn wait_until(&mut self, until: Instant) {
         self.outbound = OutboundState::Waiting { until };
     }
 }
 
 impl Links {
-    /// Sets the peers, and closes the connections to those that were removed.
+    /// Sets the peers, and closes the connections to those that were removed or have another address.
     pub fn set_peers(&mut self, now: Instant, wanted: &BTreeMap<MemberId, PeerAddress>) {
         let stays =
             |id: &MemberId, peer: &Peer| wanted.get(id).is_some_and(|at| at.address == peer.target.address);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the connection to a peer is in use.
+    /// Whether the outbound connection to a peer is established.
     pub fn connected(&self, id: MemberId) -> bool {
         self.peers.get(&id).is_some_and(|peer| matches!(peer.outbound, OutboundState::Established { .. }))
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Handles the loss of the connection to a peer.
+    /// Closes the connection to a peer, which is dialled again after a backoff.
     pub(super) fn close_outbound(&mut self, now: Instant, to: MemberId, reason: Reason) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
         let until = now + peer.backoff.pause(&mut self.random);
@@ -123,11 +123,11 @@
             self.net.close(now, connection, reason);
         }
         if matches!(before, OutboundState::Established { .. }) {
-            info!(peer = to.get(), end = reason.code(), "federation: a member is not reached any more");
+            info!(peer = to.get(), end = reason.code(), "federation: the connection to a member is lost");
         }
     }
 
-    /// Reads the messages of a peer on the connection to it. Returns `false` if it was closed.
+    /// Reads the messages of a peer on the outbound connection. Returns `false` if it was closed.
     pub(super) fn receive_from_peer(
         &mut self,
         now: Instant,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Answers the challenge with which a peer begins.
+    /// Answers the challenge that a peer sends first.
     fn answer_challenge(
         &mut self,
         connection: ConnectionKey,
@@ -193,7 +193,7 @@
         Ok(ReceiveStep::Received)
     }
 
-    /// Verifies the welcome with which a peer authenticates itself.
+    /// Verifies the welcome, which authenticates the peer, and establishes the connection.
     fn process_welcome(
         &mut self,
         now: Instant,
@@ -214,7 +214,7 @@
         let session = PeerSession::new(key, challenge, hello, true, now);
         peer.outbound = OutboundState::Established { connection, session, pinged_at: now };
         peer.backoff.reset();
-        info!(peer = id.get(), "federation: a member is reached");
+        info!(peer = id.get(), "federation: connected to a member");
         Ok(ReceiveStep::Received)
     }
 
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -1,8 +1,9 @@
-//! The thread on which a member runs, with a poll, a clock and a store of its own.
+//! The thread on which a member runs, with its own poll, clock and store.
 //!
-//! The edge proxy's loop sends it instructions (stop, pause, resume, reload) and reads the view that was published
-//! last; it never waits for the member. A member that fails (its disk, its store, its address, an assertion of the
-//! library) is halted and restarted from its store after a backoff; the edge proxy serves meanwhile.
+//! The edge proxy's event loop sends the thread instructions (stop, pause, resume, reload) and reads the view
+//! that it published last; the event loop never waits for the member. A member that fails (its disk, its
+//! store, its address, or an assertion of the consensus library) is halted, and restarted from its store
+//! after a backoff. The edge proxy keeps serving meanwhile.
 //!
 //! - `handle`: the edge proxy's side.
 //! - `lifecycle`: start, halt, pause and graceful shutdown.
@@ -44,14 +45,14 @@
 use std::time::{self, Duration};
 use tracing::info;
 
-/// The poll token of the instruction pipe.
+/// Poll token of the pipe that wakes the thread for instructions.
 const WAKE_TOKEN: usize = 1;
-/// The interval between publications of the view.
+/// Interval between publications of the view while nothing changes.
 const PUBLISH_INTERVAL: Span = Span::from_millis(50);
 
-/// The view that was published last.
+/// The view that was published last, shared with the [`Handle`].
 type SharedView = Arc<Mutex<Arc<View>>>;
-/// Opens the member's store.
+/// Opens the member's store; tests replace it.
 type OpenStore = Box<dyn Fn(&FederationSettings) -> Result<(Store, StoredLog), StoreError> + Send>;
 
 struct Runtime {
@@ -62,7 +63,7 @@
     outage: Outage,
     graceful_stop: Option<GracefulStop>,
     counters: Counters,
-    /// Where this member listens.
+    /// The address on which this member listens; `None` until it has started once.
     listen: Option<SocketAddr>,
     view: View,
     shared: SharedView,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Publishes the view with the counters as they are now.
+    /// Publishes the view with the current counters.
     pub(super) fn publish(&mut self) {
         self.view = View {
             dropped: self.links.dropped,
@@ -116,8 +117,8 @@
         Instant::ZERO + Span::from(self.started.elapsed())
     }
 
-    /// Runs until it is stopped. A panic, for example a failed assertion of the library, halts this member and nothing
-    /// else.
+    /// Runs until the member is stopped. A panic, for example a failed assertion of the consensus library,
+    /// halts only this member.
     fn run(&mut self, instructions: &Receiver<Instruction>, wake_pipe: &mut UnixStream) {
         let mut ready = Vec::new();
         loop {
@@ -132,7 +133,7 @@
         info!("federation: stopped");
     }
 
-    /// Waits for the next events and handles them. Returns `false` when the thread should end.
+    /// Waits for the next events and handles them. Returns `false` if the thread should end.
     fn run_once(
         &mut self,
         instructions: &Receiver<Instruction>,
@@ -158,7 +159,7 @@
         !self.complete_graceful_stop(now)
     }
 
-    /// The poll timeout, `None` for no limit.
+    /// Returns the poll timeout, `None` for no limit.
     fn timeout(&self) -> Option<Duration> {
         let due = match &self.phase {
             Phase::Running(participant) => participant.next_tick(),
@@ -185,12 +186,13 @@
     }
 
     fn reload(&mut self, now: Instant, settings: FederationSettings) {
-        info!(revision = settings.revision, "federation: a new file");
+        info!(revision = settings.revision, "federation: settings reloaded");
         self.membership = Membership::new(settings);
         self.configure_links(now);
     }
 
-    /// Sets the identity and the peers of the connections; a member that is not running does so when it starts.
+    /// Applies the settings to the connections: identity, silence timeout and peers. Does nothing unless the
+    /// member runs, since [`Runtime::start`] applies them.
     fn configure_links(&mut self, now: Instant) {
         let Phase::Running(participant) = &self.phase else { return };
         let settings = &self.membership.settings;
@@ -199,7 +201,7 @@
         self.links.set_peers(now, &peer_addresses(settings));
     }
 
-    /// Reads the frames that have arrived on ready connections.
+    /// Accepts connections and returns the frames that were read from ready ones.
     fn receive(&mut self, now: Instant, ready: &mut Vec<Ready>) -> Vec<(MemberId, Frame)> {
         let mut received = Vec::new();
         for source in ready.drain(..) {
@@ -217,7 +219,7 @@
         received
     }
 
-    /// Handles received frames and what is due by the clock, and publishes the view.
+    /// Handles received frames and timers, stores and sends the results, and publishes the view.
     fn advance(&mut self, now: Instant, received: Vec<(MemberId, Frame)>) -> Result<(), HaltReason> {
         let Phase::Running(participant) = &mut self.phase else { return Ok(()) };
         for (from, frame) in received {
@@ -228,11 +230,11 @@
         let changed = participant.log_events(&mut self.counters);
         if let Some(recovery) = self.outage.recovered(now) {
             let (lasted_ms, failures) = (recovery.lasted.as_millis(), recovery.failures);
-            info!(lasted_ms, failures, "federation: this member takes part again");
+            info!(lasted_ms, failures, "federation: this member has recovered");
         }
         if changed || self.next_publication <= now {
             self.next_publication = now + PUBLISH_INTERVAL;
-            let now = Instant::ZERO + Span::from(self.started.elapsed()); // storing may have taken a while
+            let now = Instant::ZERO + Span::from(self.started.elapsed()); // saving may have taken some time
             let view = participant.view(now, &self.membership.settings, &self.links);
             self.view = View { listen: self.listen.map(|address| address.to_string()), ..view };
             self.publish();
@@ -241,13 +243,14 @@
     }
 }
 
-/// Discards the bytes that woke the poll.
+/// Discards the bytes that were written to wake the poll.
 fn drain(wake_pipe: &mut UnixStream) {
     let mut bytes = [0; 64];
     while wake_pipe.read(&mut bytes).is_ok_and(|count| count == bytes.len()) {}
 }
 
-/// How the other members are reached: voters dial each other at once, and a leader dials the rest.
+/// Returns the addresses of the other members. Voters dial each other at once; other members are dialled when
+/// there is something to send to them.
 fn peer_addresses(settings: &FederationSettings) -> BTreeMap<MemberId, PeerAddress> {
     let is_voter = settings.members.get(&settings.id).is_some_and(|own| own.voter);
     let others = settings.members.iter().filter(|(id, _)| **id != settings.id);
--- a/src/federation/runtime/handle.rs
+++ b/src/federation/runtime/handle.rs
@@ -1,4 +1,5 @@
-//! The edge proxy's handle on its member: instructions go in, the last published view comes out, and neither waits.
+//! The edge proxy's handle on its member: it sends instructions and reads the last published view. Neither
+//! waits for the member's thread.
 
 use super::{OpenStore, Runtime, SharedView, WAKE_TOKEN};
 use crate::federation::settings::{FederationSettings, FixedSetting};
@@ -11,11 +12,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// An instruction of the edge proxy to its member.
+/// An instruction from the edge proxy to its member.
 pub(super) enum Instruction {
-    /// Hand over what is held and end the thread.
+    /// Release the leases, transfer leadership and end the thread.
     Stop,
-    /// Hand over what is held and close the store: a newer process takes it.
+    /// Release the leases, transfer leadership and close the store, so that a newer process can open it.
     Pause,
     /// Open the store again after [`Instruction::Pause`].
     Resume,
@@ -23,7 +24,7 @@
     Reload(Box<FederationSettings>),
 }
 
-/// The edge proxy's handle on its member.
+/// A handle on the thread that runs the member; see [`Handle::start`].
 pub struct Handle {
     instructions: Sender<Instruction>,
     wake: UnixStream,
@@ -33,18 +34,19 @@
 }
 
 impl Handle {
-    /// Starts the member. A store or an address that cannot be used is reported by the view and the log, and retried.
+    /// Starts the member on a new thread. If its store or address cannot be used, the view and the log report
+    /// this, and the member retries.
     ///
     /// # Errors
     ///
-    /// The system gives no thread, poll or socket pair.
+    /// The system cannot create a thread, poll or socket pair.
     pub fn start(settings: FederationSettings, seed: u64) -> io::Result<Self> {
         let open_store =
             |settings: &FederationSettings| Store::open(&settings.store, &settings.cluster, settings.id);
         Self::start_with(settings, seed, Box::new(open_store))
     }
 
-    /// Starts the member with a store that is opened by `open_store`.
+    /// Like [`Handle::start`], with another function to open the store.
     pub(super) fn start_with(
         settings: FederationSettings,
         seed: u64,
@@ -63,30 +65,32 @@
 
     fn instruct(&mut self, instruction: Instruction) {
         if self.instructions.send(instruction).is_ok() {
-            let _ = self.wake.write(&[1]); // a full pipe wakes it, too
+            let _ = self.wake.write(&[1]); // ignored: if the pipe is full, the thread wakes anyway
         }
     }
 
-    /// Hands over what this member holds and ends it, soon.
+    /// Tells the member to release its leases, transfer its leadership and end. Does not wait for it; see
+    /// [`Handle::join`].
     pub fn stop(&mut self) {
         self.instruct(Instruction::Stop);
     }
 
-    /// Hands over what this member holds and closes the store: a newer process takes it.
+    /// Tells the member to release its leases, transfer its leadership and close its store, so that a newer
+    /// process can open it.
     pub fn pause(&mut self) {
         self.instruct(Instruction::Pause);
     }
 
-    /// Opens the store again.
+    /// Tells a paused member to open its store again and start.
     pub fn resume(&mut self) {
         self.instruct(Instruction::Resume);
     }
 
-    /// Checks that new settings can be applied in service.
+    /// Checks that new settings can be applied without a restart.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot change.
+    /// Returns the first changed setting that needs a restart.
     pub fn check(&self, settings: &FederationSettings) -> Result<(), FixedSetting> {
         self.settings.first_fixed_change(settings).map_or(Ok(()), Err)
     }
@@ -97,7 +101,7 @@
         self.instruct(Instruction::Reload(Box::new(settings)));
     }
 
-    /// The view that was published last.
+    /// Returns the view that the member published last.
     pub fn view(&self) -> Arc<View> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -105,7 +109,7 @@
     /// Joins the thread if it has ended.
     pub fn join(&mut self) {
         if let Some(thread) = self.thread.take_if(|thread| thread.is_finished()) {
-            let _ = thread.join(); // its panics are caught and reported
+            let _ = thread.join(); // panics are caught and reported in the thread
         }
     }
 }
--- a/src/federation/runtime/lifecycle.rs
+++ b/src/federation/runtime/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The phases of a member: it starts, halts after a failure, pauses for a newer process, and shuts down gracefully.
+//! The lifecycle of a member: start, halt after a failure, pause for a newer process, and graceful shutdown.
 
 use super::outage::HaltReason;
 use super::participant::Participant;
@@ -8,25 +8,26 @@
 use std::net::SocketAddr;
 use tracing::{error, info};
 
-/// How long a leader that stops waits for another leader.
+/// How long a leader that stops waits until another member leads.
 const LEADERSHIP_TRANSFER_TIMEOUT: Span = Span::from_millis(200);
-/// The reason that the view states for a paused member.
-const PAUSED_REASON: &str = "a newer process has the store";
+/// The `halted` reason in the view of a paused member.
+const PAUSED_REASON: &str = "a newer process has the store open";
 
-/// Whether the member runs.
+/// Whether the member runs, and if not, why.
 pub(super) enum Phase {
     /// The member takes part in the federation.
     Running(Box<Participant>),
-    /// It failed, and is restarted at `until`.
+    /// The member failed, or was not started yet; it is started at `until`.
     Halted { until: Instant },
-    /// A newer process has the store open.
+    /// A newer process has the store open; see [`Runtime::resume`].
     Paused,
 }
 
-/// A graceful shutdown or pause: the member releases its leases and transfers its leadership first.
+/// A graceful shutdown or pause in progress. The member has released its leases, and waits for the transfer
+/// of its leadership.
 #[derive(Clone, Copy)]
 pub(super) struct GracefulStop {
-    /// When it stops waiting for another leader.
+    /// When the member stops waiting for another leader.
     pub(super) deadline: Instant,
     /// Whether the thread ends afterwards; otherwise the member is paused.
     pub(super) ends_thread: bool,
@@ -39,9 +40,9 @@
             Ok((participant, address)) => {
                 self.phase = Phase::Running(Box::new(participant));
                 self.configure_links(now);
-                // In an outage each attempt may reach this point.
+                // In an outage each attempt may get this far, and would log the same line.
                 if !self.outage.is_ongoing() || self.listen != Some(address) {
-                    info!(id = self.membership.settings.id.get(), "federation listens on {address}");
+                    info!(id = self.membership.settings.id.get(), "federation: listening on {address}");
                 }
                 self.listen = Some(address);
                 self.outage.started(now);
@@ -60,14 +61,14 @@
         Ok((participant, opened.map_err(|source| HaltReason::Listen { address, source })?))
     }
 
-    /// Stops the member after a failure, to be restarted from its store after a backoff.
+    /// Stops the member after a failure; it is restarted from its store after a backoff.
     pub(super) fn halt(&mut self, reason: &HaltReason) {
         let now = self.now();
         self.links.close(now);
         let failure = self.outage.failed(now, reason, &mut self.random);
         self.phase = Phase::Halted { until: failure.retry_at };
         let settings = &self.membership.settings;
-        // What was known of the other members no longer holds.
+        // All that is known about the other members is outdated now, so the view is reset.
         self.view = View {
             cluster: settings.cluster.clone(),
             id: settings.id,
@@ -76,10 +77,10 @@
             ..View::default()
         };
         let member = settings.id.get();
-        // Published before the log line, so that its reader finds the reason in the view.
+        // The view is published first, so that whoever reads the log line finds the reason in the view.
         self.publish();
         if failure.report {
-            error!(member, why = %reason, "federation: this member takes no part; the edge proxy serves alone");
+            error!(member, why = %reason, "federation: this member is halted; the edge proxy keeps serving");
         }
     }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Begins a graceful shutdown, or a pause.
+    /// Begins a graceful shutdown or a pause. A shutdown that has begun is not turned into a pause.
     pub(super) fn begin_graceful_stop(&mut self, now: Instant, ends_thread: bool) {
         let ends_thread =
             ends_thread || self.graceful_stop.is_some_and(|graceful_stop| graceful_stop.ends_thread);
@@ -102,7 +103,8 @@
         self.graceful_stop = Some(GracefulStop { deadline: now + LEADERSHIP_TRANSFER_TIMEOUT, ends_thread });
     }
 
-    /// Completes a graceful shutdown or a pause. Returns `true` when the thread should end.
+    /// Completes a graceful shutdown or a pause once the member no longer leads or the deadline has passed.
+    /// Returns `true` if the thread should end.
     pub(super) fn complete_graceful_stop(&mut self, now: Instant) -> bool {
         let Some(graceful_stop) = self.graceful_stop else { return false };
         let leads = matches!(&self.phase, Phase::Running(participant) if participant.is_leader());
@@ -119,7 +121,7 @@
         self.graceful_stop = None;
         self.phase = Phase::Paused;
         self.links.close(now);
-        info!("federation: left to a newer process");
+        info!("federation: paused, a newer process takes over the store");
         self.view.halted = Some(PAUSED_REASON.to_owned());
         self.publish();
     }
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -1,5 +1,6 @@
-//! Why a member is halted, and when it is retried: an outage begins with a failure and ends once the member has
-//! run for a while without another, so that a disk that takes the first write and fails the second one is one outage.
+//! Why a member is halted, and when it is retried. An outage begins with a failure and ends once the member
+//! has run for [`RECOVERED_AFTER`] without another failure. Otherwise a disk that accepts the first write
+//! after each start and fails the second one would cause a new outage at every attempt.
 
 use crate::federation::backoff::Backoff;
 use crate::federation::node::NodeError;
@@ -10,9 +11,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The first and the longest pause before another attempt.
+/// Minimum and maximum backoff before another attempt.
 const RETRY_PAUSES: [Span; 2] = [Span::from_millis(50), Span::from_secs(2)];
-/// An outage is over when the member has run for so long.
+/// How long the member must run without a failure until the outage is over.
 const RECOVERED_AFTER: Span = Span::from_secs(5);
 
 /// Why a member is halted.
@@ -26,19 +27,19 @@
     Node(#[from] NodeError),
     #[error("poll: {0}")]
     Poll(io::Error),
-    /// A check of the library's, or of this program's own.
-    #[error("a check failed: {0}")]
+    /// An assertion of the consensus library or of this program failed.
+    #[error("panic: {0}")]
     Panic(String),
-    #[error("another store came for this member before: this one may have forgotten its votes")]
+    #[error("another store is enrolled for this member: this one may lack votes that the member has cast")]
     OtherStore,
 }
 
-/// Kinds of failure: each is reported once in an outage.
+/// The kind of a failure; each kind is reported once in an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FailureKind {
-    /// The disk takes no writes or gives no reads.
+    /// The disk fails reads or writes.
     Disk,
-    /// The store is damaged, absent, another's or in use.
+    /// The store is damaged, absent, in use, or belongs to another member.
     Store,
     Network,
     Consensus,
@@ -69,24 +70,24 @@
 struct OngoingOutage {
     since: Instant,
     failures: u32,
-    /// The kinds of failure that were reported.
+    /// The kinds of failure that were reported already.
     reported: Vec<FailureKind>,
-    /// Since when the member runs again.
+    /// When the member was last started, `None` after a failure.
     running_since: Option<Instant>,
 }
 
-/// What follows from a failure.
+/// How to respond to a failure.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Failure {
     pub retry_at: Instant,
-    /// Whether it is the first of its kind in this outage, and is logged.
+    /// Whether to log it, as the first failure of its kind in this outage.
     pub report: bool,
 }
 
 /// An outage that is over.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Recovery {
-    /// From the first failure until the member ran again.
+    /// Time from the first failure until the start that succeeded.
     pub lasted: Span,
     pub failures: u32,
 }
@@ -110,19 +111,19 @@
         Failure { retry_at: now + self.backoff.pause(random), report }
     }
 
-    /// Records that the member runs.
+    /// Records that the member was started.
     pub fn started(&mut self, now: Instant) {
         if let Some(ongoing) = &mut self.ongoing {
             ongoing.running_since = Some(now);
         }
     }
 
-    /// Whether an outage lasts; the member may be running again already.
+    /// Whether an outage is ongoing; the member may be running again already.
     pub fn is_ongoing(&self) -> bool {
         self.ongoing.is_some()
     }
 
-    /// The outage, if it is over now.
+    /// Ends the outage and returns its figures if the member has run for long enough, otherwise `None`.
     pub fn recovered(&mut self, now: Instant) -> Option<Recovery> {
         let ongoing = self.ongoing.as_ref()?;
         let running_since = ongoing.running_since.filter(|since| now - *since >= RECOVERED_AFTER)?;
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -1,4 +1,5 @@
-//! A running member: its consensus node, its open store and its leases; `status` is what it reports to operators.
+//! A running member: its consensus node, its open store and its leases. `status` holds its reports to
+//! operators.
 
 mod status;
 
@@ -19,15 +20,15 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// The interval between enrolment requests of a member whose store is not enrolled yet.
+/// Interval between checks of this member's enrolment, and between requests while its store is not enrolled.
 const ENROLMENT_INTERVAL: Span = Span::from_millis(200);
-/// The duty of proposing the state that all sites share; voters are candidates for it.
+/// Name of the duty to propose the state that all sites share. Voters are candidates for it.
 const PUBLISH_DUTY: &str = "publish";
 
 /// The settings, and the members derived from them.
 pub(super) struct Membership {
     pub settings: FederationSettings,
-    /// The members that the file asks for.
+    /// The members that the settings file lists.
     pub wanted: Roster,
 }
 
@@ -37,16 +38,16 @@
     }
 }
 
-/// Counts of events, over all starts of the member.
+/// Counts of events, kept when the member is restarted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counters {
-    /// Leaders that this member saw.
+    /// Number of times that this member saw a new leader.
     pub elections: u64,
-    /// The longest that the store took for one step, us.
+    /// Longest duration of one save, in us.
     pub slowest_save_us: u64,
 }
 
-/// The store, with the time that it takes.
+/// A store that measures the duration of each save.
 struct TimedStore<'a> {
     store: &'a mut Store,
     slowest_us: &'a mut u64,
@@ -63,7 +64,7 @@
     }
 }
 
-/// A running member.
+/// A member while it runs; dropped when the member is halted, paused or stopped.
 pub(super) struct Participant {
     node: Node,
     store: Store,
@@ -94,7 +95,7 @@
         self.node.is_leader()
     }
 
-    /// The federation's identity, 0 while it is not known.
+    /// Returns the identity of the federation, 0 while it is not known.
     pub fn identity(&self) -> u64 {
         self.node.state().identity
     }
@@ -103,7 +104,7 @@
         self.store.owner().incarnation
     }
 
-    /// Whether the store that a connecting member comes with may speak for it.
+    /// Checks that a connecting member is admitted with the store that it uses.
     pub fn admits(&self, settings: &FederationSettings, hello: &Hello) -> Result<(), AdmissionError> {
         let state = self.node.state();
         let listed = settings.revision > state.revision && settings.members.contains_key(&hello.from);
@@ -115,7 +116,7 @@
         match frame {
             Frame::Raft(message) if message.from == from => {
                 if let Err(why) = self.node.step(&message) {
-                    warn!(peer = from.get(), %why, "federation: a message is passed over");
+                    warn!(peer = from.get(), %why, "federation: a message is ignored");
                 }
             }
             Frame::Propose(command) if may_propose(from, &command) => {
@@ -125,11 +126,14 @@
                     self.node.propose(&command);
                 }
             }
-            _ => warn!(peer = from.get(), "federation: a member speaks for another"),
+            _ => warn!(
+                peer = from.get(),
+                "federation: ignored a message that a member sent in the name of another"
+            ),
         }
     }
 
-    /// Does what is due by the clock: elections, heartbeats, membership changes, leases and enrolment.
+    /// Handles timers: elections, heartbeats, membership changes, leases and enrolment.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -141,7 +145,8 @@
             return Ok(());
         }
         let settings = &membership.settings;
-        // One tick however long it was: a process that was stopped must not stand for election at once.
+        // Only one tick, however much time has passed: a process that was suspended must not start an
+        // election at once.
         self.next_tick = now + settings.tick;
         self.node.tick();
         links.tick(now);
@@ -156,7 +161,8 @@
         Ok(())
     }
 
-    /// Requests and renews leases if this member is a voter, and expires leases if it leads.
+    /// Requests and renews leases if this member is a voter, and proposes to expire leases if it is the
+    /// leader.
     fn renew_leases(&mut self, now: Instant, links: &mut Links) {
         let (state, is_leader) = (self.node.state(), self.node.is_leader());
         let is_voter = state.members.get(&self.node.id()).is_some_and(|own| own.voter);
@@ -167,7 +173,7 @@
         commands.into_iter().for_each(|command| self.propose(now, links, command));
     }
 
-    /// Requests the enrolment of this member's store, if none is enrolled.
+    /// Requests the enrolment of this member's store if none is enrolled. Fails if another store is enrolled.
     fn enrol(&mut self, now: Instant, links: &mut Links) -> Result<(), HaltReason> {
         let (id, incarnation) = (self.node.id(), self.incarnation());
         let Some(own) = self.node.state().members.get(&id) else { return Ok(()) };
@@ -179,7 +185,7 @@
         Ok(())
     }
 
-    /// Proposes a command, or forwards it to the leader.
+    /// Proposes a command if this member leads, or forwards it to the leader if there is one.
     fn propose(&mut self, now: Instant, links: &mut Links, command: Command) {
         let leader = self.node.leadership().leader;
         if leader == self.node.id() {
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Stores what the node has ready, then sends its messages.
+    /// Saves the node's pending updates, then sends its messages.
     pub fn drive(
         &mut self,
         now: Instant,
@@ -217,7 +223,8 @@
 
     /// Releases the leases and transfers leadership, if this member leads.
     pub fn step_down(&mut self, now: Instant, links: &mut Links) {
-        // Leases first: what is proposed before the transfer is still in the log.
+        // The leases are released first: commands that are proposed before the transfer still get into the
+        // log.
         for command in self.holder.set_candidacies(&BTreeSet::new()) {
             self.propose(now, links, command);
         }
@@ -225,7 +232,7 @@
     }
 }
 
-/// Whether a member may have this command proposed: a member acts for itself alone.
+/// Whether `from` may have this command proposed: a member acts only for itself.
 fn may_propose(from: MemberId, command: &Command) -> bool {
     match command {
         Command::Enrol { id, .. }
--- a/src/federation/runtime/participant/status.rs
+++ b/src/federation/runtime/participant/status.rs
@@ -1,4 +1,4 @@
-//! What a running member reports to operators: log lines of its events, and the view of the federation.
+//! What a running member reports to operators: its events as log lines, and its view of the federation.
 
 use super::{Counters, Participant};
 use crate::federation::links::Links;
@@ -11,28 +11,28 @@
 use tracing::{info, warn};
 
 impl Participant {
-    /// Logs the events since the last call. Returns whether there were any.
+    /// Logs the node's events since the last call. Returns whether there were any.
     pub fn log_events(&mut self, counters: &mut Counters) -> bool {
         let events = self.node.take_events();
         for event in &events {
             match event {
                 NodeEvent::LeaderChanged(Leadership { leader, term }) => {
                     counters.elections += u64::from(leader.is_some());
-                    info!(leader = leader.get(), term = term.get(), "federation: leader");
+                    info!(leader = leader.get(), term = term.get(), "federation: leader changed");
                 }
                 NodeEvent::MembersChanged(change) => info!(?change, "federation: the members changed"),
                 NodeEvent::SnapshotInstalled(index) => {
-                    info!(index = index.get(), "federation: caught up by a snapshot")
+                    info!(index = index.get(), "federation: installed a snapshot")
                 }
                 NodeEvent::UnknownEntry(index) => {
-                    warn!(index = index.get(), "federation: an entry that can't be read is passed over")
+                    warn!(index = index.get(), "federation: skipped a log entry that cannot be decoded")
                 }
             }
         }
         !events.is_empty()
     }
 
-    /// The federation as this member sees it.
+    /// Returns the federation as this member knows it.
     pub fn view(&self, now: Instant, settings: &FederationSettings, links: &Links) -> View {
         let LogIndexes { last, committed, applied } = self.node.log_indexes();
         let Leadership { leader, term } = self.node.leadership();
--- a/src/federation/runtime/tests.rs
+++ b/src/federation/runtime/tests.rs
@@ -1,4 +1,4 @@
-//! Outages by a clock that is passed in, and a member on a disk that fails and works again.
+//! Tests outages with a simulated clock, and a member whose disk fails and works again.
 
 use super::outage::{HaltReason, Outage, Recovery};
 use super::*;
@@ -8,7 +8,7 @@
 use crate::federation::store::{Damage, Owner};
 use std::path::PathBuf;
 
-/// How long a test waits for what must come.
+/// Maximum time that a test waits for an expected view.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const SECOND: Span = Span::from_secs(1);
 
@@ -32,13 +32,13 @@
         assert_eq!(failure.report, attempt == 0, "attempt {attempt}");
         pauses.push(failure.retry_at - now);
         now = failure.retry_at;
-        // The store can be opened, and the first step fails.
+        // The store opens, and the first save fails.
         outage.started(now);
-        assert_eq!(outage.recovered(now + SECOND), None, "a start alone ends no outage");
+        assert_eq!(outage.recovered(now + SECOND), None, "a start alone does not end the outage");
     }
     assert!(pauses[0] <= Span::from_millis(50) && pauses[9] >= SECOND, "{pauses:?}");
     let damage = store_fails(Damage::NotADatabase.into());
-    assert!(outage.failed(now, &damage, &mut random).report, "another kind is news");
+    assert!(outage.failed(now, &damage, &mut random).report, "a failure of another kind is reported");
     assert!(!outage.failed(now, &damage, &mut random).report);
     outage.started(now);
     assert_eq!(outage.recovered(now + 4 * SECOND), None);
@@ -47,15 +47,18 @@
         Some(Recovery { lasted: now - Instant::ZERO, failures: 12 })
     );
     let next = outage.failed(now, &disk_fails(), &mut random);
-    assert!(next.report && next.retry_at - now <= Span::from_millis(50), "the next outage begins anew");
+    assert!(
+        next.report && next.retry_at - now <= Span::from_millis(50),
+        "the next outage is reported, with the minimum backoff"
+    );
 }
 
-/// A federation of one voter, which commits by itself.
+/// Returns the settings of a federation with one voter, which commits without other members.
 fn settings() -> FederationSettings {
     let text = "federation {\n cluster = \"c\"\n id = 1\n store = \"unused\"\n key_file = \"unused\"\n revision = 1\n \
                 listen = \"127.0.0.1:0\"\n tick_ms = 5\n lease_ms = 200\n guard_ms = 20\n compact_after = 8\n \
                 member \"1\" {\n  site = \"a\"\n  address = \"127.0.0.1:1\"\n  voter = true\n }\n}\n";
-    FederationSettings::parse(HclDocument { file: "f.hcl", text }).expect("usable").0
+    FederationSettings::parse(HclDocument { file: "f.hcl", text }).expect("the settings are valid").0
 }
 
 fn wait_for(handle: &Handle, what: &str, wanted: impl Fn(&View) -> bool) -> Arc<View> {
@@ -65,7 +68,7 @@
         if wanted(&view) {
             return view;
         }
-        assert!(since.elapsed() < WAIT_TIMEOUT, "it never came to: {what}; {view:?}");
+        assert!(since.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}; {view:?}");
         std::thread::yield_now();
     }
 }
@@ -83,24 +86,26 @@
         let opened = disk.clone();
         let open_store =
             move |settings: &FederationSettings| opened.open_store(&settings.cluster, settings.id);
-        let mut handle = Handle::start_with(settings, 1, Box::new(open_store)).expect("a thread");
-        let mut before = wait_for(&handle, "it leads", leads);
+        let mut handle =
+            Handle::start_with(settings, 1, Box::new(open_store)).expect("the member's thread starts");
+        let mut before = wait_for(&handle, "the member leads", leads);
         for round in 0..3 {
             disk.fail_all(error);
-            let halted = wait_for(&handle, "it is halted", |view| view.halted.is_some());
+            let halted = wait_for(&handle, "the member is halted", |view| view.halted.is_some());
             let why = halted.halted.as_deref().unwrap_or_default();
             assert!(why.contains(&std::io::Error::from_raw_os_error(error).to_string()), "{why}");
             assert_eq!((halted.leader, &halted.role[..]), (MemberId::NONE, ""));
             let failures = disk.failures();
-            wait_for(&handle, "it tries again", |_| disk.failures() > failures + 3);
+            wait_for(&handle, "the member retries", |_| disk.failures() > failures + 3);
             assert!(handle.view().halted.is_some(), "round {round}");
             disk.repair();
-            let after = wait_for(&handle, "it leads again", leads);
+            let after = wait_for(&handle, "the member leads again", leads);
             assert!(after.term > before.term && after.committed >= before.committed, "{after:?} {before:?}");
             before = after;
         }
         handle.stop();
-        let (_, saved) = disk.after_kill().open_store("c", MemberId(1)).expect("usable at any time");
+        let (_, saved) =
+            disk.after_kill().open_store("c", MemberId(1)).expect("the store opens after a kill");
         assert!(saved.last_index() >= before.committed && saved.hard_state.term >= before.term);
     }
 }
--- a/src/federation/store.rs
+++ b/src/federation/store.rs
@@ -1,19 +1,18 @@
 //! The durable log of one member, in `redb` (an embedded database whose transactions are atomic and fsynced).
 //!
-//! What a member acknowledged must still be there after any crash, and what could not be stored must not be
+//! What a member has acknowledged must survive any crash, and what could not be stored must not be
 //! acknowledged:
 //!
-//! - [`DurableStorage::save`] returns only after the transaction is on the disk. After a failed one the store takes
-//!   no more
-//!   ([`StoreError::Poisoned`]): whether it was stored is known only once the store is opened again.
-//! - Transactions commit in two phases, the second after the first one is on the disk. With one phase the library
-//!   takes a
-//!   damaged newest transaction for one that a crash cut off, and falls back to the one before it, which would forget
-//!   an acknowledged vote; with two phases that is an error. And after a failed fsync the system may show data that is
-//!   only in its page cache and will never be written back: what the first phase has not made durable is not read.
-//! - Each record carries a digest, and the library verifies its pages when a store is opened: a torn or altered store
-//!   is an
-//!   error, never an empty one.
+//! - [`DurableStorage::save`] returns only after the transaction is on the disk. After a failed write the
+//!   store accepts no more writes ([`StoreError::Poisoned`]), since only opening it again shows whether the
+//!   write was stored.
+//! - Transactions commit in two phases, the second after the first one is on the disk. With one phase the
+//!   library takes a damaged newest transaction for one that a crash interrupted, and falls back to the one
+//!   before it, which would lose an acknowledged vote; with two phases this is an error. Also, after a failed
+//!   fsync the operating system may return data that is only in its page cache and will never be written
+//!   back; data that the first phase has not made durable is not read.
+//! - Each record carries a digest, and the library verifies its pages when a store is opened, so that a torn
+//!   or altered store is an error and never appears empty.
 
 mod error;
 mod record;
@@ -40,46 +39,47 @@
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Keys of the table [`META`].
+// Keys of the table `META`.
 const OWNER_KEY: &str = "owner";
 const HARD_STATE_KEY: &str = "hard";
 const SNAPSHOT_KEY: &str = "snapshot";
-/// What errors call the records of the table [`META`].
-const HARD_STATE_NAME: &str = "the vote";
-/// The version of the stored records.
+/// Name of the hard state in error messages.
+const HARD_STATE_NAME: &str = "the hard state";
+/// Format version of the stored records.
 const FORMAT_VERSION: u32 = 1;
 
-/// The owner of a store.
+/// The first record of a store: which member it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The format version of the records.
+    /// Format version of the records.
     pub format: u32,
-    /// The federation's name.
+    /// Name of the federation.
     pub cluster: String,
-    /// The member.
+    /// The member that the store belongs to.
     pub id: MemberId,
-    /// Drawn at random when the store is created, to distinguish two stores of one member.
+    /// Random number drawn when the store is created; distinguishes two stores of one member.
     pub incarnation: u64,
 }
 
 impl Owner {
-    /// The owner of a new store.
+    /// Creates the owner record of a new store, with the current format version.
     pub fn new(cluster: &str, id: MemberId, incarnation: u64) -> Self {
         Owner { format: FORMAT_VERSION, cluster: cluster.to_owned(), id, incarnation }
     }
 }
 
-/// The open store of a member.
+/// The open store of a member. Only one process can have it open at a time.
 pub struct Store {
-    /// `None` only while the store is dropped.
+    /// `None` only while the store is being dropped.
     database: Option<Database>,
     owner: Owner,
-    /// Whether a write failed: the store must be opened again.
+    /// Whether a write failed; the store must then be opened again before another write.
     poisoned: bool,
 }
 
 impl Drop for Store {
-    /// The library writes once more when it closes a database, and panics where its own pages are damaged.
+    /// Catches a panic of the library, which writes once more when it closes a database and panics if its
+    /// pages are damaged.
     fn drop(&mut self) {
         let database = self.database.take();
         let _ = catch_unwind(AssertUnwindSafe(|| drop(database)));
@@ -87,18 +87,19 @@
 }
 
 impl Store {
-    /// Creates the store of a new member with its first records.
+    /// Creates the store of a new member with its initial records.
     ///
     /// # Errors
     ///
-    /// There is a store already, or the disk fails.
+    /// The store exists already, or the disk fails.
     pub fn create(path: &Path, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
         if path.exists() {
             return Err(StoreError::AlreadyExists);
         }
-        // Written under another name and renamed once it is complete: there is never half a store under the real name.
+        // The store is written under another name and renamed once it is complete, so that an interrupted
+        // attempt never leaves an incomplete store under the real name.
         let draft = path.with_extension("draft");
-        let _ = std::fs::remove_file(&draft); // of an attempt that was interrupted
+        let _ = std::fs::remove_file(&draft); // left by an interrupted attempt
         Self::initialize(Database::create(&draft)?, owner, saved)?;
         std::fs::rename(&draft, path)?;
         let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
@@ -112,11 +113,11 @@
         Ok(database.close()?)
     }
 
-    /// Opens the store of a member, verifies it and reads all of it.
+    /// Opens the store of a member, verifies it and reads all records.
     ///
     /// # Errors
     ///
-    /// There is no store, it is another member's, it is damaged, or another process has it open.
+    /// The store does not exist, belongs to another member, is damaged, or is open in another process.
     pub fn open(path: &Path, cluster: &str, id: MemberId) -> Result<(Self, StoredLog), StoreError> {
         if !path.exists() {
             return Err(StoreError::NotFound);
@@ -131,7 +132,8 @@
     ) -> Result<(Self, StoredLog), StoreError> {
         let mut builder = Builder::new();
         builder.set_check_integrity_on_open(true);
-        // Where the library panics on a damaged file, that is an error of the store and not the end of the program.
+        // The library may panic on a damaged file; this must be an error of the store and not end the
+        // program.
         let opened = catch_unwind(AssertUnwindSafe(|| Self::read(open(&mut builder)?)));
         let (store, saved) = opened.map_err(|_| Damage::Unopenable)??;
         if (store.owner.id, &store.owner.cluster[..]) != (id, cluster) {
@@ -146,13 +148,13 @@
         Ok((Store { database: Some(database), owner, poisoned: false }, saved))
     }
 
-    /// Runs `change` in a transaction that is durable when this returns.
+    /// Runs `change` in a transaction, which is durable when this returns `Ok`.
     fn write(
         &mut self,
         change: impl FnOnce(&WriteTransaction) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
         let database = self.database.as_ref().filter(|_| !self.poisoned).ok_or(StoreError::Poisoned)?;
-        self.poisoned = true; // unless the last step is reached
+        self.poisoned = true; // reset after the commit; stays set if any step fails or panics
         let transaction = begin_write(database)?;
         change(&transaction)?;
         transaction.commit()?;
@@ -160,18 +162,19 @@
         Ok(())
     }
 
-    /// The owner of the store.
+    /// Returns the owner record, read when the store was opened.
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
 }
 
-/// Creates the store of the file's own member: of a founder, which begins with all of the file's members, or of one
-/// that joins a federation and learns its state from the others.
+/// Creates the store of the member that the settings belong to. A founder begins with all members of the
+/// settings file; a member that joins a federation begins with an empty log and receives the state from the
+/// others.
 ///
 /// # Errors
 ///
-/// There is a store already, or the disk fails.
+/// The store exists already, or the disk fails.
 pub fn create_member_store(
     settings: &FederationSettings,
     joins: bool,
@@ -205,7 +208,7 @@
     }
 }
 
-/// A write transaction that is durable, or an error, when it is committed.
+/// Begins a write transaction whose commit returns only once it is durable, and otherwise fails.
 fn begin_write(database: &Database) -> Result<WriteTransaction, StoreError> {
     let mut transaction = database.begin_write()?;
     transaction.set_durability(Durability::Immediate)?;
@@ -213,7 +216,8 @@
     Ok(transaction)
 }
 
-/// The hard state to write with a step, if any: a step's own, or one that is committed at least up to its snapshot.
+/// Returns the hard state to write with an update, if any: the update's own, or the stored one with the
+/// commit index raised to at least that of the update's snapshot.
 fn hard_state_after(
     meta: &Table<'_, &str, &[u8]>,
     save: &LogUpdate,
@@ -240,7 +244,7 @@
     Ok(())
 }
 
-/// Writes every record.
+/// Writes all records of a new store.
 fn write_all(transaction: &WriteTransaction, owner: &Owner, saved: &StoredLog) -> Result<(), StoreError> {
     let mut meta = transaction.open_table(META)?;
     let mut log = transaction.open_table(LOG)?;
@@ -250,7 +254,7 @@
     insert_entries(&mut log, &saved.entries)
 }
 
-/// Reads every record.
+/// Reads all records.
 fn read_all(database: &Database) -> Result<(Owner, StoredLog), StoreError> {
     let transaction = database.begin_read()?;
     let meta = transaction.open_table(META)?;
--- a/src/federation/store/error.rs
+++ b/src/federation/store/error.rs
@@ -1,4 +1,4 @@
-//! Why a store cannot be used.
+//! The errors of a store.
 
 use crate::federation::log::LogError;
 use crate::federation::MemberId;
@@ -6,20 +6,20 @@
 /// Why a store cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no store at this path.
-    #[error("there is no store; a new member's is made by `dahliatrack federation init`")]
+    /// The store does not exist.
+    #[error("the store does not exist; `dahliatrack federation init` creates the store of a new member")]
     NotFound,
-    /// There is a store at this path already.
-    #[error("there is a store already; it is never written over")]
+    /// A file exists at the path of the store to create.
+    #[error("the store exists already and is never overwritten")]
     AlreadyExists,
     /// Another process has the store open.
-    #[error("another process has it open")]
+    #[error("another process has the store open")]
     Locked,
     /// The store belongs to another member or another federation.
-    #[error("it is member {0}'s of federation {1:?}")]
+    #[error("the store belongs to member {0} of federation {1:?}")]
     OtherOwner(MemberId, String),
     /// The store has a format version that this program does not know.
-    #[error("its form is {found}, this program knows {known}")]
+    #[error("the store has format version {found}, this program supports {known}")]
     Format {
         /// The store's format version.
         found: u32,
@@ -27,18 +27,18 @@
         known: u32,
     },
     /// The store is torn or altered.
-    #[error("it is damaged: {0}")]
+    #[error("the store is damaged: {0}")]
     Damaged(#[from] Damage),
-    /// A write to this open store failed: what it holds is not known until it is opened again.
-    #[error("a write failed before; it has to be opened again")]
+    /// An earlier write to this open store failed; its contents are unknown until it is opened again.
+    #[error("an earlier write failed; the store must be opened again")]
     Poisoned,
     /// A record cannot be encoded.
-    #[error("a record can't be encoded: {0}")]
+    #[error("a record cannot be encoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The operating system refuses a file operation.
+    /// A file operation failed.
     #[error("{0}")]
     File(#[from] std::io::Error),
-    /// The database library reports a failure that is not damage: a full or failing disk.
+    /// The database library failed for another reason than damage, such as a full or failing disk.
     #[error("{0}")]
     Database(redb::Error),
 }
@@ -47,27 +47,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
     /// The file is not a database.
-    #[error("no store's file")]
+    #[error("the file is not a database")]
     NotADatabase,
-    /// The database library found pages that do not have their checksum, or cannot belong to a database.
+    /// The database library found pages with a wrong checksum, or pages or tables that cannot belong to a
+    /// store.
     #[error("{0}")]
     Pages(String),
-    /// The database library gave up by a panic while it opened the file.
-    #[error("it can't be opened")]
+    /// The database library panicked while it opened the file.
+    #[error("the database cannot be opened")]
     Unopenable,
-    /// A record that every store has is not there.
+    /// A record that every store has is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
     /// A record is shorter than its digest.
-    #[error("{0} is cut short")]
+    #[error("{0} is truncated")]
     CutShort(String),
-    /// A record does not have its digest.
-    #[error("{0} is not what was kept")]
+    /// A record does not match its digest.
+    #[error("{0} does not match its digest")]
     Altered(String),
-    /// A record has its digest and cannot be decoded.
-    #[error("{0} can't be read")]
+    /// A record matches its digest but cannot be decoded.
+    #[error("{0} cannot be decoded")]
     Undecodable(String),
-    /// The records are readable and do not make a log.
+    /// The records can be decoded but do not form a valid log.
     #[error("{0}")]
     Log(#[from] LogError),
 }
--- a/src/federation/store/faulty_disk.rs
+++ b/src/federation/store/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory for tests, with a page cache: it fails calls, loses its power, and its process can be killed in the
+//! An in-memory disk with a page cache, for tests. It can fail calls, lose power, and kill its process in the
 //! middle of a write.
 
 use super::{Owner, Store, StoreError};
@@ -10,13 +10,13 @@
 use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What survives of a write that was not synced when the power was lost is a multiple of this, bytes.
+/// Unit in which a write that was not synced survives a power loss or not, in bytes.
 const SECTOR_BYTES: usize = 512;
-/// Error numbers as Linux has them.
+/// Linux error numbers.
 pub(crate) const EIO: i32 = 5;
 pub(crate) const ENOSPC: i32 = 28;
 
-/// A call that changes the disk.
+/// The kind of a call that changes the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskCall {
     Write,
@@ -24,17 +24,17 @@
     SetLen,
 }
 
-/// Calls that fail.
+/// A fault: a range of calls that fail.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
-    /// The first and the end of the calls that fail, counted over all that change the disk.
+    /// Numbers of the calls that fail. All calls that change the disk are counted, from 1 on.
     pub calls: Range<u64>,
-    /// Which kind of call fails; `None`: all.
+    /// The kind of call that fails, `None` for all kinds.
     pub only: Option<DiskCall>,
     pub error: i32,
 }
 
-/// A change that was not synced yet.
+/// A change of the disk's contents.
 #[derive(Clone, Debug)]
 enum DiskWrite {
     Write(usize, Vec<u8>),
@@ -58,69 +58,70 @@
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// What reads see: the page cache.
+    /// The page cache, which reads return.
     cached: Vec<u8>,
-    /// What is on the platter.
+    /// What is stored durably.
     durable: Vec<u8>,
-    /// What is only in the page cache and will be written back.
+    /// The changes that are only in the page cache and will be written back.
     dirty: Vec<DiskWrite>,
-    /// The calls so far that change the disk.
+    /// The kinds of all calls so far that change the disk.
     calls: Vec<DiskCall>,
     faults: Vec<Fault>,
-    /// The call in which the process is killed: half of a write is done, and nothing after it.
+    /// Number of the call in which the process is killed. If it is a write, half of it is done; all later
+    /// calls fail.
     killed_at: Option<u64>,
-    /// Calls that failed.
+    /// Number of calls that failed.
     failures: u64,
 }
 
-/// The disk; clones are the same one.
+/// A simulated disk; clones share its state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FaultyDisk(Arc<Mutex<DiskState>>);
 
 impl FaultyDisk {
-    /// A disk that holds these bytes.
+    /// Creates a disk with these bytes, all of them durable.
     pub fn with_contents(bytes: Vec<u8>) -> Self {
         let contents = DiskState { cached: bytes.clone(), durable: bytes, ..DiskState::default() };
         FaultyDisk(Arc::new(Mutex::new(contents)))
     }
 
     fn contents(&self) -> MutexGuard<'_, DiskState> {
-        self.0.lock().expect("no test panics while it holds the disk")
+        self.0.lock().expect("the lock is not poisoned")
     }
 
-    /// Calls fail from now on.
+    /// Adds a fault.
     pub fn fail(&self, fault: Fault) {
         self.contents().faults.push(fault);
     }
 
-    /// All calls fail from now on, until [`FaultyDisk::repair`].
+    /// Fails all calls from now on, until [`FaultyDisk::repair`].
     pub fn fail_all(&self, error: i32) {
         let from = self.calls() + 1;
         self.fail(Fault { calls: from..u64::MAX, only: None, error });
     }
 
-    /// No call fails any more.
+    /// Removes all faults.
     pub fn repair(&self) {
         self.contents().faults.clear();
     }
 
-    /// The process that uses the disk is killed in this call.
+    /// Kills the process that uses the disk in the call of this number.
     pub fn kill_at(&self, call: u64) {
         self.contents().killed_at = Some(call);
     }
 
-    /// Whether the process was killed.
+    /// Whether the process was killed by [`FaultyDisk::kill_at`].
     pub fn killed(&self) -> bool {
         let contents = self.contents();
         contents.killed_at.is_some_and(|call| contents.count() >= call)
     }
 
-    /// Calls so far that change the disk.
+    /// Returns the number of calls so far that change the disk.
     pub fn calls(&self) -> u64 {
         self.contents().count()
     }
 
-    /// The numbers of the calls so far of a kind, or of all.
+    /// Returns the numbers of the calls so far of one kind, or of all kinds.
     pub fn calls_of(&self, only: Option<DiskCall>) -> Vec<u64> {
         let contents = self.contents();
         let numbered = (1..).zip(&contents.calls);
@@ -130,18 +131,19 @@
             .collect()
     }
 
-    /// Calls so far that failed.
+    /// Returns the number of calls that failed so far.
     pub fn failures(&self) -> u64 {
         self.contents().failures
     }
 
-    /// The disk as the next process finds it: the page cache outlives a process.
+    /// Returns the disk as the next process finds it; the page cache survives the end of a process.
     pub fn after_kill(&self) -> Self {
         Self::with_contents(self.contents().cached.clone())
     }
 
-    /// The disk as it is after a loss of power: of what was not synced each sector is there or not. Changes of the
-    /// length are kept in their order by the file system, and nothing is kept beyond the length.
+    /// Returns the disk after a power loss: each sector that was not synced is kept or lost at random. Of the
+    /// changes of the length the file system keeps the first ones, in their order; nothing beyond the length
+    /// is kept.
     pub fn after_power_loss(&self, random: &mut impl Rng) -> Self {
         let contents = self.contents();
         let mut bytes = contents.durable.clone();
@@ -167,21 +169,21 @@
         Self::with_contents(bytes)
     }
 
-    /// The bytes that reads see.
+    /// Returns the bytes of the page cache.
     pub fn bytes(&self) -> Vec<u8> {
         self.contents().cached.clone()
     }
 }
 
-/// Stores on such a disk.
+/// Creates and opens stores on the disk.
 impl FaultyDisk {
-    /// Creates a store in place of what the disk holds.
+    /// Creates a store in place of the disk's contents.
     pub fn create_store(&self, owner: &Owner, saved: &StoredLog) {
-        let database = Builder::new().create_with_backend(self.clone()).expect("a sound disk");
-        Store::initialize(database, owner, saved).expect("a sound disk");
+        let database = Builder::new().create_with_backend(self.clone()).expect("the disk has no faults");
+        Store::initialize(database, owner, saved).expect("the disk has no faults");
     }
 
-    /// [`Store::open`] on this disk.
+    /// Like [`Store::open`], on this disk.
     pub fn open_store(&self, cluster: &str, id: MemberId) -> Result<(Store, StoredLog), StoreError> {
         Store::open_database(cluster, id, |builder| builder.create_with_backend(self.clone()))
     }
@@ -192,7 +194,7 @@
         self.calls.len() as u64
     }
 
-    /// Counts a call, and fails it where it is to fail.
+    /// Counts a call. Returns an error if a fault covers the call, or the process was killed.
     fn begin(&mut self, call: DiskCall) -> io::Result<()> {
         self.calls.push(call);
         let number = self.count();
@@ -218,11 +220,11 @@
 
     fn write(&mut self, offset: usize, data: &[u8]) -> io::Result<()> {
         let done = self.begin(DiskCall::Write);
-        let after_death = self.killed_at.is_some_and(|call| self.count() > call);
+        let after_kill = self.killed_at.is_some_and(|call| self.count() > call);
         if done.is_ok() {
             self.change(DiskWrite::Write(offset, data.to_vec()));
-        } else if !after_death {
-            // A write that fails, or in which the process is killed, is done in part.
+        } else if !after_kill {
+            // A write that fails, or in which the process is killed, is done by half.
             self.change(DiskWrite::Write(offset, data[..data.len() / 2].to_vec()));
         }
         done
@@ -230,14 +232,14 @@
 
     fn sync(&mut self) -> io::Result<()> {
         let done = self.begin(DiskCall::Sync);
-        let dead = self.killed_at.is_some_and(|call| self.count() >= call);
+        let killed = self.killed_at.is_some_and(|call| self.count() >= call);
         let changes = std::mem::take(&mut self.dirty);
         if done.is_ok() {
             changes.iter().for_each(|change| change.apply(&mut self.durable));
-        } else if dead {
+        } else if killed {
             self.dirty = changes;
         }
-        // A sync that fails marks its pages clean: reads see them, and nobody ever writes them back.
+        // A failed sync marks the pages as clean: reads still return them, but they are never written back.
         done
     }
 }
--- a/src/federation/store/record.rs
+++ b/src/federation/store/record.rs
@@ -1,10 +1,10 @@
-//! The bytes of one stored record: its postcard encoding, and a digest that tells when they were altered.
+//! The format of a stored record: its postcard encoding, followed by a digest that reveals altered bytes.
 
 use super::{Damage, StoreError};
 use serde::{de::DeserializeOwned, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a record's digest.
+/// Length of a record's digest (truncated SHA-256), in bytes.
 const DIGEST_BYTES: usize = 16;
 
 /// Encodes a record and appends its digest.
@@ -15,7 +15,7 @@
     Ok(bytes)
 }
 
-/// Decodes a record after its digest was verified; `name` is what an error calls it.
+/// Verifies a record's digest and decodes the record. `name` denotes the record in errors.
 pub(super) fn decode<T: DeserializeOwned>(name: &str, bytes: &[u8]) -> Result<T, Damage> {
     let split = bytes.len().checked_sub(DIGEST_BYTES).ok_or_else(|| Damage::CutShort(name.to_owned()))?;
     let (record, digest) = bytes.split_at(split);
--- a/src/federation/store/tests.rs
+++ b/src/federation/store/tests.rs
@@ -1,5 +1,5 @@
-//! Stores that are opened again, and stores whose disk fails, whose process is killed, whose power is lost, or whose
-//! bytes were altered: at every call that changes the disk.
+//! Tests that a store keeps all acknowledged updates: when it is reopened, when its disk fails, its process
+//! is killed or its power is lost in any call that changes the disk, and when its bytes are altered.
 
 use super::faulty_disk::{DiskCall, Fault, FaultyDisk, EIO, ENOSPC};
 use super::*;
@@ -9,6 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Draws an update that is valid after `saved`.
 fn random_update(random: &mut ChaCha8Rng, saved: &StoredLog) -> LogUpdate {
     let HardState { term, commit, .. } = saved.hard_state;
     let last = saved.last_index();
@@ -44,7 +45,7 @@
             }
         }
         _ => {
-            // Not committed ones may be overwritten.
+            // Entries that are not committed may be overwritten.
             let first = random.random_range(commit.0 + 1..=last.0 + 1);
             let entries = (first..first + random.random_range(1..4)).map(|index| entry(index, term.0));
             LogUpdate { entries: entries.collect(), ..LogUpdate::default() }
@@ -54,28 +55,28 @@
 
 #[test]
 fn reopened_store_equals_in_memory_log() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     for seed in 0..6 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let path = folder.path().join(format!("{seed}.redb"));
         let mut copy = founding_log(&state(&[(1, true), (2, true), (3, false)]));
-        Store::create(&path, &Owner::new("c", MemberId(1), 77), &copy).expect("made");
+        Store::create(&path, &Owner::new("c", MemberId(1), 77), &copy).expect("the store is created");
         assert!(matches!(
             Store::create(&path, &Owner::new("c", MemberId(1), 78), &copy),
             Err(StoreError::AlreadyExists)
         ));
         for _ in 0..8 {
-            let (mut store, saved) = Store::open(&path, "c", MemberId(1)).expect("opened");
+            let (mut store, saved) = Store::open(&path, "c", MemberId(1)).expect("the store opens");
             assert_eq!((&saved, store.owner().incarnation), (&copy, 77), "seed {seed}");
             for _ in 0..random.random_range(0..6) {
                 let save = random_update(&mut random, &copy);
                 copy.apply(&save);
                 assert_eq!(copy.check(), Ok(()), "seed {seed}: {save:?}");
-                store.save(&save).expect("kept");
+                store.save(&save).expect("the update is saved");
             }
             assert!(
                 matches!(Store::open(&path, "c", MemberId(1)), Err(StoreError::Locked)),
-                "one process at a time"
+                "only one process can open the store"
             );
         }
         assert!(matches!(Store::open(&path, "c", MemberId(2)), Err(StoreError::OtherOwner(MemberId(1), _))));
@@ -84,13 +85,14 @@
     assert!(matches!(Store::open(&folder.path().join("none"), "c", MemberId(1)), Err(StoreError::NotFound)));
 }
 
-/// Each byte of a small store, altered one at a time (every 37th here): it is an error, or it holds what it held.
+/// Alters single bytes of a small store (every 37th), and truncates it. An altered store must fail to open or
+/// hold the same data as before.
 #[test]
 fn altered_or_truncated_store_never_opens_with_other_data() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let (path, broken) = (folder.path().join("good"), folder.path().join("broken"));
     let kept = founding_log(&state(&[(1, true), (2, true), (3, true)]));
-    Store::create(&path, &Owner::new("c", MemberId(1), 77), &kept).expect("made");
+    Store::create(&path, &Owner::new("c", MemberId(1), 77), &kept).expect("the store is created");
     let good = std::fs::read(&path).expect("read");
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
@@ -115,26 +117,28 @@
     assert!(errors > 10, "{errors}");
 }
 
-/// Steps of one scenario.
+/// Number of updates in one run of a scenario.
 const UPDATES_PER_RUN: usize = 10;
-/// Attempts to open a store whose disk works again in the end.
+/// Maximum number of attempts to open a store whose disk works again after some failures.
 const MAX_OPEN_ATTEMPTS: usize = 100;
-/// Bytes of an entry for which the file has to grow.
+/// Length of an entry that is so large that the file has to grow, in bytes.
 const LARGE_ENTRY_BYTES: usize = 300_000;
-/// Bytes with which the file begins: its form, the newest of its two transactions, and its size.
+/// Length of the file's header (format, which of the two transaction slots is newer, file size), in bytes.
 const HEADER_BYTES: usize = 64;
-/// The one bit that no checksum covers: it names which of the two newest transactions is the newer one.
+/// Byte and bit that select the newer of the two transaction slots: the only bit that no checksum covers.
 const PRIMARY_SLOT_BIT: (usize, u8) = (9, 1);
 
-/// A member that stores steps, as the runtime does it: after a failure the store is opened again until that works.
+/// A member that saves updates as the runtime does: after a failure it opens the store again until this
+/// succeeds.
 struct Scenario {
     disk: FaultyDisk,
     random: ChaCha8Rng,
-    /// What the disk may hold: what was acknowledged, and that with the step whose storing failed or was cut off.
+    /// The logs that the disk may hold: the acknowledged one, and the one with the update whose save failed
+    /// or was interrupted.
     possible: Vec<StoredLog>,
-    /// Stores that were opened after a failure.
+    /// Number of times that the store was opened after a failure.
     recoveries: usize,
-    /// Bytes of each entry, beyond those that make it differ from others.
+    /// Number of extra bytes in each entry, beyond the few that distinguish it from others.
     padding: usize,
 }
 
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Opens the store; `None`: the process was killed.
+    /// Opens the store. Returns `None` if the process was killed.
     fn open(&mut self) -> Option<Store> {
         for _ in 0..MAX_OPEN_ATTEMPTS {
             match self.disk.open_store("c", MemberId(1)) {
@@ -164,14 +168,14 @@
                 Err(_) if self.disk.killed() => return None,
                 Err(error) => assert!(
                     matches!(error, StoreError::Database(_)),
-                    "{error}: a disk that fails is no damage"
+                    "{error}: a failing disk must not count as damage"
                 ),
             }
         }
-        panic!("the store is never opened again");
+        panic!("the store did not open in {MAX_OPEN_ATTEMPTS} attempts");
     }
 
-    /// Stores steps and gives the open store; `None`: the process was killed.
+    /// Saves updates and returns the open store, or `None` if the process was killed.
     fn run(&mut self) -> Option<Store> {
         let mut store = self.open()?;
         for _ in 0..UPDATES_PER_RUN {
@@ -186,13 +190,13 @@
                     assert!(matches!(error, StoreError::Database(_)), "{error}");
                     assert!(
                         matches!(store.save(&save), Err(StoreError::Poisoned)),
-                        "nothing more is acknowledged"
+                        "nothing is acknowledged after a failure"
                     );
                     self.possible = vec![before, after];
                     drop(store);
                     store = self.open()?;
                     self.recoveries += 1;
-                    // What was read after the failure is relied on from now on.
+                    // From now on the member relies on what it read after the failure, so it must be durable.
                     self.check_after_power_loss();
                 }
             }
@@ -208,23 +212,23 @@
     fn check_after_power_loss(&mut self) {
         for _ in 0..3 {
             let disk = self.disk.after_power_loss(&mut self.random);
-            self.check(&disk, "after a loss of power");
+            self.check(&disk, "after a power loss");
         }
     }
 }
 
-/// Runs a test at every call of a play that changes the disk, or at those of a kind, on a disk that `set_up` prepared
-/// for the call; gives how many that were.
+/// Runs `check` once for each call (of one kind, or of all) that changes the disk in a scenario, on a disk
+/// that `set_up` prepares for that call. Returns the number of calls.
 fn for_each_disk_call(
     (seed, padding): (u64, usize),
     only: Option<DiskCall>,
     set_up: impl Fn(&FaultyDisk, u64),
     mut check: impl FnMut(&mut Scenario),
 ) -> usize {
-    let mut sound = Scenario::new(seed, padding);
-    let created = sound.disk.calls();
-    drop(sound.run());
-    let mut calls = sound.disk.calls_of(only);
+    let mut undisturbed = Scenario::new(seed, padding);
+    let created = undisturbed.disk.calls();
+    drop(undisturbed.run());
+    let mut calls = undisturbed.disk.calls_of(only);
     calls.retain(|call| *call > created);
     for call in &calls {
         let mut scenario = Scenario::new(seed, padding);
@@ -247,10 +251,10 @@
         let fail =
             |disk: &FaultyDisk, call| disk.fail(Fault { calls: call..call + 1 + call % 20, only, error });
         let calls = for_each_disk_call((seed, padding), only, fail, |scenario| {
-            let store = scenario.run().expect("nobody kills it");
+            let store = scenario.run().expect("the process is not killed");
             scenario.check(&scenario.disk.after_kill(), "after a kill");
             scenario.check_after_power_loss();
-            drop(store); // closing may fail, too
+            drop(store); // closing may fail as well
             scenario.check(&scenario.disk.after_kill(), "after it was closed");
             recoveries += scenario.recoveries;
             failures += scenario.disk.failures();
@@ -268,7 +272,7 @@
         [(11, 0, None), (12, 0, None), (13, LARGE_ENTRY_BYTES, Some(DiskCall::SetLen))]
     {
         let calls = for_each_disk_call((seed, padding), only, FaultyDisk::kill_at, |scenario| {
-            drop(scenario.run()); // the kill may be in the closing
+            drop(scenario.run()); // the kill may happen while the store is closed
             assert!(scenario.disk.killed());
             scenario.check(&scenario.disk.after_kill(), "after a kill");
             scenario.check_after_power_loss();
@@ -277,12 +281,12 @@
     }
 }
 
-/// With commits in one phase the library fell back to the state before the last vote where the newest pages were
-/// altered.
+/// With commits in one phase, the library fell back to the state before the last vote when the newest pages
+/// were altered.
 #[test]
 fn altered_store_never_reverts_to_older_state() {
     let mut scenario = Scenario::new(21, 0);
-    let store = scenario.run().expect("nobody kills it");
+    let store = scenario.run().expect("the process is not killed");
     let good = scenario.disk.bytes();
     drop(store);
     let mut errors = 0;
--- a/src/federation/wire.rs
+++ b/src/federation/wire.rs
@@ -1,5 +1,5 @@
-//! The frames between members: a version, a length and a message in postcard, whose decoder does not recurse; once
-//! the members have authenticated each other, with a tag before the message.
+//! The frames that members exchange. A frame consists of a version, a length and a message encoded with
+//! postcard, whose decoder does not recurse. After the handshake a tag stands before the message.
 
 use super::hello::{MessageAuthenticator, TAG_BYTES};
 use super::records::MessageRecord;
@@ -7,43 +7,44 @@
 use bytes::{Buf, Bytes, BytesMut};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// The version of the protocol.
+/// Version of the protocol, the first byte of each frame.
 pub const VERSION: u8 = 1;
-/// Bytes of the header: version and length.
+/// Length of the header (version and length), in bytes.
 const HEADER_BYTES: usize = 5;
-/// Bytes of one message of the handshake.
+/// Maximum length of one message of the handshake, in bytes.
 pub const MAX_HANDSHAKE_BYTES: usize = 1024;
-/// Bytes of one message.
+/// Maximum length of one encoded message without its tag, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What members send after the handshake.
+/// A message that members send after the handshake.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// A message of the consensus library.
     Raft(MessageRecord),
     /// A command for the leader to propose.
     Propose(Command),
-    /// Asks for a [`Frame::Pong`].
+    /// Requests a [`Frame::Pong`].
     Ping,
     /// Answers a [`Frame::Ping`].
     Pong,
 }
 
-/// Why bytes are no message.
+/// Why received bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// It has another version.
-    #[error("it speaks version {0}, this is {VERSION}")]
+    /// The frame has this version, not [`VERSION`].
+    #[error("protocol version {0} is not supported, expected {VERSION}")]
     Version(u8),
-    /// It is too long.
+    /// The length exceeds [`MAX_HANDSHAKE_BYTES`], or [`MAX_MESSAGE_BYTES`] and a tag after the handshake.
     #[error("a message is too long")]
     Oversize,
-    /// It cannot be decoded, or was altered.
-    #[error("a message can't be read")]
+    /// The message cannot be decoded, or its tag is wrong.
+    #[error("a message cannot be decoded or its tag is wrong")]
     Malformed,
 }
 
-/// The frame of a message, with a tag if there is a seal; `None`: it is too long.
+/// Encodes a message as a frame, with a tag if there is an authenticator. Returns `None` if the message is
+/// too long.
 pub fn encode(message: &impl Serialize, authenticator: Option<&mut MessageAuthenticator>) -> Option<Bytes> {
     let body = postcard::to_stdvec(message).ok().filter(|body| body.len() <= MAX_MESSAGE_BYTES)?;
     let tag = authenticator.map(|authenticator| authenticator.tag(&body));
@@ -56,11 +57,11 @@
     Some(out.into())
 }
 
-/// Takes the next message out of the input; `None`: it is not complete.
+/// Removes the next message from the input. Returns `None` if it is not complete yet.
 ///
 /// # Errors
 ///
-/// The input does not begin with a frame.
+/// The input does not begin with a valid frame of this version, or the frame's tag is wrong.
 pub fn decode<T: DeserializeOwned>(
     input: &mut BytesMut,
     authenticator: Option<&mut MessageAuthenticator>,
--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -124,15 +124,15 @@
     let file = rig.file(leader).display().to_string();
     let proxy = old.proxy.newer(&["--admin", "127.0.0.1:0", "--federation", &file]);
     let admin = address(&proxy.logged("admin endpoint: listening on "));
-    let listen = address(&proxy.logged("federation listens on "));
-    old.proxy.logged("federation: left to a newer process");
+    let listen = address(&proxy.logged("federation: listening on "));
+    old.proxy.logged("federation: paused, a newer process takes over the store");
     let new = crate::rig::Running { proxy, admin, listen };
     rig.arrive(leader, &new);
     rig.running.insert(leader, new);
     let (_, term) = rig.leader(&[1, 2, 3]);
     // The newer one is gone before the older one has ended: the older one takes its place again.
     rig.kill(leader);
-    let listen = address(&old.proxy.logged("federation listens on "));
+    let listen = address(&old.proxy.logged("federation: listening on "));
     let old = crate::rig::Running { listen, ..old };
     rig.arrive(leader, &old);
     rig.running.insert(leader, old);
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -73,8 +73,8 @@
     let at = rig.leader(&[1, 2, 3]);
     type Case<'a> = (&'a str, fn(String) -> String, &'a str);
     let cases: [Case; 3] = [
-        ("key", |text| text, "it does not hold the key"),
-        ("cluster", |text| text.replace("\"tests\"", "\"others\""), "it is of another federation"),
+        ("key", |text| text, "the peer does not have the federation's key"),
+        ("cluster", |text| text.replace("\"tests\"", "\"others\""), "the peer belongs to another federation"),
         ("store", |text| text, "its store is not the one that this member came with"),
     ];
     let target = rig.others(3)[0];
@@ -108,9 +108,9 @@
     let rig = Rig::new("garbage", voters(1..=3));
     let at = rig.leader(&[1, 2, 3]);
     for (bytes, wanted) in [
-        (&b"GET / HTTP/1.1\r\n\r\n"[..], "it speaks version 71"),
+        (&b"GET / HTTP/1.1\r\n\r\n"[..], "protocol version 71 is not supported"),
         (&[1, 255, 255, 255, 255, 0][..], "a message is too long"),
-        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message can't be read"),
+        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message cannot be decoded"),
     ] {
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
@@ -149,7 +149,7 @@
             None => std::fs::remove_file(&path).expect("removed"),
         }
         let (proxy, admin) = rig.launch_only(3);
-        proxy.logged("this member takes no part; the edge proxy serves alone");
+        proxy.logged("this member is halted; the edge proxy keeps serving");
         rig.running.insert(3, crate::rig::Running { proxy, admin, listen: admin });
         let view = rig.view(3);
         assert!(view["halted"].is_string() && view["leader"] == 0, "{what}: {view}");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -134,7 +134,7 @@
 
     fn launch(&self, id: u64) -> Running {
         let (proxy, admin) = self.launch_only(id);
-        let listen = address(&proxy.logged("federation listens on "));
+        let listen = address(&proxy.logged("federation: listening on "));
         Running { proxy, admin, listen }
     }
 
