--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -86,7 +86,7 @@
 
     /// Queues a frame. Returns `false` if the queue is full or the frame is too long.
     fn send(&mut self, net: &mut Net, connection: ConnectionKey, frame: &Frame) -> Result<bool, Reason> {
-        if net.unwritten(connection) >= MAX_QUEUE_BYTES {
+        if net.unwritten_bytes(connection) >= MAX_QUEUE_BYTES {
             return Ok(false);
         }
         match wire::encode(frame, Some(&mut self.sending)) {
@@ -267,8 +267,8 @@
                 return;
             }
             let reason = match outcome {
-                Ok(read) if read.more => continue,
-                Ok(read) if read.end => Reason::PeerClosed,
+                Ok(read) if read.is_buffer_full => continue,
+                Ok(read) if read.has_peer_ended => Reason::PeerClosed,
                 Ok(_) => return,
                 Err(reason) => reason,
             };
--- a/src/federation/runtime.rs
+++ b/src/federation/runtime.rs
@@ -125,7 +125,7 @@
             match catch_unwind(AssertUnwindSafe(|| self.run_once(instructions, wake_pipe, &mut ready))) {
                 Ok(true) => {}
                 Ok(false) => break,
-                Err(panic) => self.halt(&HaltReason::Panic(crate::caught::text(&*panic))),
+                Err(panic) => self.halt(&HaltReason::Panic(crate::panics::message(&*panic))),
             }
         }
         let now = self.now();
