--- a/src/federation/links.rs
+++ b/src/federation/links.rs
@@ -28,7 +28,7 @@
 pub(super) const LISTENER_TOKEN: usize = 0;
 /// Frames are dropped while a connection has at least this many unwritten bytes.
 const MAX_QUEUE_BYTES: usize = 256 * 1024;
-/// Maximum number of bytes that one read takes from a connection; holds the longest frame.
+/// Maximum number of unprocessed bytes in a connection's input buffer; the longest frame fits.
 const READ_BYTES: usize = wire::MAX_MESSAGE_BYTES + 64;
 /// Maximum duration of a connection's handshake.
 const HANDSHAKE_TIMEOUT: Span = Span::from_secs(1);
--- a/src/federation/links/inbound.rs
+++ b/src/federation/links/inbound.rs
@@ -106,7 +106,7 @@
     /// Closes a connection, counts it as rejected and logs one line.
     fn reject(&mut self, now: Instant, connection: ConnectionKey, rejection: Rejection) {
         let peer = self.net.address(connection).map(|address| address.to_string()).unwrap_or_default();
-        warn!(%peer, why = %rejection, "federation: a connection is refused");
+        warn!(%peer, why = %rejection, "federation: a connection is rejected");
         self.rejected += 1;
         self.close_inbound(now, connection, rejection.reason());
     }
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -21,11 +21,11 @@
 pub(super) enum HaltReason {
     #[error("{}: {source}", path.display())]
     Store { path: PathBuf, source: StoreError },
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
     #[error("{0}")]
     Node(#[from] NodeError),
-    #[error("poll: {0}")]
+    #[error("polling for events failed: {0}")]
     Poll(io::Error),
     /// An assertion of the consensus library or of this program failed.
     #[error("panic: {0}")]
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -89,7 +89,7 @@
         }
         assert!(rig.init(3, false).status.success());
         let (stranger, _) = rig.launch_only(3);
-        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is refused");
+        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is rejected");
         assert!(line.contains(wanted), "{case}: {line}");
         drop(stranger);
         std::fs::rename(folder.join("kept"), folder.join("federation.redb")).expect("moved");
@@ -115,7 +115,7 @@
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
         stream.write_all(bytes).expect("written");
-        let line = running.proxy.wait_for_log("federation: a connection is refused");
+        let line = running.proxy.wait_for_log("federation: a connection is rejected");
         assert!(line.contains(wanted), "{line}");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest); // ended, perhaps by a reset
