--- a/benches/federation.rs
+++ b/benches/federation.rs
@@ -25,7 +25,7 @@
     text.replace("tick_ms = 40", "tick_ms = 50").replace("silent_ms = 1200", "silent_ms = 2000")
 }
 
-fn told(what: &str, times: &Histogram<u64>, unit: &str) {
+fn print_times(what: &str, times: &Histogram<u64>, unit: &str) {
     let [p50, p99] = [0.5, 0.99].map(|q| times.value_at_quantile(q));
     println!("{what}: p50 {p50} p99 {p99} max {} {unit} ({} plays)", times.max(), times.len());
 }
@@ -42,13 +42,14 @@
 }
 
 /// How long it is until another member has what `who` tells, with a higher number.
-fn takeovers(what: &str, who: impl Fn(&Value) -> Option<(u64, u64)>) {
+fn measure_takeovers(what: &str, holder_of: impl Fn(&Value) -> Option<(u64, u64)>) {
     for fault in ["kill", "stop", "cut", "term"] {
         let mut times = Histogram::<u64>::new(3).expect("digits");
-        let mut rig = Rig::with(&format!("bench-{what}-{fault}"), voters(1..=3), defaults);
+        let mut rig = Rig::with_files(&format!("bench-{what}-{fault}"), voters(1..=3), defaults);
         for _ in 0..ROUNDS {
-            rig.agree(&[1, 2, 3]);
-            let (id, number) = who(&rig.until(1, what, |view| who(view).is_some())).expect("one");
+            rig.wait_for_agreement(&[1, 2, 3]);
+            let (id, number) =
+                holder_of(&rig.wait_for_view(1, what, |view| holder_of(view).is_some())).expect("one");
             let others = rig.others(id);
             let since = Instant::now();
             match fault {
@@ -57,8 +58,8 @@
                 "cut" => rig.isolate(id, Mode::Cut, (true, true)),
                 _ => rig.signal(id, "-TERM"),
             }
-            rig.until(others[0], "another", |view| {
-                who(view).is_some_and(|(next, n)| next != id && n > number)
+            rig.wait_for_view(others[0], "another", |view| {
+                holder_of(view).is_some_and(|(next, n)| next != id && n > number)
             });
             times.record(since.elapsed().as_millis() as u64).expect("in range");
             match fault {
@@ -70,31 +71,31 @@
                 }
             }
         }
-        told(&format!("{what} after {fault}"), &times, "ms");
+        print_times(&format!("{what} after {fault}"), &times, "ms");
     }
 }
 
-fn requests() {
-    let mut rig = Rig::with("bench-requests", voters(1..=3), defaults);
-    let play = |what: &str, rig: &mut Rig, id: u64| {
+fn measure_requests() {
+    let mut rig = Rig::with_files("bench-requests", voters(1..=3), defaults);
+    let measure = |what: &str, rig: &mut Rig, id: u64| {
         let mut times = Histogram::<u64>::new(3).expect("digits");
         for _ in 0..REQUESTS {
             let since = Instant::now();
-            rig.serves(id);
+            rig.assert_serves(id);
             times.record(since.elapsed().as_micros() as u64).expect("in range");
         }
-        told(&format!("requests, {what}"), &times, "us");
+        print_times(&format!("requests, {what}"), &times, "us");
     };
-    let leader = rig.agree(&[1, 2, 3]);
+    let leader = rig.wait_for_agreement(&[1, 2, 3]);
     let other = rig.others(leader)[0];
-    play("at the leader", &mut rig, leader);
-    play("at a follower", &mut rig, other);
+    measure("at the leader", &mut rig, leader);
+    measure("at a follower", &mut rig, other);
     rig.others(other).into_iter().for_each(|id| rig.kill(id));
-    rig.until(other, "no leader", |view| view["leader"] == 0);
-    play("without a majority", &mut rig, other);
+    rig.wait_for_view(other, "no leader", |view| view["leader"] == 0);
+    measure("without a majority", &mut rig, other);
     let mut alone = Rig::empty("bench-alone");
     alone.start_alone(1);
-    play("without a federation", &mut alone, 1);
+    measure("without a federation", &mut alone, 1);
 }
 
 fn main() {
@@ -102,7 +103,7 @@
     if std::env::args().any(|arg| arg == "--list" || arg == "--test") {
         return;
     }
-    takeovers("leader", leader);
-    takeovers("holder", holder);
-    requests();
+    measure_takeovers("leader", leader);
+    measure_takeovers("holder", holder);
+    measure_requests();
 }
--- a/src/federation/backoff.rs
+++ b/src/federation/backoff.rs
@@ -24,7 +24,7 @@
     }
 
     /// Draws the pause before the next attempt.
-    pub fn pause(&mut self, random: &mut impl Rng) -> Span {
+    pub fn next_pause(&mut self, random: &mut impl Rng) -> Span {
         let half = self.next / 2;
         let drawn = random.random_range(0..=(self.next - half).as_micros());
         let pause = half + Span::from_micros(drawn);
--- a/src/federation/duties.rs
+++ b/src/federation/duties.rs
@@ -26,7 +26,7 @@
 
 /// The duration of leases and the error that clocks are allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LeaseTerms {
+pub struct LeaseTiming {
     /// How long a lease lasts.
     pub duration: Span,
     /// How long before the end its holder stops acting under it.
@@ -35,7 +35,7 @@
     pub drift: f64,
 }
 
-impl LeaseTerms {
+impl LeaseTiming {
     /// How long the leader waits after it saw a lease granted until it expires the lease: by then the lease is over
     /// even on the slowest holder's clock, measured by the fastest leader's.
     pub fn expiry_timeout(&self) -> Span {
--- a/src/federation/duties/grantor.rs
+++ b/src/federation/duties/grantor.rs
@@ -1,6 +1,6 @@
 //! The leader's side: finds the leases that have expired.
 
-use super::LeaseTerms;
+use super::LeaseTiming;
 use crate::federation::state::{Command, Lease, State};
 use crate::interface::Instant;
 use std::collections::BTreeMap;
@@ -19,15 +19,15 @@
 /// Times the leases of the replicated state, on the leader.
 #[derive(Debug)]
 pub struct LeaseGrantor {
-    terms: LeaseTerms,
+    timing: LeaseTiming,
     /// By duty.
     observed: BTreeMap<String, ObservedLease>,
 }
 
 impl LeaseGrantor {
     /// A grantor that has observed no lease.
-    pub fn new(terms: LeaseTerms) -> Self {
-        LeaseGrantor { terms, observed: BTreeMap::new() }
+    pub fn new(timing: LeaseTiming) -> Self {
+        LeaseGrantor { timing, observed: BTreeMap::new() }
     }
 
     /// The expiries to propose now. A new leader times every lease from its first call, since it cannot know when the
@@ -50,8 +50,8 @@
         if (observed.token, observed.request) != (token, request) {
             *observed = new;
         }
-        let expired = now - observed.since >= self.terms.expiry_timeout();
-        let retry = observed.expiry_proposed_at.is_none_or(|at| now - at >= self.terms.retry_interval());
+        let expired = now - observed.since >= self.timing.expiry_timeout();
+        let retry = observed.expiry_proposed_at.is_none_or(|at| now - at >= self.timing.retry_interval());
         if !expired || !retry {
             return None;
         }
--- a/src/federation/duties/holder.rs
+++ b/src/federation/duties/holder.rs
@@ -1,6 +1,6 @@
 //! The holder's side: requests leases, renews them, and knows until when each may be acted under.
 
-use super::LeaseTerms;
+use super::LeaseTiming;
 use crate::federation::state::{Command, State};
 use crate::federation::MemberId;
 use crate::interface::Instant;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct LeaseHolder {
     id: MemberId,
-    terms: LeaseTerms,
+    timing: LeaseTiming,
     candidacies: BTreeMap<String, Candidacy>,
     /// The number of the last request. Numbers start at random, since the log may hold requests of earlier processes of
     /// this member.
@@ -41,8 +41,8 @@
 
 impl LeaseHolder {
     /// A holder without candidacies; each process draws `first` at random.
-    pub fn new(id: MemberId, terms: LeaseTerms, first: u64) -> Self {
-        LeaseHolder { id, terms, candidacies: BTreeMap::new(), last_request: first }
+    pub fn new(id: MemberId, timing: LeaseTiming, first: u64) -> Self {
+        LeaseHolder { id, timing, candidacies: BTreeMap::new(), last_request: first }
     }
 
     /// Sets the duties that this member is a candidate for, and returns the releases to propose of the others.
@@ -65,18 +65,18 @@
     /// The commands to propose now: requests for free duties, and renewals of leases that are held.
     pub fn due_requests(&mut self, now: Instant, state: &State) -> Vec<Command> {
         self.observe(state);
-        let (id, terms) = (self.id, self.terms);
+        let (id, timing) = (self.id, self.timing);
         let mut out = Vec::new();
         for (duty, candidacy) in &mut self.candidacies {
             let lease = state.duties.get(duty);
             if candidacy.next_request_at > now || lease.is_some_and(|lease| lease.holder != id) {
                 continue;
             }
-            if candidacy.held.is_some_and(|held| now < held.expires_at - terms.renewal_window()) {
+            if candidacy.held.is_some_and(|held| now < held.expires_at - timing.renewal_window()) {
                 continue;
             }
             self.last_request = self.last_request.wrapping_add(1);
-            candidacy.next_request_at = now + terms.retry_interval();
+            candidacy.next_request_at = now + timing.retry_interval();
             if candidacy.requested.len() >= MAX_REQUESTS {
                 candidacy.requested.pop_first();
             }
@@ -101,7 +101,7 @@
             if let Some(at) = candidacy.requested.get(&lease.request).copied() {
                 candidacy.held = Some(HeldLease {
                     token: lease.token,
-                    expires_at: at + self.terms.duration - self.terms.guard,
+                    expires_at: at + self.timing.duration - self.timing.guard,
                 });
                 candidacy.requested.retain(|_, requested_at| *requested_at >= at);
             } else if candidacy.held.is_some_and(|held| held.token != lease.token) {
--- a/src/federation/duties/tests.rs
+++ b/src/federation/duties/tests.rs
@@ -5,26 +5,26 @@
 use crate::federation::MemberId;
 use crate::interface::Instant;
 
-const TERMS: LeaseTerms =
-    LeaseTerms { duration: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
+const TIMING: LeaseTiming =
+    LeaseTiming { duration: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
 
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
 
-fn wants(holder: &mut LeaseHolder, duties: &[&str]) -> Vec<Command> {
+fn set_duties(holder: &mut LeaseHolder, duties: &[&str]) -> Vec<Command> {
     holder.set_candidacies(&duties.iter().map(|duty| (*duty).to_owned()).collect())
 }
 
 #[test]
-fn a_lease_counts_from_before_it_was_asked_for_and_ends_a_guard_early() {
+fn lease_runs_from_its_request_and_ends_a_guard_time_early() {
     let (mut state, mut one, mut two) = (
         State::default(),
-        LeaseHolder::new(MemberId(1), TERMS, 10),
-        LeaseHolder::new(MemberId(2), TERMS, 10),
+        LeaseHolder::new(MemberId(1), TIMING, 10),
+        LeaseHolder::new(MemberId(2), TIMING, 10),
     );
-    assert_eq!(wants(&mut one, &["d"]), []);
-    wants(&mut two, &["d"]);
+    assert_eq!(set_duties(&mut one, &["d"]), []);
+    set_duties(&mut two, &["d"]);
     let asked = one.due_requests(at(100), &state);
     assert_eq!(asked, [Command::Acquire { duty: "d".into(), id: MemberId(1), request: 11 }]);
     let other = two.due_requests(at(100), &state);
@@ -43,7 +43,7 @@
     one.observe(&state);
     assert_eq!((one.token(at(4699), "d"), one.token(at(4700), "d")), (Some(1), None));
     // Left: the next one has it at once, with a token of its own.
-    state.apply(&wants(&mut one, &[])[0]);
+    state.apply(&set_duties(&mut one, &[])[0]);
     let next = two.due_requests(at(2000), &state);
     state.apply(&next[0]);
     two.observe(&state);
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn an_ask_that_was_granted_too_late_or_to_another_process_is_not_held() {
-    let (mut state, mut one) = (State::default(), LeaseHolder::new(MemberId(1), TERMS, 10));
-    wants(&mut one, &["d"]);
+fn lease_runs_from_the_granted_request_of_this_process() {
+    let (mut state, mut one) = (State::default(), LeaseHolder::new(MemberId(1), TIMING, 10));
+    set_duties(&mut one, &["d"]);
     let first = one.due_requests(at(0), &state);
     let second = one.due_requests(at(150), &state);
     assert_eq!(second.len(), 1, "asked again");
@@ -72,8 +72,8 @@
     assert_eq!(one.token(at(2799), "d").zip(one.token(at(2800), "d")), None);
     assert_eq!(one.token(at(2799), "d"), Some(1));
     // A process after it finds the lease in the log, under a request that it never made.
-    let mut after = LeaseHolder::new(MemberId(1), TERMS, 500);
-    wants(&mut after, &["d"]);
+    let mut after = LeaseHolder::new(MemberId(1), TIMING, 500);
+    set_duties(&mut after, &["d"]);
     after.observe(&state);
     assert_eq!(after.token(at(0), "d"), None);
     let renewal = after.due_requests(at(1000), &state);
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn the_leader_ends_a_lease_after_the_drift_and_a_new_one_counts_anew() {
-    let (mut state, mut grantor) = (State::default(), LeaseGrantor::new(TERMS));
-    assert_eq!(TERMS.expiry_timeout(), Span::from_micros(3316));
+fn leader_expires_leases_after_drift_since_last_renewal() {
+    let (mut state, mut grantor) = (State::default(), LeaseGrantor::new(TIMING));
+    assert_eq!(TIMING.expiry_timeout(), Span::from_micros(3316));
     state.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 1 });
     assert!(grantor.due_expiries(at(1000), &state, true).is_empty());
     assert!(grantor.due_expiries(at(4315), &state, true).is_empty());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_receiver_refuses_an_act_under_an_old_token() {
+fn fence_rejects_acts_under_old_tokens() {
     let (mut state, mut fence) = (State::default(), TokenFence::default());
     assert!(fence.admits(&state, "d", MemberId(1), 5), "the log may be behind the act");
     assert!(!fence.admits(&state, "d", MemberId(2), 4));
--- a/src/federation/ids.rs
+++ b/src/federation/ids.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! number {
+macro_rules! id_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -32,17 +32,17 @@
     };
 }
 
-number! {
+id_type! {
     /// A member's id, from 1; never used again for another member.
     MemberId
 }
 
-number! {
+id_type! {
     /// A term of the consensus: it has one leader at most.
     Term
 }
 
-number! {
+id_type! {
     /// The index of an entry of the log, from 1.
     LogIndex
 }
--- a/src/federation/links/outbound.rs
+++ b/src/federation/links/outbound.rs
@@ -107,7 +107,7 @@
                 self.dialled.insert(connection, to);
             }
             Err(_) => {
-                let until = now + peer.backoff.pause(&mut self.random);
+                let until = now + peer.backoff.next_pause(&mut self.random);
                 peer.wait_until(until);
             }
         }
@@ -116,7 +116,7 @@
     /// Handles the loss of the connection to a peer.
     pub(super) fn lost(&mut self, now: Instant, to: MemberId, reason: Reason) {
         let Some(peer) = self.peers.get_mut(&to) else { return };
-        let until = now + peer.backoff.pause(&mut self.random);
+        let until = now + peer.backoff.next_pause(&mut self.random);
         let before = std::mem::replace(&mut peer.outbound, Outbound::Waiting { until });
         if let Some(connection) = before.connection() {
             self.dialled.remove(&connection);
--- a/src/federation/log.rs
+++ b/src/federation/log.rs
@@ -39,19 +39,19 @@
 
 impl StoredLog {
     /// Applies an update, as the store does.
-    pub fn apply(&mut self, save: &LogUpdate) {
-        if let Some(hard) = save.hard_state {
+    pub fn apply(&mut self, update: &LogUpdate) {
+        if let Some(hard) = update.hard_state {
             self.hard_state = hard;
         }
-        if let Some(snapshot) = &save.snapshot {
+        if let Some(snapshot) = &update.snapshot {
             let index = snapshot.index;
-            self.entries.retain(|entry| !save.replaces_log && entry.index > index);
+            self.entries.retain(|entry| !update.replaces_log && entry.index > index);
             self.snapshot = snapshot.clone();
             self.hard_state.commit = self.hard_state.commit.max(index);
         }
-        if let Some(first) = save.entries.first() {
+        if let Some(first) = update.entries.first() {
             self.entries.retain(|entry| entry.index < first.index);
-            self.entries.extend(save.entries.iter().cloned());
+            self.entries.extend(update.entries.iter().cloned());
         }
     }
 
@@ -70,7 +70,7 @@
         for entry in &self.entries {
             expected = expected.next();
             if entry.index != expected {
-                return Err(LogError::OutOfPlace { found: entry.index, expected });
+                return Err(LogError::UnexpectedIndex { found: entry.index, expected });
             }
         }
         let (commit, last) = (self.hard_state.commit, self.last_index());
@@ -90,7 +90,7 @@
 pub enum LogError {
     /// An entry is missing.
     #[error("entry {found} stands where {expected} belongs")]
-    OutOfPlace {
+    UnexpectedIndex {
         /// The index that was found.
         found: LogIndex,
         /// The index that follows the entry before.
@@ -117,30 +117,30 @@
 /// The copy of the log in memory.
 #[derive(Debug, Default)]
 pub struct CachedLog {
-    saved: StoredLog,
+    stored: StoredLog,
     /// Whether a member needs a newer snapshot than there is.
     snapshot_requested: Cell<bool>,
 }
 
 impl CachedLog {
     /// A copy of the stored log.
-    pub fn new(saved: StoredLog) -> Self {
-        CachedLog { saved, snapshot_requested: Cell::new(false) }
+    pub fn new(stored: StoredLog) -> Self {
+        CachedLog { stored, snapshot_requested: Cell::new(false) }
     }
 
     /// Applies an update that was stored.
-    pub fn apply(&mut self, save: &LogUpdate) {
-        self.saved.apply(save);
+    pub fn apply(&mut self, update: &LogUpdate) {
+        self.stored.apply(update);
     }
 
     /// Sets the commit index.
     pub fn commit(&mut self, index: LogIndex) {
-        self.saved.hard_state.commit = index;
+        self.stored.hard_state.commit = index;
     }
 
     /// The newest snapshot.
     pub fn newest_snapshot(&self) -> &SnapshotRecord {
-        &self.saved.snapshot
+        &self.stored.snapshot
     }
 
     /// Whether a member needs a newer snapshot than there is; resets the request.
@@ -151,8 +151,8 @@
 
 impl Storage for CachedLog {
     fn initial_state(&self) -> Result<RaftState> {
-        let conf_state = self.saved.snapshot.conf_state();
-        Ok(RaftState { hard_state: self.saved.hard_state.into(), conf_state })
+        let conf_state = self.stored.snapshot.conf_state();
+        Ok(RaftState { hard_state: self.stored.hard_state.into(), conf_state })
     }
 
     fn entries(
@@ -162,39 +162,39 @@
         max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        let first = self.saved.snapshot.index.next().0;
+        let first = self.stored.snapshot.index.next().0;
         if low < first {
             return Err(StorageError::Compacted.into());
         }
         let range = (low - first) as usize..(high - first) as usize;
-        let found = self.saved.entries.get(range).ok_or(StorageError::Unavailable)?;
+        let found = self.stored.entries.get(range).ok_or(StorageError::Unavailable)?;
         let mut entries: Vec<Entry> = found.iter().map(Entry::from).collect();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        let base = &self.saved.snapshot;
+        let base = &self.stored.snapshot;
         match index.checked_sub(base.index.0) {
             None => Err(StorageError::Compacted.into()),
             Some(0) => Ok(base.term.0),
             Some(n) => {
-                let entry = self.saved.entries.get(n as usize - 1).ok_or(StorageError::Unavailable)?;
+                let entry = self.stored.entries.get(n as usize - 1).ok_or(StorageError::Unavailable)?;
                 Ok(entry.term.0)
             }
         }
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.saved.snapshot.index.next().0)
+        Ok(self.stored.snapshot.index.next().0)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.saved.last_index().0)
+        Ok(self.stored.last_index().0)
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> Result<Snapshot> {
-        let base = &self.saved.snapshot;
+        let base = &self.stored.snapshot;
         // A member ignores the snapshot of a state to which it does not belong yet.
         let to = MemberId(to);
         let knows = base.voters.contains(&to) || base.learners.contains(&to);
--- a/src/federation/node.rs
+++ b/src/federation/node.rs
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// It is unknown whether the step is stored: the member must be restarted from its store.
-    fn save(&mut self, save: &LogUpdate) -> Result<(), Self::Error>;
+    fn save(&mut self, update: &LogUpdate) -> Result<(), Self::Error>;
 }
 
 /// Election and heartbeat timeouts in ticks, and when the log is compacted.
@@ -167,11 +167,11 @@
     /// # Errors
     ///
     /// What is stored is no member's log, or the tuning makes no sense.
-    pub fn new(id: MemberId, saved: StoredLog, tuning: Tuning, seed: u64) -> Result<Self, NodeError> {
-        saved.check()?;
-        let state = decode_state(&saved.snapshot)?;
-        let applied = saved.snapshot.index;
-        let conf_state = saved.snapshot.conf_state();
+    pub fn new(id: MemberId, stored: StoredLog, tuning: Tuning, seed: u64) -> Result<Self, NodeError> {
+        stored.check()?;
+        let state = decode_state(&stored.snapshot)?;
+        let applied = stored.snapshot.index;
+        let conf_state = stored.snapshot.conf_state();
         let config = Config {
             id: id.0,
             election_tick: tuning.election_ticks,
@@ -185,7 +185,7 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw_node = RawNode::new(&config, CachedLog::new(saved), &logger)?;
+        let raw_node = RawNode::new(&config, CachedLog::new(stored), &logger)?;
         let mut node = Node {
             id,
             raw_node,
@@ -253,7 +253,7 @@
             return Err(MessageError::CommitsUnsent);
         }
         // What the library ignores itself (an old term, a removed member) is no error here.
-        let _ = self.raw_node.step(message.to_library());
+        let _ = self.raw_node.step(message.to_raft());
         self.after_step();
         Ok(())
     }
--- a/src/federation/node/apply.rs
+++ b/src/federation/node/apply.rs
@@ -38,7 +38,7 @@
         if let Ok(conf_state) = self.raw_node.apply_conf_change(&conf_change(&change)) {
             self.conf_state = conf_state;
         }
-        self.state.change(&change);
+        self.state.apply_change(&change);
         self.removed |= change == Change::Remove(self.id);
         self.events.push(NodeEvent::MembersChanged(change));
     }
--- a/src/federation/node/codec.rs
+++ b/src/federation/node/codec.rs
@@ -27,8 +27,8 @@
         Change::Promote(id) => (ConfChangeType::AddNode, *id),
         Change::Remove(id) => (ConfChangeType::RemoveNode, *id),
     };
-    let mut made = ConfChange::default();
-    made.set_change_type(kind);
-    made.node_id = id.0;
-    made
+    let mut raft_change = ConfChange::default();
+    raft_change.set_change_type(kind);
+    raft_change.node_id = id.0;
+    raft_change
 }
--- a/src/federation/node/ready.rs
+++ b/src/federation/node/ready.rs
@@ -15,7 +15,10 @@
     ///
     /// A step could not be stored, or a snapshot not be decoded: no message may be sent, and this member must be
     /// restarted.
-    pub fn drive(&mut self, storage: &mut impl DurableStorage) -> Result<Vec<MessageRecord>, NodeError> {
+    pub fn process_ready(
+        &mut self,
+        storage: &mut impl DurableStorage,
+    ) -> Result<Vec<MessageRecord>, NodeError> {
         let mut messages = Vec::new();
         while !self.removed && self.raw_node.has_ready() {
             let ready = self.raw_node.ready();
@@ -35,13 +38,13 @@
         storage: &mut impl DurableStorage,
         messages: &mut Vec<MessageRecord>,
     ) -> Result<(), NodeError> {
-        messages.extend(ready.take_messages().iter().filter_map(MessageRecord::from_library));
+        messages.extend(ready.take_messages().iter().filter_map(MessageRecord::from_raft));
         self.store_ready(&ready, storage)?;
         self.apply(ready.take_committed_entries());
         if self.removed {
             return Ok(());
         }
-        messages.extend(ready.take_persisted_messages().iter().filter_map(MessageRecord::from_library));
+        messages.extend(ready.take_persisted_messages().iter().filter_map(MessageRecord::from_raft));
         let light = self.raw_node.advance(ready);
         self.handle_light_ready(light, messages);
         Ok(())
@@ -49,21 +52,21 @@
 
     fn store_ready(&mut self, ready: &Ready, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
         let snapshot = Some(ready.snapshot()).filter(|s| !s.is_empty()).map(SnapshotRecord::from);
-        let save = LogUpdate {
+        let update = LogUpdate {
             hard_state: ready.hs().map(HardState::from),
             replaces_log: snapshot.is_some(),
             snapshot,
             entries: ready.entries().iter().map(EntryRecord::from).collect(),
         };
-        if !save.is_empty() {
-            self.store(&save, storage)?;
+        if !update.is_empty() {
+            self.store(&update, storage)?;
         }
-        save.snapshot.iter().try_for_each(|snapshot| self.install(snapshot))
+        update.snapshot.iter().try_for_each(|snapshot| self.install(snapshot))
     }
 
-    fn store(&mut self, save: &LogUpdate, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
-        storage.save(save).map_err(NodeError::storage)?;
-        self.raw_node.mut_store().apply(save);
+    fn store(&mut self, update: &LogUpdate, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
+        storage.save(update).map_err(NodeError::storage)?;
+        self.raw_node.mut_store().apply(update);
         Ok(())
     }
 
@@ -80,7 +83,7 @@
         if let Some(commit) = light.commit_index() {
             self.raw_node.mut_store().commit(LogIndex(commit));
         }
-        messages.extend(light.take_messages().iter().filter_map(MessageRecord::from_library));
+        messages.extend(light.take_messages().iter().filter_map(MessageRecord::from_raft));
         self.apply(light.take_committed_entries());
         if !self.removed {
             self.raw_node.advance_apply();
@@ -94,8 +97,8 @@
         if !wanted && self.applied.0 - base.0 < self.tuning.compact_after {
             return Ok(());
         }
-        let save = LogUpdate { snapshot: Some(self.snapshot()?), ..LogUpdate::default() };
-        self.store(&save, storage)
+        let update = LogUpdate { snapshot: Some(self.snapshot()?), ..LogUpdate::default() };
+        self.store(&update, storage)
     }
 
     fn snapshot(&self) -> Result<SnapshotRecord, NodeError> {
@@ -103,7 +106,7 @@
             index: self.applied,
             term: Term(self.raw_node.raft.raft_log.term(self.applied.0)?),
             data: encode(&self.state),
-            ..SnapshotRecord::of_members(&self.conf_state)
+            ..SnapshotRecord::with_members(&self.conf_state)
         })
     }
 }
--- a/src/federation/node/tests.rs
+++ b/src/federation/node/tests.rs
@@ -22,8 +22,8 @@
 /// Drives all members until none has anything more to say.
 fn exchange(nodes: &mut BTreeMap<MemberId, Node>) {
     loop {
-        let drive = |node: &mut Node| node.drive(&mut NoStorage).expect("nothing fails");
-        let messages: Vec<MessageRecord> = nodes.values_mut().flat_map(drive).collect();
+        let process = |node: &mut Node| node.process_ready(&mut NoStorage).expect("nothing fails");
+        let messages: Vec<MessageRecord> = nodes.values_mut().flat_map(process).collect();
         if messages.is_empty() {
             return;
         }
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_leader_that_applies_its_own_removal_knows_no_leader() {
+fn removed_leader_reports_no_leader() {
     let saved = founding_log(&state(&[(1, true), (2, true)]));
     let node = |id| (MemberId(id), Node::new(MemberId(id), saved.clone(), TUNING, id).expect("usable"));
     let mut nodes: BTreeMap<MemberId, Node> = (1..=2).map(node).collect();
--- a/src/federation/records/entry.rs
+++ b/src/federation/records/entry.rs
@@ -44,7 +44,7 @@
 
 impl From<&EntryRecord> for eraftpb::Entry {
     fn from(entry: &EntryRecord) -> Self {
-        let mut library_entry = eraftpb::Entry {
+        let mut raft_entry = eraftpb::Entry {
             term: entry.term.0,
             index: entry.index.0,
             data: entry.data.clone().into(),
@@ -52,8 +52,8 @@
             ..Default::default()
         };
         if entry.kind == EntryKind::Change {
-            library_entry.set_entry_type(eraftpb::EntryType::EntryConfChange);
+            raft_entry.set_entry_type(eraftpb::EntryType::EntryConfChange);
         }
-        library_entry
+        raft_entry
     }
 }
--- a/src/federation/records/message.rs
+++ b/src/federation/records/message.rs
@@ -28,10 +28,10 @@
 
 impl MessageRecord {
     /// The record of a message that goes to a peer; `None` for kinds that never leave a member.
-    pub fn from_library(message: &eraftpb::Message) -> Option<Self> {
+    pub fn from_raft(message: &eraftpb::Message) -> Option<Self> {
         let snapshot = message.get_snapshot();
         Some(MessageRecord {
-            kind: MessageKind::from_library(message.get_msg_type())?,
+            kind: MessageKind::from_raft(message.get_msg_type())?,
             to: MemberId(message.to),
             from: MemberId(message.from),
             term: Term(message.term),
@@ -93,7 +93,7 @@
     }
 
     /// The library's message.
-    pub fn to_library(&self) -> eraftpb::Message {
+    pub fn to_raft(&self) -> eraftpb::Message {
         let mut message = eraftpb::Message {
             to: self.to.0,
             from: self.from.0,
@@ -109,7 +109,7 @@
             priority: self.priority,
             ..Default::default()
         };
-        message.set_msg_type(self.kind.to_library());
+        message.set_msg_type(self.kind.to_raft());
         message.set_entries(self.entries.iter().map(eraftpb::Entry::from).collect::<Vec<_>>().into());
         if let Some(snapshot) = &self.snapshot {
             message.set_snapshot(snapshot.into());
--- a/src/federation/records/message_kind.rs
+++ b/src/federation/records/message_kind.rs
@@ -5,19 +5,19 @@
 
 /// Declares the kinds of message that members send each other; no other kind is accepted from a peer.
 macro_rules! message_kinds {
-    ($($name:ident = $library:ident),*) => {
+    ($($name:ident = $raft:ident),*) => {
         /// The kind of a message.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
         #[allow(missing_docs)]
         pub enum MessageKind { $($name),* }
 
         impl MessageKind {
-            pub(super) fn to_library(self) -> eraftpb::MessageType {
-                match self { $(MessageKind::$name => eraftpb::MessageType::$library),* }
+            pub(super) fn to_raft(self) -> eraftpb::MessageType {
+                match self { $(MessageKind::$name => eraftpb::MessageType::$raft),* }
             }
 
-            pub(super) fn from_library(library_type: eraftpb::MessageType) -> Option<Self> {
-                match library_type { $(eraftpb::MessageType::$library => Some(MessageKind::$name),)* _ => None }
+            pub(super) fn from_raft(raft_type: eraftpb::MessageType) -> Option<Self> {
+                match raft_type { $(eraftpb::MessageType::$raft => Some(MessageKind::$name),)* _ => None }
             }
         }
     };
--- a/src/federation/records/snapshot.rs
+++ b/src/federation/records/snapshot.rs
@@ -26,7 +26,7 @@
             index: LogIndex(meta.index),
             term: Term(meta.term),
             data: snapshot.data.to_vec(),
-            ..SnapshotRecord::of_members(meta.get_conf_state())
+            ..SnapshotRecord::with_members(meta.get_conf_state())
         }
     }
 }
@@ -51,7 +51,7 @@
 
 impl SnapshotRecord {
     /// An empty snapshot with the members that the library knows.
-    pub fn of_members(conf: &eraftpb::ConfState) -> Self {
+    pub fn with_members(conf: &eraftpb::ConfState) -> Self {
         let (voters, learners) = (typed_ids(&conf.voters), typed_ids(&conf.learners));
         SnapshotRecord { voters, learners, ..SnapshotRecord::default() }
     }
--- a/src/federation/runtime/outage.rs
+++ b/src/federation/runtime/outage.rs
@@ -107,7 +107,7 @@
         if report {
             lasting.reported.push(kind);
         }
-        Failure { retry_at: now + self.backoff.pause(random), report }
+        Failure { retry_at: now + self.backoff.next_pause(random), report }
     }
 
     /// Records that the member runs.
--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -81,8 +81,8 @@
         random: &mut impl Rng,
     ) -> Result<Self, HaltReason> {
         let node = Node::new(settings.id, saved, settings.tuning, random.random())?;
-        let holder = LeaseHolder::new(settings.id, settings.lease_terms, random.random());
-        let grantor = LeaseGrantor::new(settings.lease_terms);
+        let holder = LeaseHolder::new(settings.id, settings.lease_timing, random.random());
+        let grantor = LeaseGrantor::new(settings.lease_timing);
         Ok(Participant { node, store, holder, grantor, next_tick: now, next_enrolment: now })
     }
 
@@ -107,7 +107,7 @@
     pub fn admits(&self, settings: &FederationSettings, hello: &Hello) -> Result<(), AdmissionError> {
         let state = self.node.state();
         let listed = settings.revision > state.revision && settings.members.contains_key(&hello.from);
-        state.admits(hello.from, hello.incarnation, listed)
+        state.check_admission(hello.from, hello.incarnation, listed)
     }
 
     /// Handles a frame from an authenticated member.
@@ -197,7 +197,7 @@
         counters: &mut Counters,
     ) -> Result<(), HaltReason> {
         let mut storage = TimedStore { store: &mut self.store, slowest_us: &mut counters.slowest_save_us };
-        let messages = self.node.drive(&mut storage)?;
+        let messages = self.node.process_ready(&mut storage)?;
         messages.into_iter().for_each(|message| self.send(now, links, message));
         self.node.take_applied_commands();
         self.holder.observe(self.node.state());
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -18,7 +18,7 @@
 
 mod parse;
 
-use super::duties::LeaseTerms;
+use super::duties::LeaseTiming;
 use super::hello::Key;
 use super::node::Tuning;
 use super::state::{Roster, State, WantedMember};
@@ -66,7 +66,7 @@
     /// Election timeout, heartbeat interval and log compaction, in ticks and entries.
     pub tuning: Tuning,
     /// The duration of leases and the error that clocks are allowed.
-    pub lease_terms: LeaseTerms,
+    pub lease_timing: LeaseTiming,
     /// A connection on which nothing is received for this long is closed.
     pub silence_timeout: Span,
     /// The members.
@@ -122,16 +122,16 @@
 
     /// The first setting of a new file that differs and cannot change in service, if any.
     pub fn first_fixed_change(&self, new: &FederationSettings) -> Option<FixedSetting> {
-        let differs = [
+        let settings = [
             ("cluster", self.cluster != new.cluster),
             ("id", self.id != new.id),
             ("listen", self.listen != new.listen),
             ("store", self.store != new.store),
             ("tick_ms", self.tick != new.tick),
-            ("lease_ms, guard_ms or drift", self.lease_terms != new.lease_terms),
+            ("lease_ms, guard_ms or drift", self.lease_timing != new.lease_timing),
             ("election_ticks, heartbeat_ticks or compact_after", self.tuning != new.tuning),
         ];
-        differs.iter().find(|(_, differs)| *differs).map(|(key, _)| FixedSetting(key))
+        settings.iter().find(|(_, differs)| *differs).map(|(key, _)| FixedSetting(key))
     }
 }
 
--- a/src/federation/settings/parse.rs
+++ b/src/federation/settings/parse.rs
@@ -2,7 +2,7 @@
 
 use super::{FederationSettings, ListedMember};
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
-use crate::federation::duties::LeaseTerms;
+use crate::federation::duties::LeaseTiming;
 use crate::federation::hello::Key;
 use crate::federation::node::Tuning;
 use crate::federation::MemberId;
@@ -29,19 +29,19 @@
     let block = reader.block("federation")?.ok_or_else(|| doc.error(start, "no federation block"))?;
     reader.finish()?;
     let at = doc.position(block);
-    let lacks = |key: &str| doc.error(at, format!("federation has no {key}"));
+    let missing = |key: &str| doc.error(at, format!("federation has no {key}"));
     let mut reader = doc.reader(&block.body);
     let cluster = reader.string("cluster")?.filter(|name| !name.value.is_empty());
-    let cluster = cluster.ok_or_else(|| lacks("cluster"))?.value;
-    let id = reader.integer("id", 1, u64::MAX)?.ok_or_else(|| lacks("id"))?;
-    let store = reader.string("store")?.ok_or_else(|| lacks("store"))?.value;
-    let key_file = reader.string("key_file")?.ok_or_else(|| lacks("key_file"))?.value;
-    let revision = reader.integer("revision", 1, u64::MAX)?.ok_or_else(|| lacks("revision"))?.value;
+    let cluster = cluster.ok_or_else(|| missing("cluster"))?.value;
+    let id = reader.integer("id", 1, u64::MAX)?.ok_or_else(|| missing("id"))?;
+    let store = reader.string("store")?.ok_or_else(|| missing("store"))?.value;
+    let key_file = reader.string("key_file")?.ok_or_else(|| missing("key_file"))?.value;
+    let revision = reader.integer("revision", 1, u64::MAX)?.ok_or_else(|| missing("revision"))?.value;
     let listen = reader.string("listen")?.map(|text| parse_address(&doc, &text)).transpose()?;
-    let tick = milliseconds(&mut reader, "tick_ms", 50, 5, 10_000)?;
+    let tick = millis_or(&mut reader, "tick_ms", 50, 5, 10_000)?;
     let tuning = parse_tuning(&doc, at, &mut reader)?;
-    let silent = milliseconds(&mut reader, "silent_ms", 2000, 50, 600_000)?;
-    let terms = parse_terms(&doc, at, &mut reader)?;
+    let silence_timeout = millis_or(&mut reader, "silent_ms", 2000, 50, 600_000)?;
+    let lease_timing = parse_lease_timing(&doc, at, &mut reader)?;
     let members = parse_members(&doc, &mut reader)?;
     reader.finish()?;
     check_counts(&doc, at, &members)?;
@@ -59,37 +59,37 @@
         revision,
         tick,
         tuning,
-        lease_terms: terms,
-        silence_timeout: silent,
+        lease_timing,
+        silence_timeout,
         members,
     };
     Ok((settings, key_file))
 }
 
-fn whole(
+fn integer_or(
     reader: &mut BlockReader<'_>,
     key: &str,
-    usual: u64,
-    least: u64,
-    most: u64,
+    default: u64,
+    min: u64,
+    max: u64,
 ) -> Result<u64, HclError> {
-    Ok(reader.integer(key, least, most)?.map_or(usual, |number| number.value))
+    Ok(reader.integer(key, min, max)?.map_or(default, |number| number.value))
 }
 
 /// A time that is given in milliseconds.
-fn milliseconds(
+fn millis_or(
     reader: &mut BlockReader<'_>,
     key: &str,
-    usual: u64,
-    least: u64,
-    most: u64,
+    default: u64,
+    min: u64,
+    max: u64,
 ) -> Result<Span, HclError> {
-    Ok(Span::from_millis(whole(reader, key, usual, least, most)? as i64))
+    Ok(Span::from_millis(integer_or(reader, key, default, min, max)? as i64))
 }
 
 fn parse_address(doc: &HclDocument<'_>, text: &Located<String>) -> Result<SocketAddr, HclError> {
-    let wrong = |_| doc.error(text.at, format!("{:?} is no address, as 10.0.1.5:7400", text.value));
-    text.value.parse().map_err(wrong)
+    let invalid = |_| doc.error(text.at, format!("{:?} is no address, as 10.0.1.5:7400", text.value));
+    text.value.parse().map_err(invalid)
 }
 
 fn parse_tuning(
@@ -97,9 +97,9 @@
     at: Position,
     reader: &mut BlockReader<'_>,
 ) -> Result<Tuning, HclError> {
-    let election_ticks = whole(reader, "election_ticks", 10, 3, 1000)? as usize;
-    let heartbeat_ticks = whole(reader, "heartbeat_ticks", 2, 1, 1000)? as usize;
-    let compact_after = whole(reader, "compact_after", 1000, 1, 1_000_000)?;
+    let election_ticks = integer_or(reader, "election_ticks", 10, 3, 1000)? as usize;
+    let heartbeat_ticks = integer_or(reader, "heartbeat_ticks", 2, 1, 1000)? as usize;
+    let compact_after = integer_or(reader, "compact_after", 1000, 1, 1_000_000)?;
     if 2 * heartbeat_ticks > election_ticks {
         let at = reader.position_of("heartbeat_ticks").or(reader.position_of("election_ticks")).unwrap_or(at);
         return Err(doc.error(at, "an election waits for two heartbeats at the least"));
@@ -107,19 +107,19 @@
     Ok(Tuning { election_ticks, heartbeat_ticks, compact_after })
 }
 
-fn parse_terms(
+fn parse_lease_timing(
     doc: &HclDocument<'_>,
     at: Position,
     reader: &mut BlockReader<'_>,
-) -> Result<LeaseTerms, HclError> {
-    let span = milliseconds(reader, "lease_ms", 3000, 100, 600_000)?;
-    let guard = milliseconds(reader, "guard_ms", 200, 0, 600_000)?;
-    if 2 * guard >= span {
+) -> Result<LeaseTiming, HclError> {
+    let duration = millis_or(reader, "lease_ms", 3000, 100, 600_000)?;
+    let guard = millis_or(reader, "guard_ms", 200, 0, 600_000)?;
+    if 2 * guard >= duration {
         let at = reader.position_of("guard_ms").or(reader.position_of("lease_ms")).unwrap_or(at);
         return Err(doc.error(at, "guard_ms takes half of lease_ms or more"));
     }
     let drift = reader.number("drift", 0.0, 0.5)?.map_or(DEFAULT_DRIFT, |drift| drift.value);
-    Ok(LeaseTerms { duration: span, guard, drift })
+    Ok(LeaseTiming { duration, guard, drift })
 }
 
 fn parse_members(doc: &HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Members, HclError> {
@@ -149,9 +149,9 @@
         return Err(doc.error(at, "a member is named by its number: member \"1\" { ... }"));
     };
     let mut reader = doc.reader(&block.body);
-    let lacks = |key: &str| doc.error(at, format!("member {id} has no {key}"));
-    let site = reader.string("site")?.ok_or_else(|| lacks("site"))?.value;
-    let text = reader.string("address")?.ok_or_else(|| lacks("address"))?;
+    let missing = |key: &str| doc.error(at, format!("member {id} has no {key}"));
+    let site = reader.string("site")?.ok_or_else(|| missing("site"))?.value;
+    let text = reader.string("address")?.ok_or_else(|| missing("address"))?;
     let address = parse_address(doc, &text)?;
     let voter = reader.boolean("voter")?.is_some_and(|voter| voter.value);
     reader.finish()?;
--- a/src/federation/state.rs
+++ b/src/federation/state.rs
@@ -215,7 +215,7 @@
     }
 
     /// Applies a change that [`State::allows`].
-    pub fn change(&mut self, change: &Change) {
+    pub fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Add { id, site } => {
                 let member = Member { site: site.clone(), voter: false, incarnation: None };
@@ -239,7 +239,12 @@
     /// # Errors
     ///
     /// The reason why it may not.
-    pub fn admits(&self, id: MemberId, incarnation: u64, listed: bool) -> Result<(), AdmissionError> {
+    pub fn check_admission(
+        &self,
+        id: MemberId,
+        incarnation: u64,
+        listed: bool,
+    ) -> Result<(), AdmissionError> {
         match self.members.get(&id) {
             None if listed || self.identity == 0 => Ok(()),
             None => Err(AdmissionError::NotAMember),
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_next_step_to_a_files_members_is_as_the_table_says() {
+fn next_step_moves_members_towards_the_file() {
     let here = [(1, true), (2, true), (3, true), (4, false)];
     let all = |lag: u64, active: bool| move |id: &u64| (MemberId(*id), Progress { lag, active });
     // The file's members, who is active with which lag beyond the leader 1, and what comes next.
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_state_takes_in_what_means_something_and_never_loses_its_last_voter() {
+fn state_rejects_invalid_changes_and_keeps_a_voter() {
     let mut one = state(&[(1, true), (2, false)]);
     for change in [
         Change::Remove(MemberId(1)),
@@ -121,18 +121,21 @@
         !one.allows(&Change::Add { id: MemberId(2), site: String::new() })
             && one.allows(&Change::Promote(MemberId(2)))
     );
-    one.change(&Change::Promote(MemberId(2)));
+    one.apply_change(&Change::Promote(MemberId(2)));
     assert!(one.allows(&Change::Remove(MemberId(1))));
     one.apply(&Command::Enrol { id: MemberId(1), incarnation: 11 });
     one.apply(&Command::Enrol { id: MemberId(1), incarnation: 12 });
     assert_eq!(
-        (one.admits(MemberId(1), 11, false), one.admits(MemberId(1), 12, true).is_err()),
+        (one.check_admission(MemberId(1), 11, false), one.check_admission(MemberId(1), 12, true).is_err()),
         (Ok(()), true),
         "the first store counts"
     );
-    assert!(one.admits(MemberId(9), 1, false).is_err() && one.admits(MemberId(9), 1, true).is_ok());
     assert!(
-        State::default().admits(MemberId(9), 1, false).is_ok(),
+        one.check_admission(MemberId(9), 1, false).is_err()
+            && one.check_admission(MemberId(9), 1, true).is_ok()
+    );
+    assert!(
+        State::default().check_admission(MemberId(9), 1, false).is_ok(),
         "who knows nothing yet hears whoever holds the key"
     );
     one.apply(&Command::RevisionApplied { revision: 5 });
@@ -141,7 +144,7 @@
 }
 
 #[test]
-fn messages_that_no_member_sends_are_told_from_those_that_it_does() {
+fn message_check_rejects_protocol_violations() {
     assert_eq!(append(4, vec![entry(5, 1), entry(6, 3)]).check(), Ok(()));
     let snapshot = SnapshotRecord {
         index: LogIndex(9),
@@ -170,16 +173,12 @@
             vec![entry(5, 1), EntryRecord { kind: EntryKind::Change, context: vec![7], ..entry(6, 3) }],
         ),
     ] {
-        assert_eq!(
-            MessageRecord::from_library(&message.to_library()).as_ref(),
-            Some(&message),
-            "there and back"
-        );
+        assert_eq!(MessageRecord::from_raft(&message.to_raft()).as_ref(), Some(&message), "there and back");
     }
 }
 
 #[test]
-fn members_know_each_other_by_the_key_for_one_connection_and_messages_by_their_place() {
+fn proofs_bind_a_connection_and_tags_bind_the_order() {
     let (key, other) = (Key::new(vec![1; 16]), Key::new(vec![2; 16]));
     let challenge = Challenge { nonce: [3; 16] };
     let plain = Hello {
@@ -232,7 +231,7 @@
 
 /// Stores and members of older versions hold and send these bytes.
 #[test]
-fn the_bytes_of_stored_and_sent_records_stay_as_they_are() {
+fn record_encodings_are_stable() {
     let change = EntryRecord {
         kind: EntryKind::Change,
         term: Term(3),
@@ -279,7 +278,7 @@
 }
 
 #[test]
-fn bytes_are_taken_whole_and_what_can_never_be_a_message_is_an_error() {
+fn decode_waits_for_whole_frames_and_rejects_bad_ones() {
     let hello = Challenge { nonce: [5; 16] };
     let bytes = encode(&hello, None).expect("short");
     let mut input = BytesMut::new();
@@ -314,7 +313,7 @@
 }
 
 #[test]
-fn the_file_is_read_with_places_and_the_deployed_one_holds_the_defaults() {
+fn file_errors_have_positions_and_deployed_file_has_defaults() {
     let deployed = include_str!("../../deploy/federation.hcl");
     let read = |text: &str| {
         FederationSettings::parse(HclDocument { file: "f.hcl", text }).map_err(|error| error.to_string())
@@ -331,8 +330,8 @@
     let (deployed, key) = read(deployed).expect("usable");
     let (defaults, _) = read(&usual).expect("usable");
     assert_eq!(
-        (deployed.tuning, deployed.lease_terms, deployed.tick, deployed.silence_timeout),
-        (defaults.tuning, defaults.lease_terms, defaults.tick, defaults.silence_timeout)
+        (deployed.tuning, deployed.lease_timing, deployed.tick, deployed.silence_timeout),
+        (defaults.tuning, defaults.lease_timing, defaults.tick, defaults.silence_timeout)
     );
     assert_eq!(
         (key.as_str(), deployed.members.len(), deployed.first_fixed_change(&defaults)),
@@ -363,13 +362,13 @@
 }
 
 #[test]
-fn pauses_double_with_half_of_each_drawn() {
+fn backoff_pauses_double_and_are_half_random() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut backoff = Backoff::new(Span::from_micros(20), Span::from_micros(1000));
     for most in [20, 40, 80, 160, 320, 640, 1000, 1000].map(Span::from_micros) {
-        let pause = backoff.pause(&mut random);
+        let pause = backoff.next_pause(&mut random);
         assert!((most / 2..=most).contains(&pause), "{pause:?} of {most:?}");
     }
     backoff.reset();
-    assert!(backoff.pause(&mut random) <= Span::from_micros(20));
+    assert!(backoff.next_pause(&mut random) <= Span::from_micros(20));
 }
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -2,15 +2,15 @@
 
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, PlantedBug, DUTIES, SHORTEST_DELAY, TERMS, TICK};
-use crate::federation::duties::LeaseTerms;
+use crate::federation::duties::LeaseTiming;
 use crate::federation::state::Command;
 use crate::federation::MemberId;
 use crate::interface::Span;
 
 impl FederationWorld {
-    pub(super) fn lease_terms(&self) -> LeaseTerms {
+    pub(super) fn lease_terms(&self) -> LeaseTiming {
         match self.planted {
-            Some(PlantedBug::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..TERMS },
+            Some(PlantedBug::NoGuard) => LeaseTiming { guard: Span::ZERO, drift: 0.0, ..TERMS },
             _ => TERMS,
         }
     }
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -91,7 +91,7 @@
     pub(super) fn drive(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
-        let driven = node.drive(&mut member.disk);
+        let driven = node.process_ready(&mut member.disk);
         member.holder.observe(node.state());
         let step = ObservedStep::take(id, node);
         let messages = match driven {
--- a/src/sim/federation/messages.rs
+++ b/src/sim/federation/messages.rs
@@ -65,7 +65,7 @@
         let Some(node) = &mut member.node else { return };
         let is_listed = revision > node.state().revision && file_lists_sender;
         let admits_any_store = self.planted == Some(PlantedBug::EmptyStore);
-        if !admits_any_store && node.state().admits(from, incarnation, is_listed).is_err() {
+        if !admits_any_store && node.state().check_admission(from, incarnation, is_listed).is_err() {
             return;
         }
         if let Err(why) = node.step(&message) {
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -22,7 +22,7 @@
 pub use summary::{search, FederationSummary};
 
 use super::rules::Breach;
-use crate::federation::duties::LeaseTerms;
+use crate::federation::duties::LeaseTiming;
 use crate::federation::node::Tuning;
 use crate::interface::{Instant, Span};
 use rand::Rng;
@@ -44,8 +44,8 @@
 const SHORTEST_DELAY: Span = Span::from_micros(500);
 /// The largest part by which clocks run too fast or slow.
 const DRIFT: f64 = 0.05;
-const TERMS: LeaseTerms =
-    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
+const TERMS: LeaseTiming =
+    LeaseTiming { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
 /// The duties for which members seek leases.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
--- a/tests/federation/duties.rs
+++ b/tests/federation/duties.rs
@@ -12,26 +12,27 @@
 }
 
 /// Whether a member may act, by its own clock.
-fn acts(view: &Value) -> bool {
+fn may_act(view: &Value) -> bool {
     view["duties"].as_array().is_some_and(|duties| duties.iter().any(|duty| duty["held"] == true))
 }
 
 fn rig(name: &str) -> Rig {
-    Rig::with(name, voters(1..=3), |text| {
+    Rig::with_files(name, voters(1..=3), |text| {
         text.replace("tick_ms", "lease_ms = 800\n guard_ms = 100\n tick_ms")
     })
 }
 
 /// Waits until some member of these may act, and gives who and under which token.
 fn holder(rig: &Rig, among: &[u64]) -> (u64, u64) {
-    let view = rig.until(among[0], "a holder", |view| lease(view).is_some_and(|(id, _)| among.contains(&id)));
+    let view = rig
+        .wait_for_view(among[0], "a holder", |view| lease(view).is_some_and(|(id, _)| among.contains(&id)));
     let (id, _) = lease(&view).expect("one");
-    let view = rig.until(id, "it may act", acts);
+    let view = rig.wait_for_view(id, "it may act", may_act);
     lease(&view).expect("its own")
 }
 
 /// Lets somebody else hold it after `fault` befell the holder; gives the old and the new holder with tokens.
-fn taken_over(rig: &mut Rig, fault: impl Fn(&mut Rig, u64)) -> [(u64, u64); 2] {
+fn take_over(rig: &mut Rig, fault: impl Fn(&mut Rig, u64)) -> [(u64, u64); 2] {
     let before = holder(rig, &[1, 2, 3]);
     fault(rig, before.0);
     let others: Vec<u64> = (1..=3).filter(|id| *id != before.0).collect();
@@ -41,64 +42,69 @@
 }
 
 #[test]
-fn a_killed_holder_is_followed_by_another_with_a_higher_token_and_no_token_comes_back() {
+fn killed_holder_is_replaced_under_a_higher_token() {
     let mut rig = rig("duty-killed");
-    let [before, after] = taken_over(&mut rig, |rig, id| rig.kill(id));
+    let [before, after] = take_over(&mut rig, |rig, id| rig.kill(id));
     rig.start(before.0);
     (1..=3).for_each(|id| rig.kill(id));
     (1..=3).for_each(|id| rig.start(id));
-    rig.agree(&[1, 2, 3]);
+    rig.wait_for_agreement(&[1, 2, 3]);
     // The lease may be found and renewed by its holder's next process; another's has a higher token.
     let now = holder(&rig, &[1, 2, 3]);
     assert!(now.1 > after.1 || now == after, "{now:?} after {after:?}");
 }
 
 #[test]
-fn a_holder_that_was_stopped_past_its_lease_does_nothing_when_it_is_woken() {
+fn resumed_holder_does_not_act_after_its_lease() {
     let mut rig = rig("duty-stopped");
-    let [before, after] = taken_over(&mut rig, |rig, id| rig.signal(id, "-STOP"));
+    let [before, after] = take_over(&mut rig, |rig, id| rig.signal(id, "-STOP"));
     rig.signal(before.0, "-CONT");
     // From its first word on: nothing of what it published before it was stopped is an act of now.
-    let view = rig.until(before.0, "the new holder", |view| lease(view) == Some(after));
-    assert!(!acts(&view), "{view}");
+    let view = rig.wait_for_view(before.0, "the new holder", |view| lease(view) == Some(after));
+    assert!(!may_act(&view), "{view}");
     assert_eq!(holder(&rig, &[after.0]).0, after.0);
 }
 
 #[test]
-fn a_holder_that_is_cut_off_from_all_but_its_clients_stops_by_its_own_clock() {
+fn isolated_holder_stops_by_its_own_clock() {
     for mode in [Mode::Cut, Mode::Hold] {
         let mut rig = rig(&format!("duty-cut-{mode:?}"));
-        let [before, after] = taken_over(&mut rig, |rig, id| {
+        let [before, after] = take_over(&mut rig, |rig, id| {
             rig.isolate(id, mode, (true, true));
-            rig.until(id, "it may act no more", |view| !acts(view));
-            rig.serves(id);
+            rig.wait_for_view(id, "it may act no more", |view| !may_act(view));
+            rig.assert_serves(id);
         });
         let view = rig.view(before.0);
-        assert!(!acts(&view) && lease(&view) == Some(before), "it knows no other, and does not act: {view}");
+        assert!(
+            !may_act(&view) && lease(&view) == Some(before),
+            "it knows no other, and does not act: {view}"
+        );
         rig.isolate(before.0, Mode::Pass, (true, true));
-        rig.until(before.0, "the new holder", |view| lease(view).is_some_and(|lease| lease.1 >= after.1));
+        rig.wait_for_view(before.0, "the new holder", |view| {
+            lease(view).is_some_and(|lease| lease.1 >= after.1)
+        });
     }
 }
 
 /// It hears and is not heard: its renewals reach nobody.
 #[test]
-fn a_holder_that_is_not_heard_loses_its_duty() {
+fn holder_that_cannot_send_loses_its_duty() {
     let mut rig = rig("duty-unheard");
     let (id, token) = holder(&rig, &[1, 2, 3]);
     rig.isolate(id, Mode::Hold, (true, false));
     let others: Vec<u64> = (1..=3).filter(|other| *other != id).collect();
     let after = holder(&rig, &others);
     assert!(after.1 > token);
-    rig.until(id, "it may act no more", |view| !acts(view));
+    rig.wait_for_view(id, "it may act no more", |view| !may_act(view));
     rig.isolate(id, Mode::Pass, (true, false));
-    rig.until(id, "the new holder", |view| lease(view).is_some_and(|lease| lease.1 >= after.1));
+    rig.wait_for_view(id, "the new holder", |view| lease(view).is_some_and(|lease| lease.1 >= after.1));
 }
 
 #[test]
-fn a_holder_that_is_told_to_end_hands_its_duty_on_at_once() {
+fn holder_releases_its_duty_on_sigterm() {
     let mut rig = rig("duty-term");
     let since = std::time::Instant::now();
-    let [before, _] = taken_over(&mut rig, |rig, id| rig.signal(id, "-TERM"));
+    let [before, _] = take_over(&mut rig, |rig, id| rig.signal(id, "-TERM"));
     // Without the release another would wait for the lease's end: it was renewed a moment ago.
     println!("{before:?} followed after {:?}", since.elapsed());
     rig.kill(before.0);
--- a/tests/federation/relay.rs
+++ b/tests/federation/relay.rs
@@ -39,7 +39,7 @@
     }
 
     /// Where it passes connections on to from now on.
-    pub fn leads_to(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         self.inner.0.lock().expect("a lock").to = Some(to);
     }
 
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -12,9 +12,9 @@
 use std::time::Instant;
 
 /// The members as a file has them: number, and whether it votes.
-pub type Listed = Vec<(u64, bool)>;
+pub type MemberList = Vec<(u64, bool)>;
 
-pub struct Running {
+pub struct RunningMember {
     pub proxy: Proxy,
     pub admin: SocketAddr,
     /// Where it listens for members.
@@ -25,7 +25,7 @@
     name: String,
     /// From whom to whom.
     pub relays: BTreeMap<(u64, u64), Relay>,
-    pub running: BTreeMap<u64, Running>,
+    pub running: BTreeMap<u64, RunningMember>,
     pub caches: [Cache; 2],
     seqid: i32,
 }
@@ -35,20 +35,20 @@
 
 impl Rig {
     /// A federation of these members, running, with a leader that all know and the first store of each enrolled.
-    pub fn new(name: &str, listed: Listed) -> Self {
-        Rig::with(name, listed, |text| text)
+    pub fn new(name: &str, listed: MemberList) -> Self {
+        Rig::with_files(name, listed, |text| text)
     }
 
     /// The same with files changed by `change`.
-    pub fn with(name: &str, listed: Listed, change: impl Fn(String) -> String) -> Self {
+    pub fn with_files(name: &str, listed: MemberList, change: impl Fn(String) -> String) -> Self {
         let mut rig = Rig::empty(name);
         let ids: Vec<u64> = listed.iter().map(|(id, _)| *id).collect();
         for id in &ids {
-            rig.write_as(*id, 1, &listed, &change);
+            rig.write_file_with(*id, 1, &listed, &change);
             rig.init(*id, false);
         }
         ids.iter().for_each(|id| rig.start(*id));
-        rig.agree(&ids);
+        rig.wait_for_agreement(&ids);
         rig
     }
 
@@ -68,12 +68,12 @@
     pub fn relay(&mut self, from: u64, to: u64) -> Relay {
         let there = self.running.get(&to).map(|running| running.listen);
         let relay = self.relays.entry((from, to)).or_insert_with(Relay::new).clone();
-        there.into_iter().for_each(|there| relay.leads_to(there));
+        there.into_iter().for_each(|there| relay.set_target(there));
         relay
     }
 
     /// Writes a member's file; `change` is applied to its text.
-    pub fn write_as(
+    pub fn write_file_with(
         &mut self,
         id: u64,
         revision: u64,
@@ -96,8 +96,8 @@
         std::fs::write(self.folder(id).join("federation.secret"), KEY).expect("written");
     }
 
-    pub fn write(&mut self, id: u64, revision: u64, listed: &[(u64, bool)]) {
-        self.write_as(id, revision, listed, |text| text);
+    pub fn write_file(&mut self, id: u64, revision: u64, listed: &[(u64, bool)]) {
+        self.write_file_with(id, revision, listed, |text| text);
     }
 
     /// Makes a member's store by the command.
@@ -110,7 +110,7 @@
     /// Starts a member and leads the relays to it.
     pub fn start(&mut self, id: u64) {
         let running = self.launch(id);
-        self.arrive(id, &running);
+        self.set_relay_targets(id, &running);
         self.running.insert(id, running);
     }
 
@@ -120,26 +120,26 @@
         let caches = [&self.caches[0], &self.caches[1]];
         let proxy = Proxy::start(&name, &caches, str::to_owned, &["--admin", "127.0.0.1:0"]);
         let admin = address(&proxy.logged("admin endpoint: listening on "));
-        self.running.insert(id, Running { proxy, admin, listen: admin });
+        self.running.insert(id, RunningMember { proxy, admin, listen: admin });
     }
 
     /// The others' relays lead to this process from now on.
-    pub fn arrive(&self, id: u64, running: &Running) {
+    pub fn set_relay_targets(&self, id: u64, running: &RunningMember) {
         for ((_, to), relay) in &self.relays {
             if *to == id {
-                relay.leads_to(running.listen);
+                relay.set_target(running.listen);
             }
         }
     }
 
-    fn launch(&self, id: u64) -> Running {
-        let (proxy, admin) = self.launch_only(id);
+    fn launch(&self, id: u64) -> RunningMember {
+        let (proxy, admin) = self.launch_without_listener(id);
         let listen = address(&proxy.logged("federation listens on "));
-        Running { proxy, admin, listen }
+        RunningMember { proxy, admin, listen }
     }
 
     /// Starts a member that may not come to listen.
-    pub fn launch_only(&self, id: u64) -> (Proxy, SocketAddr) {
+    pub fn launch_without_listener(&self, id: u64) -> (Proxy, SocketAddr) {
         let name = format!("{}-{id}", self.name);
         let file = self.file(id).display().to_string();
         let more = ["--admin", "127.0.0.1:0", "--federation", &file];
@@ -175,7 +175,7 @@
     }
 
     /// Asks a member's admin endpoint until its view is as wanted.
-    pub fn until(&self, id: u64, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+    pub fn wait_for_view(&self, id: u64, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         let since = Instant::now();
         loop {
             let view = self.view(id);
@@ -188,7 +188,7 @@
 
     /// Waits until these members know one leader among them, have applied as much as it, and all are enrolled; gives
     /// the leader.
-    pub fn agree(&self, ids: &[u64]) -> u64 {
+    pub fn wait_for_agreement(&self, ids: &[u64]) -> u64 {
         let since = Instant::now();
         loop {
             let views: Vec<Value> = ids.iter().map(|id| self.view(*id)).collect();
@@ -212,7 +212,7 @@
     }
 
     pub fn leader(&self, among: &[u64]) -> (u64, u64) {
-        let leader = self.agree(among);
+        let leader = self.wait_for_agreement(among);
         (leader, self.view(leader)["term"].as_u64().expect("a term"))
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// A member's edge proxy serves, whatever its federation does.
-    pub fn serves(&mut self, id: u64) {
+    pub fn assert_serves(&mut self, id: u64) {
         self.seqid += 1;
         let proxy = &self.running[&id].proxy;
         let mut client = proxy.connect(proxy.addr);
@@ -251,7 +251,7 @@
     (status, answer.split_once("\r\n\r\n").expect("a body").1.to_owned())
 }
 
-pub fn voters(ids: std::ops::RangeInclusive<u64>) -> Listed {
+pub fn voters(ids: std::ops::RangeInclusive<u64>) -> MemberList {
     ids.map(|id| (id, true)).collect()
 }
 
