--- a/benches/federation.rs
+++ b/benches/federation.rs
@@ -1,5 +1,6 @@
-//! How long a federation of whole programs is without a leader after a fault, and what the edge proxy's requests notice
-//! of it: `cargo bench --bench federation`. A few minutes; not part of CI.
+//! Measures how long a federation of whole processes is without a leader or duty holder after a fault, and
+//! request latency in several states of the federation. Run with `cargo bench --bench federation`; it takes a
+//! few minutes and is not part of CI.
 
 #[allow(dead_code)]
 #[path = "../tests/federation/relay.rs"]
@@ -20,7 +21,7 @@
 const ROUNDS: usize = 20;
 const REQUESTS: usize = 3000;
 
-/// The ticks and the silence of the deployed file's defaults.
+/// Sets the tick and the silence timeout to their defaults, as in the deployed file.
 fn defaults(text: String) -> String {
     text.replace("tick_ms = 40", "tick_ms = 50").replace("silent_ms = 1200", "silent_ms = 2000")
 }
@@ -30,32 +31,33 @@
     println!("{what}: p50 {p50} p99 {p99} max {} {unit} ({} plays)", times.max(), times.len());
 }
 
-/// Who leads, and in which term.
+/// Returns the leader and its term.
 fn leader(view: &Value) -> Option<(u64, u64)> {
     Some((view["leader"].as_u64().filter(|id| *id != 0)?, view["term"].as_u64()?))
 }
 
-/// Who holds the first duty, and under which token.
+/// Returns the holder of the first duty, and its token.
 fn holder(view: &Value) -> Option<(u64, u64)> {
     let duty = view["duties"].as_array()?.first()?;
     Some((duty["holder"].as_u64()?, duty["token"].as_u64()?))
 }
 
-/// How long it is until another member has what `who` tells, with a higher number.
+/// Measures how long after each fault it takes until `holder_of` returns another member with a higher term or
+/// token.
 fn measure_takeovers(what: &str, holder_of: impl Fn(&Value) -> Option<(u64, u64)>) {
     for fault in ["kill", "stop", "cut", "term"] {
-        let mut times = Histogram::<u64>::new(3).expect("digits");
+        let mut times = Histogram::<u64>::new(3).expect("a valid precision");
         let mut rig = Rig::with_files(&format!("bench-{what}-{fault}"), voters(1..=3), defaults);
         for _ in 0..ROUNDS {
             rig.wait_for_agreement(&[1, 2, 3]);
             let (id, number) =
-                holder_of(&rig.wait_for_view(1, what, |view| holder_of(view).is_some())).expect("one");
+                holder_of(&rig.wait_for_view(1, what, |view| holder_of(view).is_some())).expect("a holder");
             let others = rig.others(id);
             let since = Instant::now();
             match fault {
                 "kill" => rig.kill(id),
                 "stop" => rig.signal(id, "-STOP"),
-                "cut" => rig.isolate(id, Mode::Cut, (true, true)),
+                "cut" => rig.set_relay_modes(id, Mode::Cut, (true, true)),
                 _ => rig.signal(id, "-TERM"),
             }
             rig.wait_for_view(others[0], "another", |view| {
@@ -64,7 +66,7 @@
             times.record(since.elapsed().as_millis() as u64).expect("in range");
             match fault {
                 "stop" => rig.signal(id, "-CONT"),
-                "cut" => rig.isolate(id, Mode::Pass, (true, true)),
+                "cut" => rig.set_relay_modes(id, Mode::Pass, (true, true)),
                 _ => {
                     rig.kill(id);
                     rig.start(id);
@@ -78,7 +80,7 @@
 fn measure_requests() {
     let mut rig = Rig::with_files("bench-requests", voters(1..=3), defaults);
     let measure = |what: &str, rig: &mut Rig, id: u64| {
-        let mut times = Histogram::<u64>::new(3).expect("digits");
+        let mut times = Histogram::<u64>::new(3).expect("a valid precision");
         for _ in 0..REQUESTS {
             let since = Instant::now();
             rig.assert_serves(id);
@@ -99,7 +101,7 @@
 }
 
 fn main() {
-    // Cargo asks a bench for its list, and runs it as a test, with arguments of its own.
+    // Does nothing when Cargo runs it with `--list`, or with `--test` as a test.
     if std::env::args().any(|arg| arg == "--list" || arg == "--test") {
         return;
     }
--- a/src/federation/backoff.rs
+++ b/src/federation/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential backoff with jitter: the pause doubles from a minimum to a maximum, and half of it is drawn at random,
-//! so that members that lost the same peer do not retry in step.
+//! Exponential backoff with jitter: the pause doubles from a minimum to a maximum, and half of it is random,
+//! so that members that lost the same peer do not retry at the same time.
 
 use crate::interface::Span;
 use rand::Rng;
 
-/// The backoff of one peer, or one store.
+/// The retry state of one peer or store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     min: Span,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// A backoff whose pauses double from `min` to `max`.
+    /// Returns a backoff whose pauses double from `min` to `max`.
     pub fn new(min: Span, max: Span) -> Self {
         Backoff { min, max, next: min }
     }
@@ -23,7 +23,7 @@
         self.next = self.min;
     }
 
-    /// Draws the pause before the next attempt.
+    /// Returns the pause before the next attempt, and doubles the one after it up to the maximum.
     pub fn next_pause(&mut self, random: &mut impl Rng) -> Span {
         let half = self.next / 2;
         let drawn = random.random_range(0..=(self.next - half).as_micros());
--- a/src/federation/duties.rs
+++ b/src/federation/duties.rs
@@ -1,15 +1,17 @@
-//! Duties that one edge proxy performs at a time, as leases in the replicated log with fencing tokens (Gray and
-//! Cheriton 1989; tokens as in Burrows 2006).
+//! Duties: tasks that one edge proxy performs at a time. Each is a lease in the replicated log with a fencing
+//! token (Gray and Cheriton 1989; tokens as in Burrows 2006).
 //!
-//! The holder times a lease from *before* its request, on its own clock, and stops a guard time early; the leader times
-//! it from when it saw the grant, and allows for clock drift. So two members never hold one lease at once, whatever the
-//! network does. The receiver of an act rejects a fencing token lower than the highest it has seen.
+//! The holder measures a lease on its own clock, from *before* its request, and stops acting a guard time
+//! before the end. The leader measures it from when it saw the grant, and allows for clock drift. Two members
+//! therefore never hold the same lease at once, whatever the network does. The receiver of an act rejects a
+//! fencing token lower than the highest it has seen.
 //!
 //! - `holder`: requests and renews leases.
-//! - `grantor`: expires leases, on the leader.
-//! - `fence`: checks fencing tokens, at the receiver of an act.
+//! - `grantor`: expires leases; runs on the leader.
+//! - `fence`: checks fencing tokens; runs at the receiver of an act.
 //!
-//! No I/O: callers pass the time of a clock that never goes back while the process runs.
+//! These modules do no I/O: callers pass the time of a clock that never goes backwards while the process
+//! runs.
 
 mod fence;
 mod grantor;
@@ -24,32 +26,32 @@
 
 use crate::interface::Span;
 
-/// The duration of leases and the error that clocks are allowed.
+/// The duration of leases, and the clock error that they allow for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTiming {
-    /// How long a lease lasts.
+    /// The duration of a lease, counted from the request that was granted.
     pub duration: Span,
-    /// How long before the end its holder stops acting under it.
+    /// The time before the end of a lease at which its holder stops acting under it.
     pub guard: Span,
-    /// The maximum rate error of a clock, as a fraction.
+    /// The maximum rate error of a clock, as a fraction: 0.05 means that it runs up to 5 % fast or slow.
     pub drift: f64,
 }
 
 impl LeaseTiming {
-    /// How long the leader waits after it saw a lease granted until it expires the lease: by then the lease is over
-    /// even on the slowest holder's clock, measured by the fastest leader's.
+    /// Returns how long after it saw a grant the leader expires the lease. By then the lease has ended even
+    /// if the leader's clock is the fastest and the holder's is the slowest.
     pub fn expiry_timeout(&self) -> Span {
         Span::from_micros_f64(
             (self.duration.as_micros_f64() * (1.0 + self.drift) / (1.0 - self.drift)).ceil(),
         )
     }
 
-    /// How long before its end a lease is renewed.
+    /// Returns the time before the end at which a lease is renewed.
     fn renewal_window(&self) -> Span {
         self.duration / 3
     }
 
-    /// The pause before an unanswered proposal is retried.
+    /// Returns the pause before an unanswered proposal is repeated.
     fn retry_interval(&self) -> Span {
         (self.duration / 20).max(Span::from_micros(1))
     }
--- a/src/federation/duties/fence.rs
+++ b/src/federation/duties/fence.rs
@@ -1,17 +1,18 @@
-//! The receiver's side: rejects acts under an outdated fencing token.
+//! The receiver's side: rejects acts with an outdated fencing token.
 
 use crate::federation::state::{State, MAX_DUTIES};
 use crate::federation::MemberId;
 use std::collections::BTreeMap;
 
-/// The highest fencing token seen for each duty; acts under a lower one are rejected.
+/// The highest fencing token seen for each duty; acts with a lower one are rejected.
 #[derive(Debug, Default)]
 pub struct TokenFence {
     highest: BTreeMap<String, u64>,
 }
 
 impl TokenFence {
-    /// Whether an act by `from` under `token` is admitted; the newest lease of the log counts as seen.
+    /// Returns whether an act by `from` with `token` is admitted. The token of the lease in `state` counts as
+    /// seen.
     pub fn admits(&mut self, state: &State, duty: &str, from: MemberId, token: u64) -> bool {
         if let Some(lease) = state.duties.get(duty) {
             if token < lease.token || (token == lease.token && from != lease.holder) {
@@ -21,7 +22,8 @@
         let highest = self.highest.entry(duty.to_owned()).or_insert(0);
         let admitted = token >= *highest;
         *highest = (*highest).max(token);
-        // Duties come and go with the caches that they name; the tokens of all come from one count.
+        // Bounds the map, since duties come and go with the caches that they name. Tokens of all duties come
+        // from one counter.
         if self.highest.len() > MAX_DUTIES {
             self.highest.pop_first();
         }
--- a/src/federation/duties/grantor.rs
+++ b/src/federation/duties/grantor.rs
@@ -1,11 +1,11 @@
-//! The leader's side: finds the leases that have expired.
+//! The leader's side: finds leases that have expired.
 
 use super::LeaseTiming;
 use crate::federation::state::{Command, Lease, State};
 use crate::interface::Instant;
 use std::collections::BTreeMap;
 
-/// A lease as the leader observed it.
+/// A lease as observed by the leader.
 #[derive(Clone, Copy, Debug)]
 struct ObservedLease {
     token: u64,
@@ -16,22 +16,22 @@
     expiry_proposed_at: Option<Instant>,
 }
 
-/// Times the leases of the replicated state, on the leader.
+/// Measures the age of the leases in the replicated state, on the leader.
 #[derive(Debug)]
 pub struct LeaseGrantor {
     timing: LeaseTiming,
-    /// By duty.
+    /// The observed leases, by the duty's name.
     observed: BTreeMap<String, ObservedLease>,
 }
 
 impl LeaseGrantor {
-    /// A grantor that has observed no lease.
+    /// Returns a grantor that has not observed any lease yet.
     pub fn new(timing: LeaseTiming) -> Self {
         LeaseGrantor { timing, observed: BTreeMap::new() }
     }
 
-    /// The expiries to propose now. A new leader times every lease from its first call, since it cannot know when the
-    /// lease began.
+    /// Returns the expiries to propose now. A new leader measures every lease from its first call, since it
+    /// cannot know when the lease began.
     pub fn due_expiries(&mut self, now: Instant, state: &State, leads: bool) -> Vec<Command> {
         if !leads {
             self.observed.clear();
@@ -42,7 +42,7 @@
         state.duties.iter().filter_map(expire).collect()
     }
 
-    /// The command that ends this lease, if it has expired and the command is due.
+    /// Returns the command that ends this lease, if the lease has expired and the command is due.
     fn expire(&mut self, now: Instant, duty: &str, lease: &Lease) -> Option<Command> {
         let Lease { token, request, .. } = *lease;
         let new = ObservedLease { token, request, since: now, expiry_proposed_at: None };
--- a/src/federation/duties/holder.rs
+++ b/src/federation/duties/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: requests leases, renews them, and knows until when each may be acted under.
+//! The holder's side: requests and renews leases, and tracks until when this member may act under each.
 
 use super::LeaseTiming;
 use crate::federation::state::{Command, State};
@@ -6,23 +6,23 @@
 use crate::interface::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum number of unanswered requests of one duty that are remembered; an older one that is granted after all is
-/// not used.
+/// The maximum number of unanswered requests that are remembered for each duty. A grant of an older request
+/// is not used.
 const MAX_REQUESTS: usize = 8;
 
 /// A lease that this member holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The fencing token.
+    /// The fencing token, which must accompany each act.
     pub token: u64,
-    /// When it may no longer be acted under, on this member's clock.
+    /// When this member must stop acting under the lease, on its own clock.
     pub expires_at: Instant,
 }
 
 /// A duty that this member is a candidate for.
 #[derive(Debug, Default)]
 struct Candidacy {
-    /// When each unanswered request was made, by its number.
+    /// The time of each unanswered request, by its number.
     requested: BTreeMap<u64, Instant>,
     next_request_at: Instant,
     held: Option<HeldLease>,
@@ -34,18 +34,20 @@
     id: MemberId,
     timing: LeaseTiming,
     candidacies: BTreeMap<String, Candidacy>,
-    /// The number of the last request. Numbers start at random, since the log may hold requests of earlier processes of
-    /// this member.
+    /// The number of the last request. Numbers start at a random value, since the log may hold requests of
+    /// earlier processes of this member.
     last_request: u64,
 }
 
 impl LeaseHolder {
-    /// A holder without candidacies; each process draws `first` at random.
+    /// Returns a holder without candidacies. Requests are numbered from `first`, which each process must draw
+    /// at random.
     pub fn new(id: MemberId, timing: LeaseTiming, first: u64) -> Self {
         LeaseHolder { id, timing, candidacies: BTreeMap::new(), last_request: first }
     }
 
-    /// Sets the duties that this member is a candidate for, and returns the releases to propose of the others.
+    /// Sets the duties that this member is a candidate for. Returns the commands that release its leases of
+    /// all other duties.
     pub fn set_candidacies(&mut self, wanted: &BTreeSet<String>) -> Vec<Command> {
         let left: Vec<String> =
             self.candidacies.keys().filter(|duty| !wanted.contains(*duty)).cloned().collect();
@@ -62,7 +64,7 @@
         released
     }
 
-    /// The commands to propose now: requests for free duties, and renewals of leases that are held.
+    /// Returns the commands to propose now: requests for free duties, and renewals of held leases.
     pub fn due_requests(&mut self, now: Instant, state: &State) -> Vec<Command> {
         self.observe(state);
         let (id, timing) = (self.id, self.timing);
@@ -90,7 +92,7 @@
         out
     }
 
-    /// Updates the leases that are held from the replicated state.
+    /// Updates the held leases from the replicated state.
     pub fn observe(&mut self, state: &State) {
         for (duty, candidacy) in &mut self.candidacies {
             let lease = state.duties.get(duty).filter(|lease| lease.holder == self.id);
@@ -110,13 +112,14 @@
         }
     }
 
-    /// The fencing token under which a duty may be acted on now; callers check it before *each* act.
+    /// Returns the fencing token of a duty if this member may perform it now; callers must check this before
+    /// *each* act.
     pub fn token(&self, now: Instant, duty: &str) -> Option<u64> {
         let held = self.candidacies.get(duty)?.held?;
         (now < held.expires_at).then_some(held.token)
     }
 
-    /// The leases that are held, by duty.
+    /// Returns the held leases, by the duty's name.
     pub fn held(&self) -> BTreeMap<String, HeldLease> {
         self.candidacies
             .iter()
--- a/src/federation/ids.rs
+++ b/src/federation/ids.rs
@@ -1,5 +1,5 @@
-//! The numbers that name members, terms and places in the log: each has a type of its own, so that none is taken for
-//! another. They are encoded, printed and serialized as the bare numbers.
+//! Ids of members, terms and log indexes. Each has its own type, so that one cannot be passed for another.
+//! They are encoded, printed and serialized as plain numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,7 +12,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The bare number.
+            /// Returns the id as a plain number.
             pub const fn get(self) -> u64 {
                 self.0
             }
@@ -33,42 +33,42 @@
 }
 
 id_type! {
-    /// A member's id, from 1; never used again for another member.
+    /// The id of a member, from 1; it is never reused for another member.
     MemberId
 }
 
 id_type! {
-    /// A term of the consensus: it has one leader at most.
+    /// A Raft term; it has at most one leader.
     Term
 }
 
 id_type! {
-    /// The index of an entry of the log, from 1.
+    /// The index of a log entry, from 1.
     LogIndex
 }
 
 impl MemberId {
-    /// The id that stands for no member: no leader is known, or no vote was given.
+    /// Stands for no member, such as when no leader is known or no vote was given.
     pub const NONE: MemberId = MemberId(0);
 
-    /// Whether it names a member.
+    /// Whether this id is not [`MemberId::NONE`].
     pub fn is_some(self) -> bool {
         self != Self::NONE
     }
 }
 
 impl LogIndex {
-    /// The index of the entry that follows.
+    /// Returns the index of the following entry.
     pub const fn next(self) -> Self {
         LogIndex(self.0 + 1)
     }
 }
 
-/// The leader as a member knows it, and the term.
+/// The leader that a member knows, and that member's current term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Leadership {
     /// The leader, or [`MemberId::NONE`].
     pub leader: MemberId,
-    /// The term.
+    /// The current term, whether or not a leader is known.
     pub term: Term,
 }
--- a/src/federation/log.rs
+++ b/src/federation/log.rs
@@ -1,4 +1,4 @@
-//! The log as the consensus library reads it: a copy in memory of the durable log, and the updates that change both.
+//! The in-memory copy of the durable log, which the `raft` crate reads, and the updates that change both.
 
 use super::records::{EntryRecord, HardState, SnapshotRecord};
 use super::{LogIndex, MemberId, Term};
@@ -9,18 +9,18 @@
 /// An update of the stored log, applied atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogUpdate {
-    /// Current term, vote and commit index.
+    /// The new term, vote and commit index; `None` if they are unchanged.
     pub hard_state: Option<HardState>,
-    /// A snapshot; entries up to its index are removed, and all others too if it `replaces_log`.
+    /// A new snapshot. Entries up to its index are removed, and all later ones too if it `replaces_log`.
     pub snapshot: Option<SnapshotRecord>,
-    /// Whether the snapshot came from the leader and replaces the complete log.
+    /// Whether the snapshot came from the leader and replaces the whole log.
     pub replaces_log: bool,
-    /// Entries to append; stored ones from the first one's index on are removed before.
+    /// Entries to append. Stored entries from the first one's index on are removed before that.
     pub entries: Vec<EntryRecord>,
 }
 
 impl LogUpdate {
-    /// Whether the update is empty.
+    /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none() && self.snapshot.is_none() && self.entries.is_empty()
     }
@@ -29,16 +29,16 @@
 /// The complete durable log of a member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredLog {
-    /// Current term, vote and commit index.
+    /// The current term, vote and commit index.
     pub hard_state: HardState,
-    /// The newest snapshot; index 0 for a member that has received nothing yet.
+    /// The newest snapshot; its index is 0 on a member that has received nothing yet.
     pub snapshot: SnapshotRecord,
-    /// The entries after it, without a gap.
+    /// The entries after the snapshot, without a gap.
     pub entries: Vec<EntryRecord>,
 }
 
 impl StoredLog {
-    /// Applies an update, as the store does.
+    /// Applies an update, in the same way as the store.
     pub fn apply(&mut self, update: &LogUpdate) {
         if let Some(hard) = update.hard_state {
             self.hard_state = hard;
@@ -55,16 +55,16 @@
         }
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry, or the snapshot's index if there is none.
     pub fn last_index(&self) -> LogIndex {
         LogIndex(self.snapshot.index.0 + self.entries.len() as u64)
     }
 
-    /// Checks that the entries follow the snapshot without a gap and fit the hard state.
+    /// Checks that the entries follow the snapshot without a gap and are consistent with the hard state.
     ///
     /// # Errors
     ///
-    /// What is missing or out of place.
+    /// Returns the first inconsistency found.
     pub fn check(&self) -> std::result::Result<(), LogError> {
         let mut expected = self.snapshot.index;
         for entry in &self.entries {
@@ -88,62 +88,62 @@
 /// Why a stored log is inconsistent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// An entry is missing.
-    #[error("entry {found} stands where {expected} belongs")]
+    /// An entry does not directly follow the one before it, or the snapshot.
+    #[error("found entry {found} where entry {expected} was expected")]
     UnexpectedIndex {
         /// The index that was found.
         found: LogIndex,
-        /// The index that follows the entry before.
+        /// The index after the previous entry.
         expected: LogIndex,
     },
-    /// The log is committed where it does not reach.
-    #[error("committed up to {commit}, the log ends at {last}")]
+    /// The commit index is before the snapshot or past the last entry.
+    #[error("the commit index {commit} is outside the log, which ends at {last}")]
     CommitOutOfRange {
-        /// The index up to which it is committed.
+        /// The stored commit index.
         commit: LogIndex,
         /// The index of the last entry.
         last: LogIndex,
     },
     /// The current term is older than the last entry's.
-    #[error("term {term} is before the log's {log_term}")]
+    #[error("the current term {term} is older than the last entry's term {log_term}")]
     TermTooOld {
-        /// The current term.
+        /// The stored current term.
         term: Term,
-        /// The last entry's.
+        /// The term of the last entry, or of the snapshot if there is none.
         log_term: Term,
     },
 }
 
-/// The copy of the log in memory.
+/// The in-memory copy of the durable log.
 #[derive(Debug, Default)]
 pub struct CachedLog {
     stored: StoredLog,
-    /// Whether a member needs a newer snapshot than there is.
+    /// Whether a member needs a newer snapshot than the stored one.
     snapshot_requested: Cell<bool>,
 }
 
 impl CachedLog {
-    /// A copy of the stored log.
+    /// Wraps the log that was read from the store.
     pub fn new(stored: StoredLog) -> Self {
         CachedLog { stored, snapshot_requested: Cell::new(false) }
     }
 
-    /// Applies an update that was stored.
+    /// Applies an update that has been stored.
     pub fn apply(&mut self, update: &LogUpdate) {
         self.stored.apply(update);
     }
 
-    /// Sets the commit index.
+    /// Sets the commit index in memory; the next stored hard state includes it.
     pub fn commit(&mut self, index: LogIndex) {
         self.stored.hard_state.commit = index;
     }
 
-    /// The newest snapshot.
+    /// Returns the newest stored snapshot.
     pub fn newest_snapshot(&self) -> &SnapshotRecord {
         &self.stored.snapshot
     }
 
-    /// Whether a member needs a newer snapshot than there is; resets the request.
+    /// Returns whether a member needs a newer snapshot than the stored one, and clears the request.
     pub fn take_snapshot_request(&self) -> bool {
         self.snapshot_requested.take()
     }
@@ -195,7 +195,7 @@
 
     fn snapshot(&self, request_index: u64, to: u64) -> Result<Snapshot> {
         let base = &self.stored.snapshot;
-        // A member ignores the snapshot of a state to which it does not belong yet.
+        // A member ignores a snapshot of a state in which it is not a member yet.
         let to = MemberId(to);
         let knows = base.voters.contains(&to) || base.learners.contains(&to);
         if base.index.0 < request_index || !knows {
--- a/src/federation/membership.rs
+++ b/src/federation/membership.rs
@@ -1,19 +1,20 @@
-//! Plans membership changes towards what the operator's file says: one server at a time (Raft thesis, section 4.1), and
-//! none that would lose the quorum that it needs itself.
+//! Plans membership changes towards the operator's file: one member at a time (Raft thesis, section 4.1), and
+//! none that would leave the remaining voters without a quorum.
 
 use super::state::{Change, Command, Roster, State};
 use super::MemberId;
 use std::collections::BTreeMap;
 
-/// The maximum lag, in entries, of a learner that is promoted to voter: its vote must not delay the next commit.
+/// The maximum lag, in entries, at which a learner is promoted to voter, so that commits do not have to wait
+/// for it.
 const MAX_PROMOTION_LAG: u64 = 16;
 
-/// The replication progress of a member, as the leader sees it.
+/// The replication progress of a member as seen by the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Entries that it lags behind the leader's log.
+    /// Number of entries by which the member lags behind the leader's log.
     pub lag: u64,
-    /// Whether it responded within the last election timeout.
+    /// Whether the member responded within the last election timeout.
     pub active: bool,
 }
 
@@ -22,16 +23,18 @@
 pub enum MembershipStep {
     /// Propose this change.
     Change(Change),
-    /// Propose this command, which records the progress of the change.
+    /// Propose this command, which records that the change is started or complete.
     Command(Command),
     /// Transfer leadership first: the change concerns the leader itself.
     TransferLeadership,
-    /// Nothing to do, or not yet.
+    /// Nothing to do now.
     Wait,
 }
 
-/// The next step from the state to the members that the file of this revision wants. A file that is older than the
-/// one that holds, or was begun, changes nothing: the leader may have missed a newer one.
+/// Returns the next step from the current members to those that the file of this `revision` lists.
+///
+/// A file older than the one whose change is complete or started has no effect, since the leader may have
+/// missed a newer file.
 pub fn next_step(
     state: &State,
     revision: u64,
@@ -46,13 +49,13 @@
         return MembershipStep::Command(Command::RevisionStarted { revision });
     }
     let planner = Planner { state, wanted, leader, progress };
-    // New voters before others go: there are never fewer than there need to be.
+    // Adds new voters before it retires others, so that there are never fewer voters than needed.
     let step = planner.add().or_else(|| planner.promote()).or_else(|| planner.retire_voter());
     step.or_else(|| planner.remove_learner())
         .unwrap_or(MembershipStep::Command(Command::RevisionApplied { revision }))
 }
 
-/// Compares the members with those that are wanted; each of its steps is `None` where there is nothing to do.
+/// Compares the current members with the wanted ones. Each of its steps is `None` if there is nothing to do.
 struct Planner<'a> {
     state: &'a State,
     wanted: &'a Roster,
@@ -73,13 +76,13 @@
         self.state.members.iter().filter(|(_, member)| member.voter).map(|(id, _)| *id)
     }
 
-    /// Adds a new member, as a learner.
+    /// Adds a new member as a learner.
     fn add(&self) -> Option<MembershipStep> {
         let (id, member) = self.wanted.iter().find(|(id, _)| !self.state.members.contains_key(id))?;
         Some(MembershipStep::Change(Change::Add { id: *id, site: member.site.clone() }))
     }
 
-    /// Promotes a learner that is to vote, once it has caught up and answers.
+    /// Promotes a learner that should be a voter, once it is active and has caught up.
     fn promote(&self) -> Option<MembershipStep> {
         let learners = self.state.members.iter().filter(|(_, member)| !member.voter).map(|(id, _)| *id);
         let candidates: Vec<MemberId> = learners.filter(|id| self.wants_vote(*id)).collect();
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Demotes or removes a voter that is not to vote, once the others have their quorum without it.
+    /// Demotes or removes a voter that should not be one, once the others have a quorum without it.
     fn retire_voter(&self) -> Option<MembershipStep> {
         let retired: Vec<MemberId> = self.voters().filter(|id| !self.wants_vote(*id)).collect();
         let Some(id) = retired.iter().copied().find(|id| self.has_quorum_without(*id)) else {
@@ -114,7 +117,7 @@
         !others.is_empty() && 2 * active.count() > others.len()
     }
 
-    /// A change of this member; a leader transfers its leadership before it changes itself.
+    /// Returns the step for a change of this member; a leader first transfers its leadership.
     fn change(&self, id: MemberId, change: Change) -> MembershipStep {
         if id == self.leader {
             MembershipStep::TransferLeadership
--- a/src/federation/mod.rs
+++ b/src/federation/mod.rs
@@ -1,12 +1,17 @@
-//! What the edge proxies of a federation agree on: a log that a majority of voters keeps (Raft, Ongaro and Ousterhout
-//! 2014), and the state that all of them make of it. It runs on a thread of its own; the data path never waits for
-//! it.
+//! Replicates state between the edge proxies of a federation: a log that a majority of voters stores (Raft,
+//! Ongaro and Ousterhout 2014), and the state that results from it. The federation runs on its own thread;
+//! the data path never waits for it.
 //!
-//! Decisions do no I/O; ticks and messages are passed in: [`node`] is one member (the consensus itself is the `raft`
-//! crate's), [`state`] the replicated state machine, [`membership`] plans changes of the members, [`duties`] are
-//! leases, [`backoff`] the pauses between retries. [`store`] is the durable log, [`wire`] and [`hello`] are the
-//! protocol between members, [`runtime`] ties them to sockets and a thread. Design and operators' page:
-//! docs/federation.md.
+//! These modules do no I/O; ticks and messages are passed in:
+//!
+//! - [`node`]: one member; consensus is implemented by the `raft` crate.
+//! - [`state`]: the replicated state machine.
+//! - [`membership`]: plans membership changes.
+//! - [`duties`]: leases.
+//! - [`backoff`]: the pauses between retries.
+//!
+//! [`store`] is the durable log, [`wire`] and [`hello`] are the protocol between members, and [`runtime`]
+//! connects them to sockets and a thread. The design and the operators' page are in docs/federation.md.
 
 pub mod backoff;
 pub mod duties;
--- a/src/federation/node.rs
+++ b/src/federation/node.rs
@@ -1,10 +1,12 @@
-//! One Raft member without I/O: it takes ticks and messages, and returns messages whose promises are stored already.
-//! Consensus is the `raft` crate's `RawNode`, with pre-vote and check-quorum: a member that was partitioned away does
-//! not disrupt the others when it returns, and a leader that loses contact with its quorum steps down.
+//! One Raft member without I/O: it handles ticks and messages, and returns messages to send. The state that a
+//! message depends on is stored before the message is returned.
+//!
+//! Consensus is the `raft` crate's `RawNode`, with pre-vote and check-quorum: a partitioned member does not
+//! disrupt the others when it returns, and a leader that loses contact with its quorum steps down.
 //!
 //! - [`Node`]: ticks and messages.
 //! - `ready`: the ready loop (store, apply, send, advance) and snapshots.
-//! - `apply`: committed entries.
+//! - `apply`: applies committed entries.
 //! - `proposals`: commands, membership changes and leadership transfer.
 //! - `status`: read access.
 //! - `codec`: the encoding of commands, changes and states in the log.
@@ -28,50 +30,52 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes of entries in one message, but for a single larger one.
+/// The maximum size of the entries in one message, in bytes; a single larger entry is still sent.
 const MAX_APPEND_BYTES: u64 = 64 * 1024;
-/// Messages of entries to one member that may be unanswered.
+/// The maximum number of unanswered append messages to one member.
 const MAX_INFLIGHT: usize = 16;
-/// Bytes of proposals that may wait for their commit at a leader; beyond it proposals are rejected.
+/// The maximum size of a leader's uncommitted proposals, in bytes; beyond it proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
-/// Where a member's log is stored.
+/// The durable storage of a member's log.
 pub trait DurableStorage {
-    /// Why a step was not stored.
+    /// Why an update was not stored.
     type Error: std::error::Error + Send + Sync + 'static;
-    /// Stores a step; it is durable when this returns.
+    /// Stores an update, which is durable when this returns.
     ///
     /// # Errors
     ///
-    /// It is unknown whether the step is stored: the member must be restarted from its store.
+    /// Returns an error if the update may not be stored. Whether it is stored is then unknown, so the member
+    /// must be restarted from its store.
     fn save(&mut self, update: &LogUpdate) -> Result<(), Self::Error>;
 }
 
-/// Election and heartbeat timeouts in ticks, and when the log is compacted.
+/// The election timeout and heartbeat interval in ticks, and when the log is compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// The minimum election timeout, ticks; each timeout is drawn from here up to twice as many.
+    /// The minimum election timeout, in ticks. Each timeout is drawn at random from this to less than twice
+    /// as many.
     pub election_ticks: usize,
-    /// Ticks between a leader's heartbeats.
+    /// The interval between a leader's heartbeats, in ticks.
     pub heartbeat_ticks: usize,
-    /// Entries after which the log is replaced by a snapshot.
+    /// The number of applied entries after which they are replaced by a snapshot.
     pub compact_after: u64,
 }
 
 /// Why a member cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// What is stored is not what a member can have stored.
-    #[error("the log: {0}")]
+    /// The stored log is inconsistent.
+    #[error("the stored log is inconsistent: {0}")]
     Log(#[from] LogError),
-    /// A snapshot cannot be decoded.
-    #[error("the log: the snapshot: {0}")]
+    /// A snapshot, stored or received, cannot be decoded.
+    #[error("the snapshot cannot be decoded: {0}")]
     Snapshot(postcard::Error),
-    /// The consensus library reports an error.
-    #[error("consensus: {0}")]
+    /// The `raft` crate returned an error.
+    #[error("the consensus library returned an error: {0}")]
     Consensus(#[from] raft::Error),
-    /// A step could not be stored.
-    #[error("the store: {0}")]
+    /// An update of the log could not be stored.
+    #[error("the log update could not be stored: {0}")]
     Storage(#[source] Box<dyn std::error::Error + Send + Sync>),
 }
 
@@ -81,7 +85,7 @@
     }
 }
 
-/// An election timeout that this module drew, and the term and role for which it holds.
+/// An election timeout drawn by [`Node`], and the term and role that it applies to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ElectionTimeout {
     ticks: usize,
@@ -92,37 +96,38 @@
 /// A command that was committed and applied to the state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedCommand {
-    /// Its index in the log.
+    /// The log index of the command's entry.
     pub index: LogIndex,
-    /// The command.
+    /// The command as it was proposed.
     pub command: Command,
 }
 
-/// How far a member's log reaches.
+/// The last, committed and applied index of a member's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogIndexes {
     /// The index of the last entry.
     pub last: LogIndex,
     /// The index up to which the log is committed.
     pub committed: LogIndex,
-    /// The index of the entry that was applied last.
+    /// The index of the last applied entry.
     pub applied: LogIndex,
 }
 
 /// An event that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// The leader changed, or was lost, in this term.
+    /// The leader changed, or contact to it was lost.
     LeaderChanged(Leadership),
-    /// A change of the members was applied.
+    /// A membership change was applied.
     MembersChanged(Change),
-    /// The entry at this index cannot be decoded by this version and was skipped.
+    /// The entry at this index was skipped: this version cannot decode it, or the state does not allow its
+    /// change.
     UnknownEntry(LogIndex),
-    /// The state was replaced by a snapshot of this index.
+    /// The state was replaced by the leader's snapshot at this index.
     SnapshotInstalled(LogIndex),
 }
 
-/// A member.
+/// A Raft member: its log, the replicated state and the events to report.
 pub struct Node {
     id: MemberId,
     raw_node: RawNode<CachedLog>,
@@ -130,18 +135,18 @@
     conf_state: ConfState,
     state: State,
     applied: LogIndex,
-    /// Its own removal was applied, so it is stopped: the library assumes that a leader is a member, and a leader that
-    /// applied its own removal would go on leading.
+    /// Whether the member's own removal was applied. It then does nothing more: the `raft` crate assumes that
+    /// a leader is a member, so a leader that applied its own removal would go on leading.
     removed: bool,
     random: ChaCha8Rng,
     election_timeout: ElectionTimeout,
     leader: Leadership,
     events: Vec<NodeEvent>,
-    /// The commands that were applied since they were last taken.
+    /// The commands applied since the last call of [`Node::take_applied_commands`].
     applied_commands: Vec<AppliedCommand>,
 }
 
-/// The log with which a founding member starts: a snapshot of the initial state at the first index.
+/// Returns the log that a founding member starts with: a snapshot of the initial state at index 1.
 pub fn founding_log(state: &State) -> StoredLog {
     let ids = |voter: bool| {
         let members = state.members.iter().filter(|(_, member)| member.voter == voter);
@@ -166,7 +171,8 @@
     ///
     /// # Errors
     ///
-    /// What is stored is no member's log, or the tuning makes no sense.
+    /// Returns an error if the log is inconsistent, its snapshot cannot be decoded, or the `raft` crate
+    /// rejects the tuning.
     pub fn new(id: MemberId, stored: StoredLog, tuning: Tuning, seed: u64) -> Result<Self, NodeError> {
         stored.check()?;
         let state = decode_state(&stored.snapshot)?;
@@ -204,8 +210,8 @@
         Ok(node)
     }
 
-    /// Runs after each step of the library: replaces a new election timeout by one from the seeded generator, since the
-    /// library draws from the system's randomness, and records a change of leader.
+    /// Runs after each call that steps the `raft` crate. Replaces a new election timeout by one from the
+    /// seeded generator, since the crate draws from the system's randomness, and records a change of leader.
     fn after_step(&mut self) {
         let raft = &mut self.raw_node.raft;
         let current = ElectionTimeout {
@@ -239,7 +245,8 @@
     ///
     /// # Errors
     ///
-    /// The message is for another member, or violates the protocol; it is ignored.
+    /// Returns an error if the message is addressed to another member or violates the protocol; it is then
+    /// ignored.
     pub fn step(&mut self, message: &MessageRecord) -> Result<(), MessageError> {
         if message.to != self.id || message.from == self.id {
             return Err(MessageError::WrongAddress);
@@ -252,20 +259,21 @@
         if message.kind == MessageKind::Heartbeat && message.commit.0 > log.last_index() {
             return Err(MessageError::CommitsUnsent);
         }
-        // What the library ignores itself (an old term, a removed member) is no error here.
+        // Messages that the `raft` crate itself ignores (an old term, a removed member) are not errors here.
         let _ = self.raw_node.step(message.to_raft());
         self.after_step();
         Ok(())
     }
 
-    /// Reports that a message to a member could not be sent.
+    /// Tells the `raft` crate that a message to a member could not be sent.
     pub fn report_unreachable(&mut self, id: MemberId) {
         if !self.removed {
             self.raw_node.report_unreachable(id.0);
         }
     }
 
-    /// Reports whether a snapshot was sent to a member: the library sends nothing more to it until then.
+    /// Tells the `raft` crate whether a snapshot was sent to a member; until then it sends that member no
+    /// more entries.
     pub fn report_snapshot(&mut self, id: MemberId, sent: bool) {
         if self.removed {
             return;
--- a/src/federation/node/apply.rs
+++ b/src/federation/node/apply.rs
@@ -13,7 +13,7 @@
             self.applied = LogIndex(entry.index);
             let record = EntryRecord::from(entry);
             match record.kind {
-                EntryKind::Normal if record.data.is_empty() => {} // a new leader's first
+                EntryKind::Normal if record.data.is_empty() => {} // a new leader's first entry
                 EntryKind::Normal => self.apply_command(&record),
                 EntryKind::Change => self.apply_change(&record),
             }
--- a/src/federation/node/codec.rs
+++ b/src/federation/node/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of commands, changes and states in the log, and the library's form of a change.
+//! The encoding of commands, changes and states in the log, and the `raft` crate's form of a change.
 
 use super::NodeError;
 use crate::federation::records::SnapshotRecord;
@@ -8,11 +8,13 @@
 use serde::Serialize;
 
 pub(super) fn encode(value: &impl Serialize) -> Vec<u8> {
-    // Only maps of unknown length and the like have no encoding; these types have none.
+    // Encoding cannot fail here: it fails only for such things as sequences of unknown length, which these
+    // types do not contain.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// The state of a snapshot; index 0 is that of a member that has received nothing yet.
+/// Decodes the state of a snapshot. Index 0 means a member that has received nothing yet, and gives an empty
+/// state.
 pub(super) fn decode_state(snapshot: &SnapshotRecord) -> Result<State, NodeError> {
     if snapshot.index == LogIndex(0) {
         return Ok(State::default());
@@ -20,7 +22,7 @@
     postcard::from_bytes(&snapshot.data).map_err(NodeError::Snapshot)
 }
 
-/// A change as the library knows it.
+/// Converts a change to the `raft` crate's form.
 pub(super) fn conf_change(change: &Change) -> ConfChange {
     let (kind, id) = match change {
         Change::Add { id, .. } | Change::Demote(id) => (ConfChangeType::AddLearnerNode, *id),
--- a/src/federation/node/proposals.rs
+++ b/src/federation/node/proposals.rs
@@ -1,15 +1,16 @@
-//! What a leader proposes: commands, changes of the members, and another leader.
+//! Proposals of a leader: commands, membership changes and leadership transfer.
 
 use super::codec::{conf_change, encode};
 use super::Node;
 use crate::federation::membership::{self, MembershipStep};
 use crate::federation::state::{Change, Command, Roster};
 
-/// Bytes of one command.
+/// The maximum size of one encoded command, in bytes.
 const MAX_COMMAND_BYTES: usize = 32 * 1024;
 
 impl Node {
-    /// Proposes a command; `false`: this member does not lead, or too much waits already.
+    /// Proposes a command. Returns `false` if this member is not the leader, the command is too long, or the
+    /// `raft` crate rejects it, such as when too many uncommitted proposals are waiting.
     pub fn propose(&mut self, command: &Command) -> bool {
         let data = encode(command);
         let fits = data.len() <= MAX_COMMAND_BYTES;
@@ -18,14 +19,14 @@
         proposed
     }
 
-    /// Proposes a change of the members; `false`: the library rejects it.
+    /// Proposes a membership change. Returns `false` if the `raft` crate rejects it.
     pub(super) fn propose_change(&mut self, change: &Change) -> bool {
         let proposed = self.raw_node.propose_conf_change(encode(change), conf_change(change)).is_ok();
         self.after_step();
         proposed
     }
 
-    /// Takes the next step to the members of a file, where this member leads and the step before is over.
+    /// Proposes the next step towards the members of a file, if this member leads and no change is pending.
     pub fn reconcile(&mut self, revision: u64, wanted: &Roster) {
         if !self.is_leader() || self.raw_node.raft.has_pending_conf() {
             return;
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Hands the lead to the voter that lags least; `false`: this member does not lead, or there is no such voter.
+    /// Transfers leadership to the active voter with the smallest lag. Returns `false` if this member is not
+    /// the leader, or no other voter is active.
     pub fn transfer_leadership(&mut self) -> bool {
         let progress = self.progress();
         let others = self.state.members.iter().filter(|(id, member)| member.voter && **id != self.id);
--- a/src/federation/node/ready.rs
+++ b/src/federation/node/ready.rs
@@ -1,4 +1,4 @@
-//! The ready loop: what the consensus library has ready is stored, applied and sent, in the order that it requires.
+//! The ready loop: stores, applies and sends what the `raft` crate has ready, in the order that it requires.
 
 use super::codec::{decode_state, encode};
 use super::{DurableStorage, Node, NodeError, NodeEvent};
@@ -8,13 +8,13 @@
 use raft::{LightReady, Ready};
 
 impl Node {
-    /// Processes all that the consensus library has ready: stores it, applies committed entries, and returns the
-    /// messages that may be sent now that their promises are durable.
+    /// Processes everything that the `raft` crate has ready: stores it, applies committed entries, and
+    /// returns the messages to send. The state that they depend on is durable by then.
     ///
     /// # Errors
     ///
-    /// A step could not be stored, or a snapshot not be decoded: no message may be sent, and this member must be
-    /// restarted.
+    /// Returns an error if an update cannot be stored or a snapshot cannot be decoded. No message may then be
+    /// sent, and this member must be restarted.
     pub fn process_ready(
         &mut self,
         storage: &mut impl DurableStorage,
@@ -31,7 +31,7 @@
         Ok(messages)
     }
 
-    /// Handles one round of the library's, in the order that it asks for: store, apply, send, advance.
+    /// Handles one `Ready` in the order that the `raft` crate requires: store, apply, send, advance.
     fn handle_ready(
         &mut self,
         mut ready: Ready,
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Replaces the state by a leader's snapshot.
+    /// Replaces the state by the leader's snapshot.
     fn install(&mut self, snapshot: &SnapshotRecord) -> Result<(), NodeError> {
         self.state = decode_state(snapshot)?;
         self.applied = snapshot.index;
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Replaces the log by a snapshot where it is long enough, or a member needs a newer one.
+    /// Replaces applied entries by a snapshot if there are enough of them, or a member needs a newer
+    /// snapshot.
     fn compact(&mut self, storage: &mut impl DurableStorage) -> Result<(), NodeError> {
         let base = self.raw_node.store().newest_snapshot().index;
         let wanted = self.raw_node.store().take_snapshot_request() && self.applied > base;
--- a/src/federation/node/status.rs
+++ b/src/federation/node/status.rs
@@ -8,35 +8,35 @@
 use std::collections::BTreeMap;
 
 impl Node {
-    /// The events since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<NodeEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The commands that were applied since the last call.
+    /// Returns the commands that were applied since the last call.
     pub fn take_applied_commands(&mut self) -> Vec<AppliedCommand> {
         std::mem::take(&mut self.applied_commands)
     }
 
-    /// This member's id.
+    /// Returns this member's id.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// Whether this member leads.
+    /// Returns whether this member is the leader.
     pub fn is_leader(&self) -> bool {
         !self.removed && self.raw_node.raft.state == StateRole::Leader
     }
 
-    /// The leader as this member knows it, and the term. A removed member knows none: it may have been the leader
-    /// itself.
+    /// Returns the leader that this member knows, and the term. A removed member knows no leader, since it
+    /// may have been the leader itself.
     pub fn leadership(&self) -> Leadership {
         let raft = &self.raw_node.raft;
         let leader = if self.removed { MemberId::NONE } else { MemberId(raft.leader_id) };
         Leadership { leader, term: Term(raft.term) }
     }
 
-    /// This member's role, in a word.
+    /// Returns the name of this member's role.
     pub fn role(&self) -> &'static str {
         match self.raw_node.raft.state {
             _ if self.removed => "removed",
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The replicated state, as far as the log is applied.
+    /// Returns the replicated state after the last applied entry.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The indexes of the log as this member has it.
+    /// Returns the last, committed and applied index of this member's log.
     pub fn log_indexes(&self) -> LogIndexes {
         let log = &self.raw_node.raft.raft_log;
         LogIndexes {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// How far the members are, where this member leads; empty elsewhere.
+    /// Returns the replication progress of all members; empty if this member is not the leader.
     pub fn progress(&self) -> BTreeMap<MemberId, Progress> {
         if !self.is_leader() {
             return BTreeMap::new();
--- a/src/federation/records.rs
+++ b/src/federation/records.rs
@@ -1,10 +1,12 @@
-//! The records that are sent to other members and stored on disk, as plain types for serde.
+//! Serde types for what is sent to other members and stored on disk.
 //!
-//! The `raft` crate's own messages are protobuf 2, which must never parse a peer's bytes (unbounded recursion,
-//! RUSTSEC-2024-0437). Records are encoded by position: the order of fields and variants is part of the format.
+//! The `raft` crate's own messages use protobuf 2, which must never parse bytes from a peer (unbounded
+//! recursion, RUSTSEC-2024-0437). Records are encoded by position, so the order of fields and variants is
+//! part of the format.
 //!
-//! - `hard_state`, `entry`, `snapshot`: what is stored.
-//! - `message`, `message_kind`: what is sent; `message_error`: why a message is ignored.
+//! - `hard_state`, `entry`, `snapshot`: stored records.
+//! - `message`, `message_kind`: messages between members.
+//! - `message_error`: reasons why a message is ignored.
 
 mod entry;
 mod hard_state;
--- a/src/federation/records/entry.rs
+++ b/src/federation/records/entry.rs
@@ -7,25 +7,25 @@
 /// The kind of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// A command, or nothing (the first entry of a new leader).
+    /// A command, or empty: the first entry of a new leader.
     Normal,
-    /// A membership change, encoded in [`EntryRecord::context`]; the bytes in `data` are the library's and not read
-    /// here.
+    /// A membership change, encoded in [`EntryRecord::context`]. The `data` belongs to the `raft` crate and
+    /// is not read here.
     Change,
 }
 
 /// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
-    /// Its kind.
+    /// Whether `data` or `context` holds the entry's content.
     pub kind: EntryKind,
     /// The term of the leader that proposed it.
     pub term: Term,
-    /// Its index, from 1.
+    /// The entry's index, from 1.
     pub index: LogIndex,
-    /// The encoded command.
+    /// The encoded command; empty for the first entry of a new leader.
     pub data: Vec<u8>,
-    /// The encoded membership change.
+    /// The encoded membership change; empty for a normal entry.
     pub context: Vec<u8>,
 }
 
--- a/src/federation/records/hard_state.rs
+++ b/src/federation/records/hard_state.rs
@@ -1,17 +1,18 @@
-//! The persistent state of a member apart from its log.
+//! The persistent state of a member besides its log.
 
 use crate::federation::{LogIndex, MemberId, Term};
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// What a member must persist before it responds (Raft, figure 2), and the commit index that it knows.
+/// The state that a member must persist before it responds (Raft, figure 2), and the commit index that it
+/// knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term that it has seen.
+    /// The latest term that the member has seen.
     pub term: Term,
-    /// The candidate that it voted for in that term, or [`MemberId::NONE`].
+    /// The candidate that the member voted for in that term, or [`MemberId::NONE`].
     pub vote: MemberId,
-    /// The commit index.
+    /// The index of the last entry known to be committed.
     pub commit: LogIndex,
 }
 
--- a/src/federation/records/message.rs
+++ b/src/federation/records/message.rs
@@ -1,11 +1,11 @@
-//! Messages between members, and the check that one follows the protocol.
+//! Messages between members, and the check that a message follows the protocol.
 
 use super::{EntryRecord, MessageError, MessageKind, SnapshotRecord};
 use crate::federation::{LogIndex, MemberId, Term};
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// A message between members; the fields are the library's.
+/// A message between members; the fields are those of the `raft` crate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct MessageRecord {
@@ -27,7 +27,7 @@
 }
 
 impl MessageRecord {
-    /// The record of a message that goes to a peer; `None` for kinds that never leave a member.
+    /// Converts a message of the `raft` crate; returns `None` for kinds that are never sent to a peer.
     pub fn from_raft(message: &eraftpb::Message) -> Option<Self> {
         let snapshot = message.get_snapshot();
         Some(MessageRecord {
@@ -49,11 +49,11 @@
         })
     }
 
-    /// Checks that the message follows the protocol: the library takes some of this for granted.
+    /// Checks that the message follows the protocol; the `raft` crate assumes some of this without checking.
     ///
     /// # Errors
     ///
-    /// The rule that it violates.
+    /// Returns the first rule that the message violates.
     pub fn check(&self) -> Result<(), MessageError> {
         if self.term == Term(0) {
             return Err(MessageError::NoTerm);
@@ -65,7 +65,8 @@
         self.check_snapshot()
     }
 
-    /// Checks that the entries follow the message's index without a gap, in order of their terms.
+    /// Checks that the entries follow the message's index without a gap, and that their terms never decrease
+    /// or exceed the message's.
     fn check_entries(&self) -> Result<(), MessageError> {
         let first = self.index.0.checked_add(1).ok_or(MessageError::IndexOutOfRange)?;
         let mut term = self.log_term;
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    /// Checks that a snapshot message, and no other, has a usable snapshot.
+    /// Checks that a snapshot message has a usable snapshot, and any other message has none.
     fn check_snapshot(&self) -> Result<(), MessageError> {
         let snapshot = self.snapshot.as_ref();
         if self.kind == MessageKind::Snapshot
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// The library's message.
+    /// Converts the record to a message of the `raft` crate.
     pub fn to_raft(&self) -> eraftpb::Message {
         let mut message = eraftpb::Message {
             to: self.to.0,
--- a/src/federation/records/message_error.rs
+++ b/src/federation/records/message_error.rs
@@ -1,30 +1,30 @@
 //! Protocol violations.
 
-/// Why a message is ignored: no member that follows the protocol sends it.
+/// Why a message is ignored; no member that follows the protocol sends such a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It is addressed to another member, or from this one.
-    #[error("it is another member's")]
+    /// The message is addressed to another member, or claims to come from this one.
+    #[error("the message is addressed to another member, or claims to come from this one")]
     WrongAddress,
-    /// It has no term.
-    #[error("no term")]
+    /// The message's term is 0.
+    #[error("the message has no term")]
     NoTerm,
-    /// Its index has no successor.
-    #[error("an index out of range")]
+    /// The message's index is the maximum and has no successor.
+    #[error("the message's index is out of range")]
     IndexOutOfRange,
-    /// It is no append and has entries.
-    #[error("entries where none belong")]
+    /// The message has entries, but is not an append.
+    #[error("the message has entries, but is not an append")]
     UnexpectedEntries,
-    /// Its entries do not follow each other.
-    #[error("entries out of their order")]
+    /// The message's entries have a gap, or their terms are out of order.
+    #[error("the message's entries are out of order")]
     EntriesOutOfOrder,
-    /// It is a snapshot message without a usable snapshot.
-    #[error("a snapshot without a place or voters")]
+    /// The snapshot message has no snapshot, or one without voters or of a later term than the message's.
+    #[error("the message has no snapshot, or one without voters or of a later term")]
     IncompleteSnapshot,
-    /// It is no snapshot message and has a snapshot.
-    #[error("a snapshot where none belongs")]
+    /// The message has a snapshot, but is not a snapshot message.
+    #[error("the message has a snapshot, but is of another kind")]
     UnexpectedSnapshot,
-    /// It commits entries that this member was never sent.
-    #[error("it commits what was not sent")]
+    /// The heartbeat commits entries that this member has not received.
+    #[error("the heartbeat's commit index is past the end of the log")]
     CommitsUnsent,
 }
--- a/src/federation/records/message_kind.rs
+++ b/src/federation/records/message_kind.rs
@@ -3,10 +3,10 @@
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// Declares the kinds of message that members send each other; no other kind is accepted from a peer.
+/// Declares the message kinds that members exchange; no other kind is accepted from a peer.
 macro_rules! message_kinds {
     ($($name:ident = $raft:ident),*) => {
-        /// The kind of a message.
+        /// The kind of a message; the names follow the `raft` crate's.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
         #[allow(missing_docs)]
         pub enum MessageKind { $($name),* }
--- a/src/federation/records/snapshot.rs
+++ b/src/federation/records/snapshot.rs
@@ -4,12 +4,12 @@
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// The state at an index of the log; it replaces all entries up to that index.
+/// The replicated state at a log index; it replaces all entries up to that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The last included index; 0 for no snapshot.
+    /// The index of the last entry that the snapshot includes; 0 for no snapshot.
     pub index: LogIndex,
-    /// The last included term.
+    /// The term of the last entry that the snapshot includes.
     pub term: Term,
     /// The voters at that index.
     pub voters: Vec<MemberId>,
@@ -50,13 +50,13 @@
 }
 
 impl SnapshotRecord {
-    /// An empty snapshot with the members that the library knows.
+    /// Returns an empty snapshot with the voters and learners of the `raft` crate's configuration.
     pub fn with_members(conf: &eraftpb::ConfState) -> Self {
         let (voters, learners) = (typed_ids(&conf.voters), typed_ids(&conf.learners));
         SnapshotRecord { voters, learners, ..SnapshotRecord::default() }
     }
 
-    /// Its members as the library knows them.
+    /// Returns the voters and learners as the `raft` crate's configuration.
     pub fn conf_state(&self) -> eraftpb::ConfState {
         (bare_ids(&self.voters), bare_ids(&self.learners)).into()
     }
--- a/src/federation/settings.rs
+++ b/src/federation/settings.rs
@@ -1,13 +1,13 @@
-//! The operator's file of the federation, in HCL: one `federation` block, the same for all members but for `id`,
-//! `store` and `listen`.
+//! The operator's federation file, in HCL: one `federation` block, which is the same for all members except
+//! `id`, `store` and `listen`.
 //!
 //! ```hcl
 //! federation {
 //!   cluster  = "tabla"
 //!   id       = 1                        # which member this edge proxy is
-//!   store    = "federation.redb"        # beside this file; made by `dahliatrack federation init`
-//!   key_file = "keys/federation.secret" # one line of base64url, 16 bytes at least, the same for all
-//!   revision = 1                        # goes up by one with each change of the members
+//!   store    = "federation.redb"        # relative to this file; created by `dahliatrack federation init`
+//!   key_file = "keys/federation.secret" # one line of base64url, at least 16 bytes, the same for all
+//!   revision = 1                        # incremented with each change of the members
 //!   member "1" {
 //!     site    = "north"
 //!     address = "10.0.1.5:7400"
@@ -32,32 +32,32 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The minimum length of the shared key, bytes.
+/// The minimum length of the shared key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
-/// A member as listed in the file.
+/// A `member` block of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedMember {
-    /// Its site.
+    /// The site that the member belongs to.
     pub site: String,
     /// The address at which the others connect to it.
     pub address: SocketAddr,
-    /// Whether it is a voter.
+    /// Whether the member is a voter; the others are learners.
     pub voter: bool,
 }
 
-/// The validated settings of the file.
+/// The validated settings of the federation file.
 #[derive(Clone, Debug)]
 pub struct FederationSettings {
-    /// The federation's name.
+    /// The federation's name; connections between members of different names are rejected.
     pub cluster: String,
-    /// Which member this edge proxy is.
+    /// The member that this edge proxy is.
     pub id: MemberId,
-    /// Where it listens: its own address, unless the file says otherwise.
+    /// The address at which this member listens; by default its address in the list of members.
     pub listen: SocketAddr,
-    /// Where its store is.
+    /// The path of this member's store.
     pub store: PathBuf,
-    /// The shared key by which members authenticate each other.
+    /// The shared key with which members authenticate each other.
     pub key: Key,
     /// The revision of the list of members.
     pub revision: u64,
@@ -65,23 +65,24 @@
     pub tick: Span,
     /// Election timeout, heartbeat interval and log compaction, in ticks and entries.
     pub tuning: Tuning,
-    /// The duration of leases and the error that clocks are allowed.
+    /// The duration of leases, and the clock error that they allow for.
     pub lease_timing: LeaseTiming,
-    /// A connection on which nothing is received for this long is closed.
+    /// The time without received data after which a connection is closed.
     pub silence_timeout: Span,
-    /// The members.
+    /// The listed members, by id.
     pub members: BTreeMap<MemberId, ListedMember>,
 }
 
 impl FederationSettings {
-    /// Reads a file, and the key that it names.
+    /// Reads the settings from a file, and the key from the file that it names.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or used.
+    /// Returns an error if either file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = config::read_file(path)?;
-        let text = String::from_utf8(text).map_err(|_| ConfigError::invalid(path, "not UTF-8"))?;
+        let text =
+            String::from_utf8(text).map_err(|_| ConfigError::invalid(path, "the file is not UTF-8"))?;
         let file = path.display().to_string();
         let parsed = Self::parse(HclDocument { file: &file, text: &text });
         let (mut settings, key_file) =
@@ -92,23 +93,23 @@
         Ok(settings)
     }
 
-    /// Parses the file's text; returns the settings without the key, and the name of the key file.
+    /// Parses the file's text. Returns the settings without the key, and the path of the key file.
     ///
     /// # Errors
     ///
-    /// The first error, with its place in the file.
+    /// Returns the first error, with its position in the file.
     pub fn parse(doc: HclDocument<'_>) -> Result<(Self, String), HclError> {
         parse::parse(doc)
     }
 
-    /// The members that the file asks for.
+    /// Returns the listed members in the form that the replicated state uses.
     pub fn roster(&self) -> Roster {
         let wanted = |member: &ListedMember| WantedMember { site: member.site.clone(), voter: member.voter };
         self.members.iter().map(|(id, member)| (*id, wanted(member))).collect()
     }
 
-    /// The state that the founders begin with: equal files found equal federations, and others find out by its
-    /// identity.
+    /// Returns the state that the founders start with. Equal files give equal federations; founders with
+    /// different files detect it by the identity.
     pub fn founding_state(&self) -> State {
         let mut digest = Sha256::new();
         digest.update(self.cluster.as_bytes());
@@ -120,7 +121,7 @@
         State::founded(identity, self.revision, &self.roster())
     }
 
-    /// The first setting of a new file that differs and cannot change in service, if any.
+    /// Returns the first setting that differs in `new` and cannot be changed without a restart, if any.
     pub fn first_fixed_change(&self, new: &FederationSettings) -> Option<FixedSetting> {
         let settings = [
             ("cluster", self.cluster != new.cluster),
@@ -140,14 +141,14 @@
     let text = config::read_file(path)?;
     let text = String::from_utf8_lossy(&text);
     let bytes = BASE64_URL_SAFE_NO_PAD.decode(text.trim().trim_end_matches('='));
-    let bytes = bytes.map_err(|_| ConfigError::invalid(path, "the key is no base64url"))?;
+    let bytes = bytes.map_err(|_| ConfigError::invalid(path, "the key is not base64url"))?;
     if bytes.len() < MIN_KEY_BYTES {
-        return Err(ConfigError::invalid(path, format!("the key has under {MIN_KEY_BYTES} bytes")));
+        return Err(ConfigError::invalid(path, format!("the key has fewer than {MIN_KEY_BYTES} bytes")));
     }
     Ok(Key::new(bytes))
 }
 
-/// A setting that differs in a new file and cannot change in service.
+/// A setting that differs in a new file and cannot be changed without a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} can't change in service")]
+#[error("{0} cannot be changed without a restart")]
 pub struct FixedSetting(pub &'static str);
--- a/src/federation/settings/parse.rs
+++ b/src/federation/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the text of the operator's file, with the place of what is wrong with it.
+//! Parses the text of the operator's federation file; errors have their position in it.
 
 use super::{FederationSettings, ListedMember};
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
@@ -12,21 +12,22 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Members that may vote: more only make each commit wait for more.
+/// The maximum number of voters. With more voters, each commit only waits for more answers.
 const MAX_VOTERS: usize = 7;
-/// Members in all.
+/// The maximum number of members, voters and learners together.
 const MAX_MEMBERS: usize = 1000;
-/// Clocks run apart by this part at most, unless the file says otherwise.
+/// The default of the maximum rate error of clocks, as a fraction.
 const DEFAULT_DRIFT: f64 = 0.05;
 
 type Members = BTreeMap<MemberId, ListedMember>;
 
-/// Reads the settings, and the name of the key's file.
+/// Parses the settings; returns them with the path of the key file.
 pub(super) fn parse(doc: HclDocument<'_>) -> Result<(FederationSettings, String), HclError> {
     let body = doc.parse()?;
     let mut reader = doc.reader(&body);
     let start = Position { line: 1, column: 1 };
-    let block = reader.block("federation")?.ok_or_else(|| doc.error(start, "no federation block"))?;
+    let block =
+        reader.block("federation")?.ok_or_else(|| doc.error(start, "the file has no federation block"))?;
     reader.finish()?;
     let at = doc.position(block);
     let missing = |key: &str| doc.error(at, format!("federation has no {key}"));
@@ -76,7 +77,7 @@
     Ok(reader.integer(key, min, max)?.map_or(default, |number| number.value))
 }
 
-/// A time that is given in milliseconds.
+/// Reads a duration in milliseconds.
 fn millis_or(
     reader: &mut BlockReader<'_>,
     key: &str,
@@ -88,7 +89,7 @@
 }
 
 fn parse_address(doc: &HclDocument<'_>, text: &Located<String>) -> Result<SocketAddr, HclError> {
-    let invalid = |_| doc.error(text.at, format!("{:?} is no address, as 10.0.1.5:7400", text.value));
+    let invalid = |_| doc.error(text.at, format!("{:?} is not an address such as 10.0.1.5:7400", text.value));
     text.value.parse().map_err(invalid)
 }
 
@@ -102,7 +103,7 @@
     let compact_after = integer_or(reader, "compact_after", 1000, 1, 1_000_000)?;
     if 2 * heartbeat_ticks > election_ticks {
         let at = reader.position_of("heartbeat_ticks").or(reader.position_of("election_ticks")).unwrap_or(at);
-        return Err(doc.error(at, "an election waits for two heartbeats at the least"));
+        return Err(doc.error(at, "election_ticks must be at least twice heartbeat_ticks"));
     }
     Ok(Tuning { election_ticks, heartbeat_ticks, compact_after })
 }
@@ -116,7 +117,7 @@
     let guard = millis_or(reader, "guard_ms", 200, 0, 600_000)?;
     if 2 * guard >= duration {
         let at = reader.position_of("guard_ms").or(reader.position_of("lease_ms")).unwrap_or(at);
-        return Err(doc.error(at, "guard_ms takes half of lease_ms or more"));
+        return Err(doc.error(at, "guard_ms must be less than half of lease_ms"));
     }
     let drift = reader.number("drift", 0.0, 0.5)?.map_or(DEFAULT_DRIFT, |drift| drift.value);
     Ok(LeaseTiming { duration, guard, drift })
@@ -128,16 +129,16 @@
     for block in reader.blocks("member") {
         let (id, member, address_at) = parse_member(doc, block)?;
         if let Some(other) = addresses.insert(member.address, id) {
-            return Err(doc.error(address_at, format!("member {other} has this address, too")));
+            return Err(doc.error(address_at, format!("member {other} has the same address")));
         }
         if members.insert(id, member).is_some() {
-            return Err(doc.error(doc.position(block), format!("a second member {id}")));
+            return Err(doc.error(doc.position(block), format!("member {id} is defined twice")));
         }
     }
     Ok(members)
 }
 
-/// A member, with the place of its address.
+/// Parses a member; returns it with the position of its address.
 fn parse_member(
     doc: &HclDocument<'_>,
     block: &Block,
@@ -146,7 +147,9 @@
     let number = |label: &BlockLabel| label.as_str().parse().ok().map(MemberId).filter(|id| id.is_some());
     let numbers: Vec<Option<MemberId>> = block.labels.iter().map(number).collect();
     let [Some(id)] = numbers[..] else {
-        return Err(doc.error(at, "a member is named by its number: member \"1\" { ... }"));
+        return Err(
+            doc.error(at, "a member block must have the member's id as its label: member \"1\" { ... }")
+        );
     };
     let mut reader = doc.reader(&block.body);
     let missing = |key: &str| doc.error(at, format!("member {id} has no {key}"));
@@ -161,10 +164,12 @@
 fn check_counts(doc: &HclDocument<'_>, at: Position, members: &Members) -> Result<(), HclError> {
     let voters = members.values().filter(|member| member.voter).count();
     if !(1..=MAX_VOTERS).contains(&voters) {
-        return Err(doc.error(at, format!("{voters} voters; 1 to {MAX_VOTERS} may vote")));
+        return Err(doc.error(at, format!("{voters} voters are listed; there must be 1 to {MAX_VOTERS}")));
     }
     if members.len() > MAX_MEMBERS {
-        return Err(doc.error(at, format!("{} members, over {MAX_MEMBERS}", members.len())));
+        return Err(
+            doc.error(at, format!("{} members are listed; at most {MAX_MEMBERS} are allowed", members.len()))
+        );
     }
     Ok(())
 }
--- a/src/federation/state.rs
+++ b/src/federation/state.rs
@@ -1,4 +1,5 @@
-//! The replicated state machine: the members of the federation and the leases of duties. Equal logs make equal states.
+//! The replicated state machine: the members of the federation and the leases of duties. Equal logs produce
+//! equal states.
 
 use super::MemberId;
 use serde::{Deserialize, Serialize};
@@ -7,34 +8,35 @@
 /// A member in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its site.
+    /// The site that the member belongs to.
     pub site: String,
-    /// Whether it is a voter; the others are learners.
+    /// Whether the member is a voter; the others are learners.
     pub voter: bool,
-    /// The incarnation of its first store. Another store under the same id has forgotten its votes, and is rejected.
+    /// The incarnation of the member's first store; `None` until that is enrolled. Any other store under the
+    /// same id has lost the member's votes, and is rejected.
     pub incarnation: Option<u64>,
 }
 
-/// A member that the operator's file asks for.
+/// A member as the operator's file lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedMember {
-    /// Its site.
+    /// The site that the member belongs to.
     pub site: String,
-    /// Whether it is to vote.
+    /// Whether the member should be a voter.
     pub voter: bool,
 }
 
-/// The members that the operator's file asks for, by id.
+/// The members that the operator's file lists, by id.
 pub type Roster = BTreeMap<MemberId, WantedMember>;
 
-/// A membership change of one server, through the log.
+/// A membership change of one member, replicated as a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Adds a member, as a learner.
+    /// Adds a member as a learner.
     Add {
-        /// The member.
+        /// The id of the new member.
         id: MemberId,
-        /// Its site.
+        /// The site that the new member belongs to.
         site: String,
     },
     /// Makes a learner a voter.
@@ -48,110 +50,110 @@
 /// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Enrols the store of a member; the first one counts.
+    /// Enrols the store of a member; only the first enrolment takes effect.
     Enrol {
-        /// The member.
+        /// The member whose store it is.
         id: MemberId,
-        /// Its store's incarnation.
+        /// The incarnation of the store.
         incarnation: u64,
     },
-    /// Starts the change to the members of the file of this revision. A leader with an older file, which may have
-    /// missed this one, reverts nothing.
+    /// Starts the change to the members that the file of this revision lists. From then on a leader with an
+    /// older file, which may have missed this one, does not revert the change.
     RevisionStarted {
-        /// The file's revision.
+        /// The revision of the file.
         revision: u64,
     },
-    /// Completes the change: the members are those of the file of this revision.
+    /// Completes the change: the members are those that the file of this revision lists.
     RevisionApplied {
-        /// The file's revision.
+        /// The revision of the file.
         revision: u64,
     },
-    /// Requests the lease of a duty that is free.
+    /// Requests the lease of a duty that nobody holds.
     Acquire {
-        /// The duty.
+        /// The duty's name.
         duty: String,
-        /// The member.
+        /// The member that requests the lease.
         id: MemberId,
-        /// The request's number at that member.
+        /// The number that the member gave the request.
         request: u64,
     },
     /// Renews a lease.
     Renew {
-        /// The duty.
+        /// The duty's name.
         duty: String,
         /// The lease holder.
         id: MemberId,
-        /// The fencing token.
+        /// The fencing token of the lease.
         token: u64,
-        /// The request's number at that member.
+        /// The number that the lease holder gave the request.
         request: u64,
     },
     /// Releases a lease.
     Release {
-        /// The duty.
+        /// The duty's name.
         duty: String,
         /// The lease holder.
         id: MemberId,
-        /// The fencing token.
+        /// The fencing token of the lease.
         token: u64,
     },
-    /// Ends a lease that the leader saw run out.
+    /// Ends a lease that has expired by the leader's clock.
     Expire {
-        /// The duty.
+        /// The duty's name.
         duty: String,
-        /// The fencing token.
+        /// The fencing token of the lease.
         token: u64,
-        /// The last request that was granted: a renewal since then keeps the lease.
+        /// The last granted request that the leader saw. If the lease was renewed since, it is kept.
         request: u64,
     },
 }
 
 /// The maximum number of duties leased at once.
 pub const MAX_DUTIES: usize = 4096;
-/// The maximum length of a duty's name, bytes.
+/// The maximum length of a duty's name, in bytes.
 const MAX_DUTY_NAME: usize = 128;
 
 /// The lease of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The lease holder.
+    /// The member that the lease was granted to.
     pub holder: MemberId,
-    /// The fencing token: each grant of any duty has a higher one than all before.
+    /// The fencing token; each grant of any duty gets a higher one than all earlier grants.
     pub token: u64,
-    /// The request that was granted last.
+    /// The number of the holder's request that was granted last.
     pub request: u64,
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Identifies the federation: a digest of its name and founders; 0 while it is not known.
+    /// Identifies the federation: a digest of its name and founders; 0 while unknown.
     pub identity: u64,
-    /// The revision of the newest file whose members are in effect.
+    /// The revision of the newest file whose membership change is complete.
     pub revision: u64,
-    /// The revision of the newest file whose membership change was started.
+    /// The revision of the newest file whose membership change has been started.
     pub started_revision: u64,
-    /// The members.
+    /// The members, by id.
     pub members: BTreeMap<MemberId, Member>,
-    /// The leases, by duty.
+    /// The leases, by the duty's name.
     pub duties: BTreeMap<String, Lease>,
     /// The last fencing token that was issued.
     pub last_token: u64,
 }
 
-/// Why a store may not speak for a member.
+/// Why a store may not act as a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// The federation has no such member.
-    #[error("it is no member")]
+    /// The federation has no member with this id.
+    #[error("it is not a member of this federation")]
     NotAMember,
-    /// Another store was enrolled for this member.
-    #[error("its store is not the one that this member came with")]
+    /// Another store is enrolled for this member.
+    #[error("its store is not the one that is enrolled for this member")]
     OtherStore,
 }
 
 impl State {
-    /// The state that all founders begin with.
+    /// Returns the state that all founders start with.
     pub fn founded(identity: u64, revision: u64, founders: &Roster) -> Self {
         let member = |(id, founder): (&MemberId, &WantedMember)| {
             (*id, Member { site: founder.site.clone(), voter: founder.voter, incarnation: None })
@@ -159,7 +161,8 @@
         State { identity, revision, members: founders.iter().map(member).collect(), ..State::default() }
     }
 
-    /// Applies a command. One that means nothing (any more) changes nothing: all members must agree on that, too.
+    /// Applies a command. A command that is invalid or outdated changes nothing; this decision, too, must be
+    /// the same on all members.
     pub fn apply(&mut self, command: &Command) {
         match command {
             Command::Enrol { id, incarnation } => {
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Grants a duty that is free, under the next fencing token.
+    /// Grants the lease of a free duty, with the next fencing token.
     fn grant(&mut self, duty: &str, holder: MemberId, request: u64) {
         let fits = self.duties.len() < MAX_DUTIES && duty.len() <= MAX_DUTY_NAME;
         if fits && !self.duties.contains_key(duty) {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Whether a change can be applied: it must change something, and leave a voter.
+    /// Returns whether a change can be applied: it must have an effect and leave at least one voter.
     pub fn allows(&self, change: &Change) -> bool {
         let voters = self.members.values().filter(|member| member.voter).count();
         let votes = |id: &MemberId| self.members.get(id).map(|member| member.voter);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Applies a change that [`State::allows`].
+    /// Applies a change; [`State::allows`] must have accepted it.
     pub fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Add { id, site } => {
@@ -230,15 +233,17 @@
         }
     }
 
-    /// Checks that a store may act as a member: the state has the member, and no other store did so before.
+    /// Checks that a store may act as a member: the state has the member, and no other store is enrolled for
+    /// it.
     ///
-    /// A member that was away may not know the current members yet: one that is `listed` by a file newer than the state
-    /// is admitted, or the two would never connect. A member without any state admits whoever holds the key, since its
-    /// file may no longer list the current leader.
+    /// A member that was unreachable may not know the current members yet. It therefore admits a member that
+    /// is `listed` by a file newer than the state; otherwise the two would never connect. A member without
+    /// any state admits every member that holds the key, since its file may no longer list the current
+    /// leader.
     ///
     /// # Errors
     ///
-    /// The reason why it may not.
+    /// Returns the reason why the store may not act as the member.
     pub fn check_admission(
         &self,
         id: MemberId,
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -1,4 +1,5 @@
-//! The decisions and the bytes, one by one; whole members are played in `sim::federation` and `tests/federation`.
+//! Unit tests of the federation's decisions and encodings; whole members are tested in `sim::federation` and
+//! `tests/federation`.
 
 use super::backoff::Backoff;
 use super::hello::{Challenge, Hello, Key, Welcome};
@@ -60,7 +61,8 @@
 fn next_step_moves_members_towards_the_file() {
     let here = [(1, true), (2, true), (3, true), (4, false)];
     let all = |lag: u64, active: bool| move |id: &u64| (MemberId(*id), Progress { lag, active });
-    // The file's members, who is active with which lag beyond the leader 1, and what comes next.
+    // The members in the file, the lag and the ids of the active members besides leader 1, and the expected
+    // step.
     let change = MembershipStep::Change;
     type Case<'a> = (&'a [(u64, bool)], u64, &'a [u64], MembershipStep);
     let cases: Vec<Case> = vec![
@@ -72,11 +74,11 @@
             change(Change::Add { id: MemberId(5), site: "site-5".into() }),
         ),
         (&[(1, true), (2, true), (3, true), (4, true)], 3, &[2, 3, 4], change(Change::Promote(MemberId(4)))),
-        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], MembershipStep::Wait), // it has not caught up
-        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], MembershipStep::Wait), // it is not heard
+        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], MembershipStep::Wait), // 4 lags too far
+        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], MembershipStep::Wait), // 4 is inactive
         (&[(1, true), (2, true), (4, false)], 0, &[2, 3, 4], change(Change::Remove(MemberId(3)))),
-        (&[(1, true), (2, true), (4, false)], 0, &[2], change(Change::Remove(MemberId(3)))), // it is the one that is away
-        (&[(1, true), (2, true), (4, false)], 0, &[3], MembershipStep::Wait), // without it nothing could be committed
+        (&[(1, true), (2, true), (4, false)], 0, &[2], change(Change::Remove(MemberId(3)))), // 3 is inactive
+        (&[(1, true), (2, true), (4, false)], 0, &[3], MembershipStep::Wait), // no quorum without 3
         (&[(1, true), (2, false), (3, true), (4, false)], 0, &[2, 3], change(Change::Demote(MemberId(2)))),
         (&[(2, true), (3, true), (4, false)], 0, &[2, 3], MembershipStep::TransferLeadership),
         (&[(1, true), (2, true), (3, true)], 0, &[2, 3], change(Change::Remove(MemberId(4)))),
@@ -90,17 +92,17 @@
         assert_eq!(
             next_step(&at(1), 2, &file, MemberId(1), &progress),
             first,
-            "all know first by which file it goes"
+            "the revision is recorded first"
         );
         assert_eq!(
             next_step(&at(3), 2, &file, MemberId(1), &progress),
             MembershipStep::Wait,
-            "a newer file is under way"
+            "a change to a newer file is started"
         );
         assert_eq!(
             next_step(&state(&here), 1, &file, MemberId(1), &progress),
             MembershipStep::Wait,
-            "an old file changes nothing"
+            "an old file has no effect"
         );
     }
 }
@@ -128,7 +130,7 @@
     assert_eq!(
         (one.check_admission(MemberId(1), 11, false), one.check_admission(MemberId(1), 12, true).is_err()),
         (Ok(()), true),
-        "the first store counts"
+        "only the first store is enrolled"
     );
     assert!(
         one.check_admission(MemberId(9), 1, false).is_err()
@@ -136,7 +138,7 @@
     );
     assert!(
         State::default().check_admission(MemberId(9), 1, false).is_ok(),
-        "who knows nothing yet hears whoever holds the key"
+        "a member without any state admits every member that holds the key"
     );
     one.apply(&Command::RevisionApplied { revision: 5 });
     one.apply(&Command::RevisionApplied { revision: 4 });
@@ -173,7 +175,11 @@
             vec![entry(5, 1), EntryRecord { kind: EntryKind::Change, context: vec![7], ..entry(6, 3) }],
         ),
     ] {
-        assert_eq!(MessageRecord::from_raft(&message.to_raft()).as_ref(), Some(&message), "there and back");
+        assert_eq!(
+            MessageRecord::from_raft(&message.to_raft()).as_ref(),
+            Some(&message),
+            "the conversion to the raft crate and back is lossless"
+        );
     }
 }
 
@@ -201,14 +207,14 @@
     ] {
         assert!(!key.proves(&challenge, &changed), "{changed:?}");
     }
-    assert!(!key.proves(&Challenge { nonce: [9; 16] }, &hello), "another connection's hello");
+    assert!(!key.proves(&Challenge { nonce: [9; 16] }, &hello), "the hello belongs to another connection");
     let welcome = key.welcome(&challenge, &hello);
     assert!(key.welcomes(&challenge, &hello, &welcome));
     assert!(!key.welcomes(&challenge, &hello, &Welcome { proof: hello.proof }));
     let (mut out, mut seen) = (key.seal(&challenge, &hello, true), key.seal(&challenge, &hello, true));
-    let first = encode(&Frame::Ping, Some(&mut out)).expect("short");
-    let second =
-        encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out)).expect("short");
+    let first = encode(&Frame::Ping, Some(&mut out)).expect("within the maximum length");
+    let second = encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out))
+        .expect("within the maximum length");
     let mut input = BytesMut::from(&[&first[..], &second[..]].concat()[..]);
     assert_eq!(decode(&mut input, Some(&mut seen)), Ok(Some(Frame::Ping)));
     assert_eq!(
@@ -218,7 +224,7 @@
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
         let mut seal = key.seal(&challenge, &hello, way);
         if way {
-            // Said again, or out of its order.
+            // The frame is repeated, or out of order.
             seal.tag(b"");
             seal.tag(b"");
         }
@@ -229,7 +235,7 @@
     }
 }
 
-/// Stores and members of older versions hold and send these bytes.
+/// Stores and members of older versions contain and send these bytes, so the encodings must not change.
 #[test]
 fn record_encodings_are_stable() {
     let change = EntryRecord {
@@ -258,7 +264,7 @@
         State::founded(7, 1, &[(MemberId(1), WantedMember { site: "a".to_owned(), voter: true })].into());
     held.apply(&Command::Enrol { id: MemberId(1), incarnation: 9 });
     held.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 5 });
-    let bytes = |record: Result<Vec<u8>, postcard::Error>| record.expect("encoded");
+    let bytes = |record: Result<Vec<u8>, postcard::Error>| record.expect("the record can be encoded");
     for (encoded, wanted) in [
         (
             bytes(postcard::to_stdvec(&message)),
@@ -280,7 +286,7 @@
 #[test]
 fn decode_waits_for_whole_frames_and_rejects_bad_ones() {
     let hello = Challenge { nonce: [5; 16] };
-    let bytes = encode(&hello, None).expect("short");
+    let bytes = encode(&hello, None).expect("within the maximum length");
     let mut input = BytesMut::new();
     for byte in &bytes[..bytes.len() - 1] {
         input.extend_from_slice(&[*byte]);
@@ -294,11 +300,11 @@
         (&[2][..], WireError::Version(2)),
         (&[&[1][..], &long].concat()[..], WireError::Oversize),
         (&[1, 0, 0, 0, 1, 7], WireError::Malformed),
-        (&[&[1, 0, 0, 0, 17][..], &[0; 17]].concat()[..], WireError::Malformed), // a byte too many
+        (&[&[1, 0, 0, 0, 17][..], &[0; 17]].concat()[..], WireError::Malformed), // one byte too many
     ] {
         assert_eq!(decode::<Challenge>(&mut BytesMut::from(bytes), None), Err(wanted), "{bytes:?}");
     }
-    assert_eq!(encode(&vec![0u8; MAX_MESSAGE + 1], None), None, "a message that is too long is not sent");
+    assert_eq!(encode(&vec![0u8; MAX_MESSAGE + 1], None), None, "a message that is too long is not encoded");
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let mut bytes = vec![0; random.random_range(0..64)];
@@ -307,7 +313,7 @@
             let length = bytes.len() as u8 - 5;
             bytes[..5].copy_from_slice(&[1, 0, 0, 0, length]);
         }
-        let _ = decode::<Hello>(&mut BytesMut::from(&bytes[..]), None); // ends, whatever it is
+        let _ = decode::<Hello>(&mut BytesMut::from(&bytes[..]), None); // must return, whatever the bytes are
         let _ = postcard::from_bytes::<Frame>(&bytes);
     }
 }
@@ -327,8 +333,8 @@
         })
         .map(|line| format!("{line}\n"))
         .collect();
-    let (deployed, key) = read(deployed).expect("usable");
-    let (defaults, _) = read(&usual).expect("usable");
+    let (deployed, key) = read(deployed).expect("the settings are valid");
+    let (defaults, _) = read(&usual).expect("the settings are valid");
     assert_eq!(
         (deployed.tuning, deployed.lease_timing, deployed.tick, deployed.silence_timeout),
         (defaults.tuning, defaults.lease_timing, defaults.tick, defaults.silence_timeout)
@@ -344,11 +350,15 @@
     );
     for (from, to, wanted) in [
         ("id       = 1", "id = 9", "f.hcl:6:8: there is no member 9"),
-        ("member \"2\"", "member \"1\"", "a second member 1"),
-        ("7402", "7401", "member 1 has this address, too"),
+        ("member \"2\"", "member \"1\"", "member 1 is defined twice"),
+        ("7402", "7401", "member 1 has the same address"),
         ("heartbeat_ticks = 2", "", "no key"),
-        ("voter   = true", "voter   = false", "0 voters; 1 to 7 may vote"),
-        ("address = \"127.0.0.1:7403\"", "address = \"here\"", "\"here\" is no address"),
+        ("voter   = true", "voter   = false", "0 voters are listed; there must be 1 to 7"),
+        (
+            "address = \"127.0.0.1:7403\"",
+            "address = \"here\"",
+            "\"here\" is not an address such as 10.0.1.5:7400",
+        ),
         ("revision = 1 ", "revison = 1 ", "federation has no revision"),
     ] {
         let text = if wanted == "no key" {
--- a/src/federation/view.rs
+++ b/src/federation/view.rs
@@ -1,77 +1,78 @@
-//! The federation as the admin endpoint shows it, in JSON.
+//! The federation's status, which the admin endpoint serves as JSON.
 
 use super::{LogIndex, MemberId, Term};
 use serde::Serialize;
 
-/// A member as this one sees it.
+/// A member as seen by this member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MemberView {
-    /// The member.
+    /// The member's id, from 1.
     pub id: MemberId,
-    /// Its site.
+    /// The site that the member belongs to.
     pub site: String,
-    /// Whether it votes; the others are learners.
+    /// Whether the member is a voter; the others are learners.
     pub voter: bool,
-    /// Whether its store is enrolled: no other store may speak for it.
+    /// Whether the member's store is enrolled; any other store under its id is then rejected.
     pub enrolled: bool,
-    /// Whether this member's connection to it is up.
+    /// Whether this member's connection to that member is established.
     pub connected: bool,
-    /// Entries that it lags behind; known to the leader alone.
+    /// Number of entries by which the member lags behind the leader's log; only the leader knows it.
     pub lag: Option<u64>,
-    /// Whether it answered within the last election timeout; known to the leader alone.
+    /// Whether the member answered within the last election timeout; only the leader knows it.
     pub active: Option<bool>,
 }
 
 /// The lease of a duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DutyView {
-    /// The duty.
+    /// The duty's name.
     pub duty: String,
-    /// The lease holder.
+    /// The member that the lease was granted to.
     pub holder: MemberId,
-    /// The fencing token.
+    /// The fencing token of the lease.
     pub token: u64,
-    /// Whether this member holds the lease and may act under it now, by its own clock.
+    /// Whether this member holds the lease and may act under it now, according to its own clock.
     pub held: bool,
 }
 
-/// The federation as this member sees it.
+/// The federation as seen by this member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct View {
-    /// The federation's name.
+    /// The federation's name, from the settings.
     pub cluster: String,
-    /// This member.
+    /// This member's id.
     pub id: MemberId,
-    /// Where it listens for the other members.
+    /// The address at which this member listens for the others; `None` before it first listens.
     pub listen: Option<String>,
-    /// Why this member takes no part, if it does not; the edge proxy serves all the same.
+    /// Why this member does not take part; `None` while it does. The edge proxy serves requests in either
+    /// case.
     pub halted: Option<String>,
-    /// The current term.
+    /// This member's current term.
     pub term: Term,
-    /// The leader, 0 for none.
+    /// The leader that this member knows; 0 for none.
     pub leader: MemberId,
-    /// This member's role.
+    /// This member's role, such as `leader`; see `Node::role`.
     pub role: String,
     /// The index of the last entry of the log.
     pub last: LogIndex,
     /// The index up to which the log is committed.
     pub committed: LogIndex,
-    /// The index of the entry that was applied last.
+    /// The index of the last applied entry.
     pub applied: LogIndex,
-    /// The revision of the newest file whose members are in effect.
+    /// The revision of the newest federation file whose membership change is complete.
     pub revision: u64,
-    /// The revision of this member's own file.
+    /// The revision of this member's own federation file.
     pub file_revision: u64,
-    /// The members.
+    /// The members of the replicated state.
     pub members: Vec<MemberView>,
-    /// The leases.
+    /// The leases of the replicated state.
     pub duties: Vec<DutyView>,
-    /// Messages that were dropped: the peer's queue was full, or it was not connected.
+    /// Number of messages that were dropped because the peer's queue was full or it was not connected.
     pub dropped: u64,
-    /// Connections that were rejected.
+    /// Number of connections that were rejected.
     pub refused: u64,
-    /// Leaders that this member saw.
+    /// Number of leaders that this member has seen.
     pub elections: u64,
-    /// The longest time that the store took for one step, us; only the member's own thread waits for it.
+    /// The longest time that the store took for one update, in us; only the member's own thread waits for it.
     pub slowest_save_us: u64,
 }
--- a/tests/federation/crashes.rs
+++ b/tests/federation/crashes.rs
@@ -1,41 +1,42 @@
-//! Members that are killed in the middle of what they store: what was acknowledged is there when they start again.
+//! Tests of members that are killed while they append entries: after a restart all acknowledged entries must
+//! be there.
 
 use crate::rig::{voters, Rig};
 use dahliatrack::federation::store::Store;
 use dahliatrack::federation::MemberId;
 use serde_json::Value;
 
-/// Kills of one federation.
+/// Number of times that the members are killed.
 const ROUNDS: u64 = 6;
-/// Entries that are committed between two kills, at the least.
+/// The minimum number of entries committed between two kills.
 const ENTRIES: u64 = 4;
 
 fn number(view: &Value, key: &str) -> u64 {
     view[key].as_u64().expect("a number")
 }
 
-/// Leases so short that they are renewed, and entries appended, many times a second.
+/// Starts a federation whose leases are so short that renewals append entries many times a second.
 fn rig(name: &str, count: u64) -> Rig {
     Rig::with_files(name, voters(1..=count), |text| {
         text.replace("tick_ms = 40", "lease_ms = 300\n guard_ms = 10\n tick_ms = 5")
     })
 }
 
-/// Waits until a member has committed so many entries since `from`, and gives its view of that moment.
+/// Waits until a member has committed [`ENTRIES`] more entries than `from`; returns its view at that moment.
 fn wait_for_entries(rig: &Rig, id: u64, from: u64) -> Value {
     rig.wait_for_view(id, "entries are committed", |view| number(view, "committed") >= from + ENTRIES)
 }
 
-/// What a member that was killed has stored: it holds at least what its view showed.
+/// Checks that a killed member has stored at least what its view showed; returns the last stored index.
 fn check_stored(rig: &Rig, id: u64, view: &Value) -> u64 {
     let path = rig.folder(id).join("federation.redb");
-    let (_, saved) = Store::open(&path, "tests", MemberId(id)).expect("usable after a kill");
+    let (_, saved) = Store::open(&path, "tests", MemberId(id)).expect("the store is usable after a kill");
     let (last, term) = (saved.last_index().get(), saved.hard_state.term.get());
     assert!(last >= number(view, "committed") && term >= number(view, "term"), "{last} in {term}: {view}");
     last
 }
 
-/// A single voter: what it commits nobody else has.
+/// With a single voter, nobody else has the entries that it committed.
 #[test]
 fn single_voter_recovers_committed_entries_after_kill() {
     let mut rig = rig("crash-one", 1);
@@ -60,8 +61,8 @@
     let mut committed = 0;
     for round in 0..ROUNDS {
         let views: Vec<Value> = (1..=3).map(|id| wait_for_entries(&rig, id, committed)).collect();
-        committed = views.iter().map(|view| number(view, "committed")).max().expect("three");
-        // In another order each time, and at once.
+        committed = views.iter().map(|view| number(view, "committed")).max().expect("three views");
+        // Kills the members one right after the other, in a different order each round.
         let ids = (0..3).map(|n| 1 + (n + round) % 3);
         ids.clone().for_each(|id| rig.kill(id));
         for (view, id) in views.iter().zip(1..) {
--- a/tests/federation/duties.rs
+++ b/tests/federation/duties.rs
@@ -1,17 +1,17 @@
-//! A duty is held by one at a time, whoever ends, stalls or is cut off, and each holder's token is higher than all
-//! before.
+//! Tests of duties: one member at a time holds a duty, whichever process ends, stalls or is isolated, and
+//! each holder's token is higher than all earlier ones.
 
 use crate::relay::Mode;
 use crate::rig::{voters, Rig};
 use serde_json::Value;
 
-/// Who holds a duty by this view, and under which token.
+/// Returns the holder of the duty `publish` in this view, and its token.
 fn lease(view: &Value) -> Option<(u64, u64)> {
     let duty = view["duties"].as_array()?.iter().find(|duty| duty["duty"] == "publish")?;
     Some((duty["holder"].as_u64()?, duty["token"].as_u64()?))
 }
 
-/// Whether a member may act, by its own clock.
+/// Returns whether a member may act now, by its own clock.
 fn may_act(view: &Value) -> bool {
     view["duties"].as_array().is_some_and(|duties| duties.iter().any(|duty| duty["held"] == true))
 }
@@ -22,16 +22,17 @@
     })
 }
 
-/// Waits until some member of these may act, and gives who and under which token.
+/// Waits until one of these members may act; returns that member and its token.
 fn holder(rig: &Rig, among: &[u64]) -> (u64, u64) {
     let view = rig
         .wait_for_view(among[0], "a holder", |view| lease(view).is_some_and(|(id, _)| among.contains(&id)));
-    let (id, _) = lease(&view).expect("one");
+    let (id, _) = lease(&view).expect("a holder");
     let view = rig.wait_for_view(id, "it may act", may_act);
-    lease(&view).expect("its own")
+    lease(&view).expect("its own lease")
 }
 
-/// Lets somebody else hold it after `fault` befell the holder; gives the old and the new holder with tokens.
+/// Applies `fault` to the holder and waits until another member holds the duty; returns the old and new
+/// holder with their tokens.
 fn take_over(rig: &mut Rig, fault: impl Fn(&mut Rig, u64)) -> [(u64, u64); 2] {
     let before = holder(rig, &[1, 2, 3]);
     fault(rig, before.0);
@@ -49,7 +50,7 @@
     (1..=3).for_each(|id| rig.kill(id));
     (1..=3).for_each(|id| rig.start(id));
     rig.wait_for_agreement(&[1, 2, 3]);
-    // The lease may be found and renewed by its holder's next process; another's has a higher token.
+    // The holder's next process may find and renew the lease; any other holder has a higher token.
     let now = holder(&rig, &[1, 2, 3]);
     assert!(now.1 > after.1 || now == after, "{now:?} after {after:?}");
 }
@@ -59,7 +60,7 @@
     let mut rig = rig("duty-stopped");
     let [before, after] = take_over(&mut rig, |rig, id| rig.signal(id, "-STOP"));
     rig.signal(before.0, "-CONT");
-    // From its first word on: nothing of what it published before it was stopped is an act of now.
+    // From its first view on: the state published before the stop must not show the duty as held now.
     let view = rig.wait_for_view(before.0, "the new holder", |view| lease(view) == Some(after));
     assert!(!may_act(&view), "{view}");
     assert_eq!(holder(&rig, &[after.0]).0, after.0);
@@ -70,33 +71,33 @@
     for mode in [Mode::Cut, Mode::Hold] {
         let mut rig = rig(&format!("duty-cut-{mode:?}"));
         let [before, after] = take_over(&mut rig, |rig, id| {
-            rig.isolate(id, mode, (true, true));
-            rig.wait_for_view(id, "it may act no more", |view| !may_act(view));
+            rig.set_relay_modes(id, mode, (true, true));
+            rig.wait_for_view(id, "it may no longer act", |view| !may_act(view));
             rig.assert_serves(id);
         });
         let view = rig.view(before.0);
         assert!(
             !may_act(&view) && lease(&view) == Some(before),
-            "it knows no other, and does not act: {view}"
+            "it knows no other holder, and may not act: {view}"
         );
-        rig.isolate(before.0, Mode::Pass, (true, true));
+        rig.set_relay_modes(before.0, Mode::Pass, (true, true));
         rig.wait_for_view(before.0, "the new holder", |view| {
             lease(view).is_some_and(|lease| lease.1 >= after.1)
         });
     }
 }
 
-/// It hears and is not heard: its renewals reach nobody.
+/// The holder receives messages but its own do not arrive, so its renewals reach no other member.
 #[test]
 fn holder_that_cannot_send_loses_its_duty() {
     let mut rig = rig("duty-unheard");
     let (id, token) = holder(&rig, &[1, 2, 3]);
-    rig.isolate(id, Mode::Hold, (true, false));
+    rig.set_relay_modes(id, Mode::Hold, (true, false));
     let others: Vec<u64> = (1..=3).filter(|other| *other != id).collect();
     let after = holder(&rig, &others);
     assert!(after.1 > token);
-    rig.wait_for_view(id, "it may act no more", |view| !may_act(view));
-    rig.isolate(id, Mode::Pass, (true, false));
+    rig.wait_for_view(id, "it may no longer act", |view| !may_act(view));
+    rig.set_relay_modes(id, Mode::Pass, (true, false));
     rig.wait_for_view(id, "the new holder", |view| lease(view).is_some_and(|lease| lease.1 >= after.1));
 }
 
@@ -105,7 +106,7 @@
     let mut rig = rig("duty-term");
     let since = std::time::Instant::now();
     let [before, _] = take_over(&mut rig, |rig, id| rig.signal(id, "-TERM"));
-    // Without the release another would wait for the lease's end: it was renewed a moment ago.
+    // Without the release another member would have to wait until the lease, which was just renewed, expires.
     println!("{before:?} followed after {:?}", since.elapsed());
     rig.kill(before.0);
 }
--- a/tests/federation/main.rs
+++ b/tests/federation/main.rs
@@ -1,6 +1,8 @@
-//! Federations of whole programs on loopback, with faults between them: each pair of members is joined by a relay of
-//! the tests' own, and processes are stopped, woken, ended and killed by their id. Ports are the system's choice; what
-//! is waited for is told by the program, on its log or its admin endpoint.
+//! Tests of federations of whole processes on loopback, with faults.
+//!
+//! The members of each pair are connected through a relay of the tests, which injects network faults.
+//! Processes are stopped, continued, terminated and killed by their process id. The system chooses the ports.
+//! Tests wait for conditions that the program reports in its log or on its admin endpoint.
 #![cfg(feature = "federation")]
 
 mod crashes;
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a federation, who does not, and what a damaged store means.
+//! Tests of membership changes, rejected connections and unusable stores.
 
 use crate::rig::{voters, Rig, KEY};
 use std::io::{Read, Write};
@@ -13,8 +13,8 @@
 #[test]
 fn members_change_one_at_a_time_by_file_and_sighup() {
     let mut rig = Rig::new("members", vec![(1, true), (2, true), (3, true), (4, false)]);
-    assert_eq!(rig.view(4)["role"], "learner", "it hears what is committed, and never votes");
-    // Member 5 comes to vote, member 4 too, member 1 only listens from now on.
+    assert_eq!(rig.view(4)["role"], "learner", "member 4 is not a voter");
+    // Member 5 is added as a voter, member 4 becomes a voter, and member 1 becomes a learner.
     let second = vec![(1, false), (2, true), (3, true), (4, true), (5, true)];
     for id in 1..=5 {
         rig.write_file(id, 2, &second);
@@ -25,20 +25,21 @@
     for id in 1..=5 {
         rig.wait_for_view(id, "revision 2", |view| view["revision"] == 2 && votes(view) == second);
     }
-    // Members 1 and 2 go: whoever leads then is none of them.
+    // Members 1 and 2 are removed; the leader must then be one of the others.
     let third = vec![(3, true), (4, true), (5, true)];
     for id in 3..=5 {
         rig.write_file(id, 3, &third);
         rig.signal(id, "-HUP");
     }
-    // Whoever leads takes no file but its own: 1 and 2 are told, too, by a file that lists them no more but themselves.
+    // A leader uses only its own file. Files of members 1 and 2 are therefore written, too: each lists the
+    // new members and itself.
     for id in 1..=2 {
         let all: Vec<(u64, bool)> = third.iter().copied().chain([(id, false)]).collect();
         rig.write_file(id, 2, &all);
     }
     for id in 3..=5 {
         if rig.view(id)["leader"].as_u64().is_some_and(|leader| leader < 3) {
-            let leader = rig.view(id)["leader"].as_u64().expect("one");
+            let leader = rig.view(id)["leader"].as_u64().expect("a leader");
             rig.signal(leader, "-TERM");
         }
         rig.wait_for_view(id, "revision 3", |view| view["revision"] == 3 && votes(view) == third);
@@ -52,7 +53,7 @@
 fn reload_rejects_invalid_file_and_fixed_settings() {
     let mut rig = Rig::new("file", voters(1..=3));
     for (change, wanted) in [
-        (("cluster = \"tests\"", "cluster = \"others\""), "cluster can't change in service"),
+        (("cluster = \"tests\"", "cluster = \"others\""), "cluster cannot be changed without a restart"),
         (("revision = 2", "revision = 0"), "revision must be a whole number from 1"),
     ] {
         rig.write_file_with(1, 2, &voters(1..=3), |text| text.replace(change.0, change.1));
@@ -65,8 +66,7 @@
     rig.wait_for_agreement(&[1, 2, 3]);
 }
 
-/// One with another key, one of another federation, one that comes with another store under a member's name, and one
-/// whose federation was founded with other members.
+/// The strangers have another key, belong to another federation, or use another store under a member's id.
 #[test]
 fn connections_of_strangers_are_rejected_and_logged() {
     let mut rig = Rig::new("strangers", voters(1..=3));
@@ -75,10 +75,10 @@
     let cases: [Case; 3] = [
         ("key", |text| text, "it does not hold the key"),
         ("cluster", |text| text.replace("\"tests\"", "\"others\""), "it is of another federation"),
-        ("store", |text| text, "its store is not the one that this member came with"),
+        ("store", |text| text, "its store is not the one that is enrolled for this member"),
     ];
     let target = rig.others(3)[0];
-    let real = rig.running.remove(&3).expect("it runs");
+    let real = rig.running.remove(&3).expect("member 3 is running");
     drop(real);
     let folder = rig.folder(3);
     for (case, change, wanted) in cases {
@@ -96,7 +96,7 @@
     }
     let now = rig.leader(&rig.others(3));
     if at.0 != 3 {
-        assert_eq!(now, at, "nobody was disturbed");
+        assert_eq!(now, at, "the leader and term are unchanged");
     }
     rig.write_file(3, 1, &voters(1..=3));
     rig.start(3);
@@ -118,12 +118,13 @@
         let line = running.proxy.logged("federation: a connection is refused");
         assert!(line.contains(wanted), "{line}");
         let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest); // ended, perhaps by a reset
+        let _ = stream.read_to_end(&mut rest); // the connection ends, perhaps by a reset
     }
     assert_eq!(rig.leader(&[1, 2, 3]), at);
 }
 
-/// A torn store, one that was altered, none at all, and one that is another member's.
+/// The store is cut off, altered, absent, or another member's. A member that voted without its stored votes
+/// could vote twice in a term.
 #[test]
 fn member_with_unusable_store_serves_but_does_not_vote() {
     let mut rig = Rig::new("damaged", voters(1..=3));
@@ -133,7 +134,7 @@
     let good = std::fs::read(&path).expect("a store");
     let altered = || {
         let mut bytes = good.clone();
-        // Wherever the newest entry's site or key lies: one bit in each page but the first.
+        // Flips one bit in every 512 bytes after the first page, wherever the newest entry is stored.
         (4096 + 100..bytes.len()).step_by(512).for_each(|at| bytes[at] ^= 1);
         bytes
     };
@@ -154,11 +155,11 @@
         let view = rig.view(3);
         assert!(view["halted"].is_string() && view["leader"] == 0, "{what}: {view}");
         rig.assert_serves(3);
-        // Its vote would make a majority with member 1.
-        assert_eq!(rig.view(1)["leader"], 0, "{what}: it does not vote");
+        // Members 1 and 3 would be a majority, so a vote of member 3 would elect a leader.
+        assert_eq!(rig.view(1)["leader"], 0, "{what}: member 3 must not vote");
         rig.kill(3);
     }
-    assert!(!rig.init(2, false).status.success(), "a store is never written over");
+    assert!(!rig.init(2, false).status.success(), "an existing store must not be overwritten");
     std::fs::write(&path, good).expect("written");
     rig.start(3);
     rig.wait_for_agreement(&[1, 3]);
--- a/tests/federation/relay.rs
+++ b/tests/federation/relay.rs
@@ -1,4 +1,5 @@
-//! A relay between two members: it passes bytes on, holds them back, or breaks all that is open and lets nothing up.
+//! A relay between two members, which forwards bytes, holds them back, or closes all connections and accepts
+//! no new ones.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,11 +8,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     Pass,
-    /// Connections stay open and come up, and no byte passes.
+    /// Connections stay open and new ones are accepted, but no bytes are forwarded.
     Hold,
-    /// Connections are broken, and new ones end at once.
+    /// Connections are closed, and new ones are closed at once.
     Cut,
 }
 
@@ -33,12 +34,12 @@
         let addr = listener.local_addr().expect("an address");
         let inner = Inner { mode: Mode::Pass, to: None, open: Vec::new() };
         let relay = Relay { addr, inner: Arc::new((Mutex::new(inner), Condvar::new())) };
-        let taken = relay.clone();
-        thread::spawn(move || listener.incoming().flatten().for_each(|stream| taken.take(stream)));
+        let acceptor = relay.clone();
+        thread::spawn(move || listener.incoming().flatten().for_each(|stream| acceptor.forward(stream)));
         relay
     }
 
-    /// Where it passes connections on to from now on.
+    /// Sets the address to which later connections are forwarded.
     pub fn set_target(&self, to: SocketAddr) {
         self.inner.0.lock().expect("a lock").to = Some(to);
     }
@@ -52,7 +53,7 @@
         self.inner.1.notify_all();
     }
 
-    fn take(&self, near: TcpStream) {
+    fn forward(&self, near: TcpStream) {
         let mut inner = self.inner.0.lock().expect("a lock");
         let far = inner.to.filter(|_| inner.mode != Mode::Cut).and_then(|to| TcpStream::connect(to).ok());
         let Some(far) = far else { return };
@@ -63,11 +64,11 @@
         let pairs = [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))];
         for (from, to) in pairs {
             let (Ok(from), Ok(to), relay) = (from, to, self.clone()) else { return };
-            thread::spawn(move || relay.pass(from, to));
+            thread::spawn(move || relay.copy(from, to));
         }
     }
 
-    fn pass(&self, mut from: TcpStream, mut to: TcpStream) {
+    fn copy(&self, mut from: TcpStream, mut to: TcpStream) {
         let mut bytes = [0; 16 * 1024];
         while let Ok(n @ 1..) = from.read(&mut bytes) {
             let inner = self.inner.0.lock().expect("a lock");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -1,4 +1,4 @@
-//! A federation of edge proxies, and what tests ask of it.
+//! Runs a federation of edge proxies and controls it for the tests.
 
 use crate::relay::{Mode, Relay};
 use crate::stand_ins::*;
@@ -11,35 +11,35 @@
 use std::process::Command;
 use std::time::Instant;
 
-/// The members as a file has them: number, and whether it votes.
+/// The members as listed in a file: id, and whether the member is a voter.
 pub type MemberList = Vec<(u64, bool)>;
 
 pub struct RunningMember {
     pub proxy: Proxy,
     pub admin: SocketAddr,
-    /// Where it listens for members.
+    /// The address at which it listens for members.
     pub listen: SocketAddr,
 }
 
 pub struct Rig {
     name: String,
-    /// From whom to whom.
+    /// The relays, by the connecting and the target member.
     pub relays: BTreeMap<(u64, u64), Relay>,
     pub running: BTreeMap<u64, RunningMember>,
     pub caches: [Cache; 2],
     seqid: i32,
 }
 
-/// The key of the tests' federations.
+/// The shared key of the tests' federations, in base64url.
 pub const KEY: &str = "c2l4dGVlbiBieXRlcyBhdCBsZWFzdA";
 
 impl Rig {
-    /// A federation of these members, running, with a leader that all know and the first store of each enrolled.
+    /// Starts a federation of these members, and waits until all know one leader and every store is enrolled.
     pub fn new(name: &str, listed: MemberList) -> Self {
         Rig::with_files(name, listed, |text| text)
     }
 
-    /// The same with files changed by `change`.
+    /// Like [`Rig::new`], with `change` applied to the text of each file.
     pub fn with_files(name: &str, listed: MemberList, change: impl Fn(String) -> String) -> Self {
         let mut rig = Rig::empty(name);
         let ids: Vec<u64> = listed.iter().map(|(id, _)| *id).collect();
@@ -66,9 +66,9 @@
     }
 
     pub fn relay(&mut self, from: u64, to: u64) -> Relay {
-        let there = self.running.get(&to).map(|running| running.listen);
+        let target = self.running.get(&to).map(|running| running.listen);
         let relay = self.relays.entry((from, to)).or_insert_with(Relay::new).clone();
-        there.into_iter().for_each(|there| relay.set_target(there));
+        target.into_iter().for_each(|target| relay.set_target(target));
         relay
     }
 
@@ -86,9 +86,12 @@
              tick_ms = 40\n silent_ms = 1200\n compact_after = 8\n"
         );
         for (other, voter) in listed {
-            // Its own address is nobody's to dial.
-            let address =
-                if *other == id { "127.0.0.1:1".parse().expect("one") } else { self.relay(id, *other).addr };
+            // Nobody connects to a member at the address in its own file.
+            let address = if *other == id {
+                "127.0.0.1:1".parse().expect("an address")
+            } else {
+                self.relay(id, *other).addr
+            };
             text += &format!(" member \"{other}\" {{\n  site = \"site-{other}\"\n  address = \"{address}\"\n  voter = {voter}\n }}\n");
         }
         text += "}\n";
@@ -100,14 +103,14 @@
         self.write_file_with(id, revision, listed, |text| text);
     }
 
-    /// Makes a member's store by the command.
+    /// Creates a member's store with the `federation init` command.
     pub fn init(&self, id: u64, join: bool) -> std::process::Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dahliatrack"));
         command.args(["federation", "init"]).arg(self.file(id)).args(join.then_some("--join"));
         command.output().expect("the program runs")
     }
 
-    /// Starts a member and leads the relays to it.
+    /// Starts a member, and points the relays to it.
     pub fn start(&mut self, id: u64) {
         let running = self.launch(id);
         self.set_relay_targets(id, &running);
@@ -123,7 +126,7 @@
         self.running.insert(id, RunningMember { proxy, admin, listen: admin });
     }
 
-    /// The others' relays lead to this process from now on.
+    /// Points the other members' relays to this process.
     pub fn set_relay_targets(&self, id: u64, running: &RunningMember) {
         for ((_, to), relay) in &self.relays {
             if *to == id {
@@ -138,7 +141,7 @@
         RunningMember { proxy, admin, listen }
     }
 
-    /// Starts a member that may not come to listen.
+    /// Starts a member without waiting until it listens for members, which it may never do.
     pub fn launch_without_listener(&self, id: u64) -> (Proxy, SocketAddr) {
         let name = format!("{}-{id}", self.name);
         let file = self.file(id).display().to_string();
@@ -153,13 +156,13 @@
         self.running[&id].proxy.signal(signal);
     }
 
-    /// Kills a member and waits for its end.
+    /// Kills a member, and waits until its process has ended.
     pub fn kill(&mut self, id: u64) {
         drop(self.running.remove(&id));
     }
 
-    /// Cuts a member off, both ways or one.
-    pub fn isolate(&mut self, id: u64, mode: Mode, (out, back): (bool, bool)) {
+    /// Sets the mode of the relays from a member, to it, or both.
+    pub fn set_relay_modes(&mut self, id: u64, mode: Mode, (out, back): (bool, bool)) {
         for ((from, to), relay) in &self.relays {
             if (*from == id && out) || (*to == id && back) {
                 relay.set(mode);
@@ -174,7 +177,7 @@
         serde_json::from_str(&body).expect("JSON")
     }
 
-    /// Asks a member's admin endpoint until its view is as wanted.
+    /// Polls a member's admin endpoint until its view is as `wanted`; returns that view.
     pub fn wait_for_view(&self, id: u64, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         let since = Instant::now();
         loop {
@@ -182,32 +185,32 @@
             if wanted(&view) {
                 return view;
             }
-            assert!(since.elapsed() < LONG, "member {id} never came to: {what}; {view:#}");
+            assert!(since.elapsed() < LONG, "member {id} did not reach: {what}; {view:#}");
         }
     }
 
-    /// Waits until these members know one leader among them, have applied as much as it, and all are enrolled; gives
-    /// the leader.
+    /// Waits until these members know the same leader among them, have applied the same entries, and are all
+    /// enrolled; returns the leader.
     pub fn wait_for_agreement(&self, ids: &[u64]) -> u64 {
         let since = Instant::now();
         loop {
             let views: Vec<Value> = ids.iter().map(|id| self.view(*id)).collect();
             let same = |key: &str| views.iter().all(|view| view[key] == views[0][key]);
             let leader = views[0]["leader"].as_u64().unwrap_or(0);
-            let through = views[0]["applied"] == views[0]["last"];
+            let all_applied = views[0]["applied"] == views[0]["last"];
             let enrolled = |view: &Value| {
                 let members = view["members"].as_array().into_iter().flatten();
                 let here = |one: &&Value| one["id"].as_u64().is_some_and(|id| ids.contains(&id));
                 members.filter(here).all(|one| one["enrolled"] == true)
             };
             if ids.contains(&leader)
-                && through
+                && all_applied
                 && views.iter().all(enrolled)
                 && ["leader", "term", "applied", "revision"].into_iter().all(same)
             {
                 return leader;
             }
-            assert!(since.elapsed() < LONG, "{ids:?} never agreed: {views:#?}");
+            assert!(since.elapsed() < LONG, "members {ids:?} did not agree: {views:#?}");
         }
     }
 
@@ -216,12 +219,12 @@
         (leader, self.view(leader)["term"].as_u64().expect("a term"))
     }
 
-    /// The members but for one.
+    /// Returns the running members except one.
     pub fn others(&self, id: u64) -> Vec<u64> {
         self.running.keys().copied().filter(|other| *other != id).collect()
     }
 
-    /// A member's edge proxy serves, whatever its federation does.
+    /// Checks that a member's edge proxy serves a request, whatever the state of its federation.
     pub fn assert_serves(&mut self, id: u64) {
         self.seqid += 1;
         let proxy = &self.running[&id].proxy;
@@ -241,7 +244,7 @@
     }
 }
 
-/// What an admin endpoint answers.
+/// Sends a GET request to an admin endpoint; returns the status and the body.
 pub fn get(proxy: &Proxy, admin: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = proxy.connect(admin);
     write!(stream, "GET {path} HTTP/1.1\r\nHost: admin\r\n\r\n").expect("written");
@@ -255,7 +258,7 @@
     ids.map(|id| (id, true)).collect()
 }
 
-/// The address with which a log line goes on.
+/// Parses the address at the start of the rest of a log line.
 pub fn address(line: &str) -> SocketAddr {
     let end = line.find(|c: char| c == '"' || c.is_whitespace()).unwrap_or(line.len());
     line[..end].parse().expect("an address")
