--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -8,7 +8,7 @@
 use super::settings::FederationSettings;
 use super::state::{Change, Command, Roster, State, WantedMember};
 use super::store::Owner;
-use super::wire::{decode, encode, Frame, WireError, MAX_HELLO, MAX_MESSAGE};
+use super::wire::{decode, encode, Frame, WireError, MAX_HANDSHAKE_BYTES, MAX_MESSAGE_BYTES};
 use super::{LogIndex, MemberId, Term};
 use crate::config::hcl_document::HclDocument;
 use crate::interface::Span;
@@ -196,8 +196,8 @@
         nonce: [4; 16],
         proof: [0; 32],
     };
-    let hello = key.prove(&challenge, plain.clone());
-    assert!(key.proves(&challenge, &hello) && !other.proves(&challenge, &hello));
+    let hello = key.sign_hello(&challenge, plain.clone());
+    assert!(key.verify_hello(&challenge, &hello) && !other.verify_hello(&challenge, &hello));
     for changed in [
         Hello { from: MemberId(3), ..hello.clone() },
         Hello { to: MemberId(3), ..hello.clone() },
@@ -205,13 +205,19 @@
         Hello { identity: 8, ..hello.clone() },
         Hello { cluster: "d".into(), ..hello.clone() },
     ] {
-        assert!(!key.proves(&challenge, &changed), "{changed:?}");
+        assert!(!key.verify_hello(&challenge, &changed), "{changed:?}");
     }
-    assert!(!key.proves(&Challenge { nonce: [9; 16] }, &hello), "the hello belongs to another connection");
-    let welcome = key.welcome(&challenge, &hello);
-    assert!(key.welcomes(&challenge, &hello, &welcome));
-    assert!(!key.welcomes(&challenge, &hello, &Welcome { proof: hello.proof }));
-    let (mut out, mut seen) = (key.seal(&challenge, &hello, true), key.seal(&challenge, &hello, true));
+    assert!(
+        !key.verify_hello(&Challenge { nonce: [9; 16] }, &hello),
+        "the hello belongs to another connection"
+    );
+    let welcome = key.sign_welcome(&challenge, &hello);
+    assert!(key.verify_welcome(&challenge, &hello, &welcome));
+    assert!(!key.verify_welcome(&challenge, &hello, &Welcome { proof: hello.proof }));
+    let (mut out, mut seen) = (
+        key.message_authenticator(&challenge, &hello, true),
+        key.message_authenticator(&challenge, &hello, true),
+    );
     let first = encode(&Frame::Ping, Some(&mut out)).expect("within the maximum length");
     let second = encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out))
         .expect("within the maximum length");
@@ -222,7 +228,7 @@
         Ok(Some(Frame::Propose(Command::RevisionApplied { revision: 3 })))
     );
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
-        let mut seal = key.seal(&challenge, &hello, way);
+        let mut seal = key.message_authenticator(&challenge, &hello, way);
         if way {
             // The frame is repeated, or out of order.
             seal.tag(b"");
@@ -295,7 +301,7 @@
     input.extend_from_slice(&bytes[bytes.len() - 1..]);
     assert_eq!(decode(&mut input, None), Ok(Some(hello)));
     assert!(input.is_empty());
-    let long = (MAX_HELLO as u32 + 1).to_be_bytes();
+    let long = (MAX_HANDSHAKE_BYTES as u32 + 1).to_be_bytes();
     for (bytes, wanted) in [
         (&[2][..], WireError::Version(2)),
         (&[&[1][..], &long].concat()[..], WireError::Oversize),
@@ -304,7 +310,11 @@
     ] {
         assert_eq!(decode::<Challenge>(&mut BytesMut::from(bytes), None), Err(wanted), "{bytes:?}");
     }
-    assert_eq!(encode(&vec![0u8; MAX_MESSAGE + 1], None), None, "a message that is too long is not encoded");
+    assert_eq!(
+        encode(&vec![0u8; MAX_MESSAGE_BYTES + 1], None),
+        None,
+        "a message that is too long is not encoded"
+    );
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let mut bytes = vec![0; random.random_range(0..64)];
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -58,7 +58,7 @@
     ] {
         rig.write_file_with(1, 2, &voters(1..=3), |text| text.replace(change.0, change.1));
         rig.signal(1, "-HUP");
-        let line = rig.running[&1].proxy.logged("reload: ");
+        let line = rig.running[&1].proxy.wait_for_log("reload: ");
         assert!(line.contains(wanted), "{line}");
     }
     assert_eq!(rig.view(1)["file_revision"], 1);
@@ -89,7 +89,7 @@
         }
         assert!(rig.init(3, false).status.success());
         let (stranger, _) = rig.launch_without_listener(3);
-        let line = rig.running[&target].proxy.logged("federation: a connection is refused");
+        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is refused");
         assert!(line.contains(wanted), "{case}: {line}");
         drop(stranger);
         std::fs::rename(folder.join("kept"), folder.join("federation.redb")).expect("moved");
@@ -115,7 +115,7 @@
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
         stream.write_all(bytes).expect("written");
-        let line = running.proxy.logged("federation: a connection is refused");
+        let line = running.proxy.wait_for_log("federation: a connection is refused");
         assert!(line.contains(wanted), "{line}");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest); // the connection ends, perhaps by a reset
@@ -150,7 +150,7 @@
             None => std::fs::remove_file(&path).expect("removed"),
         }
         let (proxy, admin) = rig.launch_without_listener(3);
-        proxy.logged("this member takes no part; the edge proxy serves alone");
+        proxy.wait_for_log("this member takes no part; the edge proxy serves alone");
         rig.running.insert(3, crate::rig::RunningMember { proxy, admin, listen: admin });
         let view = rig.view(3);
         assert!(view["halted"].is_string() && view["leader"] == 0, "{what}: {view}");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -122,7 +122,7 @@
         let name = format!("{}-{id}", self.name);
         let caches = [&self.caches[0], &self.caches[1]];
         let proxy = Proxy::start(&name, &caches, str::to_owned, &["--admin", "127.0.0.1:0"]);
-        let admin = address(&proxy.logged("admin endpoint: listening on "));
+        let admin = address(&proxy.wait_for_log("admin endpoint: listening on "));
         self.running.insert(id, RunningMember { proxy, admin, listen: admin });
     }
 
@@ -137,7 +137,7 @@
 
     fn launch(&self, id: u64) -> RunningMember {
         let (proxy, admin) = self.launch_without_listener(id);
-        let listen = address(&proxy.logged("federation listens on "));
+        let listen = address(&proxy.wait_for_log("federation listens on "));
         RunningMember { proxy, admin, listen }
     }
 
@@ -147,7 +147,7 @@
         let file = self.file(id).display().to_string();
         let more = ["--admin", "127.0.0.1:0", "--federation", &file];
         let proxy = Proxy::start(&name, &[&self.caches[0], &self.caches[1]], str::to_owned, &more);
-        let admin = proxy.logged("admin endpoint: listening on ");
+        let admin = proxy.wait_for_log("admin endpoint: listening on ");
         let admin = address(&admin);
         (proxy, admin)
     }
@@ -185,7 +185,7 @@
             if wanted(&view) {
                 return view;
             }
-            assert!(since.elapsed() < LONG, "member {id} did not reach: {what}; {view:#}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "member {id} did not reach: {what}; {view:#}");
         }
     }
 
@@ -210,7 +210,7 @@
             {
                 return leader;
             }
-            assert!(since.elapsed() < LONG, "members {ids:?} did not agree: {views:#?}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "members {ids:?} did not agree: {views:#?}");
         }
     }
 
@@ -239,7 +239,7 @@
             ("set", "17"),
         ];
         send(&mut client, &invoke(self.seqid, &fields, b"")).expect("written");
-        self.caches[0].next().answer("200", "ver=a", b"x");
+        self.caches[0].next_line().answer("200", "ver=a", b"x");
         assert_eq!(answer(&mut client).expect("an answer"), (self.seqid, Answered::Served));
     }
 }
