--- a/src/federation/duties/holder.rs
+++ b/src/federation/duties/holder.rs
@@ -40,10 +40,10 @@
 }
 
 impl LeaseHolder {
-    /// Returns a holder without candidacies. Requests are numbered from `first`, which each process must draw
-    /// at random.
-    pub fn new(id: MemberId, timing: LeaseTiming, first: u64) -> Self {
-        LeaseHolder { id, timing, candidacies: BTreeMap::new(), last_request: first }
+    /// Returns a holder without candidacies. Its requests are numbered from the one after `last_request`,
+    /// which each process must draw at random.
+    pub fn new(id: MemberId, timing: LeaseTiming, last_request: u64) -> Self {
+        LeaseHolder { id, timing, candidacies: BTreeMap::new(), last_request }
     }
 
     /// Sets the duties that this member is a candidate for. Returns the commands that release its leases of
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -167,9 +167,10 @@
     for message in bad {
         assert!(message.check().is_err(), "{message:?}");
     }
-    let whole = MessageRecord { kind: MessageKind::Snapshot, snapshot: Some(snapshot), ..append(4, vec![]) };
+    let snapshot_message =
+        MessageRecord { kind: MessageKind::Snapshot, snapshot: Some(snapshot), ..append(4, vec![]) };
     for message in [
-        whole,
+        snapshot_message,
         append(
             4,
             vec![entry(5, 1), EntryRecord { kind: EntryKind::Change, context: vec![7], ..entry(6, 3) }],
@@ -228,14 +229,14 @@
         Ok(Some(Frame::Propose(Command::RevisionApplied { revision: 3 })))
     );
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
-        let mut seal = key.message_authenticator(&challenge, &hello, way);
+        let mut authenticator = key.message_authenticator(&challenge, &hello, way);
         if way {
             // The frame is repeated, or out of order.
-            seal.tag(b"");
-            seal.tag(b"");
+            authenticator.tag(b"");
+            authenticator.tag(b"");
         }
         assert_eq!(
-            decode::<Frame>(&mut BytesMut::from(&bytes[..]), Some(&mut seal)),
+            decode::<Frame>(&mut BytesMut::from(&bytes[..]), Some(&mut authenticator)),
             Err(WireError::Malformed)
         );
     }
@@ -334,7 +335,7 @@
     let read = |text: &str| {
         FederationSettings::parse(HclDocument { file: "f.hcl", text }).map_err(|error| error.to_string())
     };
-    let usual: String = deployed
+    let without_defaults: String = deployed
         .lines()
         .filter(|line| {
             !["tick", "election", "heartbeat", "compact", "silent", "lease", "guard", "drift"]
@@ -344,7 +345,7 @@
         .map(|line| format!("{line}\n"))
         .collect();
     let (deployed, key) = read(deployed).expect("the settings are valid");
-    let (defaults, _) = read(&usual).expect("the settings are valid");
+    let (defaults, _) = read(&without_defaults).expect("the settings are valid");
     assert_eq!(
         (deployed.tuning, deployed.lease_timing, deployed.tick, deployed.silence_timeout),
         (defaults.tuning, defaults.lease_timing, defaults.tick, defaults.silence_timeout)
@@ -372,9 +373,9 @@
         ("revision = 1 ", "revison = 1 ", "federation has no revision"),
     ] {
         let text = if wanted == "no key" {
-            usual.replace("cluster ", "tick_ns = 5\n cluster ")
+            without_defaults.replace("cluster ", "tick_ns = 5\n cluster ")
         } else {
-            usual.replace(from, to)
+            without_defaults.replace(from, to)
         };
         let error = read(&text).expect_err(wanted);
         assert!(error.contains(wanted), "{error} instead of {wanted}");
--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -23,8 +23,8 @@
         assert!(view["committed"].as_u64() >= Some(before), "no committed entry is lost: {view}");
         assert_eq!(view["members"].as_array().map(Vec::len), Some(3));
     }
-    let figures = get(&rig.running[&1].proxy, rig.running[&1].admin, "/stats").1;
-    assert!(figures.contains("federation.members=3") && figures.contains("federation.halted=0"), "{figures}");
+    let stats = get(&rig.running[&1].proxy, rig.running[&1].admin, "/stats").1;
+    assert!(stats.contains("federation.members=3") && stats.contains("federation.halted=0"), "{stats}");
 }
 
 #[test]
