--- a/src/federation/duties/tests.rs
+++ b/src/federation/duties/tests.rs
@@ -1,54 +1,54 @@
-//! Tests of `duties`.
+//! Tests of lease timing and fencing tokens.
 
 use super::*;
 use crate::federation::state::{Command, State};
 use crate::federation::MemberId;
 use crate::interface::Instant;
 
-const TERMS: LeaseTerms =
-    LeaseTerms { duration: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
+const TIMING: LeaseTiming =
+    LeaseTiming { duration: Span::from_micros(3000), guard: Span::from_micros(200), drift: 0.05 };
 
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
 }
 
-fn wants(holder: &mut LeaseHolder, duties: &[&str]) -> Vec<Command> {
+fn set_duties(holder: &mut LeaseHolder, duties: &[&str]) -> Vec<Command> {
     holder.set_candidacies(&duties.iter().map(|duty| (*duty).to_owned()).collect())
 }
 
 #[test]
-fn a_lease_counts_from_before_it_was_asked_for_and_ends_a_guard_early() {
+fn lease_runs_from_its_request_and_ends_a_guard_time_early() {
     let (mut state, mut one, mut two) = (
         State::default(),
-        LeaseHolder::new(MemberId(1), TERMS, 10),
-        LeaseHolder::new(MemberId(2), TERMS, 10),
+        LeaseHolder::new(MemberId(1), TIMING, 10),
+        LeaseHolder::new(MemberId(2), TIMING, 10),
     );
-    assert_eq!(wants(&mut one, &["d"]), []);
-    wants(&mut two, &["d"]);
+    assert_eq!(set_duties(&mut one, &["d"]), []);
+    set_duties(&mut two, &["d"]);
     let asked = one.due_requests(at(100), &state);
     assert_eq!(asked, [Command::Acquire { duty: "d".into(), id: MemberId(1), request: 11 }]);
     let other = two.due_requests(at(100), &state);
-    // Two proposals in one tick: the first one in the log has it.
+    // Both members request the lease; it is granted to the first request in the log.
     asked.iter().chain(&other).for_each(|command| state.apply(command));
     one.observe(&state);
     two.observe(&state);
     assert_eq!((one.token(at(100), "d"), two.token(at(100), "d")), (Some(1), None));
     assert_eq!((one.token(at(2899), "d"), one.token(at(2900), "d")), (Some(1), None), "100 + 3000 - 200");
-    assert!(two.due_requests(at(101), &state).is_empty(), "it is held");
-    // Renewed from the last third on; the renewal counts from its own request.
+    assert!(two.due_requests(at(101), &state).is_empty(), "the lease is held by another member");
+    // The lease is renewed in its last third; the renewed lease runs from the renewal's request.
     assert!(one.due_requests(at(1899), &state).is_empty());
     let renewal = one.due_requests(at(1900), &state);
     assert_eq!(renewal, [Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 12 }]);
     state.apply(&renewal[0]);
     one.observe(&state);
     assert_eq!((one.token(at(4699), "d"), one.token(at(4700), "d")), (Some(1), None));
-    // Left: the next one has it at once, with a token of its own.
-    state.apply(&wants(&mut one, &[])[0]);
+    // After the release the next member gets the lease at once, with a new token.
+    state.apply(&set_duties(&mut one, &[])[0]);
     let next = two.due_requests(at(2000), &state);
     state.apply(&next[0]);
     two.observe(&state);
     assert_eq!((one.token(at(2000), "d"), two.token(at(2000), "d")), (None, Some(2)));
-    // What the one before says of it changes nothing.
+    // Late commands about the earlier lease have no effect.
     for late in [
         Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 13 },
         Command::Release { duty: "d".into(), id: MemberId(1), token: 1 },
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn an_ask_that_was_granted_too_late_or_to_another_process_is_not_held() {
-    let (mut state, mut one) = (State::default(), LeaseHolder::new(MemberId(1), TERMS, 10));
-    wants(&mut one, &["d"]);
+fn lease_runs_from_the_granted_request_of_this_process() {
+    let (mut state, mut one) = (State::default(), LeaseHolder::new(MemberId(1), TIMING, 10));
+    set_duties(&mut one, &["d"]);
     let first = one.due_requests(at(0), &state);
     let second = one.due_requests(at(150), &state);
-    assert_eq!(second.len(), 1, "asked again");
+    assert_eq!(second.len(), 1, "the request is repeated");
     state.apply(&first[0]);
     one.observe(&state);
     assert_eq!(one.token(at(2799), "d").zip(one.token(at(2800), "d")), None);
     assert_eq!(one.token(at(2799), "d"), Some(1));
-    // A process after it finds the lease in the log, under a request that it never made.
-    let mut after = LeaseHolder::new(MemberId(1), TERMS, 500);
-    wants(&mut after, &["d"]);
+    // A later process finds the lease in the log, granted to a request that it did not make.
+    let mut after = LeaseHolder::new(MemberId(1), TIMING, 500);
+    set_duties(&mut after, &["d"]);
     after.observe(&state);
     assert_eq!(after.token(at(0), "d"), None);
     let renewal = after.due_requests(at(1000), &state);
@@ -84,37 +84,40 @@
 }
 
 #[test]
-fn the_leader_ends_a_lease_after_the_drift_and_a_new_one_counts_anew() {
-    let (mut state, mut grantor) = (State::default(), LeaseGrantor::new(TERMS));
-    assert_eq!(TERMS.expiry_timeout(), Span::from_micros(3316));
+fn leader_expires_leases_after_drift_since_last_renewal() {
+    let (mut state, mut grantor) = (State::default(), LeaseGrantor::new(TIMING));
+    assert_eq!(TIMING.expiry_timeout(), Span::from_micros(3316));
     state.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 1 });
     assert!(grantor.due_expiries(at(1000), &state, true).is_empty());
     assert!(grantor.due_expiries(at(4315), &state, true).is_empty());
     state.apply(&Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 2 });
-    assert!(grantor.due_expiries(at(4316), &state, true).is_empty(), "renewed meanwhile");
+    assert!(grantor.due_expiries(at(4316), &state, true).is_empty(), "renewed in the meantime");
     let expiry = Command::Expire { duty: "d".into(), token: 1, request: 2 };
     assert_eq!(grantor.due_expiries(at(4316 + 3316), &state, true), std::slice::from_ref(&expiry));
-    assert!(grantor.due_expiries(at(4316 + 3317), &state, true).is_empty(), "not at every look");
+    assert!(
+        grantor.due_expiries(at(4316 + 3317), &state, true).is_empty(),
+        "not proposed again before the retry interval"
+    );
     assert!(grantor.due_expiries(at(9000), &state, false).is_empty());
-    assert!(grantor.due_expiries(at(9001), &state, true).is_empty(), "it leads again, and knows nothing");
-    // A renewal that was in the log before the expiry saves the lease.
+    assert!(grantor.due_expiries(at(9001), &state, true).is_empty(), "a new leader measures leases anew");
+    // A renewal before the expiry in the log keeps the lease.
     state.apply(&Command::Renew { duty: "d".into(), id: MemberId(1), token: 1, request: 3 });
     state.apply(&expiry);
     assert!(state.duties.contains_key("d"));
     state.apply(&Command::Expire { duty: "d".into(), token: 1, request: 3 });
     state.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 4 });
-    assert_eq!(state.duties["d"].token, 2, "a token never comes twice");
+    assert_eq!(state.duties["d"].token, 2, "a token is never issued twice");
 }
 
 #[test]
-fn a_receiver_refuses_an_act_under_an_old_token() {
+fn fence_rejects_acts_under_old_tokens() {
     let (mut state, mut fence) = (State::default(), TokenFence::default());
-    assert!(fence.admits(&state, "d", MemberId(1), 5), "the log may be behind the act");
+    assert!(fence.admits(&state, "d", MemberId(1), 5), "an act may arrive before its lease is applied here");
     assert!(!fence.admits(&state, "d", MemberId(2), 4));
     assert!(fence.admits(&state, "d", MemberId(1), 5) && fence.admits(&state, "e", MemberId(2), 4));
     state.apply(&Command::Acquire { duty: "f".into(), id: MemberId(1), request: 1 });
     assert!(
         fence.admits(&state, "f", MemberId(1), 1) && !fence.admits(&state, "f", MemberId(2), 1),
-        "another's token"
+        "the token belongs to another member"
     );
 }
