--- a/src/control/clock/tests.rs
+++ b/src/control/clock/tests.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 const HOUR: Span = Span::from_secs(3_600);
-/// Far longer than this test takes, far shorter than the steps.
+/// Much longer than the test takes, much shorter than the steps of the wall clock.
 const SLACK: Span = Span::from_secs(60);
 
 #[test]
@@ -26,7 +26,7 @@
         let after = clock.moment();
         assert_eq!(after.unix - before.unix, step);
         let passed = after.now - before.now;
-        assert!((Span::ZERO..SLACK).contains(&passed), "a step of {} us", step.as_micros());
+        assert!((Span::ZERO..SLACK).contains(&passed), "a step of the wall clock by {} us", step.as_micros());
     }
 }
 
--- a/src/control/debounce.rs
+++ b/src/control/debounce.rs
@@ -1,4 +1,4 @@
-//! When changes are published: urgent ones at once, the others together once no more of them come.
+//! Decides when changes are published: urgent ones at once, the others together after a pause without changes.
 
 use std::time::{Duration, Instant};
 
@@ -7,20 +7,20 @@
 pub enum Urgency {
     /// Nothing has changed.
     None,
-    /// It may wait for others: a server that was added, a weight, delegates.
+    /// The change may wait for others: a server was added, a weight or the delegates of an object changed.
     Soon,
-    /// It may not wait: a drain, a removal, a purge.
+    /// The change must be published at once: a drain, a removal, a purge.
     Now,
 }
 
-/// Changes that wait to be published.
+/// The times of the first and the last change that wait to be published.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     first: Instant,
     last: Instant,
 }
 
-/// Gathers changes. A pure state machine on passed-in time.
+/// Collects changes until they are to be published. A pure state machine that gets the time as an argument.
 #[derive(Debug)]
 pub struct Debounce {
     quiet: Duration,
@@ -29,13 +29,13 @@
 }
 
 impl Debounce {
-    /// Publishes changes that may wait once no change came for `quiet`, and `limit` after the first one at the
-    /// latest.
+    /// Creates a debounce without pending changes. Changes that may wait are published when no change has come for
+    /// `quiet`, and at the latest `max_delay` after the first one.
     pub fn new(quiet: Duration, max_delay: Duration) -> Self {
         Debounce { quiet, max_delay, pending: None }
     }
 
-    /// Takes a change; returns whether all pending changes are to be published now.
+    /// Records a change. Returns whether all pending changes are to be published now.
     pub fn changed(&mut self, now: Instant, urgency: Urgency) -> bool {
         match urgency {
             Urgency::None => false,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// When the pending changes are to be published, if there are any.
+    /// Returns when the pending changes are to be published; `None` if there are none.
     pub fn due(&self) -> Option<Instant> {
         let pending = self.pending?;
         Some((pending.last + self.quiet).min(pending.first + self.max_delay))
     }
 
-    /// Whether the pending changes are to be published by now; they are then no longer pending.
+    /// Returns whether the pending changes are due at `now`. If so, they are no longer pending afterwards.
     pub fn take_due(&mut self, now: Instant) -> bool {
         let is_due = self.due().is_some_and(|due| due <= now);
         if is_due {
--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the control feed: the edge proxy's own long polls, in a thread with an event loop of its own.
+//! Watches the control feed with the edge proxy's own feed client (long polls), in a thread with its own event loop.
 
 use super::clock::ServiceClock;
 use super::version::PollNumber;
@@ -14,51 +14,54 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// How long the thread waits at most before it checks whether the updates still have a receiver.
+/// The longest wait before the thread checks again whether the updates still have a receiver.
 const RECEIVER_CHECK: Span = Span::from_millis(500);
 
-/// What one round of the event loop had from the feed.
+/// What one round of the event loop received from the feed.
 #[derive(Debug)]
 pub struct FeedUpdate {
-    /// The events, if there were any.
+    /// The received events; empty if the answer held none.
     pub batches: Vec<FeedBatch>,
-    /// The newest poll that had been answered by then.
+    /// The newest poll that had been answered at the end of the round.
     pub answered_poll: PollNumber,
 }
 
-/// How many polls have been begun so far; clones count the same polls.
+/// The number of polls sent so far; clones share one count.
 #[derive(Clone, Debug, Default)]
 pub struct PollCounter(Arc<AtomicU64>);
 
 impl PollCounter {
-    /// A poll that is certainly begun after this call.
+    /// Returns the newest poll that may have been sent before this call. Once a later poll is
+    /// answered, all events that the feed had at the time of this call are known.
     pub fn newest_poll(&self) -> PollNumber {
-        // One more may have been begun and not counted yet; polls after this one say what the feed had by now.
+        // One more than the count, since one poll may have been sent and not counted yet.
         PollNumber(self.0.load(Ordering::SeqCst) + 1)
     }
 
-    fn set(&self, begun: u64) {
-        self.0.store(begun, Ordering::SeqCst);
+    fn set(&self, sent: u64) {
+        self.0.store(sent, Ordering::SeqCst);
     }
 }
 
 /// A running watch of the control feed.
 #[derive(Debug)]
 pub struct FeedWatch {
-    /// One update for each answered poll; the thread ends once this is dropped.
+    /// Receives one update for each answered poll; the thread ends after this receiver is dropped.
     pub updates: UnboundedReceiver<FeedUpdate>,
-    /// Counts polls as they are begun.
+    /// Counts the polls sent.
     pub polls_sent: PollCounter,
 }
 
 impl FeedWatch {
-    /// Watches the feed at `addr` from the event after number `last` on; the feed may hold back an answer for `wait`.
+    /// Starts to watch the feed at `addr`, from the event after number `last`. The feed may hold back a response for up
+    /// to `wait`.
     ///
     /// # Errors
     ///
-    /// The system has no event queue or no thread left.
+    /// Returns an error if the event queue or the thread cannot be created.
     pub fn start(addr: SocketAddr, last: u64, wait: Duration, clock: ServiceClock) -> std::io::Result<Self> {
-        // Bounded by the feed: one poll is out at a time, and each answer leaves one update that is taken at once.
+        // Unbounded, but the feed bounds it: one poll is in flight at a time, and each answer makes one update, which
+        // the receiver takes at once.
         let (sender, updates) = unbounded_channel();
         let polls_sent = PollCounter::default();
         let feed = Feed::new(addr, last).with_poll_wait(Span::from_millis(wait.as_millis() as i64));
@@ -76,7 +79,7 @@
     }
 }
 
-/// The thread's state.
+/// The state of the polling thread.
 struct Poller {
     clock: ServiceClock,
     net: Net,
@@ -88,7 +91,7 @@
 }
 
 impl Poller {
-    /// Polls until nobody receives the updates any more.
+    /// Polls until the receiver of the updates is dropped.
     fn run(&mut self) {
         self.feed.connect(self.clock.now(), &mut self.net, &mut self.deadlines);
         let mut ready = Vec::new();
@@ -103,7 +106,7 @@
         }
     }
 
-    /// How long to wait for the next event.
+    /// Returns how long to wait for the next event.
     fn wait(&self) -> Duration {
         let now = self.clock.now();
         let until_due = self.deadlines.next().map(|at| (at - now).clamp(Span::ZERO, RECEIVER_CHECK));
@@ -125,7 +128,7 @@
         batches
     }
 
-    /// Sends an update if a poll was answered; an error if nobody receives it.
+    /// Sends an update if a poll was answered. Returns an error if the receiver was dropped.
     fn report(&mut self, batches: Vec<FeedBatch>) -> Result<(), ReceiverGone> {
         let PollCounts { sent, answered } = self.feed.polls();
         self.polls_sent.set(sent);
@@ -138,5 +141,5 @@
     }
 }
 
-/// Nobody receives the updates any more.
+/// The receiver of the updates was dropped.
 struct ReceiverGone;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,10 +1,9 @@
-//! The control service: the decision module's choices for proxies that are not this one, over xDS v3. See
-//! docs/control.md.
+//! The control service: gives the decision module's choices to other proxies over xDS v3. See docs/control.md.
 //!
-//! The pure parts work on passed-in time: [`model`] turns the endpoint list, purges and the decision module's answers
-//! into a [`snapshot`] of [`resource`]s; [`session`] is the state machine of one client's stream; [`debounce`] says
-//! when changes are published. Around them, `feed_watch` polls the control feed, `wire` encodes protobuf messages
-//! and `service` serves gRPC.
+//! The pure parts do no I/O and get the time as an argument: [`model`] turns the endpoint list, purges and the
+//! decision module's answers into a [`snapshot`] of [`resource`]s; [`session`] is the state machine of one client's
+//! stream; [`debounce`] decides when changes are published. Around them, `feed_watch` polls the control feed, `wire`
+//! encodes protobuf messages and `service` serves gRPC.
 
 pub mod clock;
 pub mod debounce;
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a point's clusters: its caches, and who fills their misses.
+//! The endpoints of a point's clusters: its caches and its fill sources.
 
 use super::point::Point;
 use super::registry::{Server, ServerRegistry};
@@ -7,16 +7,16 @@
 use crate::interface::{self, Instant, ServerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// Weights are whole numbers; a full-pace answer counts as this many.
+/// The weight of a capacity of 1. Weights are whole numbers, so capacities are scaled.
 const WEIGHT_UNIT: f64 = 100.0;
-/// A weight that differs from the published one by less than this part of it is not published, unless it is the full
-/// one.
+/// A new weight is published only if it differs from the published one by at least this fraction of it, or if the
+/// cache has reached its full capacity.
 const MIN_WEIGHT_CHANGE: f64 = 0.1;
-/// Fill sources have this many priorities: the point's hub, other hubs, the origin.
+/// Number of priorities of fill sources: the point's hub, other hubs, the origin.
 const FILL_LEVELS: usize = 3;
 
 impl Point {
-    /// The point's caches, each weighted by the capacity that its router gives it.
+    /// Returns the point's caches, each weighted by its capacity according to the point's router.
     pub(super) fn cache_endpoints(
         &mut self,
         now: Instant,
@@ -43,7 +43,8 @@
         self.router.is_cache(id) && server.member.zone == self.zone
     }
 
-    /// Who fills the point's misses, by priority without gaps: the parents of its hub, other parents, the origin.
+    /// Returns the point's fill sources by priority: the parents of its hub, other parents, the origin. Empty
+    /// priorities are left out, so that the numbers have no gaps.
     pub(super) fn fill_levels(&self, site: &Site, registry: &ServerRegistry) -> Vec<PriorityLevel> {
         let hub = site.settings.topology.hub_by_zone.get(usize::from(self.zone.0)).copied();
         let mut levels = vec![PriorityLevel::new(); FILL_LEVELS];
@@ -58,7 +59,7 @@
     }
 }
 
-/// At which priority a server fills misses; `None`: it fills none.
+/// Returns the priority of a server as a fill source, 0 being the highest; `None` if it is not a fill source.
 fn fill_level(site: &Site, hub: Option<ZoneId>, member: &interface::Endpoint) -> Option<usize> {
     if member.kind == site.settings.topology.origin_kind {
         Some(2)
@@ -71,7 +72,7 @@
     }
 }
 
-/// The weight to publish for a capacity; `full` is the capacity of the warm cache.
+/// Returns the weight to publish for a capacity; `full` is the capacity of the cache after slow start.
 fn weight_to_publish(published: Option<u32>, capacity: f64, full: f64) -> u32 {
     let weight = weight_of(capacity);
     if capacity >= full {
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -1,4 +1,4 @@
-//! Hot objects: which ones the operator names, and where a router sends their requests.
+//! Hot objects: the ones that the operator's file names, and the caches to which a router sends their requests.
 
 use crate::config::hcl_document::{unknown_name, Position};
 use crate::config::settings::ProgramSettings;
@@ -10,51 +10,54 @@
 use crate::Router;
 use std::collections::BTreeMap;
 
-/// Requests by which a router is asked for a hot object: enough for its directory entry to pass any threshold.
+/// Number of requests with which a router is asked for a hot object: enough for its entry in the popular directory to
+/// pass any threshold.
 const QUERY_COUNT: usize = 12;
-/// The first queries go to the home and start delegates; the ones from here on show where it settled.
+/// The first query whose answer counts. Earlier ones go to the home cache and create delegates; from this one on, the
+/// choice of caches is stable.
 const FIRST_COUNTED_QUERY: usize = QUERY_COUNT / 2;
-/// How long a query takes, as it is reported to the router.
+/// The duration of each query that is reported to the router.
 const QUERY_TIME: Span = Span::from_millis(5);
 
 /// Why a class cannot have hot objects.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HotError {
-    /// The configuration has no such class.
+    /// The class is not in the configuration.
     #[error("{at}: {text}")]
     UnknownClass {
-        /// Where the class is named.
+        /// The position of the class in the operator's file.
         at: Position,
-        /// Names the class and the closest ones that there are.
+        /// A text that names the class and the closest defined classes.
         text: String,
     },
     /// The class is never cached.
-    #[error("{at}: class {class:?} is never kept: it has no popular objects")]
+    #[error("{at}: class {class:?} is never cached, so it cannot have hot objects")]
     NeverCached {
-        /// Where the class is named.
+        /// The position of the class in the operator's file.
         at: Position,
-        /// The class.
+        /// The name of the class.
         class: String,
     },
 }
 
-/// A hot object, of one class.
+/// A hot object of a class. An object ID that several classes name is one hot object in each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HotObject {
     pub(super) class: ClassId,
     pub(super) object: ObjectId,
 }
 
-/// Where a router sends a hot object's requests.
+/// The caches to which a router sends a hot object's requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Placement {
-    /// By cache: who fills a miss there. The smallest distribute count makes their shares equal in the long run.
+    /// The fill source of each cache; `None` if the router chose none. The router picks the cache with the smallest
+    /// distribute count, so their shares are equal in the long run.
     pub(super) caches: BTreeMap<ServerId, Option<ServerId>>,
-    /// The rank at which copies are cached.
+    /// The highest cache rank of copies in the router's answers.
     pub(super) rank: u8,
 }
 
-/// The hot objects that the operator's file names, sorted.
+/// Returns the hot objects that the operator's file names, sorted and without duplicates.
 pub(super) fn hot_objects(
     settings: &Settings,
     names: &ProgramSettings,
@@ -83,7 +86,8 @@
     Ok(class)
 }
 
-/// Asks a router where it sends an object's requests now; `None`: nowhere. Each query takes the next request number.
+/// Asks a router where it sends an object's requests now; `None` if it sends them to no cache. Each query takes the
+/// next request number.
 pub(super) fn placement(
     router: &mut Router,
     now: Instant,
@@ -106,7 +110,7 @@
     Some(placement).filter(|placement| !placement.caches.is_empty())
 }
 
-/// A request for a hot object as a client would send it.
+/// Creates a request for a hot object as a client would send it.
 fn request(id: RequestId, hot: HotObject, client_timeout: Span) -> Request {
     Request {
         id,
@@ -122,7 +126,8 @@
     }
 }
 
-/// Passes a request to a router, and that it was answered; returns what the router decided.
+/// Passes a request to a router and reports a successful attempt. Returns the attempt that the router chose; `None` if
+/// its actions hold no [`Action::SendWithFill`].
 fn answer(router: &mut Router, now: Instant, request: Request) -> Option<FillAttempt> {
     let id = request.id;
     let mut actions = Vec::new();
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -1,10 +1,10 @@
-//! What other proxies are sent, as the decision module decides it: a snapshot of each point, with versions that only
-//! grow.
+//! The model: computes what other proxies are sent from the decisions of the decision module, as a snapshot of each
+//! point with versions that only grow.
 //!
-//! Each point has a [`Router`](crate::Router) of its own that is sent the endpoint list and the purges as an edge proxy
-//! there would. A cache's weight is its [`capacity`](crate::Router::capacities) there; a hot object's caches and fill
-//! source are what the router answers when it is asked for the object. No socket and no clock: events and times are
-//! passed in.
+//! Each point has its own [`Router`](crate::Router), which gets the endpoint list and the purges as that of an edge
+//! proxy there would. A cache's weight is its [`capacity`](crate::Router::capacities) in that router. A hot object's
+//! caches and fill sources are found by passing requests for the object to the router. The model uses no socket and no
+//! clock: events and times are passed in.
 
 mod endpoints;
 mod hot;
@@ -32,21 +32,21 @@
 use site::Site;
 use std::sync::Arc;
 
-/// How often the weights of caches that are warming up are computed anew.
+/// The interval at which the weights of caches that are warming up are computed again.
 const WARM_UP_STEP: Span = Span::from_secs(1);
 
-/// Why there is no model.
+/// Why a model cannot be created or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum ModelError {
-    /// Settings with which no router starts at some point.
+    /// A router cannot be created from the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// Hot objects of a class that can have none.
+    /// The file names hot objects of a class that is not defined or never cached.
     #[error(transparent)]
     Hot(#[from] HotError),
 }
 
-/// The state behind all snapshots.
+/// The state from which snapshots are made.
 pub struct Model {
     site: Site,
     registry: ServerRegistry,
@@ -55,20 +55,21 @@
     purges: PurgeLog,
     epoch: Epoch,
     sequence: Sequence,
-    /// How often the routers are asked for hot objects.
+    /// The interval at which the routers are asked for hot objects.
     refresh: Span,
     refresh_at: Instant,
-    /// When the weights of caches that are warming up are due.
+    /// When the weights of caches that are warming up are computed next; `None` if no server is warming up.
     warm_up_at: Option<Instant>,
     next_request: u64,
 }
 
 impl Model {
-    /// A model that has had no event. `epoch` names this run and must be another for each one.
+    /// Creates a model without any events. `epoch` identifies this run of the service and must differ between runs.
     ///
     /// # Errors
     ///
-    /// Settings with which no router starts, or hot objects of a class that can have none.
+    /// Returns an error if a router cannot be created from the settings, or if a hot object's class is not defined or
+    /// never cached.
     pub fn new(
         parsed: SiteSettings,
         seed: u64,
@@ -80,7 +81,7 @@
         let SiteSettings { policy: settings, program: names } = parsed;
         let hot = hot_objects(&settings, &names, control)?;
         let points = points(&settings, seed, now)?;
-        // A purge is announced until all servers have dropped older copies, and as long again for the rest.
+        // A purge is announced until all servers have dropped older copies, and for the same time again as a margin.
         let purges = PurgeLog::new(2 * settings.protection.purge_settled_after);
         Ok(Model {
             site: Site { settings, names, encode },
@@ -97,11 +98,11 @@
         })
     }
 
-    /// Goes on with other hot objects, as at a SIGHUP; the routers are asked for them at the next tick.
+    /// Replaces the hot objects, for a reload on SIGHUP. The routers are asked for the new ones at the next tick.
     ///
     /// # Errors
     ///
-    /// Hot objects of a class that can have none; nothing changes then.
+    /// Returns an error, and changes nothing, if a hot object's class is not defined or never cached.
     pub fn set_hot_objects(&mut self, now: Instant, control: &ControlSettings) -> Result<(), ModelError> {
         self.hot = hot_objects(&self.site.settings, &self.site.names, control)?;
         self.refresh = control.refresh.into();
@@ -109,7 +110,7 @@
         Ok(())
     }
 
-    /// Applies events of the control feed; returns how soon what they change has to be published.
+    /// Applies events of the control feed. Returns how soon the changes have to be published.
     pub fn apply(&mut self, moment: Moment, batch: &FeedBatch) -> Urgency {
         let mut urgency = Urgency::None;
         for event in &batch.events {
@@ -128,7 +129,7 @@
         for point in &mut self.points {
             point.apply_members(moment.now, &change);
         }
-        // The routers replace delegates at a server that left at once.
+        // Asks for the hot objects again at once, since the routers immediately replace delegates on servers that left.
         self.refresh_at = self.refresh_at.min(moment.now);
         self.warm_up_at = Some(moment.now);
         if change.lost_ready {
@@ -148,15 +149,15 @@
         Urgency::Now
     }
 
-    /// When [`Self::tick`] is due next.
+    /// Returns when [`Self::tick`] is due next; [`Instant::MAX`] if nothing is scheduled.
     pub fn due(&self) -> Instant {
         let refresh_at = if self.hot.is_empty() { Instant::MAX } else { self.refresh_at };
         let warm_up_at = self.warm_up_at.unwrap_or(Instant::MAX);
         refresh_at.min(warm_up_at).min(self.purges.due())
     }
 
-    /// Applies what time brings: caches warm up, hot objects' delegates end, purges are no longer announced. Returns
-    /// how soon what has changed has to be published.
+    /// Applies the changes that are due by time: caches warm up, hot objects' delegates expire, purges expire. Returns
+    /// how soon the changes have to be published.
     pub fn tick(&mut self, now: Instant) -> Urgency {
         let warmed_up = self.tick_warm_up(now);
         let refreshed = self.tick_hot(now);
@@ -190,8 +191,8 @@
         true
     }
 
-    /// The snapshot of all points now, with the newest poll of the feed that was answered. Versions grow only where
-    /// content differs.
+    /// Makes a snapshot of all points now. `answered_poll` is the newest poll of the feed that was answered. Versions
+    /// grow only where the content differs from the previous snapshot.
     pub fn snapshot(&mut self, now: Instant, answered_poll: PollNumber) -> Snapshot {
         for point in &mut self.points {
             let contents = point.contents(now, &self.site, &self.registry, &self.hot, &self.purges);
@@ -203,7 +204,7 @@
     }
 }
 
-/// The points: the zones that have routers.
+/// Creates the points: one for each zone that has routers.
 fn points(settings: &Settings, seed: u64, now: Instant) -> Result<Vec<Point>, SettingsError> {
     let mut points = Vec::new();
     for (zone, routers) in settings.topology.routers_by_zone.iter().enumerate() {
@@ -214,7 +215,7 @@
     Ok(points)
 }
 
-/// What a purge event is about; `None`: neither an object nor a group.
+/// Returns the object or group that a purge event names; `None` if it names neither.
 fn parse_purge(event: &events::FeedPurge) -> Option<Purge> {
     let object = event.key.as_ref().and_then(|key| u64::from_str_radix(key, 16).ok());
     let object = object.map(|object| Purge::Object(ObjectId(object)));
--- a/src/control/model/point.rs
+++ b/src/control/model/point.rs
@@ -1,4 +1,4 @@
-//! One point: its router, and what its clients may be sent.
+//! A point: its router and the resources that are published for its clients.
 
 use super::hot::{placement, HotObject, Placement};
 use super::purges::PurgeLog;
@@ -19,15 +19,15 @@
 pub(super) struct Point {
     pub(super) zone: ZoneId,
     pub(super) router: Router,
-    /// What was published last.
+    /// The resources as they were published last.
     pub(super) published: Arc<PointSnapshot>,
     pub(super) placements: BTreeMap<HotObject, Placement>,
-    /// The caches' weights as they were published last.
+    /// The weights of the caches as they were published last.
     pub(super) weights: BTreeMap<ServerId, u32>,
 }
 
 impl Point {
-    /// A point whose router has had no event.
+    /// Creates a point whose router has received no event.
     pub(super) fn new(
         zone: ZoneId,
         settings: &Settings,
@@ -56,7 +56,7 @@
         self.router.handle(now, Event::Purged { purge, age }, &mut Vec::new());
     }
 
-    /// Asks the router again where it sends the hot objects' requests.
+    /// Asks the router again for the placement of each hot object.
     pub(super) fn refresh_hot_objects(
         &mut self,
         now: Instant,
@@ -64,7 +64,7 @@
         classes: &[Class],
         next_request: &mut u64,
     ) {
-        // Its upkeep: thresholds, delegates that end.
+        // Lets the router update its popularity thresholds and remove expired delegates.
         self.router.handle(now, Event::Timer(0), &mut Vec::new());
         self.placements.clear();
         for object in hot {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The contents of all resources now.
+    /// Returns the current contents of all resources.
     pub(super) fn contents(
         &mut self,
         now: Instant,
@@ -102,8 +102,8 @@
         contents
     }
 
-    /// Publishes contents: each type that differs from what was published last takes the next sequence number.
-    /// Returns the last number taken.
+    /// Publishes contents: each type that differs from what was published last gets the next sequence number. Returns
+    /// the last sequence number in use.
     pub(super) fn publish(
         &mut self,
         contents: Contents,
@@ -127,7 +127,8 @@
     }
 }
 
-/// The resources of a type with new contents, those that differ in a new version; `None`: nothing differs.
+/// Returns the resources of a type with new contents, where resources that differ get the new version; `None` if
+/// nothing differs.
 fn updated_set(
     known: &ResourceSet,
     contents: BTreeMap<String, Content>,
--- a/src/control/model/purges.rs
+++ b/src/control/model/purges.rs
@@ -7,16 +7,16 @@
 /// A purge that is announced.
 #[derive(Clone, Copy, Debug)]
 struct AnnouncedPurge {
-    /// When it was made: copies must be newer.
+    /// When the purge was made. Copies must be newer.
     made_at: UnixTime,
-    /// Until when it is announced.
+    /// When the purge is no longer announced.
     expires_at: Instant,
 }
 
-/// The announced purges, the newest of each object and group.
+/// The announced purges: the newest one of each object and group.
 #[derive(Debug)]
 pub(super) struct PurgeLog {
-    /// How long after it was made a purge is announced.
+    /// How long a purge is announced, from the time when it was made.
     announced_for: Span,
     purges: BTreeMap<Purge, AnnouncedPurge>,
 }
@@ -34,22 +34,22 @@
         newest.expires_at = newest.expires_at.max(expires_at);
     }
 
-    /// When the next purge expires.
+    /// Returns when the next purge expires; [`Instant::MAX`] if there is none.
     pub(super) fn due(&self) -> Instant {
         let times = self.purges.values().map(|purge| purge.expires_at);
         times.min().unwrap_or(Instant::MAX)
     }
 
-    /// Removes what has expired; returns whether anything had.
+    /// Removes the expired purges. Returns whether there were any.
     pub(super) fn expire(&mut self, now: Instant) -> bool {
         let before = self.purges.len();
         self.purges.retain(|_, purge| purge.expires_at > now);
         self.purges.len() < before
     }
 
-    /// Each purge, and the Unix millisecond that copies must be newer than.
+    /// Iterates over the purges, each with the Unix time in ms that copies must be newer than.
     pub(super) fn newer_than_ms(&self) -> impl Iterator<Item = (Purge, i64)> + '_ {
-        // A copy made at the very millisecond may be from before the purge.
+        // One more, since a copy made in the same millisecond may be older than the purge.
         self.purges.iter().map(|(purge, announced)| (*purge, announced.made_at.as_millis() + 1))
     }
 }
--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list, as the control feed states them.
+//! The servers of the endpoint list that the control feed sends.
 
 use crate::config::events::{self, Health};
 use crate::config::settings::ProgramSettings;
@@ -8,15 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A server of the list.
+/// A server of the endpoint list.
 pub(super) struct Server {
-    /// Its entry for the decision module, with its start on the monotonic clock.
+    /// The entry for the decision module, with the start time on the monotonic clock.
     pub(super) member: Endpoint,
-    /// Its name.
+    /// The name in the endpoint list.
     pub(super) name: String,
-    /// Its address, if the list states one.
+    /// The address; `None` if the list has none for this server.
     pub(super) addr: Option<SocketAddr>,
-    /// Its start as the list states it.
+    /// The start time as a Unix time, as given in the list.
     started_unix: Option<UnixTime>,
 }
 
@@ -25,22 +25,22 @@
         self.member.state == ServerState::Ready
     }
 
-    /// Whether requests can be sent to it.
+    /// Whether requests can be sent to the server: it is ready and has an address.
     pub(super) fn is_usable(&self) -> bool {
         self.is_ready() && self.addr.is_some()
     }
 }
 
-/// A change of the list.
+/// A change of the endpoint list.
 pub(super) struct ListChange {
     pub(super) kind: ListUpdate,
-    /// The stated entries, for the decision module.
+    /// The listed entries, for the decision module.
     pub(super) entries: Vec<Endpoint>,
-    /// Whether a server that was ready no longer is.
+    /// Whether any server that was ready no longer is.
     pub(super) lost_ready: bool,
 }
 
-/// All servers of the list.
+/// All servers of the endpoint list.
 #[derive(Default)]
 pub(super) struct ServerRegistry {
     members: ServerNames,
@@ -48,7 +48,7 @@
 }
 
 impl ServerRegistry {
-    /// Applies a change of the list, complete or of some entries.
+    /// Applies a change: a complete list, or only the changed entries.
     pub(super) fn apply(
         &mut self,
         moment: Moment,
@@ -78,7 +78,7 @@
         ListChange { kind, entries, lost_ready }
     }
 
-    /// A server as an entry of the list states it.
+    /// Creates a server from an entry of the list.
     fn server_from_entry(
         &mut self,
         moment: Moment,
@@ -92,8 +92,8 @@
         Server { member, name: host.host.clone(), addr: host.dial, started_unix }
     }
 
-    /// A server's start on the monotonic clock. A start that the list states again keeps its first conversion,
-    /// since the decision module takes another start for a restart.
+    /// Returns a server's start time on the monotonic clock. An unchanged start time keeps its first conversion, since
+    /// the decision module takes another start time as a restart of the server.
     fn start_time(&self, moment: Moment, server: ServerId, started_unix: UnixTime) -> Instant {
         let known = self.servers.get(&server).filter(|known| known.started_unix == Some(started_unix));
         let known_start = known.and_then(|known| known.member.started_at);
@@ -105,7 +105,7 @@
         ready.map(|(id, _)| *id).collect()
     }
 
-    /// Whether any server has started after a monotonic time.
+    /// Whether any server was started after a monotonic time.
     pub(super) fn any_started_after(&self, time: Instant) -> bool {
         let mut starts = self.servers.values().filter_map(|server| server.member.started_at);
         starts.any(|start| start > time)
@@ -115,12 +115,12 @@
         self.servers.get(&server)
     }
 
-    /// The server, if requests can be sent to it.
+    /// Returns the server; `None` if it is unknown or requests cannot be sent to it.
     pub(super) fn usable(&self, server: ServerId) -> Option<&Server> {
         self.get(server).filter(|known| known.is_usable())
     }
 
-    /// All servers to which requests can be sent, by number.
+    /// Iterates over all servers to which requests can be sent, ordered by ID.
     pub(super) fn all_usable(&self) -> impl Iterator<Item = (ServerId, &Server)> {
         let usable = self.servers.iter().filter(|(_, server)| server.is_usable());
         usable.map(|(id, server)| (*id, server))
--- a/src/control/model/routes.rs
+++ b/src/control/model/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of a point: purges, hot objects, classes.
+//! The routes of a point: for purges, hot objects and classes.
 
 use super::hot::{HotObject, Placement};
 use super::point::Point;
@@ -8,10 +8,10 @@
 use crate::control::resource::{Route, RouteCache};
 use crate::interface::{Class, ClassId, Idempotency, Purge, ServerId};
 
-/// The rank at which copies are cached unless a router says otherwise.
+/// The cache rank of copies, unless a router has chosen another one.
 const DEFAULT_RANK: u8 = 2;
 
-/// A class and its route.
+/// A class with the route for its requests.
 struct ClassRoute {
     class: ClassId,
     cached: bool,
@@ -19,8 +19,8 @@
 }
 
 impl Point {
-    /// The routes; the first that matches is taken. Purges come first, since they apply to hot objects too; then hot
-    /// objects; then the classes.
+    /// Returns the routes in the order in which they are matched. Purges come first, since they apply to hot objects
+    /// too; then hot objects; then the classes.
     pub(super) fn routes(
         &self,
         site: &Site,
@@ -44,7 +44,7 @@
         routes
     }
 
-    /// A class's route for what was purged.
+    /// Returns a class's route for a purged object or group.
     fn purge_route(&self, registry: &ServerRegistry, class: &ClassRoute, purge: Purge) -> Route {
         let hot = match purge {
             Purge::Object(object) => {
@@ -56,7 +56,7 @@
         Route { purge: Some(purge), ..route }
     }
 
-    /// A hot object's own route; `None`: it has no cache to which requests can be sent.
+    /// Returns a hot object's own route; `None` if no cache of its placement can be sent requests.
     fn hot_route(&self, registry: &ServerRegistry, class: &ClassRoute, hot: HotObject) -> Option<Route> {
         let placement = self.placements.get(&hot)?;
         let caches = route_caches(registry, placement);
@@ -68,7 +68,7 @@
     }
 }
 
-/// The caches of a placement to which requests can be sent.
+/// Returns the caches of a placement to which requests can be sent.
 fn route_caches(registry: &ServerRegistry, placement: &Placement) -> Vec<RouteCache> {
     let name_of = |server: ServerId| registry.usable(server).map(|server| server.name.clone());
     let mut route_caches = Vec::new();
@@ -80,7 +80,7 @@
     route_caches
 }
 
-/// The routes of all classes that are not retired.
+/// Returns the routes of all classes that are not retired.
 fn class_routes(site: &Site) -> Vec<ClassRoute> {
     let classes = site.settings.classes.iter().enumerate();
     let live = classes.filter(|(_, class)| !class.retired);
--- a/src/control/model/site.rs
+++ b/src/control/model/site.rs
@@ -1,13 +1,13 @@
-//! What stays the same for all points and all snapshots of a run.
+//! The settings that are the same for all points and snapshots of a run.
 
 use crate::config::settings::ProgramSettings;
 use crate::control::resource::Content;
 use crate::interface::{Settings, ZoneId};
 
-/// Encodes a resource, by its name and content, in its wire form.
+/// A function that encodes a resource as protobuf, from its name and content.
 pub type EncodeFn = fn(&str, &Content) -> Vec<u8>;
 
-/// What stays the same for all points and all snapshots of a run.
+/// The settings, names and encoder that are the same for all points and snapshots of a run.
 pub(super) struct Site {
     pub(super) settings: Settings,
     pub(super) names: ProgramSettings,
@@ -15,7 +15,7 @@
 }
 
 impl Site {
-    /// A zone's name, or its number where the settings do not name it.
+    /// Returns the name of a zone, or its number if the settings have no name for it.
     pub(super) fn zone_name(&self, zone: ZoneId) -> String {
         let name = self.names.zones.get(usize::from(zone.0));
         name.cloned().unwrap_or_else(|| zone.0.to_string())
--- a/src/control/resource.rs
+++ b/src/control/resource.rs
@@ -1,10 +1,10 @@
-//! The resources that clients subscribe to, independent of their wire form.
+//! The resources that clients subscribe to, independent of their encoding.
 
 use super::version::Sequence;
 use crate::interface::{ObjectId, Purge, Span};
 use std::net::SocketAddr;
 
-/// The types of resources, in the order in which they are sent: what is referred to comes before what refers to it.
+/// The types of resources, in the order in which they are sent: a resource comes before those that refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
     /// CDS, `envoy.config.cluster.v3.Cluster`.
@@ -16,7 +16,7 @@
 }
 
 impl ResourceType {
-    /// All types, in their order.
+    /// All types, in the order in which they are sent.
     pub const ALL: [ResourceType; 3] =
         [ResourceType::Clusters, ResourceType::Endpoints, ResourceType::Routes];
 }
@@ -26,22 +26,22 @@
 pub struct PerType<T>([T; 3]);
 
 impl<T> PerType<T> {
-    /// Makes the value of each type.
+    /// Creates the value of each type with `value_of`.
     pub fn from_fn(value_of: impl FnMut(ResourceType) -> T) -> Self {
         PerType(ResourceType::ALL.map(value_of))
     }
 
-    /// The value of a type.
+    /// Returns the value of a type.
     pub fn get(&self, resource_type: ResourceType) -> &T {
         &self.0[resource_type as usize]
     }
 
-    /// The value of a type, to be changed.
+    /// Returns a mutable reference to the value of a type.
     pub fn get_mut(&mut self, resource_type: ResourceType) -> &mut T {
         &mut self.0[resource_type as usize]
     }
 
-    /// All values, in the order of their types.
+    /// Iterates over all values, in the order of [`ResourceType::ALL`].
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.0.iter()
     }
@@ -56,89 +56,90 @@
     }
 }
 
-/// A server that may be sent requests or fill misses.
+/// A server that requests can be sent to or that misses can be filled from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name in the endpoint list.
+    /// The server's name in the endpoint list.
     pub name: String,
-    /// Its address.
+    /// The address that proxies connect to.
     pub addr: SocketAddr,
-    /// Its weight among those beside it, at least 1.
+    /// The weight relative to the other endpoints of the same priority, at least 1.
     pub weight: u32,
-    /// Its zone's name.
+    /// The name of the server's zone.
     pub zone: String,
 }
 
-/// The endpoints of one priority; a lower priority is used only when all above it have failed.
+/// The endpoints of one priority. A lower priority is used only when all higher ones have failed.
 pub type PriorityLevel = Vec<Endpoint>;
 
-/// A cache that a hot object's requests go to: its home, or a delegate.
+/// A cache that a hot object's requests are sent to: its home cache or a delegate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteCache {
-    /// The cache; all holders of an object have equal shares.
+    /// The name of the cache. All caches of an object get equal shares of its requests.
     pub name: String,
-    /// Who fills a miss there: for a delegate the home; `None`: whoever fills the point's other misses.
+    /// The fill source of this cache's misses: for a delegate the home cache; `None` if the point's fill cluster is
+    /// used.
     pub fill: Option<String>,
 }
 
-/// How one class's requests are routed, or one hot object's.
+/// The routing of the requests of one class, or of one of its hot or purged objects or groups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The class's name.
+    /// The name of the class.
     pub class: String,
-    /// The hot object that it matches; `None`: all others of the class.
+    /// The hot object that the route matches; `None` if it matches all others of the class.
     pub object: Option<ObjectId>,
-    /// The group or object that it matches, if it announces a purge.
+    /// The purged object or group that the route matches; `None` if it announces no purge.
     pub purge: Option<Purge>,
-    /// For a hot object: the caches that its requests go to.
+    /// The caches that a hot object's requests are sent to; empty for the class's other requests.
     pub caches: Vec<RouteCache>,
-    /// The rank at which copies are cached; 0: none is.
+    /// The cache rank of copies; 0 if they are not cached.
     pub rank: u8,
-    /// Copies must be newer than this Unix millisecond; 0: any will do that the class's fresh time allows.
+    /// Copies must be newer than this Unix time in ms; 0 if only the class's freshness limits their age.
     pub newer_than_ms: i64,
-    /// Within this a request is answered or has failed.
+    /// The time after which a request without a final answer has failed.
     pub deadline: Span,
-    /// For how long a copy is fresh; zero: until it is purged.
+    /// How long a copy is fresh; zero if it is fresh until it is purged.
     pub fresh: Span,
-    /// Whether the class is idempotent: whether an attempt that may have run may be retried. One that certainly has
-    /// not run always may be.
+    /// Whether the class is idempotent, so that an attempt that may have run may be retried. An attempt that certainly
+    /// did not run may always be retried.
     pub idempotent: bool,
-    /// Attempts in all.
+    /// The maximum number of attempts, the first one included.
     pub attempts: u32,
 }
 
-/// One resource's content, independent of its wire form.
+/// The content of a resource, independent of its encoding.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// A cluster.
+    /// A cluster (CDS).
     Cluster {
-        /// Whether an object's hash picks the endpoint (caches) or the load does (fill sources).
+        /// Whether the endpoint is chosen by the object's hash (caches) or by load (fill sources).
         hashed: bool,
-        /// The longest that a connection may take to come up.
+        /// The time limit for opening a connection.
         connect_timeout: Span,
     },
-    /// Its endpoints by priority, the most wanted first.
+    /// The endpoints of a cluster by priority, the highest first.
     Endpoints(Vec<PriorityLevel>),
-    /// The routes of a point; the first that matches is taken.
+    /// The routes of a point. The first one that matches is used.
     Routes {
-        /// The cluster of the point's caches.
+        /// The name of the cluster of the point's caches.
         cluster: String,
-        /// The cluster of its fill sources.
+        /// The name of the cluster of the point's fill sources.
         fill: String,
-        /// The routes.
+        /// The routes, in the order in which they are matched.
         routes: Vec<Route>,
     },
 }
 
-/// A resource in the version in which it is sent.
+/// A resource with its version and encoding, as it is sent to clients.
 #[derive(Debug, PartialEq)]
 pub struct Resource {
-    /// Its name.
+    /// The name that clients subscribe to.
     pub name: String,
     /// The sequence number at which its content last changed.
     pub version: Sequence,
-    /// Its content.
+    /// The content, compared to detect changes.
     pub content: Content,
-    /// The same content in its wire form.
+    /// The content encoded as protobuf.
     pub body: Vec<u8>,
 }
--- a/src/control/service/ads.rs
+++ b/src/control/service/ads.rs
@@ -1,4 +1,4 @@
-//! The gRPC service: opens a stream for each client, in either protocol variant.
+//! The gRPC service: opens a stream for each client, in either variant of the protocol.
 
 use super::message::RequestMessage;
 use super::metrics::Metrics;
@@ -11,10 +11,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Responses that wait until a stream's connection takes them.
+/// Number of responses that may wait until a stream's connection takes them.
 const RESPONSE_BUFFER: usize = 1;
 
-/// A stream's place among those that may be open at once; given back when the stream ends.
+/// Counts a stream as open until the permit is dropped, so that the number of open streams is limited.
 struct StreamPermit(Arc<Metrics>);
 
 impl Drop for StreamPermit {
@@ -23,14 +23,14 @@
     }
 }
 
-/// The service, shared by all connections.
+/// The gRPC service, shared by all connections.
 pub(super) struct DiscoveryService {
     pub(super) context: StreamContext,
-    /// The most streams that may be open.
+    /// Maximum number of open streams.
     pub(super) max_clients: usize,
 }
 
-/// The responses of a stream.
+/// The responses of a stream, as the gRPC server takes them.
 type Responses<M> = ReceiverStream<Result<<M as RequestMessage>::Response, Status>>;
 
 impl DiscoveryService {
--- a/src/control/service/message.rs
+++ b/src/control/service/message.rs
@@ -1,4 +1,4 @@
-//! The gRPC messages of the two protocol variants, behind one trait.
+//! One trait for the gRPC messages of the two protocol variants.
 
 use crate::control::resource::ResourceType;
 use crate::control::session::{ClientRequest, ServerResponse, Variant};
@@ -9,26 +9,26 @@
 };
 use tonic::Status;
 
-/// The request messages of the two variants, so that one task serves both.
+/// A request message of either variant. With it, one stream task serves both variants.
 pub(super) trait RequestMessage: Send + 'static {
     /// The variant's response message.
     type Response: Send + 'static;
-    /// The variant.
+    /// The protocol variant of the message.
     const VARIANT: Variant;
 
-    /// The client; only a stream's first message has to name it.
+    /// Returns the client's node. Only the first message of a stream must hold it.
     fn node(&self) -> Option<&Node>;
 
-    /// The URL of the type that it is about.
+    /// Returns the type URL of the requested resources.
     fn type_url(&self) -> &str;
 
-    /// The request.
+    /// Converts the message to a request.
     fn into_request(self) -> ClientRequest;
 
-    /// The message of a response.
+    /// Converts a response to its message.
     fn response(response: &ServerResponse) -> Self::Response;
 
-    /// The type that it is about.
+    /// Returns the type of the requested resources. A type that is not served here is an error.
     fn resource_type(&self) -> Result<ResourceType, Status> {
         let url = self.type_url();
         wire::resource_type(url)
--- a/src/control/service/metrics.rs
+++ b/src/control/service/metrics.rs
@@ -1,18 +1,18 @@
-//! Counts of what the service sent and received, for the log and for tests.
+//! Counters of the service, for tests and measurements.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 
-/// Counts since the start.
+/// Counters since the start of the service.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Streams open now.
+    /// Number of open streams.
     pub clients: AtomicUsize,
-    /// Responses handed to connections.
+    /// Number of responses handed to connections.
     pub sent: AtomicU64,
-    /// Responses that were ACKed.
+    /// Number of responses that clients ACKed.
     pub acks: AtomicU64,
-    /// Responses that were NACKed.
+    /// Number of responses that clients NACKed.
     pub nacks: AtomicU64,
-    /// Snapshots published.
+    /// Number of snapshots published because of a change.
     pub snapshots: AtomicU64,
 }
--- a/src/control/service/mod.rs
+++ b/src/control/service/mod.rs
@@ -1,8 +1,8 @@
-//! The control service: an aggregated discovery service (ADS) over gRPC, around the pure parts.
+//! The running control service: an aggregated discovery service (ADS) over gRPC around the pure parts.
 //!
-//! One task, the `publisher`, holds the model and publishes snapshots; each `stream` has a task with its
-//! [`Session`](super::session::Session), which makes the next response only when the connection has taken the one
-//! before, from the newest snapshot.
+//! One task, the `publisher`, holds the model and publishes snapshots. Each `stream` has its own task with a
+//! [`Session`](super::session::Session). It makes the next response from the newest snapshot, and only when the
+//! connection has taken the previous response.
 
 mod ads;
 mod error;
@@ -38,39 +38,40 @@
 use tonic::transport::server::TcpIncoming;
 use tracing::{info, warn};
 
-/// Connections that may wait to be accepted: after a restart all clients come at once, and one whose connection is
-/// dropped comes again only a second later.
+/// Number of connections that may wait to be accepted. After a restart all clients connect at once, and a client whose
+/// connection is dropped tries again only after a second.
 const BACKLOG: u32 = 4096;
-/// Rejections are kept of this many nodes for each stream that may be open.
+/// Number of nodes whose rejections are remembered, for each stream that may be open.
 const REMEMBERED_NODES_PER_CLIENT: usize = 2;
-/// A connection on which nothing came for this long is sent a ping.
+/// A connection on which nothing was received for this long is sent a ping.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
-/// It is closed if the ping is not answered within this time.
+/// A connection is closed if a ping is not answered within this time.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The files of a control service.
+/// The paths of the files that a control service reads.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// The platform's configuration: settings, known events, the control feed's address.
+    /// The platform's configuration: settings, initial events, the control feed's address.
     pub config: PathBuf,
-    /// The operator's file.
+    /// The operator's file with the settings of the control service, read again on SIGHUP.
     pub control: PathBuf,
 }
 
 impl Files {
     fn read_control(&self) -> Result<ControlSettings, ControlError> {
         let bytes = read_file(&self.control)?;
-        let text = String::from_utf8(bytes).map_err(|_| ConfigError::invalid(&self.control, "not UTF-8"))?;
+        let not_utf8 = |_| ConfigError::invalid(&self.control, "the file is not UTF-8");
+        let text = String::from_utf8(bytes).map_err(not_utf8)?;
         let file = self.control.display().to_string();
         Ok(ControlSettings::parse(HclDocument { file: &file, text: &text })?)
     }
 }
 
-/// A control service that is up.
+/// A running control service.
 pub struct Running {
-    /// Where it listens.
+    /// The address that the service listens on.
     pub addr: SocketAddr,
-    /// What it has sent and received.
+    /// The counters of the service.
     pub metrics: Arc<Metrics>,
     stop: watch::Sender<bool>,
     reload: mpsc::UnboundedSender<ControlSettings>,
@@ -78,28 +79,28 @@
 }
 
 impl Running {
-    /// Stops it: streams are ended, connections closed.
+    /// Stops the service: ends its streams and closes its connections.
     ///
     /// # Errors
     ///
-    /// The server had ended with an error.
+    /// Returns an error if the gRPC server ended with one.
     pub async fn stop(self) -> Result<(), ControlError> {
         let _ = self.stop.send(true);
         self.server.await.map_err(std::io::Error::other)??;
         Ok(())
     }
 
-    /// Goes on with other settings, as at a SIGHUP.
+    /// Replaces the settings, for a reload on SIGHUP. `listen`, `poll_wait` and `max_clients` do not change.
     pub fn reload(&self, settings: ControlSettings) {
         let _ = self.reload.send(settings);
     }
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP reads the operator's file again.
+/// Runs the service until SIGTERM or SIGINT. SIGHUP reads the operator's file again.
 ///
 /// # Errors
 ///
-/// Files that cannot be used, an address that cannot be listened on.
+/// Returns an error if a file cannot be read or is invalid, or if the service cannot listen on its address.
 pub fn run(files: &Files) -> Result<(), ControlError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(serve_until_signalled(files))
@@ -115,7 +116,7 @@
         tokio::select! {
             _ = hangup.recv() => match files.read_control() {
                 Ok(settings) => running.reload(settings),
-                Err(error) => warn!("reload: {error}; the old file stays"),
+                Err(error) => warn!("reload: {error}; the previous settings stay in effect"),
             },
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
@@ -131,16 +132,16 @@
 ///
 /// # Errors
 ///
-/// Settings or hot objects that cannot be used, an address that cannot be listened on.
+/// Returns an error if the settings or hot objects are invalid, or if the service cannot listen on its address.
 pub async fn start(config: &Config, settings: ControlSettings) -> Result<Running, ControlError> {
     start_with_clock(config, settings, ServiceClock::system()).await
 }
 
-/// Starts a control service that goes by a given clock.
+/// Starts a control service with the given clock.
 ///
 /// # Errors
 ///
-/// As for [`start`].
+/// The same as for [`start`].
 pub async fn start_with_clock(
     config: &Config,
     settings: ControlSettings,
@@ -172,14 +173,14 @@
     Ok(Running { addr, metrics, stop, reload, server })
 }
 
-/// A model to which the events that the configuration knows were applied.
+/// Creates a model and applies the initial events of the configuration.
 fn new_model(
     config: &Config,
     settings: &ControlSettings,
     clock: &ServiceClock,
 ) -> Result<Model, ControlError> {
     let moment = clock.moment();
-    // Another run has another epoch: runs do not start within the same microsecond.
+    // The start time in microseconds identifies the run, since no two runs start within the same microsecond.
     let epoch = Epoch(moment.unix.as_micros() as u64);
     let mut model =
         Model::new(config.settings.clone(), config.seed, settings, wire::encode, epoch, moment.now)?;
--- a/src/control/service/publisher.rs
+++ b/src/control/service/publisher.rs
@@ -15,10 +15,10 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-/// The longest that the task sleeps, whatever is due.
+/// The longest sleep of the task, even if nothing is due earlier.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// The task's state.
+/// The state of the publisher task.
 pub(super) struct Publisher {
     clock: ServiceClock,
     model: Model,
@@ -35,12 +35,12 @@
 enum Wakeup {
     Feed(FeedUpdate),
     Reload(ControlSettings),
-    /// Something of the model's or the debounce's may be due.
+    /// The model or the debounce may be due.
     Timer,
     Stop,
 }
 
-/// What a wakeup changed.
+/// The effect of a wakeup.
 struct Change {
     urgency: Urgency,
     /// Whether a newer poll of the feed was answered.
@@ -48,7 +48,7 @@
 }
 
 impl Publisher {
-    /// A publisher of a model's snapshots. `updates` come from the control feed, `reloads` from the operator.
+    /// Creates a publisher of a model's snapshots. `updates` come from the control feed, `reloads` from the operator.
     pub(super) fn new(
         clock: ServiceClock,
         model: Model,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// When something is due next, or the longest sleep is over.
+    /// Returns when something is due next, at the latest after the longest sleep.
     fn next_due(&self) -> Instant {
         let latest = Instant::now() + MAX_SLEEP;
         let latest_due = self.clock.now() + Span::from(MAX_SLEEP);
@@ -113,15 +113,16 @@
             Ok(()) => {
                 self.debounce = debounce(settings);
                 info!(
-                    "reloaded: {} hot classes; listen, poll_ms and most_clients wait for a start",
+                    "reloaded: {} hot classes; listen, poll_ms and most_clients change only at a restart",
                     settings.hot.len()
                 );
             }
-            Err(error) => warn!("reload: {error}; the old file stays"),
+            Err(error) => warn!("reload: {error}; the previous settings stay in effect"),
         }
     }
 
-    /// Publishes a snapshot if one is due after a change.
+    /// Publishes a snapshot if one is due. Otherwise, if a newer poll was answered and no changes are pending,
+    /// publishes the number of that poll.
     fn publish_due(&mut self, change: Change) {
         let now = self.clock.now();
         let mut urgency = change.urgency;
@@ -138,12 +139,12 @@
 
     fn publish_snapshot(&mut self, urgency: Urgency) {
         let snapshot = self.model.snapshot(self.clock.now(), self.answered_poll);
-        info!(seq = snapshot.sequence.0, heard = self.answered_poll.0, urgency = ?urgency, "snapshot");
+        info!(seq = snapshot.sequence.0, heard = self.answered_poll.0, urgency = ?urgency, "snapshot published");
         self.metrics.snapshots.fetch_add(1, Ordering::Relaxed);
         self.publish.send_replace(Arc::new(snapshot));
     }
 
-    /// Publishes that nothing has changed, for the streams that wait to know it.
+    /// Publishes the last snapshot with the newest answered poll, for the streams that wait for this poll's answer.
     fn publish_answered_poll(&mut self) {
         let unchanged = Snapshot::clone(&self.publish.borrow());
         self.publish.send_replace(Arc::new(Snapshot { answered_poll: self.answered_poll, ..unchanged }));
--- a/src/control/service/rejections.rs
+++ b/src/control/service/rejections.rs
@@ -1,10 +1,10 @@
-//! What clients rejected, by node, for their next streams.
+//! Remembers the versions that clients rejected, by node, for their next streams.
 
 use crate::control::session::Rejections;
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The rejections of a bounded number of nodes; beyond it the node of the smallest name is dropped.
+/// The rejections of a limited number of nodes. Above the limit, the nodes with the smallest names are dropped.
 pub(super) struct RejectionStore {
     max_nodes: usize,
     by_node: Mutex<BTreeMap<String, Rejections>>,
@@ -15,12 +15,12 @@
         RejectionStore { max_nodes, by_node: Mutex::default() }
     }
 
-    /// What a node has rejected.
+    /// Returns the rejections of a node; `None` if there are none.
     pub(super) fn get(&self, node: &str) -> Option<Rejections> {
         self.lock().get(node).cloned()
     }
 
-    /// Replaces what a node has rejected.
+    /// Replaces the rejections of a node. Those of a node without a name are not remembered.
     pub(super) fn set(&self, node: &str, rejections: Rejections) {
         let mut by_node = self.lock();
         if rejections.is_empty() || node.is_empty() {
--- a/src/control/service/stream.rs
+++ b/src/control/service/stream.rs
@@ -1,4 +1,4 @@
-//! The task of one client's stream.
+//! The task that serves one client's stream.
 
 use super::message::RequestMessage;
 use super::metrics::Metrics;
@@ -18,16 +18,16 @@
 use tonic::{Status, Streaming};
 use tracing::{info, warn};
 
-/// The most names that a request may hold.
+/// Maximum number of names in a request.
 const MAX_NAMES: usize = 10_000;
 
-/// How a stream ended without an error of ours.
+/// How a stream ended, if not by an error that this service sends.
 enum StreamEnd {
     /// The connection no longer takes responses.
     ClientGone,
     /// The client closed its side.
     ClientClosed,
-    /// The connection broke or its bytes were no request.
+    /// The connection failed, or a request could not be decoded.
     Broken(Status),
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Counts of one stream, for its last line in the log.
+/// Counters of one stream, logged when it ends.
 #[derive(Default)]
 struct StreamCounts {
     sent: u64,
@@ -52,18 +52,18 @@
 /// What woke the task.
 enum Wakeup<M> {
     Request(Option<Result<M, Status>>),
-    /// There may be a response to send.
+    /// A new snapshot was published or the connection has taken a response, so there may be a response to send.
     Send,
     ClientGone,
     Stopping,
 }
 
-/// What all streams share.
+/// The state that all streams share.
 #[derive(Clone)]
 pub(super) struct StreamContext {
     /// The newest snapshot.
     pub(super) snapshots: watch::Receiver<Arc<Snapshot>>,
-    /// The polls of the control feed.
+    /// Counts the polls sent to the control feed.
     pub(super) polls_sent: PollCounter,
     pub(super) metrics: Arc<Metrics>,
     /// Whether the service is to stop.
@@ -84,7 +84,7 @@
 }
 
 impl<M: RequestMessage> Stream<M> {
-    /// A stream whose client has sent nothing yet.
+    /// Creates a stream whose client has sent nothing yet.
     pub(super) fn new(
         context: StreamContext,
         requests: Streaming<M>,
@@ -94,7 +94,7 @@
         Stream { context, requests, responses, session: None, node, counts: StreamCounts::default() }
     }
 
-    /// Serves the stream to its end and logs it.
+    /// Serves the stream until it ends, and logs how it ended.
     pub(super) async fn run(mut self, peer: &str) {
         let end = match self.serve().await {
             Ok(end) => end.to_string(),
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Sends the next response, if one is due and the connection has room for it. It is made only then, from the
-    /// newest snapshot at that moment. Returns whether one was sent.
+    /// Sends the next response if one is due and the connection can take it. The response is made only then, from the
+    /// newest snapshot. Returns whether a response was sent.
     fn send_next(&mut self, snapshot: &Snapshot) -> bool {
         let Some(session) = &mut self.session else { return false };
         let Ok(permit) = self.responses.try_reserve() else { return false };
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// The session of a client that has just named itself.
+    /// Creates the session of a client from the node in its first request. A node without a known point is an error.
     fn open_session(&mut self, node: Option<&Node>, snapshot: &Snapshot) -> Result<Session, Status> {
         let point = wire::point(node);
         let point = point.ok_or_else(|| Status::invalid_argument("node.locality.zone names no point"))?;
@@ -197,7 +197,10 @@
                 self.context.metrics.nacks.fetch_add(1, Ordering::Relaxed);
                 let seq = sequence.0;
                 let kind = resource_type;
-                warn!(node = %self.node, ?kind, seq, error, "a view was rejected; it is not sent there again");
+                warn!(
+                    node = %self.node, ?kind, seq, error,
+                    "client rejected a response (NACK); this version is not sent to that node again"
+                );
             }
             RequestEffect::Subscribed | RequestEffect::Stale => return,
         }
--- a/src/control/session/mod.rs
+++ b/src/control/session/mod.rs
@@ -1,15 +1,16 @@
-//! One client's stream, as a pure state machine: what it subscribed to, what it has, and what to send it next.
+//! One client's stream as a pure state machine: the client's subscriptions, the versions that it has, and the next
+//! response.
 //!
-//! Both variants of the aggregated discovery service ("xDS REST and gRPC protocol", envoyproxy.io): state of the
-//! world (`DiscoveryRequest`/`DiscoveryResponse`) and incremental (`DeltaDiscoveryRequest`/`DeltaDiscoveryResponse`).
-//! Its rules:
+//! It implements both variants of the aggregated discovery service ("xDS REST and gRPC protocol", envoyproxy.io):
+//! state of the world (`DiscoveryRequest`/`DiscoveryResponse`) and incremental
+//! (`DeltaDiscoveryRequest`/`DeltaDiscoveryResponse`). Its rules:
 //!
-//! - one response of a type is in flight until it is ACKed or NACKed: a client that does not read or answer costs one
-//!   response, and the next one it gets is the newest, whatever it missed;
-//! - a version that was NACKed is not sent to that client again; the next one that differs is;
-//! - a client never gets an older version than it ACKed. Versions of one run can be compared. A client that comes with
-//!   a version of another run waits until a poll of the control feed that was begun after it came has been answered:
-//!   what the other run had sent was in the feed by then.
+//! - One response of a type is in flight until it is ACKed or NACKed. So a client that does not read or answer costs
+//!   one response, and the next response that it gets is the newest, whatever it missed.
+//! - A version that was NACKed is not sent to that client again; the next version that differs is sent.
+//! - A client never gets an older version than the one it ACKed. Versions of one run can be compared. A client with a
+//!   version of another run waits until a poll of the control feed that was sent after its request has been answered,
+//!   because the feed held all that the other run had sent by then.
 
 mod message;
 mod subscription;
@@ -21,7 +22,7 @@
 use std::sync::Arc;
 use subscription::{RejectedVersions, Subscription};
 
-/// What a client rejected, to be kept for its next stream.
+/// The versions that a client rejected, to be restored in its next stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rejections(PerType<RejectedVersions>);
 
@@ -32,47 +33,49 @@
     }
 }
 
-/// One stream.
+/// The state of one stream.
 #[derive(Debug)]
 pub struct Session {
     variant: Variant,
     point: String,
     epoch: Epoch,
-    /// Responses so far; the nonces are their numbers.
+    /// Number of responses so far. Each response's number is its nonce.
     responses: u64,
     subscriptions: PerType<Subscription>,
 }
 
 impl Session {
-    /// A stream of a client at a point, in this run of the service.
+    /// Creates the state of a new stream from a client at a point. `epoch` is this run of the service.
     pub fn new(variant: Variant, point: &str, epoch: Epoch) -> Self {
         Session { variant, point: point.to_owned(), epoch, responses: 0, subscriptions: PerType::default() }
     }
 
-    /// Goes on with what the same client rejected on an earlier stream of this run: that is not sent again either.
+    /// Restores the versions that the same client rejected on an earlier stream of this run, so that they are not sent
+    /// again.
     pub fn restore_rejections(&mut self, rejections: Rejections) {
         for (resource_type, rejected) in rejections.0 {
             self.subscriptions.get_mut(resource_type).rejected = rejected;
         }
     }
 
-    /// What the client has rejected and not replaced.
+    /// Returns the versions that the client has rejected, for its next stream. An ACK clears the rejected resource set.
     pub fn rejections(&self) -> Rejections {
         let rejected = |resource_type| self.subscriptions.get(resource_type).rejected.clone();
         Rejections(PerType::from_fn(rejected))
     }
 
-    /// The point whose resources it gets.
+    /// Returns the name of the point whose resources the client gets.
     pub fn point(&self) -> &str {
         &self.point
     }
 
-    /// The sequence number of a type that the client ACKed last.
+    /// Returns the sequence number that the client ACKed last for a type; `None` if there is none.
     pub fn acked(&self, resource_type: ResourceType) -> Option<Sequence> {
         self.subscriptions.get(resource_type).acked
     }
 
-    /// Takes a request. `newest_poll` is a poll of the control feed that is begun after it came.
+    /// Handles a request. `newest_poll` is the newest poll of the control feed that may have been sent before the
+    /// request arrived.
     pub fn handle(
         &mut self,
         resource_type: ResourceType,
@@ -86,14 +89,15 @@
         } else if !subscription.is_started() {
             subscription.start(self.epoch, request, newest_poll);
         }
-        // Incremental subscriptions may change with any message; of a stale one only the ACK or NACK is ignored.
+        // Any incremental request may change the subscription; if it is stale, only its ACK or NACK is ignored.
         if effect != RequestEffect::Stale || self.variant == Variant::Incremental {
             subscription.resubscribe(self.variant, request);
         }
         effect
     }
 
-    /// The next response, if one is due: of the first type that has something to send and nothing in flight.
+    /// Returns the next response, for the first type that has something to send and no response in flight; `None` if
+    /// there is nothing to send.
     pub fn next(&mut self, snapshot: &Snapshot) -> Option<ServerResponse> {
         let point = Arc::clone(snapshot.points.get(&self.point)?);
         let mut types = ResourceType::ALL.into_iter();
--- a/src/control/session/subscription.rs
+++ b/src/control/session/subscription.rs
@@ -1,5 +1,5 @@
-//! A client's subscription to one resource type: the names it subscribed to, the versions it has, and the updates it
-//! lacks.
+//! A client's subscription to one resource type: the subscribed names, the versions that the client has, and the
+//! updates that it is missing.
 
 use super::message::{ClientRequest, RequestEffect, Variant};
 use crate::control::resource::Resource;
@@ -11,7 +11,7 @@
 /// The name that subscribes to all resources.
 const WILDCARD: &str = "*";
 
-/// The resource names that a client subscribed to.
+/// The resource names that a client has subscribed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ResourceNames {
     /// All resources of the type.
@@ -28,11 +28,11 @@
     }
 }
 
-/// What a response would hold.
+/// The content of the next response.
 #[derive(Debug, Default)]
 pub(super) struct Update {
     pub(super) resources: Vec<Arc<Resource>>,
-    /// The names of resources that were removed.
+    /// The names of removed resources.
     pub(super) removed: Vec<String>,
 }
 
@@ -41,7 +41,7 @@
         self.resources.is_empty() && self.removed.is_empty()
     }
 
-    /// By name the versions that the client has once it accepts the update, `None` for what was removed.
+    /// Returns the versions, by name, that the client has after it accepts the update; `None` for removed resources.
     fn versions(&self) -> BTreeMap<String, Option<Sequence>> {
         let mut versions = BTreeMap::new();
         for resource in &self.resources {
@@ -54,21 +54,21 @@
     }
 }
 
-/// A response that has been sent and not answered.
+/// A response that was sent and has not been answered.
 #[derive(Debug)]
 struct InFlight {
     nonce: Nonce,
     sequence: Sequence,
-    /// Incremental: the versions of its resources, `None` for those removed.
+    /// Incremental: the versions of the sent resources by name; `None` for removed ones.
     sent: BTreeMap<String, Option<Sequence>>,
 }
 
-/// What a client rejected of one type.
+/// The versions of one type that a client rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct RejectedVersions {
-    /// The sequence number of the resource set.
+    /// The sequence number of the rejected resource set; `None` if there is none or an ACK followed.
     pub(super) set: Option<Sequence>,
-    /// Incremental: the versions of its resources, by name.
+    /// Incremental: the versions of the rejected resources by name.
     pub(super) resources: BTreeMap<String, Sequence>,
 }
 
@@ -81,35 +81,37 @@
 /// The state of a subscription.
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
-    /// `None`: the client has not asked for this type.
+    /// The subscribed names; `None` if the client has not requested this type yet.
     subscribed: Option<ResourceNames>,
     in_flight: Option<InFlight>,
-    /// The newest sequence number that was sent, or that the client came with.
+    /// The newest sequence number that was sent or that the client had at the start.
     sent: Option<Sequence>,
     pub(super) acked: Option<Sequence>,
     pub(super) rejected: RejectedVersions,
-    /// The subscription changed: a response is due even if no resource has changed.
+    /// Whether the subscription changed, so that a response is due even if no resource has changed.
     response_due: bool,
-    /// Only snapshots made after this poll was answered will do: the client came with a version of another run.
+    /// Set if the client had a version of another run at the start: nothing is sent until a later poll than this one
+    /// has been answered.
     after_poll: Option<PollNumber>,
-    /// Incremental: the versions of what the client has, by name; `None`: a version of another run.
+    /// Incremental: the versions of the client's resources by name; `None` for a version of another run.
     client_versions: BTreeMap<String, Option<Sequence>>,
 }
 
 impl Subscription {
-    /// Whether the client has asked for this type on this stream.
+    /// Whether the client has requested this type on this stream.
     pub(super) fn is_started(&self) -> bool {
         self.subscribed.is_some()
     }
 
-    /// Whether the next response may be sent from a snapshot with this newest answered poll.
+    /// Whether the next response may be made from a snapshot. `answered_poll` is the newest poll of the control feed
+    /// that had been answered when the snapshot was made.
     pub(super) fn is_ready(&self, answered_poll: PollNumber) -> bool {
         let is_recent = self.after_poll.is_none_or(|poll| answered_poll > poll);
         self.is_started() && self.in_flight.is_none() && is_recent
     }
 
-    /// The first request of a type on this stream: takes in what the client had before. `newest_poll` is the next poll
-    /// of the control feed.
+    /// Handles the first request of the type on this stream: records the versions that the client already has.
+    /// `newest_poll` is the newest poll of the control feed that may have been sent before the request arrived.
     pub(super) fn start(&mut self, epoch: Epoch, request: &ClientRequest, newest_poll: PollNumber) {
         let mut of_other_run = false;
         let mut of_this_run = |text: &str| match text.parse::<Version>() {
@@ -130,7 +132,8 @@
         self.after_poll = of_other_run.then_some(newest_poll);
     }
 
-    /// Takes the answer to the response in flight, an ACK or a NACK with its error.
+    /// Handles an answer to the response in flight: a NACK if there is an error, otherwise an ACK. An answer with
+    /// another nonce is ignored.
     pub(super) fn handle_answer(&mut self, nonce: &Nonce, error: Option<&str>) -> RequestEffect {
         let Some(response) = self.in_flight.take_if(|response| response.nonce == *nonce) else {
             return RequestEffect::Stale;
@@ -162,7 +165,7 @@
         RequestEffect::Nacked { sequence: response.sequence, error: error.to_owned() }
     }
 
-    /// Changes what the client wants as a request says.
+    /// Changes the subscribed names according to a request.
     pub(super) fn resubscribe(&mut self, variant: Variant, request: &ClientRequest) {
         match variant {
             Variant::StateOfTheWorld => self.replace_names(request),
@@ -170,7 +173,7 @@
         }
     }
 
-    /// State of the world: a request holds the complete subscription.
+    /// State of the world: replaces the names, since a request holds the complete subscription.
     fn replace_names(&mut self, request: &ClientRequest) {
         let names = &request.subscribe;
         let all = names.is_empty() || names.iter().any(|name| name == WILDCARD);
@@ -182,7 +185,7 @@
         self.subscribed = Some(wanted);
     }
 
-    /// Incremental: a request holds what is added and what is taken away.
+    /// Incremental: adds and removes the names that a request holds.
     fn change_names(&mut self, request: &ClientRequest) {
         let is_first = !self.is_started();
         let names_all = request.subscribe.iter().any(|name| name == WILDCARD);
@@ -202,7 +205,8 @@
             }
             ResourceNames::Wildcard => {}
         }
-        // A client that subscribes to a name again is sent it again; one that unsubscribes drops it.
+        // A client that subscribes to a name again is sent the resource again, and one that unsubscribes drops it. So
+        // their versions are forgotten.
         request.unsubscribe.iter().for_each(|name| self.forget(name));
         if !is_first {
             request.subscribe.iter().for_each(|name| self.forget(name));
@@ -215,7 +219,7 @@
         self.rejected.resources.remove(name);
     }
 
-    /// What the next response holds, if one is due.
+    /// Returns the content of the next response; `None` if none is due.
     pub(super) fn next(&self, variant: Variant, set: &ResourceSet) -> Option<Update> {
         let wanted = self.subscribed.as_ref()?;
         match variant {
@@ -224,7 +228,7 @@
         }
     }
 
-    /// State of the world: all that is wanted, if the client lacks this version of the set.
+    /// State of the world: returns all subscribed resources if the client does not have this version of the set.
     fn state_of_the_world_update(&self, wanted: &ResourceNames, set: &ResourceSet) -> Option<Update> {
         let is_newer = self.sent.is_none_or(|sent| set.version > sent);
         let is_due = self.response_due && self.sent.is_none_or(|sent| set.version >= sent);
@@ -236,7 +240,8 @@
         Some(Update { resources: resources.cloned().collect(), removed: Vec::new() })
     }
 
-    /// Incremental: what the client lacks and what it has that was removed, if there is anything.
+    /// Incremental: returns the resources that the client is missing and the names of those that were removed; `None`
+    /// if there are none and no response is due.
     fn incremental_update(&self, wanted: &ResourceNames, set: &ResourceSet) -> Option<Update> {
         let is_missing = |resource: &&Arc<Resource>| wanted.contains(&resource.name) && self.lacks(resource);
         let is_gone = |name: &&String| wanted.contains(name) && !set.resources.contains_key(*name);
@@ -247,7 +252,7 @@
         (self.response_due || !update.is_empty()).then_some(update)
     }
 
-    /// Whether the client has no such version of a resource, and has not rejected it.
+    /// Whether this version of a resource is newer than the one that the client has and the one that it rejected.
     fn lacks(&self, resource: &Resource) -> bool {
         let had = self.client_versions.get(&resource.name).copied().flatten();
         let rejected = self.rejected.resources.get(&resource.name).copied();
@@ -255,7 +260,7 @@
         is_newer(had) && is_newer(rejected)
     }
 
-    /// A response with this update was sent.
+    /// Records that a response with this update was sent.
     pub(super) fn record_sent(
         &mut self,
         variant: Variant,
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -1,13 +1,13 @@
-//! The operator's file of the control service, in HCL: one `control` block.
+//! The settings of the control service: the operator's HCL file, which holds one `control` block.
 //!
 //! ```hcl
 //! control {
 //!   listen           = "127.0.0.1:18000"
-//!   most_clients     = 2000   # streams at once; one more is rejected
-//!   debounce_ms      = 50     # changes that may wait are published together once none came for so long
-//!   debounce_most_ms = 250    # and after so long at the latest
-//!   poll_ms          = 250    # how long the control feed may hold an answer back
-//!   refresh_s        = 5      # how often the decision module is asked for hot objects' delegates again
+//!   most_clients     = 2000   # maximum number of open streams; further ones are refused
+//!   debounce_ms      = 50     # changes that may wait are published after this long without another change
+//!   debounce_most_ms = 250    # and at the latest this long after the first change
+//!   poll_ms          = 250    # how long the control feed may hold back a response
+//!   refresh_s        = 5      # interval at which the decision module is asked for hot objects' delegates
 //!   hot "piece" {
 //!     objects = ["7f3a9c21e0b4d655"]
 //!   }
@@ -20,7 +20,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most hot objects that a file may name: the decision module is asked for each at each point.
+/// Maximum number of hot objects in a file. It is bounded because the decision module is asked for each of them at each
+/// point.
 const MAX_HOT_OBJECTS: usize = 1000;
 
 const DEFAULT_MAX_CLIENTS: u64 = 2000;
@@ -32,42 +33,44 @@
 /// The settings of the control service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Where xDS clients connect.
+    /// The address that xDS clients connect to.
     pub listen: SocketAddr,
-    /// Streams at once.
+    /// Maximum number of open streams.
     pub max_clients: usize,
-    /// Changes that may wait are published once none came for this long.
+    /// Changes that may wait are published after this long without another change.
     pub debounce: Duration,
-    /// And after this long at the latest.
+    /// Changes that may wait are published at the latest this long after the first one.
     pub debounce_limit: Duration,
-    /// How long the control feed may hold an answer back.
+    /// How long the control feed may hold back a response.
     pub poll_wait: Duration,
-    /// How often the decision module is asked for hot objects' delegates.
+    /// The interval at which the decision module is asked for hot objects' delegates.
     pub refresh: Duration,
-    /// Hot objects by their class.
+    /// The hot objects, one entry for each `hot` block.
     pub hot: Vec<HotClass>,
 }
 
 /// The hot objects of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HotClass {
-    /// The class's name, and where the file names it.
+    /// The name of the class, with its position in the file.
     pub class: Located<String>,
-    /// The objects.
+    /// The IDs of the objects.
     pub objects: Vec<ObjectId>,
 }
 
 impl ControlSettings {
-    /// Reads the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
     ///
-    /// Text that is not HCL, an unknown key, a value out of its range; with line and column.
+    /// Returns an error, with line and column, if the text is not HCL, a required part is missing, a key is unknown, or
+    /// a value is invalid or out of its range.
     pub fn parse(doc: HclDocument<'_>) -> Result<Self, HclError> {
         let body = doc.parse()?;
         let mut file = doc.reader(&body);
         let start = Position { line: 1, column: 1 };
-        let block = file.block("control")?.ok_or_else(|| doc.error(start, "no control block"))?;
+        let block =
+            file.block("control")?.ok_or_else(|| doc.error(start, "the file has no control block"))?;
         file.finish()?;
         let mut reader = doc.reader(&block.body);
         let listen = read_listen(doc, block, &mut reader)?;
@@ -79,7 +82,8 @@
         if debounce_ms > limit_ms {
             let at =
                 reader.position_of("debounce_ms").or(reader.position_of("debounce_most_ms")).unwrap_or(start);
-            return Err(doc.error(at, "debounce_ms is over debounce_most_ms"));
+            let text = format!("debounce_ms ({debounce_ms}) is greater than debounce_most_ms ({limit_ms})");
+            return Err(doc.error(at, text));
         }
         let hot = read_hot_classes(doc, &mut reader)?;
         reader.finish()?;
@@ -102,12 +106,16 @@
     reader: &mut BlockReader<'_>,
 ) -> Result<SocketAddr, HclError> {
     let listen = reader.string("listen")?;
-    let listen = listen.ok_or_else(|| doc.error(doc.position(block), "control names no listen"))?;
+    let listen =
+        listen.ok_or_else(|| doc.error(doc.position(block), "the control block has no listen address"))?;
     let address = listen.value.parse();
-    address.map_err(|_| doc.error(listen.at, "listen is no address, as 127.0.0.1:18000"))
+    let invalid = |_| {
+        doc.error(listen.at, format!("listen {:?} is not an address such as 127.0.0.1:18000", listen.value))
+    };
+    address.map_err(invalid)
 }
 
-/// Reads a whole number in a range, both ends included.
+/// Reads a whole number from `min` to `max`, both included.
 fn read_number(
     reader: &mut BlockReader<'_>,
     key: &str,
@@ -129,14 +137,14 @@
     if count <= MAX_HOT_OBJECTS {
         return Ok(());
     }
-    let text = format!("{count} hot objects, over {MAX_HOT_OBJECTS}");
+    let text = format!("the file names {count} hot objects, more than {MAX_HOT_OBJECTS}");
     Err(doc.error(hot[0].class.at, text))
 }
 
 fn read_hot_class(doc: HclDocument<'_>, block: &Block) -> Result<HotClass, HclError> {
     let at = doc.position(block);
     let [label] = &block.labels[..] else {
-        return Err(doc.error(at, "hot names one class: hot \"CLASS\" { ... }"));
+        return Err(doc.error(at, "a hot block must name exactly one class: hot \"CLASS\" { ... }"));
     };
     let class = Located { value: label.as_str().to_owned(), at };
     let mut reader = doc.reader(&block.body);
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! What all clients may be sent at one moment: for each point the resources of each type, with versions.
+//! Snapshots: for each point the resources of each type, with their versions, at one moment.
 
 use super::resource::{PerType, Resource, ResourceType};
 use super::version::{Epoch, PollNumber, Sequence};
@@ -10,11 +10,11 @@
 pub struct ResourceSet {
     /// The sequence number at which any of them last changed, was added or was removed.
     pub version: Sequence,
-    /// By name.
+    /// The resources by name.
     pub resources: BTreeMap<String, Arc<Resource>>,
 }
 
-/// All that a client at one point may be sent.
+/// All resources for the clients of one point.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PointSnapshot {
     /// The resources of each type.
@@ -22,21 +22,21 @@
 }
 
 impl PointSnapshot {
-    /// The resources of a type.
+    /// Returns the resources of a type.
     pub fn get(&self, resource_type: ResourceType) -> &ResourceSet {
         self.types.get(resource_type)
     }
 }
 
-/// What all clients may be sent, at one moment.
+/// The resources for all clients at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The run of the service; versions of another run cannot be compared with this one's.
+    /// The run of the service. Versions of different runs cannot be compared.
     pub epoch: Epoch,
-    /// Changes of any resource so far.
+    /// The sequence number of the newest change of any resource.
     pub sequence: Sequence,
-    /// The newest poll of the control feed that had been answered when it was made.
+    /// The newest poll of the control feed that had been answered when the snapshot was made.
     pub answered_poll: PollNumber,
-    /// By the point's name.
+    /// The resources of each point, by the point's name.
     pub points: BTreeMap<String, Arc<PointSnapshot>>,
 }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the pure parts on passed-in time: the model's snapshots and versions, a client's stream, the settings.
+//! Tests of the pure parts, which get the time as an argument: the model's snapshots and versions, a client's stream,
+//! the settings.
 
 mod model;
 mod session;
@@ -22,31 +23,33 @@
 
 const SECOND: Span = Span::from_secs(1);
 const START: Instant = Instant::from_micros(1_000_000 * SECOND.as_micros());
-/// The run of all models here.
+/// The epoch of all models in these tests.
 const EPOCH: Epoch = Epoch(0xe);
-/// No poll of the feed is waited for.
+/// The poll number of tests that do not wait for a poll of the feed.
 const NO_POLL: PollNumber = PollNumber(0);
 const HOT: &str = "7f3a9c21e0b4d655";
 
-fn parse_settings(more: &str) -> ControlSettings {
-    let text = format!("control {{\n listen = \"127.0.0.1:0\"\n {more}\n}}");
-    ControlSettings::parse(HclDocument { file: "c.hcl", text: &text }).expect("usable")
+fn parse_settings(extra: &str) -> ControlSettings {
+    let text = format!("control {{\n listen = \"127.0.0.1:0\"\n {extra}\n}}");
+    ControlSettings::parse(HclDocument { file: "c.hcl", text: &text }).expect("valid settings")
 }
 
 struct Fixture {
     model: Model,
     hosts: Vec<Value>,
     now: Instant,
-    /// How far the wall clock was stepped.
+    /// The total of the wall clock's steps.
     wall_step: Span,
 }
 
 impl Fixture {
-    /// Three points of four caches, two hubs of two parents, the origin; one hot object.
+    /// Creates a model with three points of four caches each, two hubs of two parents each, the origin and one hot
+    /// object.
     fn new() -> Self {
         let site = config(&Shape::default(), "127.0.0.1:1", |n| format!("127.0.0.1:{}", 10 + n));
-        let read = Config::parse(site.to_string().as_bytes()).expect("usable");
-        let hosts = site["known"]["events"][0]["members"]["hosts"].as_array().cloned().expect("a list");
+        let read = Config::parse(site.to_string().as_bytes()).expect("valid settings");
+        let hosts =
+            site["known"]["events"][0]["members"]["hosts"].as_array().cloned().expect("a list of hosts");
         let hot = parse_settings(&format!("hot \"piece\" {{\n objects = [\"{HOT}\"]\n }}"));
         let mut model = Model::new(read.settings, 7, &hot, wire::encode, EPOCH, START).expect("a model");
         model.apply(Moment { now: START, unix: unix(START) }, &read.initial_events);
@@ -58,7 +61,7 @@
         Moment { now: self.now, unix: unix(self.now) + self.wall_step }
     }
 
-    /// The millisecond that the wall clock shows.
+    /// Returns the Unix time of the wall clock in ms.
     fn unix_ms(&self) -> i64 {
         self.moment().unix.as_millis()
     }
@@ -79,7 +82,7 @@
         self.model.snapshot(self.now, NO_POLL)
     }
 
-    /// The caches of the north point, by name with their weights.
+    /// Returns the weights of the caches at the point `north`, by name.
     fn north_weights(&mut self) -> BTreeMap<String, u32> {
         let snapshot = self.snapshot();
         let resource = &snapshot.points["north"].get(ResourceType::Endpoints).resources["cache/north"];
@@ -100,7 +103,7 @@
     }
 }
 
-/// What a wall clock that was never stepped shows.
+/// Returns the Unix time of a wall clock that was never stepped.
 fn unix(now: Instant) -> UnixTime {
     UnixTime::from_micros(now.as_micros())
 }
--- a/src/control/tests/session.rs
+++ b/src/control/tests/session.rs
@@ -1,4 +1,4 @@
-//! Tests of one client's stream.
+//! Tests of `session`: one client's stream.
 
 use super::{Fixture, EPOCH, NO_POLL};
 use crate::control::resource::ResourceType;
@@ -40,7 +40,7 @@
     }
 }
 
-/// An answer with a nonce that was never sent says nothing; an incremental one may subscribe all the same.
+/// An answer with a nonce that was never sent is no ACK or NACK. In the incremental variant it may still subscribe.
 #[test]
 fn answers_with_unknown_nonces_are_ignored() {
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
@@ -58,29 +58,29 @@
 fn one_response_is_in_flight_and_the_next_is_newest() {
     let mut fixture = Fixture::new();
     let mut stream = Session::new(Variant::StateOfTheWorld, "north", EPOCH);
-    assert!(stream.next(&fixture.snapshot()).is_none(), "nothing was asked for");
+    assert!(stream.next(&fixture.snapshot()).is_none(), "nothing was requested");
     assert_eq!(
         stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL),
         RequestEffect::Subscribed
     );
-    let reply = stream.next(&fixture.snapshot()).expect("the view");
+    let reply = stream.next(&fixture.snapshot()).expect("the first response");
     assert_eq!((reply.resource_type, reply.resources.len()), (ResourceType::Endpoints, 2));
     for n in 0..3 {
         let cache = fixture.cache(n);
         fixture.set_health(&cache, "draining");
-        assert!(stream.next(&fixture.snapshot()).is_none(), "one is out");
+        assert!(stream.next(&fixture.snapshot()).is_none(), "one response is in flight");
     }
     assert_eq!(
         stream.handle(ResourceType::Endpoints, &ack(&reply), NO_POLL),
         RequestEffect::Acked(reply.version.sequence)
     );
-    let newest = stream.next(&fixture.snapshot()).expect("the newest");
+    let newest = stream.next(&fixture.snapshot()).expect("the newest version");
     assert_eq!(
         newest.version.sequence,
         fixture.snapshot().points["north"].get(ResourceType::Endpoints).version
     );
     assert!(newest.version.sequence > reply.version.sequence);
-    // An answer to the one before says nothing of this one.
+    // A second answer to the previous response does not count as an answer to this one.
     assert_eq!(stream.handle(ResourceType::Endpoints, &ack(&reply), NO_POLL), RequestEffect::Stale);
     assert_eq!(
         stream.handle(ResourceType::Endpoints, &ack(&newest), NO_POLL),
@@ -96,22 +96,22 @@
         let mut fixture = Fixture::new();
         let mut stream = Session::new(variant, "north", EPOCH);
         stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
-        let good = stream.next(&fixture.snapshot()).expect("the view");
+        let good = stream.next(&fixture.snapshot()).expect("the first response");
         stream.handle(ResourceType::Endpoints, &ack(&good), NO_POLL);
         let cache = fixture.cache(0);
         fixture.set_health(&cache, "draining");
-        let bad = stream.next(&fixture.snapshot()).expect("the change");
+        let bad = stream.next(&fixture.snapshot()).expect("a response with the change");
         let effect = stream.handle(ResourceType::Endpoints, &nack(&bad, "no"), NO_POLL);
         assert_eq!(effect, nacked_effect(&bad));
         assert_eq!(
             stream.acked(ResourceType::Endpoints),
             Some(good.version.sequence),
-            "{variant:?}: the last good one stays in force"
+            "{variant:?}: the last accepted version stays in force"
         );
         assert!(stream.next(&fixture.snapshot()).is_none(), "{variant:?}");
         let other = fixture.cache(1);
         fixture.set_health(&other, "draining");
-        let next = stream.next(&fixture.snapshot()).expect("another view");
+        let next = stream.next(&fixture.snapshot()).expect("a response with another version");
         assert!(next.version.sequence > bad.version.sequence, "{variant:?}");
     }
 }
@@ -121,13 +121,13 @@
     let fixture = &mut Fixture::new();
     let mut stream = Session::new(Variant::StateOfTheWorld, "north", EPOCH);
     stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
-    let bad = stream.next(&fixture.snapshot()).expect("the view");
+    let bad = stream.next(&fixture.snapshot()).expect("the first response");
     let narrower = ClientRequest { subscribe: vec!["cache/north".into()], ..nack(&bad, "no") };
     assert_eq!(stream.handle(ResourceType::Endpoints, &narrower, NO_POLL), nacked_effect(&bad));
     assert!(stream.next(&fixture.snapshot()).is_none());
     let cache = fixture.cache(0);
     fixture.set_health(&cache, "draining");
-    let next = stream.next(&fixture.snapshot()).expect("another view");
+    let next = stream.next(&fixture.snapshot()).expect("a response with another version");
     assert_eq!(next.resources.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["cache/north"]);
 }
 
@@ -137,7 +137,7 @@
         let fixture = &mut Fixture::new();
         let mut stream = Session::new(variant, "north", EPOCH);
         stream.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
-        let bad = stream.next(&fixture.snapshot()).expect("the view");
+        let bad = stream.next(&fixture.snapshot()).expect("the first response");
         stream.handle(ResourceType::Endpoints, &nack(&bad, "no"), NO_POLL);
         let mut again = Session::new(variant, "north", EPOCH);
         assert!(again.rejections().is_empty() && !stream.rejections().is_empty());
@@ -150,7 +150,7 @@
         next.handle(ResourceType::Endpoints, &first_request(""), NO_POLL);
         let cache = fixture.cache(0);
         fixture.set_health(&cache, "draining");
-        let reply = next.next(&fixture.snapshot()).expect("another view");
+        let reply = next.next(&fixture.snapshot()).expect("a response with another version");
         next.handle(ResourceType::Endpoints, &ack(&reply), NO_POLL);
         assert!(
             reply.version.sequence > bad.version.sequence
@@ -169,11 +169,12 @@
         stream
     };
     let mut same = stream(&version(EPOCH, current), 9);
-    assert!(same.next(&fixture.snapshot()).is_none(), "it has this one");
+    assert!(same.next(&fixture.snapshot()).is_none(), "the client has this version");
     let cache = fixture.cache(0);
     fixture.set_health(&cache, "draining");
     assert!(same.next(&fixture.snapshot()).is_some());
-    // Another run may have known more: only what was heard after the client came is surely not older.
+    // Another run may have known more events. Only a snapshot made after a poll that was sent after the request cannot
+    // be older.
     let mut other = stream(&version(Epoch(0xd), Sequence(99)), 9);
     for (answered, sent) in [(0, false), (9, false), (10, true)] {
         let snapshot = fixture.model.snapshot(fixture.now, PollNumber(answered));
@@ -182,7 +183,7 @@
     let mut strange = stream("not-ours", 9);
     assert!(strange.next(&fixture.snapshot()).is_none());
     let mut new = stream("", 9);
-    assert!(new.next(&fixture.snapshot()).is_some(), "who has nothing can't get anything older");
+    assert!(new.next(&fixture.snapshot()).is_some(), "a client without a version cannot get an older one");
 }
 
 #[test]
@@ -193,11 +194,11 @@
     let of = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
     let cache = ClientRequest { subscribe: of(&["cache/north"]), ..ClientRequest::default() };
     stream.handle(ResourceType::Endpoints, &cache, NO_POLL);
-    let reply = stream.next(&fixture.snapshot()).expect("the one");
+    let reply = stream.next(&fixture.snapshot()).expect("a response with cache/north");
     assert_eq!(names(&reply), ["cache/north"]);
     let fill = ClientRequest { subscribe: of(&["fill/north"]), ..ack(&reply) };
     stream.handle(ResourceType::Endpoints, &fill, NO_POLL);
-    let reply = stream.next(&fixture.snapshot()).expect("the other");
+    let reply = stream.next(&fixture.snapshot()).expect("a response with fill/north");
     assert_eq!(names(&reply), ["fill/north"]);
     let no_fill = ClientRequest { unsubscribe: of(&["fill/north"]), ..ack(&reply) };
     stream.handle(ResourceType::Endpoints, &no_fill, NO_POLL);
@@ -208,8 +209,9 @@
         .cloned()
         .expect("a parent");
     fixture.set_health(&hub, "draining");
-    assert!(stream.next(&fixture.snapshot()).is_none(), "it left that one");
-    // A stream that comes back with what it had gets what differs, and the names of what is gone.
+    assert!(stream.next(&fixture.snapshot()).is_none(), "the client unsubscribed from fill/north");
+    // A new stream with the versions of an earlier one gets the resources that differ and the names of the removed
+    // ones.
     let mut again = Session::new(Variant::Incremental, "north", EPOCH);
     let has = |name: &str, sequence| (name.to_owned(), version(EPOCH, sequence));
     let snapshot = fixture.snapshot();
@@ -224,16 +226,16 @@
         &ClientRequest { initial_versions: had, ..ClientRequest::default() },
         NO_POLL,
     );
-    let reply = again.next(&snapshot).expect("a difference");
+    let reply = again.next(&snapshot).expect("a response with the differences");
     assert_eq!((names(&reply), &reply.removed[..]), (of(&["fill/north"]), &of(&["cache/old"])[..]));
     again.handle(ResourceType::Endpoints, &ack(&reply), NO_POLL);
     assert!(again.next(&fixture.snapshot()).is_none());
 }
 
-/// Whatever comes in whatever order: one response of a kind is out at a time, versions only grow, what was rejected
-/// does not come again, and a client that answers ends up with the newest view.
+/// Checks the rules for random sequences of events: one response of a type is in flight at a time, versions only grow,
+/// a rejected version is not sent again, and a client that answers ends up with the newest version.
 #[test]
-#[expect(clippy::too_many_lines, reason = "one play with one list of rules")]
+#[expect(clippy::too_many_lines, reason = "one loop that checks one list of rules")]
 fn random_events_keep_the_stream_rules() {
     for seed in 0..100 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -265,15 +267,15 @@
                         assert!(
                             last.insert(reply.resource_type, reply.version.sequence)
                                 .is_none_or(|last| last < reply.version.sequence),
-                            "{label} goes back"
+                            "{label} is not newer than the previous one"
                         );
                         assert!(
                             !rejected.contains(&(reply.resource_type, reply.version.sequence)),
-                            "{label} comes again"
+                            "{label} is sent again after its rejection"
                         );
                         assert!(
                             in_flight.insert(reply.resource_type, reply).is_none(),
-                            "{label} is the second one out"
+                            "{label} is a second response in flight"
                         );
                     }
                 }
--- a/src/control/version.rs
+++ b/src/control/version.rs
@@ -1,19 +1,19 @@
-//! Versions, sequence numbers and nonces of the discovery protocol, each with a type of its own.
+//! Newtypes for the versions, sequence numbers and nonces of the discovery protocol and for poll numbers.
 
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Names one run of the service; versions of different epochs cannot be compared.
+/// Identifies one run of the service. Versions of different epochs cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
-/// Counts the changes of resources within an epoch; it only grows.
+/// The number of a change of resources within an epoch. It only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Sequence(pub u64);
 
 impl Sequence {
-    /// The number after this one.
+    /// Returns the sequence number after this one.
     pub fn next(self) -> Self {
         Sequence(self.0 + 1)
     }
@@ -25,7 +25,7 @@
     }
 }
 
-/// A version as it goes over the wire: `EPOCH.SEQUENCE`, the epoch in hex, the sequence number in decimal.
+/// A version as it is sent: `EPOCH.SEQUENCE`, with the epoch in hex and the sequence number in decimal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Version {
     /// The run of the service.
@@ -40,14 +40,14 @@
     }
 }
 
-/// Why a text is no version of this service.
+/// Why a text is not a version of this service.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VersionError {
-    /// It lacks the dot between epoch and sequence number.
-    #[error("a version is EPOCH.SEQUENCE")]
+    /// The dot between epoch and sequence number is missing.
+    #[error("the version has no dot, EPOCH.SEQUENCE is expected")]
     MissingDot,
-    /// One of its parts is no number.
-    #[error("a version is EPOCH.SEQUENCE: {0}")]
+    /// The epoch or the sequence number is not a number.
+    #[error("the version is not of the form EPOCH.SEQUENCE: {0}")]
     InvalidNumber(#[from] ParseIntError),
 }
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// Names one response of a stream; the request that answers it repeats it.
+/// Identifies one response of a stream. The request that ACKs or NACKs the response repeats its nonce.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Nonce(pub String);
 
-/// The number of a poll of the control feed, from 1; 0: none.
+/// The number of a poll of the control feed, starting at 1; 0 if there has been none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PollNumber(pub u64);
--- a/src/control/wire/cluster.rs
+++ b/src/control/wire/cluster.rs
@@ -23,7 +23,8 @@
 use envoy_types::pb::google::protobuf::UInt32Value;
 use std::collections::BTreeMap;
 
-/// A cluster whose endpoints are had by EDS. `hashed`: by ring hash, else by least request.
+/// Creates a cluster whose endpoints are discovered by EDS. If `hashed`, its endpoints are chosen by ring hash,
+/// otherwise by least request.
 pub(super) fn cluster(name: &str, hashed: bool, connect_timeout: Span) -> Cluster {
     let ads = ConfigSource {
         resource_api_version: ApiVersion::V3.into(),
@@ -49,7 +50,7 @@
     }
 }
 
-/// A cluster's endpoints, grouped by priority and zone.
+/// Creates the load assignment of a cluster: its endpoints, grouped by priority and zone.
 pub(super) fn load_assignment(name: &str, levels: &[PriorityLevel]) -> ClusterLoadAssignment {
     let mut endpoints = Vec::new();
     for (priority, level) in levels.iter().enumerate() {
--- a/src/control/wire/discovery.rs
+++ b/src/control/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of both protocol variants.
+//! Conversion of requests and responses of both protocol variants from and to protobuf messages.
 
 use super::common::type_url;
 use crate::control::resource::{Resource, ResourceType};
@@ -11,13 +11,13 @@
 };
 use envoy_types::pb::google::protobuf::Any;
 
-/// The point of a node: its locality's zone.
+/// Returns the point of a node, which is the zone of its locality; `None` if it is missing or empty.
 pub fn point(node: Option<&Node>) -> Option<&str> {
     let zone = &node?.locality.as_ref()?.zone;
     Some(zone.as_str()).filter(|zone| !zone.is_empty())
 }
 
-/// Reads a state-of-the-world request.
+/// Converts a state-of-the-world request from its message.
 pub fn request(message: DiscoveryRequest) -> ClientRequest {
     ClientRequest {
         version: message.version_info,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads an incremental request.
+/// Converts an incremental request from its message.
 pub fn delta_request(message: DeltaDiscoveryRequest) -> ClientRequest {
     ClientRequest {
         nonce: nonce(message.response_nonce),
@@ -44,7 +44,7 @@
     Some(Nonce(text)).filter(|nonce| !nonce.0.is_empty())
 }
 
-/// A state-of-the-world response.
+/// Converts a state-of-the-world response to its message.
 pub fn response(response: &ServerResponse) -> DiscoveryResponse {
     let resources = response.resources.iter().map(|resource| any(response.resource_type, resource));
     DiscoveryResponse {
@@ -56,7 +56,7 @@
     }
 }
 
-/// An incremental response, with each resource's own version in this run.
+/// Converts an incremental response to its message, in which each resource has its own version of this run.
 pub fn delta_response(response: &ServerResponse) -> DeltaDiscoveryResponse {
     let resources = response.resources.iter().map(|resource| delta_resource(response, resource));
     DeltaDiscoveryResponse {
--- a/src/control/wire/mod.rs
+++ b/src/control/wire/mod.rs
@@ -1,8 +1,9 @@
-//! Resources, requests and responses in the wire form of xDS v3: `envoy.config.*` and `envoy.service.discovery.v3`
-//! (envoyproxy.io).
+//! Encodes resources and responses and decodes requests as protobuf messages of xDS v3: `envoy.config.*` and
+//! `envoy.service.discovery.v3` (envoyproxy.io).
 //!
-//! What an edge proxy states to a table cache in the fields of its line protocol (`from`, `rank`, `oldest`), other
-//! proxies state in request headers that the routes add; what a request is about is read from its headers too.
+//! An edge proxy sends instructions to a table cache in fields of its line protocol (`from`, `rank`, `oldest`). Other
+//! proxies send them in request headers that the routes add. The routes match a request's class, object and group by
+//! its headers too.
 
 mod cluster;
 mod common;
--- a/src/control/wire/route.rs
+++ b/src/control/wire/route.rs
@@ -1,4 +1,4 @@
-//! Routes (RDS).
+//! Encodes routes (RDS).
 
 use super::common::{
     duration, server_metadata, CLASS_HEADER, FRESH_HEADER, FROM_HEADER, GROUP_HEADER, NEWER_THAN_HEADER,
@@ -22,21 +22,22 @@
 use envoy_types::pb::envoy::r#type::matcher::v3::StringMatcher;
 use envoy_types::pb::google::protobuf::UInt32Value;
 
-/// What is retried of an idempotent class.
+/// The conditions for a retry in an idempotent class.
 const RETRY_IDEMPOTENT: &str = "connect-failure,refused-stream,reset,5xx";
-/// What is retried of any other class: a refused connection proves that nothing ran; a reset after any byte does not.
+/// The conditions for a retry in any other class: after a refused connection the request certainly did not run, but
+/// after a reset it may have run.
 const RETRY_NEVER_RAN: &str = "connect-failure,refused-stream";
 
-/// The clusters that a point's routes refer to.
+/// The names of the clusters that a point's routes refer to.
 pub(super) struct Clusters<'a> {
-    /// The point's caches.
+    /// The cluster of the point's caches.
     pub(super) caches: &'a str,
-    /// Its fill sources.
+    /// The cluster of the point's fill sources.
     pub(super) fill: &'a str,
 }
 
 impl Clusters<'_> {
-    /// The route configuration of a point.
+    /// Creates the route configuration of a point.
     pub(super) fn configuration(&self, name: &str, routes: &[Route]) -> RouteConfiguration {
         let host = VirtualHost {
             name: name.to_owned(),
@@ -47,7 +48,7 @@
         RouteConfiguration {
             name: name.to_owned(),
             virtual_hosts: vec![host],
-            // The most specific addition is applied last and overwrites: weighted cluster over route.
+            // A header that a weighted cluster adds overwrites the one that its route adds.
             most_specific_header_mutations_wins: true,
             ..RouteConfiguration::default()
         }
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The whole cluster, or a hot object's caches as subsets of it.
+    /// Returns the targets of a route: the whole cluster, or a hot object's caches as subsets of it.
     fn targets(&self, caches: &[RouteCache]) -> ClusterSpecifier {
         if caches.is_empty() {
             return ClusterSpecifier::Cluster(self.caches.to_owned());
@@ -109,9 +110,9 @@
         ClusterSpecifier::WeightedClusters(WeightedCluster { clusters, ..WeightedCluster::default() })
     }
 
-    /// One cache as a subset of the cluster.
+    /// Creates the subset of the cluster that holds one cache.
     fn subset(&self, cache: &RouteCache) -> ClusterWeight {
-        // What a cluster's weight adds overrides what its route adds: a delegate is filled from the home.
+        // This header overwrites the one that the route adds, so that a delegate is filled from the home cache.
         let fill = cache.fill.iter().map(|fill| overwrite(FROM_HEADER, fill));
         ClusterWeight {
             name: self.caches.to_owned(),
@@ -123,7 +124,7 @@
     }
 }
 
-/// The object that a route matches, by its purge or as a hot object.
+/// Returns the object that a route matches, as a purged or as a hot object; `None` if it matches no single object.
 fn matched_object(route: &Route) -> Option<ObjectId> {
     match route.purge {
         Some(Purge::Object(object)) => Some(object),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control service on loopback, with stand-in xDS clients that log each view: one test for each hard case.
+//! Tests of the control service on loopback with stand-in xDS clients that log each received view.
 #![cfg(feature = "control")]
 
 use dahliatrack::control::clock::ServiceClock;
@@ -22,9 +22,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Longer than anything takes that a test waits for: past it the test has failed.
+/// Time limit of each wait. A test that exceeds it has failed.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// From the telling of a drain to the last view with the cache: the platform's bound.
+/// The platform's bound from the announcement of a drain to the last view that holds the cache.
 const DRAIN_BOUND: Span = Span::from_secs(1);
 
 const CONTROL: &str =
@@ -52,7 +52,7 @@
     SiteSetup::new(Shape::default(), control, feed).start().await
 }
 
-/// The logs of clients that run by themselves, as they come.
+/// Collects the log entries of clients that run in their own tasks.
 struct Logs {
     entries: mpsc::UnboundedReceiver<LogEntry>,
     sender: mpsc::UnboundedSender<LogEntry>,
@@ -70,7 +70,7 @@
         tokio::spawn(run_client(plan, self.sender.clone(), self.stop.subscribe()));
     }
 
-    /// Waits until the last accepted view of a type fits for this many clients.
+    /// Waits until `clients` clients have accepted a last view of the type that matches.
     async fn wait_for_view(
         &mut self,
         resource_type: ResourceType,
@@ -89,15 +89,17 @@
             if last.values().filter(|view| matches(view)).count() == clients {
                 return;
             }
-            let entry =
-                timeout(TIMEOUT, self.entries.recv()).await.expect("a view in time").expect("clients run");
+            let entry = timeout(TIMEOUT, self.entries.recv())
+                .await
+                .expect("a view in time")
+                .expect("running clients");
             self.all.push(entry);
         }
     }
 
     async fn finish(mut self, running: Running) -> Vec<LogEntry> {
         let _ = self.stop.send(true);
-        running.stop().await.expect("it ends well");
+        running.stop().await.expect("a clean stop");
         drop(self.sender);
         while let Some(entry) = self.entries.recv().await {
             self.all.push(entry);
@@ -106,11 +108,11 @@
     }
 }
 
-/// Receives until a view of a type comes, accepting it and the others.
+/// Receives and ACKs responses until one of the wanted type arrives. Returns its view.
 async fn next_view(stream: &mut ClientStream, state: &mut ClientState, wanted: ResourceType) -> View {
     loop {
         let received = timeout(TIMEOUT, stream.receive(state)).await.expect("a response in time");
-        let received = received.expect("no rejection").expect("the stream goes on");
+        let received = received.expect("no rejection").expect("an open stream");
         state.versions.insert(received.resource_type, received.version.clone());
         stream.ack(&received).await;
         if received.resource_type == wanted {
@@ -122,7 +124,7 @@
 #[tokio::test]
 async fn drains_reach_all_clients_in_bound_and_purges_are_sent() {
     let feed = StandInFeed::default();
-    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
+    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("a started service");
     let mut logs = Logs::new();
     for n in 0..24 {
         let variant = [Variant::StateOfTheWorld, Variant::Incremental][n % 2];
@@ -155,13 +157,13 @@
     let log = logs.finish(running).await;
     assert_eq!(check(&log, &feed_events, DRAIN_BOUND), []);
     let delays = drain_delays(&log, &feed_events);
-    assert_eq!(delays.len(), 24, "eight clients of the point, three drains");
+    assert_eq!(delays.len(), 24, "eight clients of the point and three drains");
 }
 
 #[tokio::test]
 async fn returning_client_never_gets_an_older_view() {
     let feed = StandInFeed::default();
-    let StartedSite { running: first, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
+    let StartedSite { running: first, hosts } = start_site(CONTROL, &feed).await.expect("a started service");
     let old = feed.known();
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let cache = &caches(&hosts, "north")[usize::from(variant == Variant::Incremental)];
@@ -179,17 +181,17 @@
             .servers
             .contains(&name(cache)));
         drop(stream);
-        // A run that starts from the old list, and whose feed says nothing yet.
+        // A second run starts from the old list, and its feed does not answer yet.
         feed.set_silent(true);
         let StartedSite { running: second, .. } =
             SiteSetup { known: Some(old.clone()), ..SiteSetup::new(Shape::default(), CONTROL, &feed) }
                 .start()
                 .await
-                .expect("it starts");
+                .expect("a started service");
         let mut back =
             ClientStream::open(&client_plan(&second, "a", "north", variant)).await.expect("a stream");
         back.subscribe(ResourceType::Endpoints, &state).await;
-        // Who has nothing is told what this run knows: it serves, and its view is the old one.
+        // A client without a version is sent what this run knows, the old view. This shows that the run serves.
         let mut new =
             ClientStream::open(&client_plan(&second, "b", "north", variant)).await.expect("a stream");
         new.subscribe(ResourceType::Endpoints, &ClientState::default()).await;
@@ -197,21 +199,17 @@
             .await
             .servers
             .contains(&name(cache)));
-        assert_eq!(
-            second.metrics.sent.load(Ordering::SeqCst),
-            1,
-            "{variant:?}: the one that came back waits"
-        );
+        assert_eq!(second.metrics.sent.load(Ordering::SeqCst), 1, "{variant:?}: the returning client waits");
         feed.set_silent(false);
         let next = next_view(&mut back, &mut state, ResourceType::Endpoints).await;
         assert!(!next.servers.contains(&name(cache)), "{variant:?}: {next:?}");
-        second.stop().await.expect("it ends well");
+        second.stop().await.expect("a clean stop");
     }
-    first.stop().await.expect("it ends well");
+    first.stop().await.expect("a clean stop");
 }
 
-/// A purge is announced for twelve seconds of the monotonic clock: an hour's step of the wall clock, either way, does
-/// not end it, and what may wait is still published.
+/// A purge is announced for twelve seconds of the monotonic clock. A step of the wall clock by an hour, forward or
+/// back, must not end it, and must not delay the changes that wait to be published.
 #[tokio::test]
 async fn wall_clock_steps_do_not_affect_purges_or_debounce() {
     const HOUR_S: i64 = 3600;
@@ -230,7 +228,7 @@
         let clock = ServiceClock::with_wall_clock(wall);
         let feed = StandInFeed::default();
         let setup = SiteSetup { clock, ..SiteSetup::new(Shape::default(), CONTROL, &feed) };
-        let StartedSite { running, hosts } = setup.start().await.expect("it starts");
+        let StartedSite { running, hosts } = setup.start().await.expect("a started service");
         let cache = &caches(&hosts, "north")[0];
         let mut state = ClientState::default();
         let mut before = ClientStream::open(&client_plan(&running, "before", "north", Variant::Incremental))
@@ -244,7 +242,7 @@
         {
         }
         offset_s.store(step_s, Ordering::SeqCst);
-        // A drain is told at once, a return when it has become quiet; a client that comes after both is told of the
+        // A drain is published at once, a return after the debounce. A client that connects after both still gets the
         // purge.
         feed.publish_health(cache, "draining");
         while next_view(&mut before, &mut state, ResourceType::Endpoints).await.servers.contains(&name(cache))
@@ -261,15 +259,15 @@
             .expect("a stream");
         after.subscribe(ResourceType::Routes, &ClientState::default()).await;
         let routes = next_view(&mut after, &mut ClientState::default(), ResourceType::Routes).await;
-        assert_eq!(routes.newer_than_ms.get("17"), Some(&(ms + 1)), "a step of {step_s} s");
-        running.stop().await.expect("it ends well");
+        assert_eq!(routes.newer_than_ms.get("17"), Some(&(ms + 1)), "a step of the wall clock by {step_s} s");
+        running.stop().await.expect("a clean stop");
     }
 }
 
 #[tokio::test]
 async fn rejected_view_is_not_resent_but_other_clients_get_it() {
     let feed = StandInFeed::default();
-    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
+    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("a started service");
     let north = caches(&hosts, "north");
     let mut logs = Logs::new();
     for (n, variant) in [Variant::StateOfTheWorld, Variant::Incremental].into_iter().enumerate() {
@@ -286,7 +284,7 @@
     while running.metrics.nacks.load(Ordering::SeqCst) < 2 {
         tokio::task::yield_now().await;
     }
-    // The last good view stays in force there until one comes that differs.
+    // The clients that rejected the view keep their last accepted one until a different view is sent.
     feed.publish_health(&north[1], "draining");
     logs.wait_for_view(ResourceType::Endpoints, 4, |view| !view.servers.contains(&name(&north[1]))).await;
     assert_eq!(running.metrics.nacks.load(Ordering::SeqCst), 2);
@@ -300,7 +298,7 @@
 #[tokio::test]
 async fn rejection_is_remembered_on_the_next_stream() {
     let feed = StandInFeed::default();
-    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
+    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("a started service");
     let picky = client_plan(&running, "picky", "north", Variant::StateOfTheWorld);
     let mut first = ClientStream::open(&picky).await.expect("a stream");
     first.subscribe(ResourceType::Endpoints, &ClientState::default()).await;
@@ -312,7 +310,7 @@
     drop(first);
     let mut back = ClientStream::open(&picky).await.expect("a stream");
     back.subscribe(ResourceType::Endpoints, &ClientState::default()).await;
-    // What it gets first is the next view: the one that it rejected is not sent again.
+    // The first view on the new stream is the next one, since the rejected view is not sent again.
     let north = caches(&hosts, "north");
     let mut other_state = ClientState::default();
     let mut other = ClientStream::open(&client_plan(&running, "other", "north", Variant::StateOfTheWorld))
@@ -324,13 +322,13 @@
     let newer = next_view(&mut other, &mut other_state, ResourceType::Endpoints).await;
     let got = next_view(&mut back, &mut ClientState::default(), ResourceType::Endpoints).await;
     assert_eq!((&got.version, got.servers.contains(&name(&north[0]))), (&newer.version, false));
-    running.stop().await.expect("it ends well");
+    running.stop().await.expect("a clean stop");
 }
 
 #[tokio::test]
 async fn unanswering_client_costs_one_response_then_gets_newest() {
     let feed = StandInFeed::default();
-    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
+    let StartedSite { running, hosts } = start_site(CONTROL, &feed).await.expect("a started service");
     let mut state = ClientState::default();
     let mut other_state = ClientState::default();
     let mut slow = ClientStream::open(&client_plan(&running, "slow", "north", Variant::StateOfTheWorld))
@@ -358,16 +356,16 @@
     assert_eq!(
         (caught_up.version, caught_up.servers),
         (newest.version, newest.servers),
-        "none of those between"
+        "none of the versions in between is sent"
     );
-    running.stop().await.expect("it ends well");
+    running.stop().await.expect("a clean stop");
 }
 
 #[tokio::test]
 async fn refused_streams_get_a_reason_and_affect_no_other() {
     let feed = StandInFeed::default();
     let control = "control {\n listen = \"127.0.0.1:0\"\n most_clients = 2\n}";
-    let StartedSite { running, hosts } = start_site(control, &feed).await.expect("it starts");
+    let StartedSite { running, hosts } = start_site(control, &feed).await.expect("a started service");
     let good = client_plan(&running, "good", "north", Variant::Incremental);
     let mut state = ClientState::default();
     let mut stream = ClientStream::open(&good).await.expect("a stream");
@@ -382,22 +380,22 @@
         let status = timeout(TIMEOUT, lost.receive(&mut ClientState::default()))
             .await
             .expect("an answer")
-            .expect_err("refused");
+            .expect_err("a refused stream");
         assert_eq!(status.code(), tonic::Code::InvalidArgument, "{point:?}: {status:?}");
         assert!(status.message().contains(wanted), "{point:?}: {status:?}");
-        // Its place is free again once its stream is known to have ended.
+        // The stream stops counting towards the limit when its end is noticed.
         while running.metrics.clients.load(Ordering::SeqCst) > 1 {
             tokio::task::yield_now().await;
         }
     }
-    let second = ClientStream::open(&good).await.expect("the last place");
-    let full = ClientStream::open(&good).await.err().expect("no place");
+    let second = ClientStream::open(&good).await.expect("a stream within the limit");
+    let full = ClientStream::open(&good).await.err().expect("a stream over the limit is refused");
     assert_eq!(full.code(), tonic::Code::ResourceExhausted, "{full:?}");
     drop(second);
     feed.publish_health(&caches(&hosts, "north")[0], "draining");
     let next = next_view(&mut stream, &mut state, ResourceType::Endpoints).await;
     assert!(!next.servers.contains(&name(&caches(&hosts, "north")[0])));
-    running.stop().await.expect("it ends well");
+    running.stop().await.expect("a clean stop");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -410,7 +408,7 @@
     assert_eq!(measured.breaches, [], "{measured}");
 }
 
-/// The program itself: a file that does not check changes nothing, one that does is taken, and SIGTERM ends it.
+/// Runs the program: on SIGHUP an invalid file changes nothing and a valid one is applied; SIGTERM ends the program.
 #[test]
 fn program_reloads_on_sighup_and_stops_on_sigterm() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("control-signals");
@@ -433,21 +431,23 @@
     let pid = child.id().to_string();
     let signal =
         |name: &str| assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
-    let mut logged =
-        |words: &str| lines.find(|line| line.contains(words)).expect("the line comes before the end");
+    let mut logged = |words: &str| {
+        lines.find(|line| line.contains(words)).expect("the line is logged before the program ends")
+    };
     logged("control listens on 127.0.0.1:");
     std::fs::write(&control, CONTROL.replace("piece", "peice")).expect("a file");
     signal("-HUP");
-    assert!(logged("the old file stays").contains("no class \"peice\"; did you mean \"piece\"?"));
+    assert!(logged("the previous settings stay in effect")
+        .contains("no class \"peice\"; did you mean \"piece\"?"));
     std::fs::write(&control, CONTROL.replace("control {", "control {\n colour = 1")).expect("a file");
     signal("-HUP");
-    assert!(logged("the old file stays").contains("control.hcl:2:2: no key \"colour\""));
+    assert!(logged("the previous settings stay in effect").contains("control.hcl:2:2: no key \"colour\""));
     std::fs::write(&control, CONTROL).expect("a file");
     signal("-HUP");
     logged("reloaded: 1 hot classes");
     signal("-TERM");
     logged("stopped");
-    assert_eq!(child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(child.wait().expect("an exit status").code(), Some(0));
     let bad = Command::new(env!("CARGO_BIN_EXE_dahliatrack"))
         .args(["control", "--config"])
         .arg(&config)
