--- a/src/control/feed_watch.rs
+++ b/src/control/feed_watch.rs
@@ -31,8 +31,8 @@
 pub struct PollCounter(Arc<AtomicU64>);
 
 impl PollCounter {
-    /// Returns the newest poll that may have been sent before this call. Once a later poll is
-    /// answered, all events that the feed had at the time of this call are known.
+    /// Returns the newest poll that may have been sent before this call. Once a later poll is answered, all events that
+    /// the feed had at the time of this call are known.
     pub fn newest_poll(&self) -> PollNumber {
         // One more than the count, since one poll may have been sent and not counted yet.
         PollNumber(self.0.load(Ordering::SeqCst) + 1)
--- a/src/control/model/endpoints.rs
+++ b/src/control/model/endpoints.rs
@@ -7,7 +7,8 @@
 use crate::interface::{self, Instant, ServerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// The weight of a capacity of 1. Weights are whole numbers, so capacities are scaled.
+/// The weight of a capacity of 1, which is one transfer at top speed. Weights are whole numbers, so capacities are
+/// scaled.
 const WEIGHT_UNIT: f64 = 100.0;
 /// A new weight is published only if it differs from the published one by at least this fraction of it, or if the
 /// cache has reached its full capacity.
