--- a/src/commands/config.rs
+++ b/src/commands/config.rs
@@ -3,7 +3,7 @@
 use super::output::print;
 use super::CommandError;
 use dahliatrack::config::{Config, Files, LoadedFiles};
-use dahliatrack::expect::lint::{lint, points, Severity};
+use dahliatrack::expect::lint::{lint, point_names, Severity};
 use dahliatrack::expect::site::Site;
 use dahliatrack::server::route_classes;
 use std::path::PathBuf;
@@ -44,7 +44,7 @@
 pub fn run(command: ConfigCommand) -> Result<(), CommandError> {
     let ConfigCommand::Validate { config, operator_files } = command;
     check_files(config.clone(), operator_files)?;
-    check_site(&Site::of(&Config::read(&config)?))
+    check_site(&Site::from_config(&Config::read(&config)?))
 }
 
 /// Checks the files alone.
@@ -71,7 +71,7 @@
 
 /// Prints what is wrong with a site, and fails if that includes errors.
 fn check_site(site: &Site) -> Result<(), CommandError> {
-    print(&format!("{} servers, points {}", site.servers.len(), points(site)));
+    print(&format!("{} servers, points {}", site.servers.len(), point_names(site)));
     let findings = lint(site);
     findings.iter().for_each(|finding| print(finding));
     match findings.iter().filter(|finding| finding.severity == Severity::Error).count() {
--- a/src/expect/answered.rs
+++ b/src/expect/case_run.rs
@@ -1,24 +1,24 @@
 //! The explorations of one question, and what they show of an expectation.
 
 use super::decisions::Trace;
-use super::expectation::{Breadth, Expectation, Rule, Scenario};
-use super::explore::{changed, explore, Asked};
+use super::expectation::{Expectation, ExploreSettings, Rule, Scenario};
+use super::explore::{changed_servers, explore, ExploreInput};
 use super::fill_cycle;
-use super::question::Question;
 use super::rules::{Attempt, RuleChecker, Violation};
 use super::site::Site;
-use super::verdict::{Broken, Choices};
+use super::test_case::TestCase;
+use super::verdict::{BrokenRule, Choices};
 use crate::config::hcl_document::{Located, Position};
 use crate::interface::{ObjectId, ServerId};
 use crate::SettingsError;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What one question showed of one expectation.
-pub(super) struct Case {
+pub(super) struct CaseResult {
     pub(super) decisions: usize,
     pub(super) choices: Choices,
     /// The rules that were broken, by their place in the file.
-    pub(super) broken: BTreeMap<Position, Broken>,
+    pub(super) broken: BTreeMap<Position, BrokenRule>,
 }
 
 /// The requests of a question's explorations.
@@ -29,77 +29,78 @@
 }
 
 /// A question's explorations.
-pub(super) struct Answered<'a> {
+pub(super) struct CaseRun<'a> {
     site: &'a Site,
-    question: &'a Question<'a>,
+    test_case: &'a TestCase<'a>,
     seeds: Vec<u64>,
     /// By seed, of edge proxies that have the changed list.
     traces: Vec<Trace>,
     /// Where some edge proxies are late: by seed, of those that have the list of before, then of those that have just
     /// started with the changed one.
-    others: Vec<Trace>,
+    other_view_traces: Vec<Trace>,
 }
 
-impl<'a> Answered<'a> {
+impl<'a> CaseRun<'a> {
     /// Explores a question.
-    pub(super) fn ask(
+    pub(super) fn explore(
         site: &'a Site,
-        breadth: Breadth,
-        question: &'a Question<'a>,
+        explore_settings: ExploreSettings,
+        test_case: &'a TestCase<'a>,
     ) -> Result<Self, SettingsError> {
-        let seeds = (0..breadth.seeds).map(|offset| breadth.seed.wrapping_add(offset)).collect();
-        let mut answered = Answered { site, question, seeds, traces: Vec::new(), others: Vec::new() };
+        let seeds =
+            (0..explore_settings.seeds).map(|offset| explore_settings.seed.wrapping_add(offset)).collect();
+        let mut run = CaseRun { site, test_case, seeds, traces: Vec::new(), other_view_traces: Vec::new() };
         let requests = Requests {
-            objects: question.objects(breadth),
-            repeats: if question.wanted.popular { breadth.repeats } else { 1 },
+            objects: test_case.objects(explore_settings),
+            repeats: if test_case.expectation.popular { explore_settings.repeats } else { 1 },
         };
-        let scenario = &question.scenario;
-        answered.traces = answered.explore(site, scenario, &requests)?;
+        let scenario = &test_case.scenario;
+        run.traces = run.explore_seeds(site, scenario, &requests)?;
         if scenario.late {
-            let unaware = Scenario { down: scenario.down.clone(), ..Scenario::default() };
-            answered.others.extend(answered.explore(site, &unaware, &requests)?);
+            let old_list = Scenario { down: scenario.down.clone(), ..Scenario::default() };
+            run.other_view_traces.extend(run.explore_seeds(site, &old_list, &requests)?);
             // Those that have just started know only the new list, and have no delegates of before.
-            let started = Site { servers: changed(site, scenario), ..site.clone() };
-            answered.others.extend(answered.explore(&started, &unaware, &requests)?);
+            let restarted = Site { servers: changed_servers(site, scenario), ..site.clone() };
+            run.other_view_traces.extend(run.explore_seeds(&restarted, &old_list, &requests)?);
         }
-        Ok(answered)
+        Ok(run)
     }
 
     /// Explores a scenario with each seed.
-    fn explore(
+    fn explore_seeds(
         &self,
         site: &Site,
         scenario: &Scenario,
         requests: &Requests,
     ) -> Result<Vec<Trace>, SettingsError> {
-        let asked = |seed: u64| Asked {
-            point: self.question.point,
-            class: self.question.class,
+        let input = |seed: u64| ExploreInput {
+            point: self.test_case.point,
+            class: self.test_case.class,
             objects: &requests.objects,
             repeats: requests.repeats,
             seed,
         };
-        self.seeds.iter().map(|seed| explore(site, scenario, asked(*seed))).collect()
+        self.seeds.iter().map(|seed| explore(site, scenario, input(*seed))).collect()
     }
 
     fn all_traces(&self) -> impl Iterator<Item = &Trace> {
-        self.traces.iter().chain(&self.others)
+        self.traces.iter().chain(&self.other_view_traces)
     }
 
     fn checker(&self) -> RuleChecker<'a> {
-        RuleChecker { site: self.site, point: self.question.point, class: self.question.class }
+        RuleChecker { site: self.site, point: self.test_case.point, class: self.test_case.class }
     }
 
     /// Judges the explorations by an expectation.
-    pub(super) fn case(&self, wanted: &Expectation, label: &str) -> Case {
+    pub(super) fn evaluate(&self, expectation: &Expectation, label: &str) -> CaseResult {
         let mut broken = BTreeMap::new();
-        for rule in &wanted.rules {
+        for rule in &expectation.rules {
             if let Some((seed, violation)) = self.violation(&rule.value) {
-                broken.insert(rule.at, self.report(rule, label, seed, violation));
+                broken.insert(rule.at, self.broken_rule(rule, label, seed, violation));
             }
         }
-        let decisions = self.all_traces().map(|trace| trace.judged().count()).sum();
-        Case { decisions, choices: self.choices(&wanted.rules), broken }
+        let decisions = self.all_traces().map(|trace| trace.checked_decisions().count()).sum();
+        CaseResult { decisions, choices: self.choices(&expectation.rules), broken }
     }
 
     /// The first violation of a rule, and the seed that shows it.
@@ -116,23 +117,23 @@
     fn fill_cycle(&self) -> Option<Violation> {
         let cycle = fill_cycle::find(self.all_traces())?;
         let names: Vec<String> = cycle.servers.iter().map(|server| self.site.describe(*server)).collect();
-        let how = format!("its fills go in a circle: {}", names.join(" from "));
-        Some(Violation { object: Some(cycle.object), server: cycle.servers.first().copied(), how })
+        let description = format!("its fills go in a circle: {}", names.join(" from "));
+        Some(Violation { object: Some(cycle.object), server: cycle.servers.first().copied(), description })
     }
 
-    fn report(&self, rule: &Located<Rule>, label: &str, seed: u64, violation: Violation) -> Broken {
-        let class = self.site.class_name(self.question.class);
-        let point = self.site.zone_name(self.question.point);
+    fn broken_rule(&self, rule: &Located<Rule>, label: &str, seed: u64, violation: Violation) -> BrokenRule {
+        let class = self.site.class_name(self.test_case.class);
+        let point = self.site.zone_name(self.test_case.point);
         let object = violation.object.map(|object| format!("{:016x}", object.0));
         let what = match &object {
             Some(object) => format!("{class} {object} at point {point}"),
             None => format!("{class} at point {point}"),
         };
         let when = if label.is_empty() { String::new() } else { format!(", when {label}") };
-        Broken {
-            rule: rule.value.word(),
+        BrokenRule {
+            rule: rule.value.key(),
             at: rule.at,
-            reason: format!("{what}{when}: {}", violation.how),
+            reason: format!("{what}{when}: {}", violation.description),
             class: class.to_owned(),
             point: point.to_owned(),
             scenario: label.to_owned(),
@@ -149,12 +150,12 @@
         }
         // The module draws among the ready caches of its point, and fills what it draws from the object's home,
         // which is one of them too. Whatever holds for all of them holds for each draw.
-        let servers = changed(self.site, &self.question.scenario);
-        let eligible = self.site.ready_caches(&servers, self.question.point);
+        let servers = changed_servers(self.site, &self.test_case.scenario);
+        let eligible = self.site.ready_caches(&servers, self.test_case.point);
         if rules.iter().all(|rule| self.holds_for_all(&rule.value, &eligible)) {
             return Choices::Bounded { eligible: eligible.len() };
         }
-        let decisions = self.traces.iter().flat_map(Trace::judged);
+        let decisions = self.traces.iter().flat_map(Trace::checked_decisions);
         let chosen: BTreeSet<ServerId> = decisions.map(|decision| decision.server).collect();
         let seen = chosen.intersection(&eligible).count();
         let seeds = [self.seeds[0], self.seeds[self.seeds.len() - 1]];
--- a/src/expect/decisions.rs
+++ b/src/expect/decisions.rs
@@ -25,7 +25,7 @@
     /// The object of each request, by number.
     pub objects: Vec<ObjectId>,
     /// The first request after the scenario's change; those before prepared it.
-    pub judged_from: usize,
+    pub first_checked: usize,
     /// The attempts, in the order of decision.
     pub decisions: Vec<Decision>,
     /// The final answer of each request; `None`: it got none before the exploration ended.
@@ -34,8 +34,8 @@
 
 impl Trace {
     /// The decisions for requests after the scenario's change.
-    pub fn judged(&self) -> impl Iterator<Item = &Decision> {
-        self.decisions.iter().filter(|decision| self.is_judged(decision))
+    pub fn checked_decisions(&self) -> impl Iterator<Item = &Decision> {
+        self.decisions.iter().filter(|decision| self.is_checked(decision))
     }
 
     /// The object that a decision is about.
@@ -53,16 +53,16 @@
         self.homes(true)
     }
 
-    fn homes(&self, judged: bool) -> BTreeMap<ObjectId, ServerId> {
+    fn homes(&self, after_change: bool) -> BTreeMap<ObjectId, ServerId> {
         let mut homes = BTreeMap::new();
         let first_attempts = self.decisions.iter().filter(|decision| decision.attempt == 0);
-        for decision in first_attempts.filter(|decision| self.is_judged(decision) == judged) {
+        for decision in first_attempts.filter(|decision| self.is_checked(decision) == after_change) {
             homes.entry(self.object_of(decision)).or_insert(decision.server);
         }
         homes
     }
 
-    fn is_judged(&self, decision: &Decision) -> bool {
-        decision.request >= self.judged_from
+    fn is_checked(&self, decision: &Decision) -> bool {
+        decision.request >= self.first_checked
     }
 }
--- a/src/expect/expectation.rs
+++ b/src/expect/expectation.rs
@@ -9,7 +9,7 @@
 
 /// How many questions the decision module is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Breadth {
+pub struct ExploreSettings {
     /// The first seed.
     pub seed: u64,
     /// How many seeds, one after another: the module's random choices differ with them.
@@ -20,9 +20,9 @@
     pub repeats: usize,
 }
 
-impl Default for Breadth {
+impl Default for ExploreSettings {
     fn default() -> Self {
-        Breadth { seed: 1, seeds: 8, objects: 32, repeats: 24 }
+        ExploreSettings { seed: 1, seeds: 8, objects: 32, repeats: 24 }
     }
 }
 
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suite {
     /// How many questions to ask.
-    pub breadth: Breadth,
+    pub explore_settings: ExploreSettings,
     /// The expectations, in the file's order.
     pub expectations: Vec<Expectation>,
 }
@@ -92,7 +92,7 @@
     }
 
     /// The rule's key in the file.
-    pub fn word(&self) -> &'static str {
+    pub fn key(&self) -> &'static str {
         match self {
             Rule::GoesTo(_) => "goes_to",
             Rule::NeverGoesTo(_) => "never_goes_to",
@@ -123,7 +123,7 @@
 
 impl Answer {
     /// The answer's name in the file.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Answer::Served => "served",
             Answer::Rejected => "refused",
@@ -162,7 +162,7 @@
 
 impl Scenario {
     /// Whether nothing happens to any server.
-    pub fn is_calm(&self) -> bool {
+    pub fn changes_nothing(&self) -> bool {
         let lists = [&self.drained, &self.removed, &self.down, &self.cold];
         lists.iter().all(|list| list.is_empty()) && self.reweighted.is_empty()
     }
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -4,7 +4,7 @@
 use super::decisions::Trace;
 use super::expectation::{Reweighting, Scenario};
 use super::site::Site;
-use super::world::{Next, World};
+use super::world::{DueItem, World};
 use crate::interface::{
     Class, ClassId, Endpoint, Event, GroupId, Instant, ListUpdate, ObjectId, Request, RequestId, ServerId,
     ServerState, Span, ZoneId,
@@ -18,15 +18,15 @@
 const AFTER_LAST_REQUEST: Span = Span::from_secs(30);
 /// Requested first, so that the module has measured how long an answer of the class takes. Without that it would
 /// consider the cache with the fewest answers the slowest.
-const PRIMER: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
+const WARM_UP_OBJECT: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
 /// Requests for the primer.
-const PRIMER_REQUESTS: usize = 2;
+const WARM_UP_REQUESTS: usize = 2;
 /// Events of one exploration, against an endless loop.
 const MAX_EVENTS: usize = 2_000_000;
 
 /// The requests of one exploration.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct ExploreInput<'a> {
     /// The point whose edge proxy decides.
     pub point: ZoneId,
     /// The class of all requests.
@@ -40,22 +40,22 @@
 }
 
 /// The endpoint list after a scenario's change.
-pub fn changed(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
+pub fn changed_servers(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
     let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
         servers.entry(*server).and_modify(change);
     };
     for server in &scenario.cold {
-        change(server, &|member| member.started_at = Some(site.now));
+        change(server, &|endpoint| endpoint.started_at = Some(site.now));
     }
     for Reweighting { server, weight } in &scenario.reweighted {
-        change(server, &|member| member.weight = *weight);
+        change(server, &|endpoint| endpoint.weight = *weight);
     }
     for server in &scenario.drained {
-        change(server, &|member| member.state = ServerState::Draining);
+        change(server, &|endpoint| endpoint.state = ServerState::Draining);
     }
     for server in &scenario.removed {
-        change(server, &|member| member.state = ServerState::Removed);
+        change(server, &|endpoint| endpoint.state = ServerState::Removed);
     }
     servers
 }
@@ -63,23 +63,28 @@
 /// A scenario as far as an edge proxy at a point can tell: what happens to other points' table caches is left out,
 /// since the module's homes and delegates are caches of its own location (design page, "Popular Directory"). Two
 /// scenarios that come out alike here are decided alike, which a test holds against the module.
-pub fn at_point(site: &Site, scenario: &Scenario, point: ZoneId) -> Scenario {
-    let counts = |server: &ServerId| {
-        let member = site.servers.get(server);
-        member.is_some_and(|member| member.zone == point || !site.is_cache(member))
+pub fn scenario_at_point(site: &Site, scenario: &Scenario, point: ZoneId) -> Scenario {
+    let is_relevant = |server: &ServerId| {
+        let endpoint = site.servers.get(server);
+        endpoint.is_some_and(|endpoint| endpoint.zone == point || !site.is_cache(endpoint))
     };
-    let kept = |list: &[ServerId]| list.iter().copied().filter(counts).collect::<Vec<_>>();
+    let kept = |list: &[ServerId]| list.iter().copied().filter(is_relevant).collect::<Vec<_>>();
     let mut here = Scenario {
         label: scenario.label.clone(),
         drained: kept(&scenario.drained),
         removed: kept(&scenario.removed),
         down: kept(&scenario.down),
         cold: kept(&scenario.cold),
-        reweighted: scenario.reweighted.iter().filter(|changed| counts(&changed.server)).copied().collect(),
+        reweighted: scenario
+            .reweighted
+            .iter()
+            .filter(|changed| is_relevant(&changed.server))
+            .copied()
+            .collect(),
         late: scenario.late,
     };
     // With nothing to be late about, all views are one.
-    here.late &= !here.is_calm();
+    here.late &= !here.changes_nothing();
     here
 }
 
@@ -88,23 +93,23 @@
 /// # Errors
 ///
 /// Settings with which no router can start.
-pub fn explore(site: &Site, scenario: &Scenario, asked: Asked<'_>) -> Result<Trace, SettingsError> {
+pub fn explore(site: &Site, scenario: &Scenario, input: ExploreInput<'_>) -> Result<Trace, SettingsError> {
     let mut settings = site.settings.clone();
-    settings.topology.zone = asked.point;
-    let class = settings.classes[usize::from(asked.class.0)].clone();
-    let plan = Plan::new(site, asked);
-    let mut router = Router::new(settings, asked.seed, plan.start)?;
-    let mut world = plan.world(site, &class);
+    settings.topology.zone = input.point;
+    let class = settings.classes[usize::from(input.class.0)].clone();
+    let schedule = Schedule::new(site, input);
+    let mut router = Router::new(settings, input.seed, schedule.start)?;
+    let mut world = schedule.world(site, &class);
     let mut actions = Vec::new();
     for _ in 0..MAX_EVENTS {
-        let Some((now, next)) = world.next_until(plan.end) else { break };
+        let Some((now, next)) = world.take_due(schedule.end) else { break };
         let event = match next {
-            Next::Event(event) => event,
-            Next::Change => apply_change(site, scenario, &mut world),
+            DueItem::Event(event) => event,
+            DueItem::Change => apply_change(site, scenario, &mut world),
         };
         router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            world.act(now, action, &class);
+            world.apply_action(now, action, &class);
         }
     }
     Ok(world.into_trace())
@@ -112,16 +117,16 @@
 
 /// Applies a scenario's change to the world; returns the router's event.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
-    let servers = changed(site, scenario).into_values();
-    let is_new = |member: &Endpoint| site.servers.get(&member.server) != Some(member);
+    let servers = changed_servers(site, scenario).into_values();
+    let is_new = |endpoint: &Endpoint| site.servers.get(&endpoint.server) != Some(endpoint);
     let entries = servers.filter(is_new).collect();
-    world.change(scenario);
+    world.apply_change(scenario);
     Event::EndpointList { update: ListUpdate::Delta, endpoints: entries }
 }
 
 /// The times of one exploration.
-struct Plan<'a> {
-    asked: Asked<'a>,
+struct Schedule<'a> {
+    input: ExploreInput<'a>,
     /// When the router starts.
     start: Instant,
     /// When the scenario's change comes: at the site's `now`, which is when its cold servers start.
@@ -129,12 +134,12 @@
     end: Instant,
 }
 
-impl<'a> Plan<'a> {
-    fn new(site: &Site, asked: Asked<'a>) -> Self {
-        let phase = (asked.objects.len() * asked.repeats) as i64 * REQUEST_INTERVAL;
+impl<'a> Schedule<'a> {
+    fn new(site: &Site, input: ExploreInput<'a>) -> Self {
+        let phase = (input.objects.len() * input.repeats) as i64 * REQUEST_INTERVAL;
         let change = site.now;
-        Plan {
-            asked,
+        Schedule {
+            input,
             start: change - phase - 4 * REQUEST_INTERVAL,
             change,
             end: change + REQUEST_INTERVAL + phase + AFTER_LAST_REQUEST,
@@ -143,31 +148,31 @@
 
     /// The objects of one phase, in the order of their requests.
     fn phase(&self) -> impl Iterator<Item = ObjectId> + '_ {
-        let objects = self.asked.objects.iter();
-        objects.flat_map(|object| std::iter::repeat_n(*object, self.asked.repeats))
+        let objects = self.input.objects.iter();
+        objects.flat_map(|object| std::iter::repeat_n(*object, self.input.repeats))
     }
 
     /// The world in which all requests, the list and the change are due.
     fn world<'s>(&self, site: &'s Site, class: &Class) -> World<'s> {
         let before: Vec<ObjectId> =
-            std::iter::repeat_n(PRIMER, PRIMER_REQUESTS).chain(self.phase()).collect();
-        let judged_from = before.len();
+            std::iter::repeat_n(WARM_UP_OBJECT, WARM_UP_REQUESTS).chain(self.phase()).collect();
+        let first_checked = before.len();
         let objects: Vec<ObjectId> = before.into_iter().chain(self.phase()).collect();
-        let mut world = World::new(site, objects.clone(), judged_from);
+        let mut world = World::new(site, objects.clone(), first_checked);
         let entries = site.servers.values().copied().collect();
         world.plan(
             self.start,
-            Next::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
+            DueItem::Event(Event::EndpointList { update: ListUpdate::Full, endpoints: entries }),
         );
-        world.plan(self.change, Next::Change);
+        world.plan(self.change, DueItem::Change);
         for (number, object) in objects.into_iter().enumerate() {
-            let (since, nth) = match number.checked_sub(judged_from) {
+            let (since, nth) = match number.checked_sub(first_checked) {
                 None => (self.start, number),
                 Some(nth) => (self.change, nth),
             };
             let at = since + (nth as i64 + 1) * REQUEST_INTERVAL;
             let request = self.request(RequestId(number as u64), object, class);
-            world.plan(at, Next::Event(Event::Request(request)));
+            world.plan(at, DueItem::Event(Event::Request(request)));
         }
         world
     }
@@ -175,7 +180,7 @@
     fn request(&self, id: RequestId, object: ObjectId, class: &Class) -> Request {
         Request {
             id,
-            class: self.asked.class,
+            class: self.input.class,
             tenant: 0,
             object,
             part: 0,
--- a/src/expect/fill_cycle.rs
+++ b/src/expect/fill_cycle.rs
@@ -18,7 +18,7 @@
 pub(super) fn find<'a>(traces: impl Iterator<Item = &'a Trace>) -> Option<FillCycle> {
     let mut fills_by_object: BTreeMap<ObjectId, Fills> = BTreeMap::new();
     for trace in traces {
-        for decision in trace.judged() {
+        for decision in trace.checked_decisions() {
             let Some(source) = decision.source else { continue };
             let fills = fills_by_object.entry(trace.object_of(decision)).or_default();
             fills.entry(decision.server).or_default().insert(source);
--- a/src/expect/language.rs
+++ b/src/expect/language.rs
@@ -3,7 +3,7 @@
 mod rules;
 mod scenarios;
 
-use super::expectation::{Breadth, Expectation, Scenario, Suite, MAX_SEEDS};
+use super::expectation::{Expectation, ExploreSettings, Scenario, Suite, MAX_SEEDS};
 use super::selector::Selector;
 use super::site::Site;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
@@ -23,8 +23,8 @@
 pub fn parse(doc: HclDocument<'_>, site: &Site) -> Result<Suite, Vec<HclError>> {
     let body = doc.parse().map_err(|error| vec![error])?;
     let mut parser = SuiteParser { doc, site, expectations: Vec::new(), errors: Vec::new() };
-    let breadth = parser.parse(&body);
-    parser.finish(breadth)
+    let explore_settings = parser.parse(&body);
+    parser.finish(explore_settings)
 }
 
 /// Reads a file, and collects what is wrong with it.
@@ -36,11 +36,11 @@
 }
 
 impl<'a> SuiteParser<'a> {
-    fn parse(&mut self, body: &'a Body) -> Breadth {
+    fn parse(&mut self, body: &'a Body) -> ExploreSettings {
         let mut reader = self.doc.reader(body);
-        let breadth = read_breadth(self.doc, &mut reader).unwrap_or_else(|error| {
+        let explore_settings = read_explore_settings(self.doc, &mut reader).unwrap_or_else(|error| {
             self.errors.push(error);
-            Breadth::default()
+            ExploreSettings::default()
         });
         for block in reader.blocks("expect") {
             match read_expectation(self.doc, block, self.site) {
@@ -49,7 +49,7 @@
             }
         }
         self.errors.extend(reader.finish().err());
-        breadth
+        explore_settings
     }
 
     fn add(&mut self, expectation: Expectation) {
@@ -60,21 +60,24 @@
         self.expectations.push(expectation);
     }
 
-    fn finish(self, breadth: Breadth) -> Result<Suite, Vec<HclError>> {
+    fn finish(self, explore_settings: ExploreSettings) -> Result<Suite, Vec<HclError>> {
         let SuiteParser { doc, expectations, mut errors, .. } = self;
         if expectations.is_empty() && errors.is_empty() {
             errors.push(doc.error(Position { line: 1, column: 1 }, "no expect block"));
         }
         if errors.is_empty() {
-            return Ok(Suite { breadth, expectations });
+            return Ok(Suite { explore_settings, expectations });
         }
         errors.sort_by_key(|error| error.at);
         Err(errors)
     }
 }
 
-fn read_breadth(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Breadth, HclError> {
-    let default = Breadth::default();
+fn read_explore_settings(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+) -> Result<ExploreSettings, HclError> {
+    let default = ExploreSettings::default();
     let Some(block) = reader.block("explore")? else { return Ok(default) };
     let mut reader = doc.reader(&block.body);
     let seed = reader.integer("seed", 0, u64::MAX)?;
@@ -82,7 +85,7 @@
     let objects = reader.integer("objects", 1, MAX_OBJECTS)?;
     let repeats = reader.integer("repeats", MIN_REPEATS, MAX_REPEATS)?;
     reader.finish()?;
-    Ok(Breadth {
+    Ok(ExploreSettings {
         seed: seed.map_or(default.seed, |seed| seed.value),
         seeds: seeds.map_or(default.seeds, |seeds| seeds.value),
         objects: objects.map_or(default.objects, |objects| objects.value as usize),
--- a/src/expect/language/rules.rs
+++ b/src/expect/language/rules.rs
@@ -70,11 +70,11 @@
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
 ) -> Result<Option<Located<Rule>>, HclError> {
-    let Some(word) = reader.string("answer")? else { return Ok(None) };
+    let Some(name) = reader.string("answer")? else { return Ok(None) };
     let mut answers = [Answer::Served, Answer::Rejected, Answer::Failed].into_iter();
-    let answer = answers.find(|answer| answer.word() == word.value);
-    let answer = answer.ok_or_else(|| doc.error(word.at, "answer is served, refused or failed"))?;
-    Ok(Some(Located { value: Rule::Answer(answer), at: word.at }))
+    let answer = answers.find(|answer| answer.name() == name.value);
+    let answer = answer.ok_or_else(|| doc.error(name.at, "answer is served, refused or failed"))?;
+    Ok(Some(Located { value: Rule::Answer(answer), at: name.at }))
 }
 
 fn read_acyclic(
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -12,7 +12,7 @@
 /// Servers of a list that a label names.
 const MAX_NAMED_SERVERS: usize = 4;
 /// How a label says that some edge proxies still have the list of before.
-const LATE: &str = "some edge proxies not knowing";
+const LATE_LABEL: &str = "some edge proxies not knowing";
 
 /// A key of servers that have a scenario of their own each.
 struct EachKey {
@@ -36,19 +36,19 @@
         site,
         reader: doc.reader(&block.body),
         base: Scenario::default(),
-        words: Vec::new(),
+        changes: Vec::new(),
     };
     scenarios.read_changes()?;
     let each = scenarios.read_each()?;
-    let ScenarioReader { reader, base, words, .. } = scenarios;
+    let ScenarioReader { reader, base, changes, .. } = scenarios;
     reader.finish()?;
     if !each.is_empty() {
         return Ok(each);
     }
-    if base.is_calm() {
+    if base.changes_nothing() {
         return Err(doc.error(doc.position(block), "in this when block nothing happens"));
     }
-    Ok(vec![Scenario { label: label(&words, None, base.late), ..base }])
+    Ok(vec![Scenario { label: label(&changes, None, base.late), ..base }])
 }
 
 /// Reads one block.
@@ -59,7 +59,7 @@
     /// What happens in each scenario.
     base: Scenario,
     /// The same in words.
-    words: Vec<String>,
+    changes: Vec<String>,
 }
 
 impl ScenarioReader<'_> {
@@ -83,7 +83,7 @@
         }
         let selected = self.site.selected(&selectors, self.site.settings.topology.zone);
         let servers: Vec<ServerId> = selected.into_iter().collect();
-        self.words.push(format!("{key} {}", some_names(self.site, &servers)));
+        self.changes.push(format!("{key} {}", first_names(self.site, &servers)));
         Ok(servers)
     }
 
@@ -91,10 +91,10 @@
         for name in self.reader.strings("down_zone")? {
             let zone =
                 self.site.zone(&name.value).map_err(|error| self.doc.error(name.at, error.to_string()))?;
-            let members = self.site.servers.values().filter(|member| member.zone == zone);
-            let members = members.filter(|member| !self.site.is_origin(member));
-            self.base.down.extend(members.map(|member| member.server));
-            self.words.push(format!("zone {} down", name.value));
+            let endpoints = self.site.servers.values().filter(|endpoint| endpoint.zone == zone);
+            let endpoints = endpoints.filter(|endpoint| !self.site.is_origin(endpoint));
+            self.base.down.extend(endpoints.map(|endpoint| endpoint.server));
+            self.changes.push(format!("zone {} down", name.value));
         }
         Ok(())
     }
@@ -109,7 +109,7 @@
                 return Err(self.doc.error(name.at, "reweighted names servers"));
             };
             self.base.reweighted.push(Reweighting { server, weight });
-            self.words.push(format!("{} of weight {weight}", name.value));
+            self.changes.push(format!("{} of weight {weight}", name.value));
         }
         Ok(())
     }
@@ -122,8 +122,8 @@
                 for server in self.site.selected(&[selector], self.site.settings.topology.zone) {
                     let mut scenario = self.base.clone();
                     list(&mut scenario).push(server);
-                    let words = format!("{change} {}", self.site.name(server));
-                    scenario.label = label(&self.words, Some(&words), scenario.late);
+                    let one = format!("{change} {}", self.site.name(server));
+                    scenario.label = label(&self.changes, Some(&one), scenario.late);
                     scenarios.push(scenario);
                 }
             }
@@ -133,14 +133,14 @@
 }
 
 /// A scenario in words: what happens to all, then to the one server.
-fn label(words: &[String], one: Option<&str>, late: bool) -> String {
-    let words = words.iter().map(String::as_str);
-    let words: Vec<&str> = words.chain(one).chain(late.then_some(LATE)).collect();
-    words.join(", ")
+fn label(changes: &[String], one: Option<&str>, late: bool) -> String {
+    let changes = changes.iter().map(String::as_str);
+    let changes: Vec<&str> = changes.chain(one).chain(late.then_some(LATE_LABEL)).collect();
+    changes.join(", ")
 }
 
 /// The first few names of a list of servers.
-fn some_names(site: &Site, servers: &[ServerId]) -> String {
+fn first_names(site: &Site, servers: &[ServerId]) -> String {
     let names: Vec<&str> = servers.iter().take(MAX_NAMED_SERVERS).map(|server| site.name(*server)).collect();
     let names = names.join(", ");
     match servers.len().saturating_sub(MAX_NAMED_SERVERS) {
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -31,7 +31,7 @@
 
 /// Checks a site. The order of the findings depends on the site alone.
 pub fn lint(site: &Site) -> Vec<Finding> {
-    let parents: Vec<&Endpoint> = site.servers.values().filter(|member| site.is_parent(member)).collect();
+    let parents: Vec<&Endpoint> = site.servers.values().filter(|endpoint| site.is_parent(endpoint)).collect();
     let mut findings = Vec::new();
     findings.extend(no_source(site, &parents));
     for point in site.points() {
@@ -55,34 +55,34 @@
     Finding { severity: Severity::Warning, code, text }
 }
 
-fn is_ready(member: &Endpoint) -> bool {
-    member.state == ServerState::Ready
+fn is_ready(endpoint: &Endpoint) -> bool {
+    endpoint.state == ServerState::Ready
 }
 
-fn any_ready(members: &[&Endpoint]) -> bool {
-    members.iter().any(|member| is_ready(member))
+fn any_ready(endpoints: &[&Endpoint]) -> bool {
+    endpoints.iter().any(|endpoint| is_ready(endpoint))
 }
 
 /// No server can fill a miss.
 fn no_source(site: &Site, parents: &[&Endpoint]) -> Option<Finding> {
-    let origins = site.servers.values().filter(|member| site.is_origin(member));
+    let origins = site.servers.values().filter(|endpoint| site.is_origin(endpoint));
     let sources: Vec<&Endpoint> = origins.chain(parents.iter().copied()).collect();
     if any_ready(&sources) {
         return None;
     }
-    let states = states(site, &sources);
+    let states = unready_states(site, &sources);
     let text = format!("no origin and no parent is ready{states}: no miss can be filled");
     Some(error("no-source", text))
 }
 
 /// A point has no ready table cache.
 fn no_cache(site: &Site, point: ZoneId) -> Option<Finding> {
-    let members = site.servers.values().filter(|member| member.zone == point);
-    let caches: Vec<&Endpoint> = members.filter(|member| site.is_cache(member)).collect();
+    let endpoints = site.servers.values().filter(|endpoint| endpoint.zone == point);
+    let caches: Vec<&Endpoint> = endpoints.filter(|endpoint| site.is_cache(endpoint)).collect();
     if any_ready(&caches) {
         return None;
     }
-    let states = states(site, &caches);
+    let states = unready_states(site, &caches);
     let text = format!("point {} has no ready table cache{states}", site.zone_name(point));
     Some(if site.settings.limits.direct_to_source {
         warning("point-direct", format!("{text}: parents are asked past them"))
@@ -94,14 +94,14 @@
 /// A point's hub has no ready parent, in a site that has parents.
 fn no_parent(site: &Site, point: ZoneId, parents: &[&Endpoint]) -> Option<Finding> {
     let hub = site.hub(point).filter(|_| !parents.is_empty())?;
-    let at_hub: Vec<&Endpoint> = parents.iter().copied().filter(|member| member.zone == hub).collect();
+    let at_hub: Vec<&Endpoint> = parents.iter().copied().filter(|endpoint| endpoint.zone == hub).collect();
     if any_ready(&at_hub) {
         return None;
     }
     let classes = cached_classes(site);
     let point = site.zone_name(point);
     let hub = site.zone_name(hub);
-    let states = states(site, &at_hub);
+    let states = unready_states(site, &at_hub);
     let text = format!(
         "{classes} of point {point} fill through hub {hub}, which has no ready parent{states}: \
          they fill from farther hubs"
@@ -135,10 +135,10 @@
 }
 
 fn weightless_servers(site: &Site) -> impl Iterator<Item = Finding> + '_ {
-    let ready = site.servers.values().filter(|member| is_ready(member));
-    let weightless = ready.filter(|member| member.weight <= 0.0 && !site.is_origin(member));
-    weightless.map(|member| {
-        let text = format!("{} is ready with no weight", site.describe(member.server));
+    let ready = site.servers.values().filter(|endpoint| is_ready(endpoint));
+    let weightless = ready.filter(|endpoint| endpoint.weight <= 0.0 && !site.is_origin(endpoint));
+    weightless.map(|endpoint| {
+        let text = format!("{} is ready with no weight", site.describe(endpoint.server));
         warning("weight-zero", text)
     })
 }
@@ -152,21 +152,21 @@
 }
 
 /// The first few servers that are not ready, in brackets.
-fn states(site: &Site, members: &[&Endpoint]) -> String {
-    if members.is_empty() {
+fn unready_states(site: &Site, endpoints: &[&Endpoint]) -> String {
+    if endpoints.is_empty() {
         return " (none is listed)".to_owned();
     }
-    let word = |member: &&Endpoint| match member.state {
+    let word = |endpoint: &&Endpoint| match endpoint.state {
         ServerState::Ready => None,
-        ServerState::Draining => Some(format!("{} is draining", site.name(member.server))),
-        ServerState::Removed => Some(format!("{} is gone", site.name(member.server))),
+        ServerState::Draining => Some(format!("{} is draining", site.name(endpoint.server))),
+        ServerState::Removed => Some(format!("{} is gone", site.name(endpoint.server))),
     };
-    let words: Vec<String> = members.iter().filter_map(word).take(MAX_NAMED_SERVERS).collect();
+    let words: Vec<String> = endpoints.iter().filter_map(word).take(MAX_NAMED_SERVERS).collect();
     format!(" ({})", words.join(", "))
 }
 
 /// The points of a site by their names, for the operator.
-pub fn points(site: &Site) -> String {
+pub fn point_names(site: &Site) -> String {
     let name = |zone: &ZoneId| site.zone_name(*zone).to_owned();
     site.points().iter().map(name).collect::<Vec<_>>().join(", ")
 }
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -3,28 +3,28 @@
 //!
 //! - `site`: the configuration with the servers of its list; `names`, `selector`: how expectations name its parts.
 //! - `expectation`: what operators expect; `language`: the file in which they write it.
-//! - `judge`: asks the decision module and gives a verdict for each expectation. `question`: what is asked, once for
-//!   all expectations; `answered`: the explorations of a question; `rules`, `fill_cycle`: what violates a rule.
+//! - `evaluate`: asks the decision module and gives a verdict for each expectation. `test_case`: what is asked, once for
+//!   all expectations; `case_run`: the explorations of a test case; `rules`, `fill_cycle`: what violates a rule.
 //! - `explore`: one exploration, on a virtual clock; `world`, `planned_end`: how attempts end in it; `decisions`: its
 //!   result.
 //! - `lint`: faults of a configuration that need no expectation.
 //! - `verdict`, `report`: the results.
 
-mod answered;
+mod case_run;
 pub mod decisions;
+pub mod evaluate;
 pub mod expectation;
 pub mod explore;
 mod fill_cycle;
-pub mod judge;
 pub mod language;
 pub mod lint;
 mod names;
 mod planned_end;
-mod question;
 pub mod report;
 mod rules;
 pub mod selector;
 pub mod site;
+mod test_case;
 pub mod verdict;
 mod world;
 
@@ -33,8 +33,8 @@
 
 use crate::config::hcl_document::{HclDocument, HclError};
 use crate::config::{read_text_file, Config, ConfigError};
-use expectation::{Breadth, Suite, MAX_SEEDS};
-use judge::judge;
+use evaluate::evaluate;
+use expectation::{ExploreSettings, Suite, MAX_SEEDS};
 use language::parse;
 use lint::{lint, Severity};
 use report::Report;
@@ -55,7 +55,7 @@
     Settings(#[from] crate::SettingsError),
     /// `--only` names no expectation.
     #[error("no expectation {0:?}")]
-    Only(String),
+    NoSuchExpectation(String),
 }
 
 /// What the command line overrides of the file's `explore` block.
@@ -75,23 +75,23 @@
 ///
 /// Files that cannot be read or used. An expectation that does not hold is no error but a verdict.
 pub fn check(config: &Path, expectations: &Path, overrides: &Overrides) -> Result<Report, ExpectError> {
-    let site = Site::of(&Config::read(config)?);
+    let site = Site::from_config(&Config::read(config)?);
     let text = read_text_file(expectations)?;
     let file = expectations.display().to_string();
     let suite = parse(HclDocument { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
-    Ok(check_site(&site, &overridden(suite, overrides)?, &file)?)
+    Ok(check_site(&site, &apply_overrides(suite, overrides)?, &file)?)
 }
 
 /// A suite as the command line overrides it.
-fn overridden(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
+fn apply_overrides(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
     if let Some(only) = &overrides.only {
-        suite.expectations.retain(|wanted| wanted.name == *only);
+        suite.expectations.retain(|expectation| expectation.name == *only);
         if suite.expectations.is_empty() {
-            return Err(ExpectError::Only(only.clone()));
+            return Err(ExpectError::NoSuchExpectation(only.clone()));
         }
     }
-    let file = suite.breadth;
-    suite.breadth = Breadth {
+    let file = suite.explore_settings;
+    suite.explore_settings = ExploreSettings {
         seed: overrides.seed.unwrap_or(file.seed),
         seeds: overrides.seeds.unwrap_or(file.seeds).clamp(1, MAX_SEEDS),
         ..file
@@ -105,7 +105,7 @@
 ///
 /// Settings with which no router can start.
 pub fn check_site(site: &Site, suite: &Suite, file: &str) -> Result<Report, crate::SettingsError> {
-    let verdicts = judge(site, suite.breadth, &suite.expectations)?;
+    let verdicts = evaluate(site, suite.explore_settings, &suite.expectations)?;
     let findings = lint(site);
     let passed = verdicts.iter().all(|verdict| verdict.passed)
         && findings.iter().all(|finding| finding.severity < Severity::Error);
--- a/src/expect/names.rs
+++ b/src/expect/names.rs
@@ -10,10 +10,10 @@
     Unknown(String),
     /// A cell that is no number.
     #[error("cell {0:?} is no number")]
-    Cell(String),
+    InvalidCell(String),
     /// A set with no server in it, which no expectation can be about.
     #[error("{0} names no server of the list")]
-    Empty(String),
+    NoServers(String),
 }
 
 /// The index of a name in a list; `what` is the kind of name for the error.
--- a/src/expect/planned_end.rs
+++ b/src/expect/planned_end.rs
@@ -21,23 +21,23 @@
 }
 
 impl PlannedEnd {
-    pub(super) fn after(elapsed: Span, result: AttemptResult, cache_status: Option<CacheStatus>) -> Self {
+    pub(super) fn new(elapsed: Span, result: AttemptResult, cache_status: Option<CacheStatus>) -> Self {
         PlannedEnd { elapsed, result, cache_status, fill_wait: Span::ZERO }
     }
 
     /// Answered from a copy.
     pub(super) fn hit() -> Self {
-        PlannedEnd::after(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
+        PlannedEnd::new(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
     }
 
     /// Answered after a fill, from the origin or from a copy.
     pub(super) fn filled(cache_status: CacheStatus, fill_wait: Span) -> Self {
         let elapsed = ANSWER_TIME + fill_wait;
-        PlannedEnd { fill_wait, ..PlannedEnd::after(elapsed, AttemptResult::Ok, Some(cache_status)) }
+        PlannedEnd { fill_wait, ..PlannedEnd::new(elapsed, AttemptResult::Ok, Some(cache_status)) }
     }
 
     /// The same, cut off by the attempt's time-out; zero: there is none.
-    pub(super) fn within(self, timeout: Span) -> Self {
+    pub(super) fn limited_to(self, timeout: Span) -> Self {
         if timeout == Span::ZERO || self.elapsed < timeout {
             return self;
         }
--- a/src/expect/report.rs
+++ b/src/expect/report.rs
@@ -1,7 +1,7 @@
 //! The report of a check, as lines for people and as JSON for machines.
 
 use super::lint::{Finding, Severity};
-use super::verdict::{Broken, Choices, Extent, Verdict};
+use super::verdict::{BrokenRule, Choices, Coverage, Verdict};
 use serde::Serialize;
 use std::fmt;
 
@@ -64,11 +64,11 @@
         let word = if verdict.passed { "passed" } else { "FAILED" };
         writeln!(f, "{word} {:?} ({}:{})", verdict.name, self.file, verdict.line)?;
         for broken in &verdict.broken {
-            let Broken { rule, at, reason, seed, .. } = broken;
+            let BrokenRule { rule, at, reason, seed, .. } = broken;
             writeln!(f, "  {rule} at {}:{at}: {reason}", self.file)?;
             writeln!(f, "    shown by --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
         }
-        let Extent { scenarios, points, classes, seeds } = verdict.asked;
+        let Coverage { scenarios, points, classes, seeds } = verdict.asked;
         let Verdict { decisions, choices, .. } = verdict;
         writeln!(
             f,
--- a/src/expect/rules.rs
+++ b/src/expect/rules.rs
@@ -14,7 +14,7 @@
     /// The server at fault, if one is.
     pub(super) server: Option<ServerId>,
     /// What happens that the rule forbids.
-    pub(super) how: String,
+    pub(super) description: String,
 }
 
 /// One attempt, as far as a rule about servers or ranks depends on it.
@@ -44,12 +44,12 @@
     /// The first violation of a rule in an exploration.
     pub(super) fn violation(&self, rule: &Rule, trace: &Trace) -> Option<Violation> {
         match rule {
-            Rule::Answer(wanted) => self.wrong_answer(*wanted, trace),
+            Rule::Answer(expected) => self.wrong_answer(*expected, trace),
             Rule::MaxAttempts(max) => self.too_many_attempts(*max, trace),
             Rule::MaxCaches(max) => self.too_many_servers(*max, trace),
             Rule::MaxHomeShare(max) => self.too_large_share(*max, trace),
             Rule::MaxMigratedShare(max) => self.too_many_migrations(*max, trace),
-            rule => trace.judged().find_map(|decision| self.wrong_decision(rule, trace, decision)),
+            rule => trace.checked_decisions().find_map(|decision| self.wrong_decision(rule, trace, decision)),
         }
     }
 
@@ -71,15 +71,15 @@
     }
 
     fn wrong_decision(&self, rule: &Rule, trace: &Trace, decision: &Decision) -> Option<Violation> {
-        let how = self.wrong_attempt(rule, decision.into())?;
+        let description = self.wrong_attempt(rule, decision.into())?;
         let is_about_fills = matches!(rule, Rule::FillsFrom(_) | Rule::NeverFillFrom(_));
         let source = decision.source.filter(|_| is_about_fills);
-        let request = decision.request - trace.judged_from + 1;
+        let request = decision.request - trace.first_checked + 1;
         let attempt = decision.attempt + 1;
         Some(Violation {
             object: Some(trace.object_of(decision)),
             server: source.or(Some(decision.server)),
-            how: format!("{how} (request {request} attempt {attempt})"),
+            description: format!("{description} (request {request} attempt {attempt})"),
         })
     }
 
@@ -87,46 +87,46 @@
         match source {
             Some(source) if self.is_in(set, source) => None,
             Some(source) => Some(self.filled_from(server, source)),
-            None if self.member_is(server, Site::is_origin) => None,
+            None if self.server_is(server, Site::is_origin) => None,
             None => Some(format!("a miss at {} is filled from nowhere", self.site.describe(server))),
         }
     }
 
-    fn wrong_answer(&self, wanted: Answer, trace: &Trace) -> Option<Violation> {
-        let mut judged = trace.answers.iter().enumerate().skip(trace.judged_from);
-        let (request, answer) = judged.find(|(_, answer)| **answer != Some(wanted))?;
+    fn wrong_answer(&self, expected: Answer, trace: &Trace) -> Option<Violation> {
+        let mut checked = trace.answers.iter().enumerate().skip(trace.first_checked);
+        let (request, answer) = checked.find(|(_, answer)| **answer != Some(expected))?;
         let decisions = trace.decisions.iter().filter(|decision| decision.request == request);
         let servers: Vec<ServerId> = decisions.map(|decision| decision.server).collect();
-        let word = answer.map_or("not answered", Answer::word);
-        let how = if servers.is_empty() {
-            format!("it is {word}, and nobody is asked")
+        let answer = answer.map_or("not answered", Answer::name);
+        let description = if servers.is_empty() {
+            format!("it is {answer}, and nobody is asked")
         } else {
-            format!("it is {word} after {}", self.describe_all(&servers))
+            format!("it is {answer} after {}", self.describe_all(&servers))
         };
-        Some(Violation { object: Some(trace.objects[request]), server: None, how })
+        Some(Violation { object: Some(trace.objects[request]), server: None, description })
     }
 
     fn too_many_attempts(&self, max: u64, trace: &Trace) -> Option<Violation> {
-        let decision = trace.judged().find(|decision| u64::from(decision.attempt) >= max)?;
+        let decision = trace.checked_decisions().find(|decision| u64::from(decision.attempt) >= max)?;
         let server = self.site.describe(decision.server);
         Some(Violation {
             object: Some(trace.object_of(decision)),
             server: Some(decision.server),
-            how: format!("attempt {} of one request goes to {server}", decision.attempt + 1),
+            description: format!("attempt {} of one request goes to {server}", decision.attempt + 1),
         })
     }
 
     fn too_many_servers(&self, max: u64, trace: &Trace) -> Option<Violation> {
         let mut servers_by_object: BTreeMap<ObjectId, BTreeSet<ServerId>> = BTreeMap::new();
-        for decision in trace.judged() {
+        for decision in trace.checked_decisions() {
             servers_by_object.entry(trace.object_of(decision)).or_default().insert(decision.server);
         }
         let mut objects = servers_by_object.into_iter();
         let (object, servers) = objects.find(|(_, servers)| servers.len() as u64 > max)?;
         let servers: Vec<ServerId> = servers.into_iter().collect();
         let names = self.describe_all(&servers);
-        let how = format!("its requests go to {} servers: {names}", servers.len());
-        Some(Violation { object: Some(object), server: None, how })
+        let description = format!("its requests go to {} servers: {names}", servers.len());
+        Some(Violation { object: Some(object), server: None, description })
     }
 
     fn too_large_share(&self, max: f64, trace: &Trace) -> Option<Violation> {
@@ -141,35 +141,37 @@
             return None;
         }
         let name = self.site.describe(server);
-        let how = format!("{name} is home to {count} of {} objects ({share:.3} of them)", homes.len());
-        Some(Violation { object: None, server: Some(server), how })
+        let description =
+            format!("{name} is home to {count} of {} objects ({share:.3} of them)", homes.len());
+        Some(Violation { object: None, server: Some(server), description })
     }
 
     fn too_many_migrations(&self, max: f64, trace: &Trace) -> Option<Violation> {
         let after = trace.homes_after();
         let mut before = trace.homes_before();
         before.retain(|object, _| after.contains_key(object));
-        let stays = |home: ServerId| after.values().any(|server| *server == home);
-        let migrated = before.iter().filter(|(object, home)| stays(**home) && after[*object] != **home);
+        let is_still_home = |home: ServerId| after.values().any(|server| *server == home);
+        let migrated =
+            before.iter().filter(|(object, home)| is_still_home(**home) && after[*object] != **home);
         let migrated: Vec<(&ObjectId, &ServerId)> = migrated.collect();
         let (object, home) = migrated.first()?;
         let share = migrated.len() as f64 / before.len() as f64;
         if share <= max {
             return None;
         }
-        let how = format!(
+        let description = format!(
             "{} of {} objects leave a home that stays; this one goes from {} to {}",
             migrated.len(),
             before.len(),
             self.site.describe(**home),
             self.site.describe(after[*object])
         );
-        Some(Violation { object: Some(**object), server: Some(**home), how })
+        Some(Violation { object: Some(**object), server: Some(**home), description })
     }
 
     fn is_in(&self, set: &[Selector], server: ServerId) -> bool {
-        let Some(member) = self.site.servers.get(&server) else { return false };
-        set.iter().any(|selector| self.site.selects(selector, member, self.point))
+        let Some(endpoint) = self.site.servers.get(&server) else { return false };
+        set.iter().any(|selector| self.site.selects(selector, endpoint, self.point))
     }
 
     /// Whether an attempt goes to one of these, or passes through an upstream server to the origin, which is one of
@@ -179,16 +181,17 @@
             return true;
         }
         let never_cached = self.site.settings.classes[usize::from(self.class.0)].uncached;
-        let is_upstream = |server: ServerId| self.member_is(server, |site, member| !site.is_cache(member));
+        let is_upstream =
+            |server: ServerId| self.server_is(server, |site, endpoint| !site.is_cache(endpoint));
         let passes_through = never_cached
             && attempt.rank == 0
             && (is_upstream(attempt.server) || attempt.source.is_some_and(is_upstream));
         passes_through && set.contains(&Selector::Origin)
     }
 
-    fn member_is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
-        let member = self.site.servers.get(&server);
-        member.is_some_and(|member| property(self.site, member))
+    fn server_is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
+        let endpoint = self.site.servers.get(&server);
+        endpoint.is_some_and(|endpoint| property(self.site, endpoint))
     }
 
     fn goes_to(&self, server: ServerId) -> String {
--- a/src/expect/selector.rs
+++ b/src/expect/selector.rs
@@ -54,10 +54,10 @@
             return Ok(selector);
         }
         let point = self.settings.topology.zone;
-        if self.servers.values().any(|member| self.selects(&selector, member, point)) {
+        if self.servers.values().any(|endpoint| self.selects(&selector, endpoint, point)) {
             return Ok(selector);
         }
-        Err(NameError::Empty(text.to_owned()))
+        Err(NameError::NoServers(text.to_owned()))
     }
 
     /// A selector without a colon.
@@ -79,32 +79,32 @@
             "cache" => Selector::CacheIn(self.zone(name)?),
             "zone" => Selector::Zone(self.zone(name)?),
             "kind" => Selector::Kind(index_of("kind", name, &self.kinds)?),
-            "cell" => Selector::Cell(name.parse().map_err(|_| NameError::Cell(name.to_owned()))?),
+            "cell" => Selector::Cell(name.parse().map_err(|_| NameError::InvalidCell(name.to_owned()))?),
             _ => Selector::Server(self.server(text)?),
         })
     }
 
     /// Whether a selector names a server, for a request at a point.
-    pub fn selects(&self, selector: &Selector, member: &Endpoint, point: ZoneId) -> bool {
+    pub fn selects(&self, selector: &Selector, endpoint: &Endpoint, point: ZoneId) -> bool {
         match selector {
-            Selector::Origin => self.is_origin(member),
-            Selector::Hub => self.is_parent(member),
-            Selector::HubIn(zone) => self.is_parent(member) && member.zone == *zone,
-            Selector::OwnHub => self.is_parent(member) && self.hub(point) == Some(member.zone),
-            Selector::Cache => self.is_cache(member),
-            Selector::CacheIn(zone) => self.is_cache(member) && member.zone == *zone,
-            Selector::OwnCache => self.is_cache(member) && member.zone == point,
-            Selector::Zone(zone) => member.zone == *zone,
-            Selector::Kind(kind) => member.kind == *kind,
-            Selector::Cell(cell) => member.cell == *cell,
-            Selector::Server(server) => member.server == *server,
+            Selector::Origin => self.is_origin(endpoint),
+            Selector::Hub => self.is_parent(endpoint),
+            Selector::HubIn(zone) => self.is_parent(endpoint) && endpoint.zone == *zone,
+            Selector::OwnHub => self.is_parent(endpoint) && self.hub(point) == Some(endpoint.zone),
+            Selector::Cache => self.is_cache(endpoint),
+            Selector::CacheIn(zone) => self.is_cache(endpoint) && endpoint.zone == *zone,
+            Selector::OwnCache => self.is_cache(endpoint) && endpoint.zone == point,
+            Selector::Zone(zone) => endpoint.zone == *zone,
+            Selector::Kind(kind) => endpoint.kind == *kind,
+            Selector::Cell(cell) => endpoint.cell == *cell,
+            Selector::Server(server) => endpoint.server == *server,
         }
     }
 
     /// The servers that any of the selectors names.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
         let named =
-            |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
-        self.servers.values().filter(named).map(|member| member.server).collect()
+            |endpoint: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, endpoint, point));
+        self.servers.values().filter(named).map(|endpoint| endpoint.server).collect()
     }
 }
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// The time from the last start of a server to the moment at which the site is checked: every server is warm by then.
-const SETTLED: Span = Span::from_secs(3_600);
+const WARM_UP_TIME: Span = Span::from_secs(3_600);
 
 /// A configuration's settings with the servers of its list.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 
 impl Site {
     /// The site of a configuration, after the events that it knows.
-    pub fn of(config: &Config) -> Self {
+    pub fn from_config(config: &Config) -> Self {
         let parsed = &config.settings;
         let mut site = Site {
             settings: parsed.policy.clone(),
@@ -59,7 +59,7 @@
 
     /// Applies the events that the configuration knows.
     fn apply(&mut self, batch: &FeedBatch, names: &ProgramSettings) {
-        let mut members = ServerNames::default();
+        let mut server_names = ServerNames::default();
         let mut addresses = Addresses::new();
         for change in batch.events.iter().filter_map(|event| event.members.as_ref()) {
             if change.whole {
@@ -67,34 +67,34 @@
                 addresses.clear();
             }
             for host in &change.hosts {
-                let mut member = members.endpoint(host, names);
+                let mut endpoint = server_names.endpoint(host, names);
                 // Expectations are explored on a clock that reads Unix time.
                 let started_at = host.started_at();
-                member.started_at = started_at.map(|unix| Instant::from_micros(unix.as_micros()));
-                self.names.insert(member.server, host.host.clone());
+                endpoint.started_at = started_at.map(|unix| Instant::from_micros(unix.as_micros()));
+                self.names.insert(endpoint.server, host.host.clone());
                 if host.health == Health::Removed {
-                    self.servers.remove(&member.server);
-                    addresses.retain(|_, server| *server != member.server);
+                    self.servers.remove(&endpoint.server);
+                    addresses.retain(|_, server| *server != endpoint.server);
                 } else {
-                    self.add(host, member, names, &mut addresses);
+                    self.add(host, endpoint, names, &mut addresses);
                 }
             }
         }
-        self.now += SETTLED;
+        self.now += WARM_UP_TIME;
     }
 
     fn add(
         &mut self,
         host: &FeedServer,
-        member: Endpoint,
+        endpoint: Endpoint,
         names: &ProgramSettings,
         addresses: &mut Addresses,
     ) {
-        self.servers.insert(member.server, member);
-        self.now = self.now.max(member.started_at.unwrap_or(Instant::ZERO));
-        self.check_address(host, member.server, addresses);
-        self.check_name("zone", host, &host.site, member.zone.0, &names.zones);
-        self.check_name("kind", host, &host.class, member.kind, &names.kinds);
+        self.servers.insert(endpoint.server, endpoint);
+        self.now = self.now.max(endpoint.started_at.unwrap_or(Instant::ZERO));
+        self.check_address(host, endpoint.server, addresses);
+        self.check_name("zone", host, &host.site, endpoint.zone.0, &names.zones);
+        self.check_name("kind", host, &host.class, endpoint.kind, &names.kinds);
     }
 
     /// Notes an address that another server has too.
@@ -122,12 +122,12 @@
 
     /// A server's name with what it is, as `s-0c41 (hub:south)`.
     pub fn describe(&self, server: ServerId) -> String {
-        let Some(member) = self.servers.get(&server) else { return self.name(server).to_owned() };
-        let zone = self.zone_name(member.zone);
+        let Some(endpoint) = self.servers.get(&server) else { return self.name(server).to_owned() };
+        let zone = self.zone_name(endpoint.zone);
         let name = self.name(server);
-        if self.is_origin(member) {
+        if self.is_origin(endpoint) {
             format!("{name} (origin)")
-        } else if self.is_parent(member) {
+        } else if self.is_parent(endpoint) {
             format!("{name} (hub:{zone})")
         } else {
             format!("{name} (cache:{zone})")
@@ -145,18 +145,18 @@
     }
 
     /// Whether a server is a parent, which stands at a hub.
-    pub fn is_parent(&self, member: &Endpoint) -> bool {
-        Some(member.kind) == self.settings.topology.parent_kind
+    pub fn is_parent(&self, endpoint: &Endpoint) -> bool {
+        Some(endpoint.kind) == self.settings.topology.parent_kind
     }
 
     /// Whether a server is the origin.
-    pub fn is_origin(&self, member: &Endpoint) -> bool {
-        member.kind == self.settings.topology.origin_kind
+    pub fn is_origin(&self, endpoint: &Endpoint) -> bool {
+        endpoint.kind == self.settings.topology.origin_kind
     }
 
     /// Whether a server is a table cache.
-    pub fn is_cache(&self, member: &Endpoint) -> bool {
-        !self.is_parent(member) && !self.is_origin(member)
+    pub fn is_cache(&self, endpoint: &Endpoint) -> bool {
+        !self.is_parent(endpoint) && !self.is_origin(endpoint)
     }
 
     /// The points: zones that have edge proxies.
@@ -172,10 +172,10 @@
 
     /// The ready table caches of a point among these servers.
     pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Endpoint>, point: ZoneId) -> BTreeSet<ServerId> {
-        let fits = |member: &&Endpoint| {
-            self.is_cache(member) && member.zone == point && member.state == ServerState::Ready
+        let is_ready_cache = |endpoint: &&Endpoint| {
+            self.is_cache(endpoint) && endpoint.zone == point && endpoint.state == ServerState::Ready
         };
-        servers.values().filter(fits).map(|member| member.server).collect()
+        servers.values().filter(is_ready_cache).map(|endpoint| endpoint.server).collect()
     }
 
     /// A zone by its name.
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -1,5 +1,5 @@
 use super::expectation::{Reweighting, Scenario};
-use super::explore::{at_point, explore, Asked};
+use super::explore::{explore, scenario_at_point, ExploreInput};
 use super::lint::Finding;
 use super::verdict::{Choices, Verdict};
 use super::*;
@@ -9,12 +9,12 @@
 use serde_json::Value;
 
 /// Three points with four caches each, two hubs with two parents each, the origin.
-fn text() -> Value {
+fn site_config() -> Value {
     config(&Shape::default(), "127.0.0.1:1", |n| format!("127.0.0.1:{}", 2 + n))
 }
 
-fn site_of(text: &Value) -> Site {
-    Site::of(&Config::parse(text.to_string().as_bytes()).expect("usable"))
+fn parse_site(text: &Value) -> Site {
+    Site::from_config(&Config::parse(text.to_string().as_bytes()).expect("usable"))
 }
 
 fn check_text(site: &Site, text: &str) -> Result<Report, String> {
@@ -23,20 +23,21 @@
     Ok(check_site(site, &suite, "e.hcl").expect("a router starts"))
 }
 
-fn one(site: &Site, text: &str) -> Verdict {
+fn single_verdict(site: &Site, text: &str) -> Verdict {
     let report = check_text(site, text).expect("usable expectations");
     let [verdict] = &report.verdicts[..] else { panic!("{} verdicts", report.verdicts.len()) };
     verdict.clone()
 }
 
 /// An object's home at a point and the cache that is next, as the module shows them.
-fn homes(site: &Site, object: ObjectId) -> [ServerId; 2] {
+fn home_and_next(site: &Site, object: ObjectId) -> [ServerId; 2] {
     let mut found = Vec::new();
     let mut scenario = Scenario::default();
     for _ in 0..2 {
-        let asked = Asked { point: ZoneId(0), class: ClassId(0), objects: &[object], repeats: 1, seed: 1 };
-        let trace = explore(site, &scenario, asked).expect("a router starts");
-        let home = trace.judged().next().expect("a decision").server;
+        let input =
+            ExploreInput { point: ZoneId(0), class: ClassId(0), objects: &[object], repeats: 1, seed: 1 };
+        let trace = explore(site, &scenario, input).expect("a router starts");
+        let home = trace.checked_decisions().next().expect("a decision").server;
         scenario.drained.push(home);
         found.push(home);
     }
@@ -46,12 +47,13 @@
 const OBJECT: ObjectId = ObjectId(0x7f3a_9c21_e0b4_d655);
 
 #[test]
-fn an_expectation_that_fails_only_when_a_cache_drains_names_that_scenario() {
-    let site = site_of(&text());
-    let [home, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
+fn a_broken_rule_names_its_scenario_position_and_server() {
+    let site = parse_site(&site_config());
+    let [home, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let body = format!("class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n from_point = \"north\"\n goes_to = [\"{home}\"]");
-    assert!(one(&site, &format!("expect \"e\" {{\n {body}\n}}")).passed);
-    let verdict = one(&site, &format!("expect \"e\" {{\n {body}\n when {{ each_drained = \"cache\" }}\n}}"));
+    assert!(single_verdict(&site, &format!("expect \"e\" {{\n {body}\n}}")).passed);
+    let verdict =
+        single_verdict(&site, &format!("expect \"e\" {{\n {body}\n when {{ each_drained = \"cache\" }}\n}}"));
     let [broken] = &verdict.broken[..] else { panic!("{verdict:?}") };
     let at = Position { line: 5, column: 12 };
     assert_eq!((broken.rule, broken.at, broken.server.as_deref()), ("goes_to", at, Some(next.as_str())));
@@ -63,9 +65,9 @@
 }
 
 #[test]
-fn a_failure_by_random_choice_names_its_seed_and_repeats() {
-    let site = site_of(&text());
-    let [_, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
+fn a_failure_by_random_choice_repeats_with_its_seed() {
+    let site = parse_site(&site_config());
+    let [_, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |rule: &str, seeds: u64| {
         format!(
             "explore {{\n seeds = {seeds}\n}}\nexpect \"e\" {{\n class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n \
@@ -74,24 +76,24 @@
     };
     // The next cache becomes a delegate by some seeds only.
     let never = format!("never_goes_to = [\"{next}\"]");
-    let failed = one(&site, &text(&never, 16));
+    let failed = single_verdict(&site, &text(&never, 16));
     let [broken] = &failed.broken[..] else { panic!("{failed:?}") };
     assert_eq!(broken.server.as_deref(), Some(next.as_str()));
-    assert_eq!(format!("{failed:?}"), format!("{:?}", one(&site, &text(&never, 16))));
+    assert_eq!(format!("{failed:?}"), format!("{:?}", single_verdict(&site, &text(&never, 16))));
     let one_seed = text(&never, 1).replace("explore {", &format!("explore {{\n seed = {}", broken.seed));
-    assert!(!one(&site, &one_seed).passed, "the seed named shows it");
+    assert!(!single_verdict(&site, &one_seed).passed, "the seed named shows it");
     // A verdict says whether other choices could come out otherwise.
-    let home_too = one(&site, &text("caches_at_most = 3", 8));
+    let home_too = single_verdict(&site, &text("caches_at_most = 3", 8));
     assert!(home_too.passed);
     assert!(matches!(home_too.choices, Choices::Explored { seeds: [1, 8], eligible: 4, .. }), "{home_too:?}");
-    let any = one(&site, &text("goes_to = \"own-cache\"", 8));
+    let any = single_verdict(&site, &text("goes_to = \"own-cache\"", 8));
     assert!(any.passed);
     assert_eq!(any.choices, Choices::Bounded { eligible: 4 });
 }
 
 #[test]
-fn unusable_expectations_are_errors_with_file_line_and_column() {
-    let site = site_of(&text());
+fn unusable_expectations_are_errors_with_line_and_column() {
+    let site = parse_site(&site_config());
     let errors = |text: &str| check_text(&site, text).map(|report| report.passed);
     let cases = [
         (
@@ -155,18 +157,23 @@
 }
 
 /// Sets a host's field in a configuration's list.
-fn set(text: &mut Value, fits: impl Fn(&Value) -> bool, key: &str, value: Value) {
+fn set_host_field(text: &mut Value, fits: impl Fn(&Value) -> bool, key: &str, value: Value) {
     let hosts = text["known"]["events"][0]["members"]["hosts"].as_array_mut().expect("a list");
     hosts.iter_mut().filter(|host| fits(host)).for_each(|host| host[key] = value.clone());
 }
 
 #[test]
 fn a_class_that_fills_through_a_drained_hub_is_rejected() {
-    let mut text = text();
-    let good = site_of(&text);
+    let mut text = site_config();
+    let good = parse_site(&text);
     assert_eq!(lint(&good), Vec::<Finding>::new());
-    set(&mut text, |host| host["site"] == "castle" && host["class"] == "hub", "health", "draining".into());
-    let site = site_of(&text);
+    set_host_field(
+        &mut text,
+        |host| host["site"] == "castle" && host["class"] == "hub",
+        "health",
+        "draining".into(),
+    );
+    let site = parse_site(&text);
     let report =
         check_text(&site, "expect \"e\" {\n class = \"piece\"\n answer = \"served\"\n}").expect("usable");
     assert!(report.verdicts[0].passed && !report.passed);
@@ -177,37 +184,37 @@
     // The same as an expectation of the operator's.
     let fills =
         "expect \"e\" {\n class = \"piece\"\n from_point = \"south\"\n fills_from = \"hub:castle\"\n}";
-    assert!(one(&good, fills).passed);
-    assert!(one(&site, fills).broken[0].reason.contains("is filled from"), "the farther hub");
+    assert!(single_verdict(&good, fills).passed);
+    assert!(single_verdict(&site, fills).broken[0].reason.contains("is filled from"), "the farther hub");
 }
 
 #[test]
-fn lists_and_classes_that_contradict_themselves_are_found() {
+fn lint_finds_contradictory_lists_and_classes() {
     type Break = fn(&mut Value);
     let cases: [(&str, Break); 7] = [
         ("point-unserved", |t| {
             t["settings"]["domain"]["straight"] = false.into();
-            set(t, |h| h["site"] == "east", "health", "removed".into());
+            set_host_field(t, |h| h["site"] == "east", "health", "removed".into());
         }),
-        ("point-direct", |t| set(t, |h| h["site"] == "east", "health", "draining".into())),
-        ("list-odd", |t| set(t, |h| h["site"] == "east", "dial", "127.0.0.1:2".into())),
-        ("list-odd", |t| set(t, |h| h["site"] == "east", "class", "stdd".into())),
-        ("weight-zero", |t| set(t, |h| h["site"] == "east", "share", 0.into())),
+        ("point-direct", |t| set_host_field(t, |h| h["site"] == "east", "health", "draining".into())),
+        ("list-odd", |t| set_host_field(t, |h| h["site"] == "east", "dial", "127.0.0.1:2".into())),
+        ("list-odd", |t| set_host_field(t, |h| h["site"] == "east", "class", "stdd".into())),
+        ("weight-zero", |t| set_host_field(t, |h| h["site"] == "east", "share", 0.into())),
         ("target-past-deadline", |t| t["settings"]["grades"][0]["target"] = 9999.into()),
-        ("no-source", |t| set(t, |h| h["class"] != "std", "health", "draining".into())),
+        ("no-source", |t| set_host_field(t, |h| h["class"] != "std", "health", "draining".into())),
     ];
     for (code, change) in cases {
-        let mut text = text();
+        let mut text = site_config();
         change(&mut text);
-        let findings = lint(&site_of(&text));
+        let findings = lint(&parse_site(&text));
         assert!(findings.iter().any(|finding| finding.code == code), "{code}: {findings:?}");
     }
 }
 
 #[test]
-fn two_endpoint_lists_whose_fills_form_a_cycle_together_are_rejected() {
-    let site = site_of(&text());
-    let [home, _] = homes(&site, OBJECT);
+fn a_fill_cycle_across_two_endpoint_lists_is_rejected() {
+    let site = parse_site(&site_config());
+    let [home, _] = home_and_next(&site, OBJECT);
     // Part of the edge proxies know that the home shrinks to next to nothing: the next cache is home for them, and
     // the old home a delegate that fills there, while for the others the next cache is the delegate.
     let text = |late: bool| {
@@ -217,63 +224,67 @@
             site.name(home)
         )
     };
-    assert!(one(&site, &text(false)).passed, "each view alone has no circle");
-    let verdict = one(&site, &text(true));
+    assert!(single_verdict(&site, &text(false)).passed, "each view alone has no circle");
+    let verdict = single_verdict(&site, &text(true));
     let [broken] = &verdict.broken[..] else { panic!("{verdict:?}") };
     assert!(broken.reason.contains("its fills go in a circle: "), "{}", broken.reason);
     assert!(broken.reason.matches(site.name(home)).count() >= 2 && broken.object.is_some());
 }
 
 #[test]
-fn drained_caches_get_no_requests_though_they_were_delegates() {
-    let site = site_of(&text());
-    let [_, next] = homes(&site, OBJECT).map(|server| site.name(server).to_owned());
+fn drained_delegates_get_no_requests() {
+    let site = parse_site(&site_config());
+    let [_, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |when: &str| {
         format!(
             "explore {{\n seeds = 16\n}}\nexpect \"e\" {{\n class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n \
              from_point = \"north\"\n popular = true\n never_goes_to = [\"{next}\"]\n answer = \"served\"\n {when}\n}}"
         )
     };
-    assert!(!one(&site, &text("")).passed);
+    assert!(!single_verdict(&site, &text("")).passed);
     for state in ["drained", "removed"] {
-        assert!(one(&site, &text(&format!("when {{ {state} = [\"{next}\"] }}"))).passed, "{state}");
+        assert!(
+            single_verdict(&site, &text(&format!("when {{ {state} = [\"{next}\"] }}"))).passed,
+            "{state}"
+        );
     }
     // Nobody told that it is down: it is tried, and the request served elsewhere.
-    let down = one(&site, &text(&format!("when {{ down = [\"{next}\"] }}")));
+    let down = single_verdict(&site, &text(&format!("when {{ down = [\"{next}\"] }}")));
     assert_eq!(down.broken.iter().map(|broken| broken.rule).collect::<Vec<_>>(), ["never_goes_to"]);
 }
 
 #[test]
-fn results_run_at_the_origin_through_whichever_server() {
-    let site = site_of(&text());
+fn uncached_requests_reach_the_origin_through_any_server() {
+    let site = parse_site(&site_config());
     let check = |rule: &str| {
-        one(&site, &format!("expect \"result direct\" {{\n class = \"result\"\n {rule}\n}}")).passed
+        single_verdict(&site, &format!("expect \"result direct\" {{\n class = \"result\"\n {rule}\n}}"))
+            .passed
     };
     assert!(check("goes_to = \"origin\"") && check("rank_at_most = 0") && check("attempts_at_most = 1"));
     assert!(!check("never_goes_to = \"own-cache\""));
     assert!(
-        !one(&site, "expect \"e\" {\n class = \"piece\"\n goes_to = \"origin\"\n}").passed,
+        !single_verdict(&site, "expect \"e\" {\n class = \"piece\"\n goes_to = \"origin\"\n}").passed,
         "a copy may answer"
     );
 }
 
 #[test]
 fn homes_do_not_move_when_another_cache_is_removed() {
-    let site = site_of(&text());
+    let site = parse_site(&site_config());
     let moves =
         "expect \"e\" {\n class = \"replay\"\n moves_at_most = 0\n when { each_removed = \"cache\" }\n}";
-    assert!(one(&site, moves).passed);
+    assert!(single_verdict(&site, moves).passed);
     let share = |most: f64| {
         format!("expect \"e\" {{\n class = \"piece\"\n from_point = \"north\"\n share_at_most = {most}\n}}")
     };
-    assert!(one(&site, &share(0.9)).passed);
-    assert!(one(&site, &share(0.2)).broken[0].reason.contains("of 32 objects"));
+    assert!(single_verdict(&site, &share(0.9)).passed);
+    assert!(single_verdict(&site, &share(0.2)).broken[0].reason.contains("of 32 objects"));
 }
 
 /// What happens at other points is left out before the module is asked; the module must not tell the difference.
 #[test]
 fn a_scenario_at_another_point_changes_no_decision_here() {
-    let site = site_of(&text());
+    let site = parse_site(&site_config());
     let point = ZoneId(0);
     let objects = [OBJECT, ObjectId(1), ObjectId(2)];
     let elsewhere: Vec<ServerId> =
@@ -289,9 +300,9 @@
             reweighted: vec![Reweighting { server: pick(4), weight: 0.5 }],
             ..Scenario::default()
         };
-        let short = at_point(&site, &scenario, point);
-        assert_eq!((short.drained.as_slice(), short.is_calm()), (&[here][..], false));
-        let asked = Asked { point, class: ClassId(0), objects: &objects, repeats: 12, seed };
-        assert_eq!(explore(&site, &scenario, asked), explore(&site, &short, asked), "seed {seed}");
+        let short = scenario_at_point(&site, &scenario, point);
+        assert_eq!((short.drained.as_slice(), short.changes_nothing()), (&[here][..], false));
+        let input = ExploreInput { point, class: ClassId(0), objects: &objects, repeats: 12, seed };
+        assert_eq!(explore(&site, &scenario, input), explore(&site, &short, input), "seed {seed}");
     }
 }
--- a/src/expect/verdict.rs
+++ b/src/expect/verdict.rs
@@ -13,19 +13,19 @@
     /// Whether all of its rules held.
     pub passed: bool,
     /// The number of questions behind it.
-    pub asked: Extent,
+    pub asked: Coverage,
     /// Decisions that were checked.
     pub decisions: usize,
     /// What is known of the module's random choices.
     pub choices: Choices,
     /// For each rule that was broken, the first counter-example.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<BrokenRule>,
 }
 
 /// The number of questions behind a verdict; serialized as an array of the four counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "[usize; 4]")]
-pub struct Extent {
+pub struct Coverage {
     /// Scenarios.
     pub scenarios: usize,
     /// Points.
@@ -36,9 +36,9 @@
     pub seeds: usize,
 }
 
-impl From<Extent> for [usize; 4] {
-    fn from(extent: Extent) -> Self {
-        [extent.scenarios, extent.points, extent.classes, extent.seeds]
+impl From<Coverage> for [usize; 4] {
+    fn from(coverage: Coverage) -> Self {
+        [coverage.scenarios, coverage.points, coverage.classes, coverage.seeds]
     }
 }
 
@@ -66,15 +66,15 @@
 
 impl Choices {
     /// The one of two that says less of the random choices.
-    pub(super) fn less_known(self, other: Choices) -> Choices {
-        if other.is_less_known_than(&self) {
+    pub(super) fn weaker(self, other: Choices) -> Choices {
+        if other.is_weaker_than(&self) {
             other
         } else {
             self
         }
     }
 
-    fn is_less_known_than(&self, other: &Choices) -> bool {
+    fn is_weaker_than(&self, other: &Choices) -> bool {
         match (other, self) {
             (Choices::Fixed, _) => true,
             (_, Choices::Fixed) => false,
@@ -91,7 +91,7 @@
 
 /// A rule that was broken, with a counter-example.
 #[derive(Clone, Debug, Serialize)]
-pub struct Broken {
+pub struct BrokenRule {
     /// The rule's key in the file.
     pub rule: &'static str,
     /// Its place; serialized as an array of line and column.
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// What can be due.
-pub(super) enum Next {
+pub(super) enum DueItem {
     /// An event for the router.
     Event(Event),
     /// The scenario's change.
@@ -20,10 +20,10 @@
 
 /// When something is due; at one time in the order in which it was planned.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Slot {
+pub(super) struct DueKey {
     at: Instant,
     /// The number of things planned before it, and itself.
-    order: u64,
+    sequence: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,29 +47,29 @@
     down: BTreeSet<ServerId>,
     /// Which server holds a copy of which object.
     copies: HashSet<(ServerId, ObjectId)>,
-    due: BTreeMap<Slot, Next>,
+    due: BTreeMap<DueKey, DueItem>,
     /// How many events and changes were planned so far.
-    planned: u64,
+    planned_count: u64,
     /// Attempts of each request so far.
     attempts: Vec<u8>,
     /// The attempts in flight, with the slot of their end.
-    open: BTreeMap<AttemptKey, Slot>,
+    in_flight: BTreeMap<AttemptKey, DueKey>,
     trace: Trace,
 }
 
 impl<'a> World<'a> {
     /// A world where all servers are up and none holds a copy, for requests for these objects.
-    pub(super) fn new(site: &'a Site, objects: Vec<ObjectId>, judged_from: usize) -> Self {
+    pub(super) fn new(site: &'a Site, objects: Vec<ObjectId>, first_checked: usize) -> Self {
         let requests = objects.len();
         World {
             site,
             down: BTreeSet::new(),
             copies: HashSet::new(),
             due: BTreeMap::new(),
-            planned: 0,
+            planned_count: 0,
             attempts: vec![0; requests],
-            open: BTreeMap::new(),
-            trace: Trace { objects, judged_from, decisions: Vec::new(), answers: vec![None; requests] },
+            in_flight: BTreeMap::new(),
+            trace: Trace { objects, first_checked, decisions: Vec::new(), answers: vec![None; requests] },
         }
     }
 
@@ -79,41 +79,41 @@
     }
 
     /// Plans an event or the change.
-    pub(super) fn plan(&mut self, at: Instant, next: Next) -> Slot {
-        self.planned += 1;
-        let slot = Slot { at, order: self.planned };
-        self.due.insert(slot, next);
-        slot
+    pub(super) fn plan(&mut self, at: Instant, next: DueItem) -> DueKey {
+        self.planned_count += 1;
+        let due_key = DueKey { at, sequence: self.planned_count };
+        self.due.insert(due_key, next);
+        due_key
     }
 
     /// Takes what is due next, if it is due by `end`.
-    pub(super) fn next_until(&mut self, end: Instant) -> Option<(Instant, Next)> {
+    pub(super) fn take_due(&mut self, end: Instant) -> Option<(Instant, DueItem)> {
         let first = self.due.first_entry().filter(|first| first.key().at <= end)?;
-        let (slot, next) = first.remove_entry();
-        if let Next::Event(Event::AttemptEnded(outcome)) = &next {
-            self.open.remove(&AttemptKey::new(outcome.request, outcome.attempt));
+        let (due_key, next) = first.remove_entry();
+        if let DueItem::Event(Event::AttemptEnded(outcome)) = &next {
+            self.in_flight.remove(&AttemptKey::new(outcome.request, outcome.attempt));
         }
-        Some((slot.at, next))
+        Some((due_key.at, next))
     }
 
     /// Applies a scenario's change.
-    pub(super) fn change(&mut self, scenario: &Scenario) {
+    pub(super) fn apply_change(&mut self, scenario: &Scenario) {
         self.down.extend(&scenario.down);
         self.copies.retain(|(server, _)| !scenario.cold.contains(server));
     }
 
     /// Carries out an action of the router.
-    pub(super) fn act(&mut self, now: Instant, action: Action, class: &Class) {
+    pub(super) fn apply_action(&mut self, now: Instant, action: Action, class: &Class) {
         match action {
-            Action::SendWithFill(get) => self.start_attempt(now, &get, class),
+            Action::SendWithFill(fill_attempt) => self.start_attempt(now, &fill_attempt, class),
             Action::SendCacheOnly { request, server, timeout } => {
-                self.start_attempt(now, &forwarded(request, server, timeout), class);
+                self.start_attempt(now, &attempt_without_fill(request, server, timeout), class);
             }
             Action::Reject { request, .. } => self.answer(request, Answer::Rejected),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.cancel(now, AttemptKey::new(request, attempt)),
             Action::Timer { token, after } => {
-                self.plan(now + after, Next::Event(Event::Timer(token)));
+                self.plan(now + after, DueItem::Event(Event::Timer(token)));
             }
             Action::HealthCheck(_) | Action::CloseIdleConnections(_) | Action::SendToPeer { .. } => {}
             Action::Log(_) | Action::WatchEndpoints(_) | Action::PollEndpoints => {}
@@ -125,24 +125,25 @@
     }
 
     /// Records an attempt, and plans how it ends.
-    fn start_attempt(&mut self, now: Instant, get: &FillAttempt, class: &Class) {
-        let request = get.request.0 as usize;
+    fn start_attempt(&mut self, now: Instant, fill_attempt: &FillAttempt, class: &Class) {
+        let request = fill_attempt.request.0 as usize;
         let attempt = self.attempts[request];
         self.attempts[request] += 1;
-        let source = Some(get.source).filter(|source| *source != get.server);
-        let decision = Decision { request, attempt, server: get.server, source, rank: get.cache_rank };
+        let source = Some(fill_attempt.source).filter(|source| *source != fill_attempt.server);
+        let decision =
+            Decision { request, attempt, server: fill_attempt.server, source, rank: fill_attempt.cache_rank };
         self.trace.decisions.push(decision);
-        let end = self.planned_end(get, class).within(get.timeout);
+        let end = self.planned_end(fill_attempt, class).limited_to(fill_attempt.timeout);
         if end.result == AttemptResult::Ok {
-            self.answer(get.request, Answer::Served);
+            self.answer(fill_attempt.request, Answer::Served);
             if !class.uncached {
-                self.cache_copies(self.trace.objects[request], get.server, source);
+                self.cache_copies(self.trace.objects[request], fill_attempt.server, source);
             }
         }
         let outcome = AttemptOutcome {
-            request: get.request,
+            request: fill_attempt.request,
             attempt,
-            server: get.server,
+            server: fill_attempt.server,
             result: end.result,
             cache_status: end.cache_status,
             elapsed: end.elapsed,
@@ -151,77 +152,77 @@
             finished: end.result == AttemptResult::Ok,
             load_report: Vec::new(),
         };
-        let slot = self.plan(now + end.elapsed, Next::Event(Event::AttemptEnded(outcome)));
-        self.open.insert(AttemptKey { request, attempt }, slot);
+        let due_key = self.plan(now + end.elapsed, DueItem::Event(Event::AttemptEnded(outcome)));
+        self.in_flight.insert(AttemptKey { request, attempt }, due_key);
     }
 
     /// The server that answered gets a copy, and so does the parent from which it was filled.
     fn cache_copies(&mut self, object: ObjectId, server: ServerId, source: Option<ServerId>) {
         self.copies.insert((server, object));
-        let parent = source.filter(|source| self.is(*source, Site::is_parent));
+        let parent = source.filter(|source| self.server_is(*source, Site::is_parent));
         self.copies.extend(parent.map(|parent| (parent, object)));
     }
 
     /// Ends an open attempt as cancelled.
     fn cancel(&mut self, now: Instant, key: AttemptKey) {
-        let Some(slot) = self.open.get(&key).copied() else { return };
-        let Some(Next::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&slot) else { return };
-        let started_at = slot.at - outcome.elapsed;
+        let Some(due_key) = self.in_flight.get(&key).copied() else { return };
+        let Some(DueItem::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&due_key) else {
+            return;
+        };
+        let started_at = due_key.at - outcome.elapsed;
         outcome.result = AttemptResult::Cancelled;
         outcome.cache_status = None;
         outcome.elapsed = now - started_at;
         outcome.finished = false;
-        let slot = self.plan(now, Next::Event(Event::AttemptEnded(outcome)));
-        self.open.insert(key, slot);
+        let due_key = self.plan(now, DueItem::Event(Event::AttemptEnded(outcome)));
+        self.in_flight.insert(key, due_key);
     }
 
     /// How an attempt ends.
-    fn planned_end(&self, get: &FillAttempt, class: &Class) -> PlannedEnd {
-        let object = self.trace.objects[get.request.0 as usize];
-        let holds = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
-        if self.down.contains(&get.server) {
-            return PlannedEnd::after(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
+    fn planned_end(&self, fill_attempt: &FillAttempt, class: &Class) -> PlannedEnd {
+        let object = self.trace.objects[fill_attempt.request.0 as usize];
+        let has_copy = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
+        if self.down.contains(&fill_attempt.server) {
+            return PlannedEnd::new(CONNECT_TIMEOUT, AttemptResult::ConnectFailed, None);
         }
-        if self.is(get.server, Site::is_origin) || holds(get.server) {
+        if self.server_is(fill_attempt.server, Site::is_origin) || has_copy(fill_attempt.server) {
             return PlannedEnd::hit();
         }
         // A parent fills by itself what it lacks, from the origin.
-        if self.is(get.server, Site::is_parent) && !get.only_if_cached {
+        if self.server_is(fill_attempt.server, Site::is_parent) && !fill_attempt.only_if_cached {
             return PlannedEnd::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
-        if get.source == get.server {
-            return PlannedEnd::after(ANSWER_TIME, AttemptResult::Miss, None);
+        if fill_attempt.source == fill_attempt.server {
+            return PlannedEnd::new(ANSWER_TIME, AttemptResult::Miss, None);
         }
-        self.fill(get, holds(get.source))
+        self.fill_end(fill_attempt, has_copy(fill_attempt.source))
     }
 
     /// How an attempt ends that is filled from its source; `held`: whether the source holds a copy.
-    fn fill(&self, get: &FillAttempt, held: bool) -> PlannedEnd {
-        if self.down.contains(&get.source) {
-            return PlannedEnd::after(
-                ANSWER_TIME,
-                AttemptResult::Error,
-                Some(CacheStatus::SourceUnreachable),
-            );
+    fn fill_end(&self, fill_attempt: &FillAttempt, source_has_copy: bool) -> PlannedEnd {
+        if self.down.contains(&fill_attempt.source) {
+            return PlannedEnd::new(ANSWER_TIME, AttemptResult::Error, Some(CacheStatus::SourceUnreachable));
         }
-        let parent_fills = self.is(get.source, Site::is_parent) && !get.only_if_cached && !held;
-        if self.is(get.source, Site::is_origin) || parent_fills {
+        let parent_fills = self.server_is(fill_attempt.source, Site::is_parent)
+            && !fill_attempt.only_if_cached
+            && !source_has_copy;
+        if self.server_is(fill_attempt.source, Site::is_origin) || parent_fills {
             return PlannedEnd::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
-        if held {
+        if source_has_copy {
             return PlannedEnd::filled(CacheStatus::Filled, FILL_TIME);
         }
-        PlannedEnd::after(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
+        PlannedEnd::new(ANSWER_TIME, AttemptResult::Miss, Some(CacheStatus::SourceMiss))
     }
 
-    fn is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
-        let member = self.site.servers.get(&server);
-        member.is_some_and(|member| property(self.site, member))
+    fn server_is(&self, server: ServerId, property: impl Fn(&Site, &Endpoint) -> bool) -> bool {
+        let endpoint = self.site.servers.get(&server);
+        endpoint.is_some_and(|endpoint| property(self.site, endpoint))
     }
 }
 
 /// An attempt that is forwarded to a server as it is: no fill, no copy.
-fn forwarded(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
+fn attempt_without_fill(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
         server,
--- a/tests/check.rs
+++ b/tests/check.rs
@@ -7,12 +7,12 @@
     Command::new(env!("CARGO_BIN_EXE_dahliatrack")).args(args).output().expect("the program starts")
 }
 
-fn words(bytes: &[u8]) -> &str {
+fn utf8(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).expect("UTF-8")
 }
 
 /// A folder of this test's own with a made-up site in it.
-fn folder(name: &str) -> (PathBuf, String) {
+fn create_site_folder(name: &str) -> (PathBuf, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     let site = folder.join("site.json");
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn verdicts_come_with_exit_codes_and_as_json() {
-    let (folder, site) = folder("verdicts");
+fn check_reports_verdicts_by_exit_code_and_as_json() {
+    let (folder, site) = create_site_folder("verdicts");
     let check = |text: &str, more: &[&str]| {
         let file = folder.join("expect.hcl");
         std::fs::write(&file, text).expect("a file");
@@ -32,8 +32,8 @@
     let good = "expect \"direct\" {\n  class = \"result\"\n  goes_to = \"origin\"\n}\n";
     let bad = "expect \"home\" {\n  class = \"piece\"\n  never_goes_to = \"own-cache\"\n}\n";
     let passed = check(good, &[]);
-    assert_eq!(passed.status.code(), Some(0), "{}", words(&passed.stderr));
-    assert!(words(&passed.stdout).contains("passed \"direct\""));
+    assert_eq!(passed.status.code(), Some(0), "{}", utf8(&passed.stderr));
+    assert!(utf8(&passed.stdout).contains("passed \"direct\""));
     let failed = check(&format!("{good}{bad}"), &["--format", "json"]);
     assert_eq!(failed.status.code(), Some(1));
     let json: serde_json::Value = serde_json::from_slice(&failed.stdout).expect("JSON");
@@ -48,27 +48,27 @@
     let unusable = check("expect \"x\" {\n  class = \"peice\"\n  acyclic = true\n}\n", &[]);
     assert_eq!(unusable.status.code(), Some(2));
     assert!(
-        words(&unusable.stderr).contains("expect.hcl:2:11: no class \"peice\""),
+        utf8(&unusable.stderr).contains("expect.hcl:2:11: no class \"peice\""),
         "{}",
-        words(&unusable.stderr)
+        utf8(&unusable.stderr)
     );
     assert_eq!(check(good, &["--only", "nothing"]).status.code(), Some(2));
 }
 
 #[test]
-fn a_configuration_is_validated_with_its_list() {
-    let (folder, site) = folder("validate");
+fn config_validate_checks_the_server_list() {
+    let (folder, site) = create_site_folder("validate");
     let good = run(&["config", "validate", &site]);
     assert_eq!(
-        (good.status.code(), words(&good.stdout).lines().count()),
+        (good.status.code(), utf8(&good.stdout).lines().count()),
         (Some(0), 2),
         "{}",
-        words(&good.stdout)
+        utf8(&good.stdout)
     );
     let text = std::fs::read_to_string(&site).expect("a file");
     let broken = folder.join("broken.json");
     std::fs::write(&broken, text.replace("\"health\":\"up\"", "\"health\":\"draining\"")).expect("a file");
     let broken = run(&["config", "validate", &broken.display().to_string()]);
     assert_eq!(broken.status.code(), Some(2));
-    assert!(words(&broken.stdout).contains("error [no-source]"), "{}", words(&broken.stdout));
+    assert!(utf8(&broken.stdout).contains("error [no-source]"), "{}", utf8(&broken.stdout));
 }
