--- a/src/expect/case_run.rs
+++ b/src/expect/case_run.rs
@@ -1,4 +1,4 @@
-//! The explorations of one question, and what they show of an expectation.
+//! Runs the explorations of one test case, and evaluates expectations on their traces.
 
 use super::decisions::Trace;
 use super::expectation::{Expectation, ExploreSettings, Rule, Scenario};
@@ -13,35 +13,36 @@
 use crate::SettingsError;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one question showed of one expectation.
+/// The result of one expectation in one test case.
 pub(super) struct CaseResult {
     pub(super) decisions: usize,
     pub(super) choices: Choices,
-    /// The rules that were broken, by their place in the file.
+    /// The rules that were broken, by their position in the file.
     pub(super) broken: BTreeMap<Position, BrokenRule>,
 }
 
-/// The requests of a question's explorations.
+/// The requests of a test case's explorations.
 struct Requests {
     objects: Vec<ObjectId>,
-    /// How many for each object.
+    /// Number of requests for each object.
     repeats: usize,
 }
 
-/// A question's explorations.
+/// The explorations of a test case.
 pub(super) struct CaseRun<'a> {
     site: &'a Site,
     test_case: &'a TestCase<'a>,
     seeds: Vec<u64>,
-    /// By seed, of edge proxies that have the changed list.
+    /// One trace per seed, of edge proxies that have the changed endpoint list.
     traces: Vec<Trace>,
-    /// Where some edge proxies are late: by seed, of those that have the list of before, then of those that have just
-    /// started with the changed one.
+    /// Empty unless the scenario is late. Otherwise one trace per seed of edge proxies that still have the
+    /// old endpoint list, then one per seed of edge proxies that have just started with the changed list.
     other_view_traces: Vec<Trace>,
 }
 
 impl<'a> CaseRun<'a> {
-    /// Explores a question.
+    /// Explores a test case with each seed; a late scenario also with the other two views of the endpoint
+    /// list.
     pub(super) fn explore(
         site: &'a Site,
         explore_settings: ExploreSettings,
@@ -59,7 +60,8 @@
         if scenario.late {
             let old_list = Scenario { down: scenario.down.clone(), ..Scenario::default() };
             run.other_view_traces.extend(run.explore_seeds(site, &old_list, &requests)?);
-            // Those that have just started know only the new list, and have no delegates of before.
+            // Edge proxies that have just started know only the changed list, and have no delegates from
+            // before the change.
             let restarted = Site { servers: changed_servers(site, scenario), ..site.clone() };
             run.other_view_traces.extend(run.explore_seeds(&restarted, &old_list, &requests)?);
         }
@@ -91,7 +93,7 @@
         RuleChecker { site: self.site, point: self.test_case.point, class: self.test_case.class }
     }
 
-    /// Judges the explorations by an expectation.
+    /// Evaluates an expectation on all traces; `label` describes the scenario in the expectation's words.
     pub(super) fn evaluate(&self, expectation: &Expectation, label: &str) -> CaseResult {
         let mut broken = BTreeMap::new();
         for rule in &expectation.rules {
@@ -103,7 +105,8 @@
         CaseResult { decisions, choices: self.choices(&expectation.rules), broken }
     }
 
-    /// The first violation of a rule, and the seed that shows it.
+    /// Returns the first violation of a rule, with the seed of its trace. A fill cycle is searched in all
+    /// traces together, and gets the first seed.
     fn violation(&self, rule: &Rule) -> Option<(u64, Violation)> {
         if *rule == Rule::Acyclic {
             return Some((self.seeds[0], self.fill_cycle()?));
@@ -117,7 +120,7 @@
     fn fill_cycle(&self) -> Option<Violation> {
         let cycle = fill_cycle::find(self.all_traces())?;
         let names: Vec<String> = cycle.servers.iter().map(|server| self.site.describe(*server)).collect();
-        let description = format!("its fills go in a circle: {}", names.join(" from "));
+        let description = format!("its fills form a cycle: {}", names.join(" from "));
         Some(Violation { object: Some(cycle.object), server: cycle.servers.first().copied(), description })
     }
 
@@ -143,13 +146,15 @@
         }
     }
 
-    /// What is known of the random choices: whether there were any, and whether the rules hold for all of them.
+    /// Returns whether random choices changed any decision, and whether the rules hold for every possible
+    /// choice.
     fn choices(&self, rules: &[Located<Rule>]) -> Choices {
         if self.traces.windows(2).all(|pair| pair[0].decisions == pair[1].decisions) {
             return Choices::Fixed;
         }
-        // The module draws among the ready caches of its point, and fills what it draws from the object's home,
-        // which is one of them too. Whatever holds for all of them holds for each draw.
+        // The module picks at random among the ready caches of its point, and fills the picked cache from the
+        // object's home, which is one of them too. A rule that holds for all of these caches holds for each
+        // pick.
         let servers = changed_servers(self.site, &self.test_case.scenario);
         let eligible = self.site.ready_caches(&servers, self.test_case.point);
         if rules.iter().all(|rule| self.holds_for_all(&rule.value, &eligible)) {
@@ -162,7 +167,7 @@
         Choices::Explored { seeds, seen, eligible: eligible.len() }
     }
 
-    /// Whether a rule about servers holds for whichever of these is chosen; `false` for any other rule.
+    /// Whether a rule about servers holds whichever of these servers is chosen; `false` for any other rule.
     fn holds_for_all(&self, rule: &Rule, servers: &BTreeSet<ServerId>) -> bool {
         let checker = self.checker();
         let holds = |server: ServerId| {
--- a/src/expect/decisions.rs
+++ b/src/expect/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of the decision module in one exploration.
+//! The record of one exploration: its requests, and what the decision module decided for them.
 
 use super::expectation::Answer;
 use crate::interface::{ObjectId, ServerId};
@@ -7,48 +7,51 @@
 /// An attempt that the module decided on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
-    /// The request, by its number in the exploration.
+    /// The request's number in the exploration, from 0.
     pub request: usize,
     /// The attempt's number, from 0.
     pub attempt: u8,
-    /// The server that gets the attempt.
+    /// The server to which the attempt goes.
     pub server: ServerId,
-    /// The server that fills a miss, if one does.
+    /// The server from which a miss is filled; `None` if a miss is not filled.
     pub source: Option<ServerId>,
-    /// The rank at which a copy is cached; 0: none is.
+    /// The rank at which a copy is cached; 0: no copy is cached.
     pub rank: u8,
 }
 
 /// The requests of one exploration, and the module's decisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// The object of each request, by number.
+    /// The object of each request, by the request's number.
     pub objects: Vec<ObjectId>,
-    /// The first request after the scenario's change; those before prepared it.
+    /// Number of the first request after the scenario's change. Rules check the requests from here on; the
+    /// earlier ones only prepare the module's state, such as delegates and measured times.
     pub first_checked: usize,
-    /// The attempts, in the order of decision.
+    /// All attempts, in the order in which they were decided.
     pub decisions: Vec<Decision>,
-    /// The final answer of each request; `None`: it got none before the exploration ended.
+    /// The final answer of each request; `None` if there was none before the exploration ended.
     pub answers: Vec<Option<Answer>>,
 }
 
 impl Trace {
-    /// The decisions for requests after the scenario's change.
+    /// Returns the decisions for the requests after the scenario's change.
     pub fn checked_decisions(&self) -> impl Iterator<Item = &Decision> {
         self.decisions.iter().filter(|decision| self.is_checked(decision))
     }
 
-    /// The object that a decision is about.
+    /// Returns the object that a decision's request asks for.
     pub fn object_of(&self, decision: &Decision) -> ObjectId {
         self.objects[decision.request]
     }
 
-    /// The home of each object as its first request before the change showed it.
+    /// Returns the home of each object before the change: the server of the first attempt of its first
+    /// request.
     pub fn homes_before(&self) -> BTreeMap<ObjectId, ServerId> {
         self.homes(false)
     }
 
-    /// The home of each object as its first request after the change showed it.
+    /// Returns the home of each object after the change: the server of the first attempt of its first
+    /// request.
     pub fn homes_after(&self) -> BTreeMap<ObjectId, ServerId> {
         self.homes(true)
     }
--- a/src/expect/evaluate.rs
+++ b/src/expect/evaluate.rs
@@ -1,4 +1,4 @@
-//! Asks the decision module all that the expectations need, and judges its decisions.
+//! Explores all test cases of a suite, and evaluates its expectations on the results.
 
 use super::case_run::{CaseResult, CaseRun};
 use super::expectation::{Expectation, ExploreSettings, Rule};
@@ -9,18 +9,18 @@
 use crate::SettingsError;
 use rayon::prelude::*;
 
-/// What one question showed of an expectation.
+/// The result of one expectation in one test case.
 struct IndexedResult {
-    /// The expectation's place in the suite.
+    /// The expectation's index in the suite.
     expectation_index: usize,
     result: CaseResult,
 }
 
-/// Asks each question once, and judges the answers by all expectations.
+/// Explores each test case once, and returns a verdict for each expectation, in the suite's order.
 ///
 /// # Errors
 ///
-/// Settings with which no router can start.
+/// Returns an error if no router can start with the settings.
 pub fn evaluate(
     site: &Site,
     explore_settings: ExploreSettings,
@@ -41,7 +41,7 @@
         .collect())
 }
 
-/// Asks a question, and judges the answer by each expectation that needs it.
+/// Explores a test case, and evaluates each expectation that depends on it.
 fn evaluate_test_case(
     test_case: &TestCase,
     site: &Site,
--- a/src/expect/expectation.rs
+++ b/src/expect/expectation.rs
@@ -1,22 +1,22 @@
-//! Expectations, the scenarios they hold under, and the rules they are made of.
+//! Expectations, their scenarios and their rules.
 
 use super::selector::Selector;
 use crate::config::hcl_document::{Located, Position};
 use crate::interface::{ClassId, ObjectId, ServerId, ZoneId};
 
-/// The maximum of seeds.
+/// Maximum number of seeds, in the file and on the command line.
 pub const MAX_SEEDS: u64 = 1000;
 
-/// How many questions the decision module is asked.
+/// The `explore` block: which seeds, and how many objects and requests, each exploration uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExploreSettings {
-    /// The first seed.
+    /// The first seed; the others follow it in steps of one.
     pub seed: u64,
-    /// How many seeds, one after another: the module's random choices differ with them.
+    /// Number of seeds. The decision module's random choices differ from seed to seed.
     pub seeds: u64,
-    /// Sampled objects of a class, where an expectation names none.
+    /// Number of sampled objects of a class, for an expectation that names none.
     pub objects: usize,
-    /// How often a popular object is asked for.
+    /// Number of requests for a popular object, before the scenario's change and again after it.
     pub repeats: usize,
 }
 
@@ -26,72 +26,75 @@
     }
 }
 
-/// A file of expectations, all names resolved.
+/// A file of expectations, with all names resolved to ids.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suite {
-    /// How many questions to ask.
+    /// How much to explore.
     pub explore_settings: ExploreSettings,
-    /// The expectations, in the file's order.
+    /// The expectations, in the file's order; their names are unique.
     pub expectations: Vec<Expectation>,
 }
 
-/// One expectation.
+/// Rules that an operator expects to hold for the requests of some points, classes and objects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expectation {
-    /// Its name.
+    /// The label of its block, unique in the file.
     pub name: String,
-    /// Where it begins.
+    /// Where its block begins.
     pub at: Position,
-    /// The points whose requests it is about.
+    /// The points whose requests it covers; all points if the block names none.
     pub points: Vec<ZoneId>,
-    /// The classes it is about.
+    /// The classes that it covers; all classes if the block names none.
     pub classes: Vec<ClassId>,
-    /// The objects, where they are named.
+    /// The objects that the block names; if empty, objects are sampled.
     pub objects: Vec<ObjectId>,
-    /// Whether each object is asked for again and again, so that delegates are started for it.
+    /// Whether each object is requested many times, so that it gets delegates.
     pub popular: bool,
-    /// The scenarios it must hold under, each for itself; without a `when` block one in which nothing happens.
+    /// The scenarios in each of which the rules must hold; without a `when` block, one scenario without
+    /// changes.
     pub scenarios: Vec<Scenario>,
-    /// What must hold.
+    /// The rules that must hold, in the file's order.
     pub rules: Vec<Located<Rule>>,
 }
 
-/// What must hold for every request that is asked about.
+/// A condition on all requests of an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rule {
-    /// All attempts go to these; those of an uncached class may pass through another server to the origin.
+    /// All attempts go to these servers; attempts of an uncached class may pass through another server to the
+    /// origin.
     GoesTo(Vec<Selector>),
-    /// No attempt goes to these.
+    /// No attempt goes to these servers.
     NeverGoesTo(Vec<Selector>),
-    /// A miss is filled from one of these.
+    /// Each miss is filled from one of these servers.
     FillsFrom(Vec<Selector>),
-    /// No miss is filled from one of these.
+    /// No miss is filled from one of these servers.
     NeverFillFrom(Vec<Selector>),
-    /// The final answer.
+    /// Each request gets this final answer.
     Answer(Answer),
-    /// The maximum of attempts for one request.
+    /// Maximum number of attempts for one request.
     MaxAttempts(u64),
-    /// The maximum of caches that serve one object's requests.
+    /// Maximum number of servers to which one object's requests go.
     MaxCaches(u64),
-    /// The minimum rank at which a copy is cached.
+    /// Minimum rank at which a copy is cached.
     MinRank(u64),
-    /// The maximum rank at which a copy is cached; 0: no copy is.
+    /// Maximum rank at which a copy is cached; 0: no copy is cached.
     MaxRank(u64),
-    /// The maximum share of the objects that have one cache as their home.
+    /// Maximum share of the objects that have the same server as their home, from 0 to 1.
     MaxHomeShare(f64),
-    /// The maximum share of the objects whose home changes though it is still ready.
+    /// Maximum share of the objects, from 0 to 1, whose home changes although the old home is still home to
+    /// other objects.
     MaxMigratedShare(f64),
-    /// No fills of one object go in a circle.
+    /// The fills of no object form a cycle.
     Acyclic,
 }
 
 impl Rule {
-    /// Whether it restricts which servers get attempts or fill misses.
+    /// Whether the rule restricts the servers that get attempts or fill misses.
     pub fn is_about_servers(&self) -> bool {
         matches!(self, Rule::GoesTo(_) | Rule::NeverGoesTo(_) | Rule::FillsFrom(_) | Rule::NeverFillFrom(_))
     }
 
-    /// The rule's key in the file.
+    /// Returns the rule's key in an `expect` block.
     pub fn key(&self) -> &'static str {
         match self {
             Rule::GoesTo(_) => "goes_to",
@@ -110,19 +113,19 @@
     }
 }
 
-/// A final answer.
+/// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Served.
+    /// An attempt got an answer.
     Served,
-    /// Rejected: a retry is harmless.
+    /// The router rejected the request; a retry by the client is safe.
     Rejected,
-    /// Failed.
+    /// The router ended the request as failed.
     Failed,
 }
 
 impl Answer {
-    /// The answer's name in the file.
+    /// Returns the answer's name in the file, which is also used in reports.
     pub fn name(self) -> &'static str {
         match self {
             Answer::Served => "served",
@@ -132,36 +135,36 @@
     }
 }
 
-/// A server's weight in a scenario.
+/// A server's changed weight in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reweighting {
-    /// The server.
+    /// The server whose weight changes.
     pub server: ServerId,
-    /// Its weight.
+    /// Its weight after the change.
     pub weight: f64,
 }
 
-/// What happens to the site between the requests before and those that are judged.
+/// A change to the site. It comes after the preparing requests and before those that the rules check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scenario {
-    /// In words; empty where nothing happens.
+    /// Description for reports; empty if nothing changes.
     pub label: String,
-    /// Draining.
+    /// Servers that are draining.
     pub drained: Vec<ServerId>,
-    /// Removed from the list.
+    /// Servers that are removed from the endpoint list.
     pub removed: Vec<ServerId>,
-    /// Still listed, but every connection to them fails.
+    /// Servers that are still listed, but to which every connection fails.
     pub down: Vec<ServerId>,
-    /// Restarted at this moment, without copies.
+    /// Servers that restart at the moment of the change, without cached copies.
     pub cold: Vec<ServerId>,
-    /// Listed with another weight.
+    /// Servers that are listed with another weight.
     pub reweighted: Vec<Reweighting>,
-    /// Whether some edge proxies still have the endpoint list of before: both lists are in use.
+    /// Whether some edge proxies still have the old endpoint list, so that both lists are in use.
     pub late: bool,
 }
 
 impl Scenario {
-    /// Whether nothing happens to any server.
+    /// Whether no server is affected; `late` is not considered.
     pub fn changes_nothing(&self) -> bool {
         let lists = [&self.drained, &self.removed, &self.down, &self.cold];
         lists.iter().all(|list| list.is_empty()) && self.reweighted.is_empty()
--- a/src/expect/explore.rs
+++ b/src/expect/explore.rs
@@ -1,5 +1,5 @@
-//! Asks the decision module what it would do: a [`Router`] on a virtual clock gets the endpoint list, requests, and
-//! the results of its attempts in a world where some servers are down. No socket, no thread, no real time.
+//! Runs one exploration: a [`Router`] on a virtual clock gets the endpoint list, requests, and the results of
+//! its attempts on simulated servers, some of which may be down. It uses no sockets, threads or real time.
 
 use super::decisions::Trace;
 use super::expectation::{Reweighting, Scenario};
@@ -12,34 +12,34 @@
 use crate::{Router, SettingsError};
 use std::collections::BTreeMap;
 
-/// The time between two requests, in which the first one is answered.
+/// Time between two requests, in which the first one is usually answered.
 const REQUEST_INTERVAL: Span = Span::from_millis(100);
-/// How long an exploration continues after the last request.
+/// How long an exploration continues after the last request, in which it can get its final answer.
 const AFTER_LAST_REQUEST: Span = Span::from_secs(30);
-/// Requested first, so that the module has measured how long an answer of the class takes. Without that it would
-/// consider the cache with the fewest answers the slowest.
+/// An object that is requested first, so that the module has measured how long an answer of the class takes.
+/// Without that it would treat the cache with the fewest answers as the slowest.
 const WARM_UP_OBJECT: ObjectId = ObjectId(0x9e37_79b9_7f4a_7c15);
-/// Requests for the primer.
+/// Number of requests for the warm-up object.
 const WARM_UP_REQUESTS: usize = 2;
-/// Events of one exploration, against an endless loop.
+/// Maximum number of events in one exploration, as a guard against an endless loop.
 const MAX_EVENTS: usize = 2_000_000;
 
 /// The requests of one exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct ExploreInput<'a> {
-    /// The point whose edge proxy decides.
+    /// The point whose edge proxy handles the requests.
     pub point: ZoneId,
     /// The class of all requests.
     pub class: ClassId,
-    /// The objects.
+    /// The objects that are requested, in this order.
     pub objects: &'a [ObjectId],
-    /// Requests for each, before the change and after it.
+    /// Number of requests for each object before the change, and again after it.
     pub repeats: usize,
-    /// The seed of the module's random choices.
+    /// The seed of the decision module's random choices.
     pub seed: u64,
 }
 
-/// The endpoint list after a scenario's change.
+/// Returns the endpoint list after a scenario's change.
 pub fn changed_servers(site: &Site, scenario: &Scenario) -> BTreeMap<ServerId, Endpoint> {
     let mut servers = site.servers.clone();
     let mut change = |server: &ServerId, change: &dyn Fn(&mut Endpoint)| {
@@ -60,9 +60,10 @@
     servers
 }
 
-/// A scenario as far as an edge proxy at a point can tell: what happens to other points' table caches is left out,
-/// since the module's homes and delegates are caches of its own location (design page, "Popular Directory"). Two
-/// scenarios that come out alike here are decided alike, which a test holds against the module.
+/// Returns the part of a scenario that matters to an edge proxy at a point. Changes to other points' table
+/// caches are left out, since the module's homes and delegates are caches of its own location (design page,
+/// "Popular Directory"). Two scenarios with the same result lead to the same decisions; a test checks this
+/// against the module.
 pub fn scenario_at_point(site: &Site, scenario: &Scenario, point: ZoneId) -> Scenario {
     let is_relevant = |server: &ServerId| {
         let endpoint = site.servers.get(server);
@@ -83,16 +84,16 @@
             .collect(),
         late: scenario.late,
     };
-    // With nothing to be late about, all views are one.
+    // Without a change, late edge proxies have the same endpoint list as the others.
     here.late &= !here.changes_nothing();
     here
 }
 
-/// Explores what the module decides for these requests, first without the scenario's change, then with it.
+/// Runs the requests through the module, first without the scenario's change, then with it.
 ///
 /// # Errors
 ///
-/// Settings with which no router can start.
+/// Returns an error if no router can start with the settings.
 pub fn explore(site: &Site, scenario: &Scenario, input: ExploreInput<'_>) -> Result<Trace, SettingsError> {
     let mut settings = site.settings.clone();
     settings.topology.zone = input.point;
@@ -115,7 +116,7 @@
     Ok(world.into_trace())
 }
 
-/// Applies a scenario's change to the world; returns the router's event.
+/// Applies a scenario's change to the world, and returns the endpoint list update for the router.
 fn apply_change(site: &Site, scenario: &Scenario, world: &mut World<'_>) -> Event {
     let servers = changed_servers(site, scenario).into_values();
     let is_new = |endpoint: &Endpoint| site.servers.get(&endpoint.server) != Some(endpoint);
@@ -129,7 +130,7 @@
     input: ExploreInput<'a>,
     /// When the router starts.
     start: Instant,
-    /// When the scenario's change comes: at the site's `now`, which is when its cold servers start.
+    /// When the scenario's change happens: at the site's `now`, which is also when its cold servers restart.
     change: Instant,
     end: Instant,
 }
@@ -146,13 +147,14 @@
         }
     }
 
-    /// The objects of one phase, in the order of their requests.
+    /// Returns the object of each request of one phase, in the order of the requests. The phase before the
+    /// change and the one after it are alike.
     fn phase(&self) -> impl Iterator<Item = ObjectId> + '_ {
         let objects = self.input.objects.iter();
         objects.flat_map(|object| std::iter::repeat_n(*object, self.input.repeats))
     }
 
-    /// The world in which all requests, the list and the change are due.
+    /// Returns a world in which the endpoint list, the change and all requests are scheduled.
     fn world<'s>(&self, site: &'s Site, class: &Class) -> World<'s> {
         let before: Vec<ObjectId> =
             std::iter::repeat_n(WARM_UP_OBJECT, WARM_UP_REQUESTS).chain(self.phase()).collect();
--- a/src/expect/fill_cycle.rs
+++ b/src/expect/fill_cycle.rs
@@ -1,20 +1,21 @@
-//! Cycles of fills: servers each of which is filled from the next.
+//! Finds cycles of fills, in which each server is filled from the next one.
 
 use super::decisions::Trace;
 use crate::interface::{ObjectId, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// By server: the servers from which it is filled.
+/// The servers from which a server is filled, by that server.
 type Fills = BTreeMap<ServerId, BTreeSet<ServerId>>;
 
 /// A cycle of one object's fills.
 pub(super) struct FillCycle {
     pub(super) object: ObjectId,
-    /// The servers, each filled from the next, the first one again at the end.
+    /// The servers, each filled from the next one; the first server is repeated at the end.
     pub(super) servers: Vec<ServerId>,
 }
 
-/// A cycle of the fills of one object, if there is one, taking the views of all these explorations together.
+/// Returns a cycle among the fills of one object, if there is one. The fills of all traces are taken
+/// together, since edge proxies with different endpoint lists can form a cycle that no single view has.
 pub(super) fn find<'a>(traces: impl Iterator<Item = &'a Trace>) -> Option<FillCycle> {
     let mut fills_by_object: BTreeMap<ObjectId, Fills> = BTreeMap::new();
     for trace in traces {
@@ -30,12 +31,12 @@
     })
 }
 
-/// A depth-first search of a graph of few servers.
+/// A depth-first search for a cycle. The graph has few servers, so the recursion is shallow.
 struct Search<'a> {
     fills: &'a Fills,
-    /// The servers from the start to the present one.
+    /// The servers from the start of the search to the current one.
     path: Vec<ServerId>,
-    /// Servers from which the search has gone on once.
+    /// Servers whose fill sources have been searched or are being searched; they are not searched again.
     visited: BTreeSet<ServerId>,
 }
 
--- a/src/expect/language.rs
+++ b/src/expect/language.rs
@@ -1,4 +1,4 @@
-//! The operators' file of expectations, in HCL.
+//! Parses the operators' file of expectations, which is HCL.
 
 mod rules;
 mod scenarios;
@@ -14,12 +14,13 @@
 const MIN_REPEATS: u64 = 2;
 const MAX_REPEATS: u64 = 1000;
 
-/// Reads a file of expectations against a site.
+/// Parses a file of expectations, and resolves its names in a site.
 ///
 /// # Errors
 ///
-/// Text that is not HCL, or every block that cannot be used: unknown keys, values out of range, and points, classes
-/// and servers that the site does not have. Each error names its line and column.
+/// Returns one error for text that is not HCL. Otherwise returns an error for each block that cannot be used
+/// because of an unknown key, a value out of range, or a point, class or server that the site does not have.
+/// Each error names its line and column.
 pub fn parse(doc: HclDocument<'_>, site: &Site) -> Result<Suite, Vec<HclError>> {
     let body = doc.parse().map_err(|error| vec![error])?;
     let mut parser = SuiteParser { doc, site, expectations: Vec::new(), errors: Vec::new() };
@@ -27,7 +28,7 @@
     parser.finish(explore_settings)
 }
 
-/// Reads a file, and collects what is wrong with it.
+/// Reads the blocks of a file, and collects the errors in them.
 struct SuiteParser<'a> {
     doc: HclDocument<'a>,
     site: &'a Site,
@@ -54,7 +55,7 @@
 
     fn add(&mut self, expectation: Expectation) {
         if self.expectations.iter().any(|known| known.name == expectation.name) {
-            let text = format!("expectation {:?} comes twice", expectation.name);
+            let text = format!("expectation {:?} is defined twice", expectation.name);
             self.errors.push(self.doc.error(expectation.at, text));
         }
         self.expectations.push(expectation);
@@ -63,7 +64,7 @@
     fn finish(self, explore_settings: ExploreSettings) -> Result<Suite, Vec<HclError>> {
         let SuiteParser { doc, expectations, mut errors, .. } = self;
         if expectations.is_empty() && errors.is_empty() {
-            errors.push(doc.error(Position { line: 1, column: 1 }, "no expect block"));
+            errors.push(doc.error(Position { line: 1, column: 1 }, "the file has no expect block"));
         }
         if errors.is_empty() {
             return Ok(Suite { explore_settings, expectations });
@@ -96,7 +97,7 @@
 fn read_expectation(doc: HclDocument<'_>, block: &Block, site: &Site) -> Result<Expectation, HclError> {
     let at = doc.position(block);
     let [label] = &block.labels[..] else {
-        return Err(doc.error(at, "an expectation has one name: expect \"NAME\" { ... }"));
+        return Err(doc.error(at, "an expect block must have exactly one label: expect \"NAME\" { ... }"));
     };
     let name = label.as_str().to_owned();
     let mut reader = doc.reader(&block.body);
@@ -111,12 +112,12 @@
     let rules = rules::read(doc, &mut reader, site)?;
     reader.finish()?;
     if rules.is_empty() {
-        return Err(doc.error(at, format!("expectation {name:?} expects nothing")));
+        return Err(doc.error(at, format!("expectation {name:?} has no rule")));
     }
     Ok(Expectation { name, at, points, classes, objects, popular, scenarios, rules })
 }
 
-/// The points that the block names; all, if it names none.
+/// Returns the points that the block names, or all points if it names none.
 fn read_points(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -134,10 +135,10 @@
     if site.points().contains(&zone) {
         return Ok(zone);
     }
-    Err(doc.error(name.at, format!("{:?} is no point: it has no edge proxies", name.value)))
+    Err(doc.error(name.at, format!("zone {:?} is not a point: it has no edge proxies", name.value)))
 }
 
-/// The classes that the block names; all, if it names none.
+/// Returns the classes that the block names, or all classes if it names none.
 fn read_classes(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -154,7 +155,7 @@
     names.iter().map(class).collect()
 }
 
-/// The selectors of servers that a key names.
+/// Returns the server selectors in the value of a key.
 fn read_selectors(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
--- a/src/expect/language/rules.rs
+++ b/src/expect/language/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of an `expect` block.
+//! Reads the rules of an `expect` block.
 
 use super::read_selectors;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located};
@@ -9,7 +9,7 @@
 /// The highest rank of a cached copy.
 const MAX_RANK: u64 = 3;
 
-/// Makes a rule of its value.
+/// Builds a rule from the value of its key.
 type MakeRule<T> = fn(T) -> Rule;
 
 /// The rules about sets of servers, by key.
@@ -20,7 +20,7 @@
     ("never_fill_from", Rule::NeverFillFrom),
 ];
 
-/// A rule about a count.
+/// The key, allowed range and constructor of a rule whose value is a whole number.
 struct CountRule {
     key: &'static str,
     min: u64,
@@ -39,7 +39,7 @@
 const SHARE_RULES: [(&str, MakeRule<f64>); 2] =
     [("share_at_most", Rule::MaxHomeShare), ("moves_at_most", Rule::MaxMigratedShare)];
 
-/// Reads all rules, in the file's order.
+/// Reads all rules of a block, and returns them in the file's order.
 pub(super) fn read(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -73,7 +73,9 @@
     let Some(name) = reader.string("answer")? else { return Ok(None) };
     let mut answers = [Answer::Served, Answer::Rejected, Answer::Failed].into_iter();
     let answer = answers.find(|answer| answer.name() == name.value);
-    let answer = answer.ok_or_else(|| doc.error(name.at, "answer is served, refused or failed"))?;
+    let answer = answer.ok_or_else(|| {
+        doc.error(name.at, format!("answer must be served, refused or failed, not {:?}", name.value))
+    })?;
     Ok(Some(Located { value: Rule::Answer(answer), at: name.at }))
 }
 
@@ -84,6 +86,6 @@
     match reader.boolean("acyclic")? {
         None => Ok(None),
         Some(flag) if flag.value => Ok(Some(Located { value: Rule::Acyclic, at: flag.at })),
-        Some(flag) => Err(doc.error(flag.at, "acyclic can only be true")),
+        Some(flag) => Err(doc.error(flag.at, "acyclic must be true; leave it out to allow cycles")),
     }
 }
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -1,5 +1,5 @@
-//! The scenarios of a `when` block: what happens to all servers that are named, or to one after another of
-//! `each_...`.
+//! Reads the scenarios of a `when` block. Keys such as `drained` change all servers that they name in each
+//! scenario; an `each_...` key makes one scenario for each server that it names.
 
 use super::read_selectors;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, NamedNumber};
@@ -9,17 +9,17 @@
 use crate::interface::ServerId;
 use hcl_edit::structure::Block;
 
-/// Servers of a list that a label names.
+/// Maximum number of servers that a label names for one key.
 const MAX_NAMED_SERVERS: usize = 4;
-/// How a label says that some edge proxies still have the list of before.
-const LATE_LABEL: &str = "some edge proxies not knowing";
+/// The part of a label that stands for `late`.
+const LATE_LABEL: &str = "some edge proxies still have the old list";
 
-/// A key of servers that have a scenario of their own each.
+/// A key that makes one scenario for each of its servers.
 struct EachKey {
     key: &'static str,
-    /// What happens to the server, as the label says it.
+    /// The word for the change in the label.
     change: &'static str,
-    /// The list of the scenario that the server joins.
+    /// Returns the scenario's list to which the server is added.
     list: fn(&mut Scenario) -> &mut Vec<ServerId>,
 }
 
@@ -29,7 +29,7 @@
     EachKey { key: "each_removed", change: "removed", list: |scenario| &mut scenario.removed },
 ];
 
-/// Reads the block's scenarios.
+/// Returns the block's scenarios. A block that changes nothing is an error.
 pub(super) fn read(doc: HclDocument<'_>, block: &Block, site: &Site) -> Result<Vec<Scenario>, HclError> {
     let mut scenarios = ScenarioReader {
         doc,
@@ -46,19 +46,19 @@
         return Ok(each);
     }
     if base.changes_nothing() {
-        return Err(doc.error(doc.position(block), "in this when block nothing happens"));
+        return Err(doc.error(doc.position(block), "this when block changes no server"));
     }
     Ok(vec![Scenario { label: label(&changes, None, base.late), ..base }])
 }
 
-/// Reads one block.
+/// Reads one `when` block.
 struct ScenarioReader<'a> {
     doc: HclDocument<'a>,
     site: &'a Site,
     reader: BlockReader<'a>,
-    /// What happens in each scenario.
+    /// The changes that are part of each scenario.
     base: Scenario,
-    /// The same in words.
+    /// Descriptions of the changes in `base`, for labels.
     changes: Vec<String>,
 }
 
@@ -78,7 +78,7 @@
         let Some(at) = self.reader.position_of(key) else { return Ok(Vec::new()) };
         let selectors = read_selectors(self.doc, &mut self.reader, self.site, key)?;
         if selectors.iter().any(Selector::depends_on_point) {
-            let text = "own-cache and own-hub depend on the point: name the zone";
+            let text = "own-cache and own-hub depend on the point; use cache:ZONE or hub:ZONE";
             return Err(self.doc.error(at, text));
         }
         let selected = self.site.selected(&selectors, self.site.settings.topology.zone);
@@ -106,7 +106,10 @@
                 .selector(&name.value)
                 .map_err(|error| self.doc.error(name.at, error.to_string()))?;
             let Selector::Server(server) = selector else {
-                return Err(self.doc.error(name.at, "reweighted names servers"));
+                return Err(self.doc.error(
+                    name.at,
+                    format!("reweighted needs the names of single servers, not {:?}", name.value),
+                ));
             };
             self.base.reweighted.push(Reweighting { server, weight });
             self.changes.push(format!("{} of weight {weight}", name.value));
@@ -114,7 +117,7 @@
         Ok(())
     }
 
-    /// One scenario for each server of an `each_...` key.
+    /// Returns one scenario for each server of the `each_...` keys.
     fn read_each(&mut self) -> Result<Vec<Scenario>, HclError> {
         let mut scenarios = Vec::new();
         for EachKey { key, change, list } in EACH_KEYS {
@@ -132,14 +135,15 @@
     }
 }
 
-/// A scenario in words: what happens to all, then to the one server.
+/// Returns a scenario's label: the changes to all servers, then the change to one server of an `each_...`
+/// key.
 fn label(changes: &[String], one: Option<&str>, late: bool) -> String {
     let changes = changes.iter().map(String::as_str);
     let changes: Vec<&str> = changes.chain(one).chain(late.then_some(LATE_LABEL)).collect();
     changes.join(", ")
 }
 
-/// The first few names of a list of servers.
+/// Returns the names of the first few servers, and how many more there are.
 fn first_names(site: &Site, servers: &[ServerId]) -> String {
     let names: Vec<&str> = servers.iter().take(MAX_NAMED_SERVERS).map(|server| site.name(*server)).collect();
     let names = names.join(", ");
--- a/src/expect/lint.rs
+++ b/src/expect/lint.rs
@@ -1,35 +1,35 @@
-//! Faults of a configuration that need no expectation to be found: a point without caches, a hub without parents, an
-//! endpoint list that contradicts itself.
+//! Finds faults of a configuration that need no expectation: a point without caches, a hub without parents,
+//! an endpoint list that contradicts itself.
 
 use super::site::Site;
 use crate::interface::{Class, Endpoint, Idempotency, ServerState, Span, ZoneId};
 use serde::Serialize;
 
-/// Servers that a finding names.
+/// Maximum number of servers that a finding names.
 const MAX_NAMED_SERVERS: usize = 4;
 
-/// How bad a finding is.
+/// The severity of a finding; only errors make a check fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// Service goes on, worse than the operator may think.
+    /// Requests are still served, but worse than the operator may think.
     Warning,
-    /// Requests of some point or class will not be served as configured: the configuration is rejected.
+    /// Requests of some point or class would not be served as configured, so the configuration is rejected.
     Error,
 }
 
-/// One finding.
+/// A fault of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// How bad it is.
+    /// Whether the configuration is rejected for it.
     pub severity: Severity,
-    /// A word for it that stays the same, such as `hub-unready`.
+    /// A stable code for tools, such as `hub-unready`.
     pub code: &'static str,
-    /// What is wrong, in one line.
+    /// One line for the operator: what is wrong, with the names of points, classes or servers.
     pub text: String,
 }
 
-/// Checks a site. The order of the findings depends on the site alone.
+/// Checks a site. The order of the findings depends only on the site.
 pub fn lint(site: &Site) -> Vec<Finding> {
     let parents: Vec<&Endpoint> = site.servers.values().filter(|endpoint| site.is_parent(endpoint)).collect();
     let mut findings = Vec::new();
@@ -63,7 +63,7 @@
     endpoints.iter().any(|endpoint| is_ready(endpoint))
 }
 
-/// No server can fill a miss.
+/// Finds that no server can fill a miss.
 fn no_source(site: &Site, parents: &[&Endpoint]) -> Option<Finding> {
     let origins = site.servers.values().filter(|endpoint| site.is_origin(endpoint));
     let sources: Vec<&Endpoint> = origins.chain(parents.iter().copied()).collect();
@@ -75,7 +75,7 @@
     Some(error("no-source", text))
 }
 
-/// A point has no ready table cache.
+/// Finds that a point has no ready table cache.
 fn no_cache(site: &Site, point: ZoneId) -> Option<Finding> {
     let endpoints = site.servers.values().filter(|endpoint| endpoint.zone == point);
     let caches: Vec<&Endpoint> = endpoints.filter(|endpoint| site.is_cache(endpoint)).collect();
@@ -85,13 +85,13 @@
     let states = unready_states(site, &caches);
     let text = format!("point {} has no ready table cache{states}", site.zone_name(point));
     Some(if site.settings.limits.direct_to_source {
-        warning("point-direct", format!("{text}: parents are asked past them"))
+        warning("point-direct", format!("{text}: its requests go directly to a parent or the origin"))
     } else {
-        error("point-unserved", format!("{text}: all its requests are refused"))
+        error("point-unserved", format!("{text}: all its requests are rejected"))
     })
 }
 
-/// A point's hub has no ready parent, in a site that has parents.
+/// Finds that a point's hub has no ready parent, in a site that has parents.
 fn no_parent(site: &Site, point: ZoneId, parents: &[&Endpoint]) -> Option<Finding> {
     let hub = site.hub(point).filter(|_| !parents.is_empty())?;
     let at_hub: Vec<&Endpoint> = parents.iter().copied().filter(|endpoint| endpoint.zone == hub).collect();
@@ -104,7 +104,7 @@
     let states = unready_states(site, &at_hub);
     let text = format!(
         "{classes} of point {point} fill through hub {hub}, which has no ready parent{states}: \
-         they fill from farther hubs"
+         they fill from other hubs, which are farther away"
     );
     Some(error("hub-unready", text))
 }
@@ -112,23 +112,27 @@
 fn missing_hubs(site: &Site) -> Option<Finding> {
     let zones = site.settings.topology.routers_by_zone.len();
     let hubs = site.settings.topology.hub_by_zone.len();
-    (hubs < zones).then(|| error("hub-missing", format!("{hubs} zones have a hub, of {zones}")))
+    (hubs < zones).then(|| error("hub-missing", format!("only {hubs} of {zones} zones have a hub")))
 }
 
 fn class_findings(name: &str, class: &Class) -> Vec<Finding> {
     let mut findings = Vec::new();
     if class.latency_objective > class.client_deadline {
-        let text =
-            format!("class {name}: its target is past its deadline, so no answer earns its full worth");
+        let text = format!(
+            "class {name}: its target is longer than its deadline, \
+             so an answer within the target may come too late for clients"
+        );
         findings.push(error("target-past-deadline", text));
     }
     if class.idempotency == Idempotency::WithKey && class.dedup_window == Span::ZERO {
-        let text =
-            format!("class {name}: repeats are dropped for no time at all, so none is ever tried again");
+        let text = format!(
+            "class {name}: its deduplication window is 0, \
+             so a request that a server may have run is never retried"
+        );
         findings.push(warning("window-empty", text));
     }
     if class.idempotency != Idempotency::Always && !class.uncached {
-        let text = format!("class {name}: it has an effect, and yet copies of its answers are kept");
+        let text = format!("class {name}: its requests have an effect, but copies of its answers are cached");
         findings.push(warning("effect-kept", text));
     }
     findings
@@ -138,12 +142,12 @@
     let ready = site.servers.values().filter(|endpoint| is_ready(endpoint));
     let weightless = ready.filter(|endpoint| endpoint.weight <= 0.0 && !site.is_origin(endpoint));
     weightless.map(|endpoint| {
-        let text = format!("{} is ready with no weight", site.describe(endpoint.server));
+        let text = format!("{} is ready, but its weight is not above 0", site.describe(endpoint.server));
         warning("weight-zero", text)
     })
 }
 
-/// The cached classes, for a finding.
+/// Returns the names of the cached classes, as the subject of a finding.
 fn cached_classes(site: &Site) -> String {
     let classes = site.classes.iter().zip(&site.settings.classes);
     let cached = classes.filter(|(_, class)| !class.uncached);
@@ -151,7 +155,7 @@
     format!("{} {}", if cached.len() == 1 { "class" } else { "classes" }, cached.join(", "))
 }
 
-/// The first few servers that are not ready, in brackets.
+/// Returns the states of the first few servers that are not ready, in parentheses.
 fn unready_states(site: &Site, endpoints: &[&Endpoint]) -> String {
     if endpoints.is_empty() {
         return " (none is listed)".to_owned();
@@ -159,13 +163,13 @@
     let word = |endpoint: &&Endpoint| match endpoint.state {
         ServerState::Ready => None,
         ServerState::Draining => Some(format!("{} is draining", site.name(endpoint.server))),
-        ServerState::Removed => Some(format!("{} is gone", site.name(endpoint.server))),
+        ServerState::Removed => Some(format!("{} is removed", site.name(endpoint.server))),
     };
     let words: Vec<String> = endpoints.iter().filter_map(word).take(MAX_NAMED_SERVERS).collect();
     format!(" ({})", words.join(", "))
 }
 
-/// The points of a site by their names, for the operator.
+/// Returns the names of a site's points, separated by commas.
 pub fn point_names(site: &Site) -> String {
     let name = |zone: &ZoneId| site.zone_name(*zone).to_owned();
     site.points().iter().map(name).collect::<Vec<_>>().join(", ")
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -1,13 +1,15 @@
-//! Routing expectations as tests: what operators expect of a configuration is compared with what the decision module
-//! itself decides, without sockets or traffic. See docs/expectations.md.
+//! Tests a configuration against the routing that its operators expect. The decision module itself decides
+//! each request, without sockets or traffic. See docs/expectations.md.
 //!
-//! - `site`: the configuration with the servers of its list; `names`, `selector`: how expectations name its parts.
-//! - `expectation`: what operators expect; `language`: the file in which they write it.
-//! - `evaluate`: asks the decision module and gives a verdict for each expectation. `test_case`: what is asked, once for
-//!   all expectations; `case_run`: the explorations of a test case; `rules`, `fill_cycle`: what violates a rule.
-//! - `explore`: one exploration, on a virtual clock; `world`, `planned_end`: how attempts end in it; `decisions`: its
-//!   result.
-//! - `lint`: faults of a configuration that need no expectation.
+//! - `site`: the configuration with the servers of its endpoint list; `names`, `selector`: resolve the names
+//!   in expectations.
+//! - `expectation`: expectations, scenarios and rules; `language`: parses the file that defines them.
+//! - `evaluate`: explores all test cases, and returns a verdict for each expectation; `test_case`: what is
+//!   explored once for all expectations that depend on it; `case_run`: the explorations of a test case;
+//!   `rules`, `fill_cycle`: find violations of rules.
+//! - `explore`: runs one exploration on a virtual clock; `world`, `planned_end`: simulate the servers;
+//!   `decisions`: the resulting trace.
+//! - `lint`: finds faults of a configuration that need no expectation.
 //! - `verdict`, `report`: the results.
 
 mod case_run;
@@ -41,31 +43,31 @@
 use site::Site;
 use std::path::Path;
 
-/// Why a check cannot be made.
+/// The reason why a check cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ExpectError {
     /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The expectations cannot be used; each error is a line of its own.
+    /// The expectations cannot be used; each error is shown on its own line.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Expectations(Vec<HclError>),
-    /// No router starts with these settings at some point.
+    /// No router can start with these settings at some point.
     #[error("settings: {0}")]
     Settings(#[from] crate::SettingsError),
-    /// `--only` names no expectation.
-    #[error("no expectation {0:?}")]
+    /// The name given with `--only` is not the name of an expectation.
+    #[error("expectation {0:?} is not defined in the file")]
     NoSuchExpectation(String),
 }
 
-/// What the command line overrides of the file's `explore` block.
+/// Options of the command line that override the file's `explore` block and select expectations.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// The first seed.
+    /// The first seed; `None`: the file's.
     pub seed: Option<u64>,
-    /// How many seeds.
+    /// Number of seeds, limited to 1 to [`MAX_SEEDS`]; `None`: the file's.
     pub seeds: Option<u64>,
-    /// Only the expectation of this name.
+    /// The name of the only expectation to check; `None`: all.
     pub only: Option<String>,
 }
 
@@ -73,7 +75,8 @@
 ///
 /// # Errors
 ///
-/// Files that cannot be read or used. An expectation that does not hold is no error but a verdict.
+/// Returns an error if a file cannot be read or used. An expectation that does not hold is not an error but a
+/// verdict.
 pub fn check(config: &Path, expectations: &Path, overrides: &Overrides) -> Result<Report, ExpectError> {
     let site = Site::from_config(&Config::read(config)?);
     let text = read_text_file(expectations)?;
@@ -82,7 +85,7 @@
     Ok(check_site(&site, &apply_overrides(suite, overrides)?, &file)?)
 }
 
-/// A suite as the command line overrides it.
+/// Applies the command line's overrides to a suite.
 fn apply_overrides(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
     if let Some(only) = &overrides.only {
         suite.expectations.retain(|expectation| expectation.name == *only);
@@ -99,11 +102,11 @@
     Ok(suite)
 }
 
-/// Checks a site against expectations that were read.
+/// Checks a site against a suite of expectations; `file` is the suite's path, for the report.
 ///
 /// # Errors
 ///
-/// Settings with which no router can start.
+/// Returns an error if no router can start with the settings.
 pub fn check_site(site: &Site, suite: &Suite, file: &str) -> Result<Report, crate::SettingsError> {
     let verdicts = evaluate(site, suite.explore_settings, &suite.expectations)?;
     let findings = lint(site);
--- a/src/expect/planned_end.rs
+++ b/src/expect/planned_end.rs
@@ -1,22 +1,22 @@
-//! How an attempt ends in the world of an exploration.
+//! How an attempt ends in an exploration, and the times that answers take in it.
 
 use crate::interface::{AttemptResult, CacheStatus, Span};
 
-/// The time to an answer without a fill.
+/// Time from the start of an attempt to its answer, without a fill.
 pub(super) const ANSWER_TIME: Span = Span::from_millis(5);
-/// The time to a fill's first byte.
+/// Time to a fill's first byte.
 pub(super) const FILL_TIME: Span = Span::from_millis(10);
 /// The platform's usual `connect_timeout`.
 pub(super) const CONNECT_TIMEOUT: Span = Span::from_millis(400);
 
-/// How an attempt ends.
+/// The result of an attempt, and when it ends.
 #[derive(Clone, Copy)]
 pub(super) struct PlannedEnd {
-    /// The time from its start to its end.
+    /// Time from the start of the attempt to its end.
     pub(super) elapsed: Span,
     pub(super) result: AttemptResult,
     pub(super) cache_status: Option<CacheStatus>,
-    /// The part of it that the fill source took.
+    /// The part of `elapsed` that the fill source took.
     pub(super) fill_wait: Span,
 }
 
@@ -25,18 +25,18 @@
         PlannedEnd { elapsed, result, cache_status, fill_wait: Span::ZERO }
     }
 
-    /// Answered from a copy.
+    /// Returns the end of an attempt that is answered from a cached copy.
     pub(super) fn hit() -> Self {
         PlannedEnd::new(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
     }
 
-    /// Answered after a fill, from the origin or from a copy.
+    /// Returns the end of an attempt that is answered after a fill; `cache_status` tells from where.
     pub(super) fn filled(cache_status: CacheStatus, fill_wait: Span) -> Self {
         let elapsed = ANSWER_TIME + fill_wait;
         PlannedEnd { fill_wait, ..PlannedEnd::new(elapsed, AttemptResult::Ok, Some(cache_status)) }
     }
 
-    /// The same, cut off by the attempt's time-out; zero: there is none.
+    /// Returns the same end, cut off by the attempt timeout. A timeout of zero means that there is none.
     pub(super) fn limited_to(self, timeout: Span) -> Self {
         if timeout == Span::ZERO || self.elapsed < timeout {
             return self;
--- a/src/expect/report.rs
+++ b/src/expect/report.rs
@@ -1,4 +1,4 @@
-//! The report of a check, as lines for people and as JSON for machines.
+//! The report of a check, as lines of text and as JSON.
 
 use super::lint::{Finding, Severity};
 use super::verdict::{BrokenRule, Choices, Coverage, Verdict};
@@ -8,9 +8,9 @@
 /// The result of a check; its serialized form is the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The file of expectations.
+    /// Path of the file of expectations.
     pub file: String,
-    /// Whether every expectation holds and nothing found is an error.
+    /// Whether every expectation holds and no finding is an error.
     pub passed: bool,
     /// Faults of the configuration that need no expectation.
     pub findings: Vec<Finding>,
@@ -38,7 +38,7 @@
             Choices::Explored { seeds: [first, last], seen, eligible } => write!(
                 f,
                 "random choices explored by seeds {first} to {last} only, \
-                 which saw {seen} of {eligible} ready caches"
+                 which chose {seen} of {eligible} ready caches"
             ),
         }
     }
@@ -66,7 +66,7 @@
         for broken in &verdict.broken {
             let BrokenRule { rule, at, reason, seed, .. } = broken;
             writeln!(f, "  {rule} at {}:{at}: {reason}", self.file)?;
-            writeln!(f, "    shown by --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
+            writeln!(f, "    reproduce with --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
         }
         let Coverage { scenarios, points, classes, seeds } = verdict.asked;
         let Verdict { decisions, choices, .. } = verdict;
--- a/src/expect/rules.rs
+++ b/src/expect/rules.rs
@@ -1,4 +1,4 @@
-//! Checks the decisions of an exploration by one rule.
+//! Checks the traces of explorations against rules.
 
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Rule};
@@ -9,21 +9,21 @@
 
 /// A violation of a rule.
 pub(super) struct Violation {
-    /// The object, where the rule is about single ones.
+    /// The object that shows the violation; `None` if the rule is about the share of many objects.
     pub(super) object: Option<ObjectId>,
-    /// The server at fault, if one is.
+    /// The server that violates the rule, if the violation is about one server.
     pub(super) server: Option<ServerId>,
-    /// What happens that the rule forbids.
+    /// What was decided against the rule, as the end of a sentence about the request.
     pub(super) description: String,
 }
 
-/// One attempt, as far as a rule about servers or ranks depends on it.
+/// The parts of an attempt on which rules about servers or ranks depend.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) server: ServerId,
-    /// Which server fills a miss, if one does.
+    /// The server from which a miss is filled; `None` if a miss is not filled.
     pub(super) source: Option<ServerId>,
-    /// The rank at which a copy is cached.
+    /// The rank at which a copy is cached; 0: no copy is cached.
     pub(super) rank: u8,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Checks the requests of one point and class.
+/// Checks the requests of one point and class against rules.
 pub(super) struct RuleChecker<'a> {
     pub(super) site: &'a Site,
     pub(super) point: ZoneId,
@@ -41,7 +41,7 @@
 }
 
 impl RuleChecker<'_> {
-    /// The first violation of a rule in an exploration.
+    /// Returns the first violation of a rule in an exploration.
     pub(super) fn violation(&self, rule: &Rule, trace: &Trace) -> Option<Violation> {
         match rule {
             Rule::Answer(expected) => self.wrong_answer(*expected, trace),
@@ -53,7 +53,8 @@
         }
     }
 
-    /// What is wrong with one attempt by a rule about servers or ranks, if anything.
+    /// Returns how an attempt violates a rule about servers or ranks; `None` if it does not, or for any other
+    /// rule.
     pub(super) fn wrong_attempt(&self, rule: &Rule, attempt: Attempt) -> Option<String> {
         let Attempt { server, source, rank } = attempt;
         match rule {
@@ -88,7 +89,7 @@
             Some(source) if self.is_in(set, source) => None,
             Some(source) => Some(self.filled_from(server, source)),
             None if self.server_is(server, Site::is_origin) => None,
-            None => Some(format!("a miss at {} is filled from nowhere", self.site.describe(server))),
+            None => Some(format!("a miss at {} is not filled from any server", self.site.describe(server))),
         }
     }
 
@@ -99,7 +100,7 @@
         let servers: Vec<ServerId> = decisions.map(|decision| decision.server).collect();
         let answer = answer.map_or("not answered", Answer::name);
         let description = if servers.is_empty() {
-            format!("it is {answer}, and nobody is asked")
+            format!("it is {answer}, and no server gets an attempt")
         } else {
             format!("it is {answer} after {}", self.describe_all(&servers))
         };
@@ -160,7 +161,7 @@
             return None;
         }
         let description = format!(
-            "{} of {} objects leave a home that stays; this one goes from {} to {}",
+            "{} of {} objects leave a home that is still in use; this one moves from {} to {}",
             migrated.len(),
             before.len(),
             self.site.describe(**home),
@@ -174,8 +175,8 @@
         set.iter().any(|selector| self.site.selects(selector, endpoint, self.point))
     }
 
-    /// Whether an attempt goes to one of these, or passes through an upstream server to the origin, which is one of
-    /// these.
+    /// Whether an attempt goes to one of these servers. An attempt of an uncached class counts as going to
+    /// the origin if its server or fill source is a parent or the origin and no copy is cached.
     fn reaches(&self, set: &[Selector], attempt: Attempt) -> bool {
         if self.is_in(set, attempt.server) {
             return true;
@@ -204,7 +205,7 @@
     }
 
     fn cached_at(&self, server: ServerId, rank: u8) -> String {
-        format!("a copy at {} is kept at rank {rank}", self.site.describe(server))
+        format!("a copy at {} is cached at rank {rank}", self.site.describe(server))
     }
 
     fn describe_all(&self, servers: &[ServerId]) -> String {
--- a/src/expect/selector.rs
+++ b/src/expect/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: how expectations name sets of servers.
+//! Selectors, by which expectations name sets of servers.
 
 use super::names::{index_of, NameError};
 use super::site::Site;
@@ -12,7 +12,7 @@
     Origin,
     /// `hub`: all parents.
     Hub,
-    /// `hub:ZONE`: the parents that stand in a zone.
+    /// `hub:ZONE`: the parents in a zone.
     HubIn(ZoneId),
     /// `own-hub`: the parents of the point's hub.
     OwnHub,
@@ -22,29 +22,29 @@
     CacheIn(ZoneId),
     /// `own-cache`: the table caches of the request's point.
     OwnCache,
-    /// `zone:ZONE`: whatever stands in a zone.
+    /// `zone:ZONE`: all servers in a zone.
     Zone(ZoneId),
-    /// `kind:KIND`: all machines of a kind.
+    /// `kind:KIND`: all servers of a kind.
     Kind(u16),
-    /// `cell:NUMBER`: all machines of a cell.
+    /// `cell:NUMBER`: all servers of a cell.
     Cell(u16),
     /// A server by its name.
     Server(ServerId),
 }
 
 impl Selector {
-    /// Whether it names other servers at each point.
+    /// Whether the selector matches different servers at each point.
     pub fn depends_on_point(&self) -> bool {
         matches!(self, Selector::OwnHub | Selector::OwnCache)
     }
 }
 
 impl Site {
-    /// Reads a selector.
+    /// Parses a selector.
     ///
     /// # Errors
     ///
-    /// A name that the site does not have, or a set with no server in it.
+    /// Returns an error for a name that the site does not have, or a selector that matches no listed server.
     pub fn selector(&self, text: &str) -> Result<Selector, NameError> {
         let selector = match text.split_once(':') {
             Some((set, name)) => self.named_set(set, name, text)?,
@@ -60,7 +60,7 @@
         Err(NameError::NoServers(text.to_owned()))
     }
 
-    /// A selector without a colon.
+    /// Parses a selector without a colon.
     fn plain_set(&self, text: &str) -> Result<Selector, NameError> {
         Ok(match text {
             "origin" => Selector::Origin,
@@ -72,7 +72,8 @@
         })
     }
 
-    /// A selector of a kind of set and a name; a server's name may have a colon too.
+    /// Parses a selector of the form `SET:NAME`. If the part before the colon is not a known set, the text is
+    /// a server's name, which may have a colon too.
     fn named_set(&self, set: &str, name: &str, text: &str) -> Result<Selector, NameError> {
         Ok(match set {
             "hub" => Selector::HubIn(self.zone(name)?),
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Whether a selector names a server, for a request at a point.
+    /// Whether a selector matches a server, for a request at a point.
     pub fn selects(&self, selector: &Selector, endpoint: &Endpoint, point: ZoneId) -> bool {
         match selector {
             Selector::Origin => self.is_origin(endpoint),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The servers that any of the selectors names.
+    /// Returns the servers that any of the selectors matches, for a request at a point.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
         let named =
             |endpoint: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, endpoint, point));
--- a/src/expect/site.rs
+++ b/src/expect/site.rs
@@ -1,4 +1,5 @@
-//! A site as its configuration and the control feed's known events describe it.
+//! A site as its configuration describes it: the settings, and the servers in the known events of the control
+//! feed.
 
 use super::names::{index_of, NameError};
 use crate::config::events::{FeedBatch, FeedServer, Health};
@@ -10,35 +11,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The time from the last start of a server to the moment at which the site is checked: every server is warm by then.
+/// Time from the last start of a server to the moment at which the site is checked, so that every server has
+/// warmed up by then.
 const WARM_UP_TIME: Span = Span::from_secs(3_600);
 
-/// A configuration's settings with the servers of its list.
+/// A configuration's settings, with the servers of its endpoint list.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// For the decision module; `zone` is the configuration's own point.
+    /// Settings for the decision module; their `zone` is the configuration's own point.
     pub settings: Settings,
-    /// The classes' names, by number, without retired ones.
+    /// The classes' names, by class number, without retired classes.
     pub classes: Vec<String>,
-    /// The zones' names, by number.
+    /// The zones' names, by zone number.
     pub zones: Vec<String>,
-    /// The kinds of machine, by number.
+    /// The names of the server kinds, by number.
     pub kinds: Vec<String>,
     /// The listed servers, without removed ones.
     pub servers: BTreeMap<ServerId, Endpoint>,
-    /// Their names.
+    /// The names of all servers that the events mention, removed ones included.
     pub names: BTreeMap<ServerId, String>,
-    /// Contradictions in the list: a zone or kind that the settings do not name, an address of two servers.
+    /// Descriptions of contradictions in the list: a zone or kind that the settings do not name, or an
+    /// address that two servers have.
     pub contradictions: Vec<String>,
-    /// The moment at which the site is checked, on a clock that reads Unix time, as the starts of its servers.
+    /// The moment at which the site is checked, as Unix time. The start times of its servers are on the same
+    /// clock.
     pub now: Instant,
 }
 
-/// The listed addresses, with the last server that has each.
+/// The last listed server of each address.
 type Addresses = BTreeMap<SocketAddr, ServerId>;
 
 impl Site {
-    /// The site of a configuration, after the events that it knows.
+    /// Returns the site of a configuration, with its known events applied.
     pub fn from_config(config: &Config) -> Self {
         let parsed = &config.settings;
         let mut site = Site {
@@ -57,7 +61,7 @@
         site
     }
 
-    /// Applies the events that the configuration knows.
+    /// Applies the known events of the configuration.
     fn apply(&mut self, batch: &FeedBatch, names: &ProgramSettings) {
         let mut server_names = ServerNames::default();
         let mut addresses = Addresses::new();
@@ -68,7 +72,7 @@
             }
             for host in &change.hosts {
                 let mut endpoint = server_names.endpoint(host, names);
-                // Expectations are explored on a clock that reads Unix time.
+                // Explorations run on a clock that reads Unix time.
                 let started_at = host.started_at();
                 endpoint.started_at = started_at.map(|unix| Instant::from_micros(unix.as_micros()));
                 self.names.insert(endpoint.server, host.host.clone());
@@ -97,17 +101,18 @@
         self.check_name("kind", host, &host.class, endpoint.kind, &names.kinds);
     }
 
-    /// Notes an address that another server has too.
+    /// Records a contradiction if another server has the same address.
     fn check_address(&mut self, host: &FeedServer, server: ServerId, addresses: &mut Addresses) {
         let Some(address) = host.dial else { return };
         let other = addresses.insert(address, server).filter(|other| *other != server);
         if let Some(other) = other {
             let other = self.name(other);
-            self.contradictions.push(format!("{} and {other} have one address, {address}", host.host));
+            self.contradictions.push(format!("{} and {other} have the same address, {address}", host.host));
         }
     }
 
-    /// Notes a name that the settings lack; `number` is its place in their list.
+    /// Records a contradiction if the settings do not have the name. `number` is the name's index in their
+    /// list; it is out of range if the name is unknown.
     fn check_name(&mut self, what: &str, host: &FeedServer, name: &str, number: u16, known: &[String]) {
         if usize::from(number) >= known.len() {
             let text = unknown_name(what, name, known.iter().map(String::as_str));
@@ -115,12 +120,12 @@
         }
     }
 
-    /// A server's name.
+    /// Returns a server's name, or `?` if the site does not know it.
     pub fn name(&self, server: ServerId) -> &str {
         self.names.get(&server).map_or("?", String::as_str)
     }
 
-    /// A server's name with what it is, as `s-0c41 (hub:south)`.
+    /// Returns a server's name with its role and zone, such as `s-0c41 (hub:south)`.
     pub fn describe(&self, server: ServerId) -> String {
         let Some(endpoint) = self.servers.get(&server) else { return self.name(server).to_owned() };
         let zone = self.zone_name(endpoint.zone);
@@ -134,43 +139,43 @@
         }
     }
 
-    /// A zone's name.
+    /// Returns a zone's name, or `?` if the site does not know it.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zones.get(usize::from(zone.0)).map_or("?", String::as_str)
     }
 
-    /// A class's name.
+    /// Returns a class's name, or `?` if the site does not know it.
     pub fn class_name(&self, class: ClassId) -> &str {
         self.classes.get(usize::from(class.0)).map_or("?", String::as_str)
     }
 
-    /// Whether a server is a parent, which stands at a hub.
+    /// Whether a server is a parent, that is, a cache at a hub.
     pub fn is_parent(&self, endpoint: &Endpoint) -> bool {
         Some(endpoint.kind) == self.settings.topology.parent_kind
     }
 
-    /// Whether a server is the origin.
+    /// Whether a server is an origin server.
     pub fn is_origin(&self, endpoint: &Endpoint) -> bool {
         endpoint.kind == self.settings.topology.origin_kind
     }
 
-    /// Whether a server is a table cache.
+    /// Whether a server is a table cache: neither a parent nor an origin server.
     pub fn is_cache(&self, endpoint: &Endpoint) -> bool {
         !self.is_parent(endpoint) && !self.is_origin(endpoint)
     }
 
-    /// The points: zones that have edge proxies.
+    /// Returns the points, which are the zones that have edge proxies.
     pub fn points(&self) -> Vec<ZoneId> {
         let zones = self.settings.topology.routers_by_zone.iter().enumerate();
         zones.filter(|(_, routers)| **routers > 0).map(|(zone, _)| ZoneId(zone as u16)).collect()
     }
 
-    /// The hub of a point.
+    /// Returns the zone of a point's hub; `None` if the settings name no hub for it.
     pub fn hub(&self, point: ZoneId) -> Option<ZoneId> {
         self.settings.topology.hub_by_zone.get(usize::from(point.0)).copied()
     }
 
-    /// The ready table caches of a point among these servers.
+    /// Returns the ready table caches of a point among these servers.
     pub fn ready_caches(&self, servers: &BTreeMap<ServerId, Endpoint>, point: ZoneId) -> BTreeSet<ServerId> {
         let is_ready_cache = |endpoint: &&Endpoint| {
             self.is_cache(endpoint) && endpoint.zone == point && endpoint.state == ServerState::Ready
@@ -178,29 +183,29 @@
         servers.values().filter(is_ready_cache).map(|endpoint| endpoint.server).collect()
     }
 
-    /// A zone by its name.
+    /// Returns the zone with this name.
     ///
     /// # Errors
     ///
-    /// No zone of that name.
+    /// Returns an error if no zone has this name.
     pub fn zone(&self, name: &str) -> Result<ZoneId, NameError> {
         Ok(ZoneId(index_of("zone", name, &self.zones)?))
     }
 
-    /// A class by its name.
+    /// Returns the class with this name.
     ///
     /// # Errors
     ///
-    /// No class of that name.
+    /// Returns an error if no class has this name.
     pub fn class(&self, name: &str) -> Result<ClassId, NameError> {
         Ok(ClassId(index_of("class", name, &self.classes)?))
     }
 
-    /// A listed server by its name.
+    /// Returns the listed server with this name.
     ///
     /// # Errors
     ///
-    /// No server of that name.
+    /// Returns an error if no listed server has this name.
     pub fn server(&self, name: &str) -> Result<ServerId, NameError> {
         let mut listed = self.servers.keys();
         if let Some(server) = listed.find(|server| self.name(**server) == name) {
--- a/src/expect/verdict.rs
+++ b/src/expect/verdict.rs
@@ -1,4 +1,4 @@
-//! The results of expectations: the verdicts of a report.
+//! The verdicts of a report, one for each expectation.
 
 use crate::config::hcl_document::Position;
 use serde::{Serialize, Serializer};
@@ -6,33 +6,33 @@
 /// The result of one expectation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The expectation's name.
+    /// The label of the expectation's block.
     pub name: String,
-    /// The line where it begins.
+    /// The line at which its block begins, from 1.
     pub line: usize,
     /// Whether all of its rules held.
     pub passed: bool,
-    /// The number of questions behind it.
+    /// What was explored for it.
     pub asked: Coverage,
-    /// Decisions that were checked.
+    /// Number of the module's decisions that were checked, over all explorations.
     pub decisions: usize,
-    /// What is known of the module's random choices.
+    /// How far the verdict covers the module's random choices.
     pub choices: Choices,
-    /// For each rule that was broken, the first counter-example.
+    /// The first counter-example to each rule that was broken.
     pub broken: Vec<BrokenRule>,
 }
 
-/// The number of questions behind a verdict; serialized as an array of the four counts.
+/// What was explored for a verdict; serialized as an array of the four counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "[usize; 4]")]
 pub struct Coverage {
-    /// Scenarios.
+    /// Number of the expectation's scenarios.
     pub scenarios: usize,
-    /// Points.
+    /// Number of points, in each scenario.
     pub points: usize,
-    /// Classes.
+    /// Number of classes, at each point.
     pub classes: usize,
-    /// Seeds of each.
+    /// Number of seeds for each combination of scenario, point and class.
     pub seeds: usize,
 }
 
@@ -42,30 +42,30 @@
     }
 }
 
-/// What is known of the random choices behind a verdict.
+/// How far a verdict covers the module's random choices.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Choices {
     /// All seeds led to the same decisions.
     Fixed,
-    /// They differ, and the rules hold for whichever ready cache of the point is chosen.
+    /// Decisions differ between seeds, but the rules hold whichever ready cache of the point is chosen.
     Bounded {
-        /// The number of caches to choose from, of the point with most of them.
+        /// Number of caches to choose from, at the point where it is largest.
         eligible: usize,
     },
-    /// They differ, and only the choices of these seeds were checked.
+    /// Decisions differ between seeds, and only the choices made with these seeds were checked.
     Explored {
         /// The first and the last seed.
         seeds: [u64; 2],
-        /// Caches that were chosen, of the point with the smallest share of chosen ones.
+        /// Number of caches that were chosen, at the point where their share is smallest.
         seen: usize,
-        /// Caches to choose from at that point.
+        /// Number of caches to choose from at that point.
         eligible: usize,
     },
 }
 
 impl Choices {
-    /// The one of two that says less of the random choices.
+    /// Returns the one of two values that covers fewer of the random choices.
     pub(super) fn weaker(self, other: Choices) -> Choices {
         if other.is_weaker_than(&self) {
             other
@@ -89,27 +89,28 @@
     }
 }
 
-/// A rule that was broken, with a counter-example.
+/// A counter-example to a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct BrokenRule {
-    /// The rule's key in the file.
+    /// The rule's key in its `expect` block.
     pub rule: &'static str,
-    /// Its place; serialized as an array of line and column.
+    /// The position of the rule in the file; serialized as an array of line and column.
     #[serde(serialize_with = "line_and_column")]
     pub at: Position,
-    /// One sentence: which object, class, point and server broke it, and how.
+    /// One sentence for the operator: class, object, point and scenario, and what was decided against the
+    /// rule.
     pub reason: String,
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// The point.
+    /// The name of the point.
     pub point: String,
-    /// The scenario; empty where nothing happens.
+    /// The label of the scenario; empty if nothing changes.
     pub scenario: String,
-    /// The object, 16 hex digits; absent where the rule is about many.
+    /// The object in 16 hex digits; `None` if the rule is about the share of many objects.
     pub object: Option<String>,
-    /// The server that is at fault, if one is.
+    /// The name of the server that violates the rule, if the violation is about one server.
     pub server: Option<String>,
-    /// The seed that shows it.
+    /// The seed with which the counter-example can be repeated.
     pub seed: u64,
 }
 
--- a/src/expect/world.rs
+++ b/src/expect/world.rs
@@ -1,4 +1,5 @@
-//! The world of an exploration: which servers are down, which hold copies, and which events are due.
+//! The simulated surroundings of the router in an exploration: which servers are down, which have cached
+//! copies, and which events are due.
 
 use super::decisions::{Decision, Trace};
 use super::expectation::{Answer, Scenario};
@@ -10,7 +11,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// What can be due.
+/// Something that is due at a planned time.
 pub(super) enum DueItem {
     /// An event for the router.
     Event(Event),
@@ -18,11 +19,11 @@
     Change,
 }
 
-/// When something is due; at one time in the order in which it was planned.
+/// The key of a due item. Items that are due at the same time come in the order in which they were planned.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueKey {
     at: Instant,
-    /// The number of things planned before it, and itself.
+    /// The item's number in the order of planning, from 1.
     sequence: u64,
 }
 
@@ -43,22 +44,23 @@
 /// The world of one exploration.
 pub(super) struct World<'a> {
     site: &'a Site,
-    /// Servers to which connections, and from which fills, fail.
+    /// Servers to which connections fail, and from which fills fail.
     down: BTreeSet<ServerId>,
-    /// Which server holds a copy of which object.
+    /// The cached copies: pairs of a server and an object.
     copies: HashSet<(ServerId, ObjectId)>,
     due: BTreeMap<DueKey, DueItem>,
-    /// How many events and changes were planned so far.
+    /// Number of items planned so far.
     planned_count: u64,
-    /// Attempts of each request so far.
+    /// Number of attempts so far, by request number.
     attempts: Vec<u8>,
-    /// The attempts in flight, with the slot of their end.
+    /// The attempts in flight, with the key of the item that ends them.
     in_flight: BTreeMap<AttemptKey, DueKey>,
     trace: Trace,
 }
 
 impl<'a> World<'a> {
-    /// A world where all servers are up and none holds a copy, for requests for these objects.
+    /// Returns a world in which all servers are up and none has a cached copy, for requests for these
+    /// objects.
     pub(super) fn new(site: &'a Site, objects: Vec<ObjectId>, first_checked: usize) -> Self {
         let requests = objects.len();
         World {
@@ -73,12 +75,12 @@
         }
     }
 
-    /// The decisions and answers.
+    /// Returns the recorded decisions and answers.
     pub(super) fn into_trace(self) -> Trace {
         self.trace
     }
 
-    /// Plans an event or the change.
+    /// Plans an event or the scenario's change, and returns its key.
     pub(super) fn plan(&mut self, at: Instant, next: DueItem) -> DueKey {
         self.planned_count += 1;
         let due_key = DueKey { at, sequence: self.planned_count };
@@ -86,7 +88,7 @@
         due_key
     }
 
-    /// Takes what is due next, if it is due by `end`.
+    /// Removes the next due item and returns it with its time; `None` if nothing is due by `end`.
     pub(super) fn take_due(&mut self, end: Instant) -> Option<(Instant, DueItem)> {
         let first = self.due.first_entry().filter(|first| first.key().at <= end)?;
         let (due_key, next) = first.remove_entry();
@@ -96,13 +98,13 @@
         Some((due_key.at, next))
     }
 
-    /// Applies a scenario's change.
+    /// Applies a scenario's change: servers go down, and cold servers lose their copies.
     pub(super) fn apply_change(&mut self, scenario: &Scenario) {
         self.down.extend(&scenario.down);
         self.copies.retain(|(server, _)| !scenario.cold.contains(server));
     }
 
-    /// Carries out an action of the router.
+    /// Performs an action of the router.
     pub(super) fn apply_action(&mut self, now: Instant, action: Action, class: &Class) {
         match action {
             Action::SendWithFill(fill_attempt) => self.start_attempt(now, &fill_attempt, class),
@@ -124,7 +126,7 @@
         self.trace.answers[request.0 as usize].get_or_insert(answer);
     }
 
-    /// Records an attempt, and plans how it ends.
+    /// Records an attempt, and plans its end.
     fn start_attempt(&mut self, now: Instant, fill_attempt: &FillAttempt, class: &Class) {
         let request = fill_attempt.request.0 as usize;
         let attempt = self.attempts[request];
@@ -156,14 +158,14 @@
         self.in_flight.insert(AttemptKey { request, attempt }, due_key);
     }
 
-    /// The server that answered gets a copy, and so does the parent from which it was filled.
+    /// Records a copy at the server that answered, and one at the parent from which it was filled, if any.
     fn cache_copies(&mut self, object: ObjectId, server: ServerId, source: Option<ServerId>) {
         self.copies.insert((server, object));
         let parent = source.filter(|source| self.server_is(*source, Site::is_parent));
         self.copies.extend(parent.map(|parent| (parent, object)));
     }
 
-    /// Ends an open attempt as cancelled.
+    /// Ends an attempt in flight as cancelled.
     fn cancel(&mut self, now: Instant, key: AttemptKey) {
         let Some(due_key) = self.in_flight.get(&key).copied() else { return };
         let Some(DueItem::Event(Event::AttemptEnded(mut outcome))) = self.due.remove(&due_key) else {
@@ -178,7 +180,7 @@
         self.in_flight.insert(key, due_key);
     }
 
-    /// How an attempt ends.
+    /// Returns how an attempt ends.
     fn planned_end(&self, fill_attempt: &FillAttempt, class: &Class) -> PlannedEnd {
         let object = self.trace.objects[fill_attempt.request.0 as usize];
         let has_copy = |server: ServerId| !class.uncached && self.copies.contains(&(server, object));
@@ -188,7 +190,7 @@
         if self.server_is(fill_attempt.server, Site::is_origin) || has_copy(fill_attempt.server) {
             return PlannedEnd::hit();
         }
-        // A parent fills by itself what it lacks, from the origin.
+        // A parent that has no copy fills it from the origin by itself.
         if self.server_is(fill_attempt.server, Site::is_parent) && !fill_attempt.only_if_cached {
             return PlannedEnd::filled(CacheStatus::FilledByOrigin, 2 * FILL_TIME);
         }
@@ -198,7 +200,7 @@
         self.fill_end(fill_attempt, has_copy(fill_attempt.source))
     }
 
-    /// How an attempt ends that is filled from its source; `held`: whether the source holds a copy.
+    /// Returns how an attempt ends that is filled from its source.
     fn fill_end(&self, fill_attempt: &FillAttempt, source_has_copy: bool) -> PlannedEnd {
         if self.down.contains(&fill_attempt.source) {
             return PlannedEnd::new(ANSWER_TIME, AttemptResult::Error, Some(CacheStatus::SourceUnreachable));
@@ -221,7 +223,7 @@
     }
 }
 
-/// An attempt that is forwarded to a server as it is: no fill, no copy.
+/// Returns an attempt that is sent to a server without a fill, and whose answer is not cached.
 fn attempt_without_fill(request: RequestId, server: ServerId, timeout: Span) -> FillAttempt {
     FillAttempt {
         request,
