--- a/src/expect/evaluate.rs
+++ b/src/expect/evaluate.rs
@@ -67,7 +67,7 @@
         name: expectation.name.clone(),
         line: expectation.at.line,
         passed: broken.is_empty(),
-        asked: Coverage {
+        coverage: Coverage {
             scenarios: expectation.scenarios.len(),
             points: expectation.points.len(),
             classes: expectation.classes.len(),
--- a/src/expect/report.rs
+++ b/src/expect/report.rs
@@ -68,7 +68,7 @@
             writeln!(f, "  {rule} at {}:{at}: {reason}", self.file)?;
             writeln!(f, "    reproduce with --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
         }
-        let Coverage { scenarios, points, classes, seeds } = verdict.asked;
+        let Coverage { scenarios, points, classes, seeds } = verdict.coverage;
         let Verdict { decisions, choices, .. } = verdict;
         writeln!(
             f,
--- a/src/expect/verdict.rs
+++ b/src/expect/verdict.rs
@@ -13,7 +13,8 @@
     /// Whether all of its rules held.
     pub passed: bool,
     /// What was explored for it.
-    pub asked: Coverage,
+    #[serde(rename = "asked")]
+    pub coverage: Coverage,
     /// Number of the module's decisions that were checked, over all explorations.
     pub decisions: usize,
     /// How far the verdict covers the module's random choices.
