--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -5,7 +5,7 @@
 use dahliatrack::config::hcl_document::HclDocument;
 use dahliatrack::config::read_text_file;
 use dahliatrack::sim::runner;
-use dahliatrack::sim::world::Sabotage;
+use dahliatrack::sim::world::PlantedBug;
 use dahliatrack::standin::faults::{Fault, RunPlan};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
     keep: Option<FaultNumbers>,
     /// Plant a bug, to see that it is found
     #[arg(long, value_enum)]
-    sabotage: Option<Sabotage>,
+    sabotage: Option<PlantedBug>,
     /// Play federations of several members in place of an edge proxy
     #[cfg(feature = "federation")]
     #[arg(long)]
@@ -66,7 +66,7 @@
     plan: &RunPlan,
     seed: u64,
     FaultNumbers(numbers): &FaultNumbers,
-    sabotage: Option<Sabotage>,
+    sabotage: Option<PlantedBug>,
 ) -> Result<(), CommandError> {
     let script = plan.script(seed);
     let kept: Vec<Fault> = numbers.iter().filter_map(|number| script.get(*number).cloned()).collect();
--- a/src/sim/federation/checks.rs
+++ b/src/sim/federation/checks.rs
@@ -38,18 +38,18 @@
         if is_leader {
             let first = *self.observer.leaders.entry(term).or_insert(id);
             if first != id {
-                self.breach("two-leaders", format!("{first} and {id} lead in term {term}"));
+                self.record_breach("two-leaders", format!("{first} and {id} lead in term {term}"));
             }
         }
         for AppliedCommand { index, command } in committed {
             (id, index).hash(&mut self.trace);
             let first = self.observer.committed.entry(index).or_insert_with(|| command.clone()).clone();
             if first != command {
-                self.breach("committed-twice", format!("{first:?} and {command:?} at {index}"));
+                self.record_breach("committed-twice", format!("{first:?} and {command:?} at {index}"));
             }
         }
         if self.observer.states.entry(applied).or_insert_with(|| state.clone()) != &state {
-            self.breach("states-differ", format!("member {id} at {applied}"));
+            self.record_breach("states-differ", format!("member {id} at {applied}"));
         }
     }
 
@@ -60,7 +60,7 @@
         let LastAct { token: highest, by } = *self.observer.last_acts.entry(duty).or_insert(act);
         if token < highest || (token == highest && by != id) {
             let text = format!("{id} acts on {duty} under {token}, {by} did under {highest}");
-            self.breach("stale-act", text);
+            self.record_breach("stale-act", text);
         }
         self.observer.last_acts.insert(duty, act);
     }
@@ -78,7 +78,7 @@
                 && view.members == wanted
         };
         if seen.len() != 1 || !seen.iter().all(is_wanted) {
-            self.breach("no-agreement", format!("wanted {wanted:?}, seen {seen:?}"));
+            self.record_breach("no-agreement", format!("wanted {wanted:?}, seen {seen:?}"));
         }
     }
 }
--- a/src/sim/federation/disk.rs
+++ b/src/sim/federation/disk.rs
@@ -22,35 +22,35 @@
 /// The disk of a member.
 pub(super) struct Disk {
     /// What is stored.
-    pub kept: StoredLog,
+    pub stored: StoredLog,
     /// What a crash takes with it, where that bug is planted.
     pub unsynced: Option<LogUpdate>,
     /// The fault that lasts.
     pub fault: Option<DiskFault>,
     /// The fault lasts until the member is started anew; else until an event heals the disk.
     pub heals_at_restart: bool,
-    planted: Option<PlantedBug>,
+    planted_bug: Option<PlantedBug>,
 }
 
 impl Disk {
-    pub fn new(kept: StoredLog, planted: Option<PlantedBug>) -> Self {
-        Disk { kept, unsynced: None, fault: None, heals_at_restart: true, planted }
+    pub fn new(stored: StoredLog, planted_bug: Option<PlantedBug>) -> Self {
+        Disk { stored, unsynced: None, fault: None, heals_at_restart: true, planted_bug }
     }
 
     /// Writes a step.
     fn write(&mut self, mut save: LogUpdate) {
-        if self.planted == Some(PlantedBug::ForgottenVote) {
+        if self.planted_bug == Some(PlantedBug::ForgottenVote) {
             if let Some(hard) = &mut save.hard_state {
                 (hard.term, hard.vote) = (Term(0), MemberId::NONE);
             }
         }
         if let Some(before) = self.unsynced.take() {
-            self.kept.apply(&before);
+            self.stored.apply(&before);
         }
-        if self.planted == Some(PlantedBug::UnsyncedLog) {
+        if self.planted_bug == Some(PlantedBug::UnsyncedLog) {
             self.unsynced = Some(save);
         } else {
-            self.kept.apply(&save);
+            self.stored.apply(&save);
         }
     }
 }
@@ -63,7 +63,7 @@
             self.write(save.clone());
         }
         match self.fault {
-            Some(fault) if self.planted != Some(PlantedBug::UnstoredAck) => Err(DiskError(fault)),
+            Some(fault) if self.planted_bug != Some(PlantedBug::UnstoredAck) => Err(DiskError(fault)),
             _ => Ok(()),
         }
     }
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -19,9 +19,9 @@
         let any = self.draw_member(&ids);
         let until = self.now + self.random.random_range(1..=40_i64) * 100 * MS;
         match self.random.random_range(0..10) {
-            0 | 1 => self.cut_pair(any, &ids, until),
+            0 | 1 => self.partition_pair(any, &ids, until),
             2 | 3 => self.isolate(any, &ids, until),
-            4 => self.stall_a_holder(any, &ids, until),
+            4 => self.stall_lease_holder(any, &ids, until),
             5 => self.crash(any, until),
             6 => self.fill_disk(any, until),
             7 => self.crash_all(&ids),
@@ -38,11 +38,11 @@
     }
 
     /// Cuts a member off from another, in one way or both.
-    fn cut_pair(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
+    fn partition_pair(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
         let other = self.draw_member(ids);
-        self.cuts.insert((id, other), until);
+        self.partitions.insert((id, other), until);
         if self.random.random() {
-            self.cuts.insert((other, id), until);
+            self.partitions.insert((other, id), until);
         }
     }
 
@@ -53,16 +53,16 @@
         let ways = self.random.random_range(1..=SENDING | RECEIVING);
         for other in ids.iter().filter(|other| **other != id) {
             if ways & SENDING != 0 {
-                self.cuts.insert((id, *other), until);
+                self.partitions.insert((id, *other), until);
             }
             if ways & RECEIVING != 0 {
-                self.cuts.insert((*other, id), until);
+                self.partitions.insert((*other, id), until);
             }
         }
     }
 
     /// Stalls a member that holds a lease; the given one, if none does.
-    fn stall_a_holder(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
+    fn stall_lease_holder(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
         let holds =
             |id: &&MemberId| self.members.get(id).is_some_and(|member| !member.holder.held().is_empty());
         let id = ids.iter().find(holds).copied().unwrap_or(id);
@@ -117,8 +117,8 @@
     pub(super) fn crash(&mut self, id: MemberId, back: Instant) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
-        if self.planted == Some(PlantedBug::EmptyStore) {
-            member.disk.kept = StoredLog::default();
+        if self.planted_bug == Some(PlantedBug::EmptyStore) {
+            member.disk.stored = StoredLog::default();
         }
         self.schedule(back, FederationEvent::Restart(id));
     }
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -1,7 +1,7 @@
 //! The members' leases: they seek and renew them, and act under their fencing tokens.
 
 use super::world::{FederationEvent, FederationWorld};
-use super::{draw_span, PlantedBug, DUTIES, SHORTEST_DELAY, TERMS, TICK};
+use super::{draw_span, PlantedBug, DUTIES, LEASE_TERMS, MIN_DELAY, TICK};
 use crate::federation::duties::LeaseTerms;
 use crate::federation::state::Command;
 use crate::federation::MemberId;
@@ -9,9 +9,9 @@
 
 impl FederationWorld {
     pub(super) fn lease_terms(&self) -> LeaseTerms {
-        match self.planted {
-            Some(PlantedBug::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..TERMS },
-            _ => TERMS,
+        match self.planted_bug {
+            Some(PlantedBug::NoGuard) => LeaseTerms { guard: Span::ZERO, drift: 0.0, ..LEASE_TERMS },
+            _ => LEASE_TERMS,
         }
     }
 
@@ -23,7 +23,7 @@
         let local = member.clock(now);
         let Some(node) = &mut member.node else { return };
         let (state, leads) = (node.state().clone(), node.is_leader());
-        let mut commands = member.holder.set_candidacies(&member.wants);
+        let mut commands = member.holder.set_candidacies(&member.wanted_duties);
         commands.extend(member.holder.due_requests(local, &state));
         let held = DUTIES.iter().filter_map(|duty| Some((*duty, member.holder.token(local, duty)?)));
         let held: Vec<(&'static str, u64)> = held.collect();
@@ -46,8 +46,8 @@
 
     fn forward_to_leader(&mut self, id: MemberId, leader: MemberId, commands: Vec<Command>) {
         for command in commands {
-            if leader.is_some() && !self.is_cut(id, leader) {
-                let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.max_delay);
+            if leader.is_some() && !self.is_partitioned(id, leader) {
+                let delay = draw_span(&mut self.random, MIN_DELAY..self.max_delay);
                 self.schedule(self.now + delay, FederationEvent::Forward(id, leader, command));
             }
         }
@@ -66,7 +66,7 @@
             return self.schedule(at, FederationEvent::Act(id, duty, token));
         }
         let local = member.clock(now);
-        if self.planted != Some(PlantedBug::NoLook) && member.holder.token(local, duty) != Some(token) {
+        if self.planted_bug != Some(PlantedBug::NoLook) && member.holder.token(local, duty) != Some(token) {
             return;
         }
         self.observe_act(id, duty, token);
--- a/src/sim/federation/member.rs
+++ b/src/sim/federation/member.rs
@@ -15,7 +15,7 @@
     pub(super) holder: LeaseHolder,
     pub(super) grantor: LeaseGrantor,
     /// The duties for which it seeks leases.
-    pub(super) wants: BTreeSet<String>,
+    pub(super) wanted_duties: BTreeSet<String>,
     /// The part by which its clock runs faster than the world's.
     pub(super) drift: f64,
     /// What its clock read at the world's zero.
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -4,7 +4,7 @@
 use super::member::SimulatedMember;
 use super::observer::ObservedStep;
 use super::world::{FederationEvent, FederationWorld};
-use super::{draw_span, DRIFT, DUTIES, LAST_FAULT, MS, QUIET, TERMS, TICK, TUNING};
+use super::{draw_span, DUTIES, LAST_FAULT, LEASE_TERMS, MAX_DRIFT, MS, QUIET_PERIOD, TICK, TUNING};
 use crate::federation::duties::{LeaseGrantor, LeaseHolder};
 use crate::federation::log::StoredLog;
 use crate::federation::node::Node;
@@ -21,16 +21,17 @@
 
 impl FederationWorld {
     /// Adds a member with what its store holds, and starts it.
-    pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
+    pub(super) fn add(&mut self, id: MemberId, stored: StoredLog) {
         // Mostly as slow or fast as allowed: what is between finds less.
-        let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
+        let drift = [-MAX_DRIFT, MAX_DRIFT, self.random.random_range(-MAX_DRIFT..=MAX_DRIFT)]
+            [self.random.random_range(0..3)];
         let member = SimulatedMember {
-            disk: Disk::new(kept, self.planted),
+            disk: Disk::new(stored, self.planted_bug),
             node: None,
             incarnation: id.0 * INCARNATIONS_PER_MEMBER,
-            holder: LeaseHolder::new(id, TERMS, 0),
-            grantor: LeaseGrantor::new(TERMS),
-            wants: BTreeSet::new(),
+            holder: LeaseHolder::new(id, LEASE_TERMS, 0),
+            grantor: LeaseGrantor::new(LEASE_TERMS),
+            wanted_duties: BTreeSet::new(),
             drift,
             clock_start: Instant::ZERO + self.random.random_range(0..1000_i64) * MS,
             tick: Span::from_micros_f64(TICK.as_micros_f64() / (1.0 + drift)),
@@ -48,21 +49,21 @@
         let seed = self.random.random();
         let terms = self.lease_terms();
         let asks = self.random.random();
-        let wants = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
-        let wants = wants.map(|duty| (*duty).to_owned()).collect();
+        let wanted_duties = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
+        let wanted_duties = wanted_duties.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
         // Of an earlier process only what its disk holds is left.
         member.holder = LeaseHolder::new(id, terms, asks);
         member.grantor = LeaseGrantor::new(terms);
-        member.wants = wants;
+        member.wanted_duties = wanted_duties;
         member.disk.unsynced = None;
-        let kept = &mut member.disk.kept;
+        let stored = &mut member.disk.stored;
         // The terms that the log itself shows are not forgotten.
-        let log_term = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard_state.term = kept.hard_state.term.max(log_term);
-        match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
+        let log_term = stored.entries.last().map_or(stored.snapshot.term, |entry| entry.term);
+        stored.hard_state.term = stored.hard_state.term.max(log_term);
+        match Node::new(id, member.disk.stored.clone(), TUNING, seed) {
             Ok(node) => member.node = Some(node),
-            Err(error) => self.breach("start", format!("member {id}: {error}")),
+            Err(error) => self.record_breach("start", format!("member {id}: {error}")),
         }
     }
 
@@ -104,7 +105,7 @@
                 }
                 return;
             }
-            Err(error) => return self.breach("drive", format!("member {id}: {error}")),
+            Err(error) => return self.record_breach("drive", format!("member {id}: {error}")),
         };
         self.observe(step);
         for message in messages {
@@ -119,8 +120,8 @@
             self.tick_node(id);
             self.seek_and_renew_leases(id);
             // In the end all duties are left: no lease may stay behind.
-            if self.now > LAST_FAULT + QUIET / 2 {
-                self.members.entry(id).and_modify(|member| member.wants.clear());
+            if self.now > LAST_FAULT + QUIET_PERIOD / 2 {
+                self.members.entry(id).and_modify(|member| member.wanted_duties.clear());
             }
         }
         self.schedule(next, FederationEvent::Tick(id, number + 1));
--- a/src/sim/federation/messages.rs
+++ b/src/sim/federation/messages.rs
@@ -1,7 +1,7 @@
 //! What goes between members: messages, forwarded commands, and commands that keep the log growing.
 
 use super::world::{FederationEvent, FederationWorld};
-use super::{draw_span, PlantedBug, LAST_FAULT, MS, QUIET, SHORTEST_DELAY};
+use super::{draw_span, PlantedBug, LAST_FAULT, MIN_DELAY, MS, QUIET_PERIOD};
 use crate::federation::records::{MessageKind, MessageRecord};
 use crate::federation::state::Command;
 use crate::federation::MemberId;
@@ -10,25 +10,26 @@
 /// One message in so many is lost.
 const MESSAGES_PER_LOSS: i32 = 100;
 /// The commands without effect name members from this number on, which no member has.
-const FIRST_LOAD_MEMBER: u64 = 1_000_000;
+const FIRST_FILLER_MEMBER: u64 = 1_000_000;
 
 impl FederationWorld {
     /// Whether no message gets from one member to another.
-    pub(super) fn is_cut(&self, from: MemberId, to: MemberId) -> bool {
-        self.cuts.get(&(from, to)).is_some_and(|until| *until > self.now)
+    pub(super) fn is_partitioned(&self, from: MemberId, to: MemberId) -> bool {
+        self.partitions.get(&(from, to)).is_some_and(|until| *until > self.now)
     }
 
     /// Sends a member's message, which may be lost.
     pub(super) fn send(&mut self, id: MemberId, message: MessageRecord) {
-        self.maybe_crash_voting(id, &message);
+        self.maybe_crash_on_vote(id, &message);
         if message.kind == MessageKind::Snapshot {
             // Sent, as far as the sender knows: that it was lost shows in the answers.
             if let Some(node) = self.members.get_mut(&id).and_then(|member| member.node.as_mut()) {
                 node.report_snapshot(message.to, true);
             }
         }
-        let delay = draw_span(&mut self.random, SHORTEST_DELAY..self.max_delay);
-        let is_lost = self.random.random_range(0..MESSAGES_PER_LOSS) == 0 || self.is_cut(id, message.to);
+        let delay = draw_span(&mut self.random, MIN_DELAY..self.max_delay);
+        let is_lost =
+            self.random.random_range(0..MESSAGES_PER_LOSS) == 0 || self.is_partitioned(id, message.to);
         if !is_lost {
             let incarnation = self.members.get(&id).map_or(0, |member| member.incarnation);
             let event = FederationEvent::Message(Box::new(message), incarnation);
@@ -37,7 +38,7 @@
     }
 
     /// A member may crash as it grants a vote.
-    fn maybe_crash_voting(&mut self, id: MemberId, message: &MessageRecord) {
+    fn maybe_crash_on_vote(&mut self, id: MemberId, message: &MessageRecord) {
         let grants_vote = message.kind == MessageKind::VoteResponse && !message.reject;
         if !grants_vote || self.votes_per_crash == 0 || self.now >= LAST_FAULT {
             return;
@@ -51,7 +52,7 @@
     /// A message reaches a member, which may be stalled or know the sender's store for another.
     pub(super) fn deliver(&mut self, message: Box<MessageRecord>, incarnation: u64) {
         let (id, from) = (message.to, message.from);
-        if self.is_cut(from, id) {
+        if self.is_partitioned(from, id) {
             return;
         }
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -64,12 +65,12 @@
             self.files.get(member.file as usize).is_some_and(|file| file.contains_key(&from));
         let Some(node) = &mut member.node else { return };
         let is_listed = revision > node.state().revision && file_lists_sender;
-        let admits_any_store = self.planted == Some(PlantedBug::EmptyStore);
+        let admits_any_store = self.planted_bug == Some(PlantedBug::EmptyStore);
         if !admits_any_store && node.state().admits(from, incarnation, is_listed).is_err() {
             return;
         }
         if let Err(why) = node.step(&message) {
-            self.breach("message", format!("{why}: {message:?}"));
+            self.record_breach("message", format!("{why}: {message:?}"));
         }
         self.drive(id);
     }
@@ -85,10 +86,10 @@
     }
 
     /// Whoever leads proposes a command without effect, which takes its place in the log all the same.
-    pub(super) fn propose_load(&mut self) {
-        self.loads += 1;
-        let id = MemberId(FIRST_LOAD_MEMBER + self.loads);
-        let command = Command::Enrol { id, incarnation: self.loads };
+    pub(super) fn propose_filler(&mut self) {
+        self.filler_commands += 1;
+        let id = MemberId(FIRST_FILLER_MEMBER + self.filler_commands);
+        let command = Command::Enrol { id, incarnation: self.filler_commands };
         let ids: Vec<MemberId> = self.members.keys().copied().collect();
         for id in ids {
             let member = self.members.get_mut(&id).filter(|member| member.stalled_until <= self.now);
@@ -98,8 +99,8 @@
             }
         }
         let pause = self.random.random_range(50..400_i64) * MS;
-        if self.now < LAST_FAULT + QUIET / 4 {
-            self.schedule(self.now + pause, FederationEvent::ProposeLoad);
+        if self.now < LAST_FAULT + QUIET_PERIOD / 4 {
+            self.schedule(self.now + pause, FederationEvent::ProposeFiller);
         }
     }
 }
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -2,7 +2,7 @@
 //! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from
 //! the store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
 //!
-//! - `world`: the run's agenda and what happens; `member`: one member; `members`: they start, restart and take steps.
+//! - `world`: the run's event queue and what happens; `member`: one member; `members`: they start, restart and take steps.
 //! - `messages`: what goes between members; `leases`: what they do with their duties.
 //! - `faults`: what goes wrong; `disk`: a member's store.
 //! - `observer`: what all members did so far; `checks`: what must hold of it.
@@ -36,16 +36,16 @@
 const FIRST_FAULT: Instant = Instant::from_micros(1_000_000);
 const LAST_FAULT: Instant = Instant::from_micros(20_000_000);
 /// The longest that a fault lasts beyond the last one's begin.
-const LAST_FAULT_LASTS: Span = Span::from_secs(5);
+const MAX_FAULT_DURATION: Span = Span::from_secs(5);
 /// How long the members have without faults to agree.
-const QUIET: Span = Span::from_secs(12);
+const QUIET_PERIOD: Span = Span::from_secs(12);
 const TUNING: Tuning = Tuning { election_ticks: 10, heartbeat_ticks: 2, compact_after: 12 };
 /// The shortest time that a message takes.
-const SHORTEST_DELAY: Span = Span::from_micros(500);
+const MIN_DELAY: Span = Span::from_micros(500);
 /// The largest part by which clocks run too fast or slow.
-const DRIFT: f64 = 0.05;
-const TERMS: LeaseTerms =
-    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: DRIFT };
+const MAX_DRIFT: f64 = 0.05;
+const LEASE_TERMS: LeaseTerms =
+    LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: MAX_DRIFT };
 /// The duties for which members seek leases.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
@@ -120,6 +120,6 @@
 }
 
 /// Plays one seed.
-pub fn run(seed: u64, planted: Option<PlantedBug>) -> FederationOutcome {
-    FederationWorld::new(seed, planted).play()
+pub fn run(seed: u64, planted_bug: Option<PlantedBug>) -> FederationOutcome {
+    FederationWorld::new(seed, planted_bug).play()
 }
--- a/src/sim/federation/observer.rs
+++ b/src/sim/federation/observer.rs
@@ -55,7 +55,7 @@
 }
 
 impl Observer {
-    pub(super) fn breach(&mut self, now: Instant, rule: &'static str, text: String) {
+    pub(super) fn record_breach(&mut self, now: Instant, rule: &'static str, text: String) {
         if self.breaches.iter().all(|breach| breach.rule != rule) {
             self.breaches.push(Breach { rule, at: now - Instant::ZERO, text });
         }
--- a/src/sim/federation/summary.rs
+++ b/src/sim/federation/summary.rs
@@ -25,8 +25,8 @@
 }
 
 /// Plays one seed; a panic counts as a broken rule.
-fn play(seed: u64, planted: Option<PlantedBug>) -> FederationOutcome {
-    let played = catch_unwind(AssertUnwindSafe(|| run(seed, planted)));
+fn play(seed: u64, planted_bug: Option<PlantedBug>) -> FederationOutcome {
+    let played = catch_unwind(AssertUnwindSafe(|| run(seed, planted_bug)));
     played.unwrap_or_else(|panic| {
         let breach = Breach { rule: "panic", at: Span::ZERO, text: panics::message(&*panic) };
         FederationOutcome { breaches: vec![breach], ..FederationOutcome::default() }
@@ -34,10 +34,10 @@
 }
 
 /// Plays seeds on all cores.
-pub fn search(seeds: Range<u64>, planted: Option<PlantedBug>) -> FederationSummary {
+pub fn search(seeds: Range<u64>, planted_bug: Option<PlantedBug>) -> FederationSummary {
     let count = seeds.end.saturating_sub(seeds.start);
     let outcomes: Vec<(u64, FederationOutcome)> =
-        seeds.into_par_iter().map(|seed| (seed, play(seed, planted))).collect();
+        seeds.into_par_iter().map(|seed| (seed, play(seed, planted_bug))).collect();
     let counts = outcomes.iter().map(|(_, outcome)| outcome.counts).sum();
     let first_breach = |(seed, outcome): (u64, FederationOutcome)| {
         outcome.breaches.into_iter().next().map(|breach| (seed, breach))
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,9 +1,10 @@
-//! A run under way: its state, its agenda, and what happens at each event.
+//! A run under way: its state, its event queue, and what happens at each event.
 
 use super::member::SimulatedMember;
 use super::observer::Observer;
 use super::{
-    draw_instant, FederationOutcome, PlantedBug, FIRST_FAULT, LAST_FAULT, LAST_FAULT_LASTS, MS, QUIET,
+    draw_instant, FederationOutcome, PlantedBug, FIRST_FAULT, LAST_FAULT, MAX_FAULT_DURATION, MS,
+    QUIET_PERIOD,
 };
 use crate::federation::node::founding_log;
 use crate::federation::records::MessageRecord;
@@ -43,7 +44,7 @@
     /// A member's command reaches the one that it takes for the leader.
     Forward(MemberId, MemberId, Command),
     /// The leader proposes a command without effect.
-    ProposeLoad,
+    ProposeFiller,
     /// A new file, by its number, reaches a member.
     File(MemberId, u64),
 }
@@ -51,11 +52,11 @@
 /// A run under way.
 pub(super) struct FederationWorld {
     pub(super) now: Instant,
-    agenda: BTreeMap<(Instant, u64), FederationEvent>,
+    event_queue: BTreeMap<(Instant, u64), FederationEvent>,
     scheduled: u64,
     pub(super) members: BTreeMap<MemberId, SimulatedMember>,
     /// By sender and receiver: until when no message gets through.
-    pub(super) cuts: BTreeMap<(MemberId, MemberId), Instant>,
+    pub(super) partitions: BTreeMap<(MemberId, MemberId), Instant>,
     /// All federation files so far.
     pub(super) files: Vec<Roster>,
     pub(super) random: ChaCha8Rng,
@@ -65,16 +66,16 @@
     pub(super) max_delay: Span,
     /// Of so many granted votes one is the last thing that its member does for a moment; 0: none.
     pub(super) votes_per_crash: u32,
-    pub(super) planted: Option<PlantedBug>,
+    pub(super) planted_bug: Option<PlantedBug>,
     pub(super) observer: Observer,
     /// Commands without effect that were proposed.
-    pub(super) loads: u64,
+    pub(super) filler_commands: u64,
     pub(super) trace: DefaultHasher,
 }
 
 impl FederationWorld {
     /// A federation at its founding_log, with all faults planned.
-    pub(super) fn new(seed: u64, planted: Option<PlantedBug>) -> Self {
+    pub(super) fn new(seed: u64, planted_bug: Option<PlantedBug>) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let voters = [3, 3, 5][random.random_range(0..3)];
         let founders = voters + random.random_range(0..=2);
@@ -88,27 +89,27 @@
         let file: Roster = (1..=founders).map(founder).collect();
         let mut world = FederationWorld {
             now: Instant::ZERO,
-            agenda: BTreeMap::new(),
+            event_queue: BTreeMap::new(),
             scheduled: 0,
             members: BTreeMap::new(),
-            cuts: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             files: vec![file],
             random,
             disk_random: ChaCha8Rng::seed_from_u64(!seed),
             max_delay,
             votes_per_crash,
-            planted,
+            planted_bug,
             observer: Observer::default(),
-            loads: 0,
+            filler_commands: 0,
             trace: DefaultHasher::new(),
         };
-        world.found();
+        world.add_founders();
         world.plan_events(seed, faults);
         world
     }
 
     /// Adds the members of the first file.
-    fn found(&mut self) {
+    fn add_founders(&mut self) {
         let founded = State::founded(CLUSTER, FIRST_REVISION, &self.files[0]);
         let founders: Vec<MemberId> = self.files[0].keys().copied().collect();
         for id in founders {
@@ -121,7 +122,7 @@
             let at = draw_instant(&mut self.random, FIRST_FAULT..LAST_FAULT);
             self.schedule(at, FederationEvent::Fault);
         }
-        self.schedule(Instant::ZERO + MS, FederationEvent::ProposeLoad);
+        self.schedule(Instant::ZERO + MS, FederationEvent::ProposeFiller);
         if seed % SEEDS_PER_DISK_FAULTS == FIRST_SEED_WITH_DISK_FAULTS {
             self.plan_disk_faults();
         }
@@ -130,13 +131,13 @@
     /// Schedules an event, now at the earliest.
     pub(super) fn schedule(&mut self, at: Instant, event: FederationEvent) {
         self.scheduled += 1;
-        self.agenda.insert((at.max(self.now), self.scheduled), event);
+        self.event_queue.insert((at.max(self.now), self.scheduled), event);
     }
 
     /// Plays to the end, or to the first breach: what follows from one says nothing.
     pub(super) fn play(mut self) -> FederationOutcome {
-        let end = LAST_FAULT + LAST_FAULT_LASTS + QUIET;
-        while let Some(((at, _), event)) = self.agenda.pop_first().filter(|((at, _), _)| *at < end) {
+        let end = LAST_FAULT + MAX_FAULT_DURATION + QUIET_PERIOD;
+        while let Some(((at, _), event)) = self.event_queue.pop_first().filter(|((at, _), _)| *at < end) {
             self.now = at;
             self.handle(event);
             if !self.observer.breaches.is_empty() {
@@ -159,7 +160,7 @@
             FederationEvent::Message(message, incarnation) => self.deliver(message, incarnation),
             FederationEvent::Forward(from, to, command) => self.forward(from, to, &command),
             FederationEvent::Act(id, duty, token) => self.act(id, duty, token),
-            FederationEvent::ProposeLoad => self.propose_load(),
+            FederationEvent::ProposeFiller => self.propose_filler(),
             FederationEvent::Restart(id) => self.restart(id),
             FederationEvent::File(id, file) => {
                 if let Some(member) = self.members.get_mut(&id) {
@@ -177,7 +178,7 @@
     }
 
     /// Records a breach, unless the rule was broken before.
-    pub(super) fn breach(&mut self, rule: &'static str, text: String) {
-        self.observer.breach(self.now, rule, text);
+    pub(super) fn record_breach(&mut self, rule: &'static str, text: String) {
+        self.observer.record_breach(self.now, rule, text);
     }
 }
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -97,7 +97,7 @@
     }
 
     /// Records a breach, unless the rule was broken before.
-    pub fn breach(&mut self, now: Instant, rule: &'static str, text: String) {
+    pub fn record_breach(&mut self, now: Instant, rule: &'static str, text: String) {
         if self.breaches.iter().all(|breach| breach.rule != rule) {
             self.breaches.push(Breach { rule, at: now - self.start, text });
         }
@@ -109,17 +109,17 @@
     }
 
     /// A host was drained or removed, which counts as stated at `stated`.
-    pub fn host_left(&mut self, host: HostId, stated: Instant) {
+    pub fn host_drained(&mut self, host: HostId, stated: Instant) {
         self.drain_deadlines.entry(host).or_insert(stated + DRAIN_BOUND);
     }
 
     /// A host may be used again.
-    pub fn host_returned(&mut self, host: HostId) {
+    pub fn host_up_again(&mut self, host: HostId) {
         self.drain_deadlines.remove(&host);
     }
 
     /// The feed is cut off since `since`: what it stated after that counts as stated at `stated` at the earliest.
-    pub fn feed_cut(&mut self, since: Instant, stated: Instant) {
+    pub fn feed_cut_off(&mut self, since: Instant, stated: Instant) {
         for deadline in self.drain_deadlines.values_mut().filter(|deadline| **deadline >= since + DRAIN_BOUND)
         {
             *deadline = (*deadline).max(stated + DRAIN_BOUND);
@@ -148,7 +148,11 @@
         let deadline = self.drain_deadlines.get(&attempt.host);
         let Some(deadline) = deadline.filter(|deadline| sent > **deadline) else { return };
         let late = (sent - *deadline).as_millis();
-        self.breach(now, "drain", format!("{trace} goes to {host_name} {late} ms after it had to stop"));
+        self.record_breach(
+            now,
+            "drain",
+            format!("{trace} goes to {host_name} {late} ms after it had to stop"),
+        );
     }
 
     fn check_client_left(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
@@ -157,7 +161,7 @@
         let Some(left) = left.filter(|left| sent > **left + CANCEL_BOUND + MAX_TRANSIT) else { return };
         let late = (sent - *left).as_millis();
         let text = format!("{trace} goes to {host_name} {late} ms after its client left");
-        self.breach(now, "after-leaving", text);
+        self.record_breach(now, "after-leaving", text);
     }
 
     /// Checks that a write was not sent elsewhere before, where it may have run and may not be repeated.
@@ -179,7 +183,7 @@
             let after = (sent - first_sent).as_millis();
             let text =
                 format!("{trace} goes to {host_name} {after} ms after it may have run at host {first_host}");
-            self.breach(now, rule, text);
+            self.record_breach(now, rule, text);
         }
     }
 
@@ -197,14 +201,22 @@
         let purges = self.purges.get(object);
         let Some(purge) = purges.and_then(|purges| purges.iter().find(is_broken)) else { return };
         let age = (purge.purged_at - handed_out).as_millis();
-        self.breach(now, "purge", format!("{object} is served by a copy {age} ms older than its purge"));
+        self.record_breach(
+            now,
+            "purge",
+            format!("{object} is served by a copy {age} ms older than its purge"),
+        );
     }
 
     /// A request that was sent at `sent` got its answer.
     pub fn answered(&mut self, now: Instant, trace: &str, sent: Instant, client_timeout: Span) {
         let late = now - sent - client_timeout;
         if late > ANSWER_GRACE + MAX_TRANSIT {
-            self.breach(now, "late", format!("{trace} is answered {} ms after its time", late.as_millis()));
+            self.record_breach(
+                now,
+                "late",
+                format!("{trace} is answered {} ms after its time", late.as_millis()),
+            );
         }
     }
 }
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -5,7 +5,7 @@
 pub use summary::{Failure, Summary};
 
 use super::rules::Breach;
-use super::world::{run, AnswerCounts, RunOutcome, Sabotage};
+use super::world::{run, AnswerCounts, PlantedBug, RunOutcome};
 use crate::interface::Span;
 use crate::panics;
 use crate::standin::faults::{Fault, RunPlan};
@@ -16,8 +16,8 @@
 use std::time::Instant;
 
 /// Plays one seed with some of its faults; a panic counts as a broken rule.
-pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> RunOutcome {
-    let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, sabotage)));
+pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
+    let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, planted_bug)));
     played.unwrap_or_else(|panic| {
         let breach = Breach { rule: "panic", at: Span::ZERO, text: panics::message(&*panic) };
         RunOutcome { breaches: vec![breach], ..RunOutcome::default() }
@@ -26,14 +26,14 @@
 
 /// Drops faults from a seed's script one by one, as long as the rule is still broken; none of those left can be
 /// dropped.
-pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, sabotage: Option<Sabotage>) -> Failure {
+pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, planted_bug: Option<PlantedBug>) -> Failure {
     let script = plan.script(seed);
     let pick = |keep: &[usize]| -> Vec<Fault> { keep.iter().map(|n| script[*n].clone()).collect() };
-    let play_kept = |keep: &[usize]| play(plan, seed, &pick(keep), sabotage);
+    let play_kept = |keep: &[usize]| play(plan, seed, &pick(keep), planted_bug);
     let is_broken = |keep: &Vec<usize>| play_kept(keep).breach_of(rule).is_some();
     let mut keep: Vec<usize> = (0..script.len()).collect();
     loop {
-        let fewer = without_each(&keep).find(is_broken);
+        let fewer = lists_without_one(&keep).find(is_broken);
         let Some(fewer) = fewer else { break };
         keep = fewer;
     }
@@ -50,7 +50,7 @@
 }
 
 /// The list without its first element, without its second, and so on.
-fn without_each(list: &[usize]) -> impl Iterator<Item = Vec<usize>> + '_ {
+fn lists_without_one(list: &[usize]) -> impl Iterator<Item = Vec<usize>> + '_ {
     (0..list.len()).map(|n| {
         let mut fewer = list.to_vec();
         fewer.remove(n);
@@ -89,17 +89,22 @@
 }
 
 /// Plays seeds on all cores; at most `max_failures` failures are shrunk.
-pub fn search(plan: &RunPlan, seeds: Range<u64>, sabotage: Option<Sabotage>, max_failures: usize) -> Summary {
+pub fn search(
+    plan: &RunPlan,
+    seeds: Range<u64>,
+    planted_bug: Option<PlantedBug>,
+    max_failures: usize,
+) -> Summary {
     let begun = Instant::now();
     let count = seeds.end.saturating_sub(seeds.start);
-    let play_seed = |seed| Totals::of_run(seed, &play(plan, seed, &plan.script(seed), sabotage));
+    let play_seed = |seed| Totals::of_run(seed, &play(plan, seed, &plan.script(seed), planted_bug));
     let totals = seeds.into_par_iter().map(play_seed).reduce(Totals::default, Totals::add);
     let mut broken: BTreeMap<String, u64> = BTreeMap::new();
     for rule in totals.failed.values() {
         *broken.entry((*rule).to_owned()).or_default() += 1;
     }
     let shrunk = totals.failed.iter().take(max_failures);
-    let failures = shrunk.map(|(seed, rule)| shrink(plan, *seed, rule, sabotage)).collect();
+    let failures = shrunk.map(|(seed, rule)| shrink(plan, *seed, rule, planted_bug)).collect();
     Summary {
         seeds: count,
         took: begun.elapsed(),
--- a/src/sim/site_variant.rs
+++ b/src/sim/site_variant.rs
@@ -10,7 +10,7 @@
     /// All weights in the endpoint list are 1, whatever the links are.
     pub silent_weights: bool,
     /// Rejections carry no Retry-After.
-    pub no_pause: bool,
+    pub no_retry_after: bool,
     /// A request has one attempt in flight at a time.
     pub one_at_a_time: bool,
     /// Attempts cannot be cancelled.
@@ -24,7 +24,7 @@
     /// Requests are not sent directly to a parent or the origin.
     pub no_direct: bool,
     /// A request has two attempts at most.
-    pub few_attempts: bool,
+    pub two_attempts: bool,
     /// A write may be repeated under its idempotency key for [`DEDUP_WINDOW_MS`].
     pub keyed_writes: bool,
 }
@@ -45,14 +45,14 @@
         let bit = |n: u32| bits >> n & 1 == 1;
         SiteVariant {
             silent_weights: bit(0),
-            no_pause: bit(1),
+            no_retry_after: bit(1),
             one_at_a_time: bit(2),
             no_cancel: bit(3),
             no_notes: bit(4) && bit(5),
             sparse_notes: bit(4) && !bit(5),
             shared_fills: bit(10),
             no_direct: bit(6),
-            few_attempts: bit(7) && bit(8),
+            two_attempts: bit(7) && bit(8),
             keyed_writes: bit(9),
         }
     }
@@ -64,10 +64,10 @@
                 settings[path[0]][path[1]] = value;
             }
         };
-        set(self.no_pause, ["limits", "retry_after"], json!(false));
+        set(self.no_retry_after, ["limits", "retry_after"], json!(false));
         set(self.one_at_a_time, ["limits", "parallel_tries"], json!(false));
         set(self.no_cancel, ["limits", "cancel"], json!(false));
-        set(self.few_attempts, ["limits", "max_attempts"], json!(2));
+        set(self.two_attempts, ["limits", "max_attempts"], json!(2));
         set(self.no_notes, ["domain", "tells"], json!("silent"));
         set(self.sparse_notes, ["domain", "tells"], json!("hit"));
         set(self.shared_fills, ["domain", "lateral"], json!("any"));
--- a/src/sim/site_variant/tests.rs
+++ b/src/sim/site_variant/tests.rs
@@ -3,28 +3,28 @@
 use super::*;
 
 #[test]
-fn half_of_the_runs_have_the_default_site_and_every_difference_is_drawn() {
+fn even_seeds_have_the_default_site_and_odd_seeds_vary() {
     let usual = SiteVariant::draw(0);
     assert!((0..100).step_by(2).all(|seed| SiteVariant::draw(seed) == usual));
     let all: Vec<SiteVariant> = (1..200).step_by(2).map(SiteVariant::draw).collect();
     let seen = |of: fn(&SiteVariant) -> bool| all.iter().filter(|c| of(c)).count();
     let counts = [
         seen(|c| c.silent_weights),
-        seen(|c| c.no_pause),
+        seen(|c| c.no_retry_after),
         seen(|c| c.one_at_a_time),
         seen(|c| c.no_cancel),
         seen(|c| c.no_notes),
         seen(|c| c.sparse_notes),
         seen(|c| c.shared_fills),
         seen(|c| c.no_direct),
-        seen(|c| c.few_attempts),
+        seen(|c| c.two_attempts),
         seen(|c| c.keyed_writes),
     ];
     assert!(counts.iter().all(|n| (10..90).contains(n)), "{counts:?}");
 }
 
 #[test]
-fn silent_weights_hide_the_links() {
+fn silent_weights_set_all_shares_to_one() {
     let (mut settings, mut hosts) = (json!({}), json!([{"share": 4.0}, {"share": 7.5}]));
     SiteVariant { silent_weights: true, ..SiteVariant::draw(0) }.apply(&mut settings, &mut hosts);
     assert_eq!(
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -1,7 +1,7 @@
 //! The hard cases as scripts, the planted bugs, and a few hundred seeds.
 
 use super::runner::{play, search, shrink};
-use super::world::{run, RunOutcome, Sabotage};
+use super::world::{run, PlantedBug, RunOutcome};
 use crate::standin::faults::system_error::SystemError;
 use crate::standin::faults::{Fault, FaultKind, RunPlan};
 use crate::standin::ids::{ClientId, HostId};
@@ -15,7 +15,7 @@
 }
 
 /// Plays a script with many seeds' traffic: no rule is broken, whatever the traffic.
-fn holds(seeds: std::ops::Range<u64>, script: impl Fn(i64) -> Vec<Fault>) -> Vec<RunOutcome> {
+fn assert_no_breach(seeds: std::ops::Range<u64>, script: impl Fn(i64) -> Vec<Fault>) -> Vec<RunOutcome> {
     let plan = RunPlan { requests: 150, ..RunPlan::default() };
     let outcomes: Vec<RunOutcome> = seeds.map(|seed| play(&plan, seed, &script(seed as i64), None)).collect();
     for (n, outcome) in outcomes.iter().enumerate() {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_seed_repeats_bit_for_bit() {
+fn same_seed_gives_the_same_trace() {
     let plan = RunPlan::default();
     let mut traces = std::collections::BTreeSet::new();
     for seed in 0..20 {
@@ -46,35 +46,35 @@
 }
 
 #[test]
-fn planted_bugs_are_found_and_shrunk_to_what_they_need() {
+fn planted_bugs_are_found_and_shrunk_to_needed_faults() {
     // Without the faults of the processes' host, which would hide the rare ones, and with them.
     let (without, with) = (RunPlan::default().without_system_faults(), RunPlan::default());
-    for (plan, sabotage, rule, seeds, needs) in [
-        (&without, Sabotage::ResultTwice, "result-twice", 0..60, 1),
-        (&without, Sabotage::DeafToDrains, "drain", 0..60, 1),
-        (&without, Sabotage::DeafToPurges, "purge", 0..60, 1),
+    for (plan, planted_bug, rule, seeds, needs) in [
+        (&without, PlantedBug::ResultTwice, "result-twice", 0..60, 1),
+        (&without, PlantedBug::DeafToDrains, "drain", 0..60, 1),
+        (&without, PlantedBug::DeafToPurges, "purge", 0..60, 1),
         // Rarer: a client leaves as its request waits, or a connection comes up late behind a break.
-        (&without, Sabotage::DeafToClients, "after-leaving", 90..110, 2),
-        (&without, Sabotage::LongWindow, "late-repeat", 920..930, 3),
+        (&without, PlantedBug::DeafToClients, "after-leaving", 90..110, 2),
+        (&without, PlantedBug::LongWindow, "late-repeat", 920..930, 3),
         // A step back freezes every deadline.
-        (&with, Sabotage::WallDeadlines, "unanswered", 0..60, 1),
+        (&with, PlantedBug::WallDeadlines, "unanswered", 0..60, 1),
     ] {
-        let summary = search(plan, seeds, Some(sabotage), 1);
-        let failure = summary.failures.first().unwrap_or_else(|| panic!("{sabotage:?}: {summary}"));
+        let summary = search(plan, seeds, Some(planted_bug), 1);
+        let failure = summary.failures.first().unwrap_or_else(|| panic!("{planted_bug:?}: {summary}"));
         assert_eq!((failure.rule.as_str(), failure.keep.len()), (rule, needs), "{failure:?}");
         // What is told to repeat it does so, twice alike; without the bug the same script breaks nothing.
-        let again = || play(plan, failure.seed, &failure.faults, Some(sabotage));
-        assert_eq!((again().trace, again()), (failure.trace, again()));
-        assert_eq!(again().breaches[0].rule, rule);
+        let replay = || play(plan, failure.seed, &failure.faults, Some(planted_bug));
+        assert_eq!((replay().trace, replay()), (failure.trace, replay()));
+        assert_eq!(replay().breaches[0].rule, rule);
         assert_eq!(play(plan, failure.seed, &failure.faults, None).breaches, []);
-        assert_eq!(shrink(plan, failure.seed, rule, Some(sabotage)).keep, failure.keep);
+        assert_eq!(shrink(plan, failure.seed, rule, Some(planted_bug)).keep, failure.keep);
     }
 }
 
 #[test]
-fn a_timeout_and_an_answer_on_the_same_tick_leave_one_answer() {
+fn timeout_and_answer_at_the_same_time_give_one_answer() {
     // Answers of slow hosts come at any whole millisecond, as deadlines fall, and are seen first or second by chance.
-    let outcomes = holds(0..40, |seed| {
+    let outcomes = assert_no_breach(0..40, |seed| {
         (0..ORIGIN.0)
             .map(HostId)
             .map(|host| at(100, FaultKind::Slow { host, times: 20 + 5 * seed, ms: 6000 }))
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_drain_told_while_a_fill_names_the_server_as_its_source_takes_effect_in_time() {
-    holds(0..40, |seed| {
+fn drain_of_a_fill_source_takes_effect_in_time() {
+    assert_no_breach(0..40, |seed| {
         let slow = FaultKind::Slow { host: PARENT, times: 60, ms: 5000 };
         vec![
             at(300, slow),
@@ -98,7 +98,7 @@
         ]
     });
     // The home that delegates are filled from, too.
-    holds(40..60, |_| {
+    assert_no_breach(40..60, |_| {
         vec![
             at(1500, FaultKind::Drained { host: HostId(0) }),
             at(2500, FaultKind::Removed { host: HostId(1) }),
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_purge_while_a_cache_is_silent_and_the_game_store_slow_serves_nothing_older() {
-    holds(0..40, |seed| {
+fn purge_holds_with_silent_cache_and_slow_origin() {
+    assert_no_breach(0..40, |seed| {
         vec![
             at(900, FaultKind::Silent { host: HostId((seed % 4) as usize), ms: 2000 }),
             at(1000, FaultKind::Slow { host: ORIGIN, times: 50, ms: 3000 }),
@@ -119,19 +119,21 @@
 }
 
 #[test]
-fn an_upgrade_whose_newer_process_dies_half_way_answers_each_request_once() {
-    let outcomes = holds(0..40, |seed| vec![at(1000, FaultKind::UpgradeDies { ms: 50 * (1 + seed % 30) })]);
+fn failed_upgrade_answers_each_request_once() {
+    let outcomes =
+        assert_no_breach(0..40, |seed| vec![at(1000, FaultKind::UpgradeDies { ms: 50 * (1 + seed % 30) })]);
     assert!(outcomes.iter().all(|outcome| outcome.processes >= 2));
     // Before the older one was told to stop, and after: then a third is started.
     assert!(outcomes.iter().any(|outcome| outcome.processes == 3));
-    let whole = holds(40..60, |_| vec![at(1000, FaultKind::Upgrade), at(4000, FaultKind::Upgrade)]);
+    let whole =
+        assert_no_breach(40..60, |_| vec![at(1000, FaultKind::Upgrade), at(4000, FaultKind::Upgrade)]);
     assert!(whole.iter().all(|outcome| outcome.processes == 3));
     assert!(whole.iter().all(|outcome| outcome.answers.excused <= 12), "only what clients gave up");
 }
 
 #[test]
-fn a_feed_that_falls_silent_or_breaks_is_heard_again() {
-    holds(0..30, |seed| {
+fn events_arrive_after_the_feed_was_silent_or_reset() {
+    assert_no_breach(0..30, |seed| {
         vec![
             at(500, FaultKind::FeedSilent { ms: 100 * (1 + seed % 25) }),
             at(600, FaultKind::Drained { host: HostId(2) }),
@@ -143,14 +145,14 @@
 }
 
 /// Steps of the wall clock, ms: seconds and an hour, forward and back.
-const STEPS: [i64; 6] = [1000, 7000, 3_600_000, -1000, -7000, -3_600_000];
+const CLOCK_STEPS: [i64; 6] = [1000, 7000, 3_600_000, -1000, -7000, -3_600_000];
 
-fn step(seed: i64) -> FaultKind {
-    FaultKind::ClockStep { ms: STEPS[seed as usize % STEPS.len()] }
+fn clock_step(seed: i64) -> FaultKind {
+    FaultKind::ClockStep { ms: CLOCK_STEPS[seed as usize % CLOCK_STEPS.len()] }
 }
 
 #[test]
-fn a_step_of_the_wall_clock_changes_nothing_that_clients_see() {
+fn wall_clock_steps_do_not_change_answers() {
     let plan = RunPlan::default().without_system_faults();
     for seed in 0..60 {
         // No purge and no start: nothing in the run is stated in Unix time.
@@ -166,27 +168,27 @@
             play(&plan, seed, &[&script[..], &steps].concat(), None)
         };
         let steady = with([FaultKind::ClockStep { ms: 0 }; 2]);
-        let stepped = with([step(seed as i64), step(seed as i64 + 1)]);
+        let stepped = with([clock_step(seed as i64), clock_step(seed as i64 + 1)]);
         assert_eq!((&stepped.breaches, stepped.answers), (&steady.breaches, steady.answers), "seed {seed}");
         assert_eq!((stepped.steps, stepped.ties), (steady.steps, steady.ties), "seed {seed}");
     }
 }
 
 #[test]
-fn a_purge_on_a_stepped_wall_clock_serves_nothing_older() {
-    holds(0..60, |seed| {
+fn purge_holds_across_wall_clock_steps() {
+    assert_no_breach(0..60, |seed| {
         vec![
-            at(800 + 10 * seed, step(seed)),
+            at(800 + 10 * seed, clock_step(seed)),
             at(900 + 50 * seed, FaultKind::PurgeGroup),
             at(1500 + 30 * seed, FaultKind::PurgeObject { object: 0 }),
-            at(2000, step(seed + 1)),
+            at(2000, clock_step(seed + 1)),
             at(2100, FaultKind::PurgeObject { object: 1 }),
         ]
     });
     // The process that starts after the step knows the purge from its configuration.
-    holds(60..100, |seed| {
+    assert_no_breach(60..100, |seed| {
         vec![
-            at(800, step(seed)),
+            at(800, clock_step(seed)),
             at(1000, FaultKind::PurgeGroup),
             at(1000 + 20 * (seed - 60), if seed % 2 == 0 { FaultKind::Crash } else { FaultKind::Upgrade }),
             at(3000, FaultKind::PurgeObject { object: 0 }),
@@ -195,30 +197,32 @@
 }
 
 #[test]
-fn a_cold_start_on_a_stepped_wall_clock_is_not_skipped() {
-    holds(0..60, |seed| {
+fn wall_clock_step_does_not_skip_warm_up() {
+    assert_no_breach(0..60, |seed| {
         vec![
-            at(500, step(seed)),
+            at(500, clock_step(seed)),
             at(1000, FaultKind::Killed { host: HostId((seed % 6) as usize), ms: 100 + 20 * seed }),
         ]
     });
 }
 
 #[test]
-fn an_upgrade_across_a_step_of_the_wall_clock_answers_each_request_once() {
-    let outcomes = holds(0..60, |seed| vec![at(1000, FaultKind::Upgrade), at(1000 + 15 * seed, step(seed))]);
+fn upgrade_across_wall_clock_step_answers_once() {
+    let outcomes = assert_no_breach(0..60, |seed| {
+        vec![at(1000, FaultKind::Upgrade), at(1000 + 15 * seed, clock_step(seed))]
+    });
     assert!(outcomes.iter().all(|outcome| outcome.processes == 2 && outcome.answers.excused <= 12));
 }
 
 #[test]
-fn accepts_that_fail_and_descriptors_that_run_out_lose_no_request() {
-    holds(0..30, |seed| {
+fn failed_accepts_and_missing_descriptors_lose_no_request() {
+    assert_no_breach(0..30, |seed| {
         let error = SystemError::OF_ACCEPT[seed as usize % SystemError::OF_ACCEPT.len()];
         (1..30).map(|n| at(150 * n, FaultKind::AcceptFails { error, times: 5 * n as usize })).collect()
     });
     // Also as the process stops, or a newer one takes over.
     for end in [FaultKind::Stop, FaultKind::Upgrade, FaultKind::FeedReset] {
-        holds(0..30, |seed| {
+        assert_no_breach(0..30, |seed| {
             let error = SystemError::OF_EXHAUSTION[seed as usize % SystemError::OF_EXHAUSTION.len()];
             let client = ClientId((seed % 4) as usize);
             vec![
@@ -232,8 +236,8 @@
 }
 
 #[test]
-fn connects_that_fail_and_connections_that_break_in_every_way_leave_one_answer() {
-    holds(0..40, |seed| {
+fn failed_connects_and_broken_links_give_one_answer() {
+    assert_no_breach(0..40, |seed| {
         let pick = |errors: &[SystemError]| errors[seed as usize % errors.len()];
         let (connect, connection) = (pick(&SystemError::OF_CONNECT), pick(&SystemError::OF_CONNECTION));
         let host = HostId(seed as usize % ORIGIN.0);
@@ -248,7 +252,7 @@
 }
 
 #[test]
-fn interrupted_and_short_calls_change_nothing_that_clients_see() {
+fn interrupted_and_short_calls_do_not_change_answers() {
     let plan = RunPlan { requests: 150, ..RunPlan::default() };
     for seed in 0..30 {
         let with = |what| play(&plan, seed, &[at(100, what)], None);
@@ -266,7 +270,7 @@
 
 #[cfg(feature = "federation")]
 #[test]
-fn federations_keep_their_rules_repeat_by_their_seed_and_planted_bugs_are_found() {
+fn federation_seeds_keep_rules_and_find_planted_bugs() {
     use super::federation::{run, search, PlantedBug};
     let summary = search(0..120, None);
     assert_eq!(summary.broken, std::collections::BTreeMap::new());
@@ -281,7 +285,7 @@
     for seed in [2632, 3036, 3439, 4727, 5618] {
         assert_eq!(run(seed, None).breaches, [], "seed {seed}");
     }
-    for (planted, rule, seeds) in [
+    for (planted_bug, rule, seeds) in [
         (PlantedBug::ForgottenVote, "two-leaders", 180..200),
         (PlantedBug::UnsyncedLog, "message", 0..50),
         (PlantedBug::EmptyStore, "message", 0..50),
@@ -289,7 +293,7 @@
         (PlantedBug::NoGuard, "stale-act", 165..205),
         (PlantedBug::UnstoredAck, "start", 0..60),
     ] {
-        let found = search(seeds, Some(planted)).broken;
-        assert!(found.values().any(|breach| breach.rule == rule), "{planted:?}: {found:?}");
+        let found = search(seeds, Some(planted_bug)).broken;
+        assert!(found.values().any(|breach| breach.rule == rule), "{planted_bug:?}: {found:?}");
     }
 }
--- a/src/sim/world/answers.rs
+++ b/src/sim/world/answers.rs
@@ -15,7 +15,7 @@
             match thrift_client::take_answer(&mut self.client(id).input) {
                 Ok(Some(answer)) => self.client_answered(id, &answer),
                 Ok(None) => return,
-                Err(error) => return self.rules.breach(self.now, "unreadable", error.to_string()),
+                Err(error) => return self.rules.record_breach(self.now, "unreadable", error.to_string()),
             }
         }
     }
@@ -25,7 +25,7 @@
         let Some(open) = client.open.remove(&answer.seqid) else {
             if !client.cancelled.contains(&answer.seqid) {
                 let text = format!("client {id} has a second answer to {}", answer.seqid);
-                self.rules.breach(self.now, "second-answer", text);
+                self.rules.record_breach(self.now, "second-answer", text);
             }
             return;
         };
@@ -54,7 +54,7 @@
         };
         let Some(rest) = text.strip_prefix(&wanted) else {
             let text = format!("{} is served {:.60}, not {wanted}", request.trace, text);
-            return self.rules.breach(self.now, "wrong-bytes", text);
+            return self.rules.record_breach(self.now, "wrong-bytes", text);
         };
         let handed_out = rest.split(';').next().and_then(|micros| micros.parse().ok());
         if let Some(handed_out) = handed_out.filter(|_| !request.is_write()) {
@@ -69,7 +69,7 @@
         let advised = self.base_config["settings"]["limits"]["retry_after"] == json!(true);
         if (pause > 0) != advised {
             let text = format!("{} is refused with {pause}, advised: {advised}", request.trace);
-            self.rules.breach(self.now, "no-pause", text);
+            self.rules.record_breach(self.now, "no-pause", text);
         }
     }
 }
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -1,10 +1,10 @@
 //! The clients: what they request and cancel, and how their connections end.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::faults::DescriptorShortage;
 use super::process_id::ProcessId;
 use super::traffic::{PlannedRequest, RequestNumber};
-use super::{numbered_address, Sabotage, World, FRONT};
+use super::{numbered_address, PlantedBug, World, FRONT};
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
 use crate::standin::ids::{ClientId, LinkId};
@@ -17,11 +17,11 @@
 /// Requests that are sent later than this after SIGTERM may not be accepted by any process.
 const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
 /// Requests that cross the end of their connection are sent this long before it at the earliest.
-const CROSSING: Span = Span::from_millis(50);
+const CROSSING_ALLOWANCE: Span = Span::from_millis(50);
 /// A request must have its answer this long after its timeout.
 const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
 /// Connections that wait as descriptors come back are accepted by then.
-const ACCEPTED_AGAIN: Span = Span::from_millis(60);
+const ACCEPT_RESUME_DELAY: Span = Span::from_millis(60);
 /// The body of requests that write.
 const WRITE_BODY: &[u8] = b"won";
 
@@ -115,11 +115,11 @@
         let DescriptorShortage { since, until } = self.descriptor_shortage;
         let client = self.client(id);
         let connected_before = client.connected_at + MAX_TRANSIT < since;
-        let connected_after = until + ACCEPTED_AGAIN < client.connected_at;
+        let connected_after = until + ACCEPT_RESUME_DELAY < client.connected_at;
         if client.link.is_none() || connected_before || connected_after {
             return;
         }
-        client.accepted_by = client.accepted_by.max(until + ACCEPTED_AGAIN);
+        client.accepted_by = client.accepted_by.max(until + ACCEPT_RESUME_DELAY);
         for open in client.open.values_mut() {
             open.sent = open.sent.max(client.accepted_by);
         }
@@ -128,7 +128,7 @@
     pub(super) fn check_answered(&mut self, client: ClientId, seqid: i32) {
         let Some(open) = self.clients[client.0].open.get(&seqid) else { return };
         let text = format!("{} got no answer", self.request(open.number).trace);
-        self.rules.breach(self.now, "unanswered", text);
+        self.rules.record_breach(self.now, "unanswered", text);
     }
 
     /// A client cancels a request, if that is still open.
@@ -139,7 +139,7 @@
         client.cancelled.insert(seqid);
         let frame = thrift_client::abort(client.next_seqid(), seqid);
         self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
-        if self.sabotage != Some(Sabotage::DeafToClients) {
+        if self.planted_bug != Some(PlantedBug::DeafToClients) {
             self.fabric.send(link.0, &frame);
         }
         self.answers.excused += 1;
@@ -147,33 +147,33 @@
 
     /// A client resets its connection.
     pub(super) fn reset_client(&mut self, client: ClientId) {
-        if let Some(link) = self.client_leaves(client) {
+        if let Some(link) = self.end_client_connection(client) {
             self.fabric.reset(link.0);
         }
     }
 
     /// A client closes its connection.
     pub(super) fn close_client(&mut self, client: ClientId) {
-        if let Some(link) = self.client_leaves(client) {
+        if let Some(link) = self.end_client_connection(client) {
             self.fabric.close(link.0);
         }
     }
 
     /// A client leaves with requests open; returns the connection that it ends.
-    fn client_leaves(&mut self, id: ClientId) -> Option<LinkId> {
+    fn end_client_connection(&mut self, id: ClientId) -> Option<LinkId> {
         let link = self.client(id).link?;
-        if self.sabotage == Some(Sabotage::DeafToClients) {
+        if self.planted_bug == Some(PlantedBug::DeafToClients) {
             let open = std::mem::take(&mut self.client(id).open);
-            self.excuse_left(&open);
+            self.excuse_open_requests(&open);
             self.client(id).cancelled.extend(open.into_keys());
             return None;
         }
         let open = self.client(id).disconnect();
-        self.excuse_left(&open);
+        self.excuse_open_requests(&open);
         Some(link)
     }
 
-    fn excuse_left(&mut self, open: &BTreeMap<i32, OpenRequest>) {
+    fn excuse_open_requests(&mut self, open: &BTreeMap<i32, OpenRequest>) {
         for open in open.values() {
             self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
         }
@@ -186,21 +186,21 @@
         let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
             self.answers.excused += 1;
-            if self.was_never_accepted(&open, process) {
+            if self.needs_no_answer(&open, process) {
                 continue;
             }
-            let crossed_end = open.written > self.now - 2 * MAX_TRANSIT - CROSSING;
+            let crossed_end = open.written > self.now - 2 * MAX_TRANSIT - CROSSING_ALLOWANCE;
             if crossed_end && !open.is_resent {
                 self.send_request(open.number, true);
             } else {
                 let text = format!("{} is open as its connection ends", self.request(open.number).trace);
-                self.rules.breach(self.now, "lost", text);
+                self.rules.record_breach(self.now, "lost", text);
             }
         }
     }
 
     /// Whether no process owes an answer to a request on a connection that has ended.
-    fn was_never_accepted(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
+    fn needs_no_answer(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
         let Some(process) = process.filter(|process| !self.processes.was_killed(*process)) else {
             return true;
         };
--- a/src/sim/world/agenda.rs
+++ b/src/sim/world/event_queue.rs
@@ -43,12 +43,12 @@
 
 /// Scheduled events, in the order of time; those of one time in the order in which they were scheduled.
 #[derive(Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     events: BTreeMap<(Instant, u64), ScheduledEvent>,
     count: u64,
 }
 
-impl Agenda {
+impl EventQueue {
     pub(super) fn schedule(&mut self, at: Instant, event: ScheduledEvent) {
         self.count += 1;
         self.events.insert((at, self.count), event);
--- a/src/sim/world/faults/feed.rs
+++ b/src/sim/world/faults/feed.rs
@@ -3,8 +3,8 @@
 use crate::interface::{Instant, Span};
 use crate::net::fabric::HostBehaviour;
 use crate::sim::rules::PurgeRule;
-use crate::sim::world::agenda::ScheduledEvent;
 use crate::sim::world::clients::GROUP;
+use crate::sim::world::event_queue::ScheduledEvent;
 use crate::sim::world::traffic::object_id;
 use crate::sim::world::{numbered_address, World, FEED};
 use crate::standin::host::unix_ms;
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -2,13 +2,13 @@
 
 use crate::interface::{Instant, Span};
 use crate::net::fabric::HostBehaviour;
-use crate::sim::world::agenda::ScheduledEvent;
+use crate::sim::world::event_queue::ScheduledEvent;
 use crate::sim::world::{host_address, World};
 use crate::standin::faults::system_error::SystemError;
 use crate::standin::ids::{HostId, LinkId};
 
 /// The process of a removed host ends this long after its removal was stated.
-const REMOVED_HOST_RUNS: Span = Span::from_secs(1);
+const REMOVED_HOST_RUN_TIME: Span = Span::from_secs(1);
 
 impl World<'_> {
     pub(super) fn silence_host(&mut self, host: HostId, until: Instant) {
@@ -19,28 +19,28 @@
 
     pub(super) fn kill_host_until(&mut self, host: HostId, until: Instant) {
         self.kill_host(host);
-        self.agenda.schedule(until, ScheduledEvent::HostRestarts(host));
+        self.event_queue.schedule(until, ScheduledEvent::HostRestarts(host));
     }
 
     pub(super) fn drain_host(&mut self, host: HostId) {
         let stated = self.publish_health(host, "draining");
-        self.rules.host_left(host, stated);
+        self.rules.host_drained(host, stated);
     }
 
     pub(super) fn remove_host(&mut self, host: HostId) {
         let stated = self.publish_health(host, "removed");
-        self.rules.host_left(host, stated);
-        self.schedule_in(REMOVED_HOST_RUNS, ScheduledEvent::HostDies(host));
+        self.rules.host_drained(host, stated);
+        self.schedule_in(REMOVED_HOST_RUN_TIME, ScheduledEvent::HostDies(host));
     }
 
     /// A host is up again; its process is started, if it has ended.
-    pub(super) fn return_host(&mut self, host: HostId) {
+    pub(super) fn mark_host_up(&mut self, host: HostId) {
         self.restart_host(host);
-        self.rules.host_returned(host);
+        self.rules.host_up_again(host);
         self.publish_health(host, "up");
     }
 
-    pub(super) fn delay_dials(&mut self, host: HostId, late_ms: i64, until: Instant) {
+    pub(super) fn delay_connects(&mut self, host: HostId, late_ms: i64, until: Instant) {
         self.fabric.delay_connects(host_address(host), Span::from_millis(late_ms), until);
     }
 
--- a/src/sim/world/faults/system.rs
+++ b/src/sim/world/faults/system.rs
@@ -15,7 +15,7 @@
 
 impl World<'_> {
     /// Connections come that are gone before they are accepted.
-    pub(super) fn abort_dials(&mut self, error: SystemError, count: usize) {
+    pub(super) fn abort_connects(&mut self, error: SystemError, count: usize) {
         for number in 0..count {
             let from = SocketAddr::from(([127, 0, 3, 1], 40_000 + number as u16));
             self.fabric.dial_aborted(from, numbered_address(FRONT), error.errno());
@@ -31,7 +31,7 @@
             shortage.since = self.now;
         }
         shortage.until = until;
-        if self.now < self.feed.cut_until {
+        if self.now < self.feed.unreachable_until {
             self.cut_feed(until);
         }
         for number in 0..self.clients.len() {
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -1,7 +1,7 @@
 //! The control feed: its events and the polls that wait for them.
 
-use super::agenda::ScheduledEvent;
-use super::{Sabotage, World};
+use super::event_queue::ScheduledEvent;
+use super::{PlantedBug, World};
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
 use crate::standin::feed::PollRequest;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// The processes have polled a feed that was cut off again this long after it is back.
-const POLLED_AGAIN: Span = Span::from_millis(2_200);
+const REPOLL_DELAY: Span = Span::from_millis(2_200);
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A poll that waits for an event.
@@ -30,7 +30,7 @@
     links: BTreeMap<LinkId, Vec<u8>>,
     polls: BTreeMap<LinkId, OpenPoll>,
     /// What is stated before then counts as stated then.
-    pub(super) cut_until: Instant,
+    pub(super) unreachable_until: Instant,
 }
 
 impl Feed {
@@ -76,7 +76,7 @@
         let poll = PollRequest::parse(head.split(' ').nth(1).unwrap_or_default());
         let until = self.now + Span::from(poll.wait);
         self.feed.polls.insert(link, OpenPoll { after: poll.after, until });
-        self.agenda.schedule(until, ScheduledEvent::PollEnds(link));
+        self.event_queue.schedule(until, ScheduledEvent::PollEnds(link));
         self.answer_poll(link);
     }
 
@@ -105,11 +105,11 @@
 
     /// Whether a planted bug keeps an event from the processes.
     fn is_withheld(&self, event: &Value) -> bool {
-        match self.sabotage {
-            Some(Sabotage::DeafToDrains) => {
+        match self.planted_bug {
+            Some(PlantedBug::DeafToDrains) => {
                 event["members"]["hosts"][0]["health"].as_str().is_some_and(|health| health != "up")
             }
-            Some(Sabotage::DeafToPurges) => event.get("purge").is_some(),
+            Some(PlantedBug::DeafToPurges) => event.get("purge").is_some(),
             _ => false,
         }
     }
@@ -121,7 +121,7 @@
         for link in links {
             self.answer_poll(link);
         }
-        self.now.max(self.feed.cut_until)
+        self.now.max(self.feed.unreachable_until)
     }
 
     /// Publishes a host's health; returns when it counts as stated.
@@ -143,8 +143,8 @@
         // Without descriptors they do not connect to it again.
         let shortage = self.descriptor_shortage.until;
         let back_at = if self.now < shortage { back_at.max(shortage) } else { back_at };
-        let until = back_at + POLLED_AGAIN;
-        self.feed.cut_until = self.feed.cut_until.max(until);
-        self.rules.feed_cut(self.now - 2 * MAX_TRANSIT, until);
+        let until = back_at + REPOLL_DELAY;
+        self.feed.unreachable_until = self.feed.unreachable_until.max(until);
+        self.rules.feed_cut_off(self.now - 2 * MAX_TRANSIT, until);
     }
 }
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,6 +1,6 @@
 //! The caches, parents and the origin: what they receive and answer.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::{host_address, World};
 use crate::interface::{Instant, Span};
 use crate::net::fabric::{Fabric, HostBehaviour};
@@ -49,7 +49,7 @@
         input.bytes.extend_from_slice(bytes);
         let lines = match take_lines(&mut input.bytes) {
             Ok(lines) => lines,
-            Err(error) => return self.rules.breach(self.now, "host-protocol", error.to_string()),
+            Err(error) => return self.rules.record_breach(self.now, "host-protocol", error.to_string()),
         };
         for line in lines {
             match line {
@@ -73,7 +73,7 @@
         self.rules.attempt_received(self.now, &attempt);
         if host.open.contains_key(&(link, request.id.clone())) {
             let text = format!("{} comes twice on one connection", request.id);
-            self.rules.breach(self.now, "same-id", text);
+            self.rules.record_breach(self.now, "same-id", text);
         }
         self.check_warm_up(id);
         let answered_after = self.answering_time(id, &request);
@@ -119,7 +119,7 @@
         if work > max_work {
             let (name, window_us) = (&host.name, window.as_micros());
             let text = format!("{name} is sent {work:.2} s of work in {window_us} us, of {max_work:.2}");
-            self.rules.breach(now, "cold", text);
+            self.rules.record_breach(now, "cold", text);
         }
     }
 
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -2,16 +2,16 @@
 //! hosts and the control feed, with a script of faults. Everything that is left to chance is drawn from the seed.
 //!
 //! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
-//! - `agenda`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
+//! - `event_queue`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
 //!   it out.
 //! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
 //! - `processes`: starts, turns and ends the edge proxy's processes.
 //! - `faults`: what goes wrong, by kind.
 //! - `outcome`: how a run came out.
 
-mod agenda;
 mod answers;
 mod clients;
+mod event_queue;
 mod faults;
 mod feed;
 mod hosts;
@@ -32,8 +32,8 @@
 use crate::standin::faults::{Fault, RunPlan};
 use crate::standin::fleet::Fleet;
 use crate::standin::ids::{ClientId, HostId};
-use agenda::{Agenda, ScheduledEvent};
 use clients::Client;
+use event_queue::{EventQueue, ScheduledEvent};
 use faults::DescriptorShortage;
 use feed::Feed;
 use processes::Processes;
@@ -56,7 +56,7 @@
 
 /// A bug planted on purpose, to show that the rules find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Sabotage {
+pub enum PlantedBug {
     /// The edge proxy takes `result` for a class whose repeats do no harm, and sends it again after a reset
     ResultTwice,
     /// The control feed never tells the edge proxy of drains and removals
@@ -74,13 +74,13 @@
 /// A run under way.
 struct World<'a> {
     plan: &'a RunPlan,
-    sabotage: Option<Sabotage>,
+    planted_bug: Option<PlantedBug>,
     seed: u64,
     fabric: Fabric,
     now: Instant,
     /// For service times.
     random: ChaCha8Rng,
-    agenda: Agenda,
+    event_queue: EventQueue,
     requests: Vec<PlannedRequest>,
     /// In the order of their ids.
     clients: Vec<Client>,
@@ -98,11 +98,11 @@
 }
 
 /// Plays a run: a plan, a seed, and the faults that happen in it.
-pub fn run(plan: &RunPlan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> RunOutcome {
-    let mut world = World::new(plan, seed, sabotage);
+pub fn run(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
+    let mut world = World::new(plan, seed, planted_bug);
     for fault in faults {
         let at = START + Span::from_millis(fault.at_ms);
-        world.agenda.schedule(at, ScheduledEvent::Fault(fault.kind));
+        world.event_queue.schedule(at, ScheduledEvent::Fault(fault.kind));
     }
     let ties = world.play();
     let TraceSummary { digest: trace, steps } = world.fabric.trace();
@@ -147,7 +147,7 @@
             let next = self.next_moment();
             let Some(time) = next.time() else { break };
             if step == MAX_STEPS {
-                self.rules.breach(self.now, "spins", format!("{MAX_STEPS} steps"));
+                self.rules.record_breach(self.now, "spins", format!("{MAX_STEPS} steps"));
                 break;
             }
             self.now = self.now.max(time);
@@ -164,20 +164,20 @@
             }
         }
         if !self.processes.is_empty() {
-            self.rules.breach(self.now, "not-stopped", "a process has not ended".into());
+            self.rules.record_breach(self.now, "not-stopped", "a process has not ended".into());
         }
         ties
     }
 
     fn next_moment(&self) -> NextMoment {
         let deadline = self.processes.next_deadline().map(|at| at - self.deadline_clock_lead());
-        let arrival = self.fabric.next_event_at().into_iter().chain(self.agenda.next_time()).min();
+        let arrival = self.fabric.next_event_at().into_iter().chain(self.event_queue.next_time()).min();
         NextMoment { deadline, arrival }
     }
 
     /// Plays what is due now.
     fn step(&mut self, ready: &mut Vec<Ready>) {
-        while let Some(event) = self.agenda.take_due(self.now) {
+        while let Some(event) = self.event_queue.take_due(self.now) {
             self.handle(event);
         }
         self.fabric.run_due_events();
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -1,8 +1,8 @@
 //! The edge proxy's processes: started, given their turns, ended and killed.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::process_id::ProcessId;
-use super::{Sabotage, World};
+use super::{PlantedBug, World};
 use crate::config::Config;
 use crate::interface::{Instant, Span};
 use crate::net::Ready;
@@ -104,7 +104,7 @@
         });
         match started {
             Ok(server) => drop(self.processes.running.insert(process, server)),
-            Err(error) => self.rules.breach(self.now, "start", error),
+            Err(error) => self.rules.record_breach(self.now, "start", error),
         }
         process
     }
@@ -119,8 +119,8 @@
 
     /// How far the clock of the processes' deadlines is ahead; zero, but for the planted bug.
     pub(super) fn deadline_clock_lead(&self) -> Span {
-        match self.sabotage {
-            Some(Sabotage::WallDeadlines) => self.fabric.wall_offset(),
+        match self.planted_bug {
+            Some(PlantedBug::WallDeadlines) => self.fabric.wall_offset(),
             _ => Span::ZERO,
         }
     }
@@ -131,7 +131,7 @@
         for process in self.processes.ids() {
             if let Some(server) = self.processes.running.get_mut(&process) {
                 if let Err(error) = server.turn(ready) {
-                    self.rules.breach(self.now, "poll", error.to_string());
+                    self.rules.record_breach(self.now, "poll", error.to_string());
                 }
             }
             self.check_bounds(process);
@@ -155,11 +155,11 @@
         let ResourceUsage { held_bytes, open_requests } = server.resource_usage();
         if held_bytes > MAX_HELD_BYTES || open_requests > MAX_OPEN_REQUESTS {
             let text = format!("{held_bytes} bytes and {open_requests} requests are held");
-            self.rules.breach(self.now, "memory", text);
+            self.rules.record_breach(self.now, "memory", text);
         }
         let sockets = self.fabric.connection_count(process.0);
         if sockets > MAX_SOCKETS {
-            self.rules.breach(self.now, "sockets", format!("{sockets} connections are held"));
+            self.rules.record_breach(self.now, "sockets", format!("{sockets} connections are held"));
         }
     }
 
@@ -172,7 +172,7 @@
         let is_late = terminated_at.is_some_and(|at| at + MAX_SHUTDOWN < self.now);
         if is_late {
             let text = format!("process {} does not end", process.0);
-            self.rules.breach(self.now, "not-stopped", text);
+            self.rules.record_breach(self.now, "not-stopped", text);
         }
         is_late
     }
@@ -215,9 +215,9 @@
     }
 
     /// An upgrade whose newer process is killed.
-    pub(super) fn upgrade_that_dies(&mut self, at: Instant) {
+    pub(super) fn upgrade_and_kill_newer(&mut self, at: Instant) {
         if let Some(newer) = self.upgrade() {
-            self.agenda.schedule(at, ScheduledEvent::Kill(newer));
+            self.event_queue.schedule(at, ScheduledEvent::Kill(newer));
         }
     }
 }
--- a/src/sim/world/scheduled_events.rs
+++ b/src/sim/world/scheduled_events.rs
@@ -1,6 +1,6 @@
 //! Carries out what was scheduled.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::processes::MAX_SHUTDOWN;
 use super::World;
 use crate::interface::Span;
@@ -8,7 +8,7 @@
 impl World<'_> {
     /// Schedules an event this long from now.
     pub(super) fn schedule_in(&mut self, after: Span, event: ScheduledEvent) {
-        self.agenda.schedule(self.now + after, event);
+        self.event_queue.schedule(self.now + after, event);
     }
 
     /// Carries out a scheduled event.
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -1,11 +1,11 @@
 //! The site of a run and its hosts.
 
-use super::agenda::{Agenda, ScheduledEvent};
 use super::clients::Client;
+use super::event_queue::{EventQueue, ScheduledEvent};
 use super::faults::DescriptorShortage;
 use super::feed::Feed;
 use super::processes::Processes;
-use super::{host_address, numbered_address, AnswerCounts, Sabotage, World, FEED, FRONT, START};
+use super::{host_address, numbered_address, AnswerCounts, PlantedBug, World, FEED, FRONT, START};
 use crate::interface::Span;
 use crate::net::fabric::{Fabric, HostBehaviour};
 use crate::sim::rules::Rules;
@@ -26,9 +26,9 @@
 /// Keeps the network's random numbers apart from those of the traffic.
 const NETWORK_SALT: u64 = 0x5eed;
 /// The run ends this long after the last request at the earliest.
-const LAST_ANSWERS: Span = Span::from_secs(1);
-/// The window that the edge proxy is told by `Sabotage::LongWindow`, ms.
-const SABOTAGED_WINDOW_MS: i64 = 60_000;
+const END_DELAY: Span = Span::from_secs(1);
+/// The window that the edge proxy is told by `PlantedBug::LongWindow`, ms.
+const PLANTED_BUG_WINDOW_MS: i64 = 60_000;
 
 /// The site of a run.
 struct Site {
@@ -44,7 +44,7 @@
 }
 
 impl Site {
-    fn draw(plan: &RunPlan, seed: u64, sabotage: Option<Sabotage>) -> Self {
+    fn draw(plan: &RunPlan, seed: u64, planted_bug: Option<PlantedBug>) -> Self {
         let shape =
             Shape { points: 1, proxies: 1, caches: plan.caches, hubs: 1, parents: plan.parents, seed };
         let feed = numbered_address(FEED).to_string();
@@ -61,19 +61,19 @@
         variant.apply(&mut config["settings"], hosts);
         let dedup_window = variant.keyed_writes.then_some(Span::from_millis(DEDUP_WINDOW_MS));
         let mut site = Site { config, first_event, links, dedup_window, variant };
-        site.plant_bug(sabotage);
+        site.plant_bug(planted_bug);
         site
     }
 
     /// Plants a bug that lies in the settings.
-    fn plant_bug(&mut self, sabotage: Option<Sabotage>) {
+    fn plant_bug(&mut self, planted_bug: Option<PlantedBug>) {
         let write_class = &mut self.config["settings"]["grades"][WRITE_CLASS];
-        match sabotage {
-            Some(Sabotage::ResultTwice) => {
+        match planted_bug {
+            Some(PlantedBug::ResultTwice) => {
                 write_class["effect"] = "pure".into();
                 self.dedup_window = None;
             }
-            Some(Sabotage::LongWindow) => write_class["window"] = json!(SABOTAGED_WINDOW_MS),
+            Some(PlantedBug::LongWindow) => write_class["window"] = json!(PLANTED_BUG_WINDOW_MS),
             _ => {}
         }
     }
@@ -86,20 +86,20 @@
 
 impl<'a> World<'a> {
     /// The world of a run at its start, with all requests and the end of the run scheduled.
-    pub(super) fn new(plan: &'a RunPlan, seed: u64, sabotage: Option<Sabotage>) -> Self {
-        let site = Site::draw(plan, seed, sabotage);
+    pub(super) fn new(plan: &'a RunPlan, seed: u64, planted_bug: Option<PlantedBug>) -> Self {
+        let site = Site::draw(plan, seed, planted_bug);
         let fabric = Fabric::new(START, seed ^ NETWORK_SALT, DELAYS);
-        if sabotage == Some(Sabotage::WallDeadlines) {
+        if planted_bug == Some(PlantedBug::WallDeadlines) {
             fabric.run_deadlines_on_wall_clock();
         }
         let mut world = World {
             plan,
-            sabotage,
+            planted_bug,
             seed,
             fabric,
             now: START,
             random: ChaCha8Rng::seed_from_u64(seed),
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             requests: Vec::new(),
             clients: (0..plan.clients).map(|_| Client::default()).collect(),
             fleet: Fleet { sparse_notes: site.variant.sparse_notes, ..Fleet::default() },
@@ -117,8 +117,8 @@
         world.feed.events.push(site.first_event);
         world.draw_requests();
         world.start_process();
-        let end = START + Span::from_millis(plan.ms) + LAST_ANSWERS;
-        world.agenda.schedule(end, ScheduledEvent::EndRun);
+        let end = START + Span::from_millis(plan.ms) + END_DELAY;
+        world.event_queue.schedule(end, ScheduledEvent::EndRun);
         world
     }
 
--- a/src/sim/world/traffic.rs
+++ b/src/sim/world/traffic.rs
@@ -1,6 +1,6 @@
 //! The requests of a run, drawn from the seed.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::{random_stream, ClientId, World, START};
 use crate::interface::{Instant, Span};
 use rand::Rng;
@@ -83,7 +83,7 @@
             let at = self.draw_sending_time(&mut random);
             let request = self.draw_request(number, &mut random);
             self.requests.push(request);
-            self.agenda.schedule(at, ScheduledEvent::SendRequest(RequestNumber(number)));
+            self.event_queue.schedule(at, ScheduledEvent::SendRequest(RequestNumber(number)));
         }
     }
 
--- a/tests/sim.rs
+++ b/tests/sim.rs
@@ -10,16 +10,16 @@
         .expect("the program starts")
 }
 
-fn words(bytes: &[u8]) -> String {
+fn utf8(bytes: &[u8]) -> String {
     String::from_utf8(bytes.to_vec()).expect("UTF-8")
 }
 
 #[test]
-fn a_failure_names_the_command_that_repeats_it_bit_for_bit() {
+fn failure_names_the_command_that_reproduces_it() {
     let clean = sim(&["--seeds", "0..5"]);
-    assert_eq!(clean.status.code(), Some(0), "{}", words(&clean.stdout));
+    assert_eq!(clean.status.code(), Some(0), "{}", utf8(&clean.stdout));
     let found = sim(&["--seeds", "0..40", "--sabotage", "result-twice", "--most", "1"]);
-    let text = words(&found.stdout);
+    let text = utf8(&found.stdout);
     assert_eq!(found.status.code(), Some(1), "{text}");
     let command =
         text.lines().find_map(|line| line.trim().strip_prefix("again: dahliatrack sim ")).expect("a command");
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_an_error() {
+fn empty_seed_range_and_missing_file_are_errors() {
     assert_eq!(sim(&["--seeds", "5..5"]).status.code(), Some(2));
     let missing = sim(&["--faults", "/nowhere.hcl"]);
     assert_eq!(missing.status.code(), Some(2));
-    assert!(words(&missing.stderr).contains("/nowhere.hcl"));
+    assert!(utf8(&missing.stderr).contains("/nowhere.hcl"));
 }
