--- a/src/sim/federation/checks.rs
+++ b/src/sim/federation/checks.rs
@@ -1,4 +1,4 @@
-//! Checks what must hold of all members together.
+//! Rules that all members together must keep.
 
 use super::observer::{LastAct, ObservedStep};
 use super::world::FederationWorld;
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
 
-/// What a member of the last file knows at the end.
+/// State of a member of the last file at the end of a run; it must be the same at all members.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FinalView {
     leadership: Leadership,
     applied: LogIndex,
     revision: u64,
     leases: usize,
-    /// Whether each member votes.
+    /// Whether each member is a voter.
     members: BTreeMap<MemberId, bool>,
 }
 
@@ -32,7 +32,8 @@
 }
 
 impl FederationWorld {
-    /// Checks a member's step against what all members did before.
+    /// Checks a member's step against the steps of all members so far: one leader in each term, one command
+    /// at each log index, and equal states after equal log indexes.
     pub(super) fn observe(&mut self, step: ObservedStep) {
         let ObservedStep { id, committed, is_leader, term, state, applied } = step;
         if is_leader {
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Checks that a member acts under the highest token so far, and under no other member's.
+    /// Checks that a member acts under a fencing token that is not lower than any used before for the duty,
+    /// and that no other member has used.
     pub(super) fn observe_act(&mut self, id: MemberId, duty: &'static str, token: u64) {
         self.observer.acts += 1;
         let act = LastAct { token, by: id };
@@ -65,7 +67,8 @@
         self.observer.last_acts.insert(duty, act);
     }
 
-    /// Checks at the end, long after the last fault, that all members of the last file agree on everything.
+    /// Checks at the end, long after the last fault, that all members of the last file have the same state:
+    /// there is a leader, the last file is applied, and no lease is left.
     pub(super) fn check_agreement(&mut self) {
         let last = self.files.last().cloned().unwrap_or_default();
         let nodes = last.keys().filter_map(|id| self.members.get(id)?.node.as_ref());
--- a/src/sim/federation/disk.rs
+++ b/src/sim/federation/disk.rs
@@ -1,4 +1,5 @@
-//! The disk of a member: it stores steps as a store does, fails for a while, and shows planted bugs.
+//! Disk of a simulated member: stores the steps of its node, fails for a while, and implements some planted
+//! bugs.
 
 use super::PlantedBug;
 use crate::federation::log::{LogUpdate, StoredLog};
@@ -8,26 +9,26 @@
 /// How a disk fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiskFault {
-    /// Nothing is stored.
+    /// A step fails and is not stored.
     Full,
-    /// A step is stored, and reported as failed: a sync that failed after the write.
+    /// A step is stored but reported as failed, like a sync that fails after the write.
     InDoubt,
 }
 
-/// Why a step was not acknowledged.
+/// The injected disk fault for which a step was not acknowledged.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the disk fails: {0:?}")]
+#[error("step not acknowledged, disk fault {0:?}")]
 pub(super) struct DiskError(DiskFault);
 
-/// The disk of a member.
+/// Disk of a simulated member.
 pub(super) struct Disk {
-    /// What is stored.
+    /// The log that is stored.
     pub stored: StoredLog,
-    /// What a crash takes with it, where that bug is planted.
+    /// Last step, which is lost in a crash; only with `PlantedBug::UnsyncedLog`.
     pub unsynced: Option<LogUpdate>,
-    /// The fault that lasts.
+    /// The disk's present fault.
     pub fault: Option<DiskFault>,
-    /// The fault lasts until the member is started anew; else until an event heals the disk.
+    /// Whether the fault ends when the member restarts; otherwise it ends with a `DiskHeals` event.
     pub heals_at_restart: bool,
     planted_bug: Option<PlantedBug>,
 }
@@ -37,7 +38,7 @@
         Disk { stored, unsynced: None, fault: None, heals_at_restart: true, planted_bug }
     }
 
-    /// Writes a step.
+    /// Stores a step, altered by the planted bug if there is one.
     fn write(&mut self, mut save: LogUpdate) {
         if self.planted_bug == Some(PlantedBug::ForgottenVote) {
             if let Some(hard) = &mut save.hard_state {
--- a/src/sim/federation/faults.rs
+++ b/src/sim/federation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: cuts between members, stalls, crashes, failing disks, and new files.
+//! Faults of a run: partitions between members, stalls, crashes, failing disks, and new files.
 
 use super::disk::DiskFault;
 use super::world::{FederationEvent, FederationWorld};
@@ -9,11 +9,11 @@
 use crate::interface::Instant;
 use rand::Rng;
 
-/// Disk faults in a run that has them.
+/// Number of healing disk faults in a run that has them.
 const DISK_FAULTS: usize = 6;
 
 impl FederationWorld {
-    /// Begins a fault of a kind that is drawn now.
+    /// Draws a fault's kind, member and duration, and begins it.
     pub(super) fn begin_fault(&mut self) {
         let ids = self.ids();
         let any = self.draw_member(&ids);
@@ -37,7 +37,7 @@
         ids[self.random.random_range(0..ids.len())]
     }
 
-    /// Cuts a member off from another, in one way or both.
+    /// Partitions a member from another one, in one direction or both.
     fn partition_pair(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
         let other = self.draw_member(ids);
         self.partitions.insert((id, other), until);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Cuts a member off from all others: what it sends is lost, or what it is sent, or both.
+    /// Partitions a member from all others: messages that it sends are lost, or messages to it, or both.
     fn isolate(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
         const SENDING: u32 = 1;
         const RECEIVING: u32 = 2;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Stalls a member that holds a lease; the given one, if none does.
+    /// Stalls the first member that holds a lease, or the given one if none does.
     fn stall_lease_holder(&mut self, id: MemberId, ids: &[MemberId], until: Instant) {
         let holds =
             |id: &&MemberId| self.members.get(id).is_some_and(|member| !member.holder.held().is_empty());
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A member's disk is full until it is started anew.
+    /// Fills a member's disk until the member is restarted at `until`.
     fn fill_disk(&mut self, id: MemberId, until: Instant) {
         if let Some(member) = self.members.get_mut(&id) {
             (member.disk.fault, member.disk.heals_at_restart) = (Some(DiskFault::Full), true);
@@ -79,7 +79,7 @@
         self.schedule(until, FederationEvent::Restart(id));
     }
 
-    /// All members crash at once: nothing but their stores is left.
+    /// Crashes all members at once, so that only their stores are left; each restarts within a second.
     fn crash_all(&mut self, ids: &[MemberId]) {
         for id in ids {
             let back = self.now + self.random.random_range(1..=10_i64) * 100 * MS;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The disk of a member fails until then, while the member tries to go on.
+    /// Lets a member's disk fail for a time that is drawn, while the member keeps trying.
     fn fail_disk(&mut self, id: MemberId) {
         let random = &mut self.disk_random;
         let until = self.now + random.random_range(1..=40_i64) * 100 * MS;
@@ -98,7 +98,8 @@
         self.schedule(until, FederationEvent::DiskHeals(id));
     }
 
-    /// Plans failing disks that heal while their members try to go on. They are drawn apart from all else.
+    /// Schedules disk faults that heal while their members keep trying. They are drawn from a separate random
+    /// generator, so that the other draws stay the same.
     pub(super) fn plan_disk_faults(&mut self) {
         for _ in 0..DISK_FAULTS {
             let at = draw_instant(&mut self.disk_random, FIRST_FAULT..LAST_FAULT);
@@ -106,14 +107,14 @@
         }
     }
 
-    /// Fails the disk of some member.
+    /// Lets the disk of a member that is drawn fail.
     pub(super) fn fail_any_disk(&mut self) {
         let ids = self.ids();
         let any = ids[self.disk_random.random_range(0..ids.len())];
         self.fail_disk(any);
     }
 
-    /// A member's process ends, and starts anew at `back`.
+    /// Ends a member's process, and schedules its restart at `back`.
     pub(super) fn crash(&mut self, id: MemberId, back: Instant) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.node = None;
@@ -123,7 +124,8 @@
         self.schedule(back, FederationEvent::Restart(id));
     }
 
-    /// A new file: a member comes, goes, or gets or loses its vote. It reaches the members at different times.
+    /// Publishes a new file, in which a member is added or removed, or becomes a voter or a learner. It
+    /// reaches the members at different times within a second.
     fn new_file(&mut self) {
         let mut file = self.files.last().cloned().unwrap_or_default();
         let ids: Vec<MemberId> = file.keys().copied().collect();
--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -1,4 +1,4 @@
-//! The members' leases: they seek and renew them, and act under their fencing tokens.
+//! Members seek and renew leases, and act on duties under their fencing tokens.
 
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, PlantedBug, DUTIES, LEASE_TERMS, MIN_DELAY, TICK};
@@ -15,8 +15,8 @@
         }
     }
 
-    /// A member seeks and renews leases, and is about to act on the duties that it holds. The leader grants and ends
-    /// them.
+    /// Lets a member seek and renew leases, and schedules acts on the duties that it holds. If the member is
+    /// the leader, it also ends expired leases.
     pub(super) fn seek_and_renew_leases(&mut self, id: MemberId) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A member acts on a duty, if its process runs and the lease still holds by its clock.
+    /// Lets a member act on a duty if its process runs and the lease is still valid by its clock.
     pub(super) fn act(&mut self, id: MemberId, duty: &'static str, token: u64) {
         let now = self.now;
         let Some(member) = self.members.get(&id) else { return };
@@ -61,7 +61,7 @@
             return;
         }
         if member.stalled_until > now {
-            // It was stopped in the middle, and continues there when it runs again.
+            // The process was stalled between its check and the act, and continues there when it runs again.
             let at = member.stalled_until;
             return self.schedule(at, FederationEvent::Act(id, duty, token));
         }
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -1,4 +1,4 @@
-//! The members: how they start and restart, and what each does at a tick.
+//! How members start, restart and take steps, and what each does at a tick.
 
 use super::disk::Disk;
 use super::member::SimulatedMember;
@@ -14,15 +14,15 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Pauses between the attempts of a member to open the store on a failing disk.
+/// Pauses between a member's attempts to open its store on a failing disk.
 const RETRY_PAUSES: std::ops::Range<Span> = Span::from_millis(50)..Span::from_secs(1);
-/// Keeps the first incarnations of members apart.
+/// Difference between the incarnations of members with successive numbers, so that all are distinct.
 const INCARNATIONS_PER_MEMBER: u64 = 1000;
 
 impl FederationWorld {
-    /// Adds a member with what its store holds, and starts it.
+    /// Adds a member with the given content of its store, and starts it.
     pub(super) fn add(&mut self, id: MemberId, stored: StoredLog) {
-        // Mostly as slow or fast as allowed: what is between finds less.
+        // Two in three members have the largest allowed drift, since drifts in between find fewer bugs.
         let drift = [-MAX_DRIFT, MAX_DRIFT, self.random.random_range(-MAX_DRIFT..=MAX_DRIFT)]
             [self.random.random_range(0..3)];
         let member = SimulatedMember {
@@ -52,13 +52,13 @@
         let wanted_duties = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
         let wanted_duties = wanted_duties.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
-        // Of an earlier process only what its disk holds is left.
+        // Only what the disk holds survives from an earlier process.
         member.holder = LeaseHolder::new(id, terms, asks);
         member.grantor = LeaseGrantor::new(terms);
         member.wanted_duties = wanted_duties;
         member.disk.unsynced = None;
         let stored = &mut member.disk.stored;
-        // The terms that the log itself shows are not forgotten.
+        // Even if stored terms are lost (`ForgottenVote`), the term is at least that of the last log entry.
         let log_term = stored.entries.last().map_or(stored.snapshot.term, |entry| entry.term);
         stored.hard_state.term = stored.hard_state.term.max(log_term);
         match Node::new(id, member.disk.stored.clone(), TUNING, seed) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Starts a member that is not running, or schedules a retry where its disk still fails.
+    /// Starts a member that is not running, or schedules a retry if its disk still fails.
     pub(super) fn restart(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.disk.heals_at_restart {
@@ -88,7 +88,7 @@
         self.schedule(self.now + pause, FederationEvent::Restart(id));
     }
 
-    /// Lets a member do what it has to, checks it, and sends its messages.
+    /// Lets a member's node do its pending work, checks the step, and sends the node's messages.
     pub(super) fn drive(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
@@ -97,7 +97,7 @@
         let step = ObservedStep::take(id, node);
         let messages = match driven {
             Ok(messages) => messages,
-            // As in service: the member begins anew from its store, once that can be opened.
+            // As in service, the member restarts from its store once that can be opened.
             Err(_) if member.disk.fault.is_some() => {
                 member.node = None;
                 if !member.disk.heals_at_restart {
@@ -119,7 +119,8 @@
         if member.stalled_until <= self.now {
             self.tick_node(id);
             self.seek_and_renew_leases(id);
-            // In the end all duties are left: no lease may stay behind.
+            // Near the end members give up all duties, so that the final check can require that no lease is
+            // left.
             if self.now > LAST_FAULT + QUIET_PERIOD / 2 {
                 self.members.entry(id).and_modify(|member| member.wanted_duties.clear());
             }
@@ -128,7 +129,7 @@
         self.drive(id);
     }
 
-    /// A tick of a member's node: it proposes the changes that its file asks for, and its own enrolment.
+    /// Ticks a member's node, which then proposes the changes that its file asks for, and its own enrolment.
     fn tick_node(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let (file, revision) = (member.file as usize, member.file_revision());
--- a/src/sim/federation/messages.rs
+++ b/src/sim/federation/messages.rs
@@ -1,4 +1,4 @@
-//! What goes between members: messages, forwarded commands, and commands that keep the log growing.
+//! Traffic between members: messages, forwarded commands, and filler commands that keep the log growing.
 
 use super::world::{FederationEvent, FederationWorld};
 use super::{draw_span, PlantedBug, LAST_FAULT, MIN_DELAY, MS, QUIET_PERIOD};
@@ -7,22 +7,23 @@
 use crate::federation::MemberId;
 use rand::Rng;
 
-/// One message in so many is lost.
+/// On average, one in this many messages is lost.
 const MESSAGES_PER_LOSS: i32 = 100;
-/// The commands without effect name members from this number on, which no member has.
+/// Lowest member number in filler commands. No member has such a number, so these commands have no effect.
 const FIRST_FILLER_MEMBER: u64 = 1_000_000;
 
 impl FederationWorld {
-    /// Whether no message gets from one member to another.
+    /// Whether messages from one member to another are lost because of a partition.
     pub(super) fn is_partitioned(&self, from: MemberId, to: MemberId) -> bool {
         self.partitions.get(&(from, to)).is_some_and(|until| *until > self.now)
     }
 
-    /// Sends a member's message, which may be lost.
+    /// Sends a message of a member; it is delayed, and may be lost.
     pub(super) fn send(&mut self, id: MemberId, message: MessageRecord) {
         self.maybe_crash_on_vote(id, &message);
         if message.kind == MessageKind::Snapshot {
-            // Sent, as far as the sender knows: that it was lost shows in the answers.
+            // The sender takes the snapshot for sent. If it is lost, the sender learns that from later
+            // responses.
             if let Some(node) = self.members.get_mut(&id).and_then(|member| member.node.as_mut()) {
                 node.report_snapshot(message.to, true);
             }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// A member may crash as it grants a vote.
+    /// Crashes a member for a moment as it grants a vote, with the run's probability.
     fn maybe_crash_on_vote(&mut self, id: MemberId, message: &MessageRecord) {
         let grants_vote = message.kind == MessageKind::VoteResponse && !message.reject;
         if !grants_vote || self.votes_per_crash == 0 || self.now >= LAST_FAULT {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// A message reaches a member, which may be stalled or know the sender's store for another.
+    /// Delivers a message to a member. A stalled member gets it when it runs again; a member that does not
+    /// admit the sender's incarnation ignores it.
     pub(super) fn deliver(&mut self, message: Box<MessageRecord>, incarnation: u64) {
         let (id, from) = (message.to, message.from);
         if self.is_partitioned(from, id) {
@@ -75,7 +77,8 @@
         self.drive(id);
     }
 
-    /// A member's command reaches the one that it takes for the leader.
+    /// Delivers a member's command to the member that it considers to be the leader; dropped if that is
+    /// stalled or not running, or does not list the sender.
     pub(super) fn forward(&mut self, from: MemberId, to: MemberId, command: &Command) {
         let member = self.members.get_mut(&to).filter(|member| member.stalled_until <= self.now);
         let Some(node) = member.and_then(|member| member.node.as_mut()) else { return };
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Whoever leads proposes a command without effect, which takes its place in the log all the same.
+    /// Lets every leader propose a filler command: it has no effect on the state, but adds an entry to the
+    /// log.
     pub(super) fn propose_filler(&mut self) {
         self.filler_commands += 1;
         let id = MemberId(FIRST_FILLER_MEMBER + self.filler_commands);
--- a/src/sim/federation/mod.rs
+++ b/src/sim/federation/mod.rs
@@ -1,11 +1,13 @@
-//! Federations of several members on a virtual clock: the same [`Node`](crate::federation::node::Node)s that run in
-//! service, with messages that come late, out of order or not at all, cuts (also one way only), stalls, restarts from
-//! the store, disks that fail and work again, clocks that drift apart and new files. See docs/simulator.md.
+//! Simulates federations of several members on a virtual clock, with the same
+//! [`Node`](crate::federation::node::Node)s that run in service. Messages are delayed, reordered or lost.
+//! Members are partitioned (also one way only), stalled and restarted from their stores, their disks fail and
+//! recover, their clocks drift apart, and new files arrive. See docs/simulator.md.
 //!
-//! - `world`: the run's event queue and what happens; `member`: one member; `members`: they start, restart and take steps.
-//! - `messages`: what goes between members; `leases`: what they do with their duties.
-//! - `faults`: what goes wrong; `disk`: a member's store.
-//! - `observer`: what all members did so far; `checks`: what must hold of it.
+//! - `world`: the run's state, its event queue and the handling of events.
+//! - `member`: the state of one member; `members`: how members start, restart and take steps.
+//! - `messages`: messages and commands between members; `leases`: how members seek and use leases.
+//! - `faults`: the faults of a run; `disk`: a member's store, which can fail.
+//! - `observer`: records what all members did so far; `checks`: the rules for it.
 //! - `summary`: plays many seeds.
 
 mod checks;
@@ -32,61 +34,64 @@
 
 const MS: Span = Span::from_millis(1);
 const TICK: Span = Span::from_millis(50);
-/// Faults begin between these times.
+/// Earliest and latest time at which a fault begins.
 const FIRST_FAULT: Instant = Instant::from_micros(1_000_000);
 const LAST_FAULT: Instant = Instant::from_micros(20_000_000);
-/// The longest that a fault lasts beyond the last one's begin.
+/// Longest time that a fault lasts after `LAST_FAULT`.
 const MAX_FAULT_DURATION: Span = Span::from_secs(5);
-/// How long the members have without faults to agree.
+/// Time without faults at the end of a run, in which the members must reach agreement.
 const QUIET_PERIOD: Span = Span::from_secs(12);
 const TUNING: Tuning = Tuning { election_ticks: 10, heartbeat_ticks: 2, compact_after: 12 };
-/// The shortest time that a message takes.
+/// Shortest delay of a message.
 const MIN_DELAY: Span = Span::from_micros(500);
-/// The largest part by which clocks run too fast or slow.
+/// Largest fraction by which clocks run too fast or too slow.
 const MAX_DRIFT: f64 = 0.05;
 const LEASE_TERMS: LeaseTerms =
     LeaseTerms { duration: Span::from_secs(3), guard: Span::from_millis(150), drift: MAX_DRIFT };
 /// The duties for which members seek leases.
 const DUTIES: [&str; 3] = ["publish", "warm/a", "trial/b"];
 
-/// A bug that is planted to see that it is found.
+/// A bug that is planted on purpose, to show that the rules find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum PlantedBug {
-    /// Terms and votes are not kept: a member that restarts votes again in the same term
+    /// Terms and votes are not stored: a member that restarts can vote again in the same term
     ForgottenVote,
-    /// What was kept last is lost with the process, though it was answered for already
+    /// The last step that was stored is lost when the process ends, although it was acknowledged
     UnsyncedLog,
-    /// A member that lost its store comes back with an empty one under its old name, and is taken for the old one
+    /// A member that lost its store restarts with an empty one under its old id, and the others still admit
+    /// it
     EmptyStore,
-    /// A holder does not look at its clock again before it acts
+    /// A lease holder does not check its clock again before it acts
     NoLook,
-    /// Holders keep no guard time, and the leader waits for no drift of clocks
+    /// Holders keep no guard time, and the leader does not allow for clock drift
     NoGuard,
-    /// A member acknowledges what its failing disk did not store
+    /// A member acknowledges a step that its failing disk did not store
     UnstoredAck,
 }
 
-/// How a run came out.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FederationOutcome {
-    /// The broken rules, in the order of time.
+    /// Broken rules; a run ends at the first breach, so there is more than one only if one event broke
+    /// several.
     pub breaches: Vec<Breach>,
-    /// A hash of all that happened: equal runs have equal ones.
+    /// Hash of the log indexes that members applied, with the members, in order; equal runs have equal
+    /// hashes.
     pub trace: u64,
-    /// What happened in the run.
+    /// Numbers of commands, leaders, files and acts in the run.
     pub counts: FederationCounts,
 }
 
-/// How much happened in one run or several.
+/// Numbers of events in one run, or in several together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FederationCounts {
-    /// Commands that were committed.
+    /// Number of committed commands.
     pub commands: u64,
-    /// Terms that had a leader.
+    /// Number of terms that had a leader.
     pub leaders: u64,
-    /// New federation files.
+    /// Number of federation files after the first one.
     pub files: u64,
-    /// Acts under a lease.
+    /// Number of acts on duties under a lease.
     pub acts: u64,
 }
 
@@ -109,17 +114,17 @@
     }
 }
 
-/// Draws a span.
+/// Draws a span from a range, in whole microseconds.
 fn draw_span(random: &mut impl Rng, from: Range<Span>) -> Span {
     Span::from_micros(random.random_range(from.start.as_micros()..from.end.as_micros()))
 }
 
-/// Draws an instant.
+/// Draws an instant from a range, in whole microseconds.
 fn draw_instant(random: &mut impl Rng, from: Range<Instant>) -> Instant {
     Instant::from_micros(random.random_range(from.start.as_micros()..from.end.as_micros()))
 }
 
-/// Plays one seed.
+/// Plays one seed, optionally with a planted bug.
 pub fn run(seed: u64, planted_bug: Option<PlantedBug>) -> FederationOutcome {
     FederationWorld::new(seed, planted_bug).play()
 }
--- a/src/sim/federation/observer.rs
+++ b/src/sim/federation/observer.rs
@@ -1,4 +1,4 @@
-//! What all members of a simulated federation did so far.
+//! Records what all members of a simulated federation did so far.
 
 use super::FederationCounts;
 use crate::federation::node::{AppliedCommand, Node};
@@ -8,7 +8,7 @@
 use crate::sim::rules::Breach;
 use std::collections::BTreeMap;
 
-/// What a member did in one step.
+/// Result of one step of a member, and its state after it.
 pub(super) struct ObservedStep {
     pub(super) id: MemberId,
     pub(super) committed: Vec<AppliedCommand>,
@@ -19,7 +19,7 @@
 }
 
 impl ObservedStep {
-    /// Takes what a node has done since it was last asked.
+    /// Takes what a node has done since the last call.
     pub(super) fn take(id: MemberId, node: &mut Node) -> Self {
         let (state, applied) = (node.state().clone(), node.log_indexes().applied);
         let step = ObservedStep {
@@ -35,17 +35,17 @@
     }
 }
 
-/// The highest token under which a duty was acted on, and by whom.
+/// The last act on a duty: its fencing token, and the member that acted.
 #[derive(Clone, Copy)]
 pub(super) struct LastAct {
     pub(super) token: u64,
     pub(super) by: MemberId,
 }
 
-/// What all members did so far.
+/// Record of what all members did so far.
 #[derive(Default)]
 pub(super) struct Observer {
-    /// The first breach of each rule, in the order of time.
+    /// First breach of each rule, in the order of time.
     pub(super) breaches: Vec<Breach>,
     pub(super) leaders: BTreeMap<Term, MemberId>,
     pub(super) committed: BTreeMap<LogIndex, Command>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The counts of a run with so many new files.
+    /// Returns the counts of a run with this many new files.
     pub(super) fn counts(&self, files: u64) -> FederationCounts {
         FederationCounts {
             commands: self.committed.len() as u64,
--- a/src/sim/federation/summary.rs
+++ b/src/sim/federation/summary.rs
@@ -1,4 +1,4 @@
-//! Plays many seeds on all cores, and says what they came to.
+//! Plays many seeds on all cores, and combines their results.
 
 use super::{run, FederationCounts, FederationOutcome, PlantedBug};
 use crate::interface::Span;
@@ -10,21 +10,21 @@
 use std::ops::Range;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The failing seeds that a summary lists.
+/// Most failing seeds that a summary lists.
 const LISTED_SEEDS: usize = 3;
 
-/// What many seeds came to.
+/// Combined result of many seeds; its `Display` form is printed by `dahliatrack sim --federation`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FederationSummary {
-    /// The number of seeds played.
+    /// Number of seeds played.
     pub seeds: u64,
-    /// The first breach of each seed that broke a rule.
+    /// First breach of each seed that broke a rule, by seed.
     pub broken: BTreeMap<u64, Breach>,
-    /// What happened in all runs.
+    /// Sums of the counts of all runs.
     pub counts: FederationCounts,
 }
 
-/// Plays one seed; a panic counts as a broken rule.
+/// Plays one seed. A panic is reported as a breach of the rule "panic".
 fn play(seed: u64, planted_bug: Option<PlantedBug>) -> FederationOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(seed, planted_bug)));
     played.unwrap_or_else(|panic| {
@@ -33,7 +33,7 @@
     })
 }
 
-/// Plays seeds on all cores.
+/// Plays the seeds on all cores, optionally with a planted bug.
 pub fn search(seeds: Range<u64>, planted_bug: Option<PlantedBug>) -> FederationSummary {
     let count = seeds.end.saturating_sub(seeds.start);
     let outcomes: Vec<(u64, FederationOutcome)> =
--- a/src/sim/federation/world.rs
+++ b/src/sim/federation/world.rs
@@ -1,4 +1,4 @@
-//! A run under way: its state, its event queue, and what happens at each event.
+//! State of a run in progress, its event queue, and the handling of events.
 
 use super::member::SimulatedMember;
 use super::observer::Observer;
@@ -17,64 +17,66 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// The cluster's number and the first revision of its file.
+/// Number of the cluster, and first revision of its file.
 const CLUSTER: u64 = 7;
 const FIRST_REVISION: u64 = 1;
-/// One seed in so many has disks that fail and work again while their members go on. The others play what they played
-/// before there were such faults, so that the seeds that once found a bug still look for it.
+/// One in this many seeds has disks that fail and recover while their members keep trying. The other seeds
+/// play the same events as before such faults were added, so that seeds that once found a bug still test for
+/// it.
 const SEEDS_PER_DISK_FAULTS: u64 = 4;
 const FIRST_SEED_WITH_DISK_FAULTS: u64 = 1;
 
-/// Something that happens in a run.
+/// An event of a run.
 pub(super) enum FederationEvent {
-    /// A member's tick, by its number.
+    /// A member's tick with this number.
     Tick(MemberId, u64),
-    /// A message arrives, from a store of this incarnation.
+    /// A message arrives from a member whose store has this incarnation.
     Message(Box<MessageRecord>, u64),
     /// A fault begins.
     Fault,
-    /// The disk of some member begins to fail.
+    /// The disk of a member that is drawn then begins to fail.
     DiskFails,
-    /// The disk of a member works again.
+    /// The disk of a member stops failing.
     DiskHeals(MemberId),
-    /// A member starts, if it is not running.
+    /// A member starts if it is not running.
     Restart(MemberId),
-    /// A member acts on a duty under a token that it found valid a moment ago.
+    /// A member acts on a duty under a fencing token that was valid when the event was scheduled.
     Act(MemberId, &'static str, u64),
-    /// A member's command reaches the one that it takes for the leader.
+    /// A member's command reaches the member that it considers to be the leader.
     Forward(MemberId, MemberId, Command),
-    /// The leader proposes a command without effect.
+    /// The leader proposes a filler command, which has no effect.
     ProposeFiller,
-    /// A new file, by its number, reaches a member.
+    /// The federation file with this number reaches a member.
     File(MemberId, u64),
 }
 
-/// A run under way.
+/// State of a run in progress.
 pub(super) struct FederationWorld {
     pub(super) now: Instant,
     event_queue: BTreeMap<(Instant, u64), FederationEvent>,
     scheduled: u64,
     pub(super) members: BTreeMap<MemberId, SimulatedMember>,
-    /// By sender and receiver: until when no message gets through.
+    /// Until when messages are lost, by sender and receiver.
     pub(super) partitions: BTreeMap<(MemberId, MemberId), Instant>,
-    /// All federation files so far.
+    /// All federation files so far; the newest is last.
     pub(super) files: Vec<Roster>,
     pub(super) random: ChaCha8Rng,
-    /// Draws the faults of disks that heal.
+    /// Draws the disk faults that heal. It is separate from `random`, so that all other draws stay as they
+    /// are without these faults.
     pub(super) disk_random: ChaCha8Rng,
-    /// The longest that a message takes in this run.
+    /// Longest delay of a message in this run.
     pub(super) max_delay: Span,
-    /// Of so many granted votes one is the last thing that its member does for a moment; 0: none.
+    /// On average, a member crashes for a moment at one in this many granted votes; 0: never.
     pub(super) votes_per_crash: u32,
     pub(super) planted_bug: Option<PlantedBug>,
     pub(super) observer: Observer,
-    /// Commands without effect that were proposed.
+    /// Number of filler commands that were proposed.
     pub(super) filler_commands: u64,
     pub(super) trace: DefaultHasher,
 }
 
 impl FederationWorld {
-    /// A federation at its founding_log, with all faults planned.
+    /// Creates a federation that has just been founded, with all faults scheduled.
     pub(super) fn new(seed: u64, planted_bug: Option<PlantedBug>) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let voters = [3, 3, 5][random.random_range(0..3)];
@@ -134,7 +136,8 @@
         self.event_queue.insert((at.max(self.now), self.scheduled), event);
     }
 
-    /// Plays to the end, or to the first breach: what follows from one says nothing.
+    /// Plays to the end or to the first breach, since breaches that follow from another one are not
+    /// informative.
     pub(super) fn play(mut self) -> FederationOutcome {
         let end = LAST_FAULT + MAX_FAULT_DURATION + QUIET_PERIOD;
         while let Some(((at, _), event)) = self.event_queue.pop_first().filter(|((at, _), _)| *at < end) {
--- a/src/sim/mod.rs
+++ b/src/sim/mod.rs
@@ -1,12 +1,14 @@
-//! A deterministic simulator: the edge proxy's own network code on a virtual clock, against scripted faults drawn from
-//! a seed, with every rule checked as things happen. See docs/simulator.md.
+//! Deterministic simulator: runs the edge proxy's own server and network code on a virtual network and a
+//! virtual clock, injects a script of faults that is drawn from a seed, and checks every rule at each event.
+//! See docs/simulator.md.
 //!
-//! - [`world`] plays a run: the program's own server on a virtual network, and around it stand-in clients, hosts and
-//!   feed.
-//! - [`site_variant`] draws how the site differs from the default one; the faults are [`crate::standin::faults`].
-//! - [`rules`] says what must hold.
-//! - [`runner`] plays many seeds and shrinks what fails.
-//! - `federation` plays federations of several members.
+//! - [`world`] plays one run: the program's own server, with stand-ins for the clients, the hosts and the
+//!   control feed.
+//! - [`site_variant`] draws how the site's settings differ from the default; the faults are drawn by
+//!   [`crate::standin::faults`].
+//! - [`rules`] holds the rules that every run must keep.
+//! - [`runner`] plays many seeds and shrinks the fault scripts of those that fail.
+//! - `federation` simulates federations of several members.
 
 #[cfg(feature = "federation")]
 pub mod federation;
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -1,31 +1,32 @@
-//! What has to hold in every run, checked at each step: a breach names its rule and the moment. No I/O, and no state of
-//! the world but what is reported here.
+//! Rules that every run must keep, checked at each event; a breach states its rule and its time. Does no I/O,
+//! and knows of the simulated world only what is reported through these methods.
 
 use crate::interface::{Instant, Span};
 use crate::standin::ids::{HostId, LinkId};
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// A drain, removal or purge takes effect within this time after it was stated (protocol page, with its slack).
+/// Time within which a drain or removal must take effect after it was published (protocol page, with its
+/// slack).
 const DRAIN_BOUND: Span = Span::from_millis(1_050);
-/// An answer counts until this long after the client's timeout.
+/// Longest time after the client's timeout at which an answer is still in time.
 const ANSWER_GRACE: Span = Span::from_millis(550);
-/// What is in flight may arrive this much later than it was sent.
+/// Longest time between the sending of bytes and their arrival that the rules allow for.
 pub const MAX_TRANSIT: Span = Span::from_millis(45);
-/// No attempt begins for a client that left longer ago than this.
+/// Longest time after a client has cancelled or disconnected at which an attempt for it may still begin.
 const CANCEL_BOUND: Span = Span::from_millis(100);
-/// Time limits are this much longer on sockets (protocol page).
+/// Extra time that limits get where requests go over sockets (protocol page).
 const SOCKET_SLACK: Span = Span::from_millis(50);
 
-/// A rule that was broken.
+/// A broken rule, with the time and a description of the event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Breach {
-    /// The rule's name.
+    /// Name of the rule, as printed in the summary.
     pub rule: &'static str,
-    /// When, from the start of the run; serialized in microseconds.
+    /// Time from the start of the run to the breach; serialized in microseconds.
     #[serde(serialize_with = "in_micros")]
     pub at: Span,
-    /// What happened.
+    /// Description of the event, with the request, host or member concerned.
     pub text: String,
 }
 
@@ -33,92 +34,94 @@
     span.as_micros().serialize(to)
 }
 
-/// An attempt that has reached a host.
+/// A complete attempt that has reached a host.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedAttempt<'a> {
-    /// The host.
+    /// Host that received the attempt.
     pub host: HostId,
-    /// The host's name in the endpoint list.
+    /// Name of the host in the endpoint list.
     pub host_name: &'a str,
-    /// The connection.
+    /// Connection on which the attempt arrived.
     pub link: LinkId,
-    /// The trace of the client's request.
+    /// Trace id of the client's request.
     pub trace: &'a str,
-    /// When its first byte was written, which is what drains count from.
+    /// When its first byte was written. The rule for drains compares this time, not the time of arrival.
     pub sent: Instant,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub is_write: bool,
 }
 
-/// Whether a write ran where it was sent.
+/// Whether a write may have run at the host to which it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteState {
-    /// It may have run; it was written then.
+    /// It may have run; the attempt was written to the connection at this time.
     MayHaveRun(Instant),
     DidNotRun,
 }
 
-/// A purge of one object.
+/// The rule that follows from a purge of one object.
 #[derive(Clone, Copy, Debug)]
 pub struct PurgeRule {
-    /// Copies that are older than this are void.
+    /// Copies that the origin handed out before this time are void.
     pub purged_at: Instant,
-    /// From this time on, no request is served by one.
+    /// Requests that are sent after this time must not be served from a void copy.
     pub holds_from: Instant,
 }
 
-/// The state that the rules need.
+/// Checks the rules of one run; holds the reported state that they need and the breaches found.
 #[derive(Debug, Default)]
 pub struct Rules {
     start: Instant,
-    /// The first breach of each rule, in the order of time.
+    /// First breach of each rule, in the order of time.
     pub breaches: Vec<Breach>,
-    /// By trace: the write's state at each host and connection that it was sent to.
+    /// State of each write at every host and connection to which it was sent, by trace id.
     writes: BTreeMap<String, BTreeMap<(HostId, LinkId), WriteState>>,
-    /// A write that may have run may be repeated for this long after its first attempt was written; `None`: never.
+    /// How long after its first attempt was written a write that may have run may be repeated; `None`: never.
     dedup_window: Option<Span>,
-    /// By trace: when its client cancelled it or closed its connection.
+    /// When the client cancelled the request or closed its connection, by trace id.
     clients_left: BTreeMap<String, Instant>,
-    /// When drained and removed hosts must no longer be sent anything.
+    /// Time from which a drained or removed host must not be sent new attempts, by host.
     drain_deadlines: BTreeMap<HostId, Instant>,
-    /// By object.
+    /// Purges of each object, by object id.
     purges: BTreeMap<String, Vec<PurgeRule>>,
 }
 
 impl Rules {
-    /// Rules for a run that starts now.
+    /// Creates the rules of a run that starts at `start`, in which a write that may have run is never
+    /// repeated.
     pub fn new(start: Instant) -> Self {
         Rules { start, ..Rules::default() }
     }
 
-    /// The same rules where a write may be repeated for this long.
+    /// Sets how long a write that may have run may be repeated.
     pub fn with_dedup_window(self, dedup_window: Option<Span>) -> Self {
         Rules { dedup_window, ..self }
     }
 
-    /// Records a breach, unless the rule was broken before.
+    /// Records a breach, unless this rule was broken before.
     pub fn record_breach(&mut self, now: Instant, rule: &'static str, text: String) {
         if self.breaches.iter().all(|breach| breach.rule != rule) {
             self.breaches.push(Breach { rule, at: now - self.start, text });
         }
     }
 
-    /// A client has cancelled a request or closed its connection.
+    /// Records that the client of a request has cancelled it or closed its connection.
     pub fn client_left(&mut self, now: Instant, trace: &str) {
         self.clients_left.entry(trace.to_owned()).or_insert(now);
     }
 
-    /// A host was drained or removed, which counts as stated at `stated`.
+    /// Records that a host was drained or removed; `stated` is the time from which the bound counts.
     pub fn host_drained(&mut self, host: HostId, stated: Instant) {
         self.drain_deadlines.entry(host).or_insert(stated + DRAIN_BOUND);
     }
 
-    /// A host may be used again.
+    /// Records that a drained or removed host may be sent attempts again.
     pub fn host_up_again(&mut self, host: HostId) {
         self.drain_deadlines.remove(&host);
     }
 
-    /// The feed is cut off since `since`: what it stated after that counts as stated at `stated` at the earliest.
+    /// Records that the feed has been cut off since `since`. The bounds of drains and purges that it
+    /// published since then count from `stated` at the earliest.
     pub fn feed_cut_off(&mut self, since: Instant, stated: Instant) {
         for deadline in self.drain_deadlines.values_mut().filter(|deadline| **deadline >= since + DRAIN_BOUND)
         {
@@ -129,12 +132,12 @@
         }
     }
 
-    /// An object was purged.
+    /// Records a purge of an object.
     pub fn purged(&mut self, object: &str, purge: PurgeRule) {
         self.purges.entry(object.to_owned()).or_default().push(purge);
     }
 
-    /// A complete request has reached a host.
+    /// Checks the rules for an attempt that has completely reached a host.
     pub fn attempt_received(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
         self.check_drain(now, attempt);
         self.check_client_left(now, attempt);
@@ -164,7 +167,8 @@
         self.record_breach(now, "after-leaving", text);
     }
 
-    /// Checks that a write was not sent elsewhere before, where it may have run and may not be repeated.
+    /// Checks that a write that may have run is not sent again, except within the time in which it may be
+    /// repeated.
     fn check_repeat(&mut self, now: Instant, attempt: &ReceivedAttempt<'_>) {
         let ReceivedAttempt { host_name, trace, sent, .. } = *attempt;
         let states = self.writes.entry(trace.to_owned()).or_default();
@@ -187,14 +191,15 @@
         }
     }
 
-    /// A host states that a request did not run there.
+    /// Records that a host has stated that a request did not run there.
     pub fn did_not_run(&mut self, host: HostId, link: LinkId, trace: &str) {
         if let Some(states) = self.writes.get_mut(trace) {
             states.insert((host, link), WriteState::DidNotRun);
         }
     }
 
-    /// A request that was sent at `sent` was served by a copy that the origin handed out at `handed_out`.
+    /// Checks a request that was sent at `sent` and served from a copy that the origin handed out at
+    /// `handed_out`.
     pub fn served(&mut self, now: Instant, object: &str, handed_out: Instant, sent: Instant) {
         let is_broken =
             |purge: &&PurgeRule| handed_out < purge.purged_at && sent > purge.holds_from + MAX_TRANSIT;
@@ -208,7 +213,7 @@
         );
     }
 
-    /// A request that was sent at `sent` got its answer.
+    /// Checks that the answer to a request that was sent at `sent` came in time.
     pub fn answered(&mut self, now: Instant, trace: &str, sent: Instant, client_timeout: Span) {
         let late = now - sent - client_timeout;
         if late > ANSWER_GRACE + MAX_TRANSIT {
--- a/src/sim/rules/tests.rs
+++ b/src/sim/rules/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `rules`.
+//! Tests of the rules: each one is broken just beyond its bound, and kept at the bound.
 
 use super::*;
 
 const FIRST: HostId = HostId(0);
 const SECOND: HostId = HostId(1);
-/// Each host has one connection.
+/// Connection of the first host; that of the second has the next number.
 const FIRST_LINK: LinkId = LinkId(7);
 
 fn at(micros: i64) -> Instant {
@@ -27,7 +27,8 @@
 #[test]
 fn repeated_write_that_may_have_run_is_a_breach() {
     let mut rules = Rules::new(at(0));
-    // Did not run, and sent elsewhere: allowed. May have run, and sent again: not.
+    // A write that did not run may be sent to another host. A write that may have run must not be sent again.
+    // Requests that are not writes may be sent any number of times.
     rules.attempt_received(at(1), &write(FIRST, "t1", at(1)));
     rules.did_not_run(FIRST, FIRST_LINK, "t1");
     rules.attempt_received(at(2), &write(SECOND, "t1", at(2)));
@@ -70,7 +71,7 @@
     rules.feed_cut_off(at(0), at(500_000));
     let (in_time, late) = (at(500_000) + DRAIN_BOUND, at(500_001) + DRAIN_BOUND);
     rules.attempt_received(in_time + MAX_TRANSIT, &attempt(FIRST, "t", in_time));
-    assert_eq!(broken_rules(&rules), [""; 0], "the feed was cut off");
+    assert_eq!(broken_rules(&rules), [""; 0], "the deadline moves while the feed is cut off");
     rules.attempt_received(late, &attempt(FIRST, "t", late));
     assert_eq!(broken_rules(&rules), ["drain"]);
 }
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -1,4 +1,5 @@
-//! Plays many seeds in parallel, and shrinks the script of one that fails to the faults that it needs.
+//! Plays many seeds in parallel, and shrinks the fault script of each failing seed to the faults that it
+//! needs.
 
 mod summary;
 
@@ -15,7 +16,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Instant;
 
-/// Plays one seed with some of its faults; a panic counts as a broken rule.
+/// Plays one seed with the given faults of its script. A panic is reported as a breach of the rule "panic".
 pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, planted_bug)));
     played.unwrap_or_else(|panic| {
@@ -24,8 +25,8 @@
     })
 }
 
-/// Drops faults from a seed's script one by one, as long as the rule is still broken; none of those left can be
-/// dropped.
+/// Drops faults from a seed's script one by one while the rule is still broken. In the result, no single
+/// remaining fault can be dropped.
 pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, planted_bug: Option<PlantedBug>) -> Failure {
     let script = plan.script(seed);
     let pick = |keep: &[usize]| -> Vec<Fault> { keep.iter().map(|n| script[*n].clone()).collect() };
@@ -49,7 +50,7 @@
     }
 }
 
-/// The list without its first element, without its second, and so on.
+/// Returns copies of the list, each without one of its elements, in the order of the omitted element.
 fn lists_without_one(list: &[usize]) -> impl Iterator<Item = Vec<usize>> + '_ {
     (0..list.len()).map(|n| {
         let mut fewer = list.to_vec();
@@ -58,13 +59,13 @@
     })
 }
 
-/// What several runs came to.
+/// Combined results of several runs.
 #[derive(Default)]
 struct Totals {
     answers: AnswerCounts,
     steps: u64,
     ties: u64,
-    /// By seed: the rule that it broke first.
+    /// First rule that each failing seed broke, by seed.
     failed: BTreeMap<u64, &'static str>,
 }
 
@@ -88,7 +89,7 @@
     }
 }
 
-/// Plays seeds on all cores; at most `max_failures` failures are shrunk.
+/// Plays the seeds on all cores, and shrinks the first `max_failures` failures.
 pub fn search(
     plan: &RunPlan,
     seeds: Range<u64>,
--- a/src/sim/runner/summary.rs
+++ b/src/sim/runner/summary.rs
@@ -1,4 +1,4 @@
-//! What many seeds came to, and how it is printed.
+//! Combined result of many seeds, and its text output.
 
 use crate::sim::world::AnswerCounts;
 use crate::standin::faults::Fault;
@@ -7,39 +7,39 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A seed that broke a rule.
+/// A seed that broke a rule, with its shrunk fault script.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failure {
-    /// The seed.
+    /// Seed of the run, as given to `sim --seeds`.
     pub seed: u64,
-    /// The rule that the run broke first.
+    /// Name of the rule that the seed's full script broke first.
     pub rule: String,
-    /// What happened, and when, ms from the start of the shrunk run.
+    /// What happened and when, in ms from the start of the shrunk run.
     pub text: String,
-    /// The numbers of the faults that it needs, in the seed's script.
+    /// Positions, in the seed's script, of the faults that are needed to break the rule.
     pub keep: Vec<usize>,
-    /// Those faults.
+    /// The faults at these positions.
     pub faults: Vec<Fault>,
-    /// The trace number of the shrunk run.
+    /// Trace hash of the shrunk run; see [`RunOutcome::trace`](crate::sim::world::RunOutcome::trace).
     pub trace: u64,
 }
 
-/// What many seeds came to.
+/// Combined result of many seeds; its `Display` form is printed by `dahliatrack sim`.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// The number of seeds played.
+    /// Number of seeds played.
     pub seeds: u64,
-    /// How long it took.
+    /// Time that all runs took, with shrinking, on the real clock.
     pub took: Duration,
-    /// What became of all requests.
+    /// Outcomes of all requests of all runs.
     pub answers: AnswerCounts,
-    /// Steps of the network.
+    /// Number of steps of the virtual network in all runs.
     pub steps: u64,
-    /// Moments at which something arrived and a deadline fell due at once.
+    /// Number of moments at which something arrived and a deadline expired at the same time.
     pub ties: u64,
-    /// By rule: how many seeds broke it first.
+    /// Number of seeds that broke each rule first, by rule.
     pub broken: BTreeMap<String, u64>,
-    /// The first failures by seed, shrunk.
+    /// The first failures in the order of seeds, shrunk.
     pub failures: Vec<Failure>,
 }
 
--- a/src/sim/site_variant.rs
+++ b/src/sim/site_variant.rs
@@ -1,45 +1,47 @@
-//! How the site of a run differs from the default one, drawn by seed. One in two runs has the default site; the others
-//! state less or allow less, as a site's settings may (protocol pages: `weights`, `limits`, `domain`).
+//! Variants of the site's settings, drawn from the seed. Every second seed has the default site. In the other
+//! runs hosts state less or the settings allow other things than the default (protocol pages: `weights`,
+//! `limits`, `domain`).
 
 use crate::splitmix64::mix;
 use serde_json::{json, Value};
 
-/// What a site's settings state and allow, where that is not the default.
+/// Differences of a site's settings from the default; each field is `false` in the default site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SiteVariant {
-    /// All weights in the endpoint list are 1, whatever the links are.
+    /// All weights in the endpoint list are 1, whatever the hosts' capacities are.
     pub silent_weights: bool,
     /// Rejections carry no Retry-After.
     pub no_retry_after: bool,
-    /// A request has one attempt in flight at a time.
+    /// A request has at most one attempt in flight: no hedged requests.
     pub one_at_a_time: bool,
-    /// Attempts cannot be cancelled.
+    /// Attempts cannot be cancelled once they are sent.
     pub no_cancel: bool,
-    /// Answers do not state how they came about.
+    /// Answers of hosts do not state how they came about: no cache status.
     pub no_notes: bool,
-    /// Answers state only how a served request came about: a failed fill does not say which host is at fault.
+    /// Answers of hosts carry notes only for served requests: a failed fill does not name the host that
+    /// failed.
     pub sparse_notes: bool,
-    /// Any cache may be the source of a fill, and requests may join a fill in flight.
+    /// Any cache may be a fill source, and requests may join a fill in flight.
     pub shared_fills: bool,
-    /// Requests are not sent directly to a parent or the origin.
+    /// Requests are never sent directly to a parent or the origin.
     pub no_direct: bool,
-    /// A request has two attempts at most.
+    /// A request has at most two attempts.
     pub two_attempts: bool,
     /// A write may be repeated under its idempotency key for [`DEDUP_WINDOW_MS`].
     pub keyed_writes: bool,
 }
 
-/// How long a write may be repeated under its idempotency key, ms.
+/// Time within which a write may be repeated under its idempotency key, in ms.
 pub const DEDUP_WINDOW_MS: i64 = 600;
 
-/// Keeps the variant of a seed apart from what else the seed decides.
+/// Mixed into the seed, so that the variant is independent of what else is drawn from the seed.
 const VARIANT_SALT: u64 = 0x00c0_5703;
 
-/// The place of the class `result`, which writes, among the classes of a made-up site.
+/// Index of the class `result`, whose requests are writes, in the settings' list of classes.
 pub const WRITE_CLASS: usize = 3;
 
 impl SiteVariant {
-    /// The site of a seed: even seeds have the default one.
+    /// Draws the variant of a seed; even seeds have the default site.
     pub fn draw(seed: u64) -> Self {
         let bits = if seed.is_multiple_of(2) { 0 } else { mix(seed ^ VARIANT_SALT) };
         let bit = |n: u32| bits >> n & 1 == 1;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Changes the settings and the hosts of the first endpoint list accordingly.
+    /// Applies the differences to the settings and to the hosts of the first endpoint list.
     pub fn apply(self, settings: &mut Value, hosts: &mut Value) {
         let mut set = |on: bool, path: [&str; 2], value: Value| {
             if on {
--- a/src/sim/site_variant/tests.rs
+++ b/src/sim/site_variant/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `site_variant`.
+//! Tests of the drawn site variants and of their effect on the settings.
 
 use super::*;
 
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -1,4 +1,4 @@
-//! The hard cases as scripts, the planted bugs, and a few hundred seeds.
+//! Hard cases as fault scripts, the planted bugs, and a few hundred seeds.
 
 use super::runner::{play, search, shrink};
 use super::world::{run, PlantedBug, RunOutcome};
@@ -6,7 +6,7 @@
 use crate::standin::faults::{Fault, FaultKind, RunPlan};
 use crate::standin::ids::{ClientId, HostId};
 
-/// Parents and origin of the usual plan, behind its four caches.
+/// First parent and origin of the default plan, whose hosts 0 to 3 are caches.
 const PARENT: HostId = HostId(4);
 const ORIGIN: HostId = HostId(6);
 
@@ -14,7 +14,8 @@
     Fault { at_ms, kind }
 }
 
-/// Plays a script with many seeds' traffic: no rule is broken, whatever the traffic.
+/// Plays a script with the traffic of many seeds. Asserts that no rule is broken, and that at least 140 of
+/// the 150 requests have an outcome.
 fn assert_no_breach(seeds: std::ops::Range<u64>, script: impl Fn(i64) -> Vec<Fault>) -> Vec<RunOutcome> {
     let plan = RunPlan { requests: 150, ..RunPlan::default() };
     let outcomes: Vec<RunOutcome> = seeds.map(|seed| play(&plan, seed, &script(seed as i64), None)).collect();
@@ -47,22 +48,24 @@
 
 #[test]
 fn planted_bugs_are_found_and_shrunk_to_needed_faults() {
-    // Without the faults of the processes' host, which would hide the rare ones, and with them.
+    // The rarer bugs are searched for without faults of the machine, since those would hide them.
     let (without, with) = (RunPlan::default().without_system_faults(), RunPlan::default());
     for (plan, planted_bug, rule, seeds, needs) in [
         (&without, PlantedBug::ResultTwice, "result-twice", 0..60, 1),
         (&without, PlantedBug::DeafToDrains, "drain", 0..60, 1),
         (&without, PlantedBug::DeafToPurges, "purge", 0..60, 1),
-        // Rarer: a client leaves as its request waits, or a connection comes up late behind a break.
+        // Rarer: these need a client that leaves while its request is queued, or a connection that opens late
+        // after another one broke.
         (&without, PlantedBug::DeafToClients, "after-leaving", 90..110, 2),
         (&without, PlantedBug::LongWindow, "late-repeat", 920..930, 3),
-        // A step back freezes every deadline.
+        // A step back of the wall clock keeps every deadline from expiring.
         (&with, PlantedBug::WallDeadlines, "unanswered", 0..60, 1),
     ] {
         let summary = search(plan, seeds, Some(planted_bug), 1);
         let failure = summary.failures.first().unwrap_or_else(|| panic!("{planted_bug:?}: {summary}"));
         assert_eq!((failure.rule.as_str(), failure.keep.len()), (rule, needs), "{failure:?}");
-        // What is told to repeat it does so, twice alike; without the bug the same script breaks nothing.
+        // The shrunk script reproduces the failure with the same trace each time. Without the bug, it breaks
+        // no rule.
         let replay = || play(plan, failure.seed, &failure.faults, Some(planted_bug));
         assert_eq!((replay().trace, replay()), (failure.trace, replay()));
         assert_eq!(replay().breaches[0].rule, rule);
@@ -73,7 +76,8 @@
 
 #[test]
 fn timeout_and_answer_at_the_same_time_give_one_answer() {
-    // Answers of slow hosts come at any whole millisecond, as deadlines fall, and are seen first or second by chance.
+    // Deadlines expire at whole milliseconds, and slow hosts answer at any of them. Where both happen at
+    // once, the seed decides which one the process sees first.
     let outcomes = assert_no_breach(0..40, |seed| {
         (0..ORIGIN.0)
             .map(HostId)
@@ -83,7 +87,7 @@
     assert!(outcomes.iter().map(|outcome| outcome.ties).sum::<u64>() > 1000);
     assert!(
         outcomes.iter().any(|outcome| outcome.answers.rejected + outcome.answers.failed > 20),
-        "some are too late"
+        "no run with more than 20 rejected or failed requests"
     );
 }
 
@@ -97,7 +101,7 @@
             at(3000, FaultKind::Ready { host: PARENT }),
         ]
     });
-    // The home that delegates are filled from, too.
+    // The same for the home cache from which delegates are filled.
     assert_no_breach(40..60, |_| {
         vec![
             at(1500, FaultKind::Drained { host: HostId(0) }),
@@ -123,12 +127,16 @@
     let outcomes =
         assert_no_breach(0..40, |seed| vec![at(1000, FaultKind::UpgradeDies { ms: 50 * (1 + seed % 30) })]);
     assert!(outcomes.iter().all(|outcome| outcome.processes >= 2));
-    // Before the older one was told to stop, and after: then a third is started.
+    // The newer process is killed before the older one gets SIGTERM, or after it. Then a third one is
+    // started.
     assert!(outcomes.iter().any(|outcome| outcome.processes == 3));
     let whole =
         assert_no_breach(40..60, |_| vec![at(1000, FaultKind::Upgrade), at(4000, FaultKind::Upgrade)]);
     assert!(whole.iter().all(|outcome| outcome.processes == 3));
-    assert!(whole.iter().all(|outcome| outcome.answers.excused <= 12), "only what clients gave up");
+    assert!(
+        whole.iter().all(|outcome| outcome.answers.excused <= 12),
+        "more requests are excused than clients cancelled"
+    );
 }
 
 #[test]
@@ -144,7 +152,7 @@
     });
 }
 
-/// Steps of the wall clock, ms: seconds and an hour, forward and back.
+/// Steps of the wall clock in ms: seconds and an hour, forward and back.
 const CLOCK_STEPS: [i64; 6] = [1000, 7000, 3_600_000, -1000, -7000, -3_600_000];
 
 fn clock_step(seed: i64) -> FaultKind {
@@ -155,7 +163,7 @@
 fn wall_clock_steps_do_not_change_answers() {
     let plan = RunPlan::default().without_system_faults();
     for seed in 0..60 {
-        // No purge and no start: nothing in the run is stated in Unix time.
+        // Without purges and starts of hosts, nothing in the run is stated in Unix time.
         let mut script = plan.script(seed);
         script.retain(|fault| {
             !matches!(
@@ -185,7 +193,7 @@
             at(2100, FaultKind::PurgeObject { object: 1 }),
         ]
     });
-    // The process that starts after the step knows the purge from its configuration.
+    // The process that starts after the clock step gets the purge from its configuration instead of an event.
     assert_no_breach(60..100, |seed| {
         vec![
             at(800, clock_step(seed)),
@@ -220,7 +228,8 @@
         let error = SystemError::OF_ACCEPT[seed as usize % SystemError::OF_ACCEPT.len()];
         (1..30).map(|n| at(150 * n, FaultKind::AcceptFails { error, times: 5 * n as usize })).collect()
     });
-    // Also as the process stops, or a newer one takes over.
+    // Descriptors also run out while the process stops, while a newer one takes over, and when the feed is
+    // reset.
     for end in [FaultKind::Stop, FaultKind::Upgrade, FaultKind::FeedReset] {
         assert_no_breach(0..30, |seed| {
             let error = SystemError::OF_EXHAUSTION[seed as usize % SystemError::OF_EXHAUSTION.len()];
@@ -280,8 +289,9 @@
     for seed in 0..5 {
         assert_eq!(run(seed, None), run(seed, None), "seed {seed}");
     }
-    // A member that led before it applied its own removal, which its predecessor had proposed: the library gave up
-    // by a panic. And a leader with an older file that took back what one with a newer file had begun.
+    // Seeds that once failed. A member became leader before it applied its own removal, which the leader
+    // before it had proposed, and the library panicked. And a leader with an older file reverted changes that
+    // a leader with a newer file had begun.
     for seed in [2632, 3036, 3439, 4727, 5618] {
         assert_eq!(run(seed, None).breaches, [], "seed {seed}");
     }
--- a/src/sim/world/answers.rs
+++ b/src/sim/world/answers.rs
@@ -1,4 +1,4 @@
-//! What clients are answered, checked as it arrives.
+//! Checks the answers that clients receive.
 
 use super::traffic::PlannedRequest;
 use super::World;
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 impl World<'_> {
-    /// Bytes have reached a client.
+    /// Handles bytes that have reached a client: checks each answer once it is complete.
     pub(super) fn client_received(&mut self, id: ClientId, bytes: &[u8]) {
         self.client(id).input.extend_from_slice(bytes);
         loop {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Checks that what was served is what was requested, and new enough.
+    /// Checks that the body is that of the requested object, or of the write, and is not older than a purge.
     fn check_served(&mut self, request: &PlannedRequest, sent: Instant, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         let wanted = if request.is_write() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Checks that a rejection carries a Retry-After where the site has it.
+    /// Checks that a rejection carries a Retry-After exactly if the site's settings ask for it.
     fn check_retry_after(&mut self, request: &PlannedRequest, answer: &Answer) {
         let field = answer.fields.iter().find(|(name, _)| name == "pause");
         let pause = field.and_then(|(_, ms)| ms.parse::<i64>().ok()).unwrap_or(0);
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: what they request and cancel, and how their connections end.
+//! Stand-in clients: they send and cancel requests, and their connections end.
 
 use super::event_queue::ScheduledEvent;
 use super::faults::DescriptorShortage;
@@ -12,41 +12,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The group of all objects.
+/// Group to which all objects belong.
 pub(super) const GROUP: u32 = 17;
-/// Requests that are sent later than this after SIGTERM may not be accepted by any process.
+/// Requests that are sent later than this after SIGTERM need not be accepted by the process.
 const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
-/// Requests that cross the end of their connection are sent this long before it at the earliest.
+/// A request that was written at most this long, plus the time of both ways, before its connection ended may
+/// have crossed the end on its way.
 const CROSSING_ALLOWANCE: Span = Span::from_millis(50);
-/// A request must have its answer this long after its timeout.
+/// A request must have its answer within this time after the client's timeout.
 const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
-/// Connections that wait as descriptors come back are accepted by then.
+/// Time after the end of a descriptor shortage by which waiting connections must have been accepted.
 const ACCEPT_RESUME_DELAY: Span = Span::from_millis(60);
-/// The body of requests that write.
+/// Body of requests that are writes.
 const WRITE_BODY: &[u8] = b"won";
 
 /// A request that has no answer yet.
 pub(super) struct OpenRequest {
     pub(super) number: RequestNumber,
     written: Instant,
-    /// When it counts as sent: once its connection can be accepted.
+    /// When it counts as sent: later than `written` if its connection could not be accepted for lack of
+    /// descriptors.
     pub(super) sent: Instant,
-    /// It was sent before, on a connection that ended.
+    /// Whether it was sent before, on a connection that ended.
     is_resent: bool,
 }
 
-/// A client, and its connection if it has one.
+/// A stand-in client, with the state of its connection if it has one.
 #[derive(Default)]
 pub(super) struct Client {
     pub(super) link: Option<LinkId>,
     last_seqid: i32,
     pub(super) input: Vec<u8>,
-    /// By sequence number.
+    /// Requests without an answer, by sequence number.
     pub(super) open: BTreeMap<i32, OpenRequest>,
-    /// Sequence numbers whose answers may still come.
+    /// Sequence numbers of cancelled requests, whose answers may still arrive.
     pub(super) cancelled: BTreeSet<i32>,
     connected_at: Instant,
-    /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
+    /// Earliest time at which requests on this connection count as sent. It is later than `connected_at` if
+    /// the process had no descriptor for the connection.
     accepted_by: Instant,
 }
 
@@ -56,7 +59,7 @@
         self.last_seqid
     }
 
-    /// Forgets the connection; returns the requests that were open.
+    /// Drops the state of the connection; returns the requests that were open.
     fn disconnect(&mut self) -> BTreeMap<i32, OpenRequest> {
         self.link = None;
         self.input.clear();
@@ -70,12 +73,12 @@
         &mut self.clients[client.0]
     }
 
-    /// The client that has a connection.
+    /// Returns the client to which a connection belongs.
     pub(super) fn client_of(&self, link: LinkId) -> Option<ClientId> {
         self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
     }
 
-    /// A client sends a request, connecting first where it has to.
+    /// Sends a client's request, on a new connection if it has none. Does nothing once the run is ending.
     pub(super) fn send_request(&mut self, number: RequestNumber, is_resent: bool) {
         if self.is_ending {
             return;
@@ -110,7 +113,8 @@
         link
     }
 
-    /// A client that connects while there are no descriptors is accepted once there are.
+    /// Moves the time at which a client's requests count as sent to the end of a descriptor shortage, if the
+    /// client connected during it: the process accepts the connection only then.
     pub(super) fn delay_acceptance(&mut self, id: ClientId) {
         let DescriptorShortage { since, until } = self.descriptor_shortage;
         let client = self.client(id);
@@ -131,7 +135,7 @@
         self.rules.record_breach(self.now, "unanswered", text);
     }
 
-    /// A client cancels a request, if that is still open.
+    /// Cancels a client's request if it is still open.
     pub(super) fn cancel_request(&mut self, id: ClientId, seqid: i32) {
         let client = self.client(id);
         let Some(link) = client.link else { return };
@@ -145,21 +149,22 @@
         self.answers.excused += 1;
     }
 
-    /// A client resets its connection.
+    /// Resets a client's connection.
     pub(super) fn reset_client(&mut self, client: ClientId) {
         if let Some(link) = self.end_client_connection(client) {
             self.fabric.reset(link.0);
         }
     }
 
-    /// A client closes its connection.
+    /// Closes a client's connection in order.
     pub(super) fn close_client(&mut self, client: ClientId) {
         if let Some(link) = self.end_client_connection(client) {
             self.fabric.close(link.0);
         }
     }
 
-    /// A client leaves with requests open; returns the connection that it ends.
+    /// Ends a client's connection for its part, and excuses its open requests. Returns the connection to
+    /// close or reset; `None` if it has none, or if the planted bug keeps it open.
     fn end_client_connection(&mut self, id: ClientId) -> Option<LinkId> {
         let link = self.client(id).link?;
         if self.planted_bug == Some(PlantedBug::DeafToClients) {
@@ -180,7 +185,8 @@
         self.answers.excused += open.len() as u64;
     }
 
-    /// A client's connection has ended: its open requests are lost, unless a fault excuses that.
+    /// Handles the end of a client's connection by the other side. Open requests that no process had to
+    /// answer are excused; those that may have crossed the end are sent once more; any other is a breach.
     pub(super) fn client_disconnected(&mut self, id: ClientId, link: LinkId) {
         let open = self.client(id).disconnect();
         let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
@@ -199,7 +205,8 @@
         }
     }
 
-    /// Whether no process owes an answer to a request on a connection that has ended.
+    /// Whether no process had to answer an open request of a connection that has ended: none accepted it, the
+    /// process was killed, or the request came too late after SIGTERM.
     fn needs_no_answer(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
         let Some(process) = process.filter(|process| !self.processes.was_killed(*process)) else {
             return true;
@@ -209,7 +216,7 @@
     }
 }
 
-/// The frame with which a client sends a request.
+/// Encodes the frame with which a client sends a request.
 fn invoke_frame(seqid: i32, request: &PlannedRequest) -> Vec<u8> {
     let client_timeout = request.client_timeout.as_millis().to_string();
     let (part, group) = (request.part.to_string(), GROUP.to_string());
--- a/src/sim/world/event_queue.rs
+++ b/src/sim/world/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is scheduled, besides what the network and the processes do by themselves.
+//! Queue of scheduled events, besides those of the virtual network and the processes' own deadlines.
 
 use super::process_id::ProcessId;
 use super::{ClientId, HostId, RequestNumber};
@@ -7,41 +7,42 @@
 use crate::standin::ids::LinkId;
 use std::collections::BTreeMap;
 
-/// A scheduled event.
+/// An event that is scheduled for a time of the run; handled in `scheduled_events`.
 pub(super) enum ScheduledEvent {
     /// A client sends its request.
     SendRequest(RequestNumber),
-    /// A client cancels the request of a sequence number.
+    /// A client cancels the request with this sequence number.
     CancelRequest(ClientId, i32),
-    /// A request must have its answer by now.
+    /// Checks that the request with this sequence number has its answer.
     CheckAnswered(ClientId, i32),
-    /// A host answers an attempt, by its id.
+    /// A host answers the attempt with this id.
     HostAnswers(HostId, LinkId, String),
-    /// A host sends an answer a second time.
+    /// A host sends the same answer a second time.
     HostRepeats(LinkId, Vec<u8>),
-    /// A poll at the feed has waited long enough.
+    /// The waiting time of a poll at the feed is over.
     PollEnds(LinkId),
     /// A fault begins.
     Fault(FaultKind),
-    /// A killed host starts anew.
+    /// A killed host starts again.
     HostRestarts(HostId),
-    /// A host's process ends.
+    /// The process of a removed host ends.
     HostDies(HostId),
-    /// Copies older than a purge are gone: of an object, or of all.
+    /// All hosts drop copies that are older than a purge: those of one object, or of all if `None`.
     PurgeSettles(Option<String>, Instant),
     /// A process gets SIGTERM.
     Terminate(ProcessId),
     /// A process is killed.
     Kill(ProcessId),
-    /// A process is started, unless one is running.
+    /// A process is started, unless one is running or the run is ending.
     StartProcess,
     /// The run ends: all processes get SIGTERM.
     EndRun,
-    /// Processes get a turn, so that one that has not ended in time is noticed.
+    /// Does nothing but let the processes run, so that one that has not ended in time is noticed.
     WakeUp,
 }
 
-/// Scheduled events, in the order of time; those of one time in the order in which they were scheduled.
+/// Scheduled events in the order of time; events of the same time stay in the order in which they were
+/// scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(Instant, u64), ScheduledEvent>,
@@ -54,12 +55,12 @@
         self.events.insert((at, self.count), event);
     }
 
-    /// The time of the next event.
+    /// Returns the time of the next event; `None` if the queue is empty.
     pub(super) fn next_time(&self) -> Option<Instant> {
         self.events.keys().next().map(|(at, _)| *at)
     }
 
-    /// Removes the next event, if it is due.
+    /// Removes and returns the next event if it is due.
     pub(super) fn take_due(&mut self, now: Instant) -> Option<ScheduledEvent> {
         self.next_time().filter(|at| *at <= now)?;
         self.events.pop_first().map(|(_, event)| event)
--- a/src/sim/world/faults/feed.rs
+++ b/src/sim/world/faults/feed.rs
@@ -1,4 +1,4 @@
-//! Faults of the control feed, and the purges that it states.
+//! Faults of the control feed, and the purges that it publishes.
 
 use crate::interface::{Instant, Span};
 use crate::net::fabric::HostBehaviour;
@@ -10,9 +10,9 @@
 use crate::standin::host::unix_ms;
 use serde_json::json;
 
-/// A purge takes effect this long after it was stated (protocol page).
+/// Time within which a purge must take effect after it was published (protocol page).
 const PURGE_GRACE: Span = Span::from_millis(500);
-/// By this long after a purge all hosts have dropped older copies, where the settings do not say, ms.
+/// Time after a purge by which all hosts have dropped older copies, in ms, where the settings state none.
 const DEFAULT_PURGE_SETTLES_MS: f64 = 6000.0;
 
 impl World<'_> {
@@ -33,7 +33,7 @@
         self.cut_feed(self.now);
     }
 
-    /// Publishes a purge of an object, or of the group of all.
+    /// Publishes a purge of one object, or of the group of all objects if `None`.
     pub(super) fn purge(&mut self, object: Option<String>) {
         let at_ms = unix_ms(self.now);
         let purged_at = Instant::from_micros(at_ms * 1000);
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -7,7 +7,7 @@
 use crate::standin::faults::system_error::SystemError;
 use crate::standin::ids::{HostId, LinkId};
 
-/// The process of a removed host ends this long after its removal was stated.
+/// Time for which the process of a removed host still runs after its removal was published.
 const REMOVED_HOST_RUN_TIME: Span = Span::from_secs(1);
 
 impl World<'_> {
@@ -33,7 +33,7 @@
         self.schedule_in(REMOVED_HOST_RUN_TIME, ScheduledEvent::HostDies(host));
     }
 
-    /// A host is up again; its process is started, if it has ended.
+    /// Publishes that a host is up again; starts its process if that has ended.
     pub(super) fn mark_host_up(&mut self, host: HostId) {
         self.restart_host(host);
         self.rules.host_up_again(host);
@@ -44,7 +44,7 @@
         self.fabric.delay_connects(host_address(host), Span::from_millis(late_ms), until);
     }
 
-    /// A host closes its idle connections. What is on its way on them is not read.
+    /// Closes a host's idle connections. Bytes that are on their way to it on them are not read.
     pub(super) fn close_idle_links(&mut self, id: HostId) {
         let host = &mut self.fleet[id];
         let is_open = |link: &LinkId| host.open.keys().any(|(open_link, _)| open_link == link);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// All connections of a host fail with an error that is no reset.
+    /// Breaks all connections of a host with the given system error.
     pub(super) fn fail_links(&mut self, host: HostId, error: SystemError) {
         for link in self.forget_links(host) {
             self.fabric.reset_with_error(link.0, error.errno());
--- a/src/sim/world/faults/mod.rs
+++ b/src/sim/world/faults/mod.rs
@@ -1,10 +1,10 @@
-//! Faults as they begin.
+//! Begins the faults of the script.
 //!
-//! - `host`: of hosts and their connections.
-//! - `feed`: of the control feed, and what it states.
-//! - `system`: of the machine on which the processes run.
+//! - `host`: faults of hosts and of connections to them.
+//! - `feed`: faults of the control feed, and purges.
+//! - `system`: faults of the machine on which the processes run.
 //!
-//! Those of clients and processes are with what else these do, in `clients` and `processes`.
+//! Faults of clients and processes are implemented in `clients` and `processes`.
 
 mod feed;
 mod host;
@@ -19,7 +19,7 @@
 use crate::standin::host::Slowdown;
 
 impl World<'_> {
-    /// Begins a fault.
+    /// Begins a fault, and adds it to the trace.
     pub(super) fn begin_fault(&mut self, fault: FaultKind) {
         self.fabric.record(serde_json::to_string(&fault).unwrap_or_default());
         let now = self.now;
--- a/src/sim/world/faults/system.rs
+++ b/src/sim/world/faults/system.rs
@@ -6,7 +6,7 @@
 use crate::standin::ids::ClientId;
 use std::net::SocketAddr;
 
-/// A time during which processes get no descriptors.
+/// Period in which processes get no descriptors.
 #[derive(Clone, Copy, Default)]
 pub(in crate::sim::world) struct DescriptorShortage {
     pub(in crate::sim::world) since: Instant,
@@ -14,7 +14,8 @@
 }
 
 impl World<'_> {
-    /// Connections come that are gone before they are accepted.
+    /// Makes clients connect to the edge proxy and abort before they are accepted, so that accepts fail with
+    /// the error.
     pub(super) fn abort_connects(&mut self, error: SystemError, count: usize) {
         for number in 0..count {
             let from = SocketAddr::from(([127, 0, 3, 1], 40_000 + number as u16));
@@ -22,8 +23,8 @@
         }
     }
 
-    /// No process gets a descriptor until then: what connects meanwhile is accepted afterwards, and a feed that is cut
-    /// off is polled again later.
+    /// Lets no process get a descriptor until a time. Clients that connect meanwhile are accepted afterwards,
+    /// and a feed that is cut off is polled again only then.
     pub(super) fn exhaust_descriptors(&mut self, error: SystemError, until: Instant) {
         self.fabric.exhaust_descriptors(error.errno(), until);
         let shortage = &mut self.descriptor_shortage;
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: its events and the polls that wait for them.
+//! Stand-in control feed: its events and the polls that wait for them.
 
 use super::event_queue::ScheduledEvent;
 use super::{PlantedBug, World};
@@ -9,27 +9,28 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The processes have polled a feed that was cut off again this long after it is back.
+/// Time after an outage of the feed by which the processes have polled it again.
 const REPOLL_DELAY: Span = Span::from_millis(2_200);
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A poll that waits for an event.
+/// A poll that waits for an event or for the end of its waiting time.
 #[derive(Clone, Copy)]
 struct OpenPoll {
-    /// The number of the last event that the process has.
+    /// Number of the last event that the process has.
     after: usize,
     until: Instant,
 }
 
-/// What the feed knows.
+/// State of the feed: its events, connections and open polls.
 #[derive(Default)]
 pub(super) struct Feed {
-    /// All events so far, without their numbers.
+    /// All events so far, without their numbers: those are their places in the list, from 1.
     pub(super) events: Vec<Value>,
-    /// Unread input by connection.
+    /// Input that is no complete request yet, by connection.
     links: BTreeMap<LinkId, Vec<u8>>,
     polls: BTreeMap<LinkId, OpenPoll>,
-    /// What is stated before then counts as stated then.
+    /// Events that are published before this time count as stated at it: the processes cannot poll the feed
+    /// earlier.
     pub(super) unreachable_until: Instant,
 }
 
@@ -47,18 +48,18 @@
         self.polls.remove(&link);
     }
 
-    /// Forgets all connections and polls; returns the connections.
+    /// Drops all connections and polls from the state; returns the connections.
     pub(super) fn disconnect_all(&mut self) -> Vec<LinkId> {
         self.lose_polls();
         std::mem::take(&mut self.links).into_keys().collect()
     }
 
-    /// Never answers the polls that wait now.
+    /// Drops the open polls, so that they are never answered.
     pub(super) fn lose_polls(&mut self) {
         self.polls.clear();
     }
 
-    /// Adds bytes to the input of a connection; returns the head of a request once it is complete.
+    /// Adds bytes to the input of a connection; returns the head of a request if it is complete.
     fn take_head(&mut self, link: LinkId, bytes: &[u8]) -> Option<String> {
         let input = self.links.get_mut(&link)?;
         input.extend_from_slice(bytes);
@@ -70,7 +71,7 @@
 }
 
 impl World<'_> {
-    /// Bytes have reached the feed.
+    /// Handles bytes that have reached the feed: opens a poll once its request is complete.
     pub(super) fn feed_received(&mut self, link: LinkId, bytes: &[u8]) {
         let Some(head) = self.feed.take_head(link, bytes) else { return };
         let poll = PollRequest::parse(head.split(' ').nth(1).unwrap_or_default());
@@ -80,7 +81,7 @@
         self.answer_poll(link);
     }
 
-    /// Answers a poll if there is an event for it or its time is over.
+    /// Answers a poll if there is an event for it or its waiting time is over.
     pub(super) fn answer_poll(&mut self, link: LinkId) {
         let Some(OpenPoll { after, until }) = self.feed.polls.get(&link).copied() else { return };
         if self.feed.events.len() <= after && self.now < until {
@@ -92,7 +93,8 @@
         self.fabric.send(link.0, &[head.as_bytes(), body.as_bytes()].concat());
     }
 
-    /// The events after the first `after`, as processes are told them.
+    /// Returns the events after the first `after`, as sent to processes: an event that a planted bug
+    /// withholds is empty.
     pub(super) fn events_after(&self, after: usize) -> Value {
         let numbered = |(index, event): (usize, &Value)| {
             let mut event = if self.is_withheld(event) { json!({}) } else { event.clone() };
@@ -103,7 +105,7 @@
         json!({"n": self.feed.events.len(), "events": events})
     }
 
-    /// Whether a planted bug keeps an event from the processes.
+    /// Whether a planted bug withholds an event from the processes.
     fn is_withheld(&self, event: &Value) -> bool {
         match self.planted_bug {
             Some(PlantedBug::DeafToDrains) => {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Publishes an event; returns when it counts as stated.
+    /// Publishes an event; returns the time at which it counts as stated.
     pub(super) fn publish(&mut self, event: Value) -> Instant {
         self.feed.events.push(event);
         let links: Vec<LinkId> = self.feed.polls.keys().copied().collect();
@@ -124,7 +126,7 @@
         self.now.max(self.feed.unreachable_until)
     }
 
-    /// Publishes a host's health; returns when it counts as stated.
+    /// Publishes a host's health; returns the time at which it counts as stated.
     pub(super) fn publish_health(&mut self, host: HostId, health: &str) -> Instant {
         let entry = &mut self.fleet[host].entry;
         entry["health"] = health.into();
@@ -138,9 +140,9 @@
         self.publish(json!({"members": {"seq": 0, "whole": true, "hosts": entries}}));
     }
 
-    /// The processes do not reach the feed until then.
+    /// Records that the processes cannot reach the feed until `back_at`.
     pub(super) fn cut_feed(&mut self, back_at: Instant) {
-        // Without descriptors they do not connect to it again.
+        // Without descriptors the processes cannot connect to the feed again, even if it is back.
         let shortage = self.descriptor_shortage.until;
         let back_at = if self.now < shortage { back_at.max(shortage) } else { back_at };
         let until = back_at + REPOLL_DELAY;
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -1,4 +1,4 @@
-//! The caches, parents and the origin: what they receive and answer.
+//! Stand-in caches, parents and origin: they receive attempts, answer them, and are killed and restarted.
 
 use super::event_queue::ScheduledEvent;
 use super::{host_address, World};
@@ -11,13 +11,13 @@
 use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, GARBLED_ANSWER, HEALTHY};
 use rand::Rng;
 
-/// A second answer is sent this long after the first.
+/// Time between an answer and its repetition, where a host answers twice.
 const REPEATED_ANSWER_DELAY: Span = Span::from_millis(8);
-/// A source that is not reachable is given up after this.
+/// Time after which a host gives up an unreachable fill source.
 const SOURCE_TIMEOUT: Span = Span::from_millis(300);
-/// A request takes a host this long, ms.
+/// Time that a host takes for a request, in ms.
 const SERVICE_TIME_MS: std::ops::RangeInclusive<i64> = 2..=12;
-/// What a request costs a host that is warming up, s.
+/// Work that a request causes at a host that is warming up, in seconds.
 const WARM_UP_COST_S: f64 = 0.02;
 
 impl World<'_> {
@@ -26,7 +26,7 @@
         self.fleet[host].links.insert(link, input);
     }
 
-    /// The host that has a connection.
+    /// Returns the host to which a connection belongs.
     pub(super) fn host_of(&self, link: LinkId) -> Option<HostId> {
         self.fleet.hosts.iter().position(|host| host.links.contains_key(&link)).map(HostId)
     }
@@ -39,11 +39,11 @@
         }
     }
 
-    /// Bytes that were sent at `sent` have reached a host.
+    /// Handles bytes that were sent at `sent` and have reached a host.
     pub(super) fn host_received(&mut self, id: HostId, link: LinkId, bytes: &[u8], sent: Instant) {
         let host = &mut self.fleet[id];
         let Some(input) = host.links.get_mut(&link).filter(|_| !host.dead) else { return };
-        // What is left over began with the bytes before.
+        // An incomplete line that is left over was first sent with earlier bytes.
         let first_sent = if input.bytes.is_empty() { sent } else { input.first_sent };
         input.first_sent = sent;
         input.bytes.extend_from_slice(bytes);
@@ -82,7 +82,7 @@
         self.schedule_in(answered_after, ScheduledEvent::HostAnswers(id, link, attempt));
     }
 
-    /// How long a host takes to answer a request, with a fill where it needs one.
+    /// Draws how long a host takes to answer a request, including the fill if it needs one.
     fn answering_time(&mut self, host: HostId, request: &FetchRequest) -> Span {
         let own = self.service_time(host);
         if !self.fleet[host].needs_source(request, self.now) {
@@ -100,7 +100,8 @@
         self.fleet[host].service_time(usual, self.now)
     }
 
-    /// Checks that a host that is warming up is sent no more than its rule allows; more would overload it.
+    /// Checks that a host that is warming up is sent no more work than its rule allows, since more would
+    /// overload it.
     fn check_warm_up(&mut self, id: HostId) {
         let rules = &self.base_config["settings"]["rules"];
         let figure = |name: &str| rules[name].as_f64().unwrap_or(0.0);
@@ -123,12 +124,12 @@
         }
     }
 
-    /// Whether a host's process runs and other hosts reach it.
+    /// Whether a host's process runs and other hosts can reach it.
     fn is_reachable(&self, host: HostId) -> bool {
         is_reachable(&self.fabric, self.now, &self.fleet, host)
     }
 
-    /// A host answers an attempt, unless that was cancelled.
+    /// Answers an attempt, unless it was cancelled or the host's process has ended.
     pub(super) fn answer_attempt(&mut self, id: HostId, link: LinkId, attempt: &str) {
         let Some(request) = self.fleet[id].open.remove(&(link, attempt.to_owned())) else { return };
         if self.fleet[id].dead {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Drops the copies of an object, or of all objects, that are older than a purge.
+    /// Drops the copies of one object, or of all objects if `None`, that are older than a purge.
     pub(super) fn drop_copies(&mut self, object: Option<&str>, purged_at: Instant) {
         for host in &mut self.fleet.hosts {
             host.copies.retain(|item, handed_out| {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// A host's process ends: its connections are reset and its copies lost.
+    /// Kills a host's process: its connections are reset, its copies are lost, and new connects are refused.
     pub(super) fn kill_host(&mut self, host: HostId) {
         self.reset_links(host);
         self.fleet[host].copies.clear();
@@ -167,7 +168,8 @@
         self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Refusing);
     }
 
-    /// Starts a host's process, unless it runs or is removed from the endpoint list.
+    /// Starts a host's process unless it runs. A host that is removed from the endpoint list is started only
+    /// if it was started before, at an earlier time.
     pub(super) fn restart_host(&mut self, id: HostId) {
         let host = &mut self.fleet[id];
         let is_removed = host.entry["health"] == "removed";
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Forgets a host's connections and what is open there; returns the connections.
+    /// Drops a host's connections and open requests from its state; returns the connections.
     pub(super) fn forget_links(&mut self, host: HostId) -> Vec<LinkId> {
         let host = &mut self.fleet[host];
         host.open.clear();
@@ -197,7 +199,7 @@
     }
 }
 
-/// Whether a host's process runs and can be reached.
+/// Whether a host's process runs and the host is not silent.
 fn is_reachable(fabric: &Fabric, now: Instant, fleet: &Fleet, host: HostId) -> bool {
     !fleet[host].dead && fabric.silent_until(host_address(host)) <= now
 }
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -1,13 +1,15 @@
-//! One simulated run: edge proxies (the program's own server, unchanged) on a virtual clock, and around them clients,
-//! hosts and the control feed, with a script of faults. Everything that is left to chance is drawn from the seed.
+//! One simulated run: processes of the edge proxy (the program's own server, unchanged) on a virtual clock,
+//! with stand-in clients, hosts and control feed, and a script of faults. Every random choice is drawn from
+//! the seed.
 //!
-//! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
-//! - `event_queue`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
-//!   it out.
-//! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
-//! - `processes`: starts, turns and ends the edge proxy's processes.
-//! - `faults`: what goes wrong, by kind.
-//! - `outcome`: how a run came out.
+//! - `setup`: draws the site of a run and creates its world; `traffic`: draws its requests.
+//! - `event_queue`: events that are scheduled besides those of the network and the processes;
+//!   `scheduled_events` handles them.
+//! - `network`: passes what arrives on the network to `clients`, `hosts` and `feed`; `answers` checks what
+//!   clients get.
+//! - `processes`: starts, runs and ends the edge proxy's processes.
+//! - `faults`: begins the faults, by kind.
+//! - `outcome`: the result of a run.
 
 mod answers;
 mod clients;
@@ -44,60 +46,62 @@
 use std::net::SocketAddr;
 use traffic::{PlannedRequest, RequestNumber};
 
-/// The Unix time at which runs start: the virtual clock reads Unix time.
+/// Unix time at which runs start, since the virtual clock reads Unix time.
 const START: Instant = Instant::from_micros(1_700_000_000_000_000);
-/// The virtual addresses' numbers of the clients' front and of the control feed; hosts have theirs from 0.
+/// Numbers of the virtual addresses of the edge proxy's listener for clients and of the control feed. Hosts
+/// are numbered from 0.
 const FRONT: u16 = 1_000;
 const FEED: u16 = 900;
-/// The steps of a run at most: more mean an endless loop.
+/// Most steps of a run; a run that needs more is taken for an endless loop, a breach of the rule "spins".
 const MAX_STEPS: usize = 1_000_000;
-/// The random stream that orders what happens at the same time.
+/// Random stream that draws the order of events that happen at the same time.
 const ORDER_STREAM: u64 = 3;
 
-/// A bug planted on purpose, to show that the rules find it.
+/// A bug that is planted on purpose, to show that the rules find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum PlantedBug {
-    /// The edge proxy takes `result` for a class whose repeats do no harm, and sends it again after a reset
+    /// The edge proxy treats `result` as an idempotent class, and retries it after a reset
     ResultTwice,
-    /// The control feed never tells the edge proxy of drains and removals
+    /// The control feed withholds drains and removals from the edge proxy
     DeafToDrains,
-    /// The control feed never tells it of purges
+    /// The control feed withholds purges from the edge proxy
     DeafToPurges,
-    /// Clients that leave never say so
+    /// Clients neither send cancellations nor close their connections
     DeafToClients,
-    /// The edge proxy is told a far longer window for repeats than holds
+    /// The edge proxy's settings state a far longer window for repeated writes than the rules allow
     LongWindow,
-    /// The edge proxy's deadlines run on the wall clock
+    /// The edge proxy's deadlines run on the wall clock instead of the monotonic clock
     WallDeadlines,
 }
 
-/// A run under way.
+/// State of a run in progress.
 struct World<'a> {
     plan: &'a RunPlan,
     planted_bug: Option<PlantedBug>,
     seed: u64,
     fabric: Fabric,
     now: Instant,
-    /// For service times.
+    /// Draws the hosts' service times.
     random: ChaCha8Rng,
     event_queue: EventQueue,
     requests: Vec<PlannedRequest>,
-    /// In the order of their ids.
+    /// Clients, indexed by their ids.
     clients: Vec<Client>,
     fleet: Fleet,
     host_ids: BTreeMap<SocketAddr, HostId>,
     feed: Feed,
-    /// The configuration of each process, but for its seed and the events known so far.
+    /// Configuration of each process, without its seed and the events that are known when it starts.
     base_config: Value,
     processes: Processes,
     descriptor_shortage: DescriptorShortage,
     rules: Rules,
     answers: AnswerCounts,
-    /// All processes were told to stop: nothing is started any more.
+    /// Whether the run is ending: all processes got SIGTERM, and no process, upgrade or request is started
+    /// any more.
     is_ending: bool,
 }
 
-/// Plays a run: a plan, a seed, and the faults that happen in it.
+/// Plays one run of a plan with a seed and the given faults, and returns its outcome.
 pub fn run(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
     let mut world = World::new(plan, seed, planted_bug);
     for fault in faults {
@@ -116,11 +120,11 @@
     }
 }
 
-/// What happens next.
+/// Times of the next events.
 struct NextMoment {
-    /// The earliest deadline of a process.
+    /// Earliest deadline of a process.
     deadline: Option<Instant>,
-    /// The earliest arrival on the network or scheduled event.
+    /// Earliest arrival on the network or scheduled event.
     arrival: Option<Instant>,
 }
 
@@ -129,7 +133,7 @@
         self.deadline.into_iter().chain(self.arrival).min()
     }
 
-    /// Whether a deadline falls due and something arrives by this time.
+    /// Whether a deadline has expired and something has arrived by this time.
     fn is_tie(&self, now: Instant) -> bool {
         let is_due = |at: Instant| at <= now;
         self.deadline.is_some_and(is_due) && self.arrival.is_some_and(is_due)
@@ -137,8 +141,8 @@
 }
 
 impl World<'_> {
-    /// Plays until all processes have ended; returns the number of moments at which something arrived and a deadline
-    /// fell due at once.
+    /// Plays until all processes have ended. Returns the number of ties: moments at which something arrived
+    /// and a deadline expired at the same time.
     fn play(&mut self) -> u64 {
         let mut ready: Vec<Ready> = Vec::new();
         let mut order = random_stream(self.seed, ORDER_STREAM);
@@ -154,7 +158,8 @@
             self.fabric.advance(self.now);
             let is_tie = next.is_tie(self.now);
             ties += u64::from(is_tie);
-            // A process may see the deadline before what arrives at the same moment, or after it.
+            // In service a process may handle the deadline before or after what arrives at the same moment,
+            // so the order is drawn.
             if is_tie && order.random_range(0..2) == 0 {
                 self.turn_processes(&mut ready);
             }
@@ -175,7 +180,7 @@
         NextMoment { deadline, arrival }
     }
 
-    /// Plays what is due now.
+    /// Handles all events that are due now, and lets the processes handle what has arrived.
     fn step(&mut self, ready: &mut Vec<Ready>) {
         while let Some(event) = self.event_queue.take_due(self.now) {
             self.handle(event);
@@ -193,7 +198,7 @@
     random
 }
 
-/// The virtual address of a host.
+/// Returns the virtual address of a host.
 fn host_address(host: HostId) -> SocketAddr {
     numbered_address(host.0 as u16)
 }
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -1,11 +1,11 @@
-//! Passes what arrives on the network to clients, hosts and the feed.
+//! Passes the network's events to the clients, the hosts and the feed.
 
 use super::{numbered_address, ClientId, World, FEED};
 use crate::net::fabric::ActorEvent;
 use crate::standin::ids::LinkId;
 
 impl World<'_> {
-    /// Passes on all that has arrived.
+    /// Passes on all events that have arrived.
     pub(super) fn deliver(&mut self) {
         for event in self.fabric.take_actor_events() {
             match self.client_of(link_of(&event)) {
--- a/src/sim/world/outcome.rs
+++ b/src/sim/world/outcome.rs
@@ -1,49 +1,50 @@
-//! How a run came out.
+//! Result of a run.
 
 use crate::sim::rules::Breach;
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// How a run came out.
+/// Result of a run, as printed by `dahliatrack sim --keep`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RunOutcome {
-    /// The broken rules, in the order of time.
+    /// First breach of each broken rule, in the order of time; empty if the run kept all rules.
     pub breaches: Vec<Breach>,
-    /// A hash of all that happened: equal runs have equal ones.
+    /// Hash of everything that happened in the run; equal runs have equal hashes.
     pub trace: u64,
-    /// Steps of the network.
+    /// Number of steps of the virtual network.
     pub steps: u64,
-    /// What became of the requests.
+    /// Outcomes of the requests, by kind.
     pub answers: AnswerCounts,
-    /// Moments at which something arrived and a deadline fell due at once.
+    /// Number of moments at which something arrived and a deadline expired at the same time.
     pub ties: u64,
-    /// The number of processes started.
+    /// Number of processes of the edge proxy that were started.
     pub processes: u32,
 }
 
 impl RunOutcome {
-    /// The breach of a rule, if it was broken.
+    /// Returns the first breach of a rule; `None` if the run kept it.
     pub fn breach_of(&self, rule: &str) -> Option<&Breach> {
         self.breaches.iter().find(|breach| breach.rule == rule)
     }
 }
 
-/// What became of requests; serialized as a list of these counts.
+/// Number of requests by outcome; serialized as a list of the counts in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 4]")]
 pub struct AnswerCounts {
-    /// Served.
+    /// Requests that were served.
     pub served: u64,
-    /// Rejected.
+    /// Requests that the edge proxy rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Requests whose final answer was a failure.
     pub failed: u64,
-    /// Without an answer that was owed: cancelled, not accepted by any process, or ended by a fault.
+    /// Requests that need no answer: cancelled, not accepted by any process, or ended by a fault. A request
+    /// that is sent again counts here too.
     pub excused: u64,
 }
 
 impl AnswerCounts {
-    /// All requests.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> u64 {
         <[u64; 4]>::from(*self).iter().sum()
     }
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -1,4 +1,4 @@
-//! The edge proxy's processes: started, given their turns, ended and killed.
+//! Processes of the edge proxy: starts them, runs them step by step, terminates and kills them.
 
 use super::event_queue::ScheduledEvent;
 use super::process_id::ProcessId;
@@ -10,41 +10,42 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A process has ended this long after SIGTERM.
+/// Time within which a process must have ended after SIGTERM.
 pub(super) const MAX_SHUTDOWN: Span = Span::from_secs(31);
-/// A killed process is started anew after this.
+/// Time after which a new process is started when none is left.
 const RESTART_DELAY: Span = Span::from_millis(200);
-/// A newer process runs this long before the older one gets SIGTERM.
+/// Time that a newer process runs in an upgrade before the older one gets SIGTERM.
 const UPGRADE_OVERLAP: Span = Span::from_millis(300);
-/// The most bytes, requests and connections that a process may hold.
+/// Most bytes, requests and connections that a process may hold.
 const MAX_HELD_BYTES: usize = 21_600_000;
 const MAX_OPEN_REQUESTS: usize = 1000;
 const MAX_SOCKETS: usize = 128;
-/// Spreads the seeds of runs, so that their processes' seeds do not meet.
+/// Factor between the seed of a run and those of its processes, so that processes of neighbouring runs have
+/// different seeds.
 const SEED_FACTOR: u64 = 31;
 
-/// The running processes, and what became of the others.
+/// Running processes, and the records of terminated and killed ones.
 #[derive(Default)]
 pub(super) struct Processes {
     running: BTreeMap<ProcessId, Server>,
     started: u32,
-    /// When each got SIGTERM.
+    /// When each process got SIGTERM.
     terminated: BTreeMap<ProcessId, Instant>,
     killed: BTreeSet<ProcessId>,
 }
 
 impl Processes {
-    /// The number of processes started so far.
+    /// Returns the number of processes started so far.
     pub(super) fn started(&self) -> u32 {
         self.started
     }
 
-    /// Whether none is running.
+    /// Whether no process is running.
     pub(super) fn is_empty(&self) -> bool {
         self.running.is_empty()
     }
 
-    /// The earliest deadline of any process.
+    /// Returns the earliest deadline of the running processes.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.running.values().filter_map(Server::next_due).min()
     }
@@ -57,7 +58,7 @@
         self.terminated.get(&process).copied()
     }
 
-    /// Sends SIGTERM to a process, if it is running.
+    /// Sends SIGTERM to a process if it is running.
     pub(super) fn terminate(&mut self, process: ProcessId, now: Instant) {
         if let Some(server) = self.running.get_mut(&process) {
             self.terminated.entry(process).or_insert(now);
@@ -76,7 +77,7 @@
         self.running.keys().copied().collect()
     }
 
-    /// The running process, if it is the only one.
+    /// Returns the running process if there is exactly one.
     fn only(&self) -> Option<ProcessId> {
         let mut ids = self.running.keys().copied();
         ids.next().filter(|_| ids.next().is_none())
@@ -89,13 +90,13 @@
 }
 
 impl World<'_> {
-    /// Starts a process that knows all events so far.
+    /// Starts a process whose configuration holds all events so far.
     pub(super) fn start_process(&mut self) -> ProcessId {
         let process = self.processes.next_id();
         let config = self.config_of(process);
         self.fabric.start_process(process.0);
         if self.now < self.descriptor_shortage.until {
-            // It can't connect to the feed before.
+            // Without descriptors the process cannot connect to the feed earlier.
             self.cut_feed(self.descriptor_shortage.until);
         }
         let parsed = Config::parse(config.to_string().as_bytes()).map_err(|error| error.to_string());
@@ -117,7 +118,8 @@
         config
     }
 
-    /// How far the clock of the processes' deadlines is ahead; zero, but for the planted bug.
+    /// Returns how far the clock of the processes' deadlines is ahead of the virtual clock: zero without the
+    /// planted bug.
     pub(super) fn deadline_clock_lead(&self) -> Span {
         match self.planted_bug {
             Some(PlantedBug::WallDeadlines) => self.fabric.wall_offset(),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Gives every process its turn, and ends those that have stopped.
+    /// Runs one turn of every process's event loop, and ends the processes that have stopped.
     pub(super) fn turn_processes(&mut self, ready: &mut Vec<Ready>) {
         let mut stopped = Vec::new();
         for process in self.processes.ids() {
@@ -142,14 +144,14 @@
         for process in stopped {
             if let Some(mut server) = self.processes.running.remove(&process) {
                 server.finish();
-                // Its connections close in order before the process is gone.
+                // Dropping the server closes its connections in order before the process counts as ended.
                 drop(server);
             }
             self.process_ended(process);
         }
     }
 
-    /// Checks that a process holds no more than it may.
+    /// Checks that a process holds no more bytes, requests and connections than its bounds.
     fn check_bounds(&mut self, process: ProcessId) {
         let Some(server) = self.processes.running.get(&process) else { return };
         let ResourceUsage { held_bytes, open_requests } = server.resource_usage();
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Whether a process has stopped, or should have.
+    /// Whether a process has stopped, or must be ended since it has not stopped in time (a breach).
     fn is_stopped(&mut self, process: ProcessId) -> bool {
         if self.processes.running.get(&process).is_some_and(Server::is_stopped) {
             return true;
@@ -177,7 +179,8 @@
         is_late
     }
 
-    /// A process has ended: the others notice, and if there are none, one is started.
+    /// Ends a process on the network, signals that to the other processes, and schedules a start if none is
+    /// left.
     fn process_ended(&mut self, process: ProcessId) {
         self.fabric.end_process(process.0);
         for other in self.processes.running.keys() {
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Kills a process, if it is running.
+    /// Kills a process if it is running: its connections break.
     pub(super) fn kill_process(&mut self, process: ProcessId) {
         if let Some(server) = self.processes.running.remove(&process) {
             self.processes.killed.insert(process);
@@ -206,7 +209,8 @@
         }
     }
 
-    /// Starts a newer process beside the one that runs, which then gets SIGTERM; returns the newer one.
+    /// Starts an upgrade: starts a newer process, and schedules SIGTERM for the older one. Returns the newer
+    /// one; `None` if not exactly one process is running or the run is ending.
     pub(super) fn upgrade(&mut self) -> Option<ProcessId> {
         let older = self.processes.only().filter(|_| !self.is_ending)?;
         let newer = self.start_process();
@@ -214,7 +218,7 @@
         Some(newer)
     }
 
-    /// An upgrade whose newer process is killed.
+    /// Starts an upgrade, and schedules that its newer process is killed at a time.
     pub(super) fn upgrade_and_kill_newer(&mut self, at: Instant) {
         if let Some(newer) = self.upgrade() {
             self.event_queue.schedule(at, ScheduledEvent::Kill(newer));
--- a/src/sim/world/scheduled_events.rs
+++ b/src/sim/world/scheduled_events.rs
@@ -1,4 +1,4 @@
-//! Carries out what was scheduled.
+//! Handles the scheduled events.
 
 use super::event_queue::ScheduledEvent;
 use super::processes::MAX_SHUTDOWN;
@@ -6,12 +6,12 @@
 use crate::interface::Span;
 
 impl World<'_> {
-    /// Schedules an event this long from now.
+    /// Schedules an event for this long from now.
     pub(super) fn schedule_in(&mut self, after: Span, event: ScheduledEvent) {
         self.event_queue.schedule(self.now + after, event);
     }
 
-    /// Carries out a scheduled event.
+    /// Handles a scheduled event that is due.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::SendRequest(request) => self.send_request(request, false),
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -1,4 +1,4 @@
-//! The site of a run and its hosts.
+//! Sets up a run: draws its site, and creates its world and hosts.
 
 use super::clients::Client;
 use super::event_queue::{EventQueue, ScheduledEvent};
@@ -21,24 +21,25 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// The shortest and the longest delay of a connection, one way.
+/// Shortest and longest one-way delay of a connection.
 const DELAYS: RangeInclusive<Span> = Span::from_millis(1)..=Span::from_millis(20);
-/// Keeps the network's random numbers apart from those of the traffic.
+/// Mixed into the seed of the network, so that its random numbers are independent of those of the traffic.
 const NETWORK_SALT: u64 = 0x5eed;
-/// The run ends this long after the last request at the earliest.
+/// Time between the end of the requests and the end of the run, so that answers can still arrive.
 const END_DELAY: Span = Span::from_secs(1);
-/// The window that the edge proxy is told by `PlantedBug::LongWindow`, ms.
+/// Window for repeated writes that `PlantedBug::LongWindow` puts into the edge proxy's settings, in ms.
 const PLANTED_BUG_WINDOW_MS: i64 = 60_000;
 
-/// The site of a run.
+/// Site of a run: the edge proxy's configuration and the hosts.
 struct Site {
-    /// The configuration of its edge proxy.
+    /// Configuration of the edge proxy.
     config: Value,
-    /// The event with the first endpoint list.
+    /// Event with the first endpoint list.
     first_event: Value,
-    /// The full-pace answers that each host's link bears.
+    /// Capacity of each host's network link, as the number of answers that it can send at once at full pace.
+    /// It stays the same if the variant hides it from the endpoint list.
     links: Vec<f64>,
-    /// For how long a write may be repeated.
+    /// Time for which a write may be repeated; `None`: never.
     dedup_window: Option<Span>,
     variant: SiteVariant,
 }
@@ -51,7 +52,7 @@
         let mut config = config(&shape, &feed, |number| host_address(HostId(number)).to_string());
         config["listen"] = numbered_address(FRONT).to_string().into();
         config["limits"] = json!({"cores": 1.0, "memory_mb": 48, "sockets": 128});
-        // A second `result` is a second effect.
+        // A repeated `result` would take effect twice, so it must not be retried.
         config["settings"]["grades"][WRITE_CLASS]["effect"] = "side_effect".into();
         let mut first_event = config["known"]["events"][0].clone();
         let hosts = &mut first_event["members"]["hosts"];
@@ -65,7 +66,7 @@
         site
     }
 
-    /// Plants a bug that lies in the settings.
+    /// Plants a bug that consists of wrong settings; other bugs are planted where they take effect.
     fn plant_bug(&mut self, planted_bug: Option<PlantedBug>) {
         let write_class = &mut self.config["settings"]["grades"][WRITE_CLASS];
         match planted_bug {
@@ -78,14 +79,15 @@
         }
     }
 
-    /// The hosts' entries in the first endpoint list.
+    /// Returns the hosts' entries in the first endpoint list.
     fn entries(&self) -> Vec<Value> {
         self.first_event["members"]["hosts"].as_array().cloned().unwrap_or_default()
     }
 }
 
 impl<'a> World<'a> {
-    /// The world of a run at its start, with all requests and the end of the run scheduled.
+    /// Creates the world of a run at its start: one process runs, and all requests and the end of the run are
+    /// scheduled.
     pub(super) fn new(plan: &'a RunPlan, seed: u64, planted_bug: Option<PlantedBug>) -> Self {
         let site = Site::draw(plan, seed, planted_bug);
         let fabric = Fabric::new(START, seed ^ NETWORK_SALT, DELAYS);
--- a/src/sim/world/traffic.rs
+++ b/src/sim/world/traffic.rs
@@ -1,4 +1,4 @@
-//! The requests of a run, drawn from the seed.
+//! Draws the requests of a run from the seed.
 
 use super::event_queue::ScheduledEvent;
 use super::{random_stream, ClientId, World, START};
@@ -6,26 +6,26 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// The random stream of the requests.
+/// Random stream that draws the requests.
 const TRAFFIC_STREAM: u64 = 2;
-/// Requests come this long after the start at the earliest, ms.
+/// Earliest time of a request after the start of the run, in ms.
 const FIRST_REQUEST_MS: i64 = 50;
-/// The parts that objects have.
+/// Number of parts of each object.
 const PARTS: u32 = 2;
-/// One request in so many is cancelled by its client.
+/// On average, one in this many requests is cancelled by its client.
 const REQUESTS_PER_CANCELLATION: i32 = 20;
-/// The first object's id.
+/// Id of the first object; the others follow.
 const FIRST_OBJECT: u64 = 0xab00;
-/// The bits of a trace id that number the requests of a seed.
+/// Number of low bits of a trace id that hold the request's number; the seed is in the bits above.
 const REQUEST_BITS: u32 = 20;
 
-/// A class of requests, as clients send it.
+/// A class of requests that clients send.
 #[derive(Clone, Copy)]
 struct TrafficClass {
     name: &'static str,
-    /// The longest client timeout, ms.
+    /// Longest client timeout, in ms.
     max_timeout_ms: i64,
-    /// How often it is drawn.
+    /// How often it is drawn, relative to the other classes.
     weight: usize,
 }
 
@@ -36,7 +36,7 @@
     TrafficClass { name: "result", max_timeout_ms: 2400, weight: 2 },
 ];
 
-/// The place of a request among those of its run.
+/// Index of a request among those of its run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestNumber(usize);
 
@@ -54,9 +54,9 @@
     pub(super) object: String,
     pub(super) part: u32,
     pub(super) client_timeout: Span,
-    /// Its trace id.
+    /// Trace id of the request, by which rules and hosts identify it.
     pub(super) trace: String,
-    /// How long after sending it the client cancels it.
+    /// How long after sending the client cancels the request; `None`: never.
     pub(super) cancelled_after: Option<Span>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The id of an object by its number.
+/// Returns the id of an object by its number.
 pub(super) fn object_id(number: u64) -> String {
     format!("{:016x}", FIRST_OBJECT + number)
 }
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Draws an object's number: squared, so that a few objects are requested again and again.
+    /// Draws an object's number. A uniform draw is squared, so that a few objects are requested far more
+    /// often than the others.
     fn draw_object(&self, random: &mut ChaCha8Rng) -> u64 {
         let part = random.random_range(0.0..1.0_f64);
         (part * part * self.plan.objects as f64) as u64
--- a/tests/sim.rs
+++ b/tests/sim.rs
@@ -1,4 +1,4 @@
-//! The simulator's command line: a failure is told with the command that repeats it.
+//! Command line of the simulator: each failure is printed with the command that reproduces it.
 
 use std::process::{Command, Output};
 
@@ -7,11 +7,11 @@
         .arg("sim")
         .args(args)
         .output()
-        .expect("the program starts")
+        .expect("failed to start dahliatrack")
 }
 
 fn utf8(bytes: &[u8]) -> String {
-    String::from_utf8(bytes.to_vec()).expect("UTF-8")
+    String::from_utf8(bytes.to_vec()).expect("the output is not UTF-8")
 }
 
 #[test]
@@ -21,14 +21,19 @@
     let found = sim(&["--seeds", "0..40", "--sabotage", "result-twice", "--most", "1"]);
     let text = utf8(&found.stdout);
     assert_eq!(found.status.code(), Some(1), "{text}");
-    let command =
-        text.lines().find_map(|line| line.trim().strip_prefix("again: dahliatrack sim ")).expect("a command");
-    let trace = text.lines().find_map(|line| line.trim().strip_prefix("its trace: ")).expect("a trace");
+    let command = text
+        .lines()
+        .find_map(|line| line.trim().strip_prefix("again: dahliatrack sim "))
+        .expect("no line with the command");
+    let trace = text
+        .lines()
+        .find_map(|line| line.trim().strip_prefix("its trace: "))
+        .expect("no line with the trace");
     let mut args: Vec<&str> = command.split(' ').collect();
     args.extend(["--sabotage", "result-twice"]);
     let (first, second) = (sim(&args), sim(&args));
     assert_eq!((first.status.code(), &first.stdout), (Some(1), &second.stdout));
-    let outcome: serde_json::Value = serde_json::from_slice(&first.stdout).expect("JSON");
+    let outcome: serde_json::Value = serde_json::from_slice(&first.stdout).expect("the output is not JSON");
     assert_eq!(outcome["trace"].as_u64(), u64::from_str_radix(trace, 16).ok());
     assert_eq!(outcome["breaches"][0]["rule"], "result-twice");
 }
