--- a/src/sim/site_variant.rs
+++ b/src/sim/site_variant.rs
@@ -16,11 +16,11 @@
     pub one_at_a_time: bool,
     /// Attempts cannot be cancelled once they are sent.
     pub no_cancel: bool,
-    /// Answers of hosts do not state how they came about: no cache status.
-    pub no_notes: bool,
+    /// Answers of hosts do not state their cache status.
+    pub no_cache_status: bool,
     /// Answers of hosts carry notes only for served requests: a failed fill does not name the host that
     /// failed.
-    pub sparse_notes: bool,
+    pub cache_status_if_served: bool,
     /// Any cache may be a fill source, and requests may join a fill in flight.
     pub shared_fills: bool,
     /// Requests are never sent directly to a parent or the origin.
@@ -50,8 +50,8 @@
             no_retry_after: bit(1),
             one_at_a_time: bit(2),
             no_cancel: bit(3),
-            no_notes: bit(4) && bit(5),
-            sparse_notes: bit(4) && !bit(5),
+            no_cache_status: bit(4) && bit(5),
+            cache_status_if_served: bit(4) && !bit(5),
             shared_fills: bit(10),
             no_direct: bit(6),
             two_attempts: bit(7) && bit(8),
@@ -70,8 +70,8 @@
         set(self.one_at_a_time, ["limits", "parallel_tries"], json!(false));
         set(self.no_cancel, ["limits", "cancel"], json!(false));
         set(self.two_attempts, ["limits", "max_attempts"], json!(2));
-        set(self.no_notes, ["domain", "tells"], json!("silent"));
-        set(self.sparse_notes, ["domain", "tells"], json!("hit"));
+        set(self.no_cache_status, ["domain", "tells"], json!("silent"));
+        set(self.cache_status_if_served, ["domain", "tells"], json!("hit"));
         set(self.shared_fills, ["domain", "lateral"], json!("any"));
         set(self.shared_fills, ["domain", "collapses"], json!(true));
         set(self.no_direct, ["domain", "straight"], json!(false));
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -16,8 +16,8 @@
 pub(super) const GROUP: u32 = 17;
 /// Requests that are sent later than this after SIGTERM need not be accepted by the process.
 const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
-/// A request that was written at most this long, plus the time of both ways, before its connection ended may
-/// have crossed the end on its way.
+/// A request may have crossed the end of its connection if it was written at most this time plus `2 *
+/// MAX_TRANSIT` before the end was seen.
 const CROSSING_ALLOWANCE: Span = Span::from_millis(50);
 /// A request must have its answer within this time after the client's timeout.
 const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Closes a client's connection in order.
+    /// Closes a client's connection without a reset.
     pub(super) fn close_client(&mut self, client: ClientId) {
         if let Some(link) = self.end_client_connection(client) {
             self.fabric.close(link.0);
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Breaks all connections of a host with the given system error.
+    /// Breaks all connections of a host with the given system error instead of a plain reset.
     pub(super) fn fail_links(&mut self, host: HostId, error: SystemError) {
         for link in self.forget_links(host) {
             self.fabric.reset_with_error(link.0, error.errno());
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -52,7 +52,8 @@
 /// are numbered from 0.
 const FRONT: u16 = 1_000;
 const FEED: u16 = 900;
-/// Most steps of a run; a run that needs more is taken for an endless loop, a breach of the rule "spins".
+/// Largest number of steps of a run; a run that needs more is taken for an endless loop, a breach of the rule
+/// "spins".
 const MAX_STEPS: usize = 1_000_000;
 /// Random stream that draws the order of events that happen at the same time.
 const ORDER_STREAM: u64 = 3;
--- a/src/sim/world/processes.rs
+++ b/src/sim/world/processes.rs
@@ -16,7 +16,7 @@
 const RESTART_DELAY: Span = Span::from_millis(200);
 /// Time that a newer process runs in an upgrade before the older one gets SIGTERM.
 const UPGRADE_OVERLAP: Span = Span::from_millis(300);
-/// Most bytes, requests and connections that a process may hold.
+/// Largest numbers of bytes, requests and connections that a process may hold.
 const MAX_HELD_BYTES: usize = 21_600_000;
 const MAX_OPEN_REQUESTS: usize = 1000;
 const MAX_SOCKETS: usize = 128;
@@ -144,7 +144,8 @@
         for process in stopped {
             if let Some(mut server) = self.processes.running.remove(&process) {
                 server.finish();
-                // Dropping the server closes its connections in order before the process counts as ended.
+                // Dropping the server closes its connections before the network breaks those of the ended
+                // process.
                 drop(server);
             }
             self.process_ended(process);
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -104,7 +104,7 @@
             event_queue: EventQueue::default(),
             requests: Vec::new(),
             clients: (0..plan.clients).map(|_| Client::default()).collect(),
-            fleet: Fleet { sparse_notes: site.variant.sparse_notes, ..Fleet::default() },
+            fleet: Fleet { sparse_notes: site.variant.cache_status_if_served, ..Fleet::default() },
             host_ids: BTreeMap::new(),
             feed: Feed::default(),
             processes: Processes::default(),
