--- a/src/sim/federation/leases.rs
+++ b/src/sim/federation/leases.rs
@@ -15,8 +15,8 @@
         }
     }
 
-    /// Lets a member seek and renew leases, and schedules acts on the duties that it holds. If the member is
-    /// the leader, it also ends expired leases.
+    /// Lets a member seek and renew leases, and schedules acts on the duties that it holds. The leader
+    /// proposes the requests and ends expired leases; other members forward their requests to it.
     pub(super) fn seek_and_renew_leases(&mut self, id: MemberId) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
--- a/src/sim/federation/summary.rs
+++ b/src/sim/federation/summary.rs
@@ -10,7 +10,7 @@
 use std::ops::Range;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Most failing seeds that a summary lists.
+/// Largest number of failing seeds that a summary lists.
 const LISTED_SEEDS: usize = 3;
 
 /// Combined result of many seeds; its `Display` form is printed by `dahliatrack sim --federation`.
--- a/src/sim/site_variant.rs
+++ b/src/sim/site_variant.rs
@@ -18,8 +18,8 @@
     pub no_cancel: bool,
     /// Answers of hosts do not state their cache status.
     pub no_cache_status: bool,
-    /// Answers of hosts carry notes only for served requests: a failed fill does not name the host that
-    /// failed.
+    /// Answers of hosts state the cache status only of served requests: a failed fill does not name the host
+    /// that failed.
     pub cache_status_if_served: bool,
     /// Any cache may be a fill source, and requests may join a fill in flight.
     pub shared_fills: bool,
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -48,7 +48,8 @@
 
 #[test]
 fn planted_bugs_are_found_and_shrunk_to_needed_faults() {
-    // The rarer bugs are searched for without faults of the machine, since those would hide them.
+    // All bugs but the last are searched for without faults of the machine, since those would hide the rare
+    // ones.
     let (without, with) = (RunPlan::default().without_system_faults(), RunPlan::default());
     for (plan, planted_bug, rule, seeds, needs) in [
         (&without, PlantedBug::ResultTwice, "result-twice", 0..60, 1),
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -16,8 +16,8 @@
 pub(super) const GROUP: u32 = 17;
 /// Requests that are sent later than this after SIGTERM need not be accepted by the process.
 const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
-/// A request may have crossed the end of its connection if it was written at most this time plus `2 *
-/// MAX_TRANSIT` before the end was seen.
+/// A request may have crossed the end of its connection if it was written at most this time plus twice
+/// [`MAX_TRANSIT`] before the end was seen.
 const CROSSING_ALLOWANCE: Span = Span::from_millis(50);
 /// A request must have its answer within this time after the client's timeout.
 const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
