--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -1,10 +1,10 @@
-//! The members: how they start and restart, and what each does at a tick.
+//! How members start, restart and take steps, and what each does at a tick.
 
 use super::disk::Disk;
 use super::member::SimulatedMember;
 use super::observer::ObservedStep;
 use super::world::{FederationEvent, FederationWorld};
-use super::{draw_span, DRIFT, DUTIES, LAST_FAULT, MS, QUIET, TERMS, TICK, TUNING};
+use super::{draw_span, DUTIES, LAST_FAULT, LEASE_TIMING, MAX_DRIFT, MS, QUIET_PERIOD, TICK, TUNING};
 use crate::federation::duties::{LeaseGrantor, LeaseHolder};
 use crate::federation::log::StoredLog;
 use crate::federation::node::Node;
@@ -14,23 +14,24 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Pauses between the attempts of a member to open the store on a failing disk.
+/// Pauses between a member's attempts to open its store on a failing disk.
 const RETRY_PAUSES: std::ops::Range<Span> = Span::from_millis(50)..Span::from_secs(1);
-/// Keeps the first incarnations of members apart.
+/// Difference between the incarnations of members with successive numbers, so that all are distinct.
 const INCARNATIONS_PER_MEMBER: u64 = 1000;
 
 impl FederationWorld {
-    /// Adds a member with what its store holds, and starts it.
-    pub(super) fn add(&mut self, id: MemberId, kept: StoredLog) {
-        // Mostly as slow or fast as allowed: what is between finds less.
-        let drift = [-DRIFT, DRIFT, self.random.random_range(-DRIFT..=DRIFT)][self.random.random_range(0..3)];
+    /// Adds a member with the given content of its store, and starts it.
+    pub(super) fn add(&mut self, id: MemberId, stored: StoredLog) {
+        // Two in three members have the largest allowed drift, since drifts in between find fewer bugs.
+        let drift = [-MAX_DRIFT, MAX_DRIFT, self.random.random_range(-MAX_DRIFT..=MAX_DRIFT)]
+            [self.random.random_range(0..3)];
         let member = SimulatedMember {
-            disk: Disk::new(kept, self.planted),
+            disk: Disk::new(stored, self.planted_bug),
             node: None,
             incarnation: id.0 * INCARNATIONS_PER_MEMBER,
-            holder: LeaseHolder::new(id, TERMS, 0),
-            grantor: LeaseGrantor::new(TERMS),
-            wants: BTreeSet::new(),
+            holder: LeaseHolder::new(id, LEASE_TIMING, 0),
+            grantor: LeaseGrantor::new(LEASE_TIMING),
+            wanted_duties: BTreeSet::new(),
             drift,
             clock_start: Instant::ZERO + self.random.random_range(0..1000_i64) * MS,
             tick: Span::from_micros_f64(TICK.as_micros_f64() / (1.0 + drift)),
@@ -46,27 +47,27 @@
     /// Starts a member's process from its store.
     fn start(&mut self, id: MemberId) {
         let seed = self.random.random();
-        let terms = self.lease_terms();
+        let terms = self.lease_timing();
         let asks = self.random.random();
-        let wants = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
-        let wants = wants.map(|duty| (*duty).to_owned()).collect();
+        let wanted_duties = DUTIES.iter().filter(|_| self.random.random_range(0..3) > 0);
+        let wanted_duties = wanted_duties.map(|duty| (*duty).to_owned()).collect();
         let Some(member) = self.members.get_mut(&id) else { return };
-        // Of an earlier process only what its disk holds is left.
+        // Only what the disk holds survives from an earlier process.
         member.holder = LeaseHolder::new(id, terms, asks);
         member.grantor = LeaseGrantor::new(terms);
-        member.wants = wants;
+        member.wanted_duties = wanted_duties;
         member.disk.unsynced = None;
-        let kept = &mut member.disk.kept;
-        // The terms that the log itself shows are not forgotten.
-        let log_term = kept.entries.last().map_or(kept.snapshot.term, |entry| entry.term);
-        kept.hard_state.term = kept.hard_state.term.max(log_term);
-        match Node::new(id, member.disk.kept.clone(), TUNING, seed) {
+        let stored = &mut member.disk.stored;
+        // Even if stored terms are lost (`ForgottenVote`), the term is at least that of the last log entry.
+        let log_term = stored.entries.last().map_or(stored.snapshot.term, |entry| entry.term);
+        stored.hard_state.term = stored.hard_state.term.max(log_term);
+        match Node::new(id, member.disk.stored.clone(), TUNING, seed) {
             Ok(node) => member.node = Some(node),
-            Err(error) => self.breach("start", format!("member {id}: {error}")),
+            Err(error) => self.record_breach("start", format!("member {id}: {error}")),
         }
     }
 
-    /// Starts a member that is not running, or schedules a retry where its disk still fails.
+    /// Starts a member that is not running, or schedules a retry if its disk still fails.
     pub(super) fn restart(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.disk.heals_at_restart {
@@ -87,7 +88,7 @@
         self.schedule(self.now + pause, FederationEvent::Restart(id));
     }
 
-    /// Lets a member do what it has to, checks it, and sends its messages.
+    /// Lets a member's node do its pending work, checks the step, and sends the node's messages.
     pub(super) fn drive(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let Some(node) = &mut member.node else { return };
@@ -96,7 +97,7 @@
         let step = ObservedStep::take(id, node);
         let messages = match driven {
             Ok(messages) => messages,
-            // As in service: the member begins anew from its store, once that can be opened.
+            // As in service, the member restarts from its store once that can be opened.
             Err(_) if member.disk.fault.is_some() => {
                 member.node = None;
                 if !member.disk.heals_at_restart {
@@ -104,7 +105,7 @@
                 }
                 return;
             }
-            Err(error) => return self.breach("drive", format!("member {id}: {error}")),
+            Err(error) => return self.record_breach("drive", format!("member {id}: {error}")),
         };
         self.observe(step);
         for message in messages {
@@ -118,16 +119,17 @@
         if member.stalled_until <= self.now {
             self.tick_node(id);
             self.seek_and_renew_leases(id);
-            // In the end all duties are left: no lease may stay behind.
-            if self.now > LAST_FAULT + QUIET / 2 {
-                self.members.entry(id).and_modify(|member| member.wants.clear());
+            // Near the end members give up all duties, so that the final check can require that no lease is
+            // left.
+            if self.now > LAST_FAULT + QUIET_PERIOD / 2 {
+                self.members.entry(id).and_modify(|member| member.wanted_duties.clear());
             }
         }
         self.schedule(next, FederationEvent::Tick(id, number + 1));
         self.drive(id);
     }
 
-    /// A tick of a member's node: it proposes the changes that its file asks for, and its own enrolment.
+    /// Ticks a member's node, which then proposes the changes that its file asks for, and its own enrolment.
     fn tick_node(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let (file, revision) = (member.file as usize, member.file_revision());
--- a/src/sim/world/answers.rs
+++ b/src/sim/world/answers.rs
@@ -1,4 +1,4 @@
-//! What clients are answered, checked as it arrives.
+//! Checks the answers that clients receive.
 
 use super::traffic::PlannedRequest;
 use super::World;
@@ -8,14 +8,14 @@
 use serde_json::json;
 
 impl World<'_> {
-    /// Bytes have reached a client.
+    /// Handles bytes that have reached a client: checks each answer once it is complete.
     pub(super) fn client_received(&mut self, id: ClientId, bytes: &[u8]) {
         self.client(id).input.extend_from_slice(bytes);
         loop {
             match thrift_client::take_answer(&mut self.client(id).input) {
                 Ok(Some(answer)) => self.client_answered(id, &answer),
                 Ok(None) => return,
-                Err(error) => return self.rules.breach(self.now, "unreadable", error.to_string()),
+                Err(error) => return self.rules.record_breach(self.now, "unreadable", error.to_string()),
             }
         }
     }
@@ -25,7 +25,7 @@
         let Some(open) = client.open.remove(&answer.seqid) else {
             if !client.cancelled.contains(&answer.seqid) {
                 let text = format!("client {id} has a second answer to {}", answer.seqid);
-                self.rules.breach(self.now, "second-answer", text);
+                self.rules.record_breach(self.now, "second-answer", text);
             }
             return;
         };
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Checks that what was served is what was requested, and new enough.
+    /// Checks that the body is that of the requested object, or of the write, and is not older than a purge.
     fn check_served(&mut self, request: &PlannedRequest, sent: Instant, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         let wanted = if request.is_write() {
@@ -54,7 +54,7 @@
         };
         let Some(rest) = text.strip_prefix(&wanted) else {
             let text = format!("{} is served {:.60}, not {wanted}", request.trace, text);
-            return self.rules.breach(self.now, "wrong-bytes", text);
+            return self.rules.record_breach(self.now, "wrong-bytes", text);
         };
         let handed_out = rest.split(';').next().and_then(|micros| micros.parse().ok());
         if let Some(handed_out) = handed_out.filter(|_| !request.is_write()) {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Checks that a rejection carries a Retry-After where the site has it.
+    /// Checks that a rejection carries a Retry-After exactly if the site's settings ask for it.
     fn check_retry_after(&mut self, request: &PlannedRequest, answer: &Answer) {
         let field = answer.fields.iter().find(|(name, _)| name == "pause");
         let pause = field.and_then(|(_, ms)| ms.parse::<i64>().ok()).unwrap_or(0);
         let advised = self.base_config["settings"]["limits"]["retry_after"] == json!(true);
         if (pause > 0) != advised {
             let text = format!("{} is refused with {pause}, advised: {advised}", request.trace);
-            self.rules.breach(self.now, "no-pause", text);
+            self.rules.record_breach(self.now, "no-pause", text);
         }
     }
 }
--- a/src/sim/world/scheduled_events.rs
+++ b/src/sim/world/scheduled_events.rs
@@ -1,17 +1,17 @@
-//! Carries out what was scheduled.
+//! Handles the scheduled events.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::processes::MAX_SHUTDOWN;
 use super::World;
 use crate::interface::Span;
 
 impl World<'_> {
-    /// Schedules an event this long from now.
+    /// Schedules an event for this long from now.
     pub(super) fn schedule_in(&mut self, after: Span, event: ScheduledEvent) {
-        self.agenda.schedule(self.now + after, event);
+        self.event_queue.schedule(self.now + after, event);
     }
 
-    /// Carries out a scheduled event.
+    /// Handles a scheduled event that is due.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::SendRequest(request) => self.send_request(request, false),
