--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,81 +1,84 @@
-//! Admission control: which new connections of clients are accepted, by the client's address and prefix, the rate at
-//! which they come, their standing, and the descriptors left. A pure state machine: it opens no socket and reads no
-//! clock. Both fronts' accept paths ask it; `docs/admission.md` has the design.
+//! Admission control: decides which new connections of clients are accepted. The decision depends on the
+//! client's address and prefix, on the rate of new connections, on whether the address is known, and on the
+//! free descriptors. Both fronts use it when they accept connections. It is a pure state machine, which opens
+//! no socket and reads no clock. The design is described in `docs/admission.md`.
 //!
-//! - `decision`: what is decided, and the causes of rejections.
-//! - `origin`: addresses and prefixes.
-//! - `open_connections`: connections counted by origin; `rate_limiter` with `token_bucket`: rates by origin.
-//! - `recent_table`: the bounded table of addresses that `rate_limiter` and the known addresses use.
+//! - `decision`: decisions, and the causes of rejections.
+//! - `client_address`: addresses and prefixes.
+//! - `open_connections`: counts of open connections by address and prefix.
+//! - `rate_limiter` with `token_bucket`: rates of new connections by address and prefix.
+//! - `lru_table`: the bounded table of addresses, used for rates and for known addresses.
 //! - `exhaustion`: the backoff of accepts while the process has no descriptor left.
-//! - `settings`: the operator's file.
+//! - `settings`: the operator's settings file.
 //!
-//! A connection is in *good standing* once a complete, well-formed request on it was answered by the edge proxy, and
-//! not by admission control. Its address is then *known* for [`AdmissionSettings::known_window_s`]. Caps count open
-//! connections beyond those in good standing, so many clients behind one shared address (NAT) are not capped as one,
-//! while a flood of connections that ask nothing is.
+//! A connection is in *good standing* once a complete, well-formed request on it was answered by the edge
+//! proxy, and not by admission control. Its address is then *known* for
+//! [`AdmissionSettings::known_window_s`]. Caps count open connections beyond those in good standing. So many
+//! clients behind one shared address (NAT) are not capped as one client, but a flood of connections that send
+//! no request is.
 
+mod client_address;
 mod decision;
 mod exhaustion;
+mod lru_table;
 mod open_connections;
-mod origin;
 mod rate_limiter;
-mod recent_table;
 pub mod settings;
 mod token_bucket;
 
-pub use decision::{Capacity, ConnectionId, Counts, Decision, RejectionCause};
-pub use exhaustion::{Backoff, EpisodeSummary, Exhaustion};
-pub use open_connections::{ConnectionCounts, OriginCounts};
+pub use decision::{AdmissionCounts, Capacity, ConnectionId, Decision, RejectionCause};
+pub use exhaustion::{AcceptBackoff, DescriptorExhaustion, EpisodeSummary};
+pub use open_connections::{AddressCounts, ConnectionCounts};
 pub use settings::{AdmissionError, AdmissionSettings};
 pub use token_bucket::Rate;
 
 use crate::interface::Instant;
+use client_address::ClientAddress;
 use decision::Rejection;
+use lru_table::LruTable;
 use open_connections::OpenConnections;
-use origin::Origin;
 use rate_limiter::{RateExceeded, RateLimiter};
-use recent_table::RecentTable;
 use std::net::IpAddr;
 
-/// How many addresses are followed.
+/// Numbers of addresses in the tables of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedAddresses {
-    /// Known addresses.
+    /// Number of known addresses.
     pub known: usize,
-    /// Addresses and prefixes whose rate is followed.
-    pub rated: usize,
+    /// Number of addresses and prefixes whose rate is tracked.
+    pub rate_tracked: usize,
 }
 
-/// The admission control of one process.
+/// The state of admission control in one process.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
     open: OpenConnections,
     address_rates: RateLimiter,
     prefix_rates: RateLimiter,
-    /// Addresses that were lately in good standing.
-    known: RecentTable<IpAddr, ()>,
-    /// The backoff of accepts while the process has no descriptor left.
-    pub exhaustion: Exhaustion,
-    counts: Counts,
+    /// Addresses that had a connection in good standing within [`AdmissionSettings::known_window_s`].
+    known: LruTable<IpAddr, ()>,
+    /// Backoff of accepts while the process has no descriptor left.
+    pub exhaustion: DescriptorExhaustion,
+    counts: AdmissionCounts,
 }
 
 impl Admission {
-    /// Admission control with checked settings.
+    /// Returns admission control without any connections. The settings must have been checked.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
             open: OpenConnections::default(),
             address_rates: RateLimiter::new(settings.tracked_capacity),
             prefix_rates: RateLimiter::new(settings.tracked_capacity),
-            known: RecentTable::new(settings.known_capacity),
-            exhaustion: Exhaustion::new(settings.backoff(), settings.max_backoff()),
-            counts: Counts::default(),
+            known: LruTable::new(settings.known_capacity),
+            exhaustion: DescriptorExhaustion::new(settings.backoff(), settings.max_backoff()),
+            counts: AdmissionCounts::default(),
             settings,
         }
     }
 
-    /// Takes new settings. Open connections stay counted and known addresses known; changed rates start with full
-    /// buckets.
+    /// Replaces the settings. Open connections stay counted, and known addresses stay known. If a rate of
+    /// addresses or prefixes has changed, all token buckets are full again.
     pub fn reconfigure(&mut self, settings: AdmissionSettings) {
         let old = &self.settings;
         let have_rates_changed =
@@ -89,51 +92,51 @@
         self.settings = settings;
     }
 
-    /// The settings in use.
+    /// Returns the settings in use.
     pub fn settings(&self) -> &AdmissionSettings {
         &self.settings
     }
 
-    /// Whether connections are checked at all.
+    /// Whether new connections are checked at all.
     pub fn is_enabled(&self) -> bool {
         self.settings.enabled
     }
 
-    /// What was decided so far.
-    pub fn counts(&self) -> Counts {
+    /// Returns the counts of decisions since the start.
+    pub fn counts(&self) -> AdmissionCounts {
         self.counts
     }
 
-    /// How many admitted connections are open.
+    /// Returns the number of admitted connections that are open.
     pub fn open_connections(&self) -> usize {
         self.open.len()
     }
 
-    /// How many addresses are followed.
+    /// Returns the numbers of addresses in the tables.
     pub fn tracked_addresses(&self) -> TrackedAddresses {
-        let rated = self.address_rates.len() + self.prefix_rates.len();
-        TrackedAddresses { known: self.known.len(), rated }
+        let rate_tracked = self.address_rates.len() + self.prefix_rates.len();
+        TrackedAddresses { known: self.known.len(), rate_tracked }
     }
 
-    /// Open connections of an address and of its prefix.
-    pub fn open_connections_of(&self, address: IpAddr) -> OriginCounts {
-        self.open.counts(self.origin(address))
+    /// Returns the counts of open connections of an address and of its prefix.
+    pub fn open_connections_of(&self, address: IpAddr) -> AddressCounts {
+        self.open.counts(self.client_address(address))
     }
 
-    /// Whether an address was in good standing within the window.
+    /// Whether an address had a connection in good standing within the window for known addresses.
     pub fn is_known(&mut self, now: Instant, address: IpAddr) -> bool {
         self.known.expire(now - self.settings.known_window());
-        self.known.contains(&origin::canonical(address))
+        self.known.contains(&client_address::canonical(address))
     }
 
-    /// Decides on a new connection.
+    /// Decides on a new connection, and counts it as open if it is admitted.
     pub fn admit(&mut self, now: Instant, id: ConnectionId, address: IpAddr, capacity: Capacity) -> Decision {
-        let origin = self.origin(address);
-        let checked = if self.settings.enabled { self.check(now, origin, capacity) } else { Ok(()) };
+        let client = self.client_address(address);
+        let checked = if self.settings.enabled { self.check(now, client, capacity) } else { Ok(()) };
         match checked {
             Ok(()) => {
                 self.counts.admitted += 1;
-                self.open.insert(id, origin);
+                self.open.insert(id, client);
                 Decision::Admit
             }
             Err(Rejection { cause, wait }) => {
@@ -144,17 +147,20 @@
         }
     }
 
-    /// Whether a rejected connection is kept open until its requests are answered, or closed before a byte is read,
-    /// which proves to its client that nothing ran. It is closed where `pending` rejected connections are as many as
-    /// may be, or so few descriptors are left that it would use the reserve for table caches.
-    pub fn answers_rejected(&self, pending: usize, free_descriptors: Option<usize>) -> bool {
+    /// Whether a rejected connection may be kept open until its requests have been answered. Otherwise it is
+    /// closed before a byte is read, which proves to the client that nothing ran. It must be closed if
+    /// `pending`, the number of rejected connections that are open, has reached its limit, or if so few
+    /// descriptors are free (at most half of `reserve_upstream`) that it would use up the reserve for table
+    /// caches.
+    pub fn can_answer_rejected(&self, pending: usize, free_descriptors: Option<usize>) -> bool {
         let reserve = self.settings.reserve_upstream;
         pending < self.settings.max_pending_rejections
             && free_descriptors.is_none_or(|free| free > reserve / 2)
     }
 
-    /// Puts a connection into good standing, as the edge proxy answered its request, and makes its address known.
-    pub fn good(&mut self, now: Instant, id: ConnectionId) {
+    /// Puts a connection into good standing and makes its address known. Called when the edge proxy has
+    /// answered a request on the connection.
+    pub fn set_good_standing(&mut self, now: Instant, id: ConnectionId) {
         let Some(standing) = self.open.set_good(id) else { return };
         self.known.touch(now, standing.address, || ());
         if standing.is_new {
@@ -162,28 +168,29 @@
         }
     }
 
-    /// Adds a connection that another process of this edge proxy had in good standing.
-    pub fn adopted(&mut self, now: Instant, id: ConnectionId, address: IpAddr) {
-        self.open.insert(id, self.origin(address));
-        self.good(now, id);
+    /// Adds a connection that was handed over by another process of this edge proxy, where it was in good
+    /// standing.
+    pub fn add_handed_over(&mut self, now: Instant, id: ConnectionId, address: IpAddr) {
+        self.open.insert(id, self.client_address(address));
+        self.set_good_standing(now, id);
     }
 
-    /// Removes a connection that has ended; one that was not admitted is ignored.
-    pub fn closed(&mut self, id: ConnectionId) {
+    /// Removes a connection that has ended. A connection that was not admitted is ignored.
+    pub fn remove(&mut self, id: ConnectionId) {
         self.open.remove(id);
     }
 
-    fn origin(&self, address: IpAddr) -> Origin {
-        Origin::new(address, self.settings.prefix_lengths())
+    fn client_address(&self, address: IpAddr) -> ClientAddress {
+        ClientAddress::new(address, self.settings.prefix_lengths())
     }
 
     /// Checks a new connection against all limits.
-    fn check(&mut self, now: Instant, origin: Origin, capacity: Capacity) -> Result<(), Rejection> {
+    fn check(&mut self, now: Instant, client: ClientAddress, capacity: Capacity) -> Result<(), Rejection> {
         self.check_descriptors(capacity)?;
-        let is_known = self.is_known(now, origin.address);
+        let is_known = self.is_known(now, client.address);
         self.check_reserve(is_known, capacity)?;
-        self.check_caps(origin)?;
-        self.check_rates(now, origin, is_known)
+        self.check_caps(client)?;
+        self.check_rates(now, client, is_known)
             .map_err(|RateExceeded { wait }| Rejection { cause: RejectionCause::Rate, wait })
     }
 
@@ -204,20 +211,25 @@
         Ok(())
     }
 
-    fn check_caps(&self, origin: Origin) -> Result<(), Rejection> {
-        if self.open.is_address_at_cap(origin, self.settings.per_address) {
+    fn check_caps(&self, client: ClientAddress) -> Result<(), Rejection> {
+        if self.open.is_address_at_cap(client, self.settings.per_address) {
             return Err(Rejection::without_wait(RejectionCause::Address));
         }
-        if self.open.is_prefix_at_cap(origin, self.settings.per_prefix) {
+        if self.open.is_prefix_at_cap(client, self.settings.per_prefix) {
             return Err(Rejection::without_wait(RejectionCause::Prefix));
         }
         Ok(())
     }
 
-    fn check_rates(&mut self, now: Instant, origin: Origin, is_known: bool) -> Result<(), RateExceeded> {
-        self.prefix_rates.take(now, origin.prefix, self.settings.prefix_rate())?;
+    fn check_rates(
+        &mut self,
+        now: Instant,
+        client: ClientAddress,
+        is_known: bool,
+    ) -> Result<(), RateExceeded> {
+        self.prefix_rates.take(now, client.prefix, self.settings.prefix_rate())?;
         let rate = if is_known { self.settings.known_rate() } else { self.settings.address_rate() };
-        self.address_rates.take(now, origin.address, rate)
+        self.address_rates.take(now, client.address, rate)
     }
 }
 
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -13,7 +13,7 @@
 use super::version::{Epoch, PollNumber};
 use super::wire;
 use crate::config::events::FeedBatch;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::config::Config;
 use crate::interface::{Instant, Span, UnixTime};
 use crate::standin::site::{config, Shape};
@@ -30,7 +30,7 @@
 
 fn parse_settings(more: &str) -> ControlSettings {
     let text = format!("control {{\n listen = \"127.0.0.1:0\"\n {more}\n}}");
-    ControlSettings::parse(Doc { file: "c.hcl", text: &text }).expect("usable")
+    ControlSettings::parse(HclDocument { file: "c.hcl", text: &text }).expect("usable")
 }
 
 struct Fixture {
@@ -49,7 +49,7 @@
         let hosts = site["known"]["events"][0]["members"]["hosts"].as_array().cloned().expect("a list");
         let hot = parse_settings(&format!("hot \"piece\" {{\n objects = [\"{HOT}\"]\n }}"));
         let mut model = Model::new(read.settings, 7, &hot, wire::encode, EPOCH, START).expect("a model");
-        model.apply(Moment { now: START, unix: unix(START) }, &read.known);
+        model.apply(Moment { now: START, unix: unix(START) }, &read.initial_events);
         model.tick(START);
         Fixture { model, hosts, now: START, wall_step: Span::ZERO }
     }
@@ -63,16 +63,16 @@
         self.moment().unix.as_millis()
     }
 
-    fn take(&mut self, event: Value) -> Urgency {
+    fn apply(&mut self, event: Value) -> Urgency {
         let batch: FeedBatch = serde_json::from_value(json!({"n": 2, "events": [event]})).expect("a batch");
         let urgency = self.model.apply(self.moment(), &batch);
         urgency.max(self.model.tick(self.now))
     }
 
-    fn health(&mut self, host: &Value, health: &str) -> Urgency {
+    fn set_health(&mut self, host: &Value, health: &str) -> Urgency {
         let mut host = host.clone();
         host["health"] = health.into();
-        self.take(json!({"n": 2, "members": {"whole": false, "hosts": [host]}}))
+        self.apply(json!({"n": 2, "members": {"whole": false, "hosts": [host]}}))
     }
 
     fn snapshot(&mut self) -> Snapshot {
@@ -80,16 +80,16 @@
     }
 
     /// The caches of the north point, by name with their weights.
-    fn north(&mut self) -> BTreeMap<String, u32> {
+    fn north_weights(&mut self) -> BTreeMap<String, u32> {
         let snapshot = self.snapshot();
-        let resource = &snapshot.points["north"].of(ResourceType::Endpoints).resources["cache/north"];
+        let resource = &snapshot.points["north"].get(ResourceType::Endpoints).resources["cache/north"];
         let Content::Endpoints(levels) = &resource.content else { panic!("{resource:?}") };
         levels.iter().flatten().map(|endpoint| (endpoint.name.clone(), endpoint.weight)).collect()
     }
 
     fn routes(&mut self) -> Vec<Route> {
         let snapshot = self.snapshot();
-        let resource = &snapshot.points["north"].of(ResourceType::Routes).resources["routes/north"];
+        let resource = &snapshot.points["north"].get(ResourceType::Routes).resources["routes/north"];
         let Content::Routes { routes, .. } = &resource.content else { panic!("{resource:?}") };
         routes.clone()
     }
--- a/src/control/tests/settings.rs
+++ b/src/control/tests/settings.rs
@@ -1,11 +1,11 @@
 //! Tests of the operator's file.
 
 use super::parse_settings;
-use crate::config::located::Doc;
+use crate::config::hcl_document::HclDocument;
 use crate::control::settings::ControlSettings;
 
 #[test]
-fn bad_files_are_told_with_their_place() {
+fn invalid_files_are_reported_with_position() {
     for (text, wanted) in [
         ("control {\n}", "c.hcl:1:1: control names no listen"),
         ("", "c.hcl:1:1: no control block"),
@@ -21,18 +21,18 @@
         ),
         (
             "control {\n listen = \"127.0.0.1:0\"\n most_clients = 0\n}",
-            "c.hcl:3:17: most_clients wants a whole number",
+            "c.hcl:3:17: most_clients must be a whole number",
         ),
     ] {
-        let error = ControlSettings::parse(Doc { file: "c.hcl", text }).expect_err(text).to_string();
+        let error = ControlSettings::parse(HclDocument { file: "c.hcl", text }).expect_err(text).to_string();
         assert!(error.starts_with(wanted), "{error:?}, not {wanted:?}");
     }
 }
 
 #[test]
-fn the_example_file_holds_the_defaults() {
+fn example_file_holds_the_defaults() {
     let text = include_str!("../../../deploy/control.hcl");
-    let read = ControlSettings::parse(Doc { file: "deploy/control.hcl", text }).expect("usable");
+    let read = ControlSettings::parse(HclDocument { file: "deploy/control.hcl", text }).expect("usable");
     let usual = parse_settings("");
     assert_eq!(read, ControlSettings { listen: read.listen, ..usual });
 }
--- a/src/front/thrift/answering.rs
+++ b/src/front/thrift/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Writing answers to clients.
 
 use super::codec::{self, ThriftReply};
 use super::{SequenceId, SessionDeadline, ThriftEvent, ThriftFront};
@@ -7,7 +7,7 @@
 use crate::net::{ConnectionKey, Net};
 
 impl ThriftFront {
-    /// Writes a request's one answer, if the request is still open.
+    /// Writes the answer to a request, if the request is still open.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -22,16 +22,16 @@
             return Vec::new();
         }
         session.last_active = now;
-        let close_reason = session.unreadable.filter(|_| session.open_requests.is_empty());
-        let mut events = self.answer_unbound(now, conn, seqid, reply, net, deadlines);
+        let close_reason = session.unreadable_reason.filter(|_| session.open_requests.is_empty());
+        let mut events = self.answer_untracked(now, conn, seqid, reply, net, deadlines);
         if let Some(reason) = close_reason {
             events.extend(self.close_gracefully(now, conn, reason, net, deadlines));
         }
         events
     }
 
-    /// Writes an answer to a call that was never open: a ping, or a request over the limit.
-    pub fn answer_unbound(
+    /// Writes an answer to a call that is not tracked as open: a ping, or a request over the limit.
+    pub fn answer_untracked(
         &mut self,
         now: Instant,
         conn: ConnectionKey,
--- a/src/server/commands.rs
+++ b/src/server/commands.rs
@@ -1,5 +1,5 @@
-//! The exchange between the core and the upstream side: the core's commands are carried out, and the ends of attempts
-//! are reported to it.
+//! The exchange between the core and the upstream side: executes the core's commands, and reports the ends of
+//! attempts to the core.
 
 use super::attempt_encoder::AttemptEncoder;
 use super::pending::Client;
@@ -11,44 +11,47 @@
 use tracing::info;
 
 impl Server {
-    /// Carries out commands and reports events until there are none; writes no attempt.
-    pub(super) fn settle(&mut self) {
-        while self.settle_once() {}
+    /// Executes the core's commands and reports the upstream side's events to it, until there are none left.
+    /// Writes no attempt.
+    pub(super) fn process_commands(&mut self) {
+        while self.process_commands_once() {}
     }
 
-    /// The same, and writes the attempts that connections take.
-    pub(super) fn pump(&mut self) {
+    /// Does the same as [`Server::process_commands`], and writes the attempts for which connections have
+    /// room.
+    pub(super) fn process_commands_and_write(&mut self) {
         loop {
-            self.settle();
+            self.process_commands();
             self.write_attempts();
-            // The policy decides anew on an attempt that may not be written any more.
-            if !self.settle_once() {
+            // If an attempt must not be written any more, the policy makes a new decision, which may add
+            // commands.
+            if !self.process_commands_once() {
                 return;
             }
         }
     }
 
-    /// Returns whether there was a command or an event.
-    fn settle_once(&mut self) -> bool {
+    /// Processes the events and commands that are queued now. Returns whether there were any.
+    fn process_commands_once(&mut self) -> bool {
         let events = self.upstream.take_events();
         let mut is_busy = !events.is_empty();
         events.into_iter().for_each(|event| self.on_upstream_event(event));
         while let Some(command) = self.core.next_command() {
             is_busy = true;
-            self.carry_out(command);
+            self.execute_command(command);
         }
         is_busy
     }
 
     fn write_attempts(&mut self) {
-        // The times of attempts count from the writing itself.
+        // The times of attempts count from the moment when they are written.
         self.now = self.clock.now();
         let mut encoder = AttemptEncoder {
             now: self.now,
             core: &mut self.core,
             servers: &self.endpoints.names,
             pending: &self.pending,
-            names: &self.config.settings.program,
+            settings: &self.config.settings.program,
         };
         self.upstream.dispatch(self.now, &mut self.net, &mut self.deadlines, &mut encoder);
     }
@@ -64,7 +67,7 @@
 
     fn on_attempt_ended(&mut self, attempt: AttemptKey, end: JobEnd) {
         let end = translate::attempt_end(end, &self.config.settings.program);
-        // Only a copy that was fetched from the origin for this attempt bounds the wall clock.
+        // Only a copy that the origin generated for this attempt gives an upper bound of the wall clock.
         let is_new_copy = end.cache_status == Some(CacheStatus::FilledByOrigin);
         let written_at = self.core.written_at(attempt).filter(|_| is_new_copy);
         self.endpoints.unix_time.observe_copy(self.now, end.copy.generated_at_ms, written_at);
@@ -76,14 +79,14 @@
         self.core.health_checked(self.now, server, end.result, elapsed, end.load_report, &mut self.deadlines);
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute_command(&mut self, command: Command) {
         match command {
             Command::SendAttempt { attempt, request, server } => self.queue_attempt(attempt, request, server),
             Command::AbandonAttempt(attempt) => {
                 self.upstream.cancel(self.now, JobId(attempt.number()), &mut self.net, &mut self.deadlines);
             }
             Command::AnswerRequest(request) => self.answer_request(request),
-            Command::HealthCheck(server) => self.upstream.health_check(self.now, server),
+            Command::HealthCheck(server) => self.upstream.queue_health_check(self.now, server),
             Command::CloseIdleConnections(server) => {
                 self.upstream.close_idle(self.now, server, &mut self.net, &mut self.deadlines);
             }
@@ -101,13 +104,13 @@
         let counted_class = Some(class).filter(|_| self.core.is_cache(server));
         let job = JobId(attempt.number());
         let queued = QueuedRequest { job, server, wire_id, queue, counted_class };
-        self.upstream.queue(self.now, queued);
+        self.upstream.queue_request(self.now, queued);
     }
 
     fn answer_request(&mut self, request: RequestKey) {
         match self.pending.get(request).map(|pending| pending.client) {
             Some(Client::Thrift { conn, seqid }) => {
-                let Some(answer) = self.core.answer_now(self.now, request) else { return };
+                let Some(answer) = self.core.current_answer(self.now, request) else { return };
                 self.on_answer_begun(request);
                 self.answer_call(conn, seqid, translate::thrift_reply(answer));
             }
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -8,18 +8,18 @@
 use crate::GroupId;
 use tracing::{info, warn};
 
-/// What is known of the endpoints besides what the core knows.
+/// The server's knowledge of the endpoints, besides that of the core.
 pub(super) struct EndpointRegistry {
-    /// The servers by name.
+    /// Maps the names of servers to their ids.
     pub names: ServerNames,
-    /// Converts the feed's Unix times.
+    /// Converts the feed's Unix times to instants.
     pub unix_time: UnixTimeConverter,
-    /// Whether a full list has arrived.
+    /// Whether a full endpoint list has arrived.
     pub has_full_list: bool,
 }
 
 impl EndpointRegistry {
-    /// Knows no endpoint; the clocks read this.
+    /// Returns the registry without endpoints, at the given readings of the monotonic and the wall clock.
     pub fn new(now: Instant, unix: UnixTime) -> Self {
         EndpointRegistry {
             names: ServerNames::default(),
@@ -28,17 +28,18 @@
         }
     }
 
-    /// Forgets a server that was removed.
+    /// Removes a server that is no longer listed.
     fn forget(&mut self, server: ServerId) {
-        self.names.forget(server);
+        self.names.remove(server);
         self.unix_time.forget(server);
     }
 }
 
 impl Server {
-    /// Applies events of the control feed, in their order.
+    /// Applies the events of a batch from the control feed, in order.
     pub(super) fn on_feed_batch(&mut self, batch: FeedBatch) {
-        // Events known at the start, or the first list of the feed, may be of any age.
+        // Events that were known at the start, or that came before or with the first full list, may be of any
+        // age.
         let is_first = self.feed.polls().answered == 0 || !self.endpoints.has_full_list;
         let reception = Reception { now: self.now, unix: self.net.unix_time(), is_first };
         for purge in batch.events.iter().filter_map(|event| event.purge.as_ref()) {
@@ -48,7 +49,7 @@
             if let Some(change) = members {
                 self.endpoints.has_full_list |= change.whole;
                 let update = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
-                self.on_endpoints(n, update, &change.hosts, reception);
+                self.update_endpoints(n, update, &change.hosts, reception);
             }
             if let Some(purge) = purge {
                 let object = purge.key.as_deref().map(|key| u64::from_str_radix(key, 16));
@@ -56,20 +57,29 @@
                     (Some(Ok(object)), _) => Purge::Object(ObjectId(object)),
                     (None, Some(group)) => Purge::Group(GroupId(group)),
                     _ => {
-                        warn!("event {n} purges nothing that can be read");
+                        warn!(
+                            "event {n}: purge ignored: its object key is not hexadecimal, or it names neither \
+                             object nor group"
+                        );
                         continue;
                     }
                 };
-                let made_at = self.endpoints.unix_time.purge(reception, purge.made_at());
+                let made_at = self.endpoints.unix_time.convert_purge_time(reception, purge.made_at());
                 self.core.purge(self.now, target, made_at, &mut self.deadlines);
             }
         }
     }
 
-    fn on_endpoints(&mut self, event: u64, update: ListUpdate, servers: &[FeedServer], reception: Reception) {
+    fn update_endpoints(
+        &mut self,
+        event: u64,
+        update: ListUpdate,
+        servers: &[FeedServer],
+        reception: Reception,
+    ) {
         let mut endpoints = Vec::with_capacity(servers.len());
         for server in servers {
-            endpoints.push(self.on_endpoint(server, reception));
+            endpoints.push(self.update_endpoint(server, reception));
             info!("event {event}: {} is {:?}", server.host, server.health);
         }
         let removed = endpoints.iter().filter(|endpoint| endpoint.state == ServerState::Removed);
@@ -78,12 +88,14 @@
         removed.into_iter().for_each(|server| self.endpoints.forget(server));
     }
 
-    /// Adds, changes or removes the connections' target for an entry of the list.
-    fn on_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
+    /// Updates the upstream side for one entry of the list: sets or removes the address to connect to.
+    /// Returns the entry as an endpoint for the core.
+    fn update_endpoint(&mut self, server: &FeedServer, reception: Reception) -> Endpoint {
         let mut endpoint = self.endpoints.names.endpoint(server, &self.config.settings.program);
         let id = endpoint.server;
         let started_at = server.started_at();
-        endpoint.started_at = started_at.map(|unix| self.endpoints.unix_time.start(reception, id, unix));
+        endpoint.started_at =
+            started_at.map(|unix| self.endpoints.unix_time.convert_start_time(reception, id, unix));
         match server.dial.filter(|_| endpoint.state != ServerState::Removed) {
             Some(addr) => {
                 let started_at = endpoint.started_at;
--- a/src/server/handover/simulated.rs
+++ b/src/server/handover/simulated.rs
@@ -1,6 +1,6 @@
 //! The handover between processes of a simulated network.
 
-use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::sibling::{HandoverListener, InheritedConnection, InheritedStream, Sibling};
 use super::EventSource;
 use crate::net::fabric::{Fabric, ProcessMessage};
 use crate::net::{Net, Stream};
@@ -9,11 +9,11 @@
 /// Another process of the simulated network.
 pub(super) struct SimulatedSibling {
     fabric: Fabric,
-    /// The number of this process.
+    /// Number of this process.
     this: u32,
-    /// The number of the other process.
+    /// Number of the other process.
     other: u32,
-    /// The source under which the other process watches this one.
+    /// The event source with which the other process watches this one.
     source_at_other: EventSource,
     clients: usize,
 }
@@ -37,9 +37,9 @@
         for message in self.fabric.take_messages(self.other, self.this) {
             match message {
                 ProcessMessage::Clients(clients) => self.clients = clients,
-                ProcessMessage::Connection(stream, unused) => {
+                ProcessMessage::Connection(stream, unprocessed) => {
                     let stream = InheritedStream::Virtual(stream);
-                    inherited.push(InheritedConnection { stream, unused });
+                    inherited.push(InheritedConnection { stream, unprocessed });
                 }
             }
         }
@@ -50,29 +50,30 @@
         self.send(ProcessMessage::Clients(clients))
     }
 
-    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+    fn send_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool {
         let Stream::Virtual(stream) = stream else { return false };
-        // A connection that is passed on to an ended process would be lost.
-        self.is_alive() && self.send(ProcessMessage::Connection(stream.pass(self.other), unused.to_vec()))
+        // A connection that is handed over to a process that has ended would be lost.
+        self.is_alive()
+            && self.send(ProcessMessage::Connection(stream.hand_over(self.other), unprocessed.to_vec()))
     }
 }
 
-/// The register of processes of the simulated network.
-pub(super) struct SimulatedRendezvous {
+/// The simulated network's register of processes by address.
+pub(super) struct SimulatedListener {
     fabric: Fabric,
     process: u32,
     addr: SocketAddr,
 }
 
-impl SimulatedRendezvous {
-    /// Registers this process for an address, and returns the one that was registered before.
+impl SimulatedListener {
+    /// Registers this process for an address, and returns the process that was registered before, if any.
     pub fn open(addr: SocketAddr, fabric: &Fabric, process: u32) -> (Self, Option<SimulatedSibling>) {
-        let rendezvous = SimulatedRendezvous { fabric: fabric.clone(), process, addr };
-        let older = fabric.take_place(addr, process).map(|older| {
-            fabric.wake_source(older, EventSource::HandoverListener.number());
-            rendezvous.sibling(older, EventSource::NewerProcess)
+        let listener = SimulatedListener { fabric: fabric.clone(), process, addr };
+        let older = fabric.register_process(addr, process).map(|older| {
+            fabric.mark_source_ready(older, EventSource::HandoverListener.number());
+            listener.sibling(older, EventSource::NewerProcess)
         });
-        (rendezvous, older)
+        (listener, older)
     }
 
     fn sibling(&self, other: u32, source_at_other: EventSource) -> SimulatedSibling {
@@ -86,13 +87,14 @@
     }
 }
 
-impl Rendezvous for SimulatedRendezvous {
+impl HandoverListener for SimulatedListener {
     fn publish(&mut self, _: &mut Net) {
-        self.fabric.take_place(self.addr, self.process);
+        self.fabric.register_process(self.addr, self.process);
     }
 
     fn accept_newer(&mut self, has_newer: bool, _: &mut Net) -> Option<Box<dyn Sibling>> {
-        let newer = self.fabric.at_place(self.addr).filter(|newer| *newer != self.process && !has_newer)?;
+        let newer =
+            self.fabric.registered_process(self.addr).filter(|newer| *newer != self.process && !has_newer)?;
         Some(Box::new(self.sibling(newer, EventSource::OlderProcess)))
     }
 
@@ -100,6 +102,6 @@
         false
     }
 
-    // The network forgets a process that has ended.
+    // Nothing to do: the network removes a process that has ended.
     fn close(&mut self) {}
 }
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -1,8 +1,9 @@
-//! The handover between processes of one machine, over a Unix socket in `$TMPDIR` that is named after the clients'
-//! address. The end of a process shows as the end of the stream; connections are passed on by SCM_RIGHTS.
+//! The handover between processes of one machine, over a Unix socket in `$TMPDIR` that is named after the
+//! clients' address. When a process ends, its stream ends. Connections are handed over as descriptors
+//! (SCM_RIGHTS).
 
 use super::message::{self, Message};
-use super::sibling::{InheritedConnection, InheritedStream, Rendezvous, Sibling};
+use super::sibling::{HandoverListener, InheritedConnection, InheritedStream, Sibling};
 use super::EventSource;
 use crate::net::{Net, Stream};
 use mio::net::{UnixListener, UnixStream};
@@ -17,27 +18,27 @@
 use std::path::PathBuf;
 use tracing::{info, warn};
 
-/// Bytes that one read takes.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 4096;
-/// Descriptors that one read takes.
+/// Maximum number of descriptors per read.
 const MAX_DESCRIPTORS_PER_READ: usize = 16;
 
 /// The stream to another process.
 pub(super) struct SocketSibling {
     stream: UnixStream,
     clients: usize,
-    /// Bytes that have arrived and are no full message yet.
+    /// Bytes that have arrived and are not a complete message yet.
     received: Vec<u8>,
-    /// Descriptors that have arrived and whose message has not.
+    /// Descriptors that have arrived before the rest of their message.
     descriptors: VecDeque<OwnedFd>,
     /// The rest of a message that was sent in part.
     unsent: Vec<u8>,
 }
 
-/// What a read from the stream came to.
-enum Received {
-    Some,
-    NothingNow,
+/// Result of a read from the stream.
+enum ReadOutcome {
+    Data,
+    WouldBlock,
     Ended,
 }
 
@@ -54,18 +55,18 @@
     }
 
     /// Reads bytes and descriptors once.
-    fn read_once(&mut self) -> Received {
+    fn read_once(&mut self) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let flags = RecvFlags::CMSG_CLOEXEC;
         let length = loop {
             match recvmsg(&self.stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, flags) {
-                Ok(message) if message.bytes == 0 => return Received::Ended,
+                Ok(message) if message.bytes == 0 => return ReadOutcome::Ended,
                 Ok(message) => break message.bytes,
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return Received::NothingNow,
-                Err(_) => return Received::Ended,
+                Err(Errno::AGAIN) => return ReadOutcome::WouldBlock,
+                Err(_) => return ReadOutcome::Ended,
             }
         };
         self.received.extend_from_slice(&bytes[..length]);
@@ -74,27 +75,28 @@
                 self.descriptors.extend(descriptors);
             }
         }
-        Received::Some
+        ReadOutcome::Data
     }
 
-    /// Handles the messages that have arrived in full; `false` if the other process sent something else.
+    /// Handles the messages that have arrived in full; returns `false` if the other process sent something
+    /// else.
     fn handle_messages(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
         loop {
             match message::decode(&mut self.received) {
                 Ok(None) => return true,
                 Ok(Some(Message::ClientCount(clients))) => self.clients = clients,
-                Ok(Some(Message::Connection { unused })) => {
+                Ok(Some(Message::Connection { unprocessed })) => {
                     // A descriptor arrives no later than the first byte of its message.
                     let Some(descriptor) = self.descriptors.pop_front() else { return false };
                     let stream = InheritedStream::Tcp(TcpStream::from(descriptor));
-                    inherited.push(InheritedConnection { stream, unused });
+                    inherited.push(InheritedConnection { stream, unprocessed });
                 }
                 Err(_) => return false,
             }
         }
     }
 
-    /// Sends the rest of the last message; `false` if some of it is still unsent.
+    /// Sends the rest of the last message; returns `false` if some of it is still unsent.
     fn flush(&mut self) -> bool {
         while !self.unsent.is_empty() {
             match self.stream.write(&self.unsent) {
@@ -106,8 +108,8 @@
         true
     }
 
-    /// Sends a message, with a descriptor where one is given; `false` if nothing of it was sent.
-    fn send(&mut self, header: &[u8], unused: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
+    /// Sends a message, with a descriptor if one is given; returns `false` if nothing of it was sent.
+    fn send(&mut self, header: &[u8], unprocessed: &[u8], descriptor: Option<&mio::net::TcpStream>) -> bool {
         if !self.flush() {
             return false;
         }
@@ -117,7 +119,7 @@
         if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
             return false;
         }
-        let parts = [IoSlice::new(header), IoSlice::new(unused)];
+        let parts = [IoSlice::new(header), IoSlice::new(unprocessed)];
         let sent = loop {
             match sendmsg(&self.stream, &parts, &mut control, SendFlags::NOSIGNAL) {
                 Ok(sent) => break sent,
@@ -125,7 +127,7 @@
                 Err(_) => return false,
             }
         };
-        self.unsent = [header, unused].concat().split_off(sent);
+        self.unsent = [header, unprocessed].concat().split_off(sent);
         true
     }
 }
@@ -138,9 +140,9 @@
     fn receive(&mut self, inherited: &mut Vec<InheritedConnection>) -> bool {
         loop {
             match self.read_once() {
-                Received::Some if self.handle_messages(inherited) => {}
-                Received::NothingNow => return true,
-                Received::Some | Received::Ended => return false,
+                ReadOutcome::Data if self.handle_messages(inherited) => {}
+                ReadOutcome::WouldBlock => return true,
+                ReadOutcome::Data | ReadOutcome::Ended => return false,
             }
         }
     }
@@ -149,29 +151,30 @@
         self.send(&message::client_count(clients), &[], None)
     }
 
-    fn send_connection(&mut self, stream: &Stream, unused: &[u8]) -> bool {
+    fn send_connection(&mut self, stream: &Stream, unprocessed: &[u8]) -> bool {
         let Stream::Tcp(stream) = stream else { return false };
-        self.send(&message::connection_header(unused), unused, Some(stream))
+        self.send(&message::connection_header(unprocessed), unprocessed, Some(stream))
     }
 }
 
-/// The path at which the next process finds this one.
-pub(super) struct SocketRendezvous {
+/// The socket path at which the next process finds this one.
+pub(super) struct SocketListener {
     path: PathBuf,
-    /// Accepts the next process; none while there is one.
+    /// Accepts the next process. `None` while there is one, or if listening failed.
     listener: Option<UnixListener>,
     missed_newer: bool,
 }
 
-impl SocketRendezvous {
+impl SocketListener {
     /// Connects to the process that serves an address now, and listens in its place.
     pub fn open(addr: SocketAddr, net: &mut Net) -> (Self, Option<SocketSibling>) {
-        // Short, since the system takes about a hundred bytes of such a path. Its number is that of the messages' form.
+        // The name is short, since the system limits such a path to about a hundred bytes. The number in
+        // `dt1` is the version of the message format.
         let path = std::env::temp_dir().join(format!("dt1-{}-{}", addr.ip(), addr.port()));
-        let mut rendezvous = SocketRendezvous { path, listener: None, missed_newer: false };
-        let older = rendezvous.connect_to_older(net);
-        rendezvous.publish(net);
-        (rendezvous, older)
+        let mut listener = SocketListener { path, listener: None, missed_newer: false };
+        let older = listener.connect_to_older(net);
+        listener.publish(net);
+        (listener, older)
     }
 
     fn connect_to_older(&self, net: &mut Net) -> Option<SocketSibling> {
@@ -179,19 +182,24 @@
             .and_then(|stream| SocketSibling::new(stream, EventSource::OlderProcess, net));
         match connected {
             Ok(older) => Some(older),
-            // A path without a listener was left by a process that was killed; without a path this is the first.
+            // A path without a listener was left by a process that was killed. If there is no path, this is
+            // the first process.
             Err(error) if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::NotFound) => None,
             Err(error) => {
-                warn!("{}: {error}; an older process is not looked for", self.path.display());
+                warn!(
+                    "handover socket {}: connecting failed: {error}; starting without an older process",
+                    self.path.display()
+                );
                 None
             }
         }
     }
 
-    /// Listens at a path of this process and moves it to the common one, which thus always exists.
+    /// Listens at a path of this process and renames it to the common path, so that the common path never
+    /// disappears.
     fn listen(&self, net: &mut Net) -> io::Result<UnixListener> {
         let own_path = PathBuf::from(format!("{}.{}", self.path.display(), std::process::id()));
-        // A process of the same id may have been killed here.
+        // A killed process with the same id may have left its path.
         let _ = std::fs::remove_file(&own_path);
         let mut listener = UnixListener::bind(&own_path)?;
         std::fs::rename(&own_path, &self.path)?;
@@ -209,7 +217,10 @@
                     ErrorKind::WouldBlock => return None,
                     ErrorKind::Interrupted | ErrorKind::ConnectionAborted => {}
                     _ => {
-                        warn!("{}: {error}; a newer process is looked for again", self.path.display());
+                        warn!(
+                            "handover socket {}: accepting a newer process failed: {error}; trying again",
+                            self.path.display()
+                        );
                         self.missed_newer = true;
                         return None;
                     }
@@ -219,17 +230,24 @@
     }
 }
 
-impl Rendezvous for SocketRendezvous {
+impl HandoverListener for SocketListener {
     fn publish(&mut self, net: &mut Net) {
         let listener = self.listen(net);
-        self.listener = listener.map_err(|error| warn!("{}: {error}; no upgrade", self.path.display())).ok();
+        self.listener = listener
+            .map_err(|error| {
+                warn!(
+                    "handover socket {}: listening failed: {error}; no newer process can take over",
+                    self.path.display()
+                )
+            })
+            .ok();
     }
 
     fn accept_newer(&mut self, _: bool, net: &mut Net) -> Option<Box<dyn Sibling>> {
         let stream = self.accept()?;
         let newer = SocketSibling::new(stream, EventSource::NewerProcess, net).ok()?;
         info!("a newer process takes over");
-        // The process after that one finds the newer process.
+        // The next process after that one connects to the newer process, not to this one.
         if let Some(mut listener) = self.listener.take() {
             let _ = net.unwatch(&mut listener); // closing the listener ends the watch too
         }
--- a/src/server/signed_requests.rs
+++ b/src/server/signed_requests.rs
@@ -1,8 +1,8 @@
-//! Requests of the signed front, which has checked the clients' credentials: submitted to the core, and answered in the
-//! order in which they came on their connection.
+//! Requests of the signed front, which has checked the clients' credentials. They are submitted to the core,
+//! and answered in the order in which they arrived on their connection.
 
 use super::pending::{Client, PendingRequest};
-use super::requests::proxy_full;
+use super::requests::proxy_full_rejection;
 use super::signed_endpoint::RouteClass;
 use super::translate;
 use super::Server;
@@ -16,12 +16,12 @@
 use bytes::Bytes;
 
 impl Server {
-    /// Whether a connection is one of the signed front.
+    /// Whether a connection belongs to the signed front.
     pub(super) fn is_signed_client(&self, conn: ConnectionKey) -> bool {
         self.signed.as_ref().is_some_and(|signed| signed.front.owns(conn))
     }
 
-    /// Handles an event of a connection of the signed front.
+    /// Handles a readiness event of a connection of the signed front.
     pub(super) fn on_signed_ready(&mut self, conn: ConnectionKey, closed: bool) {
         match self.signed.as_mut().filter(|_| closed) {
             Some(signed) => signed.front.on_peer_closed(self.now, conn, &mut self.net, &mut self.deadlines),
@@ -30,7 +30,8 @@
         self.write_signed_answers(conn);
     }
 
-    /// Writes the answers of a connection whose turn it is, each as it is when its first byte is written.
+    /// Writes the answers that are next in order on a connection. The content of each is determined when its
+    /// first byte is written.
     pub(super) fn write_signed_answers(&mut self, conn: ConnectionKey) {
         self.write_ready_answers(conn);
         if self.signed.as_ref().is_some_and(|signed| signed.front.has_unread_requests(conn)) {
@@ -52,7 +53,7 @@
                 break;
             };
             let request = Key::from_number(handle.number());
-            let Some(answer) = self.core.answer_now(self.now, request) else { break };
+            let Some(answer) = self.core.current_answer(self.now, request) else { break };
             let etags = self.pending.get(request).map(|pending| &pending.etags[..]).unwrap_or_default();
             let answer = translate::http_answer(answer, etags, self.net.unix_time());
             if !signed.front.begin_answer(self.now, conn, answer, &mut self.net, &mut self.deadlines) {
@@ -83,7 +84,7 @@
         }
         let request = ClientRequest { class, object, part, group, timeout, authorized_until: Some(expires) };
         let key = self.core.submit(self.now, request, &mut self.deadlines);
-        signed.front.bind(conn, index, RequestHandle::from_number(key.number()));
+        signed.front.set_handle(conn, index, RequestHandle::from_number(key.number()));
         let pending = PendingRequest {
             client: Client::Signed { conn },
             etags,
@@ -97,7 +98,7 @@
     }
 
     fn reject_signed_request(&mut self, conn: ConnectionKey, index: RequestIndex, class: ClassId) {
-        let rejected = proxy_full(self.core.retry_after(class));
+        let rejected = proxy_full_rejection(self.core.retry_after(class));
         self.core.count_answer(class, &rejected);
         let answer = translate::http_answer(rejected, &[], self.net.unix_time());
         if let Some(signed) = &mut self.signed {
--- a/src/server/thrift_requests.rs
+++ b/src/server/thrift_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the Thrift front: checked, submitted to the core, and answered.
+//! Requests of the Thrift front: they are checked, submitted to the core, and answered.
 
 use super::pending::{Client, PendingRequest};
 use super::translate::{self, InvalidRequest, RequestFields};
@@ -12,12 +12,13 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// A client counts its deadline from when it sends; until the request is read, about this long passes.
-const CLIENT_TO_PROXY: Span = Span::from_millis(12);
-/// The shortest time-out that the core takes.
+/// Estimated time between the sending of a request, from which the client counts its deadline, and its
+/// arrival here.
+const CLIENT_TO_PROXY_DELAY: Span = Span::from_millis(12);
+/// The shortest time-out with which a request is submitted to the core.
 const MIN_TIMEOUT: Span = Span::from_micros(1);
 
-/// A call on the Thrift front.
+/// Identifies a call on the Thrift front.
 #[derive(Clone, Copy)]
 struct CallId {
     conn: ConnectionKey,
@@ -35,14 +36,14 @@
                 ThriftEvent::RequestOverLimit { conn, seqid, fields } => {
                     let class = translate::request_class(&fields, &self.config.settings.program);
                     let reply =
-                        self.reject_if_refused(conn, class).unwrap_or_else(|| self.reject_unseen(class));
+                        self.reject_if_refused(conn, class).unwrap_or_else(|| self.reject_unsubmitted(class));
                     self.answer_untracked_call(conn, seqid, reply);
                 }
                 ThriftEvent::Ping { conn, seqid } => {
                     if !self.admission.refused.contains_key(&conn) {
                         self.mark_good_standing(conn);
                     }
-                    self.answer_untracked_call(conn, seqid, ThriftReply::Pong(self.takes_clients()));
+                    self.answer_untracked_call(conn, seqid, ThriftReply::Pong(self.is_ready_for_clients()));
                 }
                 ThriftEvent::Cancelled(handle) => self.on_request_cancelled(handle),
             }
@@ -66,7 +67,7 @@
         match self.check_request(fields, &body) {
             Err(invalid) => self.answer_invalid_request(call, class, &invalid),
             Ok(_) if self.is_full(call.conn) => {
-                let rejection = self.reject_unseen(class);
+                let rejection = self.reject_unsubmitted(class);
                 self.answer_call(call.conn, call.seqid, rejection);
             }
             Ok(request) => self.submit_thrift_request(call, request, &body, arrived),
@@ -106,12 +107,12 @@
     ) {
         self.mark_good_standing(conn);
         let RequestFields { class, object, part, group, client_timeout, .. } = request;
-        // The client's deadline runs since the request arrived, which may have waited to be read.
+        // The client's deadline counts from the arrival of the request, which may have waited to be read.
         let waited = self.now - arrived;
-        let timeout = (client_timeout - waited - CLIENT_TO_PROXY).max(MIN_TIMEOUT);
+        let timeout = (client_timeout - waited - CLIENT_TO_PROXY_DELAY).max(MIN_TIMEOUT);
         let submitted = ClientRequest { class, object, part, group, timeout, authorized_until: None };
         let key = self.core.submit(self.now, submitted, &mut self.deadlines);
-        self.thrift.bind(conn, seqid, RequestHandle::from_number(key.number()));
+        self.thrift.set_handle(conn, seqid, RequestHandle::from_number(key.number()));
         let pending = PendingRequest {
             client: Client::Thrift { conn, seqid },
             etags: Vec::from_iter(request.etag),
@@ -119,7 +120,7 @@
             trace_id: request.trace_id,
             object_name: request.object_name,
             idempotency_key: request.idempotency_key,
-            // A copy: a slice would keep the whole buffer in which the frame came.
+            // This copies the body, since a slice would keep the whole buffer of the frame in memory.
             body: Bytes::copy_from_slice(body),
         };
         self.pending.insert(key, pending);
@@ -134,7 +135,7 @@
     /// Answers a call that the front does not track as open.
     fn answer_untracked_call(&mut self, conn: ConnectionKey, seqid: SequenceId, reply: ThriftReply) {
         let events =
-            self.thrift.answer_unbound(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
+            self.thrift.answer_untracked(self.now, conn, seqid, reply, &mut self.net, &mut self.deadlines);
         self.on_thrift_events(events);
     }
 }
--- a/src/upstream/connections/tests.rs
+++ b/src/upstream/connections/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `connections`: a connect call that fails at once.
+//! Tests of `connections`: connect calls that fail at once.
 
 use crate::deadlines::Deadlines;
 use crate::interface::{Instant, ServerId, Span};
 use crate::net::fabric::{host, Fabric};
 use crate::net::Net;
-use crate::upstream::lines::WireRequest;
+use crate::upstream::line_protocol::WireRequest;
 use crate::upstream::{
     ConnectionDeadline, JobEnd, JobId, PoolLimits, QueueKind, QueuedRequest, RequestEncoder, Upstream,
     UpstreamEvent,
@@ -15,7 +15,7 @@
 const JOB: JobId = JobId(7);
 const MS: Span = Span::from_millis(1);
 
-/// Encodes nothing: no job may be written here.
+/// An encoder that encodes nothing, since no job is written in these tests.
 struct NoEncoder;
 
 impl RequestEncoder<Deadlines<ConnectionDeadline>> for NoEncoder {
@@ -26,12 +26,12 @@
     fn not_written(&mut self, _: JobId) {}
 }
 
-/// How a job ends whose connect call fails at once with an error.
+/// Returns how a job ends if the connect call for it fails at once with an error.
 fn job_end(error: Errno) -> JobEnd {
     let fabric = Fabric::new(Instant::ZERO, 1, MS..=MS);
     fabric.start_process(1);
     fabric.fail_connects(host(1), error, true, Instant::ZERO + 100 * MS);
-    let (mut net, mut deadlines) = (Net::on(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
+    let (mut net, mut deadlines) = (Net::simulated(&fabric, 1), Deadlines::<ConnectionDeadline>::default());
     let limits = PoolLimits {
         connect_timeout: 300 * MS,
         idle_timeout: 1000 * MS,
@@ -48,7 +48,7 @@
         queue: QueueKind::Reads,
         counted_class: None,
     };
-    upstream.queue(Instant::ZERO, request);
+    upstream.queue_request(Instant::ZERO, request);
     upstream.dispatch(Instant::ZERO, &mut net, &mut deadlines, &mut NoEncoder);
     match upstream.take_events().pop() {
         Some(UpstreamEvent::JobEnded { job: JOB, end }) => end,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_connect_that_fails_at_once_counts_against_the_server_only_if_it_is_unreachable() {
+fn immediate_connect_error_blames_only_unreachable_servers() {
     for error in [Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         assert_eq!(job_end(error), JobEnd::NotConnected, "{error}");
     }
