--- a/src/federation/mod.rs
+++ b/src/federation/mod.rs
@@ -4,11 +4,11 @@
 //!
 //! These modules do no I/O; ticks and messages are passed in:
 //!
-//! - [`node`]: one member; consensus is implemented by the `raft` crate.
-//! - [`state`]: the replicated state machine.
-//! - [`membership`]: plans membership changes.
-//! - [`duties`]: leases.
-//! - [`backoff`]: the pauses between retries.
+//! - [`node`][]: one member; consensus is implemented by the `raft` crate.
+//! - [`state`][]: the replicated state machine.
+//! - [`membership`][]: plans membership changes.
+//! - [`duties`][]: leases.
+//! - [`backoff`][]: the pauses between retries.
 //!
 //! [`store`] is the durable log, [`wire`] and [`hello`] are the protocol between members, and [`runtime`]
 //! connects them to sockets and a thread. The design and the operators' page are in docs/federation.md.
