--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -103,7 +103,8 @@
 fn play(trace: &Trace, args: PlayArgs) -> Result<(), CommandError> {
     let caches = args.caches as usize;
     let length_ms = (trace.length.as_millis_f64() / args.speed.max(MIN_SPEED)) as i64;
-    let plan = RunPlan { caches, parents: PARENTS, ms: length_ms, ..RunPlan::default() }.only_host_faults();
+    let plan =
+        RunPlan { caches, parents: PARENTS, duration_ms: length_ms, ..RunPlan::default() }.only_host_faults();
     let replay = ReplayPlan {
         program: std::env::current_exe().map_err(ReplayError::from)?,
         shape: Shape { points: 1, proxies: 1, caches, hubs: 1, parents: PARENTS, seed: args.seed },
--- a/src/lab/flood/known_clients.rs
+++ b/src/lab/flood/known_clients.rs
@@ -1,7 +1,7 @@
 //! Known clients: each connects, pings, sends one request, reads its answer, and connects again.
 
 use super::{connect, FloodPlan};
-use crate::standin::thrift_client::{answer, invoke, ping, send, Answered};
+use crate::standin::thrift_client::{invoke, ping, read_answer, send, AnswerKind};
 use hdrhistogram::Histogram;
 use std::io;
 use std::net::TcpStream;
@@ -101,18 +101,18 @@
     let begun = Instant::now();
     let mut stream = connect(plan.known_from, plan.target, CONNECT_TIMEOUT)?;
     send(&mut stream, &ping(PING))?;
-    let (_, answered) = answer(&mut stream)?;
+    let (_, answered) = read_answer(&mut stream)?;
     match answered {
-        Answered::Served => outcome.latency = Some(begun.elapsed()),
-        Answered::Refused => {
+        AnswerKind::Served => outcome.latency = Some(begun.elapsed()),
+        AnswerKind::Rejected => {
             outcome.is_rejected = true;
             return Ok(());
         }
-        Answered::Failed => return Err(io::ErrorKind::InvalidData.into()),
+        AnswerKind::Failed => return Err(io::ErrorKind::InvalidData.into()),
     }
     send_request(&mut stream, plan, &trace_id(number, begun))?;
     outcome.is_written = true;
-    let (seqid, _) = answer(&mut stream)?;
+    let (seqid, _) = read_answer(&mut stream)?;
     outcome.is_answered = seqid == INVOKE;
     Ok(())
 }
--- a/src/lab/hosts/agenda.rs
+++ b/src/lab/hosts/agenda.rs
@@ -4,7 +4,7 @@
 use crate::interface::Instant;
 use crate::standin::faults::FaultKind;
 use crate::standin::fleet::Fleet;
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use crate::standin::line_protocol::GARBLED_ANSWER;
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,7 +17,7 @@
 /// A scheduled event.
 pub(super) enum ScheduledEvent {
     /// A host answers an attempt, by its id.
-    HostAnswers(HostId, LinkId, String),
+    HostAnswers(HostId, ConnectionId, String),
     /// A fault begins.
     Fault(FaultKind),
     /// A killed host starts anew.
@@ -81,13 +81,13 @@
     }
 
     /// A host answers an attempt, unless that was cancelled; a silent host answers later.
-    fn answer(&self, state: &mut HostsState, host: HostId, link: LinkId, id: String, now: Instant) {
+    fn answer(&self, state: &mut HostsState, host: HostId, link: ConnectionId, id: String, now: Instant) {
         let silent_until = state.silent_until[host.0];
         if silent_until > now {
             return self.schedule(state, silent_until, ScheduledEvent::HostAnswers(host, link, id));
         }
-        let Some(request) = state.fleet[host].open.remove(&(link, id.clone())) else { return };
-        if std::mem::take(&mut state.fleet[host].garbles_next) {
+        let Some(request) = state.fleet[host].open_requests.remove(&(link, id.clone())) else { return };
+        if std::mem::take(&mut state.fleet[host].garbles_next_answer) {
             return state.send(link, GARBLED_ANSWER);
         }
         let silent_until = &state.silent_until;
@@ -99,7 +99,7 @@
 
 impl HostsState {
     /// Writes to a connection, if it is still open. A failure shows when it is read.
-    pub(super) fn send(&mut self, link: LinkId, bytes: &[u8]) {
+    pub(super) fn send(&mut self, link: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&link) {
             let _ = connection.stream.write_all(bytes);
         }
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -3,7 +3,7 @@
 use super::agenda::ScheduledEvent;
 use super::{now, Connection, HostsState, StandInHosts};
 use crate::interface::{Instant, Span};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, HEALTHY};
 use std::io::{self, Read};
 use std::net::TcpStream;
@@ -35,7 +35,7 @@
     }
 
     /// Reads requests until the connection ends.
-    fn read(&self, host: HostId, link: LinkId, mut stream: TcpStream) -> io::Result<()> {
+    fn read(&self, host: HostId, link: ConnectionId, mut stream: TcpStream) -> io::Result<()> {
         let (mut input, mut buffer) = (Vec::new(), [0; READ_BYTES]);
         loop {
             let count = stream.read(&mut buffer)?;
@@ -48,7 +48,7 @@
             for line in lines {
                 match line {
                     HostLine::Fetch(request) => self.receive(&mut state, host, link, request),
-                    HostLine::Cancel(id) => drop(state.fleet[host].open.remove(&(link, id))),
+                    HostLine::Cancel(id) => drop(state.fleet[host].open_requests.remove(&(link, id))),
                     HostLine::HealthCheck(tag) => state.send(link, &HEALTHY.encode(&tag)),
                 }
             }
@@ -56,12 +56,12 @@
     }
 
     /// Takes in a request and schedules its answer.
-    fn receive(&self, state: &mut HostsState, host: HostId, link: LinkId, request: FetchRequest) {
+    fn receive(&self, state: &mut HostsState, host: HostId, link: ConnectionId, request: FetchRequest) {
         let now = now();
         state.counts.requests += 1;
         let after = state.draw_answering_time(host, &request, now);
         let id = request.id.clone();
-        state.fleet[host].open.insert((link, id.clone()), request);
+        state.fleet[host].open_requests.insert((link, id.clone()), request);
         self.schedule(state, now + after, ScheduledEvent::HostAnswers(host, link, id));
     }
 }
--- a/src/lab/hosts/faults.rs
+++ b/src/lab/hosts/faults.rs
@@ -30,7 +30,7 @@
                 state.fleet[host].slowdown = Slowdown { factor: times, until: now + Span::from_millis(ms) };
             }
             FaultKind::Errors { host, ms } => state.fleet[host].fails_until = now + Span::from_millis(ms),
-            FaultKind::Garbled { host } => state.fleet[host].garbles_next = true,
+            FaultKind::Garbled { host } => state.fleet[host].garbles_next_answer = true,
             FaultKind::Drained { host } => self.publish_health(state, host, "draining"),
             FaultKind::Removed { host } => self.publish_health(state, host, "removed"),
             FaultKind::Ready { host } => self.publish_health(state, host, "up"),
@@ -62,6 +62,6 @@
             }
             is_kept
         });
-        self.fleet[host].open.clear();
+        self.fleet[host].open_requests.clear();
     }
 }
--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -15,7 +15,7 @@
 use crate::standin::feed::StandInFeed;
 use crate::standin::fleet::Fleet;
 use crate::standin::host::{Host, Tier};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use agenda::{Agenda, ScheduledEvent};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -93,8 +93,8 @@
     fleet: Fleet,
     /// Nothing is answered until then, by host.
     silent_until: Vec<Instant>,
-    connections: BTreeMap<LinkId, Connection>,
-    last_link: LinkId,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last_link: ConnectionId,
     agenda: Agenda,
     random: ChaCha8Rng,
     is_stopped: bool,
@@ -110,9 +110,9 @@
         let hosts: Vec<Host> = plan.entries.iter().enumerate().map(host).collect();
         HostsState {
             silent_until: vec![Instant::ZERO; hosts.len()],
-            fleet: Fleet { hosts, sparse_notes: false },
+            fleet: Fleet { hosts, served_status_only: false },
             connections: BTreeMap::new(),
-            last_link: LinkId(0),
+            last_link: ConnectionId(0),
             agenda: Agenda::default(),
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             is_stopped: false,
@@ -120,8 +120,8 @@
         }
     }
 
-    fn next_link(&mut self) -> LinkId {
-        self.last_link = LinkId(self.last_link.0 + 1);
+    fn next_link(&mut self) -> ConnectionId {
+        self.last_link = ConnectionId(self.last_link.0 + 1);
         self.last_link
     }
 
--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -119,7 +119,7 @@
     let list = site["known"]["events"][0].clone();
     let entries = list["members"]["hosts"].as_array().cloned().unwrap_or_default();
     feed.publish(list);
-    site["known"] = feed.known();
+    site["known"] = feed.initial_events();
     site["limits"]["sockets"] = PROXY_SOCKETS.into();
     let terms = class_terms(trace, &site)?;
     let proxy = ProxyProcess::start(&plan.program, &site.to_string())?;
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -4,7 +4,7 @@
 use super::request_end::RequestEnd;
 use super::{ClassTerms, ReplayPlan};
 use crate::lab::hosts::HostCounts;
-use crate::standin::thrift_client::Answered;
+use crate::standin::thrift_client::AnswerKind;
 use crate::trace::sample::RateComparison;
 use crate::trace::Trace;
 use hdrhistogram::Histogram;
@@ -172,7 +172,7 @@
         let number = (end.sent.as_secs_f64() / part) as usize;
         let moment = &mut moments[number.min(PLOT_POINTS - 1)];
         moment.sent += 1;
-        if end.answer == Some(Answered::Served) {
+        if end.answer == Some(AnswerKind::Served) {
             moment.served += 1;
             moment.slowest_ms = moment.slowest_ms.max(end.took.as_secs_f64() * 1000.0);
         } else {
@@ -190,7 +190,7 @@
     for end in ends {
         service.sent += 1;
         match end.answer {
-            Some(Answered::Served) => {
+            Some(AnswerKind::Served) => {
                 service.served += 1;
                 let us = end.took.as_micros().clamp(1, u128::from(MAX_RECORDED_US)) as u64;
                 service.on_time += u64::from(us as f64 <= latency_objective_us);
@@ -198,8 +198,8 @@
                     times.saturating_record(us);
                 }
             }
-            Some(Answered::Refused) => service.rejected += 1,
-            Some(Answered::Failed) => service.failed += 1,
+            Some(AnswerKind::Rejected) => service.rejected += 1,
+            Some(AnswerKind::Failed) => service.failed += 1,
             None => service.unanswered += 1,
         }
     }
--- a/src/lab/replay/request_end.rs
+++ b/src/lab/replay/request_end.rs
@@ -1,6 +1,6 @@
 //! The ends of a replay's requests.
 
-use crate::standin::thrift_client::Answered;
+use crate::standin::thrift_client::AnswerKind;
 use std::time::Duration;
 
 /// How a request ended, as its client saw it.
@@ -11,5 +11,5 @@
     pub(super) sent: Duration,
     pub(super) took: Duration,
     /// `None`: it got no answer.
-    pub(super) answer: Option<Answered>,
+    pub(super) answer: Option<AnswerKind>,
 }
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -51,10 +51,10 @@
         let mut site = config(&self.shape, &feed_addr, |number| format!("127.0.0.1:{}", FIRST_PORT + number));
         let list = site["known"]["events"][0].clone();
         let hosts = list["members"]["hosts"].as_array().cloned().unwrap_or_default();
-        if self.feed.known()["n"] == 0 {
+        if self.feed.initial_events()["n"] == 0 {
             self.feed.publish(list);
         }
-        site["known"] = self.known.unwrap_or_else(|| self.feed.known());
+        site["known"] = self.known.unwrap_or_else(|| self.feed.initial_events());
         let config = Config::parse(site.to_string().as_bytes())
             .map_err(|text| ConfigError::invalid(Path::new("made-up site"), text))?;
         let settings = ControlSettings::parse(HclDocument { file: "control.hcl", text: self.control })?;
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -2,7 +2,7 @@
 //! the world but what is reported here.
 
 use crate::interface::{Instant, Span};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
     /// The host's name in the endpoint list.
     pub host_name: &'a str,
     /// The connection.
-    pub link: LinkId,
+    pub link: ConnectionId,
     /// The trace of the client's request.
     pub trace: &'a str,
     /// When its first byte was written, which is what drains count from.
@@ -74,7 +74,7 @@
     /// The first breach of each rule, in the order of time.
     pub breaches: Vec<Breach>,
     /// By trace: the write's state at each host and connection that it was sent to.
-    writes: BTreeMap<String, BTreeMap<(HostId, LinkId), WriteState>>,
+    writes: BTreeMap<String, BTreeMap<(HostId, ConnectionId), WriteState>>,
     /// A write that may have run may be repeated for this long after its first attempt was written; `None`: never.
     dedup_window: Option<Span>,
     /// By trace: when its client cancelled it or closed its connection.
@@ -184,7 +184,7 @@
     }
 
     /// A host states that a request did not run there.
-    pub fn did_not_run(&mut self, host: HostId, link: LinkId, trace: &str) {
+    pub fn did_not_run(&mut self, host: HostId, link: ConnectionId, trace: &str) {
         if let Some(states) = self.writes.get_mut(trace) {
             states.insert((host, link), WriteState::DidNotRun);
         }
--- a/src/sim/rules/tests.rs
+++ b/src/sim/rules/tests.rs
@@ -5,7 +5,7 @@
 const FIRST: HostId = HostId(0);
 const SECOND: HostId = HostId(1);
 /// Each host has one connection.
-const FIRST_LINK: LinkId = LinkId(7);
+const FIRST_LINK: ConnectionId = ConnectionId(7);
 
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
@@ -16,7 +16,7 @@
 }
 
 fn attempt(host: HostId, trace: &str, sent: Instant) -> ReceivedAttempt<'_> {
-    let link = LinkId(FIRST_LINK.0 + host.0 as u64);
+    let link = ConnectionId(FIRST_LINK.0 + host.0 as u64);
     ReceivedAttempt { host, host_name: "a", link, trace, sent, is_write: false }
 }
 
--- a/src/sim/world/agenda.rs
+++ b/src/sim/world/agenda.rs
@@ -4,7 +4,7 @@
 use super::{ClientId, HostId, RequestNumber};
 use crate::interface::Instant;
 use crate::standin::faults::FaultKind;
-use crate::standin::ids::LinkId;
+use crate::standin::ids::ConnectionId;
 use std::collections::BTreeMap;
 
 /// A scheduled event.
@@ -16,11 +16,11 @@
     /// A request must have its answer by now.
     CheckAnswered(ClientId, i32),
     /// A host answers an attempt, by its id.
-    HostAnswers(HostId, LinkId, String),
+    HostAnswers(HostId, ConnectionId, String),
     /// A host sends an answer a second time.
-    HostRepeats(LinkId, Vec<u8>),
+    HostRepeats(ConnectionId, Vec<u8>),
     /// A poll at the feed has waited long enough.
-    PollEnds(LinkId),
+    PollEnds(ConnectionId),
     /// A fault begins.
     Fault(FaultKind),
     /// A killed host starts anew.
--- a/src/sim/world/answers.rs
+++ b/src/sim/world/answers.rs
@@ -4,7 +4,7 @@
 use super::World;
 use crate::interface::Instant;
 use crate::standin::ids::ClientId;
-use crate::standin::thrift_client::{self, Answer, Answered};
+use crate::standin::thrift_client::{self, Answer, AnswerKind};
 use serde_json::json;
 
 impl World<'_> {
@@ -32,15 +32,15 @@
         let request = self.request(open.number).clone();
         self.rules.answered(self.now, &request.trace, open.sent, request.client_timeout);
         match answer.kind {
-            Answered::Served => {
+            AnswerKind::Served => {
                 self.answers.served += 1;
                 self.check_served(&request, open.sent, &answer.body);
             }
-            Answered::Refused => {
+            AnswerKind::Rejected => {
                 self.answers.rejected += 1;
                 self.check_retry_after(&request, answer);
             }
-            Answered::Failed => self.answers.failed += 1,
+            AnswerKind::Failed => self.answers.failed += 1,
         }
     }
 
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -7,7 +7,7 @@
 use super::{numbered_address, Sabotage, World, FRONT};
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
-use crate::standin::ids::{ClientId, LinkId};
+use crate::standin::ids::{ClientId, ConnectionId};
 use crate::standin::thrift_client;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 /// A client, and its connection if it has one.
 #[derive(Default)]
 pub(super) struct Client {
-    pub(super) link: Option<LinkId>,
+    pub(super) link: Option<ConnectionId>,
     last_seqid: i32,
     pub(super) input: Vec<u8>,
     /// By sequence number.
@@ -71,7 +71,7 @@
     }
 
     /// The client that has a connection.
-    pub(super) fn client_of(&self, link: LinkId) -> Option<ClientId> {
+    pub(super) fn client_of(&self, link: ConnectionId) -> Option<ClientId> {
         self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
     }
 
@@ -98,9 +98,9 @@
         }
     }
 
-    fn connect_client(&mut self, id: ClientId) -> LinkId {
+    fn connect_client(&mut self, id: ClientId) -> ConnectionId {
         let from = SocketAddr::from(([127, 0, 2, id.0 as u8 + 1], 40_000));
-        let link = LinkId(self.fabric.dial(from, numbered_address(FRONT)));
+        let link = ConnectionId(self.fabric.dial(from, numbered_address(FRONT)));
         let now = self.now;
         let client = self.client(id);
         client.link = Some(link);
@@ -160,7 +160,7 @@
     }
 
     /// A client leaves with requests open; returns the connection that it ends.
-    fn client_leaves(&mut self, id: ClientId) -> Option<LinkId> {
+    fn client_leaves(&mut self, id: ClientId) -> Option<ConnectionId> {
         let link = self.client(id).link?;
         if self.sabotage == Some(Sabotage::DeafToClients) {
             let open = std::mem::take(&mut self.client(id).open);
@@ -181,7 +181,7 @@
     }
 
     /// A client's connection has ended: its open requests are lost, unless a fault excuses that.
-    pub(super) fn client_disconnected(&mut self, id: ClientId, link: LinkId) {
+    pub(super) fn client_disconnected(&mut self, id: ClientId, link: ConnectionId) {
         let open = self.client(id).disconnect();
         let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -5,7 +5,7 @@
 use crate::sim::world::agenda::ScheduledEvent;
 use crate::sim::world::{host_address, World};
 use crate::standin::faults::system_error::SystemError;
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 
 /// The process of a removed host ends this long after its removal was stated.
 const REMOVED_HOST_RUNS: Span = Span::from_secs(1);
@@ -47,10 +47,11 @@
     /// A host closes its idle connections. What is on its way on them is not read.
     pub(super) fn close_idle_links(&mut self, id: HostId) {
         let host = &mut self.fleet[id];
-        let is_open = |link: &LinkId| host.open.keys().any(|(open_link, _)| open_link == link);
-        let idle: Vec<LinkId> = host.links.keys().copied().filter(|link| !is_open(link)).collect();
+        let is_open = |link: &ConnectionId| host.open_requests.keys().any(|(open_link, _)| open_link == link);
+        let idle: Vec<ConnectionId> =
+            host.partial_inputs.keys().copied().filter(|link| !is_open(link)).collect();
         for link in idle {
-            host.links.remove(&link);
+            host.partial_inputs.remove(&link);
             self.fabric.close(link.0);
         }
     }
--- a/src/sim/world/faults/mod.rs
+++ b/src/sim/world/faults/mod.rs
@@ -32,7 +32,7 @@
                 self.fleet[host].slowdown = Slowdown { factor: times, until: after(ms) };
             }
             FaultKind::Errors { host, ms } => self.fleet[host].fails_until = after(ms),
-            FaultKind::Garbled { host } => self.fleet[host].garbles_next = true,
+            FaultKind::Garbled { host } => self.fleet[host].garbles_next_answer = true,
             FaultKind::Drained { host } => self.drain_host(host),
             FaultKind::Removed { host } => self.remove_host(host),
             FaultKind::Ready { host } => self.return_host(host),
@@ -44,7 +44,7 @@
             FaultKind::ClientCloses { client } => self.close_client(client),
             FaultKind::SlowDials { host, late_ms, ms } => self.delay_dials(host, late_ms, after(ms)),
             FaultKind::ClosesIdle { host } => self.close_idle_links(host),
-            FaultKind::AnswersTwice { host } => self.fleet[host].repeats_next = true,
+            FaultKind::AnswersTwice { host } => self.fleet[host].repeats_next_answer = true,
             FaultKind::PollsLost => self.lose_polls(),
             FaultKind::WholeList => self.publish_whole_list(),
             FaultKind::Stop => self.processes.terminate_all(now),
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
 use crate::standin::feed::PollRequest;
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -27,28 +27,28 @@
     /// All events so far, without their numbers.
     pub(super) events: Vec<Value>,
     /// Unread input by connection.
-    links: BTreeMap<LinkId, Vec<u8>>,
-    polls: BTreeMap<LinkId, OpenPoll>,
+    links: BTreeMap<ConnectionId, Vec<u8>>,
+    polls: BTreeMap<ConnectionId, OpenPoll>,
     /// What is stated before then counts as stated then.
     pub(super) cut_until: Instant,
 }
 
 impl Feed {
-    pub(super) fn connected(&mut self, link: LinkId) {
+    pub(super) fn connected(&mut self, link: ConnectionId) {
         self.links.insert(link, Vec::new());
     }
 
-    pub(super) fn is_connected(&self, link: LinkId) -> bool {
+    pub(super) fn is_connected(&self, link: ConnectionId) -> bool {
         self.links.contains_key(&link)
     }
 
-    pub(super) fn disconnected(&mut self, link: LinkId) {
+    pub(super) fn disconnected(&mut self, link: ConnectionId) {
         self.links.remove(&link);
         self.polls.remove(&link);
     }
 
     /// Forgets all connections and polls; returns the connections.
-    pub(super) fn disconnect_all(&mut self) -> Vec<LinkId> {
+    pub(super) fn disconnect_all(&mut self) -> Vec<ConnectionId> {
         self.lose_polls();
         std::mem::take(&mut self.links).into_keys().collect()
     }
@@ -59,7 +59,7 @@
     }
 
     /// Adds bytes to the input of a connection; returns the head of a request once it is complete.
-    fn take_head(&mut self, link: LinkId, bytes: &[u8]) -> Option<String> {
+    fn take_head(&mut self, link: ConnectionId, bytes: &[u8]) -> Option<String> {
         let input = self.links.get_mut(&link)?;
         input.extend_from_slice(bytes);
         let end = input.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
@@ -71,7 +71,7 @@
 
 impl World<'_> {
     /// Bytes have reached the feed.
-    pub(super) fn feed_received(&mut self, link: LinkId, bytes: &[u8]) {
+    pub(super) fn feed_received(&mut self, link: ConnectionId, bytes: &[u8]) {
         let Some(head) = self.feed.take_head(link, bytes) else { return };
         let poll = PollRequest::parse(head.split(' ').nth(1).unwrap_or_default());
         let until = self.now + Span::from(poll.wait);
@@ -81,7 +81,7 @@
     }
 
     /// Answers a poll if there is an event for it or its time is over.
-    pub(super) fn answer_poll(&mut self, link: LinkId) {
+    pub(super) fn answer_poll(&mut self, link: ConnectionId) {
         let Some(OpenPoll { after, until }) = self.feed.polls.get(&link).copied() else { return };
         if self.feed.events.len() <= after && self.now < until {
             return;
@@ -117,7 +117,7 @@
     /// Publishes an event; returns when it counts as stated.
     pub(super) fn publish(&mut self, event: Value) -> Instant {
         self.feed.events.push(event);
-        let links: Vec<LinkId> = self.feed.polls.keys().copied().collect();
+        let links: Vec<ConnectionId> = self.feed.polls.keys().copied().collect();
         for link in links {
             self.answer_poll(link);
         }
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -7,7 +7,7 @@
 use crate::sim::rules::ReceivedAttempt;
 use crate::standin::fleet::Fleet;
 use crate::standin::host::{PartialInput, Tier};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, GARBLED_ANSWER, HEALTHY};
 use rand::Rng;
 
@@ -21,28 +21,28 @@
 const WARM_UP_COST_S: f64 = 0.02;
 
 impl World<'_> {
-    pub(super) fn host_connected(&mut self, host: HostId, link: LinkId) {
+    pub(super) fn host_connected(&mut self, host: HostId, link: ConnectionId) {
         let input = PartialInput { bytes: Vec::new(), first_sent: self.now };
-        self.fleet[host].links.insert(link, input);
+        self.fleet[host].partial_inputs.insert(link, input);
     }
 
     /// The host that has a connection.
-    pub(super) fn host_of(&self, link: LinkId) -> Option<HostId> {
-        self.fleet.hosts.iter().position(|host| host.links.contains_key(&link)).map(HostId)
+    pub(super) fn host_of(&self, link: ConnectionId) -> Option<HostId> {
+        self.fleet.hosts.iter().position(|host| host.partial_inputs.contains_key(&link)).map(HostId)
     }
 
-    pub(super) fn host_disconnected(&mut self, link: LinkId) {
+    pub(super) fn host_disconnected(&mut self, link: ConnectionId) {
         for host in &mut self.fleet.hosts {
-            if host.links.remove(&link).is_some() {
-                host.open.retain(|(open_link, _), _| *open_link != link);
+            if host.partial_inputs.remove(&link).is_some() {
+                host.open_requests.retain(|(open_link, _), _| *open_link != link);
             }
         }
     }
 
     /// Bytes that were sent at `sent` have reached a host.
-    pub(super) fn host_received(&mut self, id: HostId, link: LinkId, bytes: &[u8], sent: Instant) {
+    pub(super) fn host_received(&mut self, id: HostId, link: ConnectionId, bytes: &[u8], sent: Instant) {
         let host = &mut self.fleet[id];
-        let Some(input) = host.links.get_mut(&link).filter(|_| !host.dead) else { return };
+        let Some(input) = host.partial_inputs.get_mut(&link).filter(|_| !host.dead) else { return };
         // What is left over began with the bytes before.
         let first_sent = if input.bytes.is_empty() { sent } else { input.first_sent };
         input.first_sent = sent;
@@ -54,13 +54,13 @@
         for line in lines {
             match line {
                 HostLine::Fetch(request) => self.attempt_received(id, link, request, first_sent),
-                HostLine::Cancel(attempt) => drop(self.fleet[id].open.remove(&(link, attempt))),
+                HostLine::Cancel(attempt) => drop(self.fleet[id].open_requests.remove(&(link, attempt))),
                 HostLine::HealthCheck(tag) => self.fabric.send(link.0, &HEALTHY.encode(&tag)),
             }
         }
     }
 
-    fn attempt_received(&mut self, id: HostId, link: LinkId, request: FetchRequest, sent: Instant) {
+    fn attempt_received(&mut self, id: HostId, link: ConnectionId, request: FetchRequest, sent: Instant) {
         let host = &self.fleet[id];
         let attempt = ReceivedAttempt {
             host: id,
@@ -71,14 +71,14 @@
             is_write: request.is_write(),
         };
         self.rules.attempt_received(self.now, &attempt);
-        if host.open.contains_key(&(link, request.id.clone())) {
+        if host.open_requests.contains_key(&(link, request.id.clone())) {
             let text = format!("{} comes twice on one connection", request.id);
             self.rules.breach(self.now, "same-id", text);
         }
         self.check_warm_up(id);
         let answered_after = self.answering_time(id, &request);
         let attempt = request.id.clone();
-        self.fleet[id].open.insert((link, attempt.clone()), request);
+        self.fleet[id].open_requests.insert((link, attempt.clone()), request);
         self.schedule_in(answered_after, ScheduledEvent::HostAnswers(id, link, attempt));
     }
 
@@ -114,7 +114,7 @@
         let window = Span::from_micros_f64(figure("overload_for") * 1000.0);
         host.warm_up_requests.retain(|at| *at > now - window);
         host.warm_up_requests.push(now);
-        let max_work = figure("fall_multiple") * warmth * host.link * window.as_micros_f64() / 1e6;
+        let max_work = figure("fall_multiple") * warmth * host.capacity * window.as_micros_f64() / 1e6;
         let work = host.warm_up_requests.len() as f64 * WARM_UP_COST_S;
         if work > max_work {
             let (name, window_us) = (&host.name, window.as_micros());
@@ -129,12 +129,12 @@
     }
 
     /// A host answers an attempt, unless that was cancelled.
-    pub(super) fn answer_attempt(&mut self, id: HostId, link: LinkId, attempt: &str) {
-        let Some(request) = self.fleet[id].open.remove(&(link, attempt.to_owned())) else { return };
+    pub(super) fn answer_attempt(&mut self, id: HostId, link: ConnectionId, attempt: &str) {
+        let Some(request) = self.fleet[id].open_requests.remove(&(link, attempt.to_owned())) else { return };
         if self.fleet[id].dead {
             return;
         }
-        if std::mem::take(&mut self.fleet[id].garbles_next) {
+        if std::mem::take(&mut self.fleet[id].garbles_next_answer) {
             return self.fabric.send(link.0, GARBLED_ANSWER);
         }
         let (fabric, now) = (&self.fabric, self.now);
@@ -145,7 +145,7 @@
         }
         let bytes = answer.encode(attempt);
         self.fabric.send(link.0, &bytes);
-        if std::mem::take(&mut self.fleet[id].repeats_next) {
+        if std::mem::take(&mut self.fleet[id].repeats_next_answer) {
             self.schedule_in(REPEATED_ANSWER_DELAY, ScheduledEvent::HostRepeats(link, bytes));
         }
     }
@@ -190,10 +190,10 @@
     }
 
     /// Forgets a host's connections and what is open there; returns the connections.
-    pub(super) fn forget_links(&mut self, host: HostId) -> Vec<LinkId> {
+    pub(super) fn forget_links(&mut self, host: HostId) -> Vec<ConnectionId> {
         let host = &mut self.fleet[host];
-        host.open.clear();
-        std::mem::take(&mut host.links).into_keys().collect()
+        host.open_requests.clear();
+        std::mem::take(&mut host.partial_inputs).into_keys().collect()
     }
 }
 
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -2,7 +2,7 @@
 
 use super::{numbered_address, ClientId, World, FEED};
 use crate::net::fabric::ActorEvent;
-use crate::standin::ids::LinkId;
+use crate::standin::ids::ConnectionId;
 
 impl World<'_> {
     /// Passes on all that has arrived.
@@ -20,9 +20,9 @@
             ActorEvent::Bytes { bytes, .. } => self.client_received(client, &bytes),
             ActorEvent::Closed { link } => {
                 self.fabric.close(link);
-                self.client_disconnected(client, LinkId(link));
+                self.client_disconnected(client, ConnectionId(link));
             }
-            ActorEvent::Broken { link } => self.client_disconnected(client, LinkId(link)),
+            ActorEvent::Broken { link } => self.client_disconnected(client, ConnectionId(link)),
             ActorEvent::Opened { .. } => {}
         }
     }
@@ -53,10 +53,10 @@
     }
 }
 
-fn link_of(event: &ActorEvent) -> LinkId {
+fn link_of(event: &ActorEvent) -> ConnectionId {
     let (ActorEvent::Opened { link, .. }
     | ActorEvent::Bytes { link, .. }
     | ActorEvent::Closed { link }
     | ActorEvent::Broken { link }) = event;
-    LinkId(*link)
+    ConnectionId(*link)
 }
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -102,7 +102,7 @@
             agenda: Agenda::default(),
             requests: Vec::new(),
             clients: (0..plan.clients).map(|_| Client::default()).collect(),
-            fleet: Fleet { sparse_notes: site.variant.sparse_notes, ..Fleet::default() },
+            fleet: Fleet { served_status_only: site.variant.sparse_notes, ..Fleet::default() },
             host_ids: BTreeMap::new(),
             feed: Feed::default(),
             processes: Processes::default(),
@@ -117,7 +117,7 @@
         world.feed.events.push(site.first_event);
         world.draw_requests();
         world.start_process();
-        let end = START + Span::from_millis(plan.ms) + LAST_ANSWERS;
+        let end = START + Span::from_millis(plan.duration_ms) + LAST_ANSWERS;
         world.agenda.schedule(end, ScheduledEvent::EndRun);
         world
     }
@@ -128,7 +128,7 @@
             let tier = Tier::of(host, self.plan.caches, self.plan.parents);
             self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Up);
             self.host_ids.insert(host_address(host), host);
-            self.fleet.hosts.push(Host { link: site.links[number], ..Host::new(tier, entry) });
+            self.fleet.hosts.push(Host { capacity: site.links[number], ..Host::new(tier, entry) });
         }
         self.fabric.set_host_behaviour(numbered_address(FEED), HostBehaviour::Up);
     }
--- a/src/sim/world/traffic.rs
+++ b/src/sim/world/traffic.rs
@@ -88,7 +88,7 @@
     }
 
     fn draw_sending_time(&self, random: &mut ChaCha8Rng) -> Instant {
-        let end_ms = self.plan.ms.max(FIRST_REQUEST_MS + 1);
+        let end_ms = self.plan.duration_ms.max(FIRST_REQUEST_MS + 1);
         START + Span::from_millis(random.random_range(FIRST_REQUEST_MS..end_ms))
     }
 
--- a/src/standin/faults/host_faults.rs
+++ b/src/standin/faults/host_faults.rs
@@ -85,7 +85,7 @@
 ];
 
 /// Of these kinds, those that concern the feed's connections, clients and processes.
-pub(super) const NOT_OF_HOSTS: [&str; 10] = [
+pub(super) const NON_HOST_FAULTS: [&str; 10] = [
     "feed_silent",
     "feed_reset",
     "client_gone",
--- a/src/standin/faults/plan.rs
+++ b/src/standin/faults/plan.rs
@@ -1,6 +1,6 @@
 //! The size of a run and what may go wrong in it.
 
-use super::host_faults::{HOST_FAULTS, NOT_OF_HOSTS};
+use super::host_faults::{HOST_FAULTS, NON_HOST_FAULTS};
 use super::system_faults::SYSTEM_FAULTS;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Position};
 
@@ -21,11 +21,11 @@
     /// Objects that are requested.
     pub objects: usize,
     /// How long requests come, ms.
-    pub ms: i64,
+    pub duration_ms: i64,
     /// The most faults.
-    pub faults: usize,
+    pub max_faults: usize,
     /// How often each kind of fault is drawn, in the order of the kinds.
-    pub weights: Vec<f64>,
+    pub host_weights: Vec<f64>,
     /// The same of the faults of the processes' own machine.
     pub system_weights: Vec<f64>,
 }
@@ -38,9 +38,9 @@
             clients: 4,
             requests: 60,
             objects: 8,
-            ms: 6000,
-            faults: 8,
-            weights: HOST_FAULTS.iter().map(|kind| kind.weight).collect(),
+            duration_ms: 6000,
+            max_faults: 8,
+            host_weights: HOST_FAULTS.iter().map(|kind| kind.weight).collect(),
             system_weights: SYSTEM_FAULTS.iter().map(|kind| kind.weight).collect(),
         }
     }
@@ -68,7 +68,7 @@
             reader.finish()?;
         }
         reader.finish()?;
-        if plan.faults > 0 && plan.weights.iter().chain(&plan.system_weights).sum::<f64>() <= 0.0 {
+        if plan.max_faults > 0 && plan.host_weights.iter().chain(&plan.system_weights).sum::<f64>() <= 0.0 {
             return Err(doc.error(start, "all kinds of faults have weight 0"));
         }
         Ok(plan)
@@ -86,15 +86,15 @@
             clients: whole("clients", default.clients, 1, 100)?,
             requests: whole("requests", default.requests, 0, 100_000)?,
             objects: whole("objects", default.objects, 1, 10_000)?,
-            ms: whole("ms", default.ms as usize, 100, 3_600_000)? as i64,
-            faults: whole("faults", default.faults, 0, 1000)?,
-            weights: default.weights,
+            duration_ms: whole("ms", default.duration_ms as usize, 100, 3_600_000)? as i64,
+            max_faults: whole("faults", default.max_faults, 0, 1000)?,
+            host_weights: default.host_weights,
             system_weights: default.system_weights,
         })
     }
 
     fn read_weights(&mut self, reader: &mut BlockReader<'_>) -> Result<(), HclError> {
-        let host_weights = HOST_FAULTS.iter().map(|kind| kind.name).zip(&mut self.weights);
+        let host_weights = HOST_FAULTS.iter().map(|kind| kind.name).zip(&mut self.host_weights);
         let system_weights = SYSTEM_FAULTS.iter().map(|kind| kind.name).zip(&mut self.system_weights);
         for (name, weight) in host_weights.chain(system_weights) {
             if let Some(read) = reader.number(name, 0.0, MAX_WEIGHT)? {
@@ -107,8 +107,8 @@
     /// The same plan with faults of hosts alone, and what the feed states of them: none of the feed's connections, of
     /// clients, processes and their machine.
     pub fn only_host_faults(mut self) -> Self {
-        for (kind, weight) in HOST_FAULTS.iter().zip(&mut self.weights) {
-            if NOT_OF_HOSTS.contains(&kind.name) {
+        for (kind, weight) in HOST_FAULTS.iter().zip(&mut self.host_weights) {
+            if NON_HOST_FAULTS.contains(&kind.name) {
                 *weight = 0.0;
             }
         }
--- a/src/standin/faults/script.rs
+++ b/src/standin/faults/script.rs
@@ -28,8 +28,8 @@
     }
 
     fn draw_host_faults(&self, random: &mut ChaCha8Rng) -> Vec<Fault> {
-        let is_any_drawn = self.faults > 0 && self.weights.iter().sum::<f64>() > 0.0;
-        let count = if is_any_drawn { random.random_range(0..=self.faults) } else { 0 };
+        let is_any_drawn = self.max_faults > 0 && self.host_weights.iter().sum::<f64>() > 0.0;
+        let count = if is_any_drawn { random.random_range(0..=self.max_faults) } else { 0 };
         let draw = |_| {
             let at_ms = self.draw_time(random);
             Fault { at_ms, kind: self.draw_host_fault(random) }
@@ -39,7 +39,7 @@
 
     fn draw_system_faults(&self, random: &mut ChaCha8Rng) -> Vec<Fault> {
         let is_any_drawn = self.system_weights.iter().sum::<f64>() > 0.0;
-        let max = if is_any_drawn { self.faults.div_ceil(OTHERS_PER_SYSTEM_FAULT) } else { 0 };
+        let max = if is_any_drawn { self.max_faults.div_ceil(OTHERS_PER_SYSTEM_FAULT) } else { 0 };
         let count = random.random_range(0..=max);
         let draw = |_| {
             let at_ms = self.draw_time(random);
@@ -49,11 +49,11 @@
     }
 
     fn draw_time(&self, random: &mut ChaCha8Rng) -> i64 {
-        random.random_range(1..self.ms.max(2 * TIME_STEP_MS) / TIME_STEP_MS) * TIME_STEP_MS
+        random.random_range(1..self.duration_ms.max(2 * TIME_STEP_MS) / TIME_STEP_MS) * TIME_STEP_MS
     }
 
     fn draw_host_fault(&self, random: &mut ChaCha8Rng) -> FaultKind {
-        let kind = &HOST_FAULTS[draw_weighted(&self.weights, random)];
+        let kind = &HOST_FAULTS[draw_weighted(&self.host_weights, random)];
         HostFaultDraw::new(self, random).draw(kind)
     }
 
--- a/src/standin/feed.rs
+++ b/src/standin/feed.rs
@@ -59,7 +59,7 @@
     }
 
     /// All events so far, in the form of the configuration's `known`.
-    pub fn known(&self) -> Value {
+    pub fn initial_events(&self) -> Value {
         batch(&self.state().events, 0)
     }
 
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -18,7 +18,7 @@
     /// In the order of their ids.
     pub hosts: Vec<Host>,
     /// Answers state only how a served request came about.
-    pub sparse_notes: bool,
+    pub served_status_only: bool,
 }
 
 impl Index<HostId> for Fleet {
@@ -65,7 +65,7 @@
         } else {
             self.answer_read(host, request, now, is_reachable)
         };
-        let fields = if self.sparse_notes { without_details(&answer.fields) } else { answer.fields };
+        let fields = if self.served_status_only { without_details(&answer.fields) } else { answer.fields };
         HostAnswer { fields, ..answer }
     }
 
--- a/src/standin/fleet/tests.rs
+++ b/src/standin/fleet/tests.rs
@@ -6,10 +6,10 @@
 const CACHE: HostId = HostId(0);
 const PARENT: HostId = HostId(1);
 
-fn fleet(sparse_notes: bool) -> Fleet {
+fn fleet(served_status_only: bool) -> Fleet {
     let host = |name, tier| Host::new(tier, serde_json::json!({"host": name, "share": 1.0}));
     let hosts = vec![host("cache", Tier::Cache), host("parent", Tier::Parent), host("origin", Tier::Origin)];
-    Fleet { hosts, sparse_notes }
+    Fleet { hosts, served_status_only }
 }
 
 fn fill(class: &str, source: &str) -> FetchRequest {
--- a/src/standin/host.rs
+++ b/src/standin/host.rs
@@ -1,6 +1,6 @@
 //! One stand-in host: its copies, its open requests, and the faults that it shows.
 
-use super::ids::{HostId, LinkId};
+use super::ids::{ConnectionId, HostId};
 use super::line_protocol::{FetchRequest, Item};
 use crate::interface::{Instant, Span};
 use serde_json::Value;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Host {
     /// Full-pace answers that its link bears, whatever the endpoint list states.
-    pub link: f64,
+    pub capacity: f64,
     /// Its name in the endpoint list.
     pub name: String,
     /// Its tier.
@@ -60,17 +60,17 @@
     /// When the origin handed out each cached copy.
     pub copies: BTreeMap<Item, Instant>,
     /// Unread input by connection.
-    pub links: BTreeMap<LinkId, PartialInput>,
+    pub partial_inputs: BTreeMap<ConnectionId, PartialInput>,
     /// Open requests, by connection and id.
-    pub open: BTreeMap<(LinkId, String), FetchRequest>,
+    pub open_requests: BTreeMap<(ConnectionId, String), FetchRequest>,
     /// Requests take longer for a while.
     pub slowdown: Slowdown,
     /// Every answer is an error until then.
     pub fails_until: Instant,
     /// The next answer can't be read.
-    pub garbles_next: bool,
+    pub garbles_next_answer: bool,
     /// The next answer comes twice.
-    pub repeats_next: bool,
+    pub repeats_next_answer: bool,
     /// Its process is not running.
     pub dead: bool,
     /// Its last start, if that was within this run.
@@ -83,17 +83,17 @@
     /// A host that has been up since before the run.
     pub fn new(tier: Tier, entry: Value) -> Self {
         Host {
-            link: entry["share"].as_f64().unwrap_or(1.0),
+            capacity: entry["share"].as_f64().unwrap_or(1.0),
             name: entry["host"].as_str().unwrap_or_default().to_owned(),
             tier,
             entry,
             copies: BTreeMap::new(),
-            links: BTreeMap::new(),
-            open: BTreeMap::new(),
+            partial_inputs: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             slowdown: Slowdown { factor: 1, until: Instant::ZERO },
             fails_until: Instant::ZERO,
-            garbles_next: false,
-            repeats_next: false,
+            garbles_next_answer: false,
+            repeats_next_answer: false,
             dead: false,
             started: None,
             warm_up_requests: Vec::new(),
--- a/src/standin/ids.rs
+++ b/src/standin/ids.rs
@@ -37,4 +37,4 @@
 
 /// A connection's number, unique in its run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
--- a/src/standin/thrift_client.rs
+++ b/src/standin/thrift_client.rs
@@ -26,22 +26,22 @@
 
 /// The kind of an answer, by the field of the result struct that it sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerKind {
     /// `Answer` of `invoke`, or of `ping`.
     Served,
     /// `Trylater`: rejected, retrying is harmless.
-    Refused,
+    Rejected,
     /// `Aborted`, or an application exception.
     Failed,
 }
 
-impl Answered {
+impl AnswerKind {
     /// By the number of the result's field.
     fn by_field(number: u8) -> Self {
         match number {
-            0 => Answered::Served,
-            1 => Answered::Refused,
-            _ => Answered::Failed,
+            0 => AnswerKind::Served,
+            1 => AnswerKind::Rejected,
+            _ => AnswerKind::Failed,
         }
     }
 }
@@ -97,7 +97,7 @@
     /// The sequence number of its request.
     pub seqid: i32,
     /// Its kind.
-    pub kind: Answered,
+    pub kind: AnswerKind,
     /// The served bytes.
     pub body: Vec<u8>,
     /// Its fields.
@@ -138,23 +138,23 @@
         return Ok(None);
     }
     let frame: Vec<u8> = input.drain(..4 + length).skip(4).collect();
-    FrameReader(&frame).answer().map(Some)
+    FrameReader(&frame).read_answer().map(Some)
 }
 
 /// Reads a frame from front to back.
 struct FrameReader<'a>(&'a [u8]);
 
 impl<'a> FrameReader<'a> {
-    fn answer(&mut self) -> Result<Answer, AnswerError> {
+    fn read_answer(&mut self) -> Result<Answer, AnswerError> {
         let version = self.bytes(4)?;
         self.text()?;
         let seqid = self.number()?;
-        let mut answer = Answer { seqid, kind: Answered::Failed, body: Vec::new(), fields: Vec::new() };
+        let mut answer = Answer { seqid, kind: AnswerKind::Failed, body: Vec::new(), fields: Vec::new() };
         if version != REPLY {
             return Ok(answer); // an application exception
         }
         let &[field_type::STRUCT, 0, field] = self.bytes(3)? else { return Err(AnswerError::NoStruct) };
-        answer.kind = Answered::by_field(field);
+        answer.kind = AnswerKind::by_field(field);
         while self.struct_field(&mut answer)? {}
         Ok(answer)
     }
@@ -212,7 +212,7 @@
 /// # Errors
 ///
 /// The connection ended or broke, or the frame is not an answer.
-pub fn answer(stream: &mut TcpStream) -> io::Result<(i32, Answered)> {
+pub fn read_answer(stream: &mut TcpStream) -> io::Result<(i32, AnswerKind)> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
     let length = usize::try_from(i32::from_be_bytes(length)).map_err(|_| io::ErrorKind::InvalidData)?;
@@ -224,8 +224,8 @@
     let rest = frame.get(8 + name..).filter(|rest| rest.len() >= 7).ok_or_else(bad)?;
     let seqid = i32::from_be_bytes(rest[..4].try_into().map_err(|_| bad())?);
     let kind = match frame[3] {
-        EXCEPTION_TYPE => Answered::Failed,
-        _ => Answered::by_field(rest[6]),
+        EXCEPTION_TYPE => AnswerKind::Failed,
+        _ => AnswerKind::by_field(rest[6]),
     };
     Ok((seqid, kind))
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -162,7 +162,7 @@
 async fn returning_client_never_gets_an_older_view() {
     let feed = StandInFeed::default();
     let StartedSite { running: first, hosts } = start_site(CONTROL, &feed).await.expect("it starts");
-    let old = feed.known();
+    let old = feed.initial_events();
     for variant in [Variant::StateOfTheWorld, Variant::Incremental] {
         let cache = &caches(&hosts, "north")[usize::from(variant == Variant::Incremental)];
         let mut state = ClientState::default();
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::{Mode, Relay};
 use crate::stand_ins::*;
-use dahliatrack::standin::thrift_client::{answer, invoke, send, Answered};
+use dahliatrack::standin::thrift_client::{invoke, read_answer, send, AnswerKind};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -237,7 +237,7 @@
         ];
         send(&mut client, &invoke(self.seqid, &fields, b"")).expect("written");
         self.caches[0].next_line().answer("200", "ver=a", b"x");
-        assert_eq!(answer(&mut client).expect("an answer"), (self.seqid, Answered::Served));
+        assert_eq!(read_answer(&mut client).expect("an answer"), (self.seqid, AnswerKind::Served));
     }
 }
 
