--- a/src/standin/faults/host_faults.rs
+++ b/src/standin/faults/host_faults.rs
@@ -1,16 +1,16 @@
-//! The faults of hosts, the feed, clients and processes: their names in a faults file, default weights, and how each
-//! is drawn.
+//! The faults of hosts, the feed, clients and processes: their names in a faults file, their default weights
+//! and how each is drawn.
 
 use super::{FaultKind, RunPlan};
 use crate::standin::ids::{ClientId, HostId};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// A kind of fault.
+/// A kind of host fault.
 pub(super) struct HostFault {
-    /// Its name in a faults file.
+    /// Name in a faults file.
     pub(super) name: &'static str,
-    /// How often it is drawn where the file does not say.
+    /// Weight if the file states none.
     pub(super) weight: f64,
     draw: fn(&mut HostFaultDraw<'_>) -> FaultKind,
 }
@@ -19,13 +19,14 @@
     HostFault { name, weight, draw }
 }
 
-/// What every fault draws, needed or not, and the source of what only some need.
+/// The random values that are drawn for every fault, whether it needs them or not, and the source of the
+/// values that only some faults need.
 pub(super) struct HostFaultDraw<'a> {
     plan: &'a RunPlan,
     random: &'a mut ChaCha8Rng,
-    /// Any host.
+    /// Any host of the fleet.
     host: HostId,
-    /// A host whose entry in the endpoint list changes, which the origin's never does.
+    /// A host whose entry in the endpoint list may change. The origin's entry never changes.
     cache_or_parent: HostId,
     ms: i64,
 }
@@ -38,7 +39,7 @@
         HostFaultDraw { plan, random, host, cache_or_parent, ms }
     }
 
-    /// Draws the rest of a fault of this kind.
+    /// Returns a fault of this kind, after drawing the values that only this kind needs.
     pub(super) fn draw(mut self, kind: &HostFault) -> FaultKind {
         (kind.draw)(&mut self)
     }
@@ -48,7 +49,7 @@
     }
 }
 
-/// All kinds, in the order of a plan's weights.
+/// All kinds of host faults, in the order of [`RunPlan::host_weights`].
 pub(super) const HOST_FAULTS: [HostFault; 24] = [
     kind("silent", 2.0, |draw| FaultKind::Silent { host: draw.host, ms: draw.ms }),
     kind("killed", 2.0, |draw| FaultKind::Killed { host: draw.host, ms: draw.ms }),
@@ -84,7 +85,7 @@
     kind("crash", 0.3, |_| FaultKind::Crash),
 ];
 
-/// Of these kinds, those that concern the feed's connections, clients and processes.
+/// The kinds of [`HOST_FAULTS`] that affect the feed's connections, clients or processes instead of hosts.
 pub(super) const NON_HOST_FAULTS: [&str; 10] = [
     "feed_silent",
     "feed_reset",
--- a/src/standin/faults/mod.rs
+++ b/src/standin/faults/mod.rs
@@ -1,9 +1,11 @@
-//! What goes wrong in a run, and when. A run is named by its seed and the numbers of the faults that are kept.
+//! The faults that are injected into a run, and their times. A run is identified by its seed and the numbers
+//! of the faults that are kept.
 //!
-//! - [`plan`]: the size of a run and how often each kind of fault is drawn; reads a faults file.
-//! - [`host_faults`] and [`system_faults`]: the two tables of kinds, with weights and how each is drawn.
+//! - [`plan`]: the size of a run and the weight of each kind of fault; reads a faults file.
+//! - [`host_faults`] and [`system_faults`]: the two tables of kinds, with their default weights and how each
+//!   is drawn.
 //! - [`script`]: draws the faults of a seed.
-//! - [`system_error`]: the errors of system calls that are played.
+//! - [`system_error`]: the errors of system calls that are injected.
 
 pub mod host_faults;
 pub mod plan;
@@ -17,180 +19,181 @@
 use serde::Serialize;
 use system_error::SystemError;
 
-/// One fault.
+/// An injected fault.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// When it begins, ms from the start of the run.
+    /// When the fault begins, in ms from the start of the run.
     pub at_ms: i64,
-    /// What goes wrong.
+    /// Kind of the fault, with its parameters.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// What goes wrong. Every `ms` without further words is how long the fault lasts.
+/// A kind of fault, with its parameters. `ms` is how long the fault lasts, unless its comment says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum FaultKind {
-    /// A host is unreachable: its connections stay open and silent, new ones are not established.
+    /// A host is unreachable: its connections stay open without traffic, and new ones are not established.
     Silent {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
-    /// A host's process is killed; connections are refused until it is back, warming up and without copies.
+    /// A host's process is killed. Connections are refused until it has restarted; it is then warming up and
+    /// has no cached copies.
     Killed {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
-    /// All connections of a host are reset; its process runs on.
+    /// All connections of a host are reset, while its process keeps running.
     Reset {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
-    /// Every request takes a host longer.
+    /// Every request to a host takes longer.
     Slow {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// How many times as long.
+        /// Factor by which service times are multiplied.
         times: i64,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
-    /// A host answers everything with an error.
+    /// A host answers every request with an error.
     Errors {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
     /// The next answer of a host can't be parsed.
     Garbled {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
     /// The feed states that a cache or parent is draining.
     Drained {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
-    /// The feed states that a host is removed; its process ends a second later.
+    /// The feed states that a host is removed; the host's process ends a second later.
     Removed {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
-    /// The feed states that a host is up (again).
+    /// The feed states that a host is up.
     Ready {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
     /// The feed states a purge of one object.
     PurgeObject {
-        /// The object's number.
+        /// Number of the object, counted from 0.
         object: usize,
     },
     /// The feed states a purge of the group of all objects.
     PurgeGroup,
-    /// The feed is unreachable; its connections stay open and silent.
+    /// The feed is unreachable; its connections stay open without traffic.
     FeedSilent {
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
     /// The feed's connections are reset.
     FeedReset,
-    /// A client resets its connection with requests open.
+    /// A client resets its connection while requests are open.
     ClientGone {
-        /// The client.
+        /// The affected client.
         client: ClientId,
     },
-    /// A client closes its connection with requests open.
+    /// A client closes its connection while requests are open.
     ClientCloses {
-        /// The client.
+        /// The affected client.
         client: ClientId,
     },
-    /// Connections to a host are established late.
+    /// Connections to a host are established with a delay.
     SlowDials {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// How late, ms.
+        /// Delay of each connection, in ms.
         late_ms: i64,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
     /// A host closes its idle connections.
     ClosesIdle {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
     /// The next answer of a host is sent a second time, some milliseconds later.
     AnswersTwice {
-        /// The host.
+        /// The affected host.
         host: HostId,
     },
-    /// The feed never answers the open polls; their connections stay open.
+    /// The feed never answers the polls that are open now; their connections stay open.
     PollsLost,
-    /// The feed states the whole endpoint list.
+    /// The feed publishes the whole endpoint list.
     WholeList,
-    /// The process gets SIGTERM without a newer one beside it, and is started anew once it has ended.
+    /// The process gets SIGTERM while no newer one is running, and is restarted once it has ended.
     Stop,
-    /// A newer process starts beside this one, which then gets SIGTERM.
+    /// A newer process starts while this one is running, which then gets SIGTERM.
     Upgrade,
-    /// An upgrade whose newer process is killed.
+    /// A newer process starts as in an upgrade, and is killed.
     UpgradeDies {
-        /// How long after the newer process started, ms.
+        /// Time from the start of the newer process until it is killed, in ms.
         ms: i64,
     },
-    /// The process is killed and started anew.
+    /// The process is killed and restarted.
     Crash,
-    /// The wall clock of the processes' machine is stepped.
+    /// The wall clock of the machine on which the edge proxy runs is stepped.
     ClockStep {
-        /// By how much; negative: back.
+        /// Size of the step, in ms; negative for a step back.
         ms: i64,
     },
-    /// Connections are gone before they are accepted, and accepting them fails.
+    /// Connections fail before they are accepted, so that accepting them fails.
     AcceptFails {
-        /// The error of accept.
+        /// Error of the accept call.
         error: SystemError,
-        /// The number of connections.
+        /// Number of connections that fail.
         times: usize,
     },
-    /// No descriptors are left: accepting and connecting fail.
+    /// No descriptors are left, so that accepting and connecting fail.
     Exhausted {
-        /// The error of both calls.
+        /// Error of both calls.
         error: SystemError,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
     /// Connecting to a host fails.
     ConnectFails {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// The error.
+        /// The error that is reported.
         error: SystemError,
-        /// Whether the call fails, or the connection that it began.
+        /// Whether the connect call itself fails; otherwise the connection that it began fails.
         at_once: bool,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
-    /// All connections of a host fail with an error that is no reset.
+    /// All connections of a host fail with an error other than a reset.
     LinksFail {
-        /// The host.
+        /// The affected host.
         host: HostId,
-        /// The error.
+        /// The error that is reported.
         error: SystemError,
     },
     /// Reads and writes transfer few bytes at a time.
     ShortIo {
-        /// The most bytes of a call.
+        /// Maximum number of bytes of a call.
         bytes: usize,
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
     /// Every other system call is interrupted by a signal.
     Interrupted {
-        /// How long.
+        /// How long, in ms.
         ms: i64,
     },
 }
--- a/src/standin/faults/plan.rs
+++ b/src/standin/faults/plan.rs
@@ -1,32 +1,33 @@
-//! The size of a run and what may go wrong in it.
+//! The size of a run and the weights of its faults.
 
 use super::host_faults::{HOST_FAULTS, NON_HOST_FAULTS};
 use super::system_faults::SYSTEM_FAULTS;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Position};
 
-/// The largest weight of a kind.
+/// Maximum weight of a kind of fault.
 const MAX_WEIGHT: f64 = 1000.0;
 
-/// A run's size and what may go wrong in it.
+/// The size of a run and which faults are drawn in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunPlan {
-    /// Table caches at the one point.
+    /// Number of table caches at the only point.
     pub caches: usize,
-    /// Parents at its hub.
+    /// Number of parents at its hub.
     pub parents: usize,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// Requests.
+    /// Total number of requests of all clients.
     pub requests: usize,
-    /// Objects that are requested.
+    /// Number of different objects that are requested.
     pub objects: usize,
-    /// How long requests come, ms.
+    /// How long requests are sent, in ms. The key in a faults file is `ms`.
     pub duration_ms: i64,
-    /// The most faults.
+    /// Maximum number of host faults; up to a third as many system faults, rounded up, are drawn in addition.
+    /// The key in a faults file is `faults`.
     pub max_faults: usize,
-    /// How often each kind of fault is drawn, in the order of the kinds.
+    /// Weights with which the kinds of host faults are drawn, in the order of `HOST_FAULTS`.
     pub host_weights: Vec<f64>,
-    /// The same of the faults of the processes' own machine.
+    /// Weights of the kinds of system faults, in the order of `SYSTEM_FAULTS`.
     pub system_weights: Vec<f64>,
 }
 
@@ -47,18 +48,19 @@
 }
 
 impl RunPlan {
-    /// Reads a faults file: one `sim` block with `caches`, `parents`, `clients`, `requests`, `objects`, `ms`, `faults`,
-    /// and one `weights` block within it, whose keys are the kinds of faults.
+    /// Reads a faults file: one `sim` block with `caches`, `parents`, `clients`, `requests`, `objects`, `ms`,
+    /// `faults`, and one `weights` block within it, whose keys are the kinds of faults.
     ///
     /// # Errors
     ///
-    /// Text that is not HCL, an unknown key, a value out of its range; with line and column.
+    /// The text is not HCL, a key is unknown, or a value is out of its range. The error states line and
+    /// column.
     pub fn parse(doc: HclDocument<'_>) -> Result<Self, HclError> {
         let body = doc.parse()?;
         let mut reader = doc.reader(&body);
         let block = reader.block("sim")?;
         let start = Position { line: 1, column: 1 };
-        let block = block.ok_or_else(|| doc.error(start, "no sim block"))?;
+        let block = block.ok_or_else(|| doc.error(start, "the file has no sim block"))?;
         reader.finish()?;
         let mut reader = doc.reader(&block.body);
         let mut plan = RunPlan::read_sizes(&mut reader)?;
@@ -69,7 +71,7 @@
         }
         reader.finish()?;
         if plan.max_faults > 0 && plan.host_weights.iter().chain(&plan.system_weights).sum::<f64>() <= 0.0 {
-            return Err(doc.error(start, "all kinds of faults have weight 0"));
+            return Err(doc.error(start, "all kinds of faults have weight 0, but faults is greater than 0"));
         }
         Ok(plan)
     }
@@ -104,8 +106,8 @@
         Ok(())
     }
 
-    /// The same plan with faults of hosts alone, and what the feed states of them: none of the feed's connections, of
-    /// clients, processes and their machine.
+    /// Returns the plan with faults of hosts and events of the feed about hosts only. Faults of the feed's
+    /// connections, of clients, of processes and of their machine are left out.
     pub fn only_host_faults(mut self) -> Self {
         for (kind, weight) in HOST_FAULTS.iter().zip(&mut self.host_weights) {
             if NON_HOST_FAULTS.contains(&kind.name) {
@@ -115,7 +117,8 @@
         self.without_system_faults()
     }
 
-    /// The same plan without the faults of the processes' own machine.
+    /// Returns the plan without system faults, which are the faults of the machine on which the edge proxy
+    /// runs.
     pub fn without_system_faults(mut self) -> Self {
         self.system_weights.fill(0.0);
         self
--- a/src/standin/faults/script.rs
+++ b/src/standin/faults/script.rs
@@ -1,5 +1,5 @@
-//! Draws the script of a seed. Each kind of randomness has a stream of its own, so that the traffic of a seed stays the
-//! same whatever is left out of its script.
+//! Draws the faults of a seed. Each kind of randomness has its own random stream, so that the traffic of a
+//! seed stays the same when some of its faults are left out.
 
 use super::host_faults::{HostFaultDraw, HOST_FAULTS};
 use super::system_faults::{SystemFaultDraw, SYSTEM_FAULTS};
@@ -7,19 +7,19 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The random streams of a seed's script.
+/// Numbers of the random streams of a seed's faults; other streams are used for traffic and order of events.
 const HOST_FAULT_STREAM: u64 = 1;
 const SYSTEM_FAULT_STREAM: u64 = 4;
 
-/// There is at most one system fault for so many others.
+/// The maximum number of system faults is that of host faults divided by this number, rounded up.
 const OTHERS_PER_SYSTEM_FAULT: usize = 3;
 
-/// Faults begin at whole tenths of a second, so that they meet each other and the deadlines more often than chance
-/// would.
+/// Faults begin at multiples of this time, so that they coincide with each other and with deadlines more
+/// often than at random times.
 const TIME_STEP_MS: i64 = 100;
 
 impl RunPlan {
-    /// The faults of a seed, in the order of their times.
+    /// Returns the faults of a seed, in the order of their times.
     pub fn script(&self, seed: u64) -> Vec<Fault> {
         let mut faults = self.draw_host_faults(&mut random_stream(seed, HOST_FAULT_STREAM));
         faults.extend(self.draw_system_faults(&mut random_stream(seed, SYSTEM_FAULT_STREAM)));
@@ -69,7 +69,7 @@
     random
 }
 
-/// Draws an index into a list of weights.
+/// Draws an index of a list, with probabilities proportional to the weights.
 fn draw_weighted(weights: &[f64], random: &mut ChaCha8Rng) -> usize {
     let mut left = random.random_range(0.0..weights.iter().sum());
     let drawn = weights.iter().position(|weight| {
--- a/src/standin/faults/system_error.rs
+++ b/src/standin/faults/system_error.rs
@@ -1,12 +1,12 @@
-//! The errors of system calls that are played as faults.
+//! The errors of system calls that are injected as faults.
 
 use rustix::io::Errno;
 use serde::Serialize;
 
-/// An error of a system call, by its name in Linux.
+/// An error of a system call, named as in Linux.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the variants are the names of the errors in Linux
 pub enum SystemError {
     Econnaborted,
     Eproto,
@@ -20,20 +20,20 @@
 }
 
 impl SystemError {
-    /// Errors of accept, for a connection that failed before it was accepted.
+    /// Errors of the accept call for a connection that failed before it was accepted.
     pub const OF_ACCEPT: [SystemError; 4] =
         [SystemError::Econnaborted, SystemError::Eproto, SystemError::Ehostunreach, SystemError::Etimedout];
-    /// Errors of every call that needs a descriptor, when none are left.
+    /// Errors of every call that needs a descriptor, if none are left.
     pub const OF_EXHAUSTION: [SystemError; 3] =
         [SystemError::Enfile, SystemError::Emfile, SystemError::Enobufs];
-    /// Errors of the call that connects.
+    /// Errors of the connect call.
     pub const OF_CONNECT: [SystemError; 3] =
         [SystemError::Enobufs, SystemError::Eaddrnotavail, SystemError::Enetunreach];
-    /// Errors of a connection that is not established, or breaks.
+    /// Errors of a connection that can't be established, or that fails later.
     pub const OF_CONNECTION: [SystemError; 3] =
         [SystemError::Etimedout, SystemError::Ehostunreach, SystemError::Enetunreach];
 
-    /// Its number in the system.
+    /// Returns the error number of the system.
     pub fn errno(self) -> Errno {
         match self {
             SystemError::Econnaborted => Errno::CONNABORTED,
--- a/src/standin/faults/system_faults.rs
+++ b/src/standin/faults/system_faults.rs
@@ -1,6 +1,6 @@
-//! The faults of the processes' own machine, its clock and its system calls: their names in a faults file, default
-//! weights, and how each is drawn. They have a random stream of their own, so that the other faults stay the same
-//! whatever these weigh.
+//! The faults of the machine on which the edge proxy runs, its clock and its system calls: their names in a
+//! faults file, their default weights and how each is drawn. They have their own random stream, so that their
+//! weights do not change the other faults.
 
 use super::system_error::SystemError;
 use super::{FaultKind, RunPlan};
@@ -8,14 +8,14 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// The longer steps of the wall clock, ms.
+/// Size of the longer steps of the wall clock, in ms.
 pub(super) const HOUR_MS: i64 = 3_600_000;
 
-/// A kind of fault.
+/// A kind of system fault.
 pub(super) struct SystemFault {
-    /// Its name in a faults file.
+    /// Name in a faults file.
     pub(super) name: &'static str,
-    /// How often it is drawn where the file does not say.
+    /// Weight if the file states none.
     pub(super) weight: f64,
     draw: fn(&mut SystemFaultDraw<'_>) -> FaultKind,
 }
@@ -28,7 +28,8 @@
     SystemFault { name, weight, draw }
 }
 
-/// What every fault draws, needed or not, and the source of what only some need.
+/// The random values that are drawn for every fault, whether it needs them or not, and the source of the
+/// values that only some faults need.
 pub(super) struct SystemFaultDraw<'a> {
     random: &'a mut ChaCha8Rng,
     accept_error: SystemError,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Draws the rest of a fault of this kind.
+    /// Returns a fault of this kind, after drawing the values that only this kind needs.
     pub(super) fn draw(mut self, kind: &SystemFault) -> FaultKind {
         (kind.draw)(&mut self)
     }
@@ -77,7 +78,7 @@
     errors[random.random_range(0..errors.len())]
 }
 
-/// All kinds, in the order of a plan's weights.
+/// All kinds of system faults, in the order of [`RunPlan::system_weights`].
 pub(super) const SYSTEM_FAULTS: [SystemFault; 7] = [
     kind("clock_step", 2.0, |draw| draw.clock_step()),
     kind("accept_fails", 1.0, |draw| {
--- a/src/standin/faults/tests.rs
+++ b/src/standin/faults/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `faults`.
+//! Tests of which faults a seed and a faults file produce.
 
 use super::host_faults::HOST_FAULTS;
 use super::system_faults::{HOUR_MS, SYSTEM_FAULTS};
@@ -50,7 +50,8 @@
     let all = host_faults.chain(SYSTEM_FAULTS.iter().map(|kind| kind.name));
     let all = all.filter(|name| *name != "crash");
     let zeros: String = all.map(|name| format!("  {name} = 0\n")).collect();
-    let only = read(&format!("sim {{\n faults = 20\n weights {{\n{zeros} }}\n}}")).expect("usable");
+    let only = read(&format!("sim {{\n faults = 20\n weights {{\n{zeros} }}\n}}"))
+        .expect("the faults file is valid");
     let drawn: Vec<Fault> = (0..20).flat_map(|seed| only.script(seed)).collect();
     assert!(drawn.len() > 50 && drawn.iter().all(|fault| fault.kind == FaultKind::Crash));
     let hosts = RunPlan::default().only_host_faults();
@@ -68,7 +69,7 @@
             "sim {\n weights {\n  sillent = 1\n }\n}",
             "f.hcl:3:3: no key \"sillent\"; did you mean \"silent\"?",
         ),
-        ("", "f.hcl:1:1: no sim block"),
+        ("", "f.hcl:1:1: the file has no sim block"),
     ] {
         assert_eq!(read(text), Err(wanted.to_owned()));
     }
--- a/src/standin/feed.rs
+++ b/src/standin/feed.rs
@@ -1,4 +1,5 @@
-//! A stand-in control feed on loopback: numbered events, read by long polls as the platform's protocol page says.
+//! A stand-in control feed on loopback. Its events are numbered and read by long polls, in the protocol of
+//! the platform's control feed.
 
 use serde_json::{json, Value};
 use std::io::{self, BufRead, BufReader, Write};
@@ -7,26 +8,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that a poll waits for an event.
+/// Maximum time that a poll waits for an event, in ms.
 const MAX_WAIT_MS: u64 = 5000;
 
-/// What the feed knows and how it behaves.
 #[derive(Default)]
 struct FeedState {
     events: Vec<Value>,
-    /// No poll is answered, whatever events there are.
+    /// Whether no poll is answered, even when there are new events.
     silent: bool,
     polls: u64,
 }
 
-/// A control feed; clones share their events.
+/// A stand-in control feed. Clones share their state.
 #[derive(Clone, Default)]
 pub struct StandInFeed(Arc<SharedState>);
 
 #[derive(Default)]
 struct SharedState {
     state: Mutex<FeedState>,
-    /// Notified at every event and every change of `silent`.
+    /// Notified when an event is published and when `silent` is set.
     changed: Condvar,
 }
 
@@ -35,7 +35,7 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes an event, given without its number; returns the number.
+    /// Assigns the next number to an event and publishes it; returns the number.
     pub fn publish(&self, mut event: Value) -> u64 {
         let mut state = self.state();
         let number = state.events.len() as u64 + 1;
@@ -45,34 +45,34 @@
         number
     }
 
-    /// Publishes a server's entry in the endpoint list with another `health`; returns the event's number.
+    /// Publishes a server's entry of the endpoint list with the given `health`; returns the event's number.
     pub fn publish_health(&self, entry: &Value, health: &str) -> u64 {
         let mut entry = entry.clone();
         entry["health"] = health.into();
         self.publish(json!({"members": {"seq": 0, "whole": false, "hosts": [entry]}}))
     }
 
-    /// Stops answering polls, or answers them again.
+    /// Sets whether polls stay unanswered.
     pub fn set_silent(&self, silent: bool) {
         self.state().silent = silent;
         self.0.changed.notify_all();
     }
 
-    /// All events so far, in the form of the configuration's `known`.
+    /// Returns all events so far in the form of the configuration's `known`.
     pub fn initial_events(&self) -> Value {
         events_body(&self.state().events, 0)
     }
 
-    /// The number of polls received.
+    /// Returns the number of polls received so far.
     pub fn polls(&self) -> u64 {
         self.state().polls
     }
 
-    /// Serves on a free port, in threads of its own that end with the process.
+    /// Serves the feed on a free loopback port, in threads that run until the process ends.
     ///
     /// # Errors
     ///
-    /// No port is free.
+    /// The listener can't be opened, for instance if no port is free.
     pub fn serve(&self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -97,7 +97,8 @@
         Ok(())
     }
 
-    /// Waits for events that a poll has not seen, or for its end; returns the poll's answer.
+    /// Waits until there are events that the caller does not have, or until the poll's waiting time is over.
+    /// Returns the body of the answer.
     fn wait_for_events(&self, poll: &PollRequest) -> Value {
         let until = Instant::now() + poll.wait;
         let mut state = self.state();
@@ -111,7 +112,7 @@
     }
 }
 
-/// Reads the head of a request and returns its path; `None`: the connection has ended.
+/// Reads the head of a request and returns its path; `None` if the connection has ended.
 fn read_request_path(reader: &mut impl BufRead) -> io::Result<Option<String>> {
     let mut request_line: Option<String> = None;
     loop {
@@ -127,17 +128,17 @@
     }
 }
 
-/// A long poll for events.
+/// The parameters of a long poll for events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest {
-    /// The number of the last event that the caller has.
+    /// Number of the last event that the caller has; 0 if it has none.
     pub after: usize,
-    /// How long to wait for a newer one.
+    /// How long to wait for a newer event, at most 5 s.
     pub wait: Duration,
 }
 
 impl PollRequest {
-    /// Reads the path of a poll; what its query lacks is 0.
+    /// Parses the path of a poll. A parameter that is missing in its query is 0.
     pub fn parse(path: &str) -> Self {
         PollRequest {
             after: query_number(path, "SUB") as usize,
@@ -146,13 +147,13 @@
     }
 }
 
-/// A number in the query of a path; 0, where it has none of that name.
+/// Returns the value of a numeric parameter in the query of a path; 0 if there is none of that name.
 fn query_number(path: &str, name: &str) -> u64 {
     let pairs = path.split(['?', '&']).filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok()).unwrap_or(0)
 }
 
-/// The events after the first `after`, as a poll is answered.
+/// Returns the answer to a poll: all events after the first `after`.
 fn events_body(events: &[Value], after: usize) -> Value {
     json!({"n": events.len(), "events": events[after..]})
 }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -1,4 +1,5 @@
-//! The hosts of a point as one hierarchy: who answers from a copy, who fills a miss, and what the answer says.
+//! The hosts of a point as one hierarchy: which host answers from a cached copy, which one fills a miss, and
+//! what the answers state.
 
 use super::host::{Host, Tier};
 use super::ids::HostId;
@@ -6,18 +7,19 @@
 use crate::interface::{Instant, Span};
 use std::ops::{Index, IndexMut};
 
-/// How long before its answer the origin has handed out a copy.
+/// Age of a copy when the origin's answer is made.
 const ORIGIN_COPY_AGE: Span = Span::from_millis(1);
 
-/// Says whether a host's process runs and can be reached.
+/// Returns whether a host's process is running and can be reached.
 pub type IsReachable<'a> = &'a dyn Fn(&Fleet, HostId) -> bool;
 
-/// The hosts of a point: its caches, the parents of its hub, and last the origin.
+/// The hosts that serve a point: its caches, the parents of its hub and the origin.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// In the order of their ids.
+    /// The hosts in the order of their ids, with the origin last.
     pub hosts: Vec<Host>,
-    /// Answers state only how a served request came about.
+    /// Whether answers state only whether a served request was a hit or a fill. The status of failed
+    /// requests, waiting times and the source of a fill are then left out.
     pub served_status_only: bool,
 }
 
@@ -36,12 +38,13 @@
 }
 
 impl Fleet {
-    /// The host of a name.
+    /// Returns the host with this name in the endpoint list.
     pub fn find(&self, name: &str) -> Option<HostId> {
         self.hosts.iter().position(|host| host.name == name).map(HostId)
     }
 
-    /// The host that a request names as its fill source.
+    /// Returns the fill source of a request; `None` if the request names none, or one that is not in the
+    /// fleet.
     pub fn source(&self, request: &FetchRequest) -> Option<HostId> {
         request.source.as_ref().and_then(|name| self.find(name))
     }
@@ -50,7 +53,7 @@
         HostId(self.hosts.len() - 1)
     }
 
-    /// What a host answers now. Copies that a fill makes are cached.
+    /// Returns the answer of a host to a request, and caches the copies that a fill makes.
     pub fn answer(
         &mut self,
         host: HostId,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// A cache's miss, filled by a source that answers.
+    /// Returns a cache's answer to a miss whose source is reachable and does not fail.
     fn fill(
         &mut self,
         host: HostId,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// A miss that the origin fills; the hosts on the way keep copies.
+    /// Returns the answer to a miss that the origin fills. The hosts in `through` cache copies.
     fn fill_from_origin(
         &mut self,
         through: &[HostId],
@@ -157,7 +160,8 @@
     }
 }
 
-/// An answer's fields where notes state only how a served request came about: failures and waits are left out.
+/// Reduces the fields of an answer to those that it has with [`Fleet::served_status_only`]: removes the
+/// status of failures and the waiting time, and states a fill by the origin as a fill.
 fn keep_served_status(fields: &str) -> String {
     let kept = fields.split(',').filter_map(|field| match field {
         "tell=pulled_far" => Some("tell=pulled"),
@@ -172,7 +176,8 @@
     HostAnswer { status, fields: format!("tell={note},waited=0"), body: Vec::new() }
 }
 
-/// An answer with a copy: its bytes say what it is and when the origin handed it out.
+/// Returns an answer with a copy. Its body states the object, the part and when the origin handed the copy
+/// out.
 fn answer_with_copy(note: &str, request: &FetchRequest, handed_out: Instant) -> HostAnswer {
     let handed_out_us = handed_out.as_micros();
     let handed_out_ms = handed_out_us / 1000;
@@ -183,7 +188,8 @@
     HostAnswer { status: "200", fields, body }
 }
 
-/// The bytes behind a copy's text; objects differ in size.
+/// Returns the number of padding bytes after a copy's text. It depends on the object, so that objects differ
+/// in size.
 fn padding(object: &str) -> usize {
     const MIN_BYTES: usize = 100;
     const RANGE_BYTES: u64 = 20_000;
--- a/src/standin/fleet/tests.rs
+++ b/src/standin/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fleet`.
+//! Tests of the answers of a fleet of stand-in hosts.
 
 use super::super::line_protocol::Item;
 use super::*;
--- a/src/standin/host.rs
+++ b/src/standin/host.rs
@@ -1,4 +1,4 @@
-//! One stand-in host: its copies, its open requests, and the faults that it shows.
+//! The state of one stand-in host: its cached copies, open requests and injected faults.
 
 use super::ids::{ConnectionId, HostId};
 use super::line_protocol::{FetchRequest, Item};
@@ -18,7 +18,7 @@
 }
 
 impl Tier {
-    /// The tier of a host in a fleet of so many caches and parents.
+    /// Returns the tier of a host in a fleet with this number of caches and parents.
     pub fn of(host: HostId, caches: usize, parents: usize) -> Self {
         match host.0 {
             number if number < caches => Tier::Cache,
@@ -28,59 +28,60 @@
     }
 }
 
-/// Multiplies a host's service times for a while.
+/// A temporary increase of a host's service times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slowdown {
-    /// How many times as long requests take.
+    /// Factor by which service times are multiplied; 1 leaves them unchanged.
     pub factor: i64,
-    /// When it ends.
+    /// When the slowdown ends.
     pub until: Instant,
 }
 
-/// Received bytes that are no complete line yet.
+/// Received bytes that do not form a complete line yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartialInput {
-    /// The bytes.
+    /// The bytes, in the order in which they were received.
     pub bytes: Vec<u8>,
-    /// When the first of them was sent.
+    /// When the first of the bytes was sent.
     pub first_sent: Instant,
 }
 
 /// A stand-in cache, parent or origin.
 #[derive(Debug)]
 pub struct Host {
-    /// Full-pace answers that its link bears, whatever the endpoint list states.
+    /// Number of transfers at top speed that the host's network link carries at once, whatever weight the
+    /// endpoint list states.
     pub capacity: f64,
-    /// Its name in the endpoint list.
+    /// Name in the endpoint list.
     pub name: String,
-    /// Its tier.
+    /// Place in the hierarchy, which decides how a miss is filled.
     pub tier: Tier,
-    /// Its entry in the endpoint list.
+    /// Entry in the endpoint list.
     pub entry: Value,
-    /// When the origin handed out each cached copy.
+    /// Cached copies, with the time at which the origin handed out each.
     pub copies: BTreeMap<Item, Instant>,
-    /// Unread input by connection.
+    /// Incomplete input of each open connection. Only the simulator fills it.
     pub partial_inputs: BTreeMap<ConnectionId, PartialInput>,
-    /// Open requests, by connection and id.
+    /// Requests that have not been answered yet, by connection and request id.
     pub open_requests: BTreeMap<(ConnectionId, String), FetchRequest>,
-    /// Requests take longer for a while.
+    /// Latest increase of service times; has no effect once it has ended.
     pub slowdown: Slowdown,
-    /// Every answer is an error until then.
+    /// Every request is answered with an error until this time.
     pub fails_until: Instant,
-    /// The next answer can't be read.
+    /// Whether the next answer is replaced by bytes that can't be parsed.
     pub garbles_next_answer: bool,
-    /// The next answer comes twice.
+    /// Whether the next answer is sent twice.
     pub repeats_next_answer: bool,
-    /// Its process is not running.
+    /// Whether the host's process is not running.
     pub dead: bool,
-    /// Its last start, if that was within this run.
+    /// Last start of the process; `None` if it has been running since before the run.
     pub started: Option<Instant>,
-    /// When it received requests of late while it was warming up.
+    /// Times of recently received requests while the host was warming up.
     pub warm_up_requests: Vec<Instant>,
 }
 
 impl Host {
-    /// A host that has been up since before the run.
+    /// Returns a host that has been running since before the run, without cached copies.
     pub fn new(tier: Tier, entry: Value) -> Self {
         Host {
             capacity: entry["share"].as_f64().unwrap_or(1.0),
@@ -100,24 +101,26 @@
         }
     }
 
-    /// When the origin handed out the cached copy that answers a request, if there is one.
+    /// Returns when the origin handed out the cached copy that may answer a request; `None` if there is no
+    /// copy, or only one older than the request allows.
     pub fn usable_copy(&self, request: &FetchRequest, now: Instant) -> Option<Instant> {
         let handed_out = *self.copies.get(&request.item)?;
         let is_fresh = request.max_age == Span::ZERO || now - handed_out <= request.max_age;
         is_fresh.then_some(handed_out)
     }
 
-    /// Whether a request needs another host: it writes, or no cached copy answers it.
+    /// Whether another host is needed to answer a request, since it is a write or no cached copy may answer
+    /// it.
     pub fn needs_source(&self, request: &FetchRequest, now: Instant) -> bool {
         request.is_write() || self.usable_copy(request, now).is_none()
     }
 
-    /// Whether it answers everything with an error.
+    /// Whether every request is answered with an error now.
     pub fn fails(&self, now: Instant) -> bool {
         self.fails_until > now
     }
 
-    /// How long a request takes that usually takes this long.
+    /// Returns the service time of a request that takes `normal` without a slowdown.
     pub fn service_time(&self, normal: Span, now: Instant) -> Span {
         if self.slowdown.until > now {
             normal * self.slowdown.factor
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Starts the process anew: its entry states the start in milliseconds of Unix time.
+    /// Restarts the process and sets `born_ms` in the host's entry to the time of the start.
     pub fn restart(&mut self, now: Instant) {
         self.dead = false;
         self.started = Some(now);
@@ -135,7 +138,7 @@
     }
 }
 
-/// What a clock of Unix time reads at an instant, in milliseconds.
+/// Returns an instant as Unix time in milliseconds.
 pub fn unix_ms(at: Instant) -> i64 {
     at.as_micros() / 1000
 }
--- a/src/standin/ids.rs
+++ b/src/standin/ids.rs
@@ -1,9 +1,10 @@
-//! The numbers by which a run names its hosts, clients and connections.
+//! Identifiers of the hosts, clients and connections of a run.
 
 use serde::Serialize;
 use std::fmt;
 
-/// Defines a number of its own type that is printed and serialized as the bare number, as scripts of faults are.
+/// Defines an id type around a number. It is printed and serialized as the bare number, since the faults of a
+/// run are printed and serialized with it.
 macro_rules! define_id_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -26,15 +27,15 @@
 }
 
 define_id_type! {
-    /// A host's number in its fleet: caches first, then parents, then the origin.
+    /// Index of a host in its fleet: caches first, then parents, then the origin.
     HostId
 }
 
 define_id_type! {
-    /// A client's number in its run.
+    /// Index of a client in its run.
     ClientId
 }
 
-/// A connection's number, unique in its run.
+/// Number of a connection, unique within its run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
--- a/src/standin/line_protocol.rs
+++ b/src/standin/line_protocol.rs
@@ -1,85 +1,85 @@
-//! The hosts' end of the line protocol: reads requests, writes answers.
+//! The host side of the line protocol: parses requests and encodes answers.
 
 use crate::interface::Span;
 
 const LINE_END: &[u8] = b"\r\n";
 
-/// An object's part, by which copies are cached.
+/// A part of an object, the unit in which copies are cached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Item {
-    /// The object's id in hex.
+    /// Id of the object, in hex.
     pub object: String,
-    /// The number of the part.
+    /// Number of the part within the object.
     pub part: u32,
 }
 
-/// A request as a host received it.
+/// A request as received by a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FetchRequest {
-    /// The attempt's id, which is the client's trace.
+    /// Id of the attempt, which is the client's trace.
     pub id: String,
-    /// The class.
+    /// Name of the class in the settings.
     pub class: String,
-    /// What is requested.
+    /// Object part that is requested.
     pub item: Item,
-    /// The name of the host that fills a miss.
+    /// Name of the host that fills a miss; `None` if the request names no fill source.
     pub source: Option<String>,
-    /// The oldest copy that may be served; zero: any.
+    /// Maximum age of a copy that may be served; zero means any age.
     pub max_age: Span,
-    /// The rank at which the copy is cached.
+    /// Cache rank at which the copy is stored.
     pub rank: u32,
-    /// The source answers only from its copies.
+    /// Whether the source may answer only from its cached copies.
     pub only_if_cached: bool,
 }
 
 impl FetchRequest {
-    /// Whether the request writes, so that every host passes it on to the origin.
+    /// Whether the request is a write, which every host forwards to the origin.
     pub fn is_write(&self) -> bool {
         self.class == "result"
     }
 }
 
-/// A line that a host received.
+/// A parsed line, as received by a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostLine {
-    /// A request.
+    /// Requests an object part.
     Fetch(FetchRequest),
-    /// Cancels the request of this id.
+    /// Cancels the request with this id.
     Cancel(String),
-    /// Asks for the host's status, under this tag.
+    /// Requests the host's status; the answer carries this tag.
     HealthCheck(String),
 }
 
-/// Why received bytes are no line of the protocol.
+/// Why received bytes are not a valid line of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
     /// The line is not UTF-8.
-    #[error("not UTF-8")]
+    #[error("the line is not UTF-8")]
     NotUtf8,
-    /// The length of a body is no number.
-    #[error("no length: {0}")]
+    /// The length of a body is not a number.
+    #[error("the body length is not a number in line \"{0}\"")]
     Length(String),
     /// No line end follows a body.
-    #[error("no end behind the body: {0}")]
+    #[error("no line end after the body of line \"{0}\"")]
     BodyEnd(String),
-    /// The line is of no known form.
-    #[error("no line of the protocol: {0}")]
+    /// The line starts with an unknown word, or has the wrong number of words.
+    #[error("unknown line \"{0}\"")]
     Unknown(String),
-    /// A numeric field holds something else.
-    #[error("{field} is no number in {fields}")]
+    /// The value of a numeric field is not a number.
+    #[error("field {field} is not a number in \"{fields}\"")]
     Number {
-        /// The field's name.
+        /// Name of the field.
         field: String,
-        /// All fields of the line.
+        /// All fields of the line, as received.
         fields: String,
     },
 }
 
-/// Removes all complete lines, with the bodies behind them, from the received bytes.
+/// Removes all complete lines, with the bodies that follow them, from the received bytes and returns them.
 ///
 /// # Errors
 ///
-/// A line that the protocol does not have.
+/// A line is not valid in the protocol.
 pub fn take_lines(input: &mut Vec<u8>) -> Result<Vec<HostLine>, LineError> {
     let mut lines = Vec::new();
     while let Some(parsed) = parse_line(input)? {
@@ -91,11 +91,11 @@
 
 struct ParsedLine {
     line: HostLine,
-    /// Its bytes on the wire, with line end and body.
+    /// Number of bytes on the wire, including line end and body.
     length: usize,
 }
 
-/// Parses the first line; `None`: it is not complete yet.
+/// Parses the first line; `None` if it is not complete yet.
 fn parse_line(input: &[u8]) -> Result<Option<ParsedLine>, LineError> {
     let Some(end) = input.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
         return Ok(None);
@@ -143,22 +143,22 @@
     Ok(request)
 }
 
-/// What a host answers a request.
+/// The answer of a host to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostAnswer {
-    /// The status, as on the wire.
+    /// Status word, as on the wire.
     pub status: &'static str,
-    /// The fields, as on the wire.
+    /// Comma-separated fields, as on the wire; empty if there are none.
     pub fields: String,
-    /// The body.
+    /// Body, without its line end; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// The answer to a health check.
+/// The answer to every health check; it has no fields.
 pub const HEALTHY: HostAnswer = HostAnswer { status: "status", fields: String::new(), body: Vec::new() };
 
 impl HostAnswer {
-    /// Its bytes on the wire, as the answer to the request of an id.
+    /// Returns the answer's bytes on the wire, for the request or health check with this id.
     pub fn encode(&self, id: &str) -> Vec<u8> {
         let fields = if self.fields.is_empty() { "-" } else { &self.fields };
         let head = format!("{id} {} {fields} {}\r\n", self.status, self.body.len());
@@ -166,13 +166,13 @@
         [head.as_bytes(), &self.body, tail].concat()
     }
 
-    /// Whether it says that the request did not run.
+    /// Whether the status proves that the request was not executed.
     pub fn proves_not_run(&self) -> bool {
         matches!(self.status, "404" | "503" | "504")
     }
 }
 
-/// What a host sends in place of an answer when its answer is garbled.
+/// The bytes that a host sends in place of an answer that is garbled by a fault.
 pub const GARBLED_ANSWER: &[u8] = b"no line of the protocol at all\r\n";
 
 #[cfg(test)]
--- a/src/standin/line_protocol/tests.rs
+++ b/src/standin/line_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `line_protocol`.
+//! Tests of parsing the line protocol.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         let (mut input, mut got) = (Vec::new(), Vec::new());
         for piece in text.chunks(step) {
             input.extend_from_slice(piece);
-            got.extend(take_lines(&mut input).expect("lines"));
+            got.extend(take_lines(&mut input).expect("the lines are valid"));
         }
         let wanted = FetchRequest {
             id: "a1".into(),
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,13 +1,14 @@
-//! Stand-ins for what surrounds the edge proxy: hosts, the control feed, clients and whole sites. The simulator plays
-//! them on a virtual network, the laboratory on loopback sockets; this module knows neither.
+//! Stand-ins for the systems around the edge proxy: hosts, the control feed, clients and whole sites. The
+//! simulator runs them on a virtual network, the laboratory on loopback sockets. This module depends on
+//! neither.
 //!
-//! - [`host`] and [`fleet`]: caches, parents and the origin, and what they answer; [`line_protocol`] is their wire
-//!   form.
-//! - [`ids`]: the numbers of hosts, clients and connections.
+//! - [`host`] and [`fleet`]: caches, parents and the origin, and how they answer requests.
+//! - [`line_protocol`]: the wire protocol of the hosts.
+//! - [`ids`]: identifiers of hosts, clients and connections.
 //! - [`feed`]: a control feed on loopback.
 //! - [`thrift_client`]: a client of the Thrift front.
-//! - [`site`]: configurations of made-up sites.
-//! - [`faults`]: what goes wrong in a run, drawn from a seed.
+//! - [`site`]: generated configurations of sites.
+//! - [`faults`]: the faults of a run, drawn from a seed.
 
 pub mod faults;
 pub mod feed;
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -1,23 +1,24 @@
-//! Made-up sites: a configuration of any size, the same one for the same seed, to try tools on without a platform.
+//! Generates configurations of sites of any size, always the same for the same seed, so that tools can be
+//! tried without a platform.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-/// How large a site is.
+/// The size of a generated site, and the seed of its random parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Points: zones with edge proxies and table caches.
+    /// Number of points, which are zones with edge proxies and table caches.
     pub points: usize,
-    /// Edge proxies in all, dealt to the points in turn.
+    /// Total number of edge proxies, which are assigned to the points in turn.
     pub proxies: usize,
-    /// Table caches in all, dealt to the points in turn.
+    /// Total number of table caches, which are assigned to the points in turn.
     pub caches: usize,
-    /// Hubs: zones with parents, no edge proxies and no caches.
+    /// Number of hubs, which are zones with parents, without edge proxies and caches.
     pub hubs: usize,
-    /// Parents of each hub.
+    /// Number of parents of each hub.
     pub parents: usize,
-    /// The seed of names and weights.
+    /// Seed of the servers' names and weights.
     pub seed: u64,
 }
 
@@ -28,33 +29,33 @@
 }
 
 impl Shape {
-    /// Servers in all: caches, parents and the origin.
+    /// Returns the total number of servers: caches, parents and the origin.
     pub fn servers(&self) -> usize {
         self.caches + self.hubs * self.parents + 1
     }
 
-    /// The names of all zones: points, then hubs.
+    /// Returns the names of all zones: points, then hubs.
     fn zones(&self) -> Vec<String> {
         let points = (0..self.points).map(|number| zone_name(&POINT_NAMES, "point", number));
         let hubs = (0..self.hubs).map(|number| zone_name(&HUB_NAMES, "hub", number));
         points.chain(hubs).collect()
     }
 
-    /// How many edge proxies each zone has.
+    /// Returns the number of edge proxies of each zone.
     fn proxies_by_zone(&self) -> Vec<usize> {
         let at_point = |zone| self.proxies / self.points + usize::from(zone < self.proxies % self.points);
         let zones = 0..self.points + self.hubs;
         zones.map(|zone| if zone < self.points { at_point(zone) } else { 0 }).collect()
     }
 
-    /// The number of each zone's hub; a hub is its own.
+    /// Returns the index of each zone's hub. A hub is its own hub.
     fn hub_by_zone(&self) -> Vec<usize> {
         let zones = 0..self.points + self.hubs;
         zones.map(|zone| if zone < self.points { self.points + zone % self.hubs } else { zone }).collect()
     }
 }
 
-/// The names of the first points and hubs; further ones are numbered.
+/// Names of the first points and hubs. The names of further ones contain their number.
 const POINT_NAMES: [&str; 4] = ["north", "south", "east", "west"];
 const HUB_NAMES: [&str; 3] = ["harbour", "castle", "meadow"];
 
@@ -62,8 +63,8 @@
     names.get(number).map_or_else(|| format!("{word}-{number}"), |name| (*name).to_owned())
 }
 
-/// The configuration of the first edge proxy at the first point, as the platform writes it. `address` returns the
-/// address of each server by its number: caches first, then parents, then the origin.
+/// Returns the configuration of the first edge proxy at the first point, as the platform writes it. `address`
+/// returns the address of a server by its index: caches first, then parents, then the origin.
 pub fn config(shape: &Shape, feed: &str, address: impl Fn(usize) -> String) -> Value {
     let zones = shape.zones();
     let hosts = hosts(shape, &zones, address);
@@ -87,13 +88,13 @@
     })
 }
 
-/// The servers' entries in the endpoint list.
+/// Returns the servers' entries in the endpoint list.
 fn hosts(shape: &Shape, zones: &[String], address: impl Fn(usize) -> String) -> Vec<Value> {
     let Shape { points, caches, hubs, .. } = *shape;
     let parents_end = caches + hubs * shape.parents;
     let mut random = Pcg64Mcg::seed_from_u64(shape.seed);
     let host = |number: usize| {
-        // The platform's names end in the server's number in hex, by which the policy knows it.
+        // A server's name on the platform ends in its number in hex, by which the policy identifies it.
         let id = random.next_u32() >> 4 << 4 | number as u32 & 0xf;
         let (zone, class, weight) = match number {
             n if n < caches => (&zones[n % points], "std", f64::from(2 + random.next_u32() % 3)),
@@ -108,13 +109,14 @@
     (0..shape.servers()).map(host).collect()
 }
 
-/// A class of requests in the settings.
+/// Returns a class of the settings.
 fn class(name: &str, effect: &str, latency_objective_ms: f64, priority_weight: f64) -> Value {
-    json!({"name": name, "effect": effect, "target": latency_objective_ms, "deadline": 3.0 * latency_objective_ms, "points": priority_weight,
+    json!({"name": name, "effect": effect, "target": latency_objective_ms,
+        "deadline": 3.0 * latency_objective_ms, "points": priority_weight,
         "dedup_scope": "all", "window": 5000.0, "aim_stretch": 2.0})
 }
 
-/// The part of the settings about caching and the hierarchy.
+/// Returns the settings of caching and the hierarchy.
 fn domain(shape: &Shape) -> Value {
     json!({"class_grace": [0.0, 0.0, 2000.0, 0.0], "fresh_for": [0.0, 0.0, 3000.0, 0.0],
         "goes_through": [false, false, false, true], "collapses": true,
--- a/src/standin/thrift_client.rs
+++ b/src/standin/thrift_client.rs
@@ -1,10 +1,10 @@
-//! A client of the Thrift front: framed transport, strict binary protocol, as far as it takes to ping, invoke, abort
-//! and tell the kinds of answer apart.
+//! A client of the Thrift front, with framed transport and strict binary protocol. It implements only what is
+//! needed to call `ping`, `invoke` and `abort` and to distinguish the kinds of answer.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Types of fields on the wire.
+/// Field types on the wire.
 mod field_type {
     pub const STOP: u8 = 0;
     pub const BOOL: u8 = 2;
@@ -14,29 +14,30 @@
     pub const MAP: u8 = 13;
 }
 
-/// Protocol version 1 and the type of the message.
+/// First bytes of a message: protocol version 1 and the message type.
 const CALL_HEADER: [u8; 4] = [0x80, 1, 0, 1];
 const REPLY_HEADER: [u8; 4] = [0x80, 1, 0, 2];
 const EXCEPTION_TYPE: u8 = 3;
 const ONEWAY_TYPE: u8 = 4;
-/// The place of the message's type in a frame: behind the frame's length, last of the version's bytes.
+/// Offset of the message type in a frame. It is the last byte of the version, which follows the frame's
+/// length.
 const MESSAGE_TYPE_OFFSET: usize = 7;
-/// The largest answer that is read from a stream.
+/// Maximum size of an answer that is read from a stream; the rest of a longer frame is not read.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The kind of an answer, by the field of the result struct that it sets.
+/// The kind of an answer, determined by the field that is set in the result struct.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// `Answer` of `invoke`, or of `ping`.
+    /// `Answer` of `invoke`, or the result of `ping`.
     Served,
-    /// `Trylater`: rejected, retrying is harmless.
+    /// `Trylater`: the request was rejected, and a retry does no harm.
     Rejected,
-    /// `Aborted`, or an application exception.
+    /// `Aborted`, or an application exception of Thrift.
     Failed,
 }
 
 impl AnswerKind {
-    /// By the number of the result's field.
+    /// Returns the kind by the number of the field that is set in the result struct.
     fn by_field(number: u8) -> Self {
         match number {
             0 => AnswerKind::Served,
@@ -66,12 +67,12 @@
     frame
 }
 
-/// The frame of a `ping`.
+/// Returns the frame of a `ping` call.
 pub fn ping(seqid: i32) -> Vec<u8> {
     message("ping", seqid, &[field_type::BOOL, 0, 1, 0])
 }
 
-/// The frame of an `invoke` with these fields and body.
+/// Returns the frame of an `invoke` call with these fields and body.
 pub fn invoke(seqid: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut arguments = vec![field_type::MAP, 0, 1, field_type::STRING, field_type::STRING];
     put_length(&mut arguments, fields.len());
@@ -84,7 +85,8 @@
     message("invoke", seqid, &arguments)
 }
 
-/// The frame of an `abort` of another message.
+/// Returns the frame of an `abort` call, which cancels the call with the sequence number `aborted_seqid`. It
+/// is a one-way message, which gets no answer.
 pub fn abort(seqid: i32, aborted_seqid: i32) -> Vec<u8> {
     let mut frame =
         message("abort", seqid, &[&[field_type::I32, 0, 1][..], &aborted_seqid.to_be_bytes()].concat());
@@ -92,44 +94,44 @@
     frame
 }
 
-/// A complete answer.
+/// A parsed answer of the Thrift front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The sequence number of its request.
+    /// Sequence number of the request that is answered.
     pub seqid: i32,
-    /// Its kind.
+    /// Whether the request was served, rejected or failed.
     pub kind: AnswerKind,
-    /// The served bytes.
+    /// Served bytes; empty if the answer has none.
     pub body: Vec<u8>,
-    /// Its fields.
+    /// Names and values of the answer's fields, in the order on the wire.
     pub fields: Vec<(String, String)>,
 }
 
-/// Why a frame is no answer of the Thrift front.
+/// Why a frame is not a valid answer of the Thrift front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AnswerError {
     /// A length is negative.
-    #[error("a negative length")]
+    #[error("a length in the answer is negative")]
     NegativeLength,
-    /// The frame ends within a value.
-    #[error("cut off")]
+    /// The frame ends in the middle of a value.
+    #[error("the answer ends in the middle of a value")]
     CutOff,
-    /// The result has no struct.
-    #[error("no struct in the result")]
+    /// The result contains no struct.
+    #[error("the result of the answer contains no struct")]
     NoStruct,
-    /// A field is of a type that answers do not have.
-    #[error("a field of no known type")]
+    /// A field has a type that does not occur in answers.
+    #[error("a field of the answer has an unknown type")]
     FieldType,
     /// A text is not UTF-8.
-    #[error("not UTF-8")]
+    #[error("a text in the answer is not UTF-8")]
     NotUtf8,
 }
 
-/// Removes the next complete answer from the received bytes; `None`: it is not complete yet.
+/// Removes the next answer from the received bytes and returns it; `None` if it is not complete yet.
 ///
 /// # Errors
 ///
-/// The frame is no answer of the Thrift front.
+/// The frame is not a valid answer of the Thrift front.
 pub fn take_answer(input: &mut Vec<u8>) -> Result<Option<Answer>, AnswerError> {
     let Some(length) = input.first_chunk::<4>().map(|length| i32::from_be_bytes(*length)) else {
         return Ok(None);
@@ -142,7 +144,7 @@
     FrameReader(&frame).read_answer().map(Some)
 }
 
-/// Reads a frame from front to back.
+/// Parses a frame from its start; holds the bytes that are not parsed yet.
 struct FrameReader<'a>(&'a [u8]);
 
 impl<'a> FrameReader<'a> {
@@ -160,7 +162,7 @@
         Ok(answer)
     }
 
-    /// Reads one field of the result's struct; `false`: the struct ends.
+    /// Reads one field of the result struct; returns `false` at the end of the struct.
     fn struct_field(&mut self, answer: &mut Answer) -> Result<bool, AnswerError> {
         let kind = self.byte()?;
         if kind == field_type::STOP {
@@ -208,11 +210,11 @@
     }
 }
 
-/// Reads one answer: its sequence number and kind.
+/// Reads one answer from a connection and returns its sequence number and kind.
 ///
 /// # Errors
 ///
-/// The connection ended or broke, or the frame is not an answer.
+/// The connection has ended or failed, or the frame is not a valid answer.
 pub fn read_answer(stream: &mut TcpStream) -> io::Result<(i32, AnswerKind)> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
@@ -231,11 +233,11 @@
     Ok((seqid, kind))
 }
 
-/// Writes a frame.
+/// Writes a frame to a connection.
 ///
 /// # Errors
 ///
-/// The connection broke.
+/// The connection has failed.
 pub fn send(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     stream.write_all(frame)
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many routers at once over modelled links, without the bench: customers of different kinds.
+//! Simulates many routers at once over modelled network links, for sites of different kinds. Does not need
+//! the bench.
 
 use dahliatrack::*;
 use rand::{Rng, SeedableRng};
@@ -9,21 +10,23 @@
 const SECOND: Span = Span::from_secs(1);
 const TICK: Span = Span::from_millis(10);
 
-/// A customer: what its settings tell and allow, and what its site is like.
+/// The settings, network and load of a customer's site.
 #[derive(Clone, Debug)]
 struct Site {
     routers: usize,
     caches: usize,
-    /// What a cache's and the origin's link bear, in full-pace answers.
+    /// Capacity of a cache's network link, in transfers at top speed.
     cache_capacity: f64,
+    /// Capacity of the origin's network link, in transfers at top speed.
     origin_capacity: f64,
-    /// The origin's first byte.
+    /// Time until the first byte from the origin arrives.
     origin_latency: Span,
-    /// Mean sending time by class, us; sizes are drawn about it, `spread` being that of their logarithm.
+    /// Mean transfer time at top speed of the objects of each class, in us.
     mean_transfer_us: Vec<f64>,
+    /// Standard deviation of the logarithm of an object's transfer time.
     size_spread: f64,
     weights_state_links: bool,
-    /// Whether the answers' bytes tell their sending time.
+    /// Whether outcomes of attempts state the transfer time, which follows from the size of the answer.
     reports_transfer_time: bool,
     direct_to_source: bool,
     parallel_attempts: bool,
@@ -31,14 +34,14 @@
     retry_after: bool,
     max_attempts: u32,
     cache_status_detail: CacheStatusDetail,
-    /// The part of requests for objects that nobody has asked for.
+    /// Share of requests that are for objects not requested before.
     new_share: f64,
-    /// Requests a second, all routers together.
+    /// Requests per second of all routers together.
     request_rate: f64,
 }
 
 impl Site {
-    /// The site that the tests start from: its links are half used.
+    /// Returns a site whose network links are half used; the basis for tests with special conditions.
     fn half_loaded() -> Self {
         let mean_transfer_us = vec![300_000.0, 60_000.0];
         let (routers, caches, cache_capacity, new_share) = (20, 6, 8.0, 0.2);
@@ -65,7 +68,7 @@
         }
     }
 
-    /// A customer drawn by seed; each has links that are half used at most.
+    /// Draws a site by seed. Its network links are half used at most.
     fn random(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let classes = [1, 2, 8][random.random_range(0..3)];
@@ -75,7 +78,7 @@
         let (caches, cache_capacity) = (random.random_range(3..12), random.random_range(3.0..20.0));
         let new_share = random.random_range(0.02..0.3);
         let request_rate = random.random_range(0.3..0.5) * caches as f64 * cache_capacity / (mean / 1e6);
-        // Each router sees some requests a second, or it can learn nothing.
+        // Each router must receive several requests per second, otherwise it has too little data to adapt.
         let routers = [1, 4, 25][random.random_range(0..3)].min(1 + (request_rate / 4.0) as usize);
         Site {
             routers,
@@ -174,7 +177,7 @@
     }
 }
 
-/// An attempt's transfer. One whose request has left runs on at the origin.
+/// The transfer of an attempt. It continues at the cache and the origin after the attempt has been abandoned.
 struct Transfer {
     router: usize,
     request: RequestId,
@@ -185,45 +188,59 @@
     started: Instant,
     deadline: Instant,
     from_origin: bool,
+    /// Time until the first byte.
     wait: Span,
+    /// Transfer time at top speed, in us.
     size_us: f64,
+    /// Remaining transfer time at top speed, in us; NaN if there is nothing to transfer because of a miss.
     left_us: f64,
+    /// Whether the attempt was cancelled or timed out.
     abandoned: bool,
 }
 
 struct Simulation {
     site: Site,
-    /// The plainest policy in place of the module: an object's home by hash, filled by the origin, one attempt.
+    /// Whether the simplest policy replaces the routers: one attempt at the object's home cache, which is
+    /// chosen by hash and filled by the origin.
     plain_policy: bool,
     routers: Vec<Router>,
     random: ChaCha8Rng,
     now: Instant,
-    next_id: u64,
+    /// Last number given to a request, an object or a timer.
+    last_id: u64,
+    /// Class and number of the objects that were requested first most recently.
     recent_objects: VecDeque<(usize, u64)>,
+    /// Cached copies: the server and the object.
     cached: BTreeSet<(ServerId, u64)>,
     transfers: Vec<Transfer>,
+    /// Number of attempts so far, by router and request.
     attempt_counts: BTreeMap<(usize, RequestId), u8>,
-    /// By request: its class, object, arrival and sending time.
+    /// Class, object, arrival time and transfer time in us of each open request.
     open_requests: BTreeMap<RequestId, (usize, u64, Instant, f64)>,
+    /// Router of each pending timer, by the time when it is due and the timer's number.
     timers: BTreeMap<(Instant, u64), usize>,
-    /// The origin is so many times slower now.
+    /// Factor by which the origin is slower now.
     origin_slowdown: f64,
-    /// Requests over, those in time, and refusals by cause.
+    /// Number of requests that ended since the current run began.
     ended: usize,
+    /// Number of those that were served within their latency limit.
     in_time: usize,
+    /// Number of rejections by reason.
     rejected: BTreeMap<RejectionReason, usize>,
 }
 
 impl Simulation {
     fn new(site: &Site, seed: u64) -> Self {
-        let new = |n: usize| Router::new(site.settings(n), seed + n as u64, Instant::ZERO).expect("usable");
+        let new = |n: usize| {
+            Router::new(site.settings(n), seed + n as u64, Instant::ZERO).expect("the settings are valid")
+        };
         let mut sim = Simulation {
             site: site.clone(),
             plain_policy: false,
             routers: (0..site.routers).map(new).collect(),
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Instant::ZERO,
-            next_id: 1,
+            last_id: 1,
             recent_objects: VecDeque::new(),
             cached: BTreeSet::new(),
             transfers: Vec::new(),
@@ -260,7 +277,9 @@
         for action in actions {
             match action {
                 Action::SendWithFill(fill) => self.start_transfer(router, fill),
-                Action::SendCacheOnly { .. } => panic!("the module does not send without a source"),
+                Action::SendCacheOnly { .. } => {
+                    panic!("a router must not send an attempt without a fill source")
+                }
                 Action::Reject { request, reason, .. } => {
                     *self.rejected.entry(reason).or_default() += 1;
                     self.end_request(request, false);
@@ -285,8 +304,8 @@
                     );
                 }
                 Action::Timer { after, .. } => {
-                    self.next_id += 1;
-                    self.timers.insert((self.now + after, self.next_id), router);
+                    self.last_id += 1;
+                    self.timers.insert((self.now + after, self.last_id), router);
                 }
                 _ => {}
             }
@@ -305,7 +324,7 @@
         let attempt = std::mem::replace(number, *number + 1);
         let Some(&(class, object, _, transfer_us)) = self.open_requests.get(&fill.request) else { return };
         let is_uncached = !self.cached.contains(&(fill.server, object));
-        // A sibling gives what it holds, over its own link, which is not modelled.
+        // A sibling cache serves copies that it has over its own network link, which is not modelled.
         let sibling = fill.source != ServerId(99);
         let is_miss = is_uncached
             && (fill.only_if_cached || (sibling && !self.cached.contains(&(fill.source, object))));
@@ -376,7 +395,8 @@
         self.handle(router, Event::AttemptEnded(outcome));
     }
 
-    /// Moves all transfers on by a tick and tells how those ended that are over.
+    /// Advances time and all transfers by one tick, and reports the outcomes of transfers that ended or timed
+    /// out.
     fn step(&mut self) {
         self.now += TICK;
         let due: Vec<_> =
@@ -440,7 +460,8 @@
         }
     }
 
-    /// Plays on for a span; gives the parts of the requests that ended in it which were in time, and were refused.
+    /// Runs the simulation for a time. Returns the shares of served-in-time and of rejected requests among
+    /// those that ended meanwhile.
     fn run(&mut self, span: Span) -> (f64, f64) {
         (self.ended, self.in_time) = (0, 0);
         self.rejected.clear();
@@ -457,7 +478,8 @@
         (self.in_time as f64 / self.ended.max(1) as f64, rejected as f64 / self.ended.max(1) as f64)
     }
 
-    /// Fills the caches by an origin that bears all, and lets what that taught settle.
+    /// Fills the caches from an origin with ample capacity, then runs at normal speed so that the routers
+    /// adapt to it.
     fn warm_up(&mut self) {
         self.origin_slowdown = 0.02;
         self.run(4 * SECOND);
@@ -466,16 +488,16 @@
     }
 
     fn send_request(&mut self) {
-        self.next_id += 1;
+        self.last_id += 1;
         let is_known =
             !self.recent_objects.is_empty() && self.random.random_range(0.0..1.0) > self.site.new_share;
         let (class, object) = match is_known {
-            // Squared: a few objects are asked for again and again.
+            // The random number is squared so that a few objects are requested much more often than others.
             true => {
                 let position = self.random.random_range(0.0..1.0_f64).powi(2);
                 self.recent_objects[(position * self.recent_objects.len() as f64) as usize]
             }
-            false => (self.random.random_range(0..self.site.mean_transfer_us.len()), self.next_id),
+            false => (self.random.random_range(0..self.site.mean_transfer_us.len()), self.last_id),
         };
         if !is_known {
             self.recent_objects.push_back((class, object));
@@ -483,12 +505,12 @@
                 self.recent_objects.pop_front();
             }
         }
-        // An object has its size.
+        // The size depends only on the object, so it is drawn with the object's number as seed.
         let mut object_random = ChaCha8Rng::seed_from_u64(object);
         let normal: f64 = (0..12).map(|_| object_random.random_range(0.0..1.0)).sum::<f64>() - 6.0;
         let spread = self.site.size_spread;
         let transfer_us = self.site.mean_transfer_us[class] * (spread * normal - spread * spread / 2.0).exp();
-        let (id, router) = (RequestId(self.next_id), self.random.random_range(0..self.site.routers));
+        let (id, router) = (RequestId(self.last_id), self.random.random_range(0..self.site.routers));
         self.open_requests.insert(id, (class, object, self.now, transfer_us.clamp(2000.0, 1.5e6)));
         let request = Request {
             id,
@@ -527,8 +549,8 @@
     }
 }
 
-/// Links are half used at most and nothing fails: the module serves what the plainest policy does, and refuses near
-/// nothing.
+/// With links that are half used at most and no failures, the routers must serve about as many requests in
+/// time as the simplest policy does, and reject almost none.
 #[test]
 fn half_loaded_sites_are_served_as_well_as_by_plain_policy() {
     let mut almost_no_rejections = 0;
@@ -548,13 +570,14 @@
         );
         almost_no_rejections += usize::from(rejected < 0.02);
     }
-    assert!(almost_no_rejections >= 21, "almost no rejections at {almost_no_rejections} of 24 customers");
+    assert!(almost_no_rejections >= 21, "almost no rejections at {almost_no_rejections} of 24 sites");
 }
 
-/// Fifty proxies and an origin that bears nearly three times what is new, and for 4 s a sixth of that. What its proxies
-/// gave up goes on there, and what was given up is asked for again. With fetches limited to what it bears this is over
-/// 3 s after the cause; where each proxy might always have two out, half of the requests and more stayed late or
-/// refused.
+/// Guards against an overload of the origin that outlasts its cause. Fifty edge proxies use an origin with
+/// nearly three times the capacity that new objects need, and for 4 s with a sixth of it. Transfers of
+/// abandoned attempts continue at the origin, and their requests are retried. With fetches limited to the
+/// origin's capacity the overload ends within 3 s after its cause. When each edge proxy was always allowed
+/// two fetches, at least half of the requests stayed late or were rejected.
 #[test]
 fn origin_overload_ends_within_3_s_of_its_cause() {
     let mut sum = 0.0;
@@ -570,7 +593,7 @@
         sim.run(3 * SECOND);
         let (after, rejected) = sim.run(4 * SECOND);
         println!("{seed}: {during:.3} during, {after:.3} after, rejected {rejected:.3} {:?}", sim.rejected);
-        assert!(during < 0.95, "seed {seed}: the cause is felt, {during:.3}");
+        assert!(during < 0.95, "seed {seed}: the slow origin has no effect, {during:.3} in time");
         assert!(after > 0.5, "seed {seed}: {after:.3} in time after, rejected {:?}", sim.rejected);
         sum += after;
     }
