--- a/src/expect/language.rs
+++ b/src/expect/language.rs
@@ -1,9 +1,9 @@
-//! The operators' file of expectations, in HCL.
+//! Parses the operators' file of expectations, which is HCL.
 
 mod rules;
 mod scenarios;
 
-use super::expectation::{Breadth, Expectation, Scenario, Suite, MAX_SEEDS};
+use super::expectation::{Expectation, ExploreSettings, Scenario, Suite, MAX_SEEDS};
 use super::selector::Selector;
 use super::site::Site;
 use crate::config::hcl_document::{BlockReader, HclDocument, HclError, Located, Position};
@@ -14,20 +14,21 @@
 const MIN_REPEATS: u64 = 2;
 const MAX_REPEATS: u64 = 1000;
 
-/// Reads a file of expectations against a site.
+/// Parses a file of expectations, and resolves its names in a site.
 ///
 /// # Errors
 ///
-/// Text that is not HCL, or every block that cannot be used: unknown keys, values out of range, and points, classes
-/// and servers that the site does not have. Each error names its line and column.
+/// Returns one error for text that is not HCL. Otherwise returns an error for each block that cannot be used
+/// because of an unknown key, a value out of range, or a point, class or server that the site does not have.
+/// Each error names its line and column.
 pub fn parse(doc: HclDocument<'_>, site: &Site) -> Result<Suite, Vec<HclError>> {
     let body = doc.parse().map_err(|error| vec![error])?;
     let mut parser = SuiteParser { doc, site, expectations: Vec::new(), errors: Vec::new() };
-    let breadth = parser.parse(&body);
-    parser.finish(breadth)
+    let explore_settings = parser.parse(&body);
+    parser.finish(explore_settings)
 }
 
-/// Reads a file, and collects what is wrong with it.
+/// Reads the blocks of a file, and collects the errors in them.
 struct SuiteParser<'a> {
     doc: HclDocument<'a>,
     site: &'a Site,
@@ -36,11 +37,11 @@
 }
 
 impl<'a> SuiteParser<'a> {
-    fn parse(&mut self, body: &'a Body) -> Breadth {
+    fn parse(&mut self, body: &'a Body) -> ExploreSettings {
         let mut reader = self.doc.reader(body);
-        let breadth = read_breadth(self.doc, &mut reader).unwrap_or_else(|error| {
+        let explore_settings = read_explore_settings(self.doc, &mut reader).unwrap_or_else(|error| {
             self.errors.push(error);
-            Breadth::default()
+            ExploreSettings::default()
         });
         for block in reader.blocks("expect") {
             match read_expectation(self.doc, block, self.site) {
@@ -49,32 +50,35 @@
             }
         }
         self.errors.extend(reader.finish().err());
-        breadth
+        explore_settings
     }
 
     fn add(&mut self, expectation: Expectation) {
         if self.expectations.iter().any(|known| known.name == expectation.name) {
-            let text = format!("expectation {:?} comes twice", expectation.name);
+            let text = format!("expectation {:?} is defined twice", expectation.name);
             self.errors.push(self.doc.error(expectation.at, text));
         }
         self.expectations.push(expectation);
     }
 
-    fn finish(self, breadth: Breadth) -> Result<Suite, Vec<HclError>> {
+    fn finish(self, explore_settings: ExploreSettings) -> Result<Suite, Vec<HclError>> {
         let SuiteParser { doc, expectations, mut errors, .. } = self;
         if expectations.is_empty() && errors.is_empty() {
-            errors.push(doc.error(Position { line: 1, column: 1 }, "no expect block"));
+            errors.push(doc.error(Position { line: 1, column: 1 }, "the file has no expect block"));
         }
         if errors.is_empty() {
-            return Ok(Suite { breadth, expectations });
+            return Ok(Suite { explore_settings, expectations });
         }
         errors.sort_by_key(|error| error.at);
         Err(errors)
     }
 }
 
-fn read_breadth(doc: HclDocument<'_>, reader: &mut BlockReader<'_>) -> Result<Breadth, HclError> {
-    let default = Breadth::default();
+fn read_explore_settings(
+    doc: HclDocument<'_>,
+    reader: &mut BlockReader<'_>,
+) -> Result<ExploreSettings, HclError> {
+    let default = ExploreSettings::default();
     let Some(block) = reader.block("explore")? else { return Ok(default) };
     let mut reader = doc.reader(&block.body);
     let seed = reader.integer("seed", 0, u64::MAX)?;
@@ -82,7 +86,7 @@
     let objects = reader.integer("objects", 1, MAX_OBJECTS)?;
     let repeats = reader.integer("repeats", MIN_REPEATS, MAX_REPEATS)?;
     reader.finish()?;
-    Ok(Breadth {
+    Ok(ExploreSettings {
         seed: seed.map_or(default.seed, |seed| seed.value),
         seeds: seeds.map_or(default.seeds, |seeds| seeds.value),
         objects: objects.map_or(default.objects, |objects| objects.value as usize),
@@ -93,7 +97,7 @@
 fn read_expectation(doc: HclDocument<'_>, block: &Block, site: &Site) -> Result<Expectation, HclError> {
     let at = doc.position(block);
     let [label] = &block.labels[..] else {
-        return Err(doc.error(at, "an expectation has one name: expect \"NAME\" { ... }"));
+        return Err(doc.error(at, "an expect block must have exactly one label: expect \"NAME\" { ... }"));
     };
     let name = label.as_str().to_owned();
     let mut reader = doc.reader(&block.body);
@@ -108,12 +112,12 @@
     let rules = rules::read(doc, &mut reader, site)?;
     reader.finish()?;
     if rules.is_empty() {
-        return Err(doc.error(at, format!("expectation {name:?} expects nothing")));
+        return Err(doc.error(at, format!("expectation {name:?} has no rule")));
     }
     Ok(Expectation { name, at, points, classes, objects, popular, scenarios, rules })
 }
 
-/// The points that the block names; all, if it names none.
+/// Returns the points that the block names, or all points if it names none.
 fn read_points(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -131,10 +135,10 @@
     if site.points().contains(&zone) {
         return Ok(zone);
     }
-    Err(doc.error(name.at, format!("{:?} is no point: it has no edge proxies", name.value)))
+    Err(doc.error(name.at, format!("zone {:?} is not a point: it has no edge proxies", name.value)))
 }
 
-/// The classes that the block names; all, if it names none.
+/// Returns the classes that the block names, or all classes if it names none.
 fn read_classes(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -151,7 +155,7 @@
     names.iter().map(class).collect()
 }
 
-/// The selectors of servers that a key names.
+/// Returns the server selectors in the value of a key.
 fn read_selectors(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
--- a/src/federation/node/apply.rs
+++ b/src/federation/node/apply.rs
@@ -13,7 +13,7 @@
             self.applied = LogIndex(entry.index);
             let record = EntryRecord::from(entry);
             match record.kind {
-                EntryKind::Normal if record.data.is_empty() => {} // a new leader's first
+                EntryKind::Normal if record.data.is_empty() => {} // a new leader's first entry
                 EntryKind::Normal => self.apply_command(&record),
                 EntryKind::Change => self.apply_change(&record),
             }
@@ -38,7 +38,7 @@
         if let Ok(conf_state) = self.raw_node.apply_conf_change(&conf_change(&change)) {
             self.conf_state = conf_state;
         }
-        self.state.change(&change);
+        self.state.apply_change(&change);
         self.removed |= change == Change::Remove(self.id);
         self.events.push(NodeEvent::MembersChanged(change));
     }
--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -1,4 +1,5 @@
-//! The decisions and the bytes, one by one; whole members are played in `sim::federation` and `tests/federation`.
+//! Unit tests of the federation's decisions and encodings; whole members are tested in `sim::federation` and
+//! `tests/federation`.
 
 use super::backoff::Backoff;
 use super::hello::{Challenge, Hello, Key, Welcome};
@@ -57,10 +58,11 @@
 }
 
 #[test]
-fn the_next_step_to_a_files_members_is_as_the_table_says() {
+fn next_step_moves_members_towards_the_file() {
     let here = [(1, true), (2, true), (3, true), (4, false)];
     let all = |lag: u64, active: bool| move |id: &u64| (MemberId(*id), Progress { lag, active });
-    // The file's members, who is active with which lag beyond the leader 1, and what comes next.
+    // The members in the file, the lag and the ids of the active members besides leader 1, and the expected
+    // step.
     let change = MembershipStep::Change;
     type Case<'a> = (&'a [(u64, bool)], u64, &'a [u64], MembershipStep);
     let cases: Vec<Case> = vec![
@@ -72,11 +74,11 @@
             change(Change::Add { id: MemberId(5), site: "site-5".into() }),
         ),
         (&[(1, true), (2, true), (3, true), (4, true)], 3, &[2, 3, 4], change(Change::Promote(MemberId(4)))),
-        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], MembershipStep::Wait), // it has not caught up
-        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], MembershipStep::Wait), // it is not heard
+        (&[(1, true), (2, true), (3, true), (4, true)], 99, &[2, 3, 4], MembershipStep::Wait), // 4 lags too far
+        (&[(1, true), (2, true), (3, true), (4, true)], 0, &[2, 3], MembershipStep::Wait), // 4 is inactive
         (&[(1, true), (2, true), (4, false)], 0, &[2, 3, 4], change(Change::Remove(MemberId(3)))),
-        (&[(1, true), (2, true), (4, false)], 0, &[2], change(Change::Remove(MemberId(3)))), // it is the one that is away
-        (&[(1, true), (2, true), (4, false)], 0, &[3], MembershipStep::Wait), // without it nothing could be committed
+        (&[(1, true), (2, true), (4, false)], 0, &[2], change(Change::Remove(MemberId(3)))), // 3 is inactive
+        (&[(1, true), (2, true), (4, false)], 0, &[3], MembershipStep::Wait), // no quorum without 3
         (&[(1, true), (2, false), (3, true), (4, false)], 0, &[2, 3], change(Change::Demote(MemberId(2)))),
         (&[(2, true), (3, true), (4, false)], 0, &[2, 3], MembershipStep::TransferLeadership),
         (&[(1, true), (2, true), (3, true)], 0, &[2, 3], change(Change::Remove(MemberId(4)))),
@@ -90,23 +92,23 @@
         assert_eq!(
             next_step(&at(1), 2, &file, MemberId(1), &progress),
             first,
-            "all know first by which file it goes"
+            "the revision is recorded first"
         );
         assert_eq!(
             next_step(&at(3), 2, &file, MemberId(1), &progress),
             MembershipStep::Wait,
-            "a newer file is under way"
+            "a change to a newer file is started"
         );
         assert_eq!(
             next_step(&state(&here), 1, &file, MemberId(1), &progress),
             MembershipStep::Wait,
-            "an old file changes nothing"
+            "an old file has no effect"
         );
     }
 }
 
 #[test]
-fn a_state_takes_in_what_means_something_and_never_loses_its_last_voter() {
+fn state_rejects_invalid_changes_and_keeps_a_voter() {
     let mut one = state(&[(1, true), (2, false)]);
     for change in [
         Change::Remove(MemberId(1)),
@@ -121,19 +123,22 @@
         !one.allows(&Change::Add { id: MemberId(2), site: String::new() })
             && one.allows(&Change::Promote(MemberId(2)))
     );
-    one.change(&Change::Promote(MemberId(2)));
+    one.apply_change(&Change::Promote(MemberId(2)));
     assert!(one.allows(&Change::Remove(MemberId(1))));
     one.apply(&Command::Enrol { id: MemberId(1), incarnation: 11 });
     one.apply(&Command::Enrol { id: MemberId(1), incarnation: 12 });
     assert_eq!(
-        (one.admits(MemberId(1), 11, false), one.admits(MemberId(1), 12, true).is_err()),
+        (one.check_admission(MemberId(1), 11, false), one.check_admission(MemberId(1), 12, true).is_err()),
         (Ok(()), true),
-        "the first store counts"
+        "only the first store is enrolled"
     );
-    assert!(one.admits(MemberId(9), 1, false).is_err() && one.admits(MemberId(9), 1, true).is_ok());
     assert!(
-        State::default().admits(MemberId(9), 1, false).is_ok(),
-        "who knows nothing yet hears whoever holds the key"
+        one.check_admission(MemberId(9), 1, false).is_err()
+            && one.check_admission(MemberId(9), 1, true).is_ok()
+    );
+    assert!(
+        State::default().check_admission(MemberId(9), 1, false).is_ok(),
+        "a member without any state admits every member that holds the key"
     );
     one.apply(&Command::RevisionApplied { revision: 5 });
     one.apply(&Command::RevisionApplied { revision: 4 });
@@ -141,7 +146,7 @@
 }
 
 #[test]
-fn messages_that_no_member_sends_are_told_from_those_that_it_does() {
+fn message_check_rejects_protocol_violations() {
     assert_eq!(append(4, vec![entry(5, 1), entry(6, 3)]).check(), Ok(()));
     let snapshot = SnapshotRecord {
         index: LogIndex(9),
@@ -162,24 +167,25 @@
     for message in bad {
         assert!(message.check().is_err(), "{message:?}");
     }
-    let whole = MessageRecord { kind: MessageKind::Snapshot, snapshot: Some(snapshot), ..append(4, vec![]) };
+    let snapshot_message =
+        MessageRecord { kind: MessageKind::Snapshot, snapshot: Some(snapshot), ..append(4, vec![]) };
     for message in [
-        whole,
+        snapshot_message,
         append(
             4,
             vec![entry(5, 1), EntryRecord { kind: EntryKind::Change, context: vec![7], ..entry(6, 3) }],
         ),
     ] {
         assert_eq!(
-            MessageRecord::from_library(&message.to_library()).as_ref(),
+            MessageRecord::from_raft(&message.to_raft()).as_ref(),
             Some(&message),
-            "there and back"
+            "the conversion to the raft crate and back is lossless"
         );
     }
 }
 
 #[test]
-fn members_know_each_other_by_the_key_for_one_connection_and_messages_by_their_place() {
+fn proofs_bind_a_connection_and_tags_bind_the_order() {
     let (key, other) = (Key::new(vec![1; 16]), Key::new(vec![2; 16]));
     let challenge = Challenge { nonce: [3; 16] };
     let plain = Hello {
@@ -202,7 +208,10 @@
     ] {
         assert!(!key.verify_hello(&challenge, &changed), "{changed:?}");
     }
-    assert!(!key.verify_hello(&Challenge { nonce: [9; 16] }, &hello), "another connection's hello");
+    assert!(
+        !key.verify_hello(&Challenge { nonce: [9; 16] }, &hello),
+        "the hello belongs to another connection"
+    );
     let welcome = key.sign_welcome(&challenge, &hello);
     assert!(key.verify_welcome(&challenge, &hello, &welcome));
     assert!(!key.verify_welcome(&challenge, &hello, &Welcome { proof: hello.proof }));
@@ -210,9 +219,9 @@
         key.message_authenticator(&challenge, &hello, true),
         key.message_authenticator(&challenge, &hello, true),
     );
-    let first = encode(&Frame::Ping, Some(&mut out)).expect("short");
-    let second =
-        encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out)).expect("short");
+    let first = encode(&Frame::Ping, Some(&mut out)).expect("within the maximum length");
+    let second = encode(&Frame::Propose(Command::RevisionApplied { revision: 3 }), Some(&mut out))
+        .expect("within the maximum length");
     let mut input = BytesMut::from(&[&first[..], &second[..]].concat()[..]);
     assert_eq!(decode(&mut input, Some(&mut seen)), Ok(Some(Frame::Ping)));
     assert_eq!(
@@ -220,22 +229,22 @@
         Ok(Some(Frame::Propose(Command::RevisionApplied { revision: 3 })))
     );
     for (bytes, way) in [(&first, true), (&second, true), (&first, false)] {
-        let mut seal = key.message_authenticator(&challenge, &hello, way);
+        let mut authenticator = key.message_authenticator(&challenge, &hello, way);
         if way {
-            // Said again, or out of its order.
-            seal.tag(b"");
-            seal.tag(b"");
+            // The frame is repeated, or out of order.
+            authenticator.tag(b"");
+            authenticator.tag(b"");
         }
         assert_eq!(
-            decode::<Frame>(&mut BytesMut::from(&bytes[..]), Some(&mut seal)),
+            decode::<Frame>(&mut BytesMut::from(&bytes[..]), Some(&mut authenticator)),
             Err(WireError::Malformed)
         );
     }
 }
 
-/// Stores and members of older versions hold and send these bytes.
+/// Stores and members of older versions contain and send these bytes, so the encodings must not change.
 #[test]
-fn the_bytes_of_stored_and_sent_records_stay_as_they_are() {
+fn record_encodings_are_stable() {
     let change = EntryRecord {
         kind: EntryKind::Change,
         term: Term(3),
@@ -262,7 +271,7 @@
         State::founded(7, 1, &[(MemberId(1), WantedMember { site: "a".to_owned(), voter: true })].into());
     held.apply(&Command::Enrol { id: MemberId(1), incarnation: 9 });
     held.apply(&Command::Acquire { duty: "d".into(), id: MemberId(1), request: 5 });
-    let bytes = |record: Result<Vec<u8>, postcard::Error>| record.expect("encoded");
+    let bytes = |record: Result<Vec<u8>, postcard::Error>| record.expect("the record can be encoded");
     for (encoded, wanted) in [
         (
             bytes(postcard::to_stdvec(&message)),
@@ -282,9 +291,9 @@
 }
 
 #[test]
-fn bytes_are_taken_whole_and_what_can_never_be_a_message_is_an_error() {
+fn decode_waits_for_whole_frames_and_rejects_bad_ones() {
     let hello = Challenge { nonce: [5; 16] };
-    let bytes = encode(&hello, None).expect("short");
+    let bytes = encode(&hello, None).expect("within the maximum length");
     let mut input = BytesMut::new();
     for byte in &bytes[..bytes.len() - 1] {
         input.extend_from_slice(&[*byte]);
@@ -298,14 +307,14 @@
         (&[2][..], WireError::Version(2)),
         (&[&[1][..], &long].concat()[..], WireError::Oversize),
         (&[1, 0, 0, 0, 1, 7], WireError::Malformed),
-        (&[&[1, 0, 0, 0, 17][..], &[0; 17]].concat()[..], WireError::Malformed), // a byte too many
+        (&[&[1, 0, 0, 0, 17][..], &[0; 17]].concat()[..], WireError::Malformed), // one byte too many
     ] {
         assert_eq!(decode::<Challenge>(&mut BytesMut::from(bytes), None), Err(wanted), "{bytes:?}");
     }
     assert_eq!(
         encode(&vec![0u8; MAX_MESSAGE_BYTES + 1], None),
         None,
-        "a message that is too long is not sent"
+        "a message that is too long is not encoded"
     );
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
@@ -315,18 +324,18 @@
             let length = bytes.len() as u8 - 5;
             bytes[..5].copy_from_slice(&[1, 0, 0, 0, length]);
         }
-        let _ = decode::<Hello>(&mut BytesMut::from(&bytes[..]), None); // ends, whatever it is
+        let _ = decode::<Hello>(&mut BytesMut::from(&bytes[..]), None); // must return, whatever the bytes are
         let _ = postcard::from_bytes::<Frame>(&bytes);
     }
 }
 
 #[test]
-fn the_file_is_read_with_places_and_the_deployed_one_holds_the_defaults() {
+fn file_errors_have_positions_and_deployed_file_has_defaults() {
     let deployed = include_str!("../../deploy/federation.hcl");
     let read = |text: &str| {
         FederationSettings::parse(HclDocument { file: "f.hcl", text }).map_err(|error| error.to_string())
     };
-    let usual: String = deployed
+    let without_defaults: String = deployed
         .lines()
         .filter(|line| {
             !["tick", "election", "heartbeat", "compact", "silent", "lease", "guard", "drift"]
@@ -335,11 +344,11 @@
         })
         .map(|line| format!("{line}\n"))
         .collect();
-    let (deployed, key) = read(deployed).expect("usable");
-    let (defaults, _) = read(&usual).expect("usable");
+    let (deployed, key) = read(deployed).expect("the settings are valid");
+    let (defaults, _) = read(&without_defaults).expect("the settings are valid");
     assert_eq!(
-        (deployed.tuning, deployed.lease_terms, deployed.tick, deployed.silence_timeout),
-        (defaults.tuning, defaults.lease_terms, defaults.tick, defaults.silence_timeout)
+        (deployed.tuning, deployed.lease_timing, deployed.tick, deployed.silence_timeout),
+        (defaults.tuning, defaults.lease_timing, defaults.tick, defaults.silence_timeout)
     );
     assert_eq!(
         (key.as_str(), deployed.members.len(), deployed.first_fixed_change(&defaults)),
@@ -352,17 +361,21 @@
     );
     for (from, to, wanted) in [
         ("id       = 1", "id = 9", "f.hcl:6:8: there is no member 9"),
-        ("member \"2\"", "member \"1\"", "a second member 1"),
-        ("7402", "7401", "member 1 has this address, too"),
+        ("member \"2\"", "member \"1\"", "member 1 is defined twice"),
+        ("7402", "7401", "member 1 has the same address"),
         ("heartbeat_ticks = 2", "", "no key"),
-        ("voter   = true", "voter   = false", "0 voters; 1 to 7 may vote"),
-        ("address = \"127.0.0.1:7403\"", "address = \"here\"", "\"here\" is no address"),
+        ("voter   = true", "voter   = false", "0 voters are listed; there must be 1 to 7"),
+        (
+            "address = \"127.0.0.1:7403\"",
+            "address = \"here\"",
+            "\"here\" is not an address such as 10.0.1.5:7400",
+        ),
         ("revision = 1 ", "revison = 1 ", "federation has no revision"),
     ] {
         let text = if wanted == "no key" {
-            usual.replace("cluster ", "tick_ns = 5\n cluster ")
+            without_defaults.replace("cluster ", "tick_ns = 5\n cluster ")
         } else {
-            usual.replace(from, to)
+            without_defaults.replace(from, to)
         };
         let error = read(&text).expect_err(wanted);
         assert!(error.contains(wanted), "{error} instead of {wanted}");
@@ -370,13 +383,13 @@
 }
 
 #[test]
-fn pauses_double_with_half_of_each_drawn() {
+fn backoff_pauses_double_and_are_half_random() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut backoff = Backoff::new(Span::from_micros(20), Span::from_micros(1000));
     for most in [20, 40, 80, 160, 320, 640, 1000, 1000].map(Span::from_micros) {
-        let pause = backoff.pause(&mut random);
+        let pause = backoff.next_pause(&mut random);
         assert!((most / 2..=most).contains(&pause), "{pause:?} of {most:?}");
     }
     backoff.reset();
-    assert!(backoff.pause(&mut random) <= Span::from_micros(20));
+    assert!(backoff.next_pause(&mut random) <= Span::from_micros(20));
 }
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -1,10 +1,10 @@
-//! The clients: what they request and cancel, and how their connections end.
+//! Stand-in clients: they send and cancel requests, and their connections end.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::faults::DescriptorShortage;
 use super::process_id::ProcessId;
 use super::traffic::{PlannedRequest, RequestNumber};
-use super::{numbered_address, Sabotage, World, FRONT};
+use super::{numbered_address, PlantedBug, World, FRONT};
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
 use crate::standin::ids::{ClientId, ConnectionId};
@@ -12,41 +12,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The group of all objects.
+/// Group to which all objects belong.
 pub(super) const GROUP: u32 = 17;
-/// Requests that are sent later than this after SIGTERM may not be accepted by any process.
+/// Requests that are sent later than this after SIGTERM need not be accepted by the process.
 const ACCEPTED_AFTER_SIGTERM: Span = Span::from_millis(700);
-/// Requests that cross the end of their connection are sent this long before it at the earliest.
-const CROSSING: Span = Span::from_millis(50);
-/// A request must have its answer this long after its timeout.
+/// A request may have crossed the end of its connection if it was written at most this time plus twice
+/// [`MAX_TRANSIT`] before the end was seen.
+const CROSSING_ALLOWANCE: Span = Span::from_millis(50);
+/// A request must have its answer within this time after the client's timeout.
 const MAX_ANSWER_DELAY: Span = Span::from_secs(2);
-/// Connections that wait as descriptors come back are accepted by then.
-const ACCEPTED_AGAIN: Span = Span::from_millis(60);
-/// The body of requests that write.
+/// Time after the end of a descriptor shortage by which waiting connections must have been accepted.
+const ACCEPT_RESUME_DELAY: Span = Span::from_millis(60);
+/// Body of requests that are writes.
 const WRITE_BODY: &[u8] = b"won";
 
 /// A request that has no answer yet.
 pub(super) struct OpenRequest {
     pub(super) number: RequestNumber,
     written: Instant,
-    /// When it counts as sent: once its connection can be accepted.
+    /// When it counts as sent: later than `written` if its connection could not be accepted for lack of
+    /// descriptors.
     pub(super) sent: Instant,
-    /// It was sent before, on a connection that ended.
+    /// Whether it was sent before, on a connection that ended.
     is_resent: bool,
 }
 
-/// A client, and its connection if it has one.
+/// A stand-in client, with the state of its connection if it has one.
 #[derive(Default)]
 pub(super) struct Client {
     pub(super) link: Option<ConnectionId>,
     last_seqid: i32,
     pub(super) input: Vec<u8>,
-    /// By sequence number.
+    /// Requests without an answer, by sequence number.
     pub(super) open: BTreeMap<i32, OpenRequest>,
-    /// Sequence numbers whose answers may still come.
+    /// Sequence numbers of cancelled requests, whose answers may still arrive.
     pub(super) cancelled: BTreeSet<i32>,
     connected_at: Instant,
-    /// What it sends on this connection counts as sent then at the earliest: the process had no descriptor for it.
+    /// Earliest time at which requests on this connection count as sent. It is later than `connected_at` if
+    /// the process had no descriptor for the connection.
     accepted_by: Instant,
 }
 
@@ -56,7 +59,7 @@
         self.last_seqid
     }
 
-    /// Forgets the connection; returns the requests that were open.
+    /// Drops the state of the connection; returns the requests that were open.
     fn disconnect(&mut self) -> BTreeMap<i32, OpenRequest> {
         self.link = None;
         self.input.clear();
@@ -70,12 +73,12 @@
         &mut self.clients[client.0]
     }
 
-    /// The client that has a connection.
+    /// Returns the client to which a connection belongs.
     pub(super) fn client_of(&self, link: ConnectionId) -> Option<ClientId> {
         self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
     }
 
-    /// A client sends a request, connecting first where it has to.
+    /// Sends a client's request, on a new connection if it has none. Does nothing once the run is ending.
     pub(super) fn send_request(&mut self, number: RequestNumber, is_resent: bool) {
         if self.is_ending {
             return;
@@ -110,16 +113,17 @@
         link
     }
 
-    /// A client that connects while there are no descriptors is accepted once there are.
+    /// Moves the time at which a client's requests count as sent to the end of a descriptor shortage, if the
+    /// client connected during it: the process accepts the connection only then.
     pub(super) fn delay_acceptance(&mut self, id: ClientId) {
         let DescriptorShortage { since, until } = self.descriptor_shortage;
         let client = self.client(id);
         let connected_before = client.connected_at + MAX_TRANSIT < since;
-        let connected_after = until + ACCEPTED_AGAIN < client.connected_at;
+        let connected_after = until + ACCEPT_RESUME_DELAY < client.connected_at;
         if client.link.is_none() || connected_before || connected_after {
             return;
         }
-        client.accepted_by = client.accepted_by.max(until + ACCEPTED_AGAIN);
+        client.accepted_by = client.accepted_by.max(until + ACCEPT_RESUME_DELAY);
         for open in client.open.values_mut() {
             open.sent = open.sent.max(client.accepted_by);
         }
@@ -128,10 +132,10 @@
     pub(super) fn check_answered(&mut self, client: ClientId, seqid: i32) {
         let Some(open) = self.clients[client.0].open.get(&seqid) else { return };
         let text = format!("{} got no answer", self.request(open.number).trace);
-        self.rules.breach(self.now, "unanswered", text);
+        self.rules.record_breach(self.now, "unanswered", text);
     }
 
-    /// A client cancels a request, if that is still open.
+    /// Cancels a client's request if it is still open.
     pub(super) fn cancel_request(&mut self, id: ClientId, seqid: i32) {
         let client = self.client(id);
         let Some(link) = client.link else { return };
@@ -139,68 +143,71 @@
         client.cancelled.insert(seqid);
         let frame = thrift_client::abort(client.next_seqid(), seqid);
         self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
-        if self.sabotage != Some(Sabotage::DeafToClients) {
+        if self.planted_bug != Some(PlantedBug::DeafToClients) {
             self.fabric.send(link.0, &frame);
         }
         self.answers.excused += 1;
     }
 
-    /// A client resets its connection.
+    /// Resets a client's connection.
     pub(super) fn reset_client(&mut self, client: ClientId) {
-        if let Some(link) = self.client_leaves(client) {
+        if let Some(link) = self.end_client_connection(client) {
             self.fabric.reset(link.0);
         }
     }
 
-    /// A client closes its connection.
+    /// Closes a client's connection without a reset.
     pub(super) fn close_client(&mut self, client: ClientId) {
-        if let Some(link) = self.client_leaves(client) {
+        if let Some(link) = self.end_client_connection(client) {
             self.fabric.close(link.0);
         }
     }
 
-    /// A client leaves with requests open; returns the connection that it ends.
-    fn client_leaves(&mut self, id: ClientId) -> Option<ConnectionId> {
+    /// Ends a client's connection for its part, and excuses its open requests. Returns the connection to
+    /// close or reset; `None` if it has none, or if the planted bug keeps it open.
+    fn end_client_connection(&mut self, id: ClientId) -> Option<ConnectionId> {
         let link = self.client(id).link?;
-        if self.sabotage == Some(Sabotage::DeafToClients) {
+        if self.planted_bug == Some(PlantedBug::DeafToClients) {
             let open = std::mem::take(&mut self.client(id).open);
-            self.excuse_left(&open);
+            self.excuse_open_requests(&open);
             self.client(id).cancelled.extend(open.into_keys());
             return None;
         }
         let open = self.client(id).disconnect();
-        self.excuse_left(&open);
+        self.excuse_open_requests(&open);
         Some(link)
     }
 
-    fn excuse_left(&mut self, open: &BTreeMap<i32, OpenRequest>) {
+    fn excuse_open_requests(&mut self, open: &BTreeMap<i32, OpenRequest>) {
         for open in open.values() {
             self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
         }
         self.answers.excused += open.len() as u64;
     }
 
-    /// A client's connection has ended: its open requests are lost, unless a fault excuses that.
+    /// Handles the end of a client's connection by the other side. Open requests that no process had to
+    /// answer are excused; those that may have crossed the end are sent once more; any other is a breach.
     pub(super) fn client_disconnected(&mut self, id: ClientId, link: ConnectionId) {
         let open = self.client(id).disconnect();
         let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
             self.answers.excused += 1;
-            if self.was_never_accepted(&open, process) {
+            if self.needs_no_answer(&open, process) {
                 continue;
             }
-            let crossed_end = open.written > self.now - 2 * MAX_TRANSIT - CROSSING;
+            let crossed_end = open.written > self.now - 2 * MAX_TRANSIT - CROSSING_ALLOWANCE;
             if crossed_end && !open.is_resent {
                 self.send_request(open.number, true);
             } else {
                 let text = format!("{} is open as its connection ends", self.request(open.number).trace);
-                self.rules.breach(self.now, "lost", text);
+                self.rules.record_breach(self.now, "lost", text);
             }
         }
     }
 
-    /// Whether no process owes an answer to a request on a connection that has ended.
-    fn was_never_accepted(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
+    /// Whether no process had to answer an open request of a connection that has ended: none accepted it, the
+    /// process was killed, or the request came too late after SIGTERM.
+    fn needs_no_answer(&self, open: &OpenRequest, process: Option<ProcessId>) -> bool {
         let Some(process) = process.filter(|process| !self.processes.was_killed(*process)) else {
             return true;
         };
@@ -209,7 +216,7 @@
     }
 }
 
-/// The frame with which a client sends a request.
+/// Encodes the frame with which a client sends a request.
 fn invoke_frame(seqid: i32, request: &PlannedRequest) -> Vec<u8> {
     let client_timeout = request.client_timeout.as_millis().to_string();
     let (part, group) = (request.part.to_string(), GROUP.to_string());
--- a/src/sim/world/faults/system.rs
+++ b/src/sim/world/faults/system.rs
@@ -6,7 +6,7 @@
 use crate::standin::ids::ClientId;
 use std::net::SocketAddr;
 
-/// A time during which processes get no descriptors.
+/// Period in which processes get no descriptors.
 #[derive(Clone, Copy, Default)]
 pub(in crate::sim::world) struct DescriptorShortage {
     pub(in crate::sim::world) since: Instant,
@@ -14,16 +14,17 @@
 }
 
 impl World<'_> {
-    /// Connections come that are gone before they are accepted.
-    pub(super) fn abort_dials(&mut self, error: SystemError, count: usize) {
+    /// Makes clients connect to the edge proxy and abort before they are accepted, so that accepts fail with
+    /// the error.
+    pub(super) fn abort_connects(&mut self, error: SystemError, count: usize) {
         for number in 0..count {
             let from = SocketAddr::from(([127, 0, 3, 1], 40_000 + number as u16));
             self.fabric.dial_aborted(from, numbered_address(FRONT), error.errno());
         }
     }
 
-    /// No process gets a descriptor until then: what connects meanwhile is accepted afterwards, and a feed that is cut
-    /// off is polled again later.
+    /// Lets no process get a descriptor until a time. Clients that connect meanwhile are accepted afterwards,
+    /// and a feed that is cut off is polled again only then.
     pub(super) fn exhaust_descriptors(&mut self, error: SystemError, until: Instant) {
         self.fabric.exhaust_descriptors(error.errno(), until);
         let shortage = &mut self.descriptor_shortage;
@@ -31,7 +32,7 @@
             shortage.since = self.now;
         }
         shortage.until = until;
-        if self.now < self.feed.cut_until {
+        if self.now < self.feed.unreachable_until {
             self.cut_feed(until);
         }
         for number in 0..self.clients.len() {
--- a/src/sim/world/mod.rs
+++ b/src/sim/world/mod.rs
@@ -1,17 +1,19 @@
-//! One simulated run: edge proxies (the program's own server, unchanged) on a virtual clock, and around them clients,
-//! hosts and the control feed, with a script of faults. Everything that is left to chance is drawn from the seed.
+//! One simulated run: processes of the edge proxy (the program's own server, unchanged) on a virtual clock,
+//! with stand-in clients, hosts and control feed, and a script of faults. Every random choice is drawn from
+//! the seed.
 //!
-//! - `setup`: the site of a run; `traffic`: its requests, drawn from the seed.
-//! - `agenda`: what is scheduled besides what the network and the processes do by themselves; `scheduled_events` carries
-//!   it out.
-//! - `network`: passes what arrives on the network to `clients` (their answers to `answers`), `hosts` and `feed`.
-//! - `processes`: starts, turns and ends the edge proxy's processes.
-//! - `faults`: what goes wrong, by kind.
-//! - `outcome`: how a run came out.
+//! - `setup`: draws the site of a run and creates its world; `traffic`: draws its requests.
+//! - `event_queue`: events that are scheduled besides those of the network and the processes;
+//!   `scheduled_events` handles them.
+//! - `network`: passes what arrives on the network to `clients`, `hosts` and `feed`; `answers` checks what
+//!   clients get.
+//! - `processes`: starts, runs and ends the edge proxy's processes.
+//! - `faults`: begins the faults, by kind.
+//! - `outcome`: the result of a run.
 
-mod agenda;
 mod answers;
 mod clients;
+mod event_queue;
 mod faults;
 mod feed;
 mod hosts;
@@ -32,8 +34,8 @@
 use crate::standin::faults::{Fault, RunPlan};
 use crate::standin::fleet::Fleet;
 use crate::standin::ids::{ClientId, HostId};
-use agenda::{Agenda, ScheduledEvent};
 use clients::Client;
+use event_queue::{EventQueue, ScheduledEvent};
 use faults::DescriptorShortage;
 use feed::Feed;
 use processes::Processes;
@@ -44,65 +46,68 @@
 use std::net::SocketAddr;
 use traffic::{PlannedRequest, RequestNumber};
 
-/// The Unix time at which runs start: the virtual clock reads Unix time.
+/// Unix time at which runs start, since the virtual clock reads Unix time.
 const START: Instant = Instant::from_micros(1_700_000_000_000_000);
-/// The virtual addresses' numbers of the clients' front and of the control feed; hosts have theirs from 0.
+/// Numbers of the virtual addresses of the edge proxy's listener for clients and of the control feed. Hosts
+/// are numbered from 0.
 const FRONT: u16 = 1_000;
 const FEED: u16 = 900;
-/// The steps of a run at most: more mean an endless loop.
+/// Largest number of steps of a run; a run that needs more is taken for an endless loop, a breach of the rule
+/// "spins".
 const MAX_STEPS: usize = 1_000_000;
-/// The random stream that orders what happens at the same time.
+/// Random stream that draws the order of events that happen at the same time.
 const ORDER_STREAM: u64 = 3;
 
-/// A bug planted on purpose, to show that the rules find it.
+/// A bug that is planted on purpose, to show that the rules find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Sabotage {
-    /// The edge proxy takes `result` for a class whose repeats do no harm, and sends it again after a reset
+pub enum PlantedBug {
+    /// The edge proxy treats `result` as an idempotent class, and retries it after a reset
     ResultTwice,
-    /// The control feed never tells the edge proxy of drains and removals
+    /// The control feed withholds drains and removals from the edge proxy
     DeafToDrains,
-    /// The control feed never tells it of purges
+    /// The control feed withholds purges from the edge proxy
     DeafToPurges,
-    /// Clients that leave never say so
+    /// Clients neither send cancellations nor close their connections
     DeafToClients,
-    /// The edge proxy is told a far longer window for repeats than holds
+    /// The edge proxy's settings state a far longer window for repeated writes than the rules allow
     LongWindow,
-    /// The edge proxy's deadlines run on the wall clock
+    /// The edge proxy's deadlines run on the wall clock instead of the monotonic clock
     WallDeadlines,
 }
 
-/// A run under way.
+/// State of a run in progress.
 struct World<'a> {
     plan: &'a RunPlan,
-    sabotage: Option<Sabotage>,
+    planted_bug: Option<PlantedBug>,
     seed: u64,
     fabric: Fabric,
     now: Instant,
-    /// For service times.
+    /// Draws the hosts' service times.
     random: ChaCha8Rng,
-    agenda: Agenda,
+    event_queue: EventQueue,
     requests: Vec<PlannedRequest>,
-    /// In the order of their ids.
+    /// Clients, indexed by their ids.
     clients: Vec<Client>,
     fleet: Fleet,
     host_ids: BTreeMap<SocketAddr, HostId>,
     feed: Feed,
-    /// The configuration of each process, but for its seed and the events known so far.
+    /// Configuration of each process, without its seed and the events that are known when it starts.
     base_config: Value,
     processes: Processes,
     descriptor_shortage: DescriptorShortage,
     rules: Rules,
     answers: AnswerCounts,
-    /// All processes were told to stop: nothing is started any more.
+    /// Whether the run is ending: all processes got SIGTERM, and no process, upgrade or request is started
+    /// any more.
     is_ending: bool,
 }
 
-/// Plays a run: a plan, a seed, and the faults that happen in it.
-pub fn run(plan: &RunPlan, seed: u64, faults: &[Fault], sabotage: Option<Sabotage>) -> RunOutcome {
-    let mut world = World::new(plan, seed, sabotage);
+/// Plays one run of a plan with a seed and the given faults, and returns its outcome.
+pub fn run(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
+    let mut world = World::new(plan, seed, planted_bug);
     for fault in faults {
         let at = START + Span::from_millis(fault.at_ms);
-        world.agenda.schedule(at, ScheduledEvent::Fault(fault.kind));
+        world.event_queue.schedule(at, ScheduledEvent::Fault(fault.kind));
     }
     let ties = world.play();
     let TraceSummary { digest: trace, steps } = world.fabric.trace();
@@ -116,11 +121,11 @@
     }
 }
 
-/// What happens next.
+/// Times of the next events.
 struct NextMoment {
-    /// The earliest deadline of a process.
+    /// Earliest deadline of a process.
     deadline: Option<Instant>,
-    /// The earliest arrival on the network or scheduled event.
+    /// Earliest arrival on the network or scheduled event.
     arrival: Option<Instant>,
 }
 
@@ -129,7 +134,7 @@
         self.deadline.into_iter().chain(self.arrival).min()
     }
 
-    /// Whether a deadline falls due and something arrives by this time.
+    /// Whether a deadline has expired and something has arrived by this time.
     fn is_tie(&self, now: Instant) -> bool {
         let is_due = |at: Instant| at <= now;
         self.deadline.is_some_and(is_due) && self.arrival.is_some_and(is_due)
@@ -137,8 +142,8 @@
 }
 
 impl World<'_> {
-    /// Plays until all processes have ended; returns the number of moments at which something arrived and a deadline
-    /// fell due at once.
+    /// Plays until all processes have ended. Returns the number of ties: moments at which something arrived
+    /// and a deadline expired at the same time.
     fn play(&mut self) -> u64 {
         let mut ready: Vec<Ready> = Vec::new();
         let mut order = random_stream(self.seed, ORDER_STREAM);
@@ -147,14 +152,15 @@
             let next = self.next_moment();
             let Some(time) = next.time() else { break };
             if step == MAX_STEPS {
-                self.rules.breach(self.now, "spins", format!("{MAX_STEPS} steps"));
+                self.rules.record_breach(self.now, "spins", format!("{MAX_STEPS} steps"));
                 break;
             }
             self.now = self.now.max(time);
             self.fabric.advance(self.now);
             let is_tie = next.is_tie(self.now);
             ties += u64::from(is_tie);
-            // A process may see the deadline before what arrives at the same moment, or after it.
+            // In service a process may handle the deadline before or after what arrives at the same moment,
+            // so the order is drawn.
             if is_tie && order.random_range(0..2) == 0 {
                 self.turn_processes(&mut ready);
             }
@@ -164,20 +170,20 @@
             }
         }
         if !self.processes.is_empty() {
-            self.rules.breach(self.now, "not-stopped", "a process has not ended".into());
+            self.rules.record_breach(self.now, "not-stopped", "a process has not ended".into());
         }
         ties
     }
 
     fn next_moment(&self) -> NextMoment {
         let deadline = self.processes.next_deadline().map(|at| at - self.deadline_clock_lead());
-        let arrival = self.fabric.next_event_at().into_iter().chain(self.agenda.next_time()).min();
+        let arrival = self.fabric.next_event_at().into_iter().chain(self.event_queue.next_time()).min();
         NextMoment { deadline, arrival }
     }
 
-    /// Plays what is due now.
+    /// Handles all events that are due now, and lets the processes handle what has arrived.
     fn step(&mut self, ready: &mut Vec<Ready>) {
-        while let Some(event) = self.agenda.take_due(self.now) {
+        while let Some(event) = self.event_queue.take_due(self.now) {
             self.handle(event);
         }
         self.fabric.run_due_events();
@@ -193,7 +199,7 @@
     random
 }
 
-/// The virtual address of a host.
+/// Returns the virtual address of a host.
 fn host_address(host: HostId) -> SocketAddr {
     numbered_address(host.0 as u16)
 }
