--- a/src/bin/dahliatrack-wirehost/codec/batch.rs
+++ b/src/bin/dahliatrack-wirehost/codec/batch.rs
@@ -70,7 +70,7 @@
             let located = |error| CodecError::Record { number, at, error: Box::new(error) };
             records.push(record.map_err(located)?);
         }
-        match reader.left() {
+        match reader.remaining() {
             0 => Ok(records),
             left => Err(CodecError::TrailingBytes(left)),
         }
--- a/src/bin/dahliatrack-wirehost/codec/endpoints.rs
+++ b/src/bin/dahliatrack-wirehost/codec/endpoints.rs
@@ -13,7 +13,7 @@
     let update = list_update(reader.u8()?)?;
     let _version = reader.u64()?;
     let entries = reader.count()?;
-    let left = reader.left();
+    let left = reader.remaining();
     if entries > left / ENTRY_BYTES {
         return Err(CodecError::ListTooLong { entries, left });
     }
--- a/src/bin/dahliatrack-wirehost/codec/reader.rs
+++ b/src/bin/dahliatrack-wirehost/codec/reader.rs
@@ -25,12 +25,12 @@
     }
 
     /// How many bytes are left.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.bytes.len() - self.position
     }
 
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], CodecError> {
-        let left = self.left();
+        let left = self.remaining();
         if count > left {
             return Err(CodecError::Truncated { wanted: count, at: self.frame_position(), left });
         }
--- a/src/bin/dahliatrack-wirehost/codec/reply.rs
+++ b/src/bin/dahliatrack-wirehost/codec/reply.rs
@@ -39,7 +39,7 @@
 
     /// Appends an instance's action.
     pub fn action(&mut self, instance: InstanceId, action: &Action) {
-        let record = self.record(code_of(action), instance);
+        let record = self.record(action_code(action), instance);
         match action {
             Action::SendCacheOnly { request, server, timeout } => {
                 record.u64(request.0).span(*timeout).u32(server.0)
@@ -97,7 +97,7 @@
     }
 }
 
-fn code_of(action: &Action) -> ActionCode {
+fn action_code(action: &Action) -> ActionCode {
     match action {
         Action::SendCacheOnly { .. } => ActionCode::SendCacheOnly,
         Action::Reject { .. } => ActionCode::Reject,
--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -87,13 +87,13 @@
     };
     let folder = std::env::temp_dir().join(format!("dahliatrack-demo-{}", std::process::id()));
     fs::create_dir_all(&folder).map_err(ReplayError::from)?;
-    let trace = make_trace(&synthetic, &folder.join("trace.csv"));
+    let trace = generate_trace(&synthetic, &folder.join("trace.csv"));
     let _ = fs::remove_dir_all(&folder); // a folder that stays harms nothing
     play(&trace?, args.play)
 }
 
 /// Writes a made-up trace to a file, and reads it as any other trace.
-fn make_trace(synthetic: &SyntheticTrace, path: &Path) -> Result<Trace, CommandError> {
+fn generate_trace(synthetic: &SyntheticTrace, path: &Path) -> Result<Trace, CommandError> {
     let written = File::create(path).and_then(|mut file| synthetic.write_azure(&mut file));
     written.map_err(ReplayError::from)?;
     Ok(trace::load(path, HclDocument { file: "demo.hcl", text: DEMO_MAP })?)
--- a/src/commands/sign.rs
+++ b/src/commands/sign.rs
@@ -61,7 +61,7 @@
 }
 
 impl SigningArgs {
-    fn gate(&self) -> Result<Keyring, ConfigError> {
+    fn keyring(&self) -> Result<Keyring, ConfigError> {
         Ok(Keyring::new(&SignedConfig::read(&self.signed)?))
     }
 }
@@ -69,22 +69,24 @@
 /// Signs, and prints the result.
 pub fn run(command: SignCommand) -> Result<(), CommandError> {
     let signed = match command {
-        SignCommand::Url { signing, url } => signing.gate()?.sign_url(&signing.key, &url, signing.expires)?,
+        SignCommand::Url { signing, url } => {
+            signing.keyring()?.sign_url(&signing.key, &url, signing.expires)?
+        }
         SignCommand::Prefix { signing, prefix } => {
-            signing.gate()?.sign_prefix(&signing.key, &prefix, signing.expires)?
+            signing.keyring()?.sign_prefix(&signing.key, &prefix, signing.expires)?
         }
-        SignCommand::Token(args) => token(args)?,
+        SignCommand::Token(args) => sign_token(args)?,
     };
     print(&signed);
     Ok(())
 }
 
-fn token(args: TokenArgs) -> Result<String, CommandError> {
+fn sign_token(args: TokenArgs) -> Result<String, CommandError> {
     let TokenArgs { signing, object, table, not_before, issuer } = args;
     let scope = match object {
         Some(object) => TokenScope::Object(object),
         None => TokenScope::Table(table.unwrap_or_default()),
     };
     let grant = Grant { scope, exp: signing.expires, nbf: not_before, iss: issuer };
-    Ok(signing.gate()?.sign_token(&signing.key, &grant)?)
+    Ok(signing.keyring()?.sign_token(&signing.key, &grant)?)
 }
--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -48,7 +48,7 @@
     if args.federation {
         let summary = dahliatrack::sim::federation::search(args.seeds, args.plant);
         print(&summary);
-        return fail_if(!summary.broken.is_empty());
+        return fail_if_broken(!summary.broken.is_empty());
     }
     let plan = args.faults.as_deref().map_or_else(|| Ok(RunPlan::default()), read_plan)?;
     match args.keep {
@@ -56,7 +56,7 @@
         None => {
             let summary = runner::search(&plan, args.seeds, args.sabotage, args.max_failures);
             print(&summary);
-            fail_if(!summary.broken.is_empty())
+            fail_if_broken(!summary.broken.is_empty())
         }
     }
 }
@@ -72,10 +72,10 @@
     let kept: Vec<Fault> = numbers.iter().filter_map(|number| script.get(*number).cloned()).collect();
     let outcome = runner::play(plan, seed, &kept, sabotage);
     print(&serde_json::json!(outcome));
-    fail_if(!outcome.breaches.is_empty())
+    fail_if_broken(!outcome.breaches.is_empty())
 }
 
-fn fail_if(broken: bool) -> Result<(), CommandError> {
+fn fail_if_broken(broken: bool) -> Result<(), CommandError> {
     if broken {
         return Err(CommandError::RuleBroken);
     }
--- a/src/lab/replay/clients.rs
+++ b/src/lab/replay/clients.rs
@@ -5,7 +5,7 @@
 use super::request_end::RequestEnd;
 use super::{ClassTerms, ReplayPlan};
 use crate::standin::thrift_client;
-use crate::trace::{Played, Trace};
+use crate::trace::{TimedRequest, Trace};
 use indicatif::ProgressBar;
 use std::io;
 use std::net::SocketAddr;
@@ -44,12 +44,12 @@
 
 impl Traffic<'_> {
     /// When a request is sent, from the start.
-    fn sending_time(&self, request: &Played) -> Duration {
+    fn sending_time(&self, request: &TimedRequest) -> Duration {
         Duration::from_secs_f64(request.at.as_secs_f64() / self.plan.speed)
     }
 
     /// The frame of the request of this place in the trace.
-    fn frame(&self, number: usize, request: &Played, seqid: i32) -> Vec<u8> {
+    fn frame(&self, number: usize, request: &TimedRequest, seqid: i32) -> Vec<u8> {
         let class = self.trace.classes[request.class].as_str();
         let object = format!("{:016x}", request.object);
         let client_timeout = (self.terms[request.class].deadline_ms as u64).to_string();
@@ -130,7 +130,7 @@
     }
 
     /// Sends a request. Writing shows that a connection has ended; the request then goes on a new one.
-    fn send(&mut self, number: usize, request: &Played) {
+    fn send(&mut self, number: usize, request: &TimedRequest) {
         self.last_seqid += 1;
         let frame = self.traffic.frame(number, request, self.last_seqid);
         let is_sent = (0..WRITE_ATTEMPTS).any(|_| self.write(request.class, &frame));
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -10,7 +10,7 @@
 mod reader;
 mod rules;
 
-pub use rules::{ClassRule, OnlyRule, TimeRule};
+pub use rules::{ClassRule, RowFilter, TimeRule};
 
 use crate::config::hcl_document::{HclDocument, HclError, Position};
 use crate::interface::Span;
@@ -35,7 +35,7 @@
     /// The columns whose values name the object.
     pub object: Vec<usize>,
     /// Only rows that have this value.
-    pub only: Option<OnlyRule>,
+    pub filter: Option<RowFilter>,
     /// Rows are put in order over this span.
     pub reorder: Span,
     /// The length of the test.
@@ -66,7 +66,7 @@
         let mut map = MapReader { doc, block, format, names: columns.names, reader };
         let time = map.read_time()?;
         let object = map.read_object()?;
-        let only = map.read_only()?;
+        let filter = map.read_filter()?;
         let reorder = map.read_seconds("reorder_s", DEFAULT_REORDER_S, 0)?;
         let window = map.read_seconds("window_s", DEFAULT_WINDOW_S, 1)?;
         let slices = map.reader.integer("slices", 1, MAX_SLICES)?;
@@ -81,7 +81,7 @@
             columns: if columns.from_header { Vec::new() } else { map.names },
             time,
             object,
-            only,
+            filter,
             reorder,
             window,
             slices: slices.map_or(DEFAULT_SLICES, |slices| slices.value as usize),
--- a/src/trace/map/formats.rs
+++ b/src/trace/map/formats.rs
@@ -10,7 +10,7 @@
     /// The columns that name the object.
     pub(super) object: &'static [&'static str],
     /// Only rows whose column has this value.
-    pub(super) only: Option<FormatOnly>,
+    pub(super) filter: Option<FormatFilter>,
 }
 
 /// The time of a format's rows.
@@ -22,7 +22,7 @@
 }
 
 /// A value that a format's rows must have.
-pub(super) struct FormatOnly {
+pub(super) struct FormatFilter {
     pub(super) column: &'static str,
     pub(super) value: &'static str,
 }
@@ -37,7 +37,7 @@
         columns: &["app", "func", "end_timestamp", "duration"],
         time: FormatTime { column: "end_timestamp", unit: "s", minus: Some("duration") },
         object: &["app", "func"],
-        only: None,
+        filter: None,
     },
     // Google cluster-usage traces v2 (clusterdata-2011-2), task_events: microseconds; event type 0 is SUBMIT.
     Format {
@@ -60,7 +60,7 @@
         ],
         time: FormatTime { column: "time", unit: "us", minus: None },
         object: &["job_id"],
-        only: Some(FormatOnly { column: "event_type", value: "0" }),
+        filter: Some(FormatFilter { column: "event_type", value: "0" }),
     },
     // Alibaba cluster-trace-v2018, batch_task: seconds.
     Format {
@@ -79,6 +79,6 @@
         ],
         time: FormatTime { column: "start_time", unit: "s", minus: None },
         object: &["job_name", "task_name"],
-        only: None,
+        filter: None,
     },
 ];
--- a/src/trace/map/reader.rs
+++ b/src/trace/map/reader.rs
@@ -1,7 +1,7 @@
 //! Reads the parts of a map's `trace` block, with what a named format fills in.
 
 use super::formats::Format;
-use super::rules::{ClassRule, OnlyRule, TimeRule};
+use super::rules::{ClassRule, RowFilter, TimeRule};
 use crate::config::hcl_document::{unknown_name, BlockReader, HclDocument, HclError, Located, Position};
 use crate::interface::Span;
 use hcl_edit::structure::Block;
@@ -51,17 +51,17 @@
         let minus = reader.string("minus")?;
         reader.finish()?;
         let unit = unit.as_ref().map_or("s", |unit| unit.value.as_str());
-        let unit = self.micros_in(unit, column.at)?;
+        let unit_micros = self.micros_in(unit, column.at)?;
         let minus = minus.map(|minus| self.column(&minus.value, column.at)).transpose()?;
-        Ok(TimeRule { column: self.located_column(&column)?, unit, minus })
+        Ok(TimeRule { column: self.located_column(&column)?, unit_micros, minus })
     }
 
     fn format_time(&self) -> Result<TimeRule, HclError> {
         let at = self.doc.position(self.block);
         let format = self.format.ok_or_else(|| self.doc.error(at, "no time block"))?;
-        let unit = self.micros_in(format.time.unit, at)?;
+        let unit_micros = self.micros_in(format.time.unit, at)?;
         let minus = format.time.minus.map(|minus| self.format_column(minus)).transpose()?;
-        Ok(TimeRule { column: self.format_column(format.time.column)?, unit, minus })
+        Ok(TimeRule { column: self.format_column(format.time.column)?, unit_micros, minus })
     }
 
     /// The microseconds in a unit.
@@ -87,19 +87,19 @@
     }
 
     /// The value that rows must have, where the map or the format names one.
-    pub(super) fn read_only(&mut self) -> Result<Option<OnlyRule>, HclError> {
-        let Some(block) = self.reader.block("only")? else { return self.format_only() };
+    pub(super) fn read_filter(&mut self) -> Result<Option<RowFilter>, HclError> {
+        let Some(block) = self.reader.block("only")? else { return self.format_filter() };
         let mut reader = self.doc.reader(&block.body);
         let missing = |what: &str| self.doc.error(self.doc.position(block), format!("only names no {what}"));
         let column = reader.string("column")?.ok_or_else(|| missing("column"))?;
         let value = reader.string("value")?.ok_or_else(|| missing("value"))?;
         reader.finish()?;
-        Ok(Some(OnlyRule { column: self.located_column(&column)?, value: value.value }))
+        Ok(Some(RowFilter { column: self.located_column(&column)?, value: value.value }))
     }
 
-    fn format_only(&self) -> Result<Option<OnlyRule>, HclError> {
-        let Some(only) = self.format.and_then(|format| format.only.as_ref()) else { return Ok(None) };
-        Ok(Some(OnlyRule { column: self.format_column(only.column)?, value: only.value.to_owned() }))
+    fn format_filter(&self) -> Result<Option<RowFilter>, HclError> {
+        let Some(filter) = self.format.and_then(|format| format.filter.as_ref()) else { return Ok(None) };
+        Ok(Some(RowFilter { column: self.format_column(filter.column)?, value: filter.value.to_owned() }))
     }
 
     /// A span in whole seconds.
@@ -124,7 +124,7 @@
         let one_of = reader.strings("one_of")?;
         let from = reader.number("from", -MAX_BOUND, MAX_BOUND)?;
         let below = reader.number("below", -MAX_BOUND, MAX_BOUND)?;
-        let part = reader.number("part", 0.0, 1.0)?;
+        let share = reader.number("part", 0.0, 1.0)?;
         reader.finish()?;
         let has_range = from.is_some() || below.is_some();
         if column.is_none() != (one_of.is_empty() && !has_range) {
@@ -138,7 +138,7 @@
             column,
             one_of: one_of.into_iter().map(|value| value.value).collect(),
             range: has_range.then_some(start..end),
-            part: part.map_or(1.0, |part| part.value),
+            share: share.map_or(1.0, |share| share.value),
         })
     }
 }
--- a/src/trace/map/rules.rs
+++ b/src/trace/map/rules.rs
@@ -16,7 +16,7 @@
     /// Or a number in this range.
     pub range: Option<Range<f64>>,
     /// Of the rows that match, this part of the objects.
-    pub part: f64,
+    pub share: f64,
 }
 
 impl ClassRule {
@@ -35,11 +35,11 @@
         value.parse().is_ok_and(|number| range.contains(&number))
     }
 
-    /// Whether an object is of the rule's part: an object is of it with all its rows, or with none. `place` is the
+    /// Whether an object is of the rule's part: an object is of it with all its rows, or with none. `index` is the
     /// rule's place in the map.
-    pub(in crate::trace) fn draws(&self, place: usize, object: u64) -> bool {
-        let drawn = mix(object ^ (place as u64 + 1)) as f64 / u64::MAX as f64;
-        self.part >= 1.0 || drawn < self.part
+    pub(in crate::trace) fn includes(&self, index: usize, object: u64) -> bool {
+        let drawn = mix(object ^ (index as u64 + 1)) as f64 / u64::MAX as f64;
+        self.share >= 1.0 || drawn < self.share
     }
 }
 
@@ -49,14 +49,14 @@
     /// The column, by number.
     pub column: usize,
     /// Microseconds in its unit.
-    pub unit: f64,
+    pub unit_micros: f64,
     /// A column that is subtracted from the time.
     pub minus: Option<usize>,
 }
 
 /// A value that rows must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OnlyRule {
+pub struct RowFilter {
     /// The column, by number.
     pub column: usize,
     /// The value.
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -9,9 +9,9 @@
 
 use crate::config::hcl_document::{HclDocument, HclError};
 use crate::interface::{Instant, Span};
-use counts::Counts;
+use counts::RowCounts;
 use map::TraceMap;
-use reorder::Reorder;
+use reorder::ReorderWindow;
 use rows::Row;
 use sample::{Rates, Slices};
 use std::path::Path;
@@ -19,7 +19,7 @@
 /// The most rows that the reorder window holds.
 const MAX_HELD_ROWS: usize = 1 << 20;
 /// The most rows that a test plays.
-const MAX_PLAYED_ROWS: usize = 5_000_000;
+const MAX_SAMPLED_ROWS: usize = 5_000_000;
 
 /// Why a trace cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -41,16 +41,16 @@
         /// The file.
         path: String,
         /// What became of the rows.
-        counts: Counts,
+        counts: RowCounts,
     },
     /// It is more than a test can hold.
-    #[error("{0} rows fall into the test, over {MAX_PLAYED_ROWS}: shorten window_s")]
+    #[error("{0} rows fall into the test, over {MAX_SAMPLED_ROWS}: shorten window_s")]
     TooManyRows(usize),
 }
 
 /// A request of a trace, when it is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Played {
+pub struct TimedRequest {
     /// From the start of the test.
     pub at: Span,
     /// The class, by its place in the map.
@@ -65,13 +65,13 @@
     /// The classes' names, in the map's order.
     pub classes: Vec<String>,
     /// The requests, in order.
-    pub requests: Vec<Played>,
+    pub requests: Vec<TimedRequest>,
     /// How long the test is.
     pub length: Span,
     /// Slices that it is made of.
     pub slices: usize,
     /// What became of the rows.
-    pub counts: Counts,
+    pub counts: RowCounts,
     /// The rates of the trace and of the sample.
     pub rates: Rates,
 }
@@ -92,14 +92,14 @@
         return Err(TraceError::Empty { path: path.display().to_string(), counts });
     };
     let slices = Slices::new(range.first, range.last, map.window, map.slices, map.seed);
-    rates.span = range.last - range.first + Span::from_micros(1);
-    rates.played = slices.length();
+    rates.trace_span = range.last - range.first + Span::from_micros(1);
+    rates.sampled_span = slices.length();
     let requests = file.sample(&slices, &mut counts).map_err(read_error)?;
-    if requests.len() > MAX_PLAYED_ROWS {
+    if requests.len() > MAX_SAMPLED_ROWS {
         return Err(TraceError::TooManyRows(requests.len()));
     }
     for request in &requests {
-        *rates.taken.entry(map.classes[request.class].class.clone()).or_default() += 1;
+        *rates.sampled_rows.entry(map.classes[request.class].class.clone()).or_default() += 1;
     }
     let classes = map.classes.into_iter().map(|rule| rule.class).collect();
     Ok(Trace { classes, requests, length: slices.length(), slices: slices.count(), counts, rates })
@@ -133,7 +133,7 @@
     range: Option<TimeRange>,
     /// With the rows of the trace by class alone.
     rates: Rates,
-    counts: Counts,
+    counts: RowCounts,
 }
 
 impl TraceFile<'_> {
@@ -141,30 +141,30 @@
     fn survey(&self) -> Result<Survey, csv::Error> {
         let mut range = None;
         let mut rates = Rates::default();
-        let mut counts = Counts::default();
+        let mut counts = RowCounts::default();
         rows::for_each(self.path, self.map, &self.names, &mut counts, |row| {
             range = Some(TimeRange::including(range, row.at));
-            *rates.all.entry(self.map.classes[row.class].class.clone()).or_default() += 1;
+            *rates.trace_rows.entry(self.map.classes[row.class].class.clone()).or_default() += 1;
         })?;
         Ok(Survey { range, rates, counts })
     }
 
     /// Reads the file for what is played, in order; counts the rows out of order.
-    fn sample(&self, slices: &Slices, counts: &mut Counts) -> Result<Vec<Played>, csv::Error> {
-        let mut window = Reorder::new(self.map.reorder, MAX_HELD_ROWS);
+    fn sample(&self, slices: &Slices, counts: &mut RowCounts) -> Result<Vec<TimedRequest>, csv::Error> {
+        let mut window = ReorderWindow::new(self.map.reorder, MAX_HELD_ROWS);
         let mut requests = Vec::new();
-        let mut play = |at: Instant, row: Row| {
-            let played = slices.played(at);
-            requests.extend(played.map(|at| Played { at, class: row.class, object: row.object }));
+        let mut add_sampled = |at: Instant, row: Row| {
+            let replay_time = slices.replay_time(at);
+            requests.extend(replay_time.map(|at| TimedRequest { at, class: row.class, object: row.object }));
         };
-        rows::for_each(self.path, self.map, &self.names, &mut Counts::default(), |row| {
+        rows::for_each(self.path, self.map, &self.names, &mut RowCounts::default(), |row| {
             window.push(row.at, row);
-            while let Some((at, row)) = window.ready() {
-                play(at, row);
+            while let Some((at, row)) = window.pop_ready() {
+                add_sampled(at, row);
             }
         })?;
         while let Some((at, row)) = window.pop() {
-            play(at, row);
+            add_sampled(at, row);
         }
         counts.reordered = window.reordered;
         counts.moved = window.moved;
--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -9,13 +9,13 @@
 struct HeldRow<T> {
     at: Instant,
     /// Its place in the file, which decides between equal times.
-    place: u64,
+    row_number: u64,
     row: T,
 }
 
 impl<T> HeldRow<T> {
     fn key(&self) -> (Instant, u64) {
-        (self.at, self.place)
+        (self.at, self.row_number)
     }
 }
 
@@ -40,16 +40,16 @@
 }
 
 /// The window. Memory: the rows of one span, bounded by the most that it holds.
-pub struct Reorder<T> {
+pub struct ReorderWindow<T> {
     span: Span,
     max_held: usize,
     held: BinaryHeap<Reverse<HeldRow<T>>>,
     /// Rows so far.
-    count: u64,
+    pushed: u64,
     /// The latest time so far.
     newest: Instant,
     /// The time of the last row given out: nothing goes before it.
-    reached: Instant,
+    last_released: Instant,
     /// Rows that came before one with a smaller time and were put in order.
     pub reordered: u64,
     /// Rows that came too late for that and were moved to the time reached.
@@ -58,16 +58,16 @@
     pub max_moved: Span,
 }
 
-impl<T> Reorder<T> {
+impl<T> ReorderWindow<T> {
     /// Orders over a span and holds so many rows at the most.
     pub fn new(span: Span, max_held: usize) -> Self {
-        Reorder {
+        ReorderWindow {
             span,
             max_held: max_held.max(1),
             held: BinaryHeap::new(),
-            count: 0,
+            pushed: 0,
             newest: Instant::MIN,
-            reached: Instant::MIN,
+            last_released: Instant::MIN,
             reordered: 0,
             moved: 0,
             max_moved: Span::ZERO,
@@ -76,19 +76,19 @@
 
     /// Takes a row.
     pub fn push(&mut self, at: Instant, row: T) {
-        if at < self.reached {
+        if at < self.last_released {
             self.moved += 1;
-            self.max_moved = self.max_moved.max(self.reached - at);
+            self.max_moved = self.max_moved.max(self.last_released - at);
         } else if at < self.newest {
             self.reordered += 1;
         }
         self.newest = self.newest.max(at);
-        self.count += 1;
-        self.held.push(Reverse(HeldRow { at: at.max(self.reached), place: self.count, row }));
+        self.pushed += 1;
+        self.held.push(Reverse(HeldRow { at: at.max(self.last_released), row_number: self.pushed, row }));
     }
 
     /// A row that surely is next, if there is one: the window has passed it, or holds too many.
-    pub fn ready(&mut self) -> Option<(Instant, T)> {
+    pub fn pop_ready(&mut self) -> Option<(Instant, T)> {
         let Reverse(first) = self.held.peek()?;
         let passed = first.at <= self.newest.saturating_add(-self.span);
         if passed || self.held.len() > self.max_held {
@@ -101,7 +101,7 @@
     /// The rest, in order, once the file is over.
     pub fn pop(&mut self) -> Option<(Instant, T)> {
         let Reverse(HeldRow { at, row, .. }) = self.held.pop()?;
-        self.reached = at;
+        self.last_released = at;
         Some((at, row))
     }
 }
--- a/src/trace/reorder/tests.rs
+++ b/src/trace/reorder/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// Spans and times in microseconds.
-fn all(span: i64, most: usize, times: &[i64]) -> (Vec<i64>, [u64; 2], i64) {
-    let mut window = Reorder::new(Span::from_micros(span), most);
+fn reorder(span: i64, max_held: usize, times: &[i64]) -> (Vec<i64>, [u64; 2], i64) {
+    let mut window = ReorderWindow::new(Span::from_micros(span), max_held);
     let mut out = Vec::new();
     for at in times {
         window.push(Instant::from_micros(*at), *at);
-        out.extend(std::iter::from_fn(|| window.ready()).map(|(at, _)| at.as_micros()));
+        out.extend(std::iter::from_fn(|| window.pop_ready()).map(|(at, _)| at.as_micros()));
     }
     out.extend(std::iter::from_fn(|| window.pop()).map(|(at, _)| at.as_micros()));
     (out, [window.reordered, window.moved], window.max_moved.as_micros())
@@ -16,16 +16,16 @@
 
 #[test]
 fn rows_come_in_order_and_none_is_lost() {
-    assert_eq!(all(10, 99, &[5, 3, 4, 20, 18, 40]), (vec![3, 4, 5, 18, 20, 40], [3, 0], 0));
+    assert_eq!(reorder(10, 99, &[5, 3, 4, 20, 18, 40]), (vec![3, 4, 5, 18, 20, 40], [3, 0], 0));
     // 3 comes when 20 has been given out: it is moved there, and told.
-    assert_eq!(all(10, 99, &[5, 20, 40, 3]), (vec![5, 20, 20, 40], [0, 1], 17));
-    assert_eq!(all(0, 99, &[2, 1, 3]), (vec![2, 2, 3], [0, 1], 1));
+    assert_eq!(reorder(10, 99, &[5, 20, 40, 3]), (vec![5, 20, 20, 40], [0, 1], 17));
+    assert_eq!(reorder(0, 99, &[2, 1, 3]), (vec![2, 2, 3], [0, 1], 1));
     // A window that is full gives out what it would rather keep.
-    assert_eq!(all(1000, 2, &[5, 6, 7, 1]), (vec![5, 5, 6, 7], [0, 1], 4));
+    assert_eq!(reorder(1000, 2, &[5, 6, 7, 1]), (vec![5, 5, 6, 7], [0, 1], 4));
 }
 
 #[test]
-fn whatever_the_order_times_never_go_back_and_all_come_out() {
+fn randomly_ordered_rows_come_out_sorted_and_complete() {
     for seed in 0..200_u64 {
         let mut state = seed;
         let mut draw = |n: u64| {
@@ -33,10 +33,10 @@
             (state >> 33) % n
         };
         let times: Vec<i64> = (0..200).map(|n| n * 3 + draw(50) as i64).collect();
-        let (out, [reordered, moved], most) = all(draw(60) as i64, 1 + draw(40) as usize, &times);
+        let (out, [reordered, moved], max_moved) = reorder(draw(60) as i64, 1 + draw(40) as usize, &times);
         assert_eq!(out.len(), times.len());
         assert!(out.windows(2).all(|pair| pair[0] <= pair[1]), "seed {seed}");
-        let straight = times.windows(2).filter(|pair| pair[1] < pair[0]).count() as u64;
-        assert!(reordered + moved >= straight && (moved == 0) == (most == 0), "seed {seed}");
+        let descents = times.windows(2).filter(|pair| pair[1] < pair[0]).count() as u64;
+        assert!(reordered + moved >= descents && (moved == 0) == (max_moved == 0), "seed {seed}");
     }
 }
--- a/src/trace/rows.rs
+++ b/src/trace/rows.rs
@@ -1,6 +1,6 @@
 //! Reads a trace's rows by its map.
 
-use super::counts::Counts;
+use super::counts::RowCounts;
 use super::map::TraceMap;
 use crate::interface::{Instant, Span};
 use crate::splitmix64::mix;
@@ -44,11 +44,11 @@
 }
 
 /// What became of a row.
-enum Outcome {
+enum RowOutcome {
     Used(Row),
     /// `only` leaves it out.
-    Other,
-    Unclassed,
+    Filtered,
+    Unclassified,
 }
 
 /// The names of the columns in the file's first line.
@@ -63,7 +63,7 @@
     csv::ReaderBuilder::new().has_headers(header).flexible(true).trim(csv::Trim::All).from_path(path)
 }
 
-/// Reads all rows: passes each that can be used to `with`, and counts the others. `names` are the columns' names.
+/// Reads all rows: passes each that can be used to `handle_row`, and counts the others. `names` are the columns' names.
 ///
 /// # Errors
 ///
@@ -72,8 +72,8 @@
     path: &Path,
     map: &TraceMap,
     names: &[String],
-    counts: &mut Counts,
-    mut with: impl FnMut(Row),
+    counts: &mut RowCounts,
+    mut handle_row: impl FnMut(Row),
 ) -> Result<(), csv::Error> {
     let mut reader = reader(path, map.header)?;
     let mut record = StringRecord::new();
@@ -91,12 +91,12 @@
         }
         counts.rows += 1;
         match (Fields { map, record: &record }).read() {
-            Ok(Outcome::Used(row)) => {
+            Ok(RowOutcome::Used(row)) => {
                 counts.used += 1;
-                with(row);
+                handle_row(row);
             }
-            Ok(Outcome::Other) => counts.other += 1,
-            Ok(Outcome::Unclassed) => counts.unclassed += 1,
+            Ok(RowOutcome::Filtered) => counts.filtered += 1,
+            Ok(RowOutcome::Unclassified) => counts.unclassified += 1,
             Err(FieldError { column, problem }) => {
                 let name = names.get(column).map_or("?", String::as_str);
                 counts.skip(name, line(record.position()), &problem.to_string());
@@ -116,18 +116,18 @@
 }
 
 impl<'a> Fields<'a> {
-    fn read(&self) -> Result<Outcome, FieldError> {
-        if let Some(only) = &self.map.only {
-            if self.optional(only.column).is_some_and(|value| value != only.value) {
-                return Ok(Outcome::Other);
+    fn read(&self) -> Result<RowOutcome, FieldError> {
+        if let Some(filter) = &self.map.filter {
+            if self.optional(filter.column).is_some_and(|value| value != filter.value) {
+                return Ok(RowOutcome::Filtered);
             }
-            self.required(only.column)?;
+            self.required(filter.column)?;
         }
         let at = self.time()?;
         let object = self.object()?;
         Ok(match self.class(object) {
-            Some(class) => Outcome::Used(Row { at, class, object }),
-            None => Outcome::Unclassed,
+            Some(class) => RowOutcome::Used(Row { at, class, object }),
+            None => RowOutcome::Unclassified,
         })
     }
 
@@ -144,7 +144,7 @@
         let fail = |problem| FieldError { column, problem };
         let text = self.required(column)?;
         let value: f64 = text.parse().map_err(|_| fail(FieldProblem::NoNumber))?;
-        let micros = value * self.map.time.unit;
+        let micros = value * self.map.time.unit_micros;
         if (0.0..TIME_LIMIT).contains(&micros) {
             Ok(micros)
         } else {
@@ -173,10 +173,10 @@
     /// The first class that matches.
     fn class(&self, object: u64) -> Option<usize> {
         let mut classes = self.map.classes.iter().enumerate();
-        let matching = classes.find(|(place, rule)| {
+        let matching = classes.find(|(index, rule)| {
             let value = rule.column.map(|column| self.optional(column));
-            rule.matches(value) && rule.draws(*place, object)
+            rule.matches(value) && rule.includes(*index, object)
         });
-        matching.map(|(place, _)| place)
+        matching.map(|(index, _)| index)
     }
 }
--- a/src/trace/sample.rs
+++ b/src/trace/sample.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The shortest span.
-const TICK: Span = Span::from_micros(1);
+const MIN_SPAN: Span = Span::from_micros(1);
 /// The name under which all classes together are compared.
 pub const ALL: &str = "all";
 
@@ -24,12 +24,12 @@
 impl Slices {
     /// Slices of a trace from `first` to `last` for a test of `window`; a trace that fits is taken whole.
     pub fn new(first: Instant, last: Instant, window: Span, slices: usize, seed: u64) -> Self {
-        let span = (last - first + TICK).max(TICK);
+        let span = (last - first + MIN_SPAN).max(MIN_SPAN);
         if span <= window {
             return Slices { starts: vec![first], length: span };
         }
-        let slices = slices.clamp(1, window.max(TICK).as_micros() as usize) as i64;
-        let length = (window / slices).max(TICK);
+        let slices = slices.clamp(1, window.max(MIN_SPAN).as_micros() as usize) as i64;
+        let length = (window / slices).max(MIN_SPAN);
         let stratum = span / slices;
         let spare = (stratum - length).max(Span::ZERO).as_micros();
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -38,7 +38,7 @@
     }
 
     /// When a row of this time is played, from the start; `None`: it is not.
-    pub fn played(&self, at: Instant) -> Option<Span> {
+    pub fn replay_time(&self, at: Instant) -> Option<Span> {
         let slice = self.starts.partition_point(|start| *start <= at).checked_sub(1)?;
         let within = at - self.starts[slice];
         (within < self.length).then(|| slice as i64 * self.length + within)
@@ -59,13 +59,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rates {
     /// Rows of the trace by class.
-    pub all: BTreeMap<String, u64>,
+    pub trace_rows: BTreeMap<String, u64>,
     /// Its length.
-    pub span: Span,
+    pub trace_span: Span,
     /// Rows taken by class.
-    pub taken: BTreeMap<String, u64>,
+    pub sampled_rows: BTreeMap<String, u64>,
     /// What they are played in.
-    pub played: Span,
+    pub sampled_span: Span,
 }
 
 /// The rate of a trace against that of its sample.
@@ -96,23 +96,23 @@
     /// The comparison of each class, and of all rows as [`ALL`].
     pub fn compare(&self) -> BTreeMap<String, RateComparison> {
         let mut comparisons = BTreeMap::new();
-        for (class, count) in &self.all {
-            let taken = self.taken.get(class).copied().unwrap_or(0);
+        for (class, count) in &self.trace_rows {
+            let taken = self.sampled_rows.get(class).copied().unwrap_or(0);
             comparisons.insert(class.clone(), self.comparison(*count, taken));
         }
-        let all = self.comparison(self.all.values().sum(), self.taken.values().sum());
+        let all = self.comparison(self.trace_rows.values().sum(), self.sampled_rows.values().sum());
         comparisons.insert(ALL.to_owned(), all);
         comparisons
     }
 
     fn comparison(&self, all: u64, taken: u64) -> RateComparison {
-        RateComparison::new(rate(all, self.span), rate(taken, self.played))
+        RateComparison::new(rate(all, self.trace_span), rate(taken, self.sampled_span))
     }
 }
 
 /// Rows a second, of a count in a span.
 fn rate(count: u64, span: Span) -> f64 {
-    let seconds = span.max(TICK).as_secs_f64();
+    let seconds = span.max(MIN_SPAN).as_secs_f64();
     count as f64 / seconds
 }
 
--- a/src/trace/sample/tests.rs
+++ b/src/trace/sample/tests.rs
@@ -8,20 +8,25 @@
     Slices::new(first, last, Span::from_micros(window), slices, seed)
 }
 
-fn played(slices: &Slices, at: i64) -> Option<i64> {
-    slices.played(Instant::from_micros(at)).map(Span::as_micros)
+fn replay_time(slices: &Slices, at: i64) -> Option<i64> {
+    slices.replay_time(Instant::from_micros(at)).map(Span::as_micros)
 }
 
 #[test]
-fn a_trace_that_fits_is_taken_whole_and_a_longer_one_by_slices() {
+fn short_trace_is_taken_whole_and_longer_one_in_slices() {
     let whole = slices(100, 199, 100, 5, 1);
     assert_eq!(
-        (played(&whole, 100), played(&whole, 199), played(&whole, 200), whole.length().as_micros()),
+        (
+            replay_time(&whole, 100),
+            replay_time(&whole, 199),
+            replay_time(&whole, 200),
+            whole.length().as_micros()
+        ),
         (Some(0), Some(99), None, 100)
     );
     let sampled = slices(1000, 100_999, 10_000, 10, 1);
     assert_eq!((sampled.count(), sampled.length().as_micros()), (10, 10_000));
-    let times: Vec<i64> = (0..101_000).filter_map(|at| played(&sampled, at)).collect();
+    let times: Vec<i64> = (0..101_000).filter_map(|at| replay_time(&sampled, at)).collect();
     assert_eq!(times, (0..10_000).collect::<Vec<_>>(), "each moment of the test once, in order");
     assert_eq!(sampled, slices(1000, 100_999, 10_000, 10, 1));
     assert_ne!(sampled, slices(1000, 100_999, 10_000, 10, 2));
@@ -29,23 +34,23 @@
 
 /// A rate that rises tenfold and falls again: the sample keeps its mean, without thinning any moment of it.
 #[test]
-fn the_rate_is_not_bent() {
+fn sample_keeps_the_mean_rate() {
     let mut worst: f64 = 0.0;
     for seed in 0..20 {
         let (mut rates, slices) = (Rates::default(), slices(0, 3_600_000_000, 600_000_000, 20, seed));
         let mut at = 0;
         while at <= 3_600_000_000 {
             let class = if at % 7 < 2 { "result" } else { "piece" };
-            *rates.all.entry(class.into()).or_default() += 1;
-            if played(&slices, at).is_some() {
-                *rates.taken.entry(class.into()).or_default() += 1;
+            *rates.trace_rows.entry(class.into()).or_default() += 1;
+            if replay_time(&slices, at).is_some() {
+                *rates.sampled_rows.entry(class.into()).or_default() += 1;
             }
             let part = at as f64 / 3.6e9;
             at += 1_000_000 / (5.0 + 45.0 * (std::f64::consts::PI * part).sin()) as i64 + at % 3;
         }
-        (rates.span, rates.played) = (Span::from_secs(3_600), slices.length());
-        let RateComparison { trace: told, sample: sampled, error } = rates.compare()[ALL];
-        assert!((sampled / told - 1.0 - error).abs() < 1e-9);
+        (rates.trace_span, rates.sampled_span) = (Span::from_secs(3_600), slices.length());
+        let RateComparison { trace, sample, error } = rates.compare()[ALL];
+        assert!((sample / trace - 1.0 - error).abs() < 1e-9);
         worst = worst.max(error.abs());
     }
     assert!(worst < 0.03, "{worst}");
--- a/src/trace/tests.rs
+++ b/src/trace/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of reading whole traces.
 
-use super::counts::Skipped;
+use super::counts::SkippedRows;
 use super::sample::{RateComparison, ALL};
 use super::*;
 use std::collections::BTreeMap;
@@ -42,8 +42,8 @@
         &format!("trace {{\n window_s = 1000\n format = \"google-2011-task-events\"\n {classes}\n}}"),
     );
     let trace = trace.expect("usable");
-    assert_eq!((trace.counts.rows, trace.counts.used, trace.counts.other), (5, 3, 1));
-    let skipped = Skipped { rows: 1, first: "line 4: out of range".to_owned() };
+    assert_eq!((trace.counts.rows, trace.counts.used, trace.counts.filtered), (5, 3, 1));
+    let skipped = SkippedRows { rows: 1, first_reason: "line 4: out of range".to_owned() };
     assert_eq!(trace.counts.skipped["time"], skipped);
     assert_eq!(trace.requests.iter().map(|r| r.class).collect::<Vec<_>>(), [0, 0, 1]);
     let alibaba = b"t1,1,j1,1,Terminated,100,200,100,0.5\nt1,1,j1,1,Terminated,101,200,100,0.5\n";
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn rows_that_cannot_be_used_are_counted_by_column_and_lose_nothing_else() {
+fn unusable_rows_are_skipped_and_counted_by_column() {
     let text = b"app,func,end_timestamp,duration\na,f,2.0,1.0\na,f,,1.0\na,f,soon,1.0\n,f,3.0,1.0\na,f,3.0\na,f,-1,0\n\xff,f,3.0,1.0\na,f,nan,1\na,f,9.0,1.0,more\n";
     let trace = read("bad.csv", text, AZURE).expect("usable");
     assert_eq!((trace.counts.rows, trace.counts.used, times(&trace)), (9, 2, vec![0, 7_000_000]));
@@ -65,7 +65,7 @@
         .counts
         .skipped
         .iter()
-        .map(|(column, skipped)| (column.as_str(), skipped.rows, skipped.first.as_str()))
+        .map(|(column, skipped)| (column.as_str(), skipped.rows, skipped.first_reason.as_str()))
         .collect();
     let wanted = [
         ("app", 1, "line 5: missing"),
@@ -75,7 +75,10 @@
     ];
     assert_eq!(skipped, wanted);
     let sum: u64 = trace.counts.skipped.values().map(|skipped| skipped.rows).sum();
-    assert_eq!(trace.counts.used + trace.counts.other + trace.counts.unclassed + sum, trace.counts.rows);
+    assert_eq!(
+        trace.counts.used + trace.counts.filtered + trace.counts.unclassified + sum,
+        trace.counts.rows
+    );
     let none = read("none.csv", b"app,func,end_timestamp,duration\na,f,x,1\n", AZURE).expect_err("nothing");
     assert!(
         none.contains("no row can be used; 1 rows: 0 used")
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn rows_later_than_the_window_are_moved_and_told() {
+fn rows_too_late_to_reorder_are_moved_and_counted() {
     let text = b"t,o\n10,a\n100,b\n200,c\n20,d\n";
     let map =
         "trace {\n reorder_s = 50\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"piece\" {}\n}";
@@ -99,24 +102,24 @@
 }
 
 #[test]
-fn a_long_trace_is_sampled_at_its_rate() {
+fn long_trace_is_sampled_at_its_rate() {
     let mut text = String::from("t,o\n");
     (0..36_000).for_each(|n| text += &format!("{},{}\n", n as f64 / 10.0, n % 50));
     let map = "trace {\n window_s = 300\n slices = 30\n time {\n column = \"t\"\n }\n object = \"o\"\n class \"result\" {\n part = 0.3\n }\n class \"piece\" {}\n}";
     let trace = read("long.csv", text.as_bytes(), map).expect("usable");
     assert_eq!((trace.length, trace.slices), (Span::from_secs(300), 30));
     assert!((2990..=3030).contains(&trace.requests.len()), "{}", trace.requests.len());
-    let RateComparison { trace: told, sample: sampled, error } = trace.rates.compare()[ALL];
-    assert!((told - 10.0).abs() < 0.01 && (sampled - 10.0).abs() < 0.1 && error.abs() < 0.01);
+    let RateComparison { trace: trace_rate, sample: sample_rate, error } = trace.rates.compare()[ALL];
+    assert!((trace_rate - 10.0).abs() < 0.01 && (sample_rate - 10.0).abs() < 0.1 && error.abs() < 0.01);
     assert!(times(&trace).windows(2).all(|pair| pair[0] <= pair[1]));
     // An object is wholly of one class.
-    let mut of: BTreeMap<u64, usize> = BTreeMap::new();
-    assert!(trace.requests.iter().all(|r| *of.entry(r.object).or_insert(r.class) == r.class));
-    assert!(of.values().any(|class| *class == 0) && of.values().any(|class| *class == 1));
+    let mut class_of: BTreeMap<u64, usize> = BTreeMap::new();
+    assert!(trace.requests.iter().all(|r| *class_of.entry(r.object).or_insert(r.class) == r.class));
+    assert!(class_of.values().any(|class| *class == 0) && class_of.values().any(|class| *class == 1));
 }
 
 #[test]
-fn maps_that_cannot_be_meant_are_errors_with_their_place() {
+fn invalid_maps_are_errors_with_line_and_column() {
     let text = b"t,o\n1,a\n";
     for (map, wanted) in [
         ("trace {\n format = \"azure\"\n}", "map.hcl:2:11: no format \"azure\"; "),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -40,34 +40,34 @@
     [&code.to_le_bytes()[..], &3u32.to_le_bytes(), &fields.concat()].concat()
 }
 
-fn born(settings: &str) -> Vec<u8> {
+fn instance_created(settings: &str) -> Vec<u8> {
     record(4, &[&7u64.to_le_bytes(), &(settings.len() as u32).to_le_bytes(), settings.as_bytes()])
 }
 
-fn entry(server: u32, kind: u16, zone: u8) -> Vec<u8> {
+fn endpoint(server: u32, kind: u16, zone: u8) -> Vec<u8> {
     let head = [&0f64.to_le_bytes()[..], &4f32.to_le_bytes(), &server.to_le_bytes()].concat();
     [&head[..], &kind.to_le_bytes(), &0u16.to_le_bytes(), &[2, zone]].concat()
 }
 
-fn view(entries: &[Vec<u8>]) -> Vec<u8> {
+fn endpoint_list(entries: &[Vec<u8>]) -> Vec<u8> {
     let n = entries.len() as u32;
     record(7, &[&[0], &1u64.to_le_bytes(), &n.to_le_bytes(), &entries.concat()])
 }
 
-fn incoming(id: u64) -> Vec<u8> {
+fn request_event(id: u64) -> Vec<u8> {
     let head =
         [&id.to_le_bytes()[..], &0u16.to_le_bytes(), &0u16.to_le_bytes(), &9u64.to_le_bytes()].concat();
     let floats = [400f32.to_le_bytes(), 5f32.to_le_bytes(), 0f32.to_le_bytes()].concat();
     record(9, &[&head, &5000f64.to_le_bytes(), &floats, &[0]])
 }
 
-fn closed(id: u64, result: u16, finished: u8) -> Vec<u8> {
+fn attempt_ended(id: u64, result: u16, finished: u8) -> Vec<u8> {
     let head = [&id.to_le_bytes()[..], &result.to_le_bytes(), &77u32.to_le_bytes(), &[0]].concat();
     let times = [&1u32.to_le_bytes()[..], &90f64.to_le_bytes(), &[finished], &0f64.to_le_bytes()].concat();
     record(1, &[&head, &times, &[0]])
 }
 
-fn fails(input: &[u8], text: &str) {
+fn assert_error(input: &[u8], text: &str) {
     let output = run(input);
     let error = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success(), "{error}");
@@ -76,70 +76,89 @@
 }
 
 #[test]
-fn an_empty_batch_has_an_empty_reply_and_a_clean_end_exits_with_0() {
+fn empty_batch_gets_empty_reply_and_end_of_input_exits_0() {
     let output = run(&frame(5.0, &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, 4u32.to_le_bytes());
 }
 
 #[test]
-fn a_request_becomes_a_fill_by_way_of_the_parent() {
-    let members = view(&[entry(77, 0, 0), entry(88, 1, 1), entry(99, 2, 1)]);
-    let output = run(&frame(1000.0, &[born(SETTINGS), members, incoming(42)]));
+fn request_is_sent_with_fill_from_parent() {
+    let members = endpoint_list(&[endpoint(77, 0, 0), endpoint(88, 1, 1), endpoint(99, 2, 1)]);
+    let output = run(&frame(1000.0, &[instance_created(SETTINGS), members, request_event(42)]));
     let reply = &output.stdout;
     assert_eq!(reply[..4], (reply.len() as u32).to_le_bytes());
-    let get = &reply[4..44];
-    assert_eq!(get[..2], 13u16.to_le_bytes());
-    assert_eq!(get[2..6], 3u32.to_le_bytes());
-    assert_eq!(get[6..14], 42u64.to_le_bytes());
-    assert_eq!(get[14..18], 77u32.to_le_bytes());
-    assert_eq!(get[26..30], 88u32.to_le_bytes());
-    assert_eq!(get[30], 1, "kept at the lowest rank when first seen");
-    assert_eq!(get[31..39], 0f64.to_le_bytes());
-    assert_eq!(get[39], 1, "joins a fill");
+    let send_with_fill = &reply[4..44];
+    assert_eq!(send_with_fill[..2], 13u16.to_le_bytes());
+    assert_eq!(send_with_fill[2..6], 3u32.to_le_bytes());
+    assert_eq!(send_with_fill[6..14], 42u64.to_le_bytes());
+    assert_eq!(send_with_fill[14..18], 77u32.to_le_bytes());
+    assert_eq!(send_with_fill[26..30], 88u32.to_le_bytes());
+    assert_eq!(send_with_fill[30], 1, "kept at the lowest rank when first seen");
+    assert_eq!(send_with_fill[31..39], 0f64.to_le_bytes());
+    assert_eq!(send_with_fill[39], 1, "joins a fill");
     assert_eq!(reply[44..46], 5u16.to_le_bytes(), "then a timer");
     assert_eq!(reply.len(), 4 + 40 + 18);
 }
 
 #[test]
-fn a_refusal_advises_when_to_come_back() {
-    let output = run(&frame(1000.0, &[born(SETTINGS), view(&[]), incoming(42)]));
-    let refuse = &output.stdout[4..];
-    assert_eq!(refuse[..2], 2u16.to_le_bytes());
-    let wait = f64::from_le_bytes(refuse[14..22].try_into().expect("8 bytes"));
-    assert!(wait > 0.0 && wait <= 500.0, "{wait}");
+fn rejection_carries_retry_after() {
+    let output = run(&frame(1000.0, &[instance_created(SETTINGS), endpoint_list(&[]), request_event(42)]));
+    let reject = &output.stdout[4..];
+    assert_eq!(reject[..2], 2u16.to_le_bytes());
+    let retry_after = f64::from_le_bytes(reject[14..22].try_into().expect("8 bytes"));
+    assert!(retry_after > 0.0 && retry_after <= 500.0, "{retry_after}");
 }
 
 #[test]
-fn outcomes_are_read_to_their_last_byte() {
-    let members = view(&[entry(77, 0, 0)]);
-    let first = frame(1000.0, &[born(SETTINGS), members, incoming(42)]);
-    let output = run(&[first, frame(1090.0, &[closed(42, 1, 1)])].concat());
+fn attempt_outcome_is_read_completely() {
+    let members = endpoint_list(&[endpoint(77, 0, 0)]);
+    let first = frame(1000.0, &[instance_created(SETTINGS), members, request_event(42)]);
+    let output = run(&[first, frame(1090.0, &[attempt_ended(42, 1, 1)])].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(output.stdout[output.stdout.len() - 4..], 4u32.to_le_bytes(), "nothing after the answer");
 }
 
 #[test]
-fn every_event_of_the_wire_is_read_and_unknown_ids_are_ignored() {
-    let gone = record(11, &[&1u64.to_le_bytes()]);
-    let bell = record(2, &[&1u32.to_le_bytes()]);
-    let begun = record(5, &[&1u64.to_le_bytes(), &[0], &5u32.to_le_bytes(), &1f64.to_le_bytes()]);
-    let checked = record(
+fn all_event_kinds_are_read_and_unknown_ids_ignored() {
+    let request_cancelled = record(11, &[&1u64.to_le_bytes()]);
+    let timer = record(2, &[&1u32.to_le_bytes()]);
+    let first_byte = record(5, &[&1u64.to_le_bytes(), &[0], &5u32.to_le_bytes(), &1f64.to_le_bytes()]);
+    let health_checked = record(
         6,
         &[&5u32.to_le_bytes(), &1u16.to_le_bytes(), &1f64.to_le_bytes(), &[1], &2f32.to_le_bytes()],
     );
-    let message = record(10, &[&1u16.to_le_bytes(), &3u16.to_le_bytes(), b"abc"]);
-    let voided = record(3, &[&0u64.to_le_bytes(), &9f64.to_le_bytes(), &4u16.to_le_bytes()]);
-    let all = [born(SETTINGS), view(&[]), gone, bell, begun, checked, message, voided, closed(9, 8, 0)];
+    let peer_message = record(10, &[&1u16.to_le_bytes(), &3u16.to_le_bytes(), b"abc"]);
+    let purged = record(3, &[&0u64.to_le_bytes(), &9f64.to_le_bytes(), &4u16.to_le_bytes()]);
+    let all = [
+        instance_created(SETTINGS),
+        endpoint_list(&[]),
+        request_cancelled,
+        timer,
+        first_byte,
+        health_checked,
+        peer_message,
+        purged,
+        attempt_ended(9, 8, 0),
+    ];
     let output = run(&frame(1.0, &all));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(output.stdout, 4u32.to_le_bytes());
 }
 
 #[test]
-fn a_killed_instance_is_silent_and_may_be_born_again() {
+fn killed_instance_ignores_events_and_can_be_recreated() {
     let killed = record(8, &[]);
-    let again = frame(1.0, &[born(SETTINGS), killed.clone(), incoming(1), born(SETTINGS), incoming(2)]);
+    let again = frame(
+        1.0,
+        &[
+            instance_created(SETTINGS),
+            killed.clone(),
+            request_event(1),
+            instance_created(SETTINGS),
+            request_event(2),
+        ],
+    );
     let output = run(&again);
     assert!(output.status.success());
     assert_eq!(output.stdout.len(), 4 + 22, "one refusal, of the second life");
@@ -147,33 +166,36 @@
 }
 
 #[test]
-fn bad_frames_end_the_adapter_with_one_line() {
-    fails(&frame(1.0, &[])[..9], "header bytes");
-    fails(&frame(1.0, &[incoming(1)])[..30], "the input ends");
-    fails(&frame(1.0, &[record(99, &[])]), "unknown event code 99");
-    fails(&frame(f64::NAN, &[]), "no time");
+fn bad_frame_ends_adapter_with_one_error_line() {
+    assert_error(&frame(1.0, &[])[..9], "header bytes");
+    assert_error(&frame(1.0, &[request_event(1)])[..30], "the input ends");
+    assert_error(&frame(1.0, &[record(99, &[])]), "unknown event code 99");
+    assert_error(&frame(f64::NAN, &[]), "no time");
     let mut short = frame(1.0, &[]);
     short[8] = 3;
-    fails(&short, "shorter than its header");
-    let mut long = frame(1.0, &[incoming(1)]);
+    assert_error(&short, "shorter than its header");
+    let mut long = frame(1.0, &[request_event(1)]);
     long[12] = 0;
-    fails(&long, "after the last record");
-    let mut many = frame(1.0, &[incoming(1)]);
+    assert_error(&long, "after the last record");
+    let mut many = frame(1.0, &[request_event(1)]);
     many[12] = 2;
-    fails(&many, "record 1 at byte 63");
-    fails(&frame(1.0, &[closed(1, 9, 0)]), "unknown outcome 9");
+    assert_error(&many, "record 1 at byte 63");
+    assert_error(&frame(1.0, &[attempt_ended(1, 9, 0)]), "unknown outcome 9");
 }
 
 #[test]
-fn a_huge_count_allocates_nothing() {
+fn huge_entry_count_is_rejected() {
     let list = record(7, &[&[3], &1u64.to_le_bytes(), &u32::MAX.to_le_bytes()]);
-    fails(&frame(1.0, &[list]), "a list of 4294967295 entries");
+    assert_error(&frame(1.0, &[list]), "a list of 4294967295 entries");
 }
 
 #[test]
-fn bad_settings_end_the_adapter_with_one_line() {
-    fails(&frame(1.0, &[born(&SETTINGS.replace("\"ordinal\": 0,", ""))]), "ordinal");
-    fails(&frame(1.0, &[born(&SETTINGS.replace("\"my_zone\": 0", "\"my_zone\": \"a\""))]), "my_zone");
-    fails(&frame(1.0, &[born(&SETTINGS.replace("\"pure\"", "\"wild\""))]), "wild");
-    fails(&frame(1.0, &[born("{")]), "settings");
+fn bad_settings_end_adapter_with_one_error_line() {
+    assert_error(&frame(1.0, &[instance_created(&SETTINGS.replace("\"ordinal\": 0,", ""))]), "ordinal");
+    assert_error(
+        &frame(1.0, &[instance_created(&SETTINGS.replace("\"my_zone\": 0", "\"my_zone\": \"a\""))]),
+        "my_zone",
+    );
+    assert_error(&frame(1.0, &[instance_created(&SETTINGS.replace("\"pure\"", "\"wild\""))]), "wild");
+    assert_error(&frame(1.0, &[instance_created("{")]), "settings");
 }
