--- a/src/bin/dahliatrack-wirehost/codec/batch.rs
+++ b/src/bin/dahliatrack-wirehost/codec/batch.rs
@@ -1,4 +1,4 @@
-//! A batch: its header and its records.
+//! Parses a batch: its header and its records.
 
 use super::codes::{record_code, RecordCode};
 use super::error::CodecError;
@@ -7,49 +7,49 @@
 use super::InstanceId;
 use dahliatrack::{Event, Instant};
 
-/// The bytes of a batch header.
+/// Length of a batch header, in bytes.
 pub const HEADER_BYTES: usize = 16;
-/// The bytes of the shortest record.
+/// Length of the shortest record, in bytes: the code and the instance.
 const MIN_RECORD_BYTES: usize = 6;
 
 /// The header of a batch.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchHeader {
-    /// The time of all its records.
+    /// The time at which all records of the batch happen.
     pub now: Instant,
-    /// The bytes of the frame, the header included.
+    /// Length of the frame in bytes, including the header; at least [`HEADER_BYTES`].
     pub frame_bytes: usize,
-    /// The number of its records.
+    /// Number of records in the batch.
     pub records: u32,
 }
 
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub struct Record {
-    /// The instance it is for.
+    /// The instance that the record is for.
     pub instance: InstanceId,
-    /// What happens to it.
+    /// What happens to the instance.
     pub incoming: Incoming,
 }
 
 /// What happens to an instance.
 #[derive(Debug, PartialEq)]
 pub enum Incoming {
-    /// It is created.
+    /// The instance is created; an instance with the same number is replaced.
     Created {
-        /// Random seed of the instance.
+        /// Seed of the instance's random choices.
         seed: u64,
         /// Settings as JSON.
         settings: Vec<u8>,
     },
-    /// It is killed.
+    /// The instance is removed.
     Killed,
-    /// An event for its decision module.
+    /// An event for the instance's decision module.
     Event(Event),
 }
 
 impl BatchHeader {
-    /// Reads a header.
+    /// Parses a header.
     pub fn parse(bytes: &[u8; HEADER_BYTES]) -> Result<Self, CodecError> {
         let mut reader = Reader::new(bytes, 0);
         let now = reader.instant()?;
@@ -60,7 +60,7 @@
         Ok(BatchHeader { now, frame_bytes, records })
     }
 
-    /// Reads the records of the batch; `body` is the frame without its header.
+    /// Parses the records of the batch; `body` is the frame without its header.
     pub fn parse_records(&self, body: &[u8]) -> Result<Vec<Record>, CodecError> {
         let mut reader = Reader::new(body, HEADER_BYTES);
         let mut records = Vec::with_capacity((self.records as usize).min(body.len() / MIN_RECORD_BYTES));
--- a/src/bin/dahliatrack-wirehost/codec/codes.rs
+++ b/src/bin/dahliatrack-wirehost/codec/codes.rs
@@ -1,4 +1,4 @@
-//! The numbers by which the wire names kinds of records and values.
+//! The codes of record kinds and of values on the wire.
 
 use super::error::CodecError;
 use dahliatrack::{AttemptResult, CacheStatus, ListUpdate, ServerState};
@@ -76,7 +76,7 @@
     })
 }
 
-/// A cache status; `None` where the answer states none.
+/// Returns the cache status of a code; `None` if the answer states no cache status.
 pub fn cache_status(code: u32) -> Result<Option<CacheStatus>, CodecError> {
     Ok(Some(match code {
         0 => return Ok(None),
--- a/src/bin/dahliatrack-wirehost/codec/endpoints.rs
+++ b/src/bin/dahliatrack-wirehost/codec/endpoints.rs
@@ -1,14 +1,14 @@
-//! The endpoint list in the record of its event.
+//! Reads the event of a changed endpoint list.
 
 use super::codes::{list_update, server_state};
 use super::error::CodecError;
 use super::reader::Reader;
 use dahliatrack::{Endpoint, Event, Instant, ZoneId};
 
-/// The bytes of one entry.
+/// Length of one entry, in bytes.
 const ENTRY_BYTES: usize = 22;
 
-/// Reads the event of a changed endpoint list.
+/// Reads the event. The number of entries is checked against the remaining bytes before memory is allocated.
 pub fn read(reader: &mut Reader) -> Result<Event, CodecError> {
     let update = list_update(reader.u8()?)?;
     let _version = reader.u64()?;
--- a/src/bin/dahliatrack-wirehost/codec/event.rs
+++ b/src/bin/dahliatrack-wirehost/codec/event.rs
@@ -1,4 +1,4 @@
-//! The records of events for the decision module.
+//! Reads the events for the decision module.
 
 use super::codes::{attempt_result, cache_status, EventCode};
 use super::endpoints;
@@ -6,13 +6,13 @@
 use super::reader::Reader;
 use dahliatrack::{AttemptOutcome, ClassId, Event, GroupId, ObjectId, Purge, Request, Span};
 
-/// Bits of a request's options.
+/// Bits of the options of a request.
 const OPTION_RETRY: u8 = 1 << 1;
 const OPTION_WRITE: u8 = 1 << 2;
-/// The object number in a purge of a group.
+/// The object number that marks the purge of a whole group.
 const NO_OBJECT: u64 = 0;
 
-/// Reads the event of a record whose code and instance were read.
+/// Reads the event of a record, after the record's code and instance.
 pub fn read(code: EventCode, reader: &mut Reader) -> Result<Event, CodecError> {
     Ok(match code {
         EventCode::AttemptEnded => Event::AttemptEnded(read_outcome(reader)?),
--- a/src/bin/dahliatrack-wirehost/codec/mod.rs
+++ b/src/bin/dahliatrack-wirehost/codec/mod.rs
@@ -1,10 +1,11 @@
-//! The binary frames of the wire: batches of events in, replies with actions out. All numbers are little-endian.
+//! The binary frames of the wire: batches with events on the input, replies with actions on the output. All numbers
+//! are little-endian.
 //!
-//! - `batch`: a batch's header and records.
-//! - `event`: the record of an event; `endpoints`: the endpoint list in it.
-//! - `reply`: a reply and the records of its actions.
-//! - `codes`: the numbers by which the wire names kinds of records and values.
-//! - `reader`: numbers, times and ids; `error`: why bytes cannot be read.
+//! - `batch`: parses a batch's header and records.
+//! - `event`: reads events; `endpoints`: reads the event of a changed endpoint list.
+//! - `reply`: writes a reply with its actions.
+//! - `codes`: the codes of record kinds and of values.
+//! - `reader`: reads numbers, times and ids; `error`: the errors of all of them.
 
 mod batch;
 mod codes;
@@ -18,6 +19,6 @@
 pub use error::CodecError;
 pub use reply::Reply;
 
-/// The number of a router instance.
+/// Number of a router instance, chosen by the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u32);
--- a/src/bin/dahliatrack-wirehost/codec/reader.rs
+++ b/src/bin/dahliatrack-wirehost/codec/reader.rs
@@ -1,16 +1,16 @@
-//! Reads numbers, times and ids from a part of a frame.
+//! Reads numbers, times and ids from a section of a frame.
 
 use super::error::CodecError;
 use dahliatrack::{Instant, RequestId, ServerId, Span};
 
-/// No time on the wire lies further from 0, in milliseconds.
+/// The largest absolute value of a time on the wire, in milliseconds.
 const MAX_TIME_MS: f64 = 1e15;
 
-/// A part of a frame, and how much of it was read.
+/// A section of a frame that is being read.
 pub struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Where the part begins in the frame.
+    /// Position of the section's first byte in the frame.
     frame_offset: usize,
 }
 
@@ -19,12 +19,12 @@
         Reader { bytes, position: 0, frame_offset }
     }
 
-    /// The place in the frame of the next byte.
+    /// Returns the position of the next byte in the frame.
     pub fn frame_position(&self) -> usize {
         self.frame_offset + self.position
     }
 
-    /// How many bytes are left.
+    /// Returns the number of bytes that are not read yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.position
     }
@@ -73,7 +73,7 @@
         Ok(self.u8()? != 0)
     }
 
-    /// A count of bytes or entries, in 4 bytes.
+    /// Reads a count of bytes or entries, which takes 4 bytes.
     pub fn count(&mut self) -> Result<usize, CodecError> {
         Ok(self.u32()? as usize)
     }
--- a/src/bin/dahliatrack-wirehost/codec/reply.rs
+++ b/src/bin/dahliatrack-wirehost/codec/reply.rs
@@ -1,15 +1,15 @@
-//! A reply: the actions of the instances that a batch had events for.
+//! Writes a reply: the actions of the instances that a batch had events for.
 
 use super::codes::ActionCode;
 use super::InstanceId;
 use dahliatrack::{Action, FillAttempt, Span};
 
-/// The bytes of a reply's header, which is the length of the frame.
+/// Length of a reply's header in bytes. The header is the length of the frame, including itself.
 const HEADER_BYTES: usize = 4;
-/// The peer number that addresses every peer.
+/// The peer number that stands for all peers.
 const EVERY_PEER: u32 = u32::MAX;
 
-/// Bits of the mode of an attempt with a fill.
+/// Bits of the mode byte of an attempt with a fill.
 const MODE_JOIN_FILL: u8 = 1;
 const MODE_ONLY_IF_CACHED: u8 = 1 << 1;
 const MODE_BYPASS_PARENT_CACHE: u8 = 1 << 2;
@@ -25,14 +25,14 @@
 }
 
 impl Reply {
-    /// The finished frame.
+    /// Writes the length into the header and returns the frame.
     pub fn finish(mut self) -> Vec<u8> {
         let length = self.0.len() as u32;
         self.0[..HEADER_BYTES].copy_from_slice(&length.to_le_bytes());
         self.0
     }
 
-    /// Reports that an instance's decision code panicked.
+    /// Appends a record that reports a panic in an instance's decision code.
     pub fn bug(&mut self, instance: InstanceId, line: &str) {
         self.record(ActionCode::Bug, instance).text(line.as_bytes());
     }
@@ -62,7 +62,7 @@
         self.u32(attempt.source.0).u8(attempt.cache_rank).span(attempt.max_age).u8(mode(attempt))
     }
 
-    /// Begins a record.
+    /// Begins a record; its fields follow.
     fn record(&mut self, code: ActionCode, instance: InstanceId) -> &mut Self {
         self.0.extend((code as u16).to_le_bytes());
         self.u32(instance.0)
@@ -88,7 +88,7 @@
         self
     }
 
-    /// Bytes behind their count; what the count cannot state is cut off.
+    /// Appends the number of bytes in 2 bytes, then the bytes. More than 65,535 bytes are cut off.
     fn text(&mut self, bytes: &[u8]) -> &mut Self {
         let bytes = &bytes[..bytes.len().min(u16::MAX.into())];
         self.0.extend((bytes.len() as u16).to_le_bytes());
--- a/src/bin/dahliatrack-wirehost/frames.rs
+++ b/src/bin/dahliatrack-wirehost/frames.rs
@@ -1,9 +1,9 @@
-//! Reads frames from the input, one batch each.
+//! Reads frames from the input. Each frame is one batch.
 
 use crate::codec::{BatchHeader, CodecError, HEADER_BYTES};
 use std::io::{self, Read};
 
-/// Why no frame could be read.
+/// Error of reading a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The input cannot be read.
@@ -15,19 +15,19 @@
     /// The input ends within a frame.
     #[error("the input ends after {read} of {frame_bytes} bytes")]
     TruncatedFrame { read: usize, frame_bytes: usize },
-    /// The frame is not in its form.
+    /// The header is invalid.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// A batch as it was read, its records not parsed yet.
+/// A batch whose header is parsed and whose records are not.
 pub struct Frame {
     pub header: BatchHeader,
     pub body: Vec<u8>,
 }
 
 impl Frame {
-    /// Reads the next frame; `None` at a clean end of the input.
+    /// Reads the next frame; `None` if the input ends where a frame would begin.
     pub fn read(input: &mut impl Read) -> Result<Option<Self>, FrameError> {
         let Some(header) = read_header(input)? else { return Ok(None) };
         let header = BatchHeader::parse(&header)?;
--- a/src/bin/dahliatrack-wirehost/host.rs
+++ b/src/bin/dahliatrack-wirehost/host.rs
@@ -1,4 +1,4 @@
-//! The router instances and the events that they get.
+//! The router instances, and the passing of records to them.
 
 use crate::codec::{Incoming, InstanceId, Record, Reply};
 use dahliatrack::config::settings::{SettingsParseError, SiteSettings};
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Why an instance cannot be created.
+/// Error of creating an instance.
 #[derive(Debug, thiserror::Error)]
 pub enum CreateError {
-    /// The settings message cannot be read.
+    /// The settings message cannot be parsed.
     #[error(transparent)]
     SettingsMessage(#[from] SettingsParseError),
-    /// No router can start with the settings.
+    /// The router rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// The instances that live.
+/// The existing router instances.
 #[derive(Default)]
 pub struct Host {
     routers: BTreeMap<InstanceId, Router>,
@@ -41,7 +41,8 @@
         Ok(())
     }
 
-    /// Passes an event to a router. One that panics is reported and removed; an unknown one is ignored.
+    /// Passes an event to a router. A router that panics is reported in the reply and removed. An event for an unknown
+    /// instance is ignored.
     fn pass_event(&mut self, now: Instant, instance: InstanceId, event: Event, reply: &mut Reply) {
         let Some(router) = self.routers.get_mut(&instance) else { return };
         let mut actions: Vec<Action> = Vec::new();
--- a/src/bin/dahliatrack-wirehost/main.rs
+++ b/src/bin/dahliatrack-wirehost/main.rs
@@ -1,8 +1,8 @@
-//! Hosts routers of the library on the simulator's wire: batches on standard input, replies on standard
-//! output. It decides nothing itself.
+//! The adapter between the simulator and the library's routers: reads batches of events on standard input, passes them
+//! to the routers, and writes their actions as replies on standard output. It makes no decisions itself.
 //!
 //! - `frames`: reads frames from the input.
-//! - `codec`: the records in them, and the replies.
+//! - `codec`: parses their records, and writes the replies.
 //! - `host`: the router instances.
 
 mod codec;
@@ -17,7 +17,7 @@
 
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the program ends before its input does.
+/// Error that ends the program before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("frame at byte {offset} of the input: {error}")]
@@ -26,7 +26,7 @@
     Output(#[from] io::Error),
 }
 
-/// Why a batch cannot be answered.
+/// Error of a batch that cannot be answered.
 #[derive(Debug, thiserror::Error)]
 enum BatchError {
     #[error(transparent)]
@@ -38,7 +38,7 @@
 }
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|_| ())); // a panic is reported on the wire instead
+    std::panic::set_hook(Box::new(|_| ())); // `Host` reports a router's panic in the reply instead
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Passes a batch's records to their instances.
+/// Passes the records of a batch to their instances, and returns the reply with the instances' actions.
 fn answer(host: &mut Host, frame: &Frame) -> Result<Reply, BatchError> {
     let mut reply = Reply::default();
     for record in frame.header.parse_records(&frame.body)? {
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,11 +1,11 @@
-//! `dahliatrack check`: holds a configuration against routing expectations.
+//! `dahliatrack check`: checks a configuration against routing expectations.
 
 use super::output::{print_report, Format};
 use super::CommandError;
 use dahliatrack::expect::{self, Overrides};
 use std::path::PathBuf;
 
-/// What is checked, and how.
+/// The files to check, the seeds, and the output format.
 #[derive(clap::Args)]
 pub struct CheckArgs {
     /// The configuration
@@ -13,21 +13,21 @@
     /// The expectations (HCL)
     #[arg(long)]
     expect: PathBuf,
-    /// The first seed of the module's random choices, in place of the file's
+    /// The first seed of the decision module's random choices; overrides the expectations file
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds, in place of the file's
+    /// The number of seeds; overrides the expectations file
     #[arg(long)]
     seeds: Option<u64>,
-    /// Only the expectation of this name
+    /// Check only the expectation with this name
     #[arg(long)]
     only: Option<String>,
-    /// How the verdicts are written
+    /// The output format of the verdicts
     #[arg(long, value_enum, default_value = "text")]
     format: Format,
 }
 
-/// Prints the verdicts, and fails if an expectation does not hold.
+/// Prints the verdicts. Returns an error if an expectation does not hold.
 pub fn run(args: CheckArgs) -> Result<(), CommandError> {
     let overrides = Overrides { seed: args.seed, seeds: args.seeds, only: args.only };
     let report = expect::check(&args.config, &args.expect, &overrides)?;
--- a/src/commands/config.rs
+++ b/src/commands/config.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack config` and `dahliatrack check-config`: whether a configuration can be used.
+//! `dahliatrack config` and `dahliatrack check-config`: check whether a configuration can be used.
 
 use super::output::print;
 use super::CommandError;
@@ -10,7 +10,7 @@
 
 #[derive(clap::Subcommand)]
 pub enum ConfigCommand {
-    /// Say whether a configuration can be used, and what is wrong with its servers, points and classes
+    /// Check whether a configuration can be used, and list what is wrong with its servers, points and classes
     Validate {
         /// The configuration
         config: PathBuf,
@@ -19,7 +19,7 @@
     },
 }
 
-/// A configuration and the operator's files beside it.
+/// A configuration and the operator's files that belong to it.
 #[derive(clap::Args)]
 pub struct CheckConfigArgs {
     /// The configuration
@@ -29,10 +29,10 @@
     operator_files: OperatorFiles,
 }
 
-/// The operator's files beside a configuration.
+/// The operator's files that belong to a configuration.
 #[derive(clap::Args)]
 pub struct OperatorFiles {
-    /// The operator's file of the second front
+    /// The operator's file for the signed front
     #[arg(long, env = "PROXY_SIGNED")]
     signed: Option<PathBuf>,
     /// The operator's admission file
@@ -40,19 +40,19 @@
     admission: Option<PathBuf>,
 }
 
-/// Checks the files, and the site that they describe.
+/// Checks the files and the site that they describe.
 pub fn run(command: ConfigCommand) -> Result<(), CommandError> {
     let ConfigCommand::Validate { config, operator_files } = command;
     check_files(config.clone(), operator_files)?;
     check_site(&Site::of(&Config::read(&config)?))
 }
 
-/// Checks the files alone.
+/// Checks the files, but not the site that they describe.
 pub fn run_check_config(args: CheckConfigArgs) -> Result<(), CommandError> {
     check_files(args.config, args.operator_files)
 }
 
-/// Reads the files, and prints what is in them.
+/// Reads the files, and prints a summary of each usable one.
 fn check_files(config: PathBuf, operator_files: OperatorFiles) -> Result<(), CommandError> {
     let OperatorFiles { signed, admission } = operator_files;
     let files = Files { config, signed, admin: None, admission, federation: None };
@@ -61,7 +61,7 @@
     let routes = signed.map(|signed| route_classes(&signed, &config.settings)).transpose()?;
     print(&format!("{}: usable, {} events known", config.name, config.initial_events.events.len()));
     if let Some(routes) = routes {
-        print(&format!("second front: usable, {} routes", routes.len()));
+        print(&format!("signed front: usable, {} routes", routes.len()));
     }
     if admission_is_on {
         print(&"admission: usable, on");
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Prints what is wrong with a site, and fails if that includes errors.
+/// Prints the findings about a site. Returns an error if one of them has the severity `Error`.
 fn check_site(site: &Site) -> Result<(), CommandError> {
     print(&format!("{} servers, points {}", site.servers.len(), points(site)));
     let findings = lint(site);
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack control`: the control service over xDS.
+//! `dahliatrack control`: runs the control service, which sends decisions to other proxies over xDS.
 
 use super::log::LogArgs;
 use super::CommandError;
@@ -11,14 +11,14 @@
     /// The configuration
     #[arg(long, env = "PROXY_CONFIG")]
     config: PathBuf,
-    /// The operator's file of the control service (HCL)
+    /// The operator's file for the control service (HCL)
     #[arg(long, env = "PROXY_CONTROL")]
     control: PathBuf,
     #[command(flatten)]
     log: LogArgs,
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process receives SIGTERM or SIGINT.
 pub fn run(args: ControlArgs) -> Result<(), CommandError> {
     args.log.start();
     service::run(&service::Files { config: args.config, control: args.control })?;
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that tells it.
+//! Errors of commands, and their exit codes.
 
 use dahliatrack::config::hcl_document::HclError;
 use dahliatrack::config::ConfigError;
@@ -10,12 +10,12 @@
 use dahliatrack::server::ServerError;
 use dahliatrack::trace::TraceError;
 
-/// The exit code of files that cannot be used.
+/// The exit code if a file of the operator's cannot be used.
 const EXIT_BAD_CONFIG: u8 = 2;
-/// The exit code of all other failures.
+/// The exit code of every other failure.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a command failed.
+/// An error of a command; printed on standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error(transparent)]
@@ -31,26 +31,26 @@
     Control(#[from] ControlError),
     #[error(transparent)]
     Expect(#[from] ExpectError),
-    #[error("{0} errors in the configuration")]
+    #[error("the configuration has {0} errors")]
     InvalidSite(usize),
     #[error(transparent)]
     Replay(#[from] ReplayError),
     #[error(transparent)]
     Trace(#[from] TraceError),
-    #[error("report: {0}")]
+    #[error("report page: {0}")]
     ReportPage(#[from] minijinja::Error),
-    #[error("a rule is broken")]
+    #[error("a rule was broken in the simulation")]
     RuleBroken,
-    #[error("some expectations do not hold")]
+    #[error("at least one expectation does not hold")]
     ExpectationsNotMet,
-    #[error("flood: only loopback addresses are flooded")]
+    #[error("flood: --target, --known-from and --flood-from must be loopback addresses")]
     FloodNotLoopback,
     #[error("flood: {0}")]
     FloodHistogram(#[from] hdrhistogram::CreationError),
 }
 
 impl CommandError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process: 2 for files that cannot be used, 1 otherwise.
     pub fn exit_code(&self) -> u8 {
         if self.is_config() {
             EXIT_BAD_CONFIG
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether a file of the operator's cannot be used.
+    /// Whether the error is a file of the operator's that cannot be used.
     fn is_config(&self) -> bool {
         match self {
             CommandError::Config(_)
--- a/src/commands/federation.rs
+++ b/src/commands/federation.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack federation`: the stores of a federation's members.
+//! `dahliatrack federation`: creates and checks the stores of a federation's members.
 
 use super::output::print;
 use super::CommandError;
@@ -9,22 +9,22 @@
 
 #[derive(clap::Subcommand)]
 pub enum FederationCommand {
-    /// Make a member's store, once: its votes must never be forgotten
+    /// Create a member's store; only once per member, because a new store would forget the member's votes
     Init {
-        /// The operator's file of the federation
+        /// The operator's file for the federation
         federation: PathBuf,
-        /// The federation runs already and this member is to be added: it begins with nothing and learns all
+        /// Add the member to a running federation: it starts with an empty log and receives everything from the others
         #[arg(long)]
         join: bool,
     },
-    /// Read a member's file and its store, and say whether they can be used; its edge proxy must not run
+    /// Check whether a member's file and its store can be used; the member's edge proxy must not be running
     Check {
-        /// The operator's file of the federation
+        /// The operator's file for the federation
         federation: PathBuf,
     },
 }
 
-/// Works on a member's store.
+/// Creates or checks a member's store.
 pub fn run(command: FederationCommand) -> Result<(), CommandError> {
     match command {
         FederationCommand::Init { federation, join } => init(&federation, join),
@@ -36,7 +36,7 @@
     let settings = FederationSettings::read(file)?;
     store::create_member_store(&settings, join, rand::random())
         .map_err(|error| ConfigError::invalid(&settings.store, error))?;
-    print(&format!("{}: made for member {}", settings.store.display(), settings.id));
+    print(&format!("{}: store created for member {}", settings.store.display(), settings.id));
     Ok(())
 }
 
--- a/src/commands/lab/mod.rs
+++ b/src/commands/lab/mod.rs
@@ -1,7 +1,7 @@
-//! `dahliatrack lab`: the project's own laboratory.
+//! `dahliatrack lab`: traces, stand-in sites and measurements, for tests on one machine.
 //!
-//! - `replay`: replays traces against stand-in caches (`replay`, `demo`).
-//! - `trace`: makes up a trace; `site`: makes up a site.
+//! - `replay`: replays traces against stand-in caches (commands `replay` and `demo`).
+//! - `trace`: generates a synthetic trace; `site`: generates the configuration of a synthetic site.
 //! - `xds`: measures the control service.
 
 mod replay;
@@ -14,20 +14,20 @@
 
 #[derive(clap::Subcommand)]
 pub enum LabCommand {
-    /// Start stand-in caches, a feed and an edge proxy on loopback, play a short made-up trace, and report
+    /// Start stand-in caches, a feed and an edge proxy on loopback, replay a short synthetic trace, and report
     Demo(replay::DemoArgs),
-    /// Replay a public cluster trace (CSV) over the edge proxy's front against stand-in caches, and report
+    /// Replay a public cluster trace (CSV) through an edge proxy against stand-in caches, and report
     Replay(replay::ReplayArgs),
-    /// Write a made-up trace in a published format (Azure Functions Invocation Trace 2021) to standard output
+    /// Write a synthetic trace in a published format (Azure Functions Invocation Trace 2021) to standard output
     Trace(trace::TraceArgs),
     #[cfg(feature = "control")]
-    /// Measure the control service in this process: from a drain to each stand-in client's view without that cache
+    /// Measure the control service in this process: from a drain until each stand-in client's list lacks the cache
     Xds(xds::XdsArgs),
-    /// Print the configuration of a made-up site, to try the tools on
+    /// Print the configuration of a synthetic site, for trying out the tools
     Site(site::SiteArgs),
 }
 
-/// Carries out a command.
+/// Runs the command.
 pub fn run(command: LabCommand) -> Result<(), CommandError> {
     match command {
         LabCommand::Demo(args) => replay::run_demo(args),
--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -18,53 +18,53 @@
 
 const DEMO_RATE_PER_S: f64 = 100.0;
 const DEMO_OBJECTS: u64 = 500;
-/// How the demo's trace is read.
+/// The map of the demo's trace.
 const DEMO_MAP: &str = include_str!("../../../deploy/trace-map.hcl");
 
-/// The length of a demo, and how it is played.
+/// The duration of a demo, and how it is replayed.
 #[derive(clap::Args)]
 pub struct DemoArgs {
-    /// Seconds
+    /// Duration in seconds
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=600))]
     seconds: u64,
     #[command(flatten)]
     play: PlayArgs,
 }
 
-/// A trace, and how it is played.
+/// A trace, and how it is replayed.
 #[derive(clap::Args)]
 pub struct ReplayArgs {
-    /// The trace
+    /// The trace (CSV)
     trace: PathBuf,
-    /// How its columns are read and mapped to classes (HCL)
+    /// The map of the trace's columns to requests and classes (HCL)
     #[arg(long)]
     map: PathBuf,
     #[command(flatten)]
     play: PlayArgs,
 }
 
-/// How a trace is played.
+/// How a trace is replayed.
 #[derive(clap::Args)]
 struct PlayArgs {
-    /// Client connections
+    /// The number of client connections
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u64).range(1..=500))]
     connections: u64,
-    /// Stand-in table caches
+    /// The number of stand-in table caches
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(1..=100))]
     caches: u64,
-    /// How many times as fast the trace's time runs, which multiplies its rate
+    /// Factor by which the trace is sped up; the request rate grows by the same factor
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Faults, drawn from this seed over the replay; none without it
+    /// Inject faults drawn from this seed during the replay; no faults without it
     #[arg(long)]
     faults: Option<u64>,
     /// The seed of the stand-in site
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write a page with plots there, too
+    /// Also write an HTML page with plots to this file
     #[arg(long)]
     html: Option<PathBuf>,
-    /// Write the report as text or JSON
+    /// The output format of the report
     #[arg(long, value_enum, default_value = "text")]
     format: Format,
 }
@@ -77,7 +77,7 @@
     play(&trace, args.play)
 }
 
-/// Replays a made-up trace.
+/// Replays a synthetic trace.
 pub fn run_demo(args: DemoArgs) -> Result<(), CommandError> {
     let synthetic = SyntheticTrace {
         seconds: args.seconds as f64,
@@ -88,18 +88,18 @@
     let folder = std::env::temp_dir().join(format!("dahliatrack-demo-{}", std::process::id()));
     fs::create_dir_all(&folder).map_err(ReplayError::from)?;
     let trace = generate_trace(&synthetic, &folder.join("trace.csv"));
-    let _ = fs::remove_dir_all(&folder); // a folder that stays harms nothing
+    let _ = fs::remove_dir_all(&folder); // a folder that cannot be removed does no harm
     play(&trace?, args.play)
 }
 
-/// Writes a made-up trace to a file, and reads it as any other trace.
+/// Writes a synthetic trace to a file, and reads that file as any other trace.
 fn generate_trace(synthetic: &SyntheticTrace, path: &Path) -> Result<Trace, CommandError> {
     let written = File::create(path).and_then(|mut file| synthetic.write_azure(&mut file));
     written.map_err(ReplayError::from)?;
     Ok(trace::load(path, HclDocument { file: "demo.hcl", text: DEMO_MAP })?)
 }
 
-/// Replays a trace and writes the report.
+/// Replays a trace, prints the report, and writes the HTML page if one is wanted.
 fn play(trace: &Trace, args: PlayArgs) -> Result<(), CommandError> {
     let caches = args.caches as usize;
     let length_ms = (trace.length.as_millis_f64() / args.speed.max(MIN_SPEED)) as i64;
@@ -117,7 +117,7 @@
     print_report(&report, args.format);
     if let Some(path) = args.html {
         fs::write(&path, report.html()?).map_err(ReplayError::from)?;
-        print(&format!("the page is {}", path.display()));
+        print(&format!("HTML report written to {}", path.display()));
     }
     Ok(())
 }
--- a/src/commands/lab/site.rs
+++ b/src/commands/lab/site.rs
@@ -1,39 +1,39 @@
-//! `dahliatrack lab site`: makes up a site.
+//! `dahliatrack lab site`: generates the configuration of a synthetic site.
 
 use crate::commands::output::print;
 use dahliatrack::standin::site::{self, Shape};
 
-/// The address of the made-up site's feed.
+/// The address of the feed in the generated configuration.
 const FEED_ADDRESS: &str = "127.0.0.1:7070";
 const SERVER_PORT: u16 = 4100;
-/// Values of each of the two last bytes of the servers' addresses.
+/// Number of values used of each of the last two bytes of the servers' addresses.
 const ADDRESSES_PER_BYTE: usize = 250;
 const ADDRESSES_PER_NETWORK: usize = ADDRESSES_PER_BYTE * ADDRESSES_PER_BYTE;
 
-/// The size of a made-up site.
+/// The size of a synthetic site.
 #[derive(clap::Args)]
 pub struct SiteArgs {
-    /// Points: zones with edge proxies and table caches
+    /// The number of points (zones with edge proxies and table caches)
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=4000))]
     points: u64,
-    /// Edge proxies in all
+    /// The total number of edge proxies
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100_000))]
     proxies: u64,
-    /// Table caches in all
+    /// The total number of table caches
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=50_000))]
     caches: u64,
-    /// Hubs
+    /// The number of hubs
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=1000))]
     hubs: u64,
-    /// Parents of each hub
+    /// The number of parents of each hub
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(0..=100))]
     parents: u64,
-    /// The seed
+    /// The seed of the site's random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Prints the configuration of a made-up site.
+/// Prints the configuration of a synthetic site.
 pub fn run(args: SiteArgs) {
     let shape = Shape {
         points: args.points as usize,
@@ -46,7 +46,7 @@
     print(&site::config(&shape, FEED_ADDRESS, server_address));
 }
 
-/// The address of a server. Nothing connects to it: addresses only have to differ.
+/// Returns the address of a server. Nothing connects to these addresses, they only have to differ.
 fn server_address(number: usize) -> String {
     let network = 1 + number / ADDRESSES_PER_NETWORK;
     let subnet = number / ADDRESSES_PER_BYTE % ADDRESSES_PER_BYTE;
--- a/src/commands/lab/trace.rs
+++ b/src/commands/lab/trace.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack lab trace`: makes up a trace.
+//! `dahliatrack lab trace`: generates a synthetic trace.
 
 use crate::commands::CommandError;
 use dahliatrack::lab::replay::ReplayError;
@@ -10,24 +10,24 @@
 const MIN_RATE_PER_S: f64 = 0.001;
 const MAX_RATE_PER_S: f64 = 1e5;
 
-/// The size of a made-up trace.
+/// The size of a synthetic trace.
 #[derive(clap::Args)]
 pub struct TraceArgs {
-    /// Its length in seconds
+    /// The length of the trace in seconds
     #[arg(long, default_value_t = 3600.0)]
     seconds: f64,
-    /// Its mean rate, rows a second
+    /// The mean rate of the trace, in rows per second
     #[arg(long, default_value_t = 50.0)]
     rate: f64,
-    /// Objects
+    /// The number of objects
     #[arg(long, default_value_t = 2000)]
     objects: u64,
-    /// The seed
+    /// The seed of the trace's random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Writes a made-up trace to standard output.
+/// Writes a synthetic trace to standard output.
 pub fn run(args: TraceArgs) -> Result<(), CommandError> {
     let synthetic = SyntheticTrace {
         seconds: args.seconds.clamp(MIN_SECONDS, MAX_SECONDS),
--- a/src/commands/lab/xds.rs
+++ b/src/commands/lab/xds.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack lab xds`: measures the control service.
+//! `dahliatrack lab xds`: measures the delays of the control service.
 
 use crate::commands::output::print;
 use crate::commands::CommandError;
@@ -8,27 +8,27 @@
 use std::time::Duration;
 
 const HUBS: usize = 4;
-/// How long a client's view is waited for.
+/// The longest wait until the clients' lists lack a drained cache.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// The size of a measurement.
 #[derive(clap::Args)]
 pub struct XdsArgs {
-    /// Clients, half of each variant
+    /// The number of clients, half of each variant
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=20_000))]
     clients: u64,
-    /// Points
+    /// The number of points
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=1000))]
     points: u64,
-    /// Table caches in all
+    /// The total number of table caches
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=20_000))]
     caches: u64,
-    /// Caches drained, one after another
+    /// The number of caches that are drained, one after another
     #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     drains: u64,
 }
 
-/// Measures, and prints the delays.
+/// Runs the measurement, and prints the delays.
 pub fn run(args: XdsArgs) -> Result<(), CommandError> {
     let points = args.points as usize;
     let caches = args.caches as usize;
--- a/src/commands/log.rs
+++ b/src/commands/log.rs
@@ -1,28 +1,28 @@
-//! The arguments of commands that log.
+//! The logging arguments, shared by the commands that write a log.
 
 use crate::logger::{self, LogFormat};
 use tracing::level_filters::LevelFilter;
 
-/// What is logged, and how.
+/// The level and the format of the log.
 #[derive(clap::Args)]
 pub struct LogArgs {
-    /// The least important log lines to write
+    /// The lowest level of log lines to write
     #[arg(long, default_value = "info", value_parser = parse_level)]
     log: LevelFilter,
-    /// How log lines are written
+    /// The format of log lines
     #[arg(long, value_enum, default_value = "text")]
     log_format: LogFormat,
 }
 
 impl LogArgs {
-    /// Starts to log.
+    /// Starts logging with this level and format.
     pub fn start(&self) {
         logger::start(self.log, self.log_format);
     }
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("one of off, error, warn, info, debug, trace")]
+#[error("expected one of off, error, warn, info, debug, trace")]
 struct LevelError;
 
 fn parse_level(word: &str) -> Result<LevelFilter, LevelError> {
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,13 +1,13 @@
-//! The commands of the command line, one module each: its arguments and what it does.
+//! The commands of the command line. Each has a module with its arguments and its implementation.
 //!
-//! - `serve`: the edge proxy.
-//! - `control`: the control service over xDS.
-//! - `federation`: the stores of a federation's members.
-//! - `config`: whether a configuration can be used; `check`: whether it routes as expected.
-//! - `sign`: signed URLs and tokens.
+//! - `serve`: runs the edge proxy.
+//! - `control`: runs the control service over xDS.
+//! - `federation`: creates and checks the stores of a federation's members.
+//! - `config`: checks whether a configuration can be used; `check`: checks whether it routes as expected.
+//! - `sign`: issues signed URLs and tokens.
 //! - `sim`: the simulator; `flood`: a connection flood; `lab`: traces, stand-in sites and measurements.
 //!
-//! Shared by them: `log` (what is logged), `output` (what is printed) and `error` (failures and their exit codes).
+//! They share `log` (logging arguments), `output` (printing results) and `error` (errors and their exit codes).
 //!
 //! The doc comments of arguments and commands are the text of `--help`.
 
@@ -30,30 +30,30 @@
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM or SIGINT, then answer what is open and exit; SIGHUP reads the files again
+    /// Serve until SIGTERM or SIGINT, then answer the open requests and exit; SIGHUP reloads the files
     Serve(serve::ServeArgs),
     #[cfg(feature = "federation")]
-    /// Work on the federation's stores
+    /// Create and check the stores of federation members
     #[command(subcommand)]
     Federation(federation::FederationCommand),
     #[cfg(feature = "control")]
-    /// Hand the decisions to other proxies over xDS until SIGTERM or SIGINT; SIGHUP reads the operator's file again
+    /// Send the decisions to other proxies over xDS until SIGTERM or SIGINT; SIGHUP reloads the operator's file
     Control(control::ControlArgs),
-    /// Play the network code on a virtual clock against faults drawn from seeds, checking every rule
+    /// Simulate the network code on a virtual clock with faults drawn from seeds, and check every rule
     Sim(sim::SimArgs),
-    /// Hold a configuration against routing expectations, asking the decision module itself; sends no traffic
+    /// Check a configuration against routing expectations with the decision module itself; sends no traffic
     Check(check::CheckArgs),
-    /// Work on configurations
+    /// Check configurations
     #[command(subcommand)]
     Config(config::ConfigCommand),
-    /// Read a configuration and say whether it can be used, as `config validate` does, by its files alone
+    /// Check whether a configuration can be used, as `config validate` does, but without checking its site
     CheckConfig(config::CheckConfigArgs),
-    /// Issue a signed URL or a token of the second front
+    /// Issue a signed URL or a token for the signed front
     #[command(subcommand)]
     Sign(sign::SignCommand),
-    /// Flood an edge proxy on loopback from one address while known clients play from another; bounded in time
+    /// Flood an edge proxy on loopback while known clients send requests from another address, for a limited time
     Flood(flood::FloodArgs),
-    /// The project's own laboratory
+    /// Replay traces, generate traces and sites, and measure, all on this machine
     #[command(subcommand)]
     Lab(lab::LabCommand),
     /// Print the version
@@ -61,7 +61,7 @@
 }
 
 impl Command {
-    /// Carries out the command.
+    /// Runs the command.
     pub fn run(self) -> Result<(), CommandError> {
         match self {
             Command::Serve(args) => serve::run(args),
--- a/src/commands/output.rs
+++ b/src/commands/output.rs
@@ -1,13 +1,13 @@
-//! What commands write to standard output.
+//! Prints the results of commands on standard output.
 
 use clap::ValueEnum;
 use serde::Serialize;
 use std::fmt::Display;
 
-/// How results are written.
+/// The output format of results.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Format {
-    /// Lines for people
+    /// Text for reading
     Text,
     /// One JSON object
     Json,
@@ -18,7 +18,7 @@
     println!("{line}");
 }
 
-/// Prints a report in a format.
+/// Prints a report as text or as one line of JSON.
 pub fn print_report(report: &(impl Display + Serialize), format: Format) {
     match format {
         Format::Text => print(report),
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack serve`: the edge proxy itself.
+//! `dahliatrack serve`: runs the edge proxy.
 
 use super::log::LogArgs;
 use super::CommandError;
@@ -13,16 +13,16 @@
     /// The configuration
     #[arg(long, env = "PROXY_CONFIG")]
     config: PathBuf,
-    /// The operator's file of the second front, which is off without it
+    /// The operator's file for the signed front; the signed front is off without it
     #[arg(long, env = "PROXY_SIGNED")]
     signed: Option<PathBuf>,
-    /// Where operators' calls are taken, in place of the configuration's `admin`; off without either
+    /// The address for operators' calls; overrides `admin` of the configuration; off without either
     #[arg(long, env = "PROXY_ADMIN")]
     admin: Option<SocketAddr>,
-    /// The operator's admission file (HCL): caps, rates and reserves of clients' connections; off without it
+    /// The operator's admission file (HCL): caps, rates and reserves for clients' connections; off without it
     #[arg(long, env = "PROXY_ADMISSION")]
     admission: Option<PathBuf>,
-    /// The operator's file of the federation (HCL): whom this edge proxy agrees with on what; off without it
+    /// The operator's file for the federation (HCL): its members and its settings; off without it
     #[cfg(feature = "federation")]
     #[arg(long, env = "PROXY_FEDERATION")]
     federation: Option<PathBuf>,
@@ -30,7 +30,7 @@
     log: LogArgs,
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process receives SIGTERM or SIGINT.
 pub fn run(args: ServeArgs) -> Result<(), CommandError> {
     args.log.start();
     let files = Files {
--- a/src/commands/sign.rs
+++ b/src/commands/sign.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack sign`: issues signed URLs and tokens of the second front.
+//! `dahliatrack sign`: issues signed URLs and tokens for the signed front.
 
 use super::output::print;
 use super::CommandError;
@@ -7,56 +7,56 @@
 use dahliatrack::front::signed::credentials::{Grant, Keyring, TokenScope};
 use std::path::PathBuf;
 
-/// The key and the end of what is signed.
+/// The signing key, and when the signature expires.
 #[derive(clap::Args)]
 pub struct SigningArgs {
-    /// The operator's file, which names the keys
+    /// The operator's file for the signed front, which lists the keys
     #[arg(long, env = "PROXY_SIGNED")]
     signed: PathBuf,
-    /// The key's name
+    /// The name of the key
     #[arg(long)]
     key: String,
-    /// The Unix second at which it ends
+    /// When the signature expires, in Unix seconds
     #[arg(long)]
     expires: i64,
 }
 
-/// What a token grants.
+/// What a token grants, from when, and who issues it.
 #[derive(clap::Args)]
 pub struct TokenArgs {
     #[command(flatten)]
     signing: SigningArgs,
-    /// The URI of the one object that it opens
+    /// The URI of the one object that the token grants access to
     #[arg(long, required_unless_present = "table", conflicts_with = "table")]
     object: Option<String>,
-    /// The URI, ending in a slash, below which it opens everything
+    /// The URI, ending in a slash, below which the token grants access to everything
     #[arg(long)]
     table: Option<String>,
-    /// The Unix second at which it begins
+    /// When the token becomes valid, in Unix seconds
     #[arg(long)]
     not_before: Option<i64>,
-    /// Who issues it
+    /// The issuer of the token
     #[arg(long)]
     issuer: Option<String>,
 }
 
 #[derive(clap::Subcommand)]
 pub enum SignCommand {
-    /// Sign a URL in the form Expires, KeyName, Signature
+    /// Sign a URL by adding the parameters Expires, KeyName and Signature
     Url {
         #[command(flatten)]
         signing: SigningArgs,
-        /// The URL
+        /// The URL to sign
         url: String,
     },
-    /// Issue the parameters URLPrefix, Expires, KeyName, Signature, to be put behind any URL that begins so
+    /// Issue the parameters URLPrefix, Expires, KeyName and Signature, to append to any URL with the prefix
     Prefix {
         #[command(flatten)]
         signing: SigningArgs,
-        /// What the URLs begin with, ending in a slash
+        /// The prefix of the URLs, ending in a slash
         prefix: String,
     },
-    /// Issue a token (RFC 9246) for the parameter or the cookie URISigningPackage
+    /// Issue a token (RFC 9246) for the URISigningPackage parameter or cookie
     Token(TokenArgs),
 }
 
--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -1,4 +1,4 @@
-//! `dahliatrack sim`: the simulator, for edge proxies and for federations.
+//! `dahliatrack sim`: runs the simulator, for an edge proxy or for federations.
 
 use super::output::print;
 use super::CommandError;
@@ -10,39 +10,39 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// What is simulated.
+/// The seeds, the faults and the planted bug of a simulation.
 #[derive(clap::Args)]
 pub struct SimArgs {
-    /// The seeds, as 0..10000
+    /// The range of seeds, such as 0..10000
     #[arg(long, default_value = "0..1000", value_parser = parse_seeds)]
     seeds: Range<u64>,
-    /// A file of sizes and of how often which fault happens (HCL), in place of the usual ones
+    /// A file (HCL) with the sizes and the frequency of each fault; replaces the defaults
     #[arg(long)]
     faults: Option<PathBuf>,
-    /// Only these faults of the seed's script, by number, as 0,3; `none`: no fault
+    /// Inject only these faults of the first seed's script, by number, such as 0,3; `none` for no fault
     #[arg(long, value_parser = parse_fault_numbers)]
     keep: Option<FaultNumbers>,
-    /// Plant a bug, to see that it is found
+    /// Plant a bug, to check that the simulator finds it
     #[arg(long, value_enum)]
     sabotage: Option<Sabotage>,
-    /// Play federations of several members in place of an edge proxy
+    /// Simulate federations of several members instead of an edge proxy
     #[cfg(feature = "federation")]
     #[arg(long)]
     federation: bool,
-    /// Plant a bug in the federation, to see that it is found
+    /// Plant a bug in the federation, to check that the simulator finds it
     #[cfg(feature = "federation")]
     #[arg(long, value_enum, requires = "federation")]
     plant: Option<dahliatrack::sim::federation::PlantedBug>,
-    /// Failures that are shrunk and told
+    /// The largest number of failures to shrink and report
     #[arg(id = "most", long = "most", value_name = "MOST", default_value_t = 3)]
     max_failures: usize,
 }
 
-/// Places in a seed's script of faults.
+/// Indexes into a seed's script of faults.
 #[derive(Clone, Debug)]
 struct FaultNumbers(Vec<usize>);
 
-/// Simulates, and fails if a rule is broken.
+/// Runs the simulation, and prints its summary. Returns an error if a rule was broken.
 pub fn run(args: SimArgs) -> Result<(), CommandError> {
     #[cfg(feature = "federation")]
     if args.federation {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Plays one seed with some of its faults, and prints all that came of it.
+/// Simulates one seed with some of its faults, and prints the whole outcome as JSON.
 fn replay(
     plan: &RunPlan,
     seed: u64,
@@ -89,7 +89,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("{0:?} is no number")]
+#[error("{0:?} is not the number of a fault")]
 struct FaultNumberError(String);
 
 fn parse_fault_numbers(text: &str) -> Result<FaultNumbers, FaultNumberError> {
@@ -99,7 +99,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("a range of seeds, as 0..10000")]
+#[error("expected a range of seeds that is not empty, such as 0..10000")]
 struct SeedRangeError;
 
 fn parse_seeds(text: &str) -> Result<Range<u64>, SeedRangeError> {
--- a/src/trace/map.rs
+++ b/src/trace/map.rs
@@ -1,8 +1,8 @@
-//! How a trace's columns become requests: a published format by its name, or columns named one by one, and classes
-//! by rules. HCL, with places.
+//! The map of a trace, in HCL: how its columns become requests. It names a published format or lists the columns one
+//! by one, and has rules for the classes. Errors state line and column.
 //!
 //! - `formats`: the published formats; `columns`: the columns of a file.
-//! - `rules`: which rows are used, and of which class they are.
+//! - `rules`: the rules for the rows that are used, their times and their classes.
 //! - `reader`: reads the parts of the `trace` block.
 
 mod columns;
@@ -26,39 +26,40 @@
 /// How a trace is read and sampled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceMap {
-    /// Whether the first line names the columns.
+    /// Whether the file's first line is a header and not a row.
     pub header: bool,
-    /// The columns' names; empty: the header's.
+    /// Names of the columns; empty if the file's header names them.
     pub columns: Vec<String>,
-    /// The time of a row.
+    /// How the time of a row is computed.
     pub time: TimeRule,
-    /// The columns whose values name the object.
+    /// Numbers of the columns whose values together identify the object.
     pub object: Vec<usize>,
-    /// Only rows that have this value.
+    /// The value that rows must have to be used; `None` if all rows are.
     pub filter: Option<RowFilter>,
-    /// Rows are put in order over this span.
+    /// The span over which rows are put in order.
     pub reorder: Span,
-    /// The length of the test.
+    /// The length of the test; a longer trace is sampled to it.
     pub window: Span,
-    /// Slices of a longer trace.
+    /// Number of slices that are taken of a longer trace.
     pub slices: usize,
-    /// The seed of their places.
+    /// The seed from which the positions of the slices are drawn.
     pub seed: u64,
-    /// The classes; a row is of the first that matches.
+    /// The rules of the classes. A row belongs to the first one that matches.
     pub classes: Vec<ClassRule>,
 }
 
 impl TraceMap {
-    /// Reads a map. `header` is the trace's first line, for formats whose columns it names.
+    /// Reads a map. `header` is the first line of the trace, which names the columns if the map does not.
     ///
     /// # Errors
     ///
-    /// Text that is not HCL, an unknown key or column, a value out of its range; with line and column.
+    /// Returns an error with line and column for text that is not HCL, an unknown key or column, or a value out of
+    /// its range.
     pub fn parse(doc: HclDocument<'_>, header: &[String]) -> Result<Self, HclError> {
         let body = doc.parse()?;
         let mut file = doc.reader(&body);
         let start = Position { line: 1, column: 1 };
-        let block = file.block("trace")?.ok_or_else(|| doc.error(start, "no trace block"))?;
+        let block = file.block("trace")?.ok_or_else(|| doc.error(start, "the map has no trace block"))?;
         file.finish()?;
         let mut reader = doc.reader(&block.body);
         let format = read_format(doc, &mut reader)?;
@@ -74,7 +75,10 @@
         let classes = map.read_classes()?;
         map.reader.finish()?;
         if classes.is_empty() {
-            return Err(doc.error(doc.position(block), "no class block: which class are the requests of?"));
+            return Err(doc.error(
+                doc.position(block),
+                "the trace block has no class block, so no row would have a class",
+            ));
         }
         Ok(TraceMap {
             header: columns.has_header,
--- a/src/trace/map/columns.rs
+++ b/src/trace/map/columns.rs
@@ -1,17 +1,17 @@
-//! The columns of a trace's file: of a published format, listed by the map, or named by the file's header.
+//! The columns of a trace's file: those of a published format, listed by the map, or named by the file's header.
 
 use super::formats::{Format, FORMATS};
 use crate::config::hcl_document::{unknown_name, BlockReader, HclDocument, HclError};
 use hcl_edit::structure::Block;
 
-/// The format of a file whose columns the map names.
+/// The format of a file whose columns are listed by the map or named by the file's header.
 const CSV: &str = "csv";
 
 fn owned(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// The format that the map names; `None`: its columns are named one by one.
+/// Returns the published format that the map names; `None` if it names none or `csv`.
 pub(super) fn read_format(
     doc: HclDocument<'_>,
     reader: &mut BlockReader<'_>,
@@ -28,11 +28,11 @@
     pub(super) names: Vec<String>,
     /// Whether the file's first line is a header.
     pub(super) has_header: bool,
-    /// Whether the names are those of the header.
+    /// Whether `names` comes from the header.
     pub(super) from_header: bool,
 }
 
-/// The columns that the map lists, those of the format, or those of the file's header.
+/// Returns the columns that the map lists, otherwise those of the format, otherwise those of the file's header.
 pub(super) fn read_columns(
     doc: HclDocument<'_>,
     block: &Block,
--- a/src/trace/map/formats.rs
+++ b/src/trace/map/formats.rs
@@ -1,4 +1,4 @@
-//! The published formats that are known by name. Sources: the README of each trace at its publisher.
+//! The published trace formats that a map can name. The source for each is the README of its publisher.
 
 /// A published format.
 pub(super) struct Format {
@@ -7,30 +7,29 @@
     pub(super) header: bool,
     pub(super) columns: &'static [&'static str],
     pub(super) time: FormatTime,
-    /// The columns that name the object.
+    /// The columns whose values together identify the object.
     pub(super) object: &'static [&'static str],
-    /// Only rows whose column has this value.
+    /// The value that rows must have to be used; `None` if all rows are.
     pub(super) filter: Option<FormatFilter>,
 }
 
-/// The time of a format's rows.
+/// How the time of a format's rows is computed.
 pub(super) struct FormatTime {
     pub(super) column: &'static str,
     pub(super) unit: &'static str,
-    /// A column that is subtracted.
+    /// A column that is subtracted from the time, in the same unit.
     pub(super) minus: Option<&'static str>,
 }
 
-/// A value that a format's rows must have.
+/// The value that a format's rows must have to be used.
 pub(super) struct FormatFilter {
     pub(super) column: &'static str,
     pub(super) value: &'static str,
 }
 
-/// All formats.
 pub(super) const FORMATS: [Format; 3] = [
-    // Azure Functions Invocation Trace 2021 (AzureFunctionsInvocationTraceForTwoWeeksJan2021): an invocation a line,
-    // in the order of their ends; seconds.
+    // Azure Functions Invocation Trace 2021 (AzureFunctionsInvocationTraceForTwoWeeksJan2021): one invocation per line,
+    // ordered by end time. Times are in seconds.
     Format {
         name: "azure-functions-2021",
         header: true,
@@ -39,7 +38,8 @@
         object: &["app", "func"],
         filter: None,
     },
-    // Google cluster-usage traces v2 (clusterdata-2011-2), task_events: microseconds; event type 0 is SUBMIT.
+    // Google cluster-usage traces v2 (clusterdata-2011-2), task_events. Times are in microseconds. Event type 0 is
+    // SUBMIT.
     Format {
         name: "google-2011-task-events",
         header: false,
@@ -62,7 +62,7 @@
         object: &["job_id"],
         filter: Some(FormatFilter { column: "event_type", value: "0" }),
     },
-    // Alibaba cluster-trace-v2018, batch_task: seconds.
+    // Alibaba cluster-trace-v2018, batch_task. Times are in seconds.
     Format {
         name: "alibaba-2018-batch-task",
         header: false,
--- a/src/trace/map/reader.rs
+++ b/src/trace/map/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the parts of a map's `trace` block, with what a named format fills in.
+//! Reads the parts of a map's `trace` block. A published format supplies the parts that the map leaves out.
 
 use super::formats::Format;
 use super::rules::{ClassRule, RowFilter, TimeRule};
@@ -6,23 +6,23 @@
 use crate::interface::Span;
 use hcl_edit::structure::Block;
 
-/// The longest span of a map, s.
+/// The longest span that a map may state, in seconds.
 const MAX_SECONDS: u64 = 10_000_000;
-/// The largest number that a range's bound may be.
+/// The largest absolute value of a bound of a class's range.
 const MAX_BOUND: f64 = 1e300;
 
-/// Reads the `trace` block.
+/// A `trace` block that is being read.
 pub(super) struct MapReader<'a> {
     pub(super) doc: HclDocument<'a>,
     pub(super) block: &'a Block,
     pub(super) format: Option<&'static Format>,
-    /// The columns' names.
+    /// Names of the columns, in the file's order.
     pub(super) names: Vec<String>,
     pub(super) reader: BlockReader<'a>,
 }
 
 impl MapReader<'_> {
-    /// The number of a column.
+    /// Returns the number of a column; an error at `at` if there is none with this name.
     fn column(&self, name: &str, at: Position) -> Result<usize, HclError> {
         let number = self.names.iter().position(|known| known == name);
         number.ok_or_else(|| {
@@ -35,18 +35,18 @@
         self.column(&name.value, name.at)
     }
 
-    /// The number of a column that the format names.
+    /// Returns the number of a column that the format names; errors point at the `trace` block.
     fn format_column(&self, name: &str) -> Result<usize, HclError> {
         self.column(name, self.doc.position(self.block))
     }
 
-    /// The time of a row, as the map names it or as the format does.
+    /// Reads how the time of a row is computed: from the `time` block, otherwise from the format.
     pub(super) fn read_time(&mut self) -> Result<TimeRule, HclError> {
         let Some(block) = self.reader.block("time")? else { return self.format_time() };
         let mut reader = self.doc.reader(&block.body);
         let column = reader.string("column")?;
         let column =
-            column.ok_or_else(|| self.doc.error(self.doc.position(block), "time names no column"))?;
+            column.ok_or_else(|| self.doc.error(self.doc.position(block), "the time block has no column"))?;
         let unit = reader.string("unit")?;
         let minus = reader.string("minus")?;
         reader.finish()?;
@@ -58,13 +58,13 @@
 
     fn format_time(&self) -> Result<TimeRule, HclError> {
         let at = self.doc.position(self.block);
-        let format = self.format.ok_or_else(|| self.doc.error(at, "no time block"))?;
+        let format = self.format.ok_or_else(|| self.doc.error(at, "the trace block has no time block"))?;
         let unit_micros = self.micros_in(format.time.unit, at)?;
         let minus = format.time.minus.map(|minus| self.format_column(minus)).transpose()?;
         Ok(TimeRule { column: self.format_column(format.time.column)?, unit_micros, minus })
     }
 
-    /// The microseconds in a unit.
+    /// Returns the number of microseconds in a unit.
     fn micros_in(&self, unit: &str, at: Position) -> Result<f64, HclError> {
         match unit {
             "s" => Ok(1e6),
@@ -75,22 +75,25 @@
         }
     }
 
-    /// The columns that name the object.
+    /// Reads the numbers of the columns that identify the object, from the map or from the format.
     pub(super) fn read_object(&mut self) -> Result<Vec<usize>, HclError> {
         let named = self.reader.strings("object")?;
         if !named.is_empty() {
             return named.iter().map(|name| self.located_column(name)).collect();
         }
         let at = self.doc.position(self.block);
-        let format = self.format.ok_or_else(|| self.doc.error(at, "object names no columns"))?;
+        let format = self.format.ok_or_else(|| {
+            self.doc.error(at, "the trace block has no object: list the columns that identify the object")
+        })?;
         format.object.iter().map(|name| self.format_column(name)).collect()
     }
 
-    /// The value that rows must have, where the map or the format names one.
+    /// Reads the value that rows must have, from the map's `only` block or from the format.
     pub(super) fn read_filter(&mut self) -> Result<Option<RowFilter>, HclError> {
         let Some(block) = self.reader.block("only")? else { return self.format_filter() };
         let mut reader = self.doc.reader(&block.body);
-        let missing = |what: &str| self.doc.error(self.doc.position(block), format!("only names no {what}"));
+        let missing =
+            |what: &str| self.doc.error(self.doc.position(block), format!("the only block has no {what}"));
         let column = reader.string("column")?.ok_or_else(|| missing("column"))?;
         let value = reader.string("value")?.ok_or_else(|| missing("value"))?;
         reader.finish()?;
@@ -102,13 +105,13 @@
         Ok(Some(RowFilter { column: self.format_column(filter.column)?, value: filter.value.to_owned() }))
     }
 
-    /// A span in whole seconds.
+    /// Reads a span in whole seconds, from `min` to [`MAX_SECONDS`].
     pub(super) fn read_seconds(&mut self, key: &str, default: u64, min: u64) -> Result<Span, HclError> {
         let seconds = self.reader.integer(key, min, MAX_SECONDS)?;
         Ok(Span::from_secs(seconds.map_or(default, |seconds| seconds.value) as i64))
     }
 
-    /// All class rules, in the map's order.
+    /// Reads all class rules, in the map's order.
     pub(super) fn read_classes(&mut self) -> Result<Vec<ClassRule>, HclError> {
         let blocks = self.reader.blocks("class");
         blocks.into_iter().map(|block| self.read_class(block)).collect()
@@ -117,7 +120,7 @@
     fn read_class(&self, block: &Block) -> Result<ClassRule, HclError> {
         let at = self.doc.position(block);
         let [label] = &block.labels[..] else {
-            return Err(self.doc.error(at, "a class has one name: class \"NAME\" { ... }"));
+            return Err(self.doc.error(at, "a class block has exactly one label: class \"NAME\" { ... }"));
         };
         let mut reader = self.doc.reader(&block.body);
         let column = reader.string("column")?.map(|name| self.located_column(&name)).transpose()?;
@@ -128,7 +131,8 @@
         reader.finish()?;
         let has_range = from.is_some() || below.is_some();
         if column.is_none() != (one_of.is_empty() && !has_range) {
-            let text = "a class names a column together with one_of, from or below, or none of them";
+            let text =
+                "a class block must have a column together with one_of, from or below, or none of these";
             return Err(self.doc.error(at, text));
         }
         let start = from.map_or(f64::NEG_INFINITY, |from| from.value);
--- a/src/trace/map/rules.rs
+++ b/src/trace/map/rules.rs
@@ -1,27 +1,27 @@
-//! Which rows of a trace are used, when they happened, and of which class they are.
+//! The rules that decide which rows of a trace are used, their times and their classes.
 
 use crate::splitmix64::mix;
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// A class of requests, and which rows are of it.
+/// Assigns rows to a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassRule {
-    /// The class's name in the configuration.
+    /// Name of the class in the configuration.
     pub class: String,
-    /// The column that is looked at, by number; `None`: all rows match.
+    /// Number of the column whose value decides; `None` if all rows match.
     pub column: Option<usize>,
-    /// Its value is one of these.
+    /// The rule matches if the column's value is one of these.
     pub one_of: BTreeSet<String>,
-    /// Or a number in this range.
+    /// The rule also matches if the column's value is a number in this range.
     pub range: Option<Range<f64>>,
-    /// Of the rows that match, this part of the objects.
+    /// Share of the objects, from 0 to 1, whose matching rows belong to the class.
     pub share: f64,
 }
 
 impl ClassRule {
-    /// Whether a row matches by the value of the rule's column; `None`: the rule has no column, `Some(None)`: the row
-    /// has no value.
+    /// Whether a row matches by the value of the rule's column. `None` means that the rule has no column, `Some(None)`
+    /// that the row has no value in it.
     pub(in crate::trace) fn matches(&self, value: Option<Option<&str>>) -> bool {
         match value {
             None => true,
@@ -35,30 +35,30 @@
         value.parse().is_ok_and(|number| range.contains(&number))
     }
 
-    /// Whether an object is of the rule's part: an object is of it with all its rows, or with none. `index` is the
-    /// rule's place in the map.
+    /// Whether an object belongs to the rule's share. The decision depends only on the object and the rule, so either
+    /// all rows of an object belong to it or none. `index` is the rule's position in the map.
     pub(in crate::trace) fn includes(&self, index: usize, object: u64) -> bool {
         let drawn = mix(object ^ (index as u64 + 1)) as f64 / u64::MAX as f64;
         self.share >= 1.0 || drawn < self.share
     }
 }
 
-/// The time of a row.
+/// How the time of a row is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimeRule {
-    /// The column, by number.
+    /// Number of the column with the time.
     pub column: usize,
-    /// Microseconds in its unit.
+    /// Microseconds in one unit of the column.
     pub unit_micros: f64,
-    /// A column that is subtracted from the time.
+    /// Number of a column that is subtracted from the time, in the same unit.
     pub minus: Option<usize>,
 }
 
-/// A value that rows must have.
+/// The value that rows must have to be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowFilter {
-    /// The column, by number.
+    /// Number of the column.
     pub column: usize,
-    /// The value.
+    /// The exact text that the column must have.
     pub value: String,
 }
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -1,5 +1,5 @@
-//! Public cluster traces in CSV as load: published formats mapped to our classes, put in order, sampled to a test's
-//! length without changing the rate. See docs/traces.md.
+//! Reads public cluster traces (CSV) as load for tests: maps the rows to classes, puts them in order, and samples them
+//! to a test's length without changing the rate. See docs/traces.md.
 
 pub mod counts;
 pub mod map;
@@ -16,71 +16,72 @@
 use sample::{Rates, Slices};
 use std::path::Path;
 
-/// The most rows that the reorder window holds.
+/// The largest number of rows that the reorder window holds.
 const MAX_HELD_ROWS: usize = 1 << 20;
-/// The most rows that a test plays.
+/// The largest number of rows in a sample.
 const MAX_SAMPLED_ROWS: usize = 5_000_000;
 
-/// Why a trace cannot be used.
+/// Error of a trace that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Read {
-        /// The file.
+        /// Path of the trace.
         path: String,
-        /// Why.
+        /// The error of the CSV reader.
         error: csv::Error,
     },
     /// The map cannot be used.
     #[error(transparent)]
     Map(#[from] HclError),
-    /// Not one row of it can.
+    /// The trace has no usable row.
     #[error("{path}: no row can be used; {counts}")]
     Empty {
-        /// The file.
+        /// Path of the trace.
         path: String,
-        /// What became of the rows.
+        /// Counts of its rows, with the reasons why they were not used.
         counts: RowCounts,
     },
-    /// It is more than a test can hold.
-    #[error("{0} rows fall into the test, over {MAX_SAMPLED_ROWS}: shorten window_s")]
+    /// The sample has more rows than a test can hold.
+    #[error("the sample has {0} rows, more than {MAX_SAMPLED_ROWS}: shorten window_s")]
     TooManyRows(usize),
 }
 
-/// A request of a trace, when it is played.
+/// A request of a trace, and when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedRequest {
-    /// From the start of the test.
+    /// When the request is sent, from the start of the test.
     pub at: Span,
-    /// The class, by its place in the map.
+    /// Index of the class in [`Trace::classes`].
     pub class: usize,
-    /// The object.
+    /// The requested object: a hash of the row's values in the object columns.
     pub object: u64,
 }
 
 /// A trace, read and sampled.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// The classes' names, in the map's order.
+    /// Names of the classes, in the map's order.
     pub classes: Vec<String>,
-    /// The requests, in order.
+    /// The requests of the sample, in order of time.
     pub requests: Vec<TimedRequest>,
-    /// How long the test is.
+    /// The length of the test at the trace's own speed.
     pub length: Span,
-    /// Slices that it is made of.
+    /// Number of slices that the sample consists of; 1 if the trace is taken whole.
     pub slices: usize,
-    /// What became of the rows.
+    /// Counts of the rows by how they were handled.
     pub counts: RowCounts,
-    /// The rates of the trace and of the sample.
+    /// Counts by class of the trace and of the sample, for comparing their rates.
     pub rates: Rates,
 }
 
-/// Reads a trace by its map: once for its span and rates, once for what is played.
+/// Reads a trace by its map. The file is read twice: first for its span and its rates, then for the sample.
 ///
 /// # Errors
 ///
-/// Files that cannot be read, a map that cannot be used, a trace without one usable row.
+/// Returns an error if the file cannot be read, the map cannot be used, the trace has no usable row, or the sample has
+/// too many rows.
 pub fn load(path: &Path, map: HclDocument<'_>) -> Result<Trace, TraceError> {
     let read_error = |error| TraceError::Read { path: path.display().to_string(), error };
     let header = rows::header(path).map_err(read_error)?;
@@ -105,15 +106,15 @@
     Ok(Trace { classes, requests, length: slices.length(), slices: slices.count(), counts, rates })
 }
 
-/// A trace's file, and how it is read.
+/// The file of a trace, and the map by which it is read.
 struct TraceFile<'a> {
     path: &'a Path,
     map: &'a TraceMap,
-    /// The columns' names.
+    /// Names of the columns, in the file's order.
     names: Vec<String>,
 }
 
-/// The first and the last time of a trace.
+/// The earliest and the latest time of a trace.
 #[derive(Clone, Copy)]
 struct TimeRange {
     first: Instant,
@@ -127,11 +128,11 @@
     }
 }
 
-/// What the first reading finds.
+/// The result of the first reading of a file.
 struct Survey {
-    /// `None`: no row can be used.
+    /// `None` if no row can be used.
     range: Option<TimeRange>,
-    /// With the rows of the trace by class alone.
+    /// Only `trace_rows` is set.
     rates: Rates,
     counts: RowCounts,
 }
@@ -149,7 +150,7 @@
         Ok(Survey { range, rates, counts })
     }
 
-    /// Reads the file for what is played, in order; counts the rows out of order.
+    /// Reads the file for the requests of the sample, in order of time. Counts the rows that were out of order.
     fn sample(&self, slices: &Slices, counts: &mut RowCounts) -> Result<Vec<TimedRequest>, csv::Error> {
         let mut window = ReorderWindow::new(self.map.reorder, MAX_HELD_ROWS);
         let mut requests = Vec::new();
--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -1,14 +1,14 @@
-//! Puts rows in the order of time over a bounded span: what comes later than that is not dropped, but moved to the
-//! time that has been reached, and counted.
+//! Puts rows in order of time over a bounded span. A row that comes later than that is not dropped: it is moved to the
+//! time of the last released row, and counted.
 
 use crate::interface::{Instant, Span};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A row that is held back.
+/// A row in the window. Rows are ordered by time, rows of equal time by their order in the file.
 struct HeldRow<T> {
     at: Instant,
-    /// Its place in the file, which decides between equal times.
+    /// Number of the row in the order of the file.
     row_number: u64,
     row: T,
 }
@@ -39,27 +39,29 @@
     }
 }
 
-/// The window. Memory: the rows of one span, bounded by the most that it holds.
+/// A window over the newest rows. It holds the rows of one span, and at most `max_held` of them if the caller calls
+/// [`ReorderWindow::pop_ready`] after each row until it returns `None`.
 pub struct ReorderWindow<T> {
     span: Span,
     max_held: usize,
     held: BinaryHeap<Reverse<HeldRow<T>>>,
-    /// Rows so far.
+    /// Number of rows that were pushed.
     pushed: u64,
-    /// The latest time so far.
+    /// The latest time of a pushed row.
     newest: Instant,
-    /// The time of the last row given out: nothing goes before it.
+    /// The time of the last released row. Later releases never have an earlier time.
     last_released: Instant,
-    /// Rows that came before one with a smaller time and were put in order.
+    /// Number of rows that came after a row of a later time and were put in order.
     pub reordered: u64,
-    /// Rows that came too late for that and were moved to the time reached.
+    /// Number of rows that came too late to be reordered and were moved to the time of the last released row.
     pub moved: u64,
-    /// By how much at the most.
+    /// The largest span by which a row was moved; zero if none was.
     pub max_moved: Span,
 }
 
 impl<T> ReorderWindow<T> {
-    /// Orders over a span and holds so many rows at the most.
+    /// Returns an empty window that orders rows over `span` and releases the first row when it holds more than
+    /// `max_held`.
     pub fn new(span: Span, max_held: usize) -> Self {
         ReorderWindow {
             span,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Takes a row.
+    /// Adds the next row of the file.
     pub fn push(&mut self, at: Instant, row: T) {
         if at < self.last_released {
             self.moved += 1;
@@ -87,7 +89,7 @@
         self.held.push(Reverse(HeldRow { at: at.max(self.last_released), row_number: self.pushed, row }));
     }
 
-    /// A row that surely is next, if there is one: the window has passed it, or holds too many.
+    /// Releases the first row if the newest one is at least a span later, or if the window holds too many rows.
     pub fn pop_ready(&mut self) -> Option<(Instant, T)> {
         let Reverse(first) = self.held.peek()?;
         let passed = first.at <= self.newest.saturating_add(-self.span);
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The rest, in order, once the file is over.
+    /// Releases the first row. Called until the window is empty after the end of the file.
     pub fn pop(&mut self) -> Option<(Instant, T)> {
         let Reverse(HeldRow { at, row, .. }) = self.held.pop()?;
         self.last_released = at;
--- a/src/trace/reorder/tests.rs
+++ b/src/trace/reorder/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `reorder`.
+//! Tests of the reorder window: order, lost rows, and the counts of reordered and moved rows.
 
 use super::*;
 
-/// Spans and times in microseconds.
+/// Returns the released times, the numbers of reordered and of moved rows, and the largest move. All in microseconds.
 fn reorder(span: i64, max_held: usize, times: &[i64]) -> (Vec<i64>, [u64; 2], i64) {
     let mut window = ReorderWindow::new(Span::from_micros(span), max_held);
     let mut out = Vec::new();
@@ -17,10 +17,10 @@
 #[test]
 fn rows_come_in_order_and_none_is_lost() {
     assert_eq!(reorder(10, 99, &[5, 3, 4, 20, 18, 40]), (vec![3, 4, 5, 18, 20, 40], [3, 0], 0));
-    // 3 comes when 20 has been given out: it is moved there, and told.
+    // 3 comes after 20 has been released, so it is moved to 20 and counted.
     assert_eq!(reorder(10, 99, &[5, 20, 40, 3]), (vec![5, 20, 20, 40], [0, 1], 17));
     assert_eq!(reorder(0, 99, &[2, 1, 3]), (vec![2, 2, 3], [0, 1], 1));
-    // A window that is full gives out what it would rather keep.
+    // A full window releases rows before their span is over.
     assert_eq!(reorder(1000, 2, &[5, 6, 7, 1]), (vec![5, 5, 6, 7], [0, 1], 4));
 }
 
--- a/src/trace/rows.rs
+++ b/src/trace/rows.rs
@@ -8,50 +8,51 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Times from this many microseconds on are none of a trace (some formats mark "after its end" so).
+/// The first time, in microseconds, that is out of range. Some formats mark events after the trace's end by a larger
+/// value, such as 2^63 - 1.
 const TIME_LIMIT: f64 = 4.0e18;
-/// The parameters of the FNV-1a hash that names an object.
+/// Parameters of the 64-bit FNV-1a hash that identifies an object.
 const HASH_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const HASH_PRIME: u64 = 0x0100_0000_01b3;
 
 /// A row that became a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Row {
-    /// Its time in the trace.
+    /// Time in the trace.
     pub(super) at: Instant,
-    /// The class, by its place in the map.
+    /// Index of the class in the map.
     pub(super) class: usize,
     pub(super) object: u64,
 }
 
-/// Why a row cannot be used.
+/// Why a field cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum FieldProblem {
     #[error("missing")]
     Missing,
-    #[error("no number")]
+    #[error("not a number")]
     NoNumber,
     #[error("out of range")]
     OutOfRange,
 }
 
-/// A field for which a row cannot be used.
+/// The field because of which a row cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FieldError {
-    /// The column, by number.
+    /// Number of the column.
     column: usize,
     problem: FieldProblem,
 }
 
-/// What became of a row.
+/// The result of reading a row that has all the fields it needs.
 enum RowOutcome {
     Used(Row),
-    /// `only` leaves it out.
+    /// The map's `only` block leaves it out.
     Filtered,
     Unclassified,
 }
 
-/// The names of the columns in the file's first line.
+/// Returns the fields of the file's first line; empty if the file is.
 pub(super) fn header(path: &Path) -> Result<Vec<String>, csv::Error> {
     let mut reader = reader(path, false)?;
     let Some(record) = reader.records().next() else { return Ok(Vec::new()) };
@@ -59,15 +60,15 @@
 }
 
 fn reader(path: &Path, header: bool) -> Result<csv::Reader<File>, csv::Error> {
-    // Rows may lack fields at their end; they are counted by column and not taken for an error of the file.
+    // Rows may lack fields at their end: such a row is counted by its missing column and is no error of the file.
     csv::ReaderBuilder::new().has_headers(header).flexible(true).trim(csv::Trim::All).from_path(path)
 }
 
-/// Reads all rows: passes each that can be used to `handle_row`, and counts the others. `names` are the columns' names.
+/// Reads all rows, passes each usable one to `handle_row`, and counts all of them. `names` are the columns' names.
 ///
 /// # Errors
 ///
-/// The file cannot be read.
+/// Returns an error if the file cannot be read.
 pub(super) fn for_each(
     path: &Path,
     map: &TraceMap,
@@ -81,7 +82,7 @@
         match reader.read_record(&mut record) {
             Ok(true) => {}
             Ok(false) => return Ok(()),
-            // A line that is not UTF-8 is a row that can't be used; a file that can't be read ends it.
+            // A line that is not UTF-8 is only an unusable row; any other error of the reader ends the reading.
             Err(error) if matches!(error.kind(), csv::ErrorKind::Utf8 { .. }) => {
                 counts.rows += 1;
                 counts.skip("line", line(error.position()), "not UTF-8");
@@ -139,7 +140,7 @@
         self.optional(column).ok_or(FieldError { column, problem: FieldProblem::Missing })
     }
 
-    /// A time in the map's unit, us.
+    /// Returns the value of a column with a time, converted from the map's unit to microseconds.
     fn micros(&self, column: usize) -> Result<f64, FieldError> {
         let fail = |problem| FieldError { column, problem };
         let text = self.required(column)?;
@@ -158,7 +159,7 @@
         Ok(Instant::ZERO + Span::from_micros_f64(time - minus))
     }
 
-    /// The object that the map's columns name.
+    /// Returns the hash of the values in the map's object columns.
     fn object(&self) -> Result<u64, FieldError> {
         let mut hash = HASH_BASIS;
         for column in &self.map.object {
@@ -170,7 +171,7 @@
         Ok(mix(hash))
     }
 
-    /// The first class that matches.
+    /// Returns the index of the first class whose rule matches; `None` if none does.
     fn class(&self, object: u64) -> Option<usize> {
         let mut classes = self.map.classes.iter().enumerate();
         let matching = classes.find(|(index, rule)| {
--- a/src/trace/sample.rs
+++ b/src/trace/sample.rs
@@ -1,28 +1,29 @@
-//! Samples a trace that is longer than the test without changing its rate: the trace is cut into as many strata as
-//! there are slices, and from each a slice of the test's own share is taken at a place drawn from the seed. Within a
-//! slice every row is kept with its distances, so the rate, its bursts and what is asked for again and again stay; a
-//! thinned or sped-up trace would keep none of them.
+//! Samples a trace that is longer than the test without changing its rate. The trace is cut into as many strata as
+//! there are slices. From each stratum one slice is taken, at a position drawn from the seed; the slices have equal
+//! lengths and fill the test. Within a slice every row is kept with its distance in time from the others, so that the
+//! rate, the bursts and the repeated requests for an object stay. Thinning or speeding up the trace would change them.
 
 use crate::interface::{Instant, Span};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The shortest span.
+/// The shortest span: no slice is shorter, and no rate is computed over less.
 const MIN_SPAN: Span = Span::from_micros(1);
-/// The name under which all classes together are compared.
+/// The key in [`Rates::compare`]'s result for all classes together.
 pub const ALL: &str = "all";
 
-/// Which parts of a trace are taken, and when they are played.
+/// The slices of a trace that a test uses, and when they are replayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slices {
-    /// Begin in the trace; each is `length` long and is played right behind the one before.
+    /// Start of each slice in the trace. Each is `length` long and is replayed directly after the one before.
     starts: Vec<Instant>,
     length: Span,
 }
 
 impl Slices {
-    /// Slices of a trace from `first` to `last` for a test of `window`; a trace that fits is taken whole.
+    /// Returns the slices of a trace from `first` to `last` for a test of length `window`. A trace that fits is one
+    /// slice.
     pub fn new(first: Instant, last: Instant, window: Span, slices: usize, seed: u64) -> Self {
         let span = (last - first + MIN_SPAN).max(MIN_SPAN);
         if span <= window {
@@ -37,45 +38,45 @@
         Slices { starts: (0..slices).map(start).collect(), length }
     }
 
-    /// When a row of this time is played, from the start; `None`: it is not.
+    /// Returns when a row of this time is replayed, from the start of the test; `None` if it is in no slice.
     pub fn replay_time(&self, at: Instant) -> Option<Span> {
         let slice = self.starts.partition_point(|start| *start <= at).checked_sub(1)?;
         let within = at - self.starts[slice];
         (within < self.length).then(|| slice as i64 * self.length + within)
     }
 
-    /// How long all of them are played.
+    /// Returns the total length of the slices.
     pub fn length(&self) -> Span {
         self.starts.len() as i64 * self.length
     }
 
-    /// How many there are.
+    /// Returns the number of slices.
     pub fn count(&self) -> usize {
         self.starts.len()
     }
 }
 
-/// Counts by class of the whole trace, and of what was taken of it.
+/// Counts of rows by class, of the whole trace and of its sample.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rates {
-    /// Rows of the trace by class.
+    /// Number of usable rows in the trace, by class.
     pub trace_rows: BTreeMap<String, u64>,
-    /// Its length.
+    /// Length of the trace.
     pub trace_span: Span,
-    /// Rows taken by class.
+    /// Number of rows in the sample, by class.
     pub sampled_rows: BTreeMap<String, u64>,
-    /// What they are played in.
+    /// Length of the sample.
     pub sampled_span: Span,
 }
 
-/// The rate of a trace against that of its sample.
+/// The rates of a trace and of its sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateComparison {
-    /// Rows a second of the trace.
+    /// Rows per second of the trace.
     pub trace: f64,
-    /// Rows a second of the sample.
+    /// Rows per second of the sample.
     pub sample: f64,
-    /// By what part the sample's rate differs; -1: nothing was taken.
+    /// Relative difference of the sample's rate; -1 if the sample is empty, 0 if the trace is.
     pub error: f64,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl Rates {
-    /// The comparison of each class, and of all rows as [`ALL`].
+    /// Returns the comparison of each class by its name, and that of all rows under [`ALL`].
     pub fn compare(&self) -> BTreeMap<String, RateComparison> {
         let mut comparisons = BTreeMap::new();
         for (class, count) in &self.trace_rows {
@@ -110,7 +111,7 @@
     }
 }
 
-/// Rows a second, of a count in a span.
+/// Returns rows per second.
 fn rate(count: u64, span: Span) -> f64 {
     let seconds = span.max(MIN_SPAN).as_secs_f64();
     count as f64 / seconds
--- a/src/trace/sample/tests.rs
+++ b/src/trace/sample/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `sample`.
+//! Tests of sampling: which times are in a slice, and the rate of the sample.
 
 use super::*;
 
-/// Slices of a trace by times and spans in microseconds.
+/// Returns the slices of a trace; times and spans are in microseconds.
 fn slices(first: i64, last: i64, window: i64, slices: usize, seed: u64) -> Slices {
     let [first, last] = [first, last].map(Instant::from_micros);
     Slices::new(first, last, Span::from_micros(window), slices, seed)
@@ -27,12 +27,13 @@
     let sampled = slices(1000, 100_999, 10_000, 10, 1);
     assert_eq!((sampled.count(), sampled.length().as_micros()), (10, 10_000));
     let times: Vec<i64> = (0..101_000).filter_map(|at| replay_time(&sampled, at)).collect();
-    assert_eq!(times, (0..10_000).collect::<Vec<_>>(), "each moment of the test once, in order");
+    assert_eq!(times, (0..10_000).collect::<Vec<_>>(), "each time of the test occurs once, in order");
     assert_eq!(sampled, slices(1000, 100_999, 10_000, 10, 1));
     assert_ne!(sampled, slices(1000, 100_999, 10_000, 10, 2));
 }
 
-/// A rate that rises tenfold and falls again: the sample keeps its mean, without thinning any moment of it.
+/// Guards against a sample whose mean rate differs from the trace's. The rate of the trace rises tenfold and falls
+/// again, so a sample that is too dense or too sparse anywhere would have another mean.
 #[test]
 fn sample_keeps_the_mean_rate() {
     let mut worst: f64 = 0.0;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter, byte by byte: frames on standard input, replies on standard output.
+//! Tests of the adapter's binary frames on standard input and replies on standard output, byte by byte.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -23,10 +23,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // A bad frame may end the adapter before all is written.
-    let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+        .expect("the adapter can be started");
+    // The adapter may end at a bad frame before the whole input is written, so a failed write is no failure here.
+    let _ = child.stdin.take().expect("standard input is a pipe").write_all(input);
+    child.wait_with_output().expect("the adapter's output can be read")
 }
 
 fn frame(clock_ms: f64, records: &[Vec<u8>]) -> Vec<u8> {
@@ -69,9 +69,9 @@
 
 fn assert_error(input: &[u8], text: &str) {
     let output = run(input);
-    let error = String::from_utf8(output.stderr).expect("text");
+    let error = String::from_utf8(output.stderr).expect("standard error is UTF-8");
     assert!(!output.status.success(), "{error}");
-    assert!(error.contains(text), "{error:?} lacks {text:?}");
+    assert!(error.contains(text), "{error:?} does not contain {text:?}");
     assert_eq!(error.lines().count(), 1, "{error}");
 }
 
@@ -94,10 +94,10 @@
     assert_eq!(send_with_fill[6..14], 42u64.to_le_bytes());
     assert_eq!(send_with_fill[14..18], 77u32.to_le_bytes());
     assert_eq!(send_with_fill[26..30], 88u32.to_le_bytes());
-    assert_eq!(send_with_fill[30], 1, "kept at the lowest rank when first seen");
+    assert_eq!(send_with_fill[30], 1, "the cached copy has the lowest rank at the first request");
     assert_eq!(send_with_fill[31..39], 0f64.to_le_bytes());
-    assert_eq!(send_with_fill[39], 1, "joins a fill");
-    assert_eq!(reply[44..46], 5u16.to_le_bytes(), "then a timer");
+    assert_eq!(send_with_fill[39], 1, "the mode is to join a fill");
+    assert_eq!(reply[44..46], 5u16.to_le_bytes(), "a timer follows");
     assert_eq!(reply.len(), 4 + 40 + 18);
 }
 
@@ -106,7 +106,7 @@
     let output = run(&frame(1000.0, &[instance_created(SETTINGS), endpoint_list(&[]), request_event(42)]));
     let reject = &output.stdout[4..];
     assert_eq!(reject[..2], 2u16.to_le_bytes());
-    let retry_after = f64::from_le_bytes(reject[14..22].try_into().expect("8 bytes"));
+    let retry_after = f64::from_le_bytes(reject[14..22].try_into().expect("the delay has 8 bytes"));
     assert!(retry_after > 0.0 && retry_after <= 500.0, "{retry_after}");
 }
 
@@ -116,7 +116,11 @@
     let first = frame(1000.0, &[instance_created(SETTINGS), members, request_event(42)]);
     let output = run(&[first, frame(1090.0, &[attempt_ended(42, 1, 1)])].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    assert_eq!(output.stdout[output.stdout.len() - 4..], 4u32.to_le_bytes(), "nothing after the answer");
+    assert_eq!(
+        output.stdout[output.stdout.len() - 4..],
+        4u32.to_le_bytes(),
+        "the reply to the last batch is empty"
+    );
 }
 
 #[test]
@@ -161,7 +165,7 @@
     );
     let output = run(&again);
     assert!(output.status.success());
-    assert_eq!(output.stdout.len(), 4 + 22, "one refusal, of the second life");
+    assert_eq!(output.stdout.len(), 4 + 22, "one rejection, by the recreated instance");
     assert_eq!(output.stdout[10..18], 2u64.to_le_bytes());
 }
 
@@ -170,7 +174,7 @@
     assert_error(&frame(1.0, &[])[..9], "header bytes");
     assert_error(&frame(1.0, &[request_event(1)])[..30], "the input ends");
     assert_error(&frame(1.0, &[record(99, &[])]), "unknown event code 99");
-    assert_error(&frame(f64::NAN, &[]), "no time");
+    assert_error(&frame(f64::NAN, &[]), "the time NaN ms is not a number or out of range");
     let mut short = frame(1.0, &[]);
     short[8] = 3;
     assert_error(&short, "shorter than its header");
@@ -180,7 +184,7 @@
     let mut many = frame(1.0, &[request_event(1)]);
     many[12] = 2;
     assert_error(&many, "record 1 at byte 63");
-    assert_error(&frame(1.0, &[attempt_ended(1, 9, 0)]), "unknown outcome 9");
+    assert_error(&frame(1.0, &[attempt_ended(1, 9, 0)]), "unknown attempt result 9");
 }
 
 #[test]
