--- a/src/commands/federation.rs
+++ b/src/commands/federation.rs
@@ -9,7 +9,7 @@
 
 #[derive(clap::Subcommand)]
 pub enum FederationCommand {
-    /// Create a member's store; only once per member, because a new store would forget the member's votes
+    /// Create a member's store; only once per member, because a new store would lack the member's votes
     Init {
         /// The operator's file for the federation
         federation: PathBuf,
--- a/src/commands/lab/xds.rs
+++ b/src/commands/lab/xds.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const HUBS: usize = 4;
-/// The longest wait until the clients' lists lack a drained cache.
+/// The longest wait for the clients to receive a change.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// The size of a measurement.
--- a/src/expect/mod.rs
+++ b/src/expect/mod.rs
@@ -1,30 +1,32 @@
-//! Routing expectations as tests: what operators expect of a configuration is compared with what the decision module
-//! itself decides, without sockets or traffic. See docs/expectations.md.
+//! Tests a configuration against the routing that its operators expect. The decision module itself decides
+//! each request, without sockets or traffic. See docs/expectations.md.
 //!
-//! - `site`: the configuration with the servers of its list; `names`, `selector`: how expectations name its parts.
-//! - `expectation`: what operators expect; `language`: the file in which they write it.
-//! - `judge`: asks the decision module and gives a verdict for each expectation. `question`: what is asked, once for
-//!   all expectations; `answered`: the explorations of a question; `rules`, `fill_cycle`: what violates a rule.
-//! - `explore`: one exploration, on a virtual clock; `world`, `planned_end`: how attempts end in it; `decisions`: its
-//!   result.
-//! - `lint`: faults of a configuration that need no expectation.
+//! - `site`: the configuration with the servers of its endpoint list; `names`, `selector`: resolve the names
+//!   in expectations.
+//! - `expectation`: expectations, scenarios and rules; `language`: parses the file that defines them.
+//! - `evaluate`: explores all test cases, and returns a verdict for each expectation; `test_case`: what is
+//!   explored once for all expectations that depend on it; `case_run`: the explorations of a test case;
+//!   `rules`, `fill_cycle`: find violations of rules.
+//! - `explore`: runs one exploration on a virtual clock; `world`, `planned_end`: simulate the servers;
+//!   `decisions`: the resulting trace.
+//! - `lint`: finds faults of a configuration that need no expectation.
 //! - `verdict`, `report`: the results.
 
-mod answered;
+mod case_run;
 pub mod decisions;
+pub mod evaluate;
 pub mod expectation;
 pub mod explore;
 mod fill_cycle;
-pub mod judge;
 pub mod language;
 pub mod lint;
 mod names;
 mod planned_end;
-mod question;
 pub mod report;
 mod rules;
 pub mod selector;
 pub mod site;
+mod test_case;
 pub mod verdict;
 mod world;
 
@@ -33,39 +35,39 @@
 
 use crate::config::hcl_document::{HclDocument, HclError};
 use crate::config::{read_text_file, Config, ConfigError};
-use expectation::{Breadth, Suite, MAX_SEEDS};
-use judge::judge;
+use evaluate::evaluate;
+use expectation::{ExploreSettings, Suite, MAX_SEEDS};
 use language::parse;
 use lint::{lint, Severity};
 use report::Report;
 use site::Site;
 use std::path::Path;
 
-/// Why a check cannot be made.
+/// The reason why a check cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ExpectError {
     /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The expectations cannot be used; each error is a line of its own.
+    /// The expectations cannot be used; each error is shown on its own line.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Expectations(Vec<HclError>),
-    /// No router starts with these settings at some point.
+    /// No router can start with these settings at some point.
     #[error("settings: {0}")]
     Settings(#[from] crate::SettingsError),
-    /// `--only` names no expectation.
-    #[error("no expectation {0:?}")]
-    Only(String),
+    /// The name given with `--only` is not the name of an expectation.
+    #[error("expectation {0:?} is not defined in the file")]
+    NoSuchExpectation(String),
 }
 
-/// What the command line overrides of the file's `explore` block.
+/// Options of the command line that override the file's `explore` block and select expectations.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// The first seed.
+    /// The first seed; `None`: the file's.
     pub seed: Option<u64>,
-    /// How many seeds.
+    /// Number of seeds, limited to 1 to [`MAX_SEEDS`]; `None`: the file's.
     pub seeds: Option<u64>,
-    /// Only the expectation of this name.
+    /// The name of the only expectation to check; `None`: all.
     pub only: Option<String>,
 }
 
@@ -73,25 +75,26 @@
 ///
 /// # Errors
 ///
-/// Files that cannot be read or used. An expectation that does not hold is no error but a verdict.
+/// Returns an error if a file cannot be read or used. An expectation that does not hold is not an error but a
+/// verdict.
 pub fn check(config: &Path, expectations: &Path, overrides: &Overrides) -> Result<Report, ExpectError> {
-    let site = Site::of(&Config::read(config)?);
+    let site = Site::from_config(&Config::read(config)?);
     let text = read_text_file(expectations)?;
     let file = expectations.display().to_string();
     let suite = parse(HclDocument { file: &file, text: &text }, &site).map_err(ExpectError::Expectations)?;
-    Ok(check_site(&site, &overridden(suite, overrides)?, &file)?)
+    Ok(check_site(&site, &apply_overrides(suite, overrides)?, &file)?)
 }
 
-/// A suite as the command line overrides it.
-fn overridden(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
+/// Applies the command line's overrides to a suite.
+fn apply_overrides(mut suite: Suite, overrides: &Overrides) -> Result<Suite, ExpectError> {
     if let Some(only) = &overrides.only {
-        suite.expectations.retain(|wanted| wanted.name == *only);
+        suite.expectations.retain(|expectation| expectation.name == *only);
         if suite.expectations.is_empty() {
-            return Err(ExpectError::Only(only.clone()));
+            return Err(ExpectError::NoSuchExpectation(only.clone()));
         }
     }
-    let file = suite.breadth;
-    suite.breadth = Breadth {
+    let file = suite.explore_settings;
+    suite.explore_settings = ExploreSettings {
         seed: overrides.seed.unwrap_or(file.seed),
         seeds: overrides.seeds.unwrap_or(file.seeds).clamp(1, MAX_SEEDS),
         ..file
@@ -99,13 +102,13 @@
     Ok(suite)
 }
 
-/// Checks a site against expectations that were read.
+/// Checks a site against a suite of expectations; `file` is the suite's path, for the report.
 ///
 /// # Errors
 ///
-/// Settings with which no router can start.
+/// Returns an error if no router can start with the settings.
 pub fn check_site(site: &Site, suite: &Suite, file: &str) -> Result<Report, crate::SettingsError> {
-    let verdicts = judge(site, suite.breadth, &suite.expectations)?;
+    let verdicts = evaluate(site, suite.explore_settings, &suite.expectations)?;
     let findings = lint(site);
     let passed = verdicts.iter().all(|verdict| verdict.passed)
         && findings.iter().all(|finding| finding.severity < Severity::Error);
--- a/src/expect/report.rs
+++ b/src/expect/report.rs
@@ -1,16 +1,16 @@
-//! The report of a check, as lines for people and as JSON for machines.
+//! The report of a check, as lines of text and as JSON.
 
 use super::lint::{Finding, Severity};
-use super::verdict::{Broken, Choices, Extent, Verdict};
+use super::verdict::{BrokenRule, Choices, Coverage, Verdict};
 use serde::Serialize;
 use std::fmt;
 
 /// The result of a check; its serialized form is the JSON output.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The file of expectations.
+    /// Path of the file of expectations.
     pub file: String,
-    /// Whether every expectation holds and nothing found is an error.
+    /// Whether every expectation holds and no finding is an error.
     pub passed: bool,
     /// Faults of the configuration that need no expectation.
     pub findings: Vec<Finding>,
@@ -38,7 +38,7 @@
             Choices::Explored { seeds: [first, last], seen, eligible } => write!(
                 f,
                 "random choices explored by seeds {first} to {last} only, \
-                 which saw {seen} of {eligible} ready caches"
+                 which chose {seen} of {eligible} ready caches"
             ),
         }
     }
@@ -64,11 +64,11 @@
         let word = if verdict.passed { "passed" } else { "FAILED" };
         writeln!(f, "{word} {:?} ({}:{})", verdict.name, self.file, verdict.line)?;
         for broken in &verdict.broken {
-            let Broken { rule, at, reason, seed, .. } = broken;
+            let BrokenRule { rule, at, reason, seed, .. } = broken;
             writeln!(f, "  {rule} at {}:{at}: {reason}", self.file)?;
-            writeln!(f, "    shown by --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
+            writeln!(f, "    reproduce with --seed {seed} --seeds 1 --only {:?}", verdict.name)?;
         }
-        let Extent { scenarios, points, classes, seeds } = verdict.asked;
+        let Coverage { scenarios, points, classes, seeds } = verdict.coverage;
         let Verdict { decisions, choices, .. } = verdict;
         writeln!(
             f,
--- a/src/expect/selector.rs
+++ b/src/expect/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: how expectations name sets of servers.
+//! Selectors, by which expectations name sets of servers.
 
 use super::names::{index_of, NameError};
 use super::site::Site;
@@ -12,7 +12,7 @@
     Origin,
     /// `hub`: all parents.
     Hub,
-    /// `hub:ZONE`: the parents that stand in a zone.
+    /// `hub:ZONE`: the parents in a zone.
     HubIn(ZoneId),
     /// `own-hub`: the parents of the point's hub.
     OwnHub,
@@ -22,29 +22,29 @@
     CacheIn(ZoneId),
     /// `own-cache`: the table caches of the request's point.
     OwnCache,
-    /// `zone:ZONE`: whatever stands in a zone.
+    /// `zone:ZONE`: all servers in a zone.
     Zone(ZoneId),
-    /// `kind:KIND`: all machines of a kind.
+    /// `kind:KIND`: all servers of a kind.
     Kind(u16),
-    /// `cell:NUMBER`: all machines of a cell.
+    /// `cell:NUMBER`: all servers of a cell.
     Cell(u16),
     /// A server by its name.
     Server(ServerId),
 }
 
 impl Selector {
-    /// Whether it names other servers at each point.
+    /// Whether the selector matches different servers at each point.
     pub fn depends_on_point(&self) -> bool {
         matches!(self, Selector::OwnHub | Selector::OwnCache)
     }
 }
 
 impl Site {
-    /// Reads a selector.
+    /// Parses a selector.
     ///
     /// # Errors
     ///
-    /// A name that the site does not have, or a set with no server in it.
+    /// Returns an error for a name that the site does not have, or a selector that matches no listed server.
     pub fn selector(&self, text: &str) -> Result<Selector, NameError> {
         let selector = match text.split_once(':') {
             Some((set, name)) => self.named_set(set, name, text)?,
@@ -54,13 +54,13 @@
             return Ok(selector);
         }
         let point = self.settings.topology.zone;
-        if self.servers.values().any(|member| self.selects(&selector, member, point)) {
+        if self.servers.values().any(|endpoint| self.selects(&selector, endpoint, point)) {
             return Ok(selector);
         }
-        Err(NameError::Empty(text.to_owned()))
+        Err(NameError::NoServers(text.to_owned()))
     }
 
-    /// A selector without a colon.
+    /// Parses a selector without a colon.
     fn plain_set(&self, text: &str) -> Result<Selector, NameError> {
         Ok(match text {
             "origin" => Selector::Origin,
@@ -72,39 +72,40 @@
         })
     }
 
-    /// A selector of a kind of set and a name; a server's name may have a colon too.
+    /// Parses a selector of the form `SET:NAME`. If the part before the colon is not a known set, the text is
+    /// a server's name, which may have a colon too.
     fn named_set(&self, set: &str, name: &str, text: &str) -> Result<Selector, NameError> {
         Ok(match set {
             "hub" => Selector::HubIn(self.zone(name)?),
             "cache" => Selector::CacheIn(self.zone(name)?),
             "zone" => Selector::Zone(self.zone(name)?),
             "kind" => Selector::Kind(index_of("kind", name, &self.kinds)?),
-            "cell" => Selector::Cell(name.parse().map_err(|_| NameError::Cell(name.to_owned()))?),
+            "cell" => Selector::Cell(name.parse().map_err(|_| NameError::InvalidCell(name.to_owned()))?),
             _ => Selector::Server(self.server(text)?),
         })
     }
 
-    /// Whether a selector names a server, for a request at a point.
-    pub fn selects(&self, selector: &Selector, member: &Endpoint, point: ZoneId) -> bool {
+    /// Whether a selector matches a server, for a request at a point.
+    pub fn selects(&self, selector: &Selector, endpoint: &Endpoint, point: ZoneId) -> bool {
         match selector {
-            Selector::Origin => self.is_origin(member),
-            Selector::Hub => self.is_parent(member),
-            Selector::HubIn(zone) => self.is_parent(member) && member.zone == *zone,
-            Selector::OwnHub => self.is_parent(member) && self.hub(point) == Some(member.zone),
-            Selector::Cache => self.is_cache(member),
-            Selector::CacheIn(zone) => self.is_cache(member) && member.zone == *zone,
-            Selector::OwnCache => self.is_cache(member) && member.zone == point,
-            Selector::Zone(zone) => member.zone == *zone,
-            Selector::Kind(kind) => member.kind == *kind,
-            Selector::Cell(cell) => member.cell == *cell,
-            Selector::Server(server) => member.server == *server,
+            Selector::Origin => self.is_origin(endpoint),
+            Selector::Hub => self.is_parent(endpoint),
+            Selector::HubIn(zone) => self.is_parent(endpoint) && endpoint.zone == *zone,
+            Selector::OwnHub => self.is_parent(endpoint) && self.hub(point) == Some(endpoint.zone),
+            Selector::Cache => self.is_cache(endpoint),
+            Selector::CacheIn(zone) => self.is_cache(endpoint) && endpoint.zone == *zone,
+            Selector::OwnCache => self.is_cache(endpoint) && endpoint.zone == point,
+            Selector::Zone(zone) => endpoint.zone == *zone,
+            Selector::Kind(kind) => endpoint.kind == *kind,
+            Selector::Cell(cell) => endpoint.cell == *cell,
+            Selector::Server(server) => endpoint.server == *server,
         }
     }
 
-    /// The servers that any of the selectors names.
+    /// Returns the servers that any of the selectors matches, for a request at a point.
     pub fn selected(&self, selectors: &[Selector], point: ZoneId) -> BTreeSet<ServerId> {
         let named =
-            |member: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, member, point));
-        self.servers.values().filter(named).map(|member| member.server).collect()
+            |endpoint: &&Endpoint| selectors.iter().any(|selector| self.selects(selector, endpoint, point));
+        self.servers.values().filter(named).map(|endpoint| endpoint.server).collect()
     }
 }
--- a/tests/federation/log.rs
+++ b/tests/federation/log.rs
@@ -127,15 +127,15 @@
     let file = rig.file(leader).display().to_string();
     let proxy = old.proxy.start_newer(&["--admin", "127.0.0.1:0", "--federation", &file]);
     let admin = address(&proxy.wait_for_log("admin endpoint: listening on "));
-    let listen = address(&proxy.wait_for_log("federation listens on "));
-    old.proxy.wait_for_log("federation: left to a newer process");
+    let listen = address(&proxy.wait_for_log("federation: listening on "));
+    old.proxy.wait_for_log("federation: paused, a newer process takes over the store");
     let new = crate::rig::RunningMember { proxy, admin, listen };
     rig.set_relay_targets(leader, &new);
     rig.running.insert(leader, new);
     let (_, term) = rig.leader(&[1, 2, 3]);
     // The newer process is killed before the older one has ended, so the older one takes over again.
     rig.kill(leader);
-    let listen = address(&old.proxy.wait_for_log("federation listens on "));
+    let listen = address(&old.proxy.wait_for_log("federation: listening on "));
     let old = crate::rig::RunningMember { listen, ..old };
     rig.set_relay_targets(leader, &old);
     rig.running.insert(leader, old);
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -73,8 +73,8 @@
     let at = rig.leader(&[1, 2, 3]);
     type Case<'a> = (&'a str, fn(String) -> String, &'a str);
     let cases: [Case; 3] = [
-        ("key", |text| text, "it does not hold the key"),
-        ("cluster", |text| text.replace("\"tests\"", "\"others\""), "it is of another federation"),
+        ("key", |text| text, "the peer does not have the federation's key"),
+        ("cluster", |text| text.replace("\"tests\"", "\"others\""), "the peer belongs to another federation"),
         ("store", |text| text, "its store is not the one that is enrolled for this member"),
     ];
     let target = rig.others(3)[0];
@@ -89,7 +89,7 @@
         }
         assert!(rig.init(3, false).status.success());
         let (stranger, _) = rig.launch_without_listener(3);
-        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is refused");
+        let line = rig.running[&target].proxy.wait_for_log("federation: a connection is rejected");
         assert!(line.contains(wanted), "{case}: {line}");
         drop(stranger);
         std::fs::rename(folder.join("kept"), folder.join("federation.redb")).expect("moved");
@@ -108,14 +108,14 @@
     let rig = Rig::new("garbage", voters(1..=3));
     let at = rig.leader(&[1, 2, 3]);
     for (bytes, wanted) in [
-        (&b"GET / HTTP/1.1\r\n\r\n"[..], "it speaks version 71"),
+        (&b"GET / HTTP/1.1\r\n\r\n"[..], "protocol version 71 is not supported"),
         (&[1, 255, 255, 255, 255, 0][..], "a message is too long"),
-        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message can't be read"),
+        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message cannot be decoded"),
     ] {
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
         stream.write_all(bytes).expect("written");
-        let line = running.proxy.wait_for_log("federation: a connection is refused");
+        let line = running.proxy.wait_for_log("federation: a connection is rejected");
         assert!(line.contains(wanted), "{line}");
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest); // the connection ends, perhaps by a reset
@@ -150,7 +150,7 @@
             None => std::fs::remove_file(&path).expect("removed"),
         }
         let (proxy, admin) = rig.launch_without_listener(3);
-        proxy.wait_for_log("this member takes no part; the edge proxy serves alone");
+        proxy.wait_for_log("this member is halted; the edge proxy keeps serving");
         rig.running.insert(3, crate::rig::RunningMember { proxy, admin, listen: admin });
         let view = rig.view(3);
         assert!(view["halted"].is_string() && view["leader"] == 0, "{what}: {view}");
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -137,7 +137,7 @@
 
     fn launch(&self, id: u64) -> RunningMember {
         let (proxy, admin) = self.launch_without_listener(id);
-        let listen = address(&proxy.wait_for_log("federation listens on "));
+        let listen = address(&proxy.wait_for_log("federation: listening on "));
         RunningMember { proxy, admin, listen }
     }
 
