--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -2,7 +2,7 @@
 //! and knows of the simulated world only what is reported through these methods.
 
 use crate::interface::{Instant, Span};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
     /// Name of the host in the endpoint list.
     pub host_name: &'a str,
     /// Connection on which the attempt arrived.
-    pub link: LinkId,
+    pub link: ConnectionId,
     /// Trace id of the client's request.
     pub trace: &'a str,
     /// When its first byte was written. The rule for drains compares this time, not the time of arrival.
@@ -75,7 +75,7 @@
     /// First breach of each rule, in the order of time.
     pub breaches: Vec<Breach>,
     /// State of each write at every host and connection to which it was sent, by trace id.
-    writes: BTreeMap<String, BTreeMap<(HostId, LinkId), WriteState>>,
+    writes: BTreeMap<String, BTreeMap<(HostId, ConnectionId), WriteState>>,
     /// How long after its first attempt was written a write that may have run may be repeated; `None`: never.
     dedup_window: Option<Span>,
     /// When the client cancelled the request or closed its connection, by trace id.
@@ -192,7 +192,7 @@
     }
 
     /// Records that a host has stated that a request did not run there.
-    pub fn did_not_run(&mut self, host: HostId, link: LinkId, trace: &str) {
+    pub fn did_not_run(&mut self, host: HostId, link: ConnectionId, trace: &str) {
         if let Some(states) = self.writes.get_mut(trace) {
             states.insert((host, link), WriteState::DidNotRun);
         }
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -7,7 +7,7 @@
 use super::{numbered_address, PlantedBug, World, FRONT};
 use crate::interface::{Instant, Span};
 use crate::sim::rules::MAX_TRANSIT;
-use crate::standin::ids::{ClientId, LinkId};
+use crate::standin::ids::{ClientId, ConnectionId};
 use crate::standin::thrift_client;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 /// A stand-in client, with the state of its connection if it has one.
 #[derive(Default)]
 pub(super) struct Client {
-    pub(super) link: Option<LinkId>,
+    pub(super) link: Option<ConnectionId>,
     last_seqid: i32,
     pub(super) input: Vec<u8>,
     /// Requests without an answer, by sequence number.
@@ -74,7 +74,7 @@
     }
 
     /// Returns the client to which a connection belongs.
-    pub(super) fn client_of(&self, link: LinkId) -> Option<ClientId> {
+    pub(super) fn client_of(&self, link: ConnectionId) -> Option<ClientId> {
         self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
     }
 
@@ -101,9 +101,9 @@
         }
     }
 
-    fn connect_client(&mut self, id: ClientId) -> LinkId {
+    fn connect_client(&mut self, id: ClientId) -> ConnectionId {
         let from = SocketAddr::from(([127, 0, 2, id.0 as u8 + 1], 40_000));
-        let link = LinkId(self.fabric.dial(from, numbered_address(FRONT)));
+        let link = ConnectionId(self.fabric.dial(from, numbered_address(FRONT)));
         let now = self.now;
         let client = self.client(id);
         client.link = Some(link);
@@ -165,7 +165,7 @@
 
     /// Ends a client's connection for its part, and excuses its open requests. Returns the connection to
     /// close or reset; `None` if it has none, or if the planted bug keeps it open.
-    fn end_client_connection(&mut self, id: ClientId) -> Option<LinkId> {
+    fn end_client_connection(&mut self, id: ClientId) -> Option<ConnectionId> {
         let link = self.client(id).link?;
         if self.planted_bug == Some(PlantedBug::DeafToClients) {
             let open = std::mem::take(&mut self.client(id).open);
@@ -187,7 +187,7 @@
 
     /// Handles the end of a client's connection by the other side. Open requests that no process had to
     /// answer are excused; those that may have crossed the end are sent once more; any other is a breach.
-    pub(super) fn client_disconnected(&mut self, id: ClientId, link: LinkId) {
+    pub(super) fn client_disconnected(&mut self, id: ClientId, link: ConnectionId) {
         let open = self.client(id).disconnect();
         let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
--- a/src/sim/world/event_queue.rs
+++ b/src/sim/world/event_queue.rs
@@ -4,7 +4,7 @@
 use super::{ClientId, HostId, RequestNumber};
 use crate::interface::Instant;
 use crate::standin::faults::FaultKind;
-use crate::standin::ids::LinkId;
+use crate::standin::ids::ConnectionId;
 use std::collections::BTreeMap;
 
 /// An event that is scheduled for a time of the run; handled in `scheduled_events`.
@@ -16,11 +16,11 @@
     /// Checks that the request with this sequence number has its answer.
     CheckAnswered(ClientId, i32),
     /// A host answers the attempt with this id.
-    HostAnswers(HostId, LinkId, String),
+    HostAnswers(HostId, ConnectionId, String),
     /// A host sends the same answer a second time.
-    HostRepeats(LinkId, Vec<u8>),
+    HostRepeats(ConnectionId, Vec<u8>),
     /// The waiting time of a poll at the feed is over.
-    PollEnds(LinkId),
+    PollEnds(ConnectionId),
     /// A fault begins.
     Fault(FaultKind),
     /// A killed host starts again.
