--- a/src/bin/dahliatrack-wirehost/codec/error.rs
+++ b/src/bin/dahliatrack-wirehost/codec/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
     /// The frame ends within a value.
-    #[error("{wanted} bytes needed at byte {at}, {left} left")]
+    #[error("{wanted} bytes wanted at {at}, {left} left")]
     Truncated { wanted: usize, at: usize, left: usize },
     /// The header states a frame length that is less than the header's own.
     #[error("a frame of {0} bytes is shorter than its header")]
@@ -16,19 +16,19 @@
     #[error("a list of {entries} entries in {left} bytes")]
     ListTooLong { entries: usize, left: usize },
     /// A time is not a number, or is out of range.
-    #[error("the time {0} ms is not a number or out of range")]
+    #[error("the time {0} is no time")]
     Time(f64),
     /// The code of a record's kind is unknown.
     #[error("unknown event code {0}")]
     EventCode(u16),
     /// The code of an attempt's result is unknown.
-    #[error("unknown attempt result {0}")]
+    #[error("unknown outcome {0}")]
     AttemptResult(u16),
     /// The code of a cache status is unknown.
-    #[error("unknown cache status {0}")]
+    #[error("unknown note {0}")]
     CacheStatus(u32),
     /// The code of an endpoint list's kind of update is unknown.
-    #[error("unknown endpoint list update {0}")]
+    #[error("unknown list kind {0}")]
     ListUpdate(u8),
     /// The code of a server's state is unknown.
     #[error("unknown server state {0}")]
