--- a/src/trace/reorder.rs
+++ b/src/trace/reorder.rs
@@ -1,21 +1,21 @@
-//! Puts rows in the order of time over a bounded span: what comes later than that is not dropped, but moved to the
-//! time that has been reached, and counted.
+//! Puts rows in order of time over a bounded span. A row that comes later than that is not dropped: it is moved to the
+//! time of the last released row, and counted.
 
 use crate::interface::{Instant, Span};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A row that is held back.
+/// A row in the window. Rows are ordered by time, rows of equal time by their order in the file.
 struct HeldRow<T> {
     at: Instant,
-    /// Its place in the file, which decides between equal times.
-    place: u64,
+    /// Number of the row in the order of the file.
+    row_number: u64,
     row: T,
 }
 
 impl<T> HeldRow<T> {
     fn key(&self) -> (Instant, u64) {
-        (self.at, self.place)
+        (self.at, self.row_number)
     }
 }
 
@@ -39,56 +39,58 @@
     }
 }
 
-/// The window. Memory: the rows of one span, bounded by the most that it holds.
-pub struct Reorder<T> {
+/// A window over the newest rows. It holds the rows of one span, and at most `max_held` of them if the caller calls
+/// [`ReorderWindow::pop_ready`] after each row until it returns `None`.
+pub struct ReorderWindow<T> {
     span: Span,
     max_held: usize,
     held: BinaryHeap<Reverse<HeldRow<T>>>,
-    /// Rows so far.
-    count: u64,
-    /// The latest time so far.
+    /// Number of rows that were pushed.
+    pushed: u64,
+    /// The latest time of a pushed row.
     newest: Instant,
-    /// The time of the last row given out: nothing goes before it.
-    reached: Instant,
-    /// Rows that came before one with a smaller time and were put in order.
+    /// The time of the last released row. Later releases never have an earlier time.
+    last_released: Instant,
+    /// Number of rows that came after a row of a later time and were put in order.
     pub reordered: u64,
-    /// Rows that came too late for that and were moved to the time reached.
+    /// Number of rows that came too late to be reordered and were moved to the time of the last released row.
     pub moved: u64,
-    /// By how much at the most.
+    /// The largest span by which a row was moved; zero if none was.
     pub max_moved: Span,
 }
 
-impl<T> Reorder<T> {
-    /// Orders over a span and holds so many rows at the most.
+impl<T> ReorderWindow<T> {
+    /// Returns an empty window that orders rows over `span` and releases the first row when it holds more than
+    /// `max_held`.
     pub fn new(span: Span, max_held: usize) -> Self {
-        Reorder {
+        ReorderWindow {
             span,
             max_held: max_held.max(1),
             held: BinaryHeap::new(),
-            count: 0,
+            pushed: 0,
             newest: Instant::MIN,
-            reached: Instant::MIN,
+            last_released: Instant::MIN,
             reordered: 0,
             moved: 0,
             max_moved: Span::ZERO,
         }
     }
 
-    /// Takes a row.
+    /// Adds the next row of the file.
     pub fn push(&mut self, at: Instant, row: T) {
-        if at < self.reached {
+        if at < self.last_released {
             self.moved += 1;
-            self.max_moved = self.max_moved.max(self.reached - at);
+            self.max_moved = self.max_moved.max(self.last_released - at);
         } else if at < self.newest {
             self.reordered += 1;
         }
         self.newest = self.newest.max(at);
-        self.count += 1;
-        self.held.push(Reverse(HeldRow { at: at.max(self.reached), place: self.count, row }));
+        self.pushed += 1;
+        self.held.push(Reverse(HeldRow { at: at.max(self.last_released), row_number: self.pushed, row }));
     }
 
-    /// A row that surely is next, if there is one: the window has passed it, or holds too many.
-    pub fn ready(&mut self) -> Option<(Instant, T)> {
+    /// Releases the first row if the newest one is at least a span later, or if the window holds too many rows.
+    pub fn pop_ready(&mut self) -> Option<(Instant, T)> {
         let Reverse(first) = self.held.peek()?;
         let passed = first.at <= self.newest.saturating_add(-self.span);
         if passed || self.held.len() > self.max_held {
@@ -98,10 +100,10 @@
         }
     }
 
-    /// The rest, in order, once the file is over.
+    /// Releases the first row. Called until the window is empty after the end of the file.
     pub fn pop(&mut self) -> Option<(Instant, T)> {
         let Reverse(HeldRow { at, row, .. }) = self.held.pop()?;
-        self.reached = at;
+        self.last_released = at;
         Some((at, row))
     }
 }
