--- a/src/commands/flood.rs
+++ b/src/commands/flood.rs
@@ -46,14 +46,14 @@
     }
     let plan = FloodPlan {
         target,
-        known,
+        known_clients: known,
         known_from,
-        flood,
+        flood_connections: flood,
         flood_from,
         seconds: seconds.clamp(MIN_SECONDS, MAX_SECONDS),
         max_connections: MAX_CONNECTIONS_PER_CLIENT,
         route,
-        flood_asks,
+        flood_pings: flood_asks,
     };
     print(&flood::run(&plan)?);
     Ok(())
--- a/src/commands/lab/replay.rs
+++ b/src/commands/lab/replay.rs
@@ -116,7 +116,7 @@
     let report = replay::replay(trace, &replay)?;
     print_report(&report, args.format);
     if let Some(path) = args.html {
-        fs::write(&path, report.html()?).map_err(ReplayError::from)?;
+        fs::write(&path, report.to_html()?).map_err(ReplayError::from)?;
         print(&format!("the page is {}", path.display()));
     }
     Ok(())
--- a/src/commands/lab/xds.rs
+++ b/src/commands/lab/xds.rs
@@ -33,8 +33,12 @@
     let points = args.points as usize;
     let caches = args.caches as usize;
     let shape = Shape { points, proxies: points, caches, hubs: HUBS, ..Shape::default() };
-    let plan =
-        MeasurePlan { clients: args.clients as usize, shape, drains: args.drains as usize, wait: MAX_WAIT };
+    let plan = MeasurePlan {
+        clients: args.clients as usize,
+        shape,
+        drains: args.drains as usize,
+        timeout: MAX_WAIT,
+    };
     let runtime = tokio::runtime::Runtime::new().map_err(ControlError::from)?;
     print(&runtime.block_on(xds::measure(&plan))?);
     Ok(())
--- a/src/lab/flood/flooder.rs
+++ b/src/lab/flood/flooder.rs
@@ -10,7 +10,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause when no connection can be opened.
-const PAUSE: Duration = Duration::from_millis(1);
+const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
 /// What became of the flood's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,20 +22,20 @@
 }
 
 /// Floods until the deadline, or until it is over.
-pub(super) fn run(plan: &FloodPlan, deadline: Instant, is_over: &AtomicBool) -> FloodCounts {
+pub(super) fn run(plan: &FloodPlan, deadline: Instant, is_stopped: &AtomicBool) -> FloodCounts {
     let mut held: Vec<TcpStream> = Vec::new();
     let mut counts = FloodCounts::default();
-    while Instant::now() < deadline && !is_over.load(Ordering::Relaxed) {
+    while Instant::now() < deadline && !is_stopped.load(Ordering::Relaxed) {
         let before = held.len();
         held.retain(is_open);
         counts.ended += (before - held.len()) as u64;
-        let opened = if held.len() < plan.flood { open(plan) } else { None };
+        let opened = if held.len() < plan.flood_connections { open(plan) } else { None };
         match opened {
             Some(stream) => {
                 held.push(stream);
                 counts.opened += 1;
             }
-            None => thread::sleep(PAUSE),
+            None => thread::sleep(OPEN_RETRY_PAUSE),
         }
     }
     counts
@@ -49,7 +49,7 @@
 fn open(plan: &FloodPlan) -> Option<TcpStream> {
     let mut stream = connect(plan.flood_from, plan.target, CONNECT_TIMEOUT).ok()?;
     stream.set_nonblocking(true).ok()?;
-    if plan.flood_asks {
+    if plan.flood_pings {
         // Its answer is not read; a write that fails shows at the next peek.
         let _ = send(&mut stream, &ping(1));
     }
--- a/src/lab/flood/known_clients.rs
+++ b/src/lab/flood/known_clients.rs
@@ -17,8 +17,8 @@
 /// The significant digits with which latencies are recorded.
 const RECORDED_DIGITS: u8 = 3;
 /// The sequence numbers of a connection's two messages.
-const PING: i32 = 1;
-const INVOKE: i32 = 2;
+const PING_SEQID: i32 = 1;
+const INVOKE_SEQID: i32 = 2;
 
 /// What became of the known clients' connections and requests.
 #[derive(Debug)]
@@ -85,42 +85,42 @@
 }
 
 /// One known client, until the deadline or its last connection.
-pub(super) fn play(plan: &FloodPlan, deadline: Instant, counts: &Mutex<KnownClientCounts>) {
+pub(super) fn run_client(plan: &FloodPlan, deadline: Instant, counts: &Mutex<KnownClientCounts>) {
     for number in 0..plan.max_connections {
         if Instant::now() >= deadline {
             break;
         }
         let mut outcome = ConnectionOutcome::default();
-        outcome.is_failed = play_connection(plan, number, &mut outcome).is_err();
+        outcome.is_failed = run_connection(plan, number, &mut outcome).is_err();
         counts.lock().unwrap_or_else(PoisonError::into_inner).add(&outcome);
         thread::sleep(RECONNECT_PAUSE);
     }
 }
 
-fn play_connection(plan: &FloodPlan, number: u64, outcome: &mut ConnectionOutcome) -> io::Result<()> {
-    let begun = Instant::now();
+fn run_connection(plan: &FloodPlan, number: u64, outcome: &mut ConnectionOutcome) -> io::Result<()> {
+    let started = Instant::now();
     let mut stream = connect(plan.known_from, plan.target, CONNECT_TIMEOUT)?;
-    send(&mut stream, &ping(PING))?;
+    send(&mut stream, &ping(PING_SEQID))?;
     let (_, answered) = answer(&mut stream)?;
     match answered {
-        Answered::Served => outcome.latency = Some(begun.elapsed()),
+        Answered::Served => outcome.latency = Some(started.elapsed()),
         Answered::Refused => {
             outcome.is_rejected = true;
             return Ok(());
         }
         Answered::Failed => return Err(io::ErrorKind::InvalidData.into()),
     }
-    send_request(&mut stream, plan, &trace_id(number, begun))?;
+    send_request(&mut stream, plan, &trace_id(number, started))?;
     outcome.is_written = true;
     let (seqid, _) = answer(&mut stream)?;
-    outcome.is_answered = seqid == INVOKE;
+    outcome.is_answered = seqid == INVOKE_SEQID;
     Ok(())
 }
 
 /// A trace id that no other connection of this machine has, as far as time and process tell.
-fn trace_id(number: u64, begun: Instant) -> String {
+fn trace_id(number: u64, started: Instant) -> String {
     let process = u64::from(std::process::id());
-    format!("{:016x}", (number << 20) ^ process ^ begun.elapsed().as_nanos() as u64)
+    format!("{:016x}", (number << 20) ^ process ^ started.elapsed().as_nanos() as u64)
 }
 
 fn send_request(stream: &mut TcpStream, plan: &FloodPlan, trace: &str) -> io::Result<()> {
@@ -132,5 +132,5 @@
         ("slice", "0"),
         ("set", "17"),
     ];
-    send(stream, &invoke(INVOKE, &fields, b""))
+    send(stream, &invoke(INVOKE_SEQID, &fields, b""))
 }
--- a/src/lab/flood/mod.rs
+++ b/src/lab/flood/mod.rs
@@ -14,7 +14,7 @@
 pub use known_clients::KnownClientCounts;
 pub use report::FloodReport;
 
-use known_clients::play;
+use known_clients::run_client;
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,11 +33,11 @@
     /// The Thrift front of the edge proxy, on loopback.
     pub target: SocketAddr,
     /// Known clients, each on a thread of its own, all from `known_from`.
-    pub known: usize,
+    pub known_clients: usize,
     /// The address they connect from (a loopback address).
     pub known_from: IpAddr,
     /// The most connections that the flood holds open.
-    pub flood: usize,
+    pub flood_connections: usize,
     /// The address the flood comes from.
     pub flood_from: IpAddr,
     /// How long it all lasts.
@@ -47,7 +47,7 @@
     /// The route (class) of the requests that known clients send.
     pub route: String,
     /// Whether each flood connection pings once, so that it cannot be told from a client by having asked.
-    pub flood_asks: bool,
+    pub flood_pings: bool,
 }
 
 /// Runs a plan to its end.
@@ -57,22 +57,23 @@
 /// A histogram could not be made.
 pub fn run(plan: &FloodPlan) -> Result<FloodReport, hdrhistogram::CreationError> {
     let known = Mutex::new(KnownClientCounts::new()?);
-    let is_over = AtomicBool::new(false);
-    let begun = Instant::now();
-    let deadline = begun + Duration::from_secs_f64(plan.seconds);
+    let is_stopped = AtomicBool::new(false);
+    let started = Instant::now();
+    let deadline = started + Duration::from_secs_f64(plan.seconds);
     let flood = thread::scope(|scope| {
-        let flooder = scope.spawn(|| flooder::run(plan, deadline, &is_over));
+        let flooder = scope.spawn(|| flooder::run(plan, deadline, &is_stopped));
         thread::sleep(FLOOD_LEAD);
-        let clients: Vec<_> = (0..plan.known).map(|_| scope.spawn(|| play(plan, deadline, &known))).collect();
+        let clients: Vec<_> =
+            (0..plan.known_clients).map(|_| scope.spawn(|| run_client(plan, deadline, &known))).collect();
         for client in clients {
             // A client that panicked is missing in the counts.
             let _ = client.join();
         }
-        is_over.store(true, Ordering::Relaxed);
+        is_stopped.store(true, Ordering::Relaxed);
         flooder.join().unwrap_or_default()
     });
     let known = known.into_inner().unwrap_or_else(PoisonError::into_inner);
-    Ok(FloodReport { known, flood, lasted: begun.elapsed() })
+    Ok(FloodReport { known, flood, lasted: started.elapsed() })
 }
 
 fn connect(from: IpAddr, to: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
--- a/src/lab/flood/report.rs
+++ b/src/lab/flood/report.rs
@@ -19,17 +19,17 @@
 impl fmt::Display for FloodReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let known = &self.known;
-        let part = |count: u64| if known.tried == 0 { 0.0 } else { count as f64 / known.tried as f64 };
+        let share = |count: u64| if known.tried == 0 { 0.0 } else { count as f64 / known.tried as f64 };
         writeln!(f, "lasted {:.1} s", self.lasted.as_secs_f64())?;
         writeln!(
             f,
             "known clients: {} connections tried, {:.3} connected, {:.3} refused, {:.3} broken",
             known.tried,
-            part(known.connected),
-            part(known.rejected),
-            part(known.broken)
+            share(known.connected),
+            share(known.rejected),
+            share(known.broken)
         )?;
-        let percentile = |part: f64| known.latency.value_at_quantile(part);
+        let percentile = |quantile: f64| known.latency.value_at_quantile(quantile);
         writeln!(
             f,
             "known clients' connect to first answer, us: p50 {} p99 {} max {}",
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -1,6 +1,6 @@
 //! Connections to the hosts: each is read in a thread of its own.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::{now, Connection, HostsState, StandInHosts};
 use crate::interface::{Instant, Span};
 use crate::standin::ids::{HostId, LinkId};
@@ -17,7 +17,7 @@
 impl StandInHosts {
     /// Serves a connection, unless the host is not running.
     pub(super) fn accept(&self, host: HostId, stream: TcpStream) {
-        let Ok(reading) = stream.try_clone() else { return };
+        let Ok(read_half) = stream.try_clone() else { return };
         let _ = stream.set_nodelay(true);
         let mut state = self.lock();
         // A killed process would refuse; its listener can't be closed here, so the connection ends at once.
@@ -29,7 +29,7 @@
         drop(state);
         let hosts = self.clone();
         thread::spawn(move || {
-            let _ = hosts.read(host, link, reading);
+            let _ = hosts.read(host, link, read_half);
             hosts.lock().connections.remove(&link);
         });
     }
@@ -59,7 +59,7 @@
     fn receive(&self, state: &mut HostsState, host: HostId, link: LinkId, request: FetchRequest) {
         let now = now();
         state.counts.requests += 1;
-        let after = state.draw_answering_time(host, &request, now);
+        let after = state.draw_answer_delay(host, &request, now);
         let id = request.id.clone();
         state.fleet[host].open.insert((link, id.clone()), request);
         self.schedule(state, now + after, ScheduledEvent::HostAnswers(host, link, id));
@@ -68,17 +68,17 @@
 
 impl HostsState {
     /// Draws how long a host takes to answer a request, with a fill where it needs one.
-    fn draw_answering_time(&mut self, host: HostId, request: &FetchRequest, now: Instant) -> Span {
-        let own = self.draw_service_time(host, now);
+    fn draw_answer_delay(&mut self, host: HostId, request: &FetchRequest, now: Instant) -> Span {
+        let own_time = self.draw_service_time(host, now);
         if !self.fleet[host].needs_source(request, now) {
-            return own;
+            return own_time;
         }
-        let Some(source) = self.fleet.source(request) else { return own };
+        let Some(source) = self.fleet.source(request) else { return own_time };
         self.counts.fills += 1;
         if self.is_reachable(source, now) {
-            own + self.draw_service_time(source, now)
+            own_time + self.draw_service_time(source, now)
         } else {
-            own + SOURCE_TIMEOUT
+            own_time + SOURCE_TIMEOUT
         }
     }
 }
--- a/src/lab/hosts/agenda.rs
+++ b/src/lab/hosts/event_queue.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The thread looks whether the hosts have stopped at least this often.
-const MAX_WAIT: Duration = Duration::from_secs(1);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A scheduled event.
 pub(super) enum ScheduledEvent {
@@ -28,12 +28,12 @@
 
 /// Scheduled events, in the order of time; those of one time in the order in which they were scheduled.
 #[derive(Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     events: BTreeMap<(Instant, u64), ScheduledEvent>,
     count: u64,
 }
 
-impl Agenda {
+impl EventQueue {
     fn next_time(&self) -> Option<Instant> {
         self.events.keys().next().map(|(at, _)| *at)
     }
@@ -41,22 +41,22 @@
 
 impl StandInHosts {
     pub(super) fn schedule(&self, state: &mut HostsState, at: Instant, event: ScheduledEvent) {
-        state.agenda.count += 1;
-        state.agenda.events.insert((at, state.agenda.count), event);
+        state.event_queue.count += 1;
+        state.event_queue.events.insert((at, state.event_queue.count), event);
         self.0.changed.notify_one();
     }
 
     /// Carries out events as they fall due, until the hosts stop.
-    pub(super) fn run_agenda(&self) {
+    pub(super) fn run_events(&self) {
         let mut state = self.lock();
         while !state.is_stopped {
-            let wait = state.agenda.next_time().map_or(MAX_WAIT, |at| (at - now()).to_std());
+            let wait = state.event_queue.next_time().map_or(STOP_CHECK_INTERVAL, |at| (at - now()).to_std());
             if !wait.is_zero() {
-                let waited = self.0.changed.wait_timeout(state, wait.min(MAX_WAIT));
+                let waited = self.0.changed.wait_timeout(state, wait.min(STOP_CHECK_INTERVAL));
                 state = waited.unwrap_or_else(PoisonError::into_inner).0;
                 continue;
             }
-            if let Some((_, event)) = state.agenda.events.pop_first() {
+            if let Some((_, event)) = state.event_queue.events.pop_first() {
                 self.handle(&mut state, event);
             }
         }
--- a/src/lab/hosts/faults.rs
+++ b/src/lab/hosts/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the hosts as they begin.
 
-use super::agenda::ScheduledEvent;
+use super::event_queue::ScheduledEvent;
 use super::{HostsState, StandInHosts};
 use crate::interface::{Instant, Span};
 use crate::standin::faults::FaultKind;
@@ -10,9 +10,9 @@
 use std::net::Shutdown;
 
 /// The group of all objects.
-const GROUP: u32 = 17;
+const ALL_OBJECTS_GROUP: u32 = 17;
 /// By this long after a purge, all hosts have dropped older copies.
-const PURGE_SETTLES: Span = Span::from_secs(6);
+const PURGE_SETTLE_TIME: Span = Span::from_secs(6);
 
 impl StandInHosts {
     /// Begins a fault, if it is one of hosts.
@@ -35,8 +35,8 @@
             FaultKind::Removed { host } => self.publish_health(state, host, "removed"),
             FaultKind::Ready { host } => self.publish_health(state, host, "up"),
             FaultKind::PurgeObject { .. } | FaultKind::PurgeGroup => {
-                self.0.feed.publish(json!({"purge": {"group": GROUP, "at": unix_ms(now)}}));
-                self.schedule(state, now + PURGE_SETTLES, ScheduledEvent::PurgeSettles(now));
+                self.0.feed.publish(json!({"purge": {"group": ALL_OBJECTS_GROUP, "at": unix_ms(now)}}));
+                self.schedule(state, now + PURGE_SETTLE_TIME, ScheduledEvent::PurgeSettles(now));
             }
             // The others are of clients, the feed's connections, and the edge proxy's processes and machine.
             _ => {}
--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -2,11 +2,11 @@
 //! simulator ([`crate::standin::fleet`]), each behind a listener of its own.
 //!
 //! - `connection`: reads requests, in a thread for each connection.
-//! - `agenda`: answers and faults that are due, in one thread.
+//! - `event_queue`: answers and faults that are due, in one thread.
 //! - `faults`: what goes wrong.
 
-mod agenda;
 mod connection;
+mod event_queue;
 mod faults;
 
 use crate::interface::{Instant, Span};
@@ -16,7 +16,7 @@
 use crate::standin::fleet::Fleet;
 use crate::standin::host::{Host, Tier};
 use crate::standin::ids::{HostId, LinkId};
-use agenda::{Agenda, ScheduledEvent};
+use event_queue::{EventQueue, ScheduledEvent};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -95,7 +95,7 @@
     silent_until: Vec<Instant>,
     connections: BTreeMap<LinkId, Connection>,
     last_link: LinkId,
-    agenda: Agenda,
+    event_queue: EventQueue,
     random: ChaCha8Rng,
     is_stopped: bool,
     counts: HostCounts,
@@ -113,7 +113,7 @@
             fleet: Fleet { hosts, sparse_notes: false },
             connections: BTreeMap::new(),
             last_link: LinkId(0),
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             is_stopped: false,
             counts: HostCounts::default(),
@@ -156,9 +156,9 @@
         let state = Mutex::new(HostsState::new(plan));
         let shared = SharedState { state, changed: Condvar::new(), feed: feed.clone() };
         let hosts = StandInHosts(Arc::new(shared));
-        let begun = now();
+        let started = now();
         for fault in plan.faults {
-            let at = begun + Span::from_millis(fault.at_ms);
+            let at = started + Span::from_millis(fault.at_ms);
             hosts.schedule(&mut hosts.lock(), at, ScheduledEvent::Fault(fault.kind));
         }
         for (number, listener) in listeners.0.into_iter().enumerate() {
@@ -168,7 +168,7 @@
             });
         }
         let timer = hosts.clone();
-        thread::spawn(move || timer.run_agenda());
+        thread::spawn(move || timer.run_events());
         hosts
     }
 
--- a/src/lab/replay/clients.rs
+++ b/src/lab/replay/clients.rs
@@ -2,8 +2,8 @@
 //! connects again when that ends.
 
 use super::connection::{ClientConnection, OpenRequest, OpenRequests};
-use super::request_end::RequestEnd;
-use super::{ClassTerms, ReplayPlan};
+use super::request_outcome::RequestOutcome;
+use super::{ClassObjectives, ReplayPlan};
 use crate::standin::thrift_client;
 use crate::trace::{Played, Trace};
 use indicatif::ProgressBar;
@@ -23,26 +23,26 @@
 const REQUEST_BITS: u32 = 32;
 
 /// What the clients saw.
-pub(super) struct PlayedRequests {
-    pub(super) ends: Vec<RequestEnd>,
+pub(super) struct ClientResults {
+    pub(super) outcomes: Vec<RequestOutcome>,
     /// How late a request was sent at the worst.
     pub(super) max_lateness: Duration,
 }
 
 /// What the clients of a replay share.
 #[derive(Clone, Copy)]
-pub(super) struct Traffic<'a> {
+pub(super) struct ReplayContext<'a> {
     pub(super) trace: &'a Trace,
     pub(super) plan: &'a ReplayPlan,
     /// By class.
-    pub(super) terms: &'a [ClassTerms],
+    pub(super) objectives: &'a [ClassObjectives],
     /// The edge proxy's front.
     pub(super) target: SocketAddr,
-    pub(super) begun: Instant,
+    pub(super) started: Instant,
     pub(super) progress: &'a ProgressBar,
 }
 
-impl Traffic<'_> {
+impl ReplayContext<'_> {
     /// When a request is sent, from the start.
     fn sending_time(&self, request: &Played) -> Duration {
         Duration::from_secs_f64(request.at.as_secs_f64() / self.plan.speed)
@@ -52,7 +52,7 @@
     fn frame(&self, number: usize, request: &Played, seqid: i32) -> Vec<u8> {
         let class = self.trace.classes[request.class].as_str();
         let object = format!("{:016x}", request.object);
-        let client_timeout = (self.terms[request.class].deadline_ms as u64).to_string();
+        let client_timeout = (self.objectives[request.class].deadline_ms as u64).to_string();
         let trace = format!("{:016x}", (self.plan.seed << REQUEST_BITS) + number as u64 + 1);
         let fields = [
             ("route", class),
@@ -68,31 +68,31 @@
 }
 
 /// Sends all requests at their times over the connections, and gathers how they end.
-pub(super) fn play(traffic: &Traffic<'_>) -> io::Result<PlayedRequests> {
-    let (sender, ends) = channel();
-    let clients = traffic.plan.connections.max(1);
+pub(super) fn run_clients(context: &ReplayContext<'_>) -> io::Result<ClientResults> {
+    let (sender, outcomes) = channel();
+    let clients = context.plan.connections.max(1);
     thread::scope(|scope| {
         let start = |number: usize| {
-            let client = ReplayClient::new(*traffic, sender.clone());
+            let client = ReplayClient::new(*context, sender.clone());
             scope.spawn(move || client.run(number, clients))
         };
         let running: Vec<_> = (0..clients).map(start).collect();
         drop(sender);
-        let ends: Vec<RequestEnd> = ends.iter().collect();
+        let outcomes: Vec<RequestOutcome> = outcomes.iter().collect();
         let mut max_lateness = Duration::ZERO;
         for client in running {
             let lateness =
                 client.join().map_err(|_| io::Error::other("a client of the load tool panicked"))?;
             max_lateness = max_lateness.max(lateness);
         }
-        Ok(PlayedRequests { ends, max_lateness })
+        Ok(ClientResults { outcomes, max_lateness })
     })
 }
 
 /// One client.
 struct ReplayClient<'a> {
-    traffic: Traffic<'a>,
-    ends: Sender<RequestEnd>,
+    context: ReplayContext<'a>,
+    outcomes: Sender<RequestOutcome>,
     connection: Option<ClientConnection>,
     /// The open requests of all its connections so far.
     open: Vec<OpenRequests>,
@@ -101,42 +101,42 @@
 }
 
 impl<'a> ReplayClient<'a> {
-    fn new(traffic: Traffic<'a>, ends: Sender<RequestEnd>) -> Self {
+    fn new(context: ReplayContext<'a>, outcomes: Sender<RequestOutcome>) -> Self {
         let max_lateness = Duration::ZERO;
-        ReplayClient { traffic, ends, connection: None, open: Vec::new(), last_seqid: 0, max_lateness }
+        ReplayClient { context, outcomes, connection: None, open: Vec::new(), last_seqid: 0, max_lateness }
     }
 
     /// Sends the requests of the client of this number among `clients`, and waits for the last answers; returns how
     /// late it sent at the worst.
     fn run(mut self, number: usize, clients: usize) -> Duration {
-        let requests = self.traffic.trace.requests.iter().enumerate();
+        let requests = self.context.trace.requests.iter().enumerate();
         for (number, request) in requests.skip(number).step_by(clients) {
-            self.wait_for(self.traffic.sending_time(request));
-            self.traffic.progress.inc(1);
+            self.wait_for(self.context.sending_time(request));
+            self.context.progress.inc(1);
             self.send(number, request);
         }
         self.wait_for_last_answers();
-        self.end();
+        self.finish();
         self.max_lateness
     }
 
     /// Sleeps until a time from the start; records how late it is.
     fn wait_for(&mut self, time: Duration) {
-        let begun = self.traffic.begun;
-        if let Some(wait) = time.checked_sub(begun.elapsed()) {
+        let started = self.context.started;
+        if let Some(wait) = time.checked_sub(started.elapsed()) {
             thread::sleep(wait);
         }
-        self.max_lateness = self.max_lateness.max(begun.elapsed().saturating_sub(time));
+        self.max_lateness = self.max_lateness.max(started.elapsed().saturating_sub(time));
     }
 
     /// Sends a request. Writing shows that a connection has ended; the request then goes on a new one.
     fn send(&mut self, number: usize, request: &Played) {
         self.last_seqid += 1;
-        let frame = self.traffic.frame(number, request, self.last_seqid);
+        let frame = self.context.frame(number, request, self.last_seqid);
         let is_sent = (0..WRITE_ATTEMPTS).any(|_| self.write(request.class, &frame));
         if !is_sent {
-            let sent = self.traffic.sending_time(request);
-            self.unanswered(OpenRequest { class: request.class, sent });
+            let sent = self.context.sending_time(request);
+            self.report_unanswered(OpenRequest { class: request.class, sent });
         }
     }
 
@@ -145,7 +145,7 @@
             self.connect();
         }
         let Some(connection) = &mut self.connection else { return false };
-        let request = OpenRequest { class, sent: self.traffic.begun.elapsed() };
+        let request = OpenRequest { class, sent: self.context.started.elapsed() };
         let is_written = connection.write(self.last_seqid, request, frame);
         if !is_written {
             self.connection = None;
@@ -154,8 +154,8 @@
     }
 
     fn connect(&mut self) {
-        let Traffic { target, begun, .. } = self.traffic;
-        self.connection = ClientConnection::open(target, begun, &self.ends);
+        let ReplayContext { target, started, .. } = self.context;
+        self.connection = ClientConnection::open(target, started, &self.outcomes);
         self.open.extend(self.connection.iter().map(|connection| connection.open.clone()));
     }
 
@@ -168,19 +168,19 @@
     }
 
     /// Closes the connection; what is still open has no answer.
-    fn end(&mut self) {
+    fn finish(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.close();
         }
         for open in std::mem::take(&mut self.open) {
             for request in std::mem::take(&mut *open.lock()).into_values() {
-                self.unanswered(request);
+                self.report_unanswered(request);
             }
         }
     }
 
-    fn unanswered(&self, request: OpenRequest) {
+    fn report_unanswered(&self, request: OpenRequest) {
         let OpenRequest { class, sent } = request;
-        let _ = self.ends.send(RequestEnd { class, sent, took: Duration::ZERO, answer: None });
+        let _ = self.outcomes.send(RequestOutcome { class, sent, latency: Duration::ZERO, answer: None });
     }
 }
--- a/src/lab/replay/connection.rs
+++ b/src/lab/replay/connection.rs
@@ -1,6 +1,6 @@
 //! A client's connection to the edge proxy, and the requests that are open on it.
 
-use super::request_end::RequestEnd;
+use super::request_outcome::RequestOutcome;
 use crate::standin::thrift_client;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -39,13 +39,17 @@
 
 impl ClientConnection {
     /// Connects, and reads answers in a thread of its own; `None`: that failed.
-    pub(super) fn open(target: SocketAddr, begun: Instant, ends: &Sender<RequestEnd>) -> Option<Self> {
+    pub(super) fn open(
+        target: SocketAddr,
+        started: Instant,
+        outcomes: &Sender<RequestOutcome>,
+    ) -> Option<Self> {
         let stream = TcpStream::connect(target).ok()?;
         stream.set_nodelay(true).ok()?;
-        let reading = stream.try_clone().ok()?;
+        let read_half = stream.try_clone().ok()?;
         let open = OpenRequests::default();
-        let (shared, ends) = (open.clone(), ends.clone());
-        thread::spawn(move || read_answers(reading, &shared, begun, &ends));
+        let (shared, outcomes) = (open.clone(), outcomes.clone());
+        thread::spawn(move || read_answers(read_half, &shared, started, &outcomes));
         Some(ClientConnection { stream, open })
     }
 
@@ -66,7 +70,12 @@
 }
 
 /// Reads answers until the connection ends.
-fn read_answers(mut stream: TcpStream, open: &OpenRequests, begun: Instant, ends: &Sender<RequestEnd>) {
+fn read_answers(
+    mut stream: TcpStream,
+    open: &OpenRequests,
+    started: Instant,
+    outcomes: &Sender<RequestOutcome>,
+) {
     let (mut input, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
     while let Ok(count) = stream.read(&mut buffer) {
         if count == 0 {
@@ -76,8 +85,8 @@
         while let Ok(Some(answer)) = thrift_client::take_answer(&mut input) {
             let request = open.lock().remove(&answer.seqid);
             if let Some(OpenRequest { class, sent }) = request {
-                let took = begun.elapsed().saturating_sub(sent);
-                let _ = ends.send(RequestEnd { class, sent, took, answer: Some(answer.kind) });
+                let latency = started.elapsed().saturating_sub(sent);
+                let _ = outcomes.send(RequestOutcome { class, sent, latency, answer: Some(answer.kind) });
             }
         }
     }
--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -11,16 +11,16 @@
 mod proxy;
 mod render;
 mod report;
-mod request_end;
+mod request_outcome;
 
-pub use report::{ClassService, EarnedValue, Moment, Report};
+pub use report::{ClassResults, EarnedValue, PlotInterval, Report};
 
 use super::hosts::{HostListeners, HostsPlan, StandInHosts};
 use crate::standin::faults::Fault;
 use crate::standin::feed::StandInFeed;
 use crate::standin::site::{config, Shape};
 use crate::trace::Trace;
-use clients::{play, Traffic};
+use clients::{run_clients, ReplayContext};
 use indicatif::{ProgressBar, ProgressStyle};
 use proxy::ProxyProcess;
 use report::Measurement;
@@ -44,13 +44,13 @@
     Io(#[from] io::Error),
     /// The map names a class that the site lacks.
     #[error("no class {0:?}; the stand-in site has piece, replay, standing and result")]
-    Class(String),
+    UnknownClass(String),
     /// The trace is longer than a replay may be: its requests, and its length in seconds.
     #[error("{0} requests in {1:.0} s: at most {MAX_REQUESTS} requests and an hour")]
-    Bound(usize, f64),
+    TraceTooLong(usize, f64),
     /// The edge proxy did not start; with the last line of its log.
     #[error("the edge proxy did not start: {0}")]
-    Start(String),
+    ProxyStart(String),
 }
 
 /// How a trace is replayed.
@@ -74,31 +74,31 @@
 
 /// What a class's answers are worth, and by when.
 #[derive(Clone, Copy, Debug)]
-struct ClassTerms {
+struct ClassObjectives {
     latency_objective_ms: f64,
     deadline_ms: f64,
     priority_weight: f64,
 }
 
-impl ClassTerms {
+impl ClassObjectives {
     fn read(grade: &Value) -> Self {
-        let figure = |name: &str| grade[name].as_f64().unwrap_or(0.0);
-        ClassTerms {
-            latency_objective_ms: figure("target"),
-            deadline_ms: figure("deadline"),
-            priority_weight: figure("points"),
+        let number = |name: &str| grade[name].as_f64().unwrap_or(0.0);
+        ClassObjectives {
+            latency_objective_ms: number("target"),
+            deadline_ms: number("deadline"),
+            priority_weight: number("points"),
         }
     }
 }
 
 /// The terms of a trace's classes in a site's settings.
-fn class_terms(trace: &Trace, site: &Value) -> Result<Vec<ClassTerms>, ReplayError> {
+fn class_objectives(trace: &Trace, site: &Value) -> Result<Vec<ClassObjectives>, ReplayError> {
     let grades = site["settings"]["grades"].as_array().cloned().unwrap_or_default();
-    let terms = trace.classes.iter().map(|class| {
+    let objectives = trace.classes.iter().map(|class| {
         let grade = grades.iter().find(|grade| grade["name"] == class.as_str());
-        grade.map(ClassTerms::read).ok_or_else(|| ReplayError::Class(class.clone()))
+        grade.map(ClassObjectives::read).ok_or_else(|| ReplayError::UnknownClass(class.clone()))
     });
-    terms.collect()
+    objectives.collect()
 }
 
 /// Replays a trace.
@@ -109,7 +109,7 @@
 pub fn replay(trace: &Trace, plan: &ReplayPlan) -> Result<Report, ReplayError> {
     let length = trace.length.as_secs_f64() / plan.speed;
     if trace.requests.len() > MAX_REQUESTS || length > MAX_DURATION.as_secs_f64() {
-        return Err(ReplayError::Bound(trace.requests.len(), length));
+        return Err(ReplayError::TraceTooLong(trace.requests.len(), length));
     }
     let listeners = HostListeners::bind(plan.shape.servers())?;
     let addresses = listeners.addresses()?;
@@ -121,19 +121,26 @@
     feed.publish(list);
     site["known"] = feed.known();
     site["limits"]["sockets"] = PROXY_SOCKETS.into();
-    let terms = class_terms(trace, &site)?;
+    let objectives = class_objectives(trace, &site)?;
     let proxy = ProxyProcess::start(&plan.program, &site.to_string())?;
     let caches = plan.shape.caches;
     let hosts_plan = HostsPlan { entries: &entries, caches, faults: &plan.faults, seed: plan.seed };
     let hosts = StandInHosts::serve(listeners, &feed, &hosts_plan);
-    let begun = Instant::now();
+    let started = Instant::now();
     let progress = progress_bar(plan, trace.requests.len());
-    let traffic = Traffic { trace, plan, terms: &terms, target: proxy.address, begun, progress: &progress };
-    let played = play(&traffic)?;
+    let context = ReplayContext {
+        trace,
+        plan,
+        objectives: &objectives,
+        target: proxy.address,
+        started,
+        progress: &progress,
+    };
+    let played = run_clients(&context)?;
     progress.finish_and_clear();
-    let measured = Measurement { played, took: begun.elapsed(), hosts: hosts.counts() };
+    let measured = Measurement { played, took: started.elapsed(), hosts: hosts.counts() };
     hosts.stop();
-    Ok(Report::new(trace, plan, &terms, &measured))
+    Ok(Report::new(trace, plan, &objectives, &measured))
 }
 
 fn progress_bar(plan: &ReplayPlan, requests: usize) -> ProgressBar {
--- a/src/lab/replay/proxy.rs
+++ b/src/lab/replay/proxy.rs
@@ -12,7 +12,7 @@
 /// The edge proxy has started by then.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// What the log says before the address of the front.
-const LISTENS: &str = "listens on ";
+const LISTEN_TEXT: &str = "listens on ";
 
 /// A running edge proxy.
 pub(super) struct ProxyProcess {
@@ -67,11 +67,11 @@
     let until = Instant::now() + START_TIMEOUT;
     let mut last = "it said nothing".to_owned();
     while let Ok(line) = lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
-        let address = line.split_once(LISTENS).and_then(|(_, address)| address.parse().ok());
+        let address = line.split_once(LISTEN_TEXT).and_then(|(_, address)| address.parse().ok());
         if let Some(address) = address {
             return Ok(address);
         }
         last = line;
     }
-    Err(ReplayError::Start(last))
+    Err(ReplayError::ProxyStart(last))
 }
--- a/src/lab/replay/render.rs
+++ b/src/lab/replay/render.rs
@@ -1,6 +1,6 @@
 //! Prints a report: a table for the terminal, and a page with plots (minijinja).
 
-use super::report::{ClassService, Report};
+use super::report::{ClassResults, Report};
 use crate::lab::hosts::HostCounts;
 use std::fmt;
 
@@ -10,7 +10,7 @@
     /// # Errors
     ///
     /// The template does not fit the report, which is a defect.
-    pub fn html(&self) -> Result<String, minijinja::Error> {
+    pub fn to_html(&self) -> Result<String, minijinja::Error> {
         let mut templates = minijinja::Environment::new();
         templates.add_filter("format", format_number);
         templates.add_template("report.html", include_str!("report.html"))?;
@@ -71,7 +71,7 @@
     )
 }
 
-fn write_class(f: &mut fmt::Formatter, class: &ClassService) -> fmt::Result {
+fn write_class(f: &mut fmt::Formatter, class: &ClassResults) -> fmt::Result {
     writeln!(
         f,
         "{:<10} {:>8} {:>8} {:>8} {:>8} {:>7} {:>10} {:>8.1} {:>8.1} {:>7.4} {:>+9.2}%",
@@ -84,7 +84,7 @@
         class.unanswered,
         class.p50_ms,
         class.p99_ms,
-        class.value.part(),
+        class.value.earned_share(),
         100.0 * class.rate.error
     )
 }
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -1,8 +1,8 @@
 //! What a replay came to: figures by class and over time.
 
-use super::clients::PlayedRequests;
-use super::request_end::RequestEnd;
-use super::{ClassTerms, ReplayPlan};
+use super::clients::ClientResults;
+use super::request_outcome::RequestOutcome;
+use super::{ClassObjectives, ReplayPlan};
 use crate::lab::hosts::HostCounts;
 use crate::standin::thrift_client::Answered;
 use crate::trace::sample::RateComparison;
@@ -22,7 +22,7 @@
 
 /// One class's figures.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct ClassService {
+pub struct ClassResults {
     /// Its name.
     pub class: String,
     /// Requests sent.
@@ -72,7 +72,7 @@
 
 impl EarnedValue {
     /// The earned part; 0 where nothing could be earned.
-    pub fn part(&self) -> f64 {
+    pub fn earned_share(&self) -> f64 {
         if self.possible > 0.0 {
             self.earned / self.possible
         } else {
@@ -83,7 +83,7 @@
 
 /// A point of the plot: requests by the part of the replay in which they were sent.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Moment {
+pub struct PlotInterval {
     /// When the part begins, seconds from the start.
     pub at_s: f64,
     /// Requests sent.
@@ -110,14 +110,14 @@
     /// Slices that the sample is made of.
     pub slices: usize,
     /// By class.
-    pub classes: Vec<ClassService>,
+    pub classes: Vec<ClassResults>,
     /// Requests that reached the stand-in hosts.
     #[serde(rename = "upstream")]
     pub host_counts: HostCounts,
     /// The faults, in words.
     pub faults: Vec<String>,
     /// Over time.
-    pub moments: Vec<Moment>,
+    pub moments: Vec<PlotInterval>,
     /// How late a request was sent at the worst, ms.
     #[serde(rename = "behind_ms")]
     pub max_lateness_ms: f64,
@@ -125,7 +125,7 @@
 
 /// What was measured.
 pub(super) struct Measurement {
-    pub(super) played: PlayedRequests,
+    pub(super) played: ClientResults,
     pub(super) took: Duration,
     pub(super) hosts: HostCounts,
 }
@@ -135,16 +135,17 @@
     pub(super) fn new(
         trace: &Trace,
         plan: &ReplayPlan,
-        terms: &[ClassTerms],
+        objectives: &[ClassObjectives],
         measured: &Measurement,
     ) -> Self {
-        let ends = &measured.played.ends;
+        let outcomes = &measured.played.outcomes;
         let rates = trace.rates.compare();
-        let classes = trace.classes.iter().zip(terms).enumerate().map(|(number, (class, terms))| {
-            let rate = rates.get(class).copied().unwrap_or_default();
-            let ends = ends.iter().filter(|end| end.class == number);
-            ClassService { class: class.clone(), rate, ..class_service(ends, terms) }
-        });
+        let classes =
+            trace.classes.iter().zip(objectives).enumerate().map(|(number, (class, objectives))| {
+                let rate = rates.get(class).copied().unwrap_or_default();
+                let outcomes = outcomes.iter().filter(|outcome| outcome.class == number);
+                ClassResults { class: class.clone(), rate, ..class_results(outcomes, objectives) }
+            });
         let seconds = |at_ms: i64| at_ms as f64 / 1000.0;
         let faults =
             plan.faults.iter().map(|fault| format!("{:.1} s: {:?}", seconds(fault.at_ms), fault.kind));
@@ -157,24 +158,24 @@
             classes: classes.collect(),
             host_counts: measured.hosts,
             faults: faults.collect(),
-            moments: moments(ends, trace.length.as_secs_f64() / plan.speed),
+            moments: plot_intervals(outcomes, trace.length.as_secs_f64() / plan.speed),
             max_lateness_ms: measured.played.max_lateness.as_secs_f64() * 1000.0,
         }
     }
 }
 
 /// The requests over time, of a replay of this length in seconds.
-fn moments(ends: &[RequestEnd], length_s: f64) -> Vec<Moment> {
+fn plot_intervals(outcomes: &[RequestOutcome], length_s: f64) -> Vec<PlotInterval> {
     let part = (length_s / PLOT_POINTS as f64).max(MIN_POINT_S);
-    let at = |number| Moment { at_s: number as f64 * part, ..Moment::default() };
-    let mut moments: Vec<Moment> = (0..PLOT_POINTS).map(at).collect();
-    for end in ends {
-        let number = (end.sent.as_secs_f64() / part) as usize;
+    let at = |number| PlotInterval { at_s: number as f64 * part, ..PlotInterval::default() };
+    let mut moments: Vec<PlotInterval> = (0..PLOT_POINTS).map(at).collect();
+    for outcome in outcomes {
+        let number = (outcome.sent.as_secs_f64() / part) as usize;
         let moment = &mut moments[number.min(PLOT_POINTS - 1)];
         moment.sent += 1;
-        if end.answer == Some(Answered::Served) {
+        if outcome.answer == Some(Answered::Served) {
             moment.served += 1;
-            moment.slowest_ms = moment.slowest_ms.max(end.took.as_secs_f64() * 1000.0);
+            moment.slowest_ms = moment.slowest_ms.max(outcome.latency.as_secs_f64() * 1000.0);
         } else {
             moment.lost += 1;
         }
@@ -183,16 +184,19 @@
 }
 
 /// The figures of a class's requests, without its name and rate.
-fn class_service<'a>(ends: impl Iterator<Item = &'a RequestEnd>, terms: &ClassTerms) -> ClassService {
-    let mut service = ClassService::default();
+fn class_results<'a>(
+    outcomes: impl Iterator<Item = &'a RequestOutcome>,
+    objectives: &ClassObjectives,
+) -> ClassResults {
+    let mut service = ClassResults::default();
     let mut times = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, RECORDED_DIGITS).ok();
-    let latency_objective_us = terms.latency_objective_ms * 1000.0;
-    for end in ends {
+    let latency_objective_us = objectives.latency_objective_ms * 1000.0;
+    for outcome in outcomes {
         service.sent += 1;
-        match end.answer {
+        match outcome.answer {
             Some(Answered::Served) => {
                 service.served += 1;
-                let us = end.took.as_micros().clamp(1, u128::from(MAX_RECORDED_US)) as u64;
+                let us = outcome.latency.as_micros().clamp(1, u128::from(MAX_RECORDED_US)) as u64;
                 service.on_time += u64::from(us as f64 <= latency_objective_us);
                 if let Some(times) = &mut times {
                     times.saturating_record(us);
@@ -207,7 +211,7 @@
         |part: f64| times.as_ref().map_or(0.0, |times| times.value_at_quantile(part) as f64 / 1000.0);
     service.p50_ms = percentile_ms(0.5);
     service.p99_ms = percentile_ms(0.99);
-    service.value.earned = service.on_time as f64 * terms.priority_weight;
-    service.value.possible = service.sent as f64 * terms.priority_weight;
+    service.value.earned = service.on_time as f64 * objectives.priority_weight;
+    service.value.possible = service.sent as f64 * objectives.priority_weight;
     service
 }
--- a/src/lab/synthetic_trace.rs
+++ b/src/lab/synthetic_trace.rs
@@ -37,7 +37,7 @@
 const ZIPF_EXPONENT: f64 = 1.0;
 /// One in so many half minutes has a burst.
 const BURST_PERIOD: u64 = 7;
-const BURST_PLACE: u64 = 3;
+const BURST_OFFSET: u64 = 3;
 /// Objects are spread over so many applications.
 const APPLICATIONS: u64 = 17;
 
@@ -47,7 +47,7 @@
     fn rate_at(&self, at: f64) -> f64 {
         let part = at / self.seconds;
         let evening = 0.5 + (std::f64::consts::PI * part).sin() * std::f64::consts::FRAC_PI_4;
-        let is_burst = (at / 30.0) as u64 % BURST_PERIOD == BURST_PLACE;
+        let is_burst = (at / 30.0) as u64 % BURST_PERIOD == BURST_OFFSET;
         let burst = if is_burst { 1.6 } else { 0.9 };
         (self.rate * evening * burst).max(1e-6)
     }
--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -53,13 +53,13 @@
 }
 
 /// A server that left, as far as the feed says.
-struct Departure<'a> {
+struct UnusablePeriod<'a> {
     server: &'a str,
-    left_at: Instant,
+    unusable_at: Instant,
     /// Until when clients may still have it.
     deadline: Instant,
     /// When it may be used again; [`Instant::MAX`]: it does not return.
-    returned_at: Instant,
+    usable_at: Instant,
 }
 
 /// The log of one client, in the order of time.
@@ -74,27 +74,27 @@
     let clients = by_client(log);
     let mut delays = Vec::new();
     for event in events {
-        let FeedChange::ServerLeft(server) = &event.change else { continue };
+        let FeedChange::ServerUnusable(server) = &event.change else { continue };
         delays.extend(clients.iter().filter_map(|client| client.drain_delay(server, event.at)));
     }
     delays
 }
 
 /// Holds logs against the feed's events. `bound` is how long after an event a client may still have the old view.
-pub fn check(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
+pub fn find_breaches(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
     for client in by_client(log) {
         client.check_versions(&mut breaches);
         for event in events {
             let deadline = event.at + bound;
             let breach = match &event.change {
-                FeedChange::ServerLeft(server) => {
-                    let returned_at = returned_at(events, server, event.at);
-                    let departure = Departure { server, left_at: event.at, deadline, returned_at };
-                    client.check_departure(&departure)
+                FeedChange::ServerUnusable(server) => {
+                    let usable_at = usable_at(events, server, event.at);
+                    let period = UnusablePeriod { server, unusable_at: event.at, deadline, usable_at };
+                    client.check_unusable_server(&period)
                 }
                 FeedChange::Purged { what, at_ms } => client.check_purge(what, *at_ms, event.at, deadline),
-                FeedChange::ServerReturned(_) => None,
+                FeedChange::ServerUsable(_) => None,
             };
             breaches.extend(breach);
         }
@@ -103,11 +103,11 @@
 }
 
 /// When a server that left at some time may be used again.
-fn returned_at(events: &[FeedEvent], server: &str, left_at: Instant) -> Instant {
-    let returns = events.iter().filter(|event| event.at > left_at);
-    let returns = returns
-        .filter(|event| matches!(&event.change, FeedChange::ServerReturned(returned) if returned == server));
-    returns.map(|event| event.at).min().unwrap_or(Instant::MAX)
+fn usable_at(events: &[FeedEvent], server: &str, unusable_at: Instant) -> Instant {
+    let later_events = events.iter().filter(|event| event.at > unusable_at);
+    let later_events = later_events
+        .filter(|event| matches!(&event.change, FeedChange::ServerUsable(returned) if returned == server));
+    later_events.map(|event| event.at).min().unwrap_or(Instant::MAX)
 }
 
 fn by_client(log: &[LogEntry]) -> Vec<ClientLog<'_>> {
@@ -131,7 +131,7 @@
     }
 
     /// The view of a type that is in force at some time.
-    fn in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
+    fn view_in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
         let earlier = self.accepted(resource_type).take_while(|(accepted_at, _)| *accepted_at <= at);
         earlier.last().map(|(_, view)| view)
     }
@@ -152,45 +152,45 @@
 
     /// How long after a server left the client accepted endpoints without it; `None`: it did not have it, or never
     /// accepted such.
-    fn drain_delay(&self, server: &str, left_at: Instant) -> Option<Span> {
-        let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < left_at).last();
+    fn drain_delay(&self, server: &str, unusable_at: Instant) -> Option<Span> {
+        let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < unusable_at).last();
         before.filter(|(_, view)| view.servers.contains(server))?;
-        let mut after = self.accepted(ResourceType::Endpoints).filter(|(at, _)| *at >= left_at);
+        let mut after = self.accepted(ResourceType::Endpoints).filter(|(at, _)| *at >= unusable_at);
         let (at, _) = after.find(|(_, view)| !view.servers.contains(server))?;
-        Some(at - left_at)
+        Some(at - unusable_at)
     }
 
-    fn check_departure(&self, departure: &Departure<'_>) -> Option<Breach> {
-        if departure.deadline >= departure.returned_at {
+    fn check_unusable_server(&self, period: &UnusablePeriod<'_>) -> Option<Breach> {
+        if period.deadline >= period.usable_at {
             return None;
         }
         let types = [ResourceType::Endpoints, ResourceType::Routes];
-        let after = types.into_iter().find_map(|resource_type| self.kept_for(resource_type, departure))?;
+        let after = types.into_iter().find_map(|resource_type| self.stale_for(resource_type, period))?;
         let client = self.client.to_owned();
-        Some(Breach::StaleServer { client, server: departure.server.to_owned(), after })
+        Some(Breach::StaleServer { client, server: period.server.to_owned(), after })
     }
 
     /// How long after a server left the client still had it, or got it anew, between the deadline and its return.
-    fn kept_for(&self, resource_type: ResourceType, departure: &Departure<'_>) -> Option<Span> {
-        let late = departure.deadline..departure.returned_at;
-        let names = |view: &View| view.servers.contains(departure.server);
+    fn stale_for(&self, resource_type: ResourceType, period: &UnusablePeriod<'_>) -> Option<Span> {
+        let forbidden = period.deadline..period.usable_at;
+        let lists_server = |view: &View| view.servers.contains(period.server);
         let mut views = self.accepted(resource_type);
-        if let Some((at, _)) = views.find(|(at, view)| late.contains(at) && names(view)) {
-            return Some(at - departure.left_at);
+        if let Some((at, _)) = views.find(|(at, view)| forbidden.contains(at) && lists_server(view)) {
+            return Some(at - period.unusable_at);
         }
-        let has = self.in_force(resource_type, departure.deadline).is_some_and(names);
-        if !has || !self.was_connected(departure.left_at, departure.deadline) {
+        let is_in_force = self.view_in_force(resource_type, period.deadline).is_some_and(lists_server);
+        if !is_in_force || !self.was_connected(period.unusable_at, period.deadline) {
             return None;
         }
-        let replaced = self.accepted(resource_type).find(|(at, _)| *at > departure.deadline);
-        let until = replaced.map_or(departure.deadline, |(at, _)| at);
-        Some(until - departure.left_at)
+        let replaced = self.accepted(resource_type).find(|(at, _)| *at > period.deadline);
+        let until = replaced.map_or(period.deadline, |(at, _)| at);
+        Some(until - period.unusable_at)
     }
 
     fn check_purge(&self, what: &str, at_ms: i64, stated_at: Instant, deadline: Instant) -> Option<Breach> {
-        let routes = self.in_force(ResourceType::Routes, deadline)?;
-        let knows = routes.newer_than_ms.get(what).is_some_and(|newer_than| *newer_than > at_ms);
-        if knows || !self.was_connected(stated_at, deadline) {
+        let routes = self.view_in_force(ResourceType::Routes, deadline)?;
+        let is_known = routes.newer_than_ms.get(what).is_some_and(|newer_than| *newer_than > at_ms);
+        if is_known || !self.was_connected(stated_at, deadline) {
             return None;
         }
         Some(Breach::MissedPurge { client: self.client.to_owned(), what: what.to_owned() })
@@ -207,16 +207,16 @@
                 breaches.insert(Breach::MalformedVersion { client, version: view.version.clone() });
                 continue;
             };
-            let known = newest.entry((view.resource_type, version.epoch)).or_insert(version);
-            if version.sequence < known.sequence {
+            let newest_known = newest.entry((view.resource_type, version.epoch)).or_insert(version);
+            if version.sequence < newest_known.sequence {
                 breaches.insert(Breach::OlderVersion {
                     client: self.client.to_owned(),
                     resource_type: view.resource_type,
-                    newer: known.to_string(),
+                    newer: newest_known.to_string(),
                     older: view.version.clone(),
                 });
             } else {
-                *known = version;
+                *newest_known = version;
             }
             let key = (view.resource_type, version.epoch, version.sequence);
             if rejected.contains(&key) {
--- a/src/lab/views/log.rs
+++ b/src/lab/views/log.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedChange {
     /// A server may no longer be used: it drains or was removed.
-    ServerLeft(String),
+    ServerUnusable(String),
     /// A server may be used again.
-    ServerReturned(String),
+    ServerUsable(String),
     /// A purge.
     Purged {
         /// The object or group as the routes name it.
--- a/src/lab/views/tests.rs
+++ b/src/lab/views/tests.rs
@@ -8,12 +8,12 @@
 const BOUND: Span = Span::from_millis(1);
 
 /// At microseconds of the logs' clock.
-fn line(at: i64, event: ClientEvent) -> LogEntry {
+fn entry(at: i64, event: ClientEvent) -> LogEntry {
     LogEntry { client: "a".into(), at: Instant::from_micros(at), event }
 }
 
 fn received(at: i64, view: View) -> LogEntry {
-    line(at, ClientEvent::Received(view))
+    entry(at, ClientEvent::Received(view))
 }
 
 fn view(resource_type: ResourceType, version: &str, servers: &[&str]) -> View {
@@ -25,52 +25,63 @@
     View { accepted: false, ..view }
 }
 
-fn stated(at: i64, change: FeedChange) -> FeedEvent {
+fn feed_event(at: i64, change: FeedChange) -> FeedEvent {
     FeedEvent { at: Instant::from_micros(at), change }
 }
 
-fn left(at: i64) -> FeedEvent {
-    stated(at, FeedChange::ServerLeft("s".into()))
+fn server_unusable(at: i64) -> FeedEvent {
+    feed_event(at, FeedChange::ServerUnusable("s".into()))
 }
 
-fn stale(after: i64) -> Breach {
+fn stale_server(after: i64) -> Breach {
     Breach::StaleServer { client: "a".into(), server: "s".into(), after: Span::from_micros(after) }
 }
 
 #[test]
-fn planted_breaches_are_found_and_nothing_else_is() {
-    let up = line(0, ClientEvent::Connected);
+fn only_actual_breaches_are_found() {
+    let connected = entry(0, ClientEvent::Connected);
     let before = received(5, view(Endpoints, "e.1", &["s", "t"]));
-    let gone = |at| received(at, view(Endpoints, "e.2", &["t"]));
-    let events = [left(100)];
-    let good = [up.clone(), before.clone(), gone(1050)];
+    let without_server = |at| received(at, view(Endpoints, "e.2", &["t"]));
+    let events = [server_unusable(100)];
+    let good = [connected.clone(), before.clone(), without_server(1050)];
     assert_eq!(
-        (check(&good, &events, BOUND), drain_delays(&good, &events)),
+        (find_breaches(&good, &events, BOUND), drain_delays(&good, &events)),
         (vec![], vec![Span::from_micros(950)])
     );
-    let late = [up.clone(), before.clone(), gone(1101)];
-    assert_eq!(check(&late, &events, BOUND), [stale(1001)]);
-    assert_eq!(check(&[up.clone(), before.clone()], &events, BOUND), [stale(1000)], "never told");
+    let late = [connected.clone(), before.clone(), without_server(1101)];
+    assert_eq!(find_breaches(&late, &events, BOUND), [stale_server(1001)]);
+    assert_eq!(
+        find_breaches(&[connected.clone(), before.clone()], &events, BOUND),
+        [stale_server(1000)],
+        "never told"
+    );
     // One that was not connected can't be blamed for what it had, but must not get it later.
-    let ended = line(200, ClientEvent::Ended);
-    assert_eq!(check(&[up.clone(), before.clone(), ended.clone()], &events, BOUND), []);
+    let ended = entry(200, ClientEvent::Ended);
+    assert_eq!(find_breaches(&[connected.clone(), before.clone(), ended.clone()], &events, BOUND), []);
     let again = [
-        up.clone(),
+        connected.clone(),
         before.clone(),
         ended,
-        line(1500, ClientEvent::Connected),
+        entry(1500, ClientEvent::Connected),
         received(1600, view(Endpoints, "f.1", &["s"])),
     ];
-    assert_eq!(check(&again, &events, BOUND), [stale(1500)]);
-    let returned = stated(1550, FeedChange::ServerReturned("s".into()));
-    assert_eq!(check(&again, &[left(100), returned], BOUND), [], "it may be used again by then");
+    assert_eq!(find_breaches(&again, &events, BOUND), [stale_server(1500)]);
+    let returned = feed_event(1550, FeedChange::ServerUsable("s".into()));
+    assert_eq!(
+        find_breaches(&again, &[server_unusable(100), returned], BOUND),
+        [],
+        "it may be used again by then"
+    );
     // A rejected view is not in force.
-    let nacked = [up.clone(), before, received(500, rejected(view(Endpoints, "e.2", &["t"])))];
-    assert_eq!(check(&nacked, &events, BOUND), [stale(1000)]);
-    let resent =
-        [up.clone(), received(1, rejected(view(Routes, "e.3", &[]))), received(2, view(Routes, "e.3", &[]))];
+    let nacked = [connected.clone(), before, received(500, rejected(view(Endpoints, "e.2", &["t"])))];
+    assert_eq!(find_breaches(&nacked, &events, BOUND), [stale_server(1000)]);
+    let resent = [
+        connected.clone(),
+        received(1, rejected(view(Routes, "e.3", &[]))),
+        received(2, view(Routes, "e.3", &[])),
+    ];
     let breach = Breach::ResentVersion { client: "a".into(), version: "e.3".into() };
-    assert_eq!(check(&resent, &[], BOUND), [breach]);
+    assert_eq!(find_breaches(&resent, &[], BOUND), [breach]);
     let older = [
         received(1, view(Routes, "e.3", &[])),
         received(2, view(Routes, "e.2", &[])),
@@ -82,14 +93,14 @@
         newer: "e.3".into(),
         older: "e.2".into(),
     };
-    assert_eq!(check(&older, &[], BOUND), [breach]);
+    assert_eq!(find_breaches(&older, &[], BOUND), [breach]);
     let malformed = [received(1, view(Routes, "new", &[]))];
     let breach = Breach::MalformedVersion { client: "a".into(), version: "new".into() };
-    assert_eq!(check(&malformed, &[], BOUND), [breach]);
-    let purge = [stated(100, FeedChange::Purged { what: "o".into(), at_ms: 7 })];
+    assert_eq!(find_breaches(&malformed, &[], BOUND), [breach]);
+    let purge = [feed_event(100, FeedChange::Purged { what: "o".into(), at_ms: 7 })];
     let mut routes = view(Routes, "e.4", &[]);
     let missed = Breach::MissedPurge { client: "a".into(), what: "o".into() };
-    assert_eq!(check(&[up.clone(), received(150, routes.clone())], &purge, BOUND), [missed]);
+    assert_eq!(find_breaches(&[connected.clone(), received(150, routes.clone())], &purge, BOUND), [missed]);
     routes.newer_than_ms.insert("o".into(), 8);
-    assert_eq!(check(&[up, received(150, routes)], &purge, BOUND), []);
+    assert_eq!(find_breaches(&[connected, received(150, routes)], &purge, BOUND), []);
 }
--- a/src/lab/xds/client.rs
+++ b/src/lab/xds/client.rs
@@ -2,7 +2,7 @@
 
 use super::log_clock::log_time;
 use super::state::ClientState;
-use super::stream::{ClientPlan, ClientStream, Received};
+use super::stream::{ClientPlan, ClientStream, ReceivedResponse};
 use crate::control::resource::ResourceType;
 use crate::lab::views::{ClientEvent, LogEntry, View};
 use std::time::Duration;
@@ -52,7 +52,7 @@
                 _ = stop.wait_for(|stop| *stop) => break,
             };
             let Ok(Some(received)) = received else { break };
-            match self.rejects(&received.view) {
+            match self.missing_server(&received.view) {
                 Some(missing) => self.reject(&mut stream, received, &missing).await,
                 None => self.accept(&mut stream, received, state).await,
             }
@@ -61,20 +61,20 @@
     }
 
     /// The server for whose lack the client rejects a view; it does so once.
-    fn rejects(&mut self, view: &View) -> Option<String> {
+    fn missing_server(&mut self, view: &View) -> Option<String> {
         let is_endpoints = view.resource_type == ResourceType::Endpoints;
-        let lacks = |server: &mut String| is_endpoints && !view.servers.contains(server);
-        self.plan.rejects_without.take_if(lacks)
+        let is_missing = |server: &mut String| is_endpoints && !view.servers.contains(server);
+        self.plan.required_server.take_if(is_missing)
     }
 
-    async fn accept(&mut self, stream: &mut ClientStream, received: Received, state: ClientState) {
+    async fn accept(&mut self, stream: &mut ClientStream, received: ReceivedResponse, state: ClientState) {
         self.state = state;
         self.state.versions.insert(received.resource_type, received.version.clone());
         self.log(ClientEvent::Received(received.view.clone()));
         stream.ack(&received).await;
     }
 
-    async fn reject(&mut self, stream: &mut ClientStream, received: Received, missing: &str) {
+    async fn reject(&mut self, stream: &mut ClientStream, received: ReceivedResponse, missing: &str) {
         let view = View { accepted: false, ..received.view.clone() };
         self.log(ClientEvent::Received(view));
         let in_force = self.state.version(received.resource_type);
--- a/src/lab/xds/measure/clients.rs
+++ b/src/lab/xds/measure/clients.rs
@@ -6,7 +6,7 @@
 use crate::control::service::{ControlError, Running};
 use crate::control::session::Variant;
 use crate::interface::{Instant, Span};
-use crate::lab::views::{check, Breach, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
+use crate::lab::views::{find_breaches, Breach, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
 use crate::lab::xds::client::run_client;
 use crate::lab::xds::log_clock::log_time;
 use crate::lab::xds::site::StartedSite;
@@ -47,7 +47,7 @@
             client_points.push(point.clone());
             let name = format!("client-{number}");
             let client =
-                ClientPlan { target: site.running.addr, name, point, variant, rejects_without: None };
+                ClientPlan { target: site.running.addr, name, point, variant, required_server: None };
             tokio::spawn(run_client(client, log.clone(), stopping.clone()));
         }
         MeasuredClients {
@@ -67,16 +67,16 @@
     }
 
     /// Waits until all clients have views of all types.
-    pub(super) async fn wait_until_ready(&mut self, wait: Duration, started: std::time::Instant) {
-        while self.ready() < self.client_points.len() && started.elapsed() < wait {
-            if let Ok(Some(entry)) = tokio::time::timeout(wait, self.entries.recv()).await {
-                self.take(entry);
+    pub(super) async fn wait_until_ready(&mut self, timeout: Duration, started: std::time::Instant) {
+        while self.ready() < self.client_points.len() && started.elapsed() < timeout {
+            if let Ok(Some(entry)) = tokio::time::timeout(timeout, self.entries.recv()).await {
+                self.record(entry);
             }
         }
     }
 
     /// Takes in an entry of a client's log.
-    fn take(&mut self, entry: LogEntry) {
+    fn record(&mut self, entry: LogEntry) {
         if let ClientEvent::Received(view) = &entry.event {
             let servers = self.servers.entry(entry.client.clone()).or_default();
             servers.insert(view.resource_type, view.servers.clone());
@@ -85,15 +85,15 @@
     }
 
     /// Whether a client's last view of endpoints has a server.
-    fn has(&self, client: &str, server: &str) -> bool {
+    fn lists(&self, client: &str, server: &str) -> bool {
         let servers = self.servers.get(client);
         let endpoints = servers.and_then(|servers| servers.get(&ResourceType::Endpoints));
         endpoints.is_some_and(|endpoints| endpoints.contains(server))
     }
 
     /// Clients whose last view of endpoints has a server.
-    fn count_with(&self, server: &str) -> usize {
-        self.servers.keys().filter(|client| self.has(client, server)).count()
+    fn count_listing(&self, server: &str) -> usize {
+        self.servers.keys().filter(|client| self.lists(client, server)).count()
     }
 
     /// Drains caches one after another, each of which returns before the next.
@@ -106,38 +106,38 @@
         let caches: Vec<&Value> = hosts.iter().filter(|host| host["class"] == CACHE_CLASS).collect();
         let mut delays = DrainDelays::new()?;
         for cache in caches.iter().cycle().take(plan.drains) {
-            self.drain(feed, cache, plan.wait, &mut delays).await;
-            self.restore(feed, cache, plan.wait).await;
+            self.drain(feed, cache, plan.timeout, &mut delays).await;
+            self.restore(feed, cache, plan.timeout).await;
         }
         Ok(delays)
     }
 
     /// Drains a cache and records how long its clients' views without it took.
-    async fn drain(&mut self, feed: &StandInFeed, host: &Value, wait: Duration, delays: &mut DrainDelays) {
+    async fn drain(&mut self, feed: &StandInFeed, host: &Value, timeout: Duration, delays: &mut DrainDelays) {
         let server = server_name(host);
-        let drained_at = self.set_health(feed, host, "draining", FeedChange::ServerLeft(server.clone()));
+        let drained_at = self.set_health(feed, host, "draining", FeedChange::ServerUnusable(server.clone()));
         let mut slowest = 1;
-        while self.count_with(&server) > 0 {
-            let Some(entry) = self.next_entry(drained_at, wait).await else { break };
-            if self.loses(&entry, &server) {
+        while self.count_listing(&server) > 0 {
+            let Some(entry) = self.next_entry(drained_at, timeout).await else { break };
+            if self.is_removal(&entry, &server) {
                 let delay = (entry.at - drained_at).as_micros().max(1) as u64;
                 slowest = slowest.max(delay);
                 delays.each_client.saturating_record(delay);
             }
-            self.take(entry);
+            self.record(entry);
         }
         delays.last_client.saturating_record(slowest);
     }
 
     /// Lets a cache return, and waits until all clients of its point have it.
-    async fn restore(&mut self, feed: &StandInFeed, host: &Value, wait: Duration) {
+    async fn restore(&mut self, feed: &StandInFeed, host: &Value, timeout: Duration) {
         let server = server_name(host);
-        let returned_at = self.set_health(feed, host, "up", FeedChange::ServerReturned(server.clone()));
+        let returned_at = self.set_health(feed, host, "up", FeedChange::ServerUsable(server.clone()));
         let point = host["site"].as_str().unwrap_or_default();
-        let concerned = self.client_points.iter().filter(|client_point| *client_point == point).count();
-        while self.count_with(&server) != concerned {
-            let Some(entry) = self.next_entry(returned_at, wait).await else { break };
-            self.take(entry);
+        let expected = self.client_points.iter().filter(|client_point| *client_point == point).count();
+        while self.count_listing(&server) != expected {
+            let Some(entry) = self.next_entry(returned_at, timeout).await else { break };
+            self.record(entry);
         }
     }
 
@@ -150,16 +150,16 @@
     }
 
     /// The next entry of any client's log; `None`: none came within `wait` after `since`.
-    async fn next_entry(&mut self, since: Instant, wait: Duration) -> Option<LogEntry> {
+    async fn next_entry(&mut self, since: Instant, timeout: Duration) -> Option<LogEntry> {
         let waited = log_time() - since;
-        let rest = wait.saturating_sub(waited.to_std());
-        tokio::time::timeout(rest, self.entries.recv()).await.ok().flatten()
+        let remaining = timeout.saturating_sub(waited.to_std());
+        tokio::time::timeout(remaining, self.entries.recv()).await.ok().flatten()
     }
 
     /// Whether an entry is a client's first view of endpoints without a server.
-    fn loses(&self, entry: &LogEntry, server: &str) -> bool {
+    fn is_removal(&self, entry: &LogEntry, server: &str) -> bool {
         let ClientEvent::Received(view) = &entry.event else { return false };
-        is_endpoints_without(view, server) && self.has(&entry.client, server)
+        is_endpoints_without(view, server) && self.lists(&entry.client, server)
     }
 
     /// Stops clients and service; returns what the logs break.
@@ -169,7 +169,7 @@
         while let Some(entry) = self.entries.recv().await {
             self.log.push(entry);
         }
-        Ok(check(&self.log, &self.feed_events, DRAIN_BOUND))
+        Ok(find_breaches(&self.log, &self.feed_events, DRAIN_BOUND))
     }
 }
 
--- a/src/lab/xds/measure/mod.rs
+++ b/src/lab/xds/measure/mod.rs
@@ -29,7 +29,7 @@
     /// Caches drained one after another, each of which returns before the next.
     pub drains: usize,
     /// The longest that one drain is waited for.
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 /// Measures a control service in this process, with stand-in clients in it too.
@@ -46,10 +46,10 @@
     let memory_before = resident_bytes();
     let started = std::time::Instant::now();
     let mut clients = MeasuredClients::start(plan, &site);
-    clients.wait_until_ready(plan.wait, started).await;
+    clients.wait_until_ready(plan.timeout, started).await;
     let ready_clients = clients.ready();
     let ready_after = started.elapsed();
-    let memory_by_client = resident_bytes().saturating_sub(memory_before) / max_clients as u64;
+    let memory_per_client = resident_bytes().saturating_sub(memory_before) / max_clients as u64;
 
     let before = Counters::read(&site.running);
     let delays = clients.drain_caches(plan, &feed, &site.hosts).await?;
@@ -61,8 +61,8 @@
         each_client: delays.each_client,
         last_client: delays.last_client,
         breaches,
-        memory_by_client,
-        processor_time_by_snapshot: used.processor_time
+        memory_per_client,
+        processor_time_per_snapshot: used.processor_time
             / u32::try_from(used.snapshots.max(1)).unwrap_or(u32::MAX),
         snapshots: used.snapshots,
         sent: used.sent,
--- a/src/lab/xds/measure/report.rs
+++ b/src/lab/xds/measure/report.rs
@@ -18,9 +18,9 @@
     /// What the logs break.
     pub breaches: Vec<Breach>,
     /// Memory of the process beyond what it had before clients came, bytes by client: both ends of each connection.
-    pub memory_by_client: u64,
+    pub memory_per_client: u64,
     /// Processor time of the process during the drains, by snapshot: both ends.
-    pub processor_time_by_snapshot: Duration,
+    pub processor_time_per_snapshot: Duration,
     /// Snapshots that were published meanwhile.
     pub snapshots: u64,
     /// Responses that were sent meanwhile.
@@ -37,8 +37,8 @@
         writeln!(formatter, "{} clients had all views after {ready_ms:.0} ms", self.ready_clients)?;
         write_delays(formatter, "each client's view", &self.each_client)?;
         write_delays(formatter, "the last client's view", &self.last_client)?;
-        writeln!(formatter, "memory by client, both ends: {} KB", self.memory_by_client / 1024)?;
-        let processor_ms = self.processor_time_by_snapshot.as_secs_f64() * 1000.0;
+        writeln!(formatter, "memory by client, both ends: {} KB", self.memory_per_client / 1024)?;
+        let processor_ms = self.processor_time_per_snapshot.as_secs_f64() * 1000.0;
         writeln!(
             formatter,
             "{} snapshots, {} responses; CPU by snapshot, both ends: {processor_ms:.1} ms",
--- a/src/lab/xds/mod.rs
+++ b/src/lab/xds/mod.rs
@@ -15,4 +15,4 @@
 pub use measure::{measure, MeasurePlan, Measurement};
 pub use site::{SiteSetup, StartedSite};
 pub use state::ClientState;
-pub use stream::{ClientPlan, ClientStream, Received};
+pub use stream::{ClientPlan, ClientStream, ReceivedResponse};
--- a/src/lab/xds/state.rs
+++ b/src/lab/xds/state.rs
@@ -13,7 +13,7 @@
 
 /// A resource as a client has it.
 #[derive(Clone, Debug, PartialEq)]
-struct HeldResource {
+struct StoredResource {
     /// Incremental: its version.
     version: String,
     body: Vec<u8>,
@@ -25,7 +25,7 @@
     /// By type: the version that came with the last view accepted.
     pub versions: BTreeMap<ResourceType, String>,
     /// By type and name.
-    resources: BTreeMap<ResourceType, BTreeMap<String, HeldResource>>,
+    resources: BTreeMap<ResourceType, BTreeMap<String, StoredResource>>,
 }
 
 impl ClientState {
@@ -42,16 +42,16 @@
 
     /// Takes in a response.
     pub(super) fn apply(&mut self, variant: Variant, response: Response) {
-        let held = self.resources.entry(response.resource_type).or_default();
+        let stored = self.resources.entry(response.resource_type).or_default();
         if variant == Variant::StateOfTheWorld {
-            held.clear();
+            stored.clear();
         }
         for name in &response.removed {
-            held.remove(name);
+            stored.remove(name);
         }
         for resource in response.resources {
             let Resource { name, version, any } = resource;
-            held.insert(name, HeldResource { version, body: any.value });
+            stored.insert(name, StoredResource { version, body: any.value });
         }
     }
 
@@ -83,8 +83,8 @@
 }
 
 impl Response {
-    pub(super) fn of_state_of_the_world(message: DiscoveryResponse) -> Result<Self, Status> {
-        let resource_type = known_type(&message.type_url)?;
+    pub(super) fn from_state_of_the_world(message: DiscoveryResponse) -> Result<Self, Status> {
+        let resource_type = parse_type_url(&message.type_url)?;
         let mut resources = Vec::new();
         for any in message.resources {
             let name = resource_name(resource_type, &any);
@@ -100,8 +100,8 @@
         })
     }
 
-    pub(super) fn of_incremental(message: DeltaDiscoveryResponse) -> Result<Self, Status> {
-        let resource_type = known_type(&message.type_url)?;
+    pub(super) fn from_incremental(message: DeltaDiscoveryResponse) -> Result<Self, Status> {
+        let resource_type = parse_type_url(&message.type_url)?;
         let mut resources = Vec::new();
         for resource in message.resources {
             let Some(any) = resource.resource else { continue };
@@ -117,6 +117,6 @@
     }
 }
 
-fn known_type(url: &str) -> Result<ResourceType, Status> {
+fn parse_type_url(url: &str) -> Result<ResourceType, Status> {
     wire::resource_type(url).ok_or_else(|| Status::internal(format!("a response of type {url:?}")))
 }
--- a/src/lab/xds/stream.rs
+++ b/src/lab/xds/stream.rs
@@ -37,12 +37,12 @@
     /// The protocol variant that it uses.
     pub variant: Variant,
     /// Rejects the first view of endpoints that lacks this server.
-    pub rejects_without: Option<String>,
+    pub required_server: Option<String>,
 }
 
 /// A response as a client received it.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct ReceivedResponse {
     /// The resource type.
     pub resource_type: ResourceType,
     /// Its version.
@@ -67,24 +67,24 @@
 }
 
 /// Requests go in by the sender, responses come out.
-enum Messages {
+enum MessageStream {
     StateOfTheWorld(mpsc::Sender<DiscoveryRequest>, Streaming<DiscoveryResponse>),
     Incremental(mpsc::Sender<DeltaDiscoveryRequest>, Streaming<DeltaDiscoveryResponse>),
 }
 
-impl Messages {
+impl MessageStream {
     async fn open(variant: Variant, channel: Channel) -> Result<Self, Status> {
         let mut client = AggregatedDiscoveryServiceClient::new(channel);
         match variant {
             Variant::StateOfTheWorld => {
                 let (sender, requests) = mpsc::channel(REQUEST_BUFFER);
                 let responses = client.stream_aggregated_resources(ReceiverStream::new(requests)).await?;
-                Ok(Messages::StateOfTheWorld(sender, responses.into_inner()))
+                Ok(MessageStream::StateOfTheWorld(sender, responses.into_inner()))
             }
             Variant::Incremental => {
                 let (sender, requests) = mpsc::channel(REQUEST_BUFFER);
                 let responses = client.delta_aggregated_resources(ReceiverStream::new(requests)).await?;
-                Ok(Messages::Incremental(sender, responses.into_inner()))
+                Ok(MessageStream::Incremental(sender, responses.into_inner()))
             }
         }
     }
@@ -92,7 +92,7 @@
     /// Sends a request; a stream that has ended says so at its next response.
     async fn send(&self, node: Option<Node>, request: Request) {
         match self {
-            Messages::StateOfTheWorld(sender, _) => {
+            MessageStream::StateOfTheWorld(sender, _) => {
                 let message = DiscoveryRequest {
                     node,
                     type_url: request.type_url,
@@ -103,7 +103,7 @@
                 };
                 let _ = sender.send(message).await;
             }
-            Messages::Incremental(sender, _) => {
+            MessageStream::Incremental(sender, _) => {
                 let message = DeltaDiscoveryRequest {
                     node,
                     type_url: request.type_url,
@@ -119,11 +119,11 @@
 
     async fn receive(&mut self) -> Result<Option<Response>, Status> {
         match self {
-            Messages::StateOfTheWorld(_, responses) => {
-                responses.message().await?.map(Response::of_state_of_the_world).transpose()
+            MessageStream::StateOfTheWorld(_, responses) => {
+                responses.message().await?.map(Response::from_state_of_the_world).transpose()
             }
-            Messages::Incremental(_, responses) => {
-                responses.message().await?.map(Response::of_incremental).transpose()
+            MessageStream::Incremental(_, responses) => {
+                responses.message().await?.map(Response::from_incremental).transpose()
             }
         }
     }
@@ -134,7 +134,7 @@
     variant: Variant,
     /// The client, until the first request has named it.
     node: Option<Node>,
-    messages: Messages,
+    message_stream: MessageStream,
 }
 
 impl ClientStream {
@@ -151,8 +151,8 @@
         let channel = endpoint.connect().await.map_err(|error| Status::unavailable(error.to_string()))?;
         let locality = Locality { zone: plan.point.clone(), ..Locality::default() };
         let node = Node { id: plan.name.clone(), locality: Some(locality), ..Node::default() };
-        let messages = Messages::open(plan.variant, channel).await?;
-        Ok(ClientStream { variant: plan.variant, node: Some(node), messages })
+        let message_stream = MessageStream::open(plan.variant, channel).await?;
+        Ok(ClientStream { variant: plan.variant, node: Some(node), message_stream })
     }
 
     /// Subscribes to all resources of a type, stating what is in force of it.
@@ -167,13 +167,13 @@
     }
 
     /// Accepts a response (ACK).
-    pub async fn ack(&mut self, received: &Received) {
+    pub async fn ack(&mut self, received: &ReceivedResponse) {
         let request = answer(received, &received.version);
         self.send(request).await;
     }
 
     /// Rejects a response (NACK) for a reason; `in_force` is the version that stays in force, empty for none.
-    pub async fn nack(&mut self, received: &Received, in_force: &str, reason: &str) {
+    pub async fn nack(&mut self, received: &ReceivedResponse, in_force: &str, reason: &str) {
         let code = Code::InvalidArgument as i32;
         let error = RpcStatus { code, message: reason.to_owned(), details: Vec::new() };
         let request = Request { error: Some(error), ..answer(received, in_force) };
@@ -182,7 +182,7 @@
 
     async fn send(&mut self, request: Request) {
         // Only a stream's first request has to name the node.
-        self.messages.send(self.node.take(), request).await;
+        self.message_stream.send(self.node.take(), request).await;
     }
 
     /// Waits for the next response and takes it into `state`, without answering it. `None`: the stream has ended.
@@ -190,18 +190,18 @@
     /// # Errors
     ///
     /// The status with which the stream ended, or a response that cannot be read.
-    pub async fn receive(&mut self, state: &mut ClientState) -> Result<Option<Received>, Status> {
-        let Some(response) = self.messages.receive().await? else { return Ok(None) };
+    pub async fn receive(&mut self, state: &mut ClientState) -> Result<Option<ReceivedResponse>, Status> {
+        let Some(response) = self.message_stream.receive().await? else { return Ok(None) };
         let resource_type = response.resource_type;
         let version = response.version.clone();
         let nonce = response.nonce.clone();
         state.apply(self.variant, response);
         let view = state.view(resource_type, &version)?;
-        Ok(Some(Received { resource_type, version, nonce, view }))
+        Ok(Some(ReceivedResponse { resource_type, version, nonce, view }))
     }
 }
 
-fn answer(received: &Received, in_force: &str) -> Request {
+fn answer(received: &ReceivedResponse, in_force: &str) -> Request {
     Request {
         type_url: wire::type_url(received.resource_type).to_owned(),
         version: in_force.to_owned(),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -6,7 +6,9 @@
 use dahliatrack::control::service::{ControlError, Running};
 use dahliatrack::control::session::Variant;
 use dahliatrack::interface::Span;
-use dahliatrack::lab::views::{check, drain_delays, ClientEvent, FeedChange, FeedEvent, LogEntry, View};
+use dahliatrack::lab::views::{
+    drain_delays, find_breaches, ClientEvent, FeedChange, FeedEvent, LogEntry, View,
+};
 use dahliatrack::lab::xds::{
     log_time, measure, run_client, ClientPlan, ClientState, ClientStream, MeasurePlan, SiteSetup, StartedSite,
 };
@@ -44,7 +46,7 @@
         name: name.into(),
         point: point.into(),
         variant,
-        rejects_without: None,
+        required_server: None,
     }
 }
 
@@ -139,7 +141,7 @@
     for (n, health) in ["draining", "removed", "draining"].into_iter().enumerate() {
         let host = &caches(&hosts, "north")[n];
         let at = log_time();
-        feed_events.push(FeedEvent { at, change: FeedChange::ServerLeft(name(host)) });
+        feed_events.push(FeedEvent { at, change: FeedChange::ServerUnusable(name(host)) });
         feed.publish_health(host, health);
         logs.wait_for_view(ResourceType::Endpoints, 24, |view| !view.servers.contains(&name(host))).await;
         logs.wait_for_view(ResourceType::Routes, 24, |view| !view.servers.contains(&name(host))).await;
@@ -153,7 +155,7 @@
     })
     .await;
     let log = logs.finish(running).await;
-    assert_eq!(check(&log, &feed_events, DRAIN_BOUND), []);
+    assert_eq!(find_breaches(&log, &feed_events, DRAIN_BOUND), []);
     let delays = drain_delays(&log, &feed_events);
     assert_eq!(delays.len(), 24, "eight clients of the point, three drains");
 }
@@ -273,9 +275,9 @@
     let north = caches(&hosts, "north");
     let mut logs = Logs::new();
     for (n, variant) in [Variant::StateOfTheWorld, Variant::Incremental].into_iter().enumerate() {
-        let rejects_without = Some(name(&north[0]));
+        let required_server = Some(name(&north[0]));
         logs.start(ClientPlan {
-            rejects_without,
+            required_server,
             ..client_plan(&running, &format!("picky-{n}"), "north", variant)
         });
         logs.start(client_plan(&running, &format!("plain-{n}"), "north", variant));
@@ -291,7 +293,7 @@
     logs.wait_for_view(ResourceType::Endpoints, 4, |view| !view.servers.contains(&name(&north[1]))).await;
     assert_eq!(running.metrics.nacks.load(Ordering::SeqCst), 2);
     let log = logs.finish(running).await;
-    assert_eq!(check(&log, &[], DRAIN_BOUND), []);
+    assert_eq!(find_breaches(&log, &[], DRAIN_BOUND), []);
     let refused =
         log.iter().filter(|entry| matches!(&entry.event, ClientEvent::Received(view) if !view.accepted));
     assert_eq!(refused.count(), 2);
@@ -403,7 +405,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn thousand_clients_get_drains_within_the_bound() {
     let shape = Shape { points: 10, proxies: 10, caches: 60, ..Shape::default() };
-    let plan = MeasurePlan { clients: 1000, shape, drains: 3, wait: TIMEOUT };
+    let plan = MeasurePlan { clients: 1000, shape, drains: 3, timeout: TIMEOUT };
     let measured = measure(&plan).await.expect("measured");
     assert_eq!(measured.ready_clients, 1000, "{measured}");
     assert_eq!((measured.last_client.len(), measured.each_client.len()), (3, 300), "{measured}");
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-fn lab(args: &[&str]) -> Output {
+fn run_lab(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_dahliatrack"))
         .arg("lab")
         .args(args)
@@ -10,24 +10,24 @@
         .expect("the program starts")
 }
 
-fn report(output: &Output) -> serde_json::Value {
+fn parse_report(output: &Output) -> serde_json::Value {
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
 #[test]
-fn a_trace_is_replayed_and_each_request_has_one_end() {
+fn replay_reports_one_result_per_request() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("lab-replay");
     std::fs::create_dir_all(&folder).expect("a folder");
     let (trace, map, page) = (folder.join("t.csv"), folder.join("map.hcl"), folder.join("r.html"));
-    let made = lab(&["trace", "--seconds", "400", "--rate", "40", "--objects", "200"]).stdout;
+    let made = run_lab(&["trace", "--seconds", "400", "--rate", "40", "--objects", "200"]).stdout;
     std::fs::write(&trace, &made).expect("a file");
-    assert_eq!(made, lab(&["trace", "--seconds", "400", "--rate", "40", "--objects", "200"]).stdout);
+    assert_eq!(made, run_lab(&["trace", "--seconds", "400", "--rate", "40", "--objects", "200"]).stdout);
     let text = std::fs::read_to_string("deploy/trace-map.hcl").expect("the example");
     std::fs::write(&map, text.replace("window_s  = 600", "window_s = 40")).expect("a file");
     let [trace, map, page] = [&trace, &map, &page].map(|path| path.display().to_string());
     let args = ["replay", &trace, "--map", &map, "--speed", "10", "--format", "json", "--html", &page];
-    let output = lab(&args);
+    let output = run_lab(&args);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let json = text.lines().next().expect("a report");
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_demo_with_faults_ends_with_a_report() {
-    let report = report(&lab(&["demo", "--seconds", "4", "--faults", "3", "--format", "json"]));
+fn demo_with_faults_writes_a_report() {
+    let report = parse_report(&run_lab(&["demo", "--seconds", "4", "--faults", "3", "--format", "json"]));
     let classes = report["classes"].as_array().expect("classes");
     assert_eq!(classes.len(), 4);
     assert!(!report["faults"].as_array().expect("faults").is_empty());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_cannot_be_replayed_is_an_error_with_its_place() {
+fn unusable_trace_maps_are_rejected() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("lab-errors");
     std::fs::create_dir_all(&folder).expect("a folder");
     let (trace, map) = (folder.join("t.csv"), folder.join("map.hcl"));
@@ -69,7 +69,7 @@
         ("trace {\n format = \"azure-functions-2021\"\n class \"pieces\" {}\n}", 1, "no class \"pieces\""),
     ] {
         std::fs::write(&map, text).expect("a file");
-        let output = lab(&["replay", &names[0], "--map", &names[1]]);
+        let output = run_lab(&["replay", &names[0], "--map", &names[1]]);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(code), "{error}");
         assert!(error.contains(wanted), "{error}");
