--- a/src/lab/flood/flooder.rs
+++ b/src/lab/flood/flooder.rs
@@ -1,4 +1,4 @@
-//! The flood: holds silent connections open, and opens a new one for each that the edge proxy ends.
+//! The flood: holds idle connections open, and opens a new one for each that the edge proxy closes.
 
 use super::{connect, FloodPlan};
 use crate::standin::thrift_client::{ping, send};
@@ -9,19 +9,19 @@
 use std::time::{Duration, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// The pause when no connection can be opened.
+/// Pause when no further connection may or can be opened.
 const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// What became of the flood's connections.
+/// Counts of the flood's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FloodCounts {
-    /// Connections that the flood opened.
+    /// Number of connections that the flood opened.
     pub opened: u64,
-    /// Of them, ended by the edge proxy.
+    /// Number of those that the edge proxy closed, reset or answered.
     pub ended: u64,
 }
 
-/// Floods until the deadline, or until it is over.
+/// Floods until the deadline, or until `is_stopped` is set.
 pub(super) fn run(plan: &FloodPlan, deadline: Instant, is_stopped: &AtomicBool) -> FloodCounts {
     let mut held: Vec<TcpStream> = Vec::new();
     let mut counts = FloodCounts::default();
@@ -41,7 +41,8 @@
     counts
 }
 
-/// Whether a connection is silent both ways: the edge proxy has not ended or reset it, nor answered with a rejection.
+/// Whether the edge proxy has neither closed nor reset a connection, and has sent nothing on it, such as a
+/// rejection.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -50,7 +51,8 @@
     let mut stream = connect(plan.flood_from, plan.target, CONNECT_TIMEOUT).ok()?;
     stream.set_nonblocking(true).ok()?;
     if plan.flood_pings {
-        // Its answer is not read; a write that fails shows at the next peek.
+        // The answer is not read. A failed write is ignored, since the next peek shows that the connection
+        // has ended.
         let _ = send(&mut stream, &ping(1));
     }
     Some(stream)
--- a/src/lab/flood/known_clients.rs
+++ b/src/lab/flood/known_clients.rs
@@ -1,4 +1,4 @@
-//! Known clients: each connects, pings, sends one request, reads its answer, and connects again.
+//! Known clients. Each connects, pings, sends one request, reads the answer, and connects again.
 
 use super::{connect, FloodPlan};
 use crate::standin::thrift_client::{answer, invoke, ping, send, Answered};
@@ -10,33 +10,33 @@
 use std::time::{Duration, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client at a table reconnects now and then, not in a tight loop.
+/// Pause before a client reconnects, since a real client reconnects now and then, not in a tight loop.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// The longest latency that is recorded, us.
+/// Longest latency that is recorded, in us; longer ones are recorded as this.
 const MAX_RECORDED_US: u64 = 60_000_000;
-/// The significant digits with which latencies are recorded.
+/// Significant digits of recorded latencies.
 const RECORDED_DIGITS: u8 = 3;
-/// The sequence numbers of a connection's two messages.
+/// Sequence numbers of the two messages that are sent on a connection.
 const PING_SEQID: i32 = 1;
 const INVOKE_SEQID: i32 = 2;
 
-/// What became of the known clients' connections and requests.
+/// Counts of the known clients' connections and requests.
 #[derive(Debug)]
 pub struct KnownClientCounts {
-    /// Connections that were tried.
+    /// Number of connections that were attempted.
     pub tried: u64,
-    /// Of them, answered with a pong: connected and served.
+    /// Number of those on which the ping was answered with a pong.
     pub connected: u64,
-    /// Of them, answered with a rejection.
+    /// Number of those on which the ping was rejected.
     pub rejected: u64,
-    /// Of them, that broke or ended without an answer: a connect that failed or timed out, or an end before a byte
-    /// was read (which for the client proves that nothing ran).
+    /// Number of those that failed without an answer: the connect failed or timed out, or the connection
+    /// ended before a byte was read (which proves to the client that no request was executed).
     pub broken: u64,
-    /// From a client's connect to its pong, us.
+    /// Time from a client's connect to its pong, in us.
     pub latency: Histogram<u64>,
-    /// Requests that were written.
+    /// Number of requests that were written whole.
     pub written: u64,
-    /// Requests that got their answer.
+    /// Number of requests that were answered.
     pub answered: u64,
 }
 
@@ -66,10 +66,10 @@
     }
 }
 
-/// How far one connection got.
+/// The outcome of one connection of a known client.
 #[derive(Default)]
 struct ConnectionOutcome {
-    /// From the connect to the pong; `None`: there was none.
+    /// Time from the connect to the pong; `None` if no pong was received.
     latency: Option<Duration>,
     is_rejected: bool,
     is_written: bool,
@@ -78,13 +78,13 @@
 }
 
 impl ConnectionOutcome {
-    /// Whether it failed before any answer.
+    /// Whether the connection failed before any answer was received.
     fn is_broken(&self) -> bool {
         self.is_failed && self.latency.is_none() && !self.is_rejected
     }
 }
 
-/// One known client, until the deadline or its last connection.
+/// Runs one known client until the deadline, or until it has made all its connections.
 pub(super) fn run_client(plan: &FloodPlan, deadline: Instant, counts: &Mutex<KnownClientCounts>) {
     for number in 0..plan.max_connections {
         if Instant::now() >= deadline {
@@ -117,7 +117,8 @@
     Ok(())
 }
 
-/// A trace id that no other connection of this machine has, as far as time and process tell.
+/// Returns a trace id from the connection's number, the process id and the time that the connection has
+/// taken. Other connections of this machine are unlikely to have the same one.
 fn trace_id(number: u64, started: Instant) -> String {
     let process = u64::from(std::process::id());
     format!("{:016x}", (number << 20) ^ process ^ started.elapsed().as_nanos() as u64)
--- a/src/lab/flood/mod.rs
+++ b/src/lab/flood/mod.rs
@@ -1,10 +1,11 @@
-//! A loopback flood: known clients that keep playing while one address opens connections that say nothing, bounded
-//! in count and time. It measures what admission is for: whether known clients still connect, how long until their
-//! first answer, and whether every request that was accepted got its answer.
+//! A connection flood on loopback: known clients keep sending requests while one address opens idle
+//! connections. Both are bounded in number and time. It measures the purpose of admission: whether known
+//! clients can still connect, how long they wait for their first answer, and whether every request that was
+//! accepted is answered.
 //!
-//! - `known_clients`: the clients that are to be served.
+//! - `known_clients`: the clients that must be served.
 //! - `flooder`: the address that floods.
-//! - `report`: what was measured.
+//! - `report`: the measured results.
 
 mod flooder;
 mod known_clients;
@@ -22,39 +23,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The flood runs this long before known clients come.
+/// Time that the flood runs before the known clients start.
 const FLOOD_LEAD: Duration = Duration::from_millis(200);
-/// An answer is waited for this long.
+/// Longest wait for an answer.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What to do.
+/// Size, addresses and duration of a flood and its known clients.
 #[derive(Clone, Debug)]
 pub struct FloodPlan {
-    /// The Thrift front of the edge proxy, on loopback.
+    /// Address of the edge proxy's Thrift front, on loopback.
     pub target: SocketAddr,
-    /// Known clients, each on a thread of its own, all from `known_from`.
+    /// Number of known clients, each on a thread of its own.
     pub known_clients: usize,
-    /// The address they connect from (a loopback address).
+    /// Loopback address that all known clients connect from.
     pub known_from: IpAddr,
-    /// The most connections that the flood holds open.
+    /// Maximum number of connections that the flood holds open.
     pub flood_connections: usize,
-    /// The address the flood comes from.
+    /// Loopback address that the flood connects from.
     pub flood_from: IpAddr,
-    /// How long it all lasts.
+    /// Duration of the whole run, in seconds.
     pub seconds: f64,
-    /// The most connections that each known client makes.
+    /// Maximum number of connections that each known client makes.
     pub max_connections: u64,
-    /// The route (class) of the requests that known clients send.
+    /// Class of the requests that known clients send, in the message's field `route`.
     pub route: String,
-    /// Whether each flood connection pings once, so that it cannot be told from a client by having asked.
+    /// Whether each flood connection sends a ping, so that sending a message does not distinguish it from a
+    /// client.
     pub flood_pings: bool,
 }
 
-/// Runs a plan to its end.
+/// Runs a plan to its end and returns the report.
 ///
 /// # Errors
 ///
-/// A histogram could not be made.
+/// Returns an error if the histogram cannot be created.
 pub fn run(plan: &FloodPlan) -> Result<FloodReport, hdrhistogram::CreationError> {
     let known = Mutex::new(KnownClientCounts::new()?);
     let is_stopped = AtomicBool::new(false);
@@ -66,7 +68,7 @@
         let clients: Vec<_> =
             (0..plan.known_clients).map(|_| scope.spawn(|| run_client(plan, deadline, &known))).collect();
         for client in clients {
-            // A client that panicked is missing in the counts.
+            // The counts lack the connection in which a client panicked, and all its later ones.
             let _ = client.join();
         }
         is_stopped.store(true, Ordering::Relaxed);
--- a/src/lab/flood/report.rs
+++ b/src/lab/flood/report.rs
@@ -1,18 +1,18 @@
-//! What a flood came to.
+//! The results of a flood, and their text.
 
 use super::flooder::FloodCounts;
 use super::known_clients::KnownClientCounts;
 use std::fmt;
 use std::time::Duration;
 
-/// What a flood came to.
+/// The results of a flood.
 #[derive(Debug)]
 pub struct FloodReport {
-    /// The known clients.
+    /// Counts and latency of the known clients.
     pub known: KnownClientCounts,
-    /// The flood.
+    /// Counts of the flood's connections.
     pub flood: FloodCounts,
-    /// How long it lasted.
+    /// Duration of the whole run.
     pub lasted: Duration,
 }
 
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to the hosts: each is read in a thread of its own.
+//! Connections to the hosts. Each is read in a thread of its own.
 
 use super::event_queue::ScheduledEvent;
 use super::{now, Connection, HostsState, StandInHosts};
@@ -9,18 +9,19 @@
 use std::net::TcpStream;
 use std::thread;
 
-/// A source that is not reachable is given up after this.
+/// Time after which a host gives up on a fill source that is not reachable.
 const SOURCE_TIMEOUT: Span = Span::from_millis(300);
-/// The bytes of one read.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
 impl StandInHosts {
-    /// Serves a connection, unless the host is not running.
+    /// Serves a connection, unless the host's process is dead or the hosts have stopped.
     pub(super) fn accept(&self, host: HostId, stream: TcpStream) {
         let Ok(read_half) = stream.try_clone() else { return };
         let _ = stream.set_nodelay(true);
         let mut state = self.lock();
-        // A killed process would refuse; its listener can't be closed here, so the connection ends at once.
+        // A killed process would refuse the connection. The listener can't be closed here, so the accepted
+        // connection is closed at once.
         if state.fleet[host].dead || state.is_stopped {
             return;
         }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes in a request and schedules its answer.
+    /// Adds a request to the host's open ones and schedules its answer.
     fn receive(&self, state: &mut HostsState, host: HostId, link: LinkId, request: FetchRequest) {
         let now = now();
         state.counts.requests += 1;
@@ -67,7 +68,7 @@
 }
 
 impl HostsState {
-    /// Draws how long a host takes to answer a request, with a fill where it needs one.
+    /// Draws the time that a host takes to answer a request, including the fill if the request needs one.
     fn draw_answer_delay(&mut self, host: HostId, request: &FetchRequest, now: Instant) -> Span {
         let own_time = self.draw_service_time(host, now);
         if !self.fleet[host].needs_source(request, now) {
--- a/src/lab/hosts/event_queue.rs
+++ b/src/lab/hosts/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is scheduled at the hosts, and the thread that carries it out.
+//! The queue of scheduled events of the hosts, and the thread that carries them out.
 
 use super::{now, HostsState, StandInHosts};
 use crate::interface::Instant;
@@ -11,25 +11,25 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-/// The thread looks whether the hosts have stopped at least this often.
+/// Longest wait for an event: the thread checks at least this often whether the hosts have stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A scheduled event.
 pub(super) enum ScheduledEvent {
-    /// A host answers an attempt, by its id.
+    /// A host answers the attempt with this id on this connection.
     HostAnswers(HostId, LinkId, String),
-    /// A fault begins.
+    /// A fault starts.
     Fault(FaultKind),
-    /// A killed host starts anew.
+    /// A killed host restarts.
     HostRestarts(HostId),
-    /// All copies older than a purge are gone.
+    /// The hosts drop all copies that are older than the purge of this time.
     PurgeSettles(Instant),
 }
 
-/// Scheduled events, in the order of time; those of one time in the order in which they were scheduled.
+/// Scheduled events, ordered by time; events of the same time are in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(Instant, u64), ScheduledEvent>,
+    /// Number of events scheduled so far.
     count: u64,
 }
 
@@ -46,7 +46,7 @@
         self.0.changed.notify_one();
     }
 
-    /// Carries out events as they fall due, until the hosts stop.
+    /// Carries out events when they are due, until the hosts stop; then closes all connections.
     pub(super) fn run_events(&self) {
         let mut state = self.lock();
         while !state.is_stopped {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A host answers an attempt, unless that was cancelled; a silent host answers later.
+    /// Answers an attempt, unless it was cancelled. A silent host answers when its silence ends.
     fn answer(&self, state: &mut HostsState, host: HostId, link: LinkId, id: String, now: Instant) {
         let silent_until = state.silent_until[host.0];
         if silent_until > now {
@@ -98,7 +98,8 @@
 }
 
 impl HostsState {
-    /// Writes to a connection, if it is still open. A failure shows when it is read.
+    /// Writes to a connection if it is still open. A failure is ignored, since the connection's reading
+    /// thread sees it.
     pub(super) fn send(&mut self, link: LinkId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&link) {
             let _ = connection.stream.write_all(bytes);
--- a/src/lab/hosts/faults.rs
+++ b/src/lab/hosts/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the hosts as they begin.
+//! Starts the faults of the hosts.
 
 use super::event_queue::ScheduledEvent;
 use super::{HostsState, StandInHosts};
@@ -9,13 +9,13 @@
 use serde_json::json;
 use std::net::Shutdown;
 
-/// The group of all objects.
+/// The group that all objects belong to.
 const ALL_OBJECTS_GROUP: u32 = 17;
-/// By this long after a purge, all hosts have dropped older copies.
+/// Time after a purge at which all hosts drop older copies.
 const PURGE_SETTLE_TIME: Span = Span::from_secs(6);
 
 impl StandInHosts {
-    /// Begins a fault, if it is one of hosts.
+    /// Starts a fault, if it is a fault of hosts.
     pub(super) fn begin_fault(&self, state: &mut HostsState, now: Instant, fault: FaultKind) {
         match fault {
             FaultKind::Silent { host, ms } => state.silent_until[host.0] = now + Span::from_millis(ms),
@@ -38,12 +38,14 @@
                 self.0.feed.publish(json!({"purge": {"group": ALL_OBJECTS_GROUP, "at": unix_ms(now)}}));
                 self.schedule(state, now + PURGE_SETTLE_TIME, ScheduledEvent::PurgeSettles(now));
             }
-            // The others are of clients, the feed's connections, and the edge proxy's processes and machine.
+            // The other faults concern clients, the feed's connections, or the edge proxy's processes and
+            // machine.
             _ => {}
         }
     }
 
-    /// Publishes a host's health; the origin's does not change.
+    /// Sets a host's health and publishes it on the feed. The origin's is not published: on the feed it never
+    /// changes.
     pub(super) fn publish_health(&self, state: &mut HostsState, host: HostId, health: &str) {
         let host = &mut state.fleet[host];
         host.entry["health"] = health.into();
--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in table caches, parents and the origin on loopback sockets, with scripted faults: the same hosts as in the
-//! simulator ([`crate::standin::fleet`]), each behind a listener of its own.
+//! Stand-in table caches, parents and the origin on loopback sockets, with scripted faults. They are the same
+//! hosts as in the simulator ([`crate::standin::fleet`]), each with a listener of its own.
 //!
-//! - `connection`: reads requests, in a thread for each connection.
-//! - `event_queue`: answers and faults that are due, in one thread.
-//! - `faults`: what goes wrong.
+//! - `connection`: reads requests, in one thread per connection.
+//! - `event_queue`: sends answers and starts faults when they are due, in one thread.
+//! - `faults`: starts the faults.
 
 mod connection;
 mod event_queue;
@@ -28,52 +28,52 @@
 use std::thread;
 use std::time::SystemTime;
 
-/// A request takes a host this long, us.
+/// Time that a host takes for a request, in us, unless it is slowed down.
 const SERVICE_TIME_US: std::ops::RangeInclusive<i64> = 2_000..=12_000;
 
-/// Listeners on loopback, one for each host.
+/// Listeners on loopback, one per host.
 pub struct HostListeners(Vec<TcpListener>);
 
 impl HostListeners {
-    /// Listens on free ports.
+    /// Listens on `count` free ports.
     ///
     /// # Errors
     ///
-    /// No ports are free.
+    /// Returns an error if a listener cannot be opened, for example because no port is free.
     pub fn bind(count: usize) -> io::Result<Self> {
         let listeners = (0..count).map(|_| TcpListener::bind("127.0.0.1:0"));
         Ok(HostListeners(listeners.collect::<Result<_, _>>()?))
     }
 
-    /// The listeners' addresses.
+    /// Returns the addresses of the listeners, in the order of the hosts.
     ///
     /// # Errors
     ///
-    /// The system does not say.
+    /// Returns an error if the system cannot report the address of a listener.
     pub fn addresses(&self) -> io::Result<Vec<SocketAddr>> {
         self.0.iter().map(TcpListener::local_addr).collect()
     }
 }
 
-/// What the hosts are and how they behave.
+/// Which hosts are served, and how they behave.
 pub struct HostsPlan<'a> {
-    /// Their entries in the endpoint list: caches first, then parents, then the origin.
+    /// Entries of the hosts in the endpoint list: caches first, then parents, then the origin.
     pub entries: &'a [Value],
-    /// The number of caches.
+    /// Number of caches at the start of `entries`.
     pub caches: usize,
-    /// What goes wrong, from the moment the hosts serve.
+    /// Faults; their times count from the call of [`StandInHosts::serve`].
     pub faults: &'a [Fault],
-    /// The seed of service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
-/// How many requests the hosts received; serialized as a list.
+/// Numbers of requests that the hosts received; serialized as a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 2]")]
 pub struct HostCounts {
-    /// Requests.
+    /// All requests that the hosts received.
     pub requests: u64,
-    /// Those that needed a fill.
+    /// Requests among them that needed a fill.
     pub fills: u64,
 }
 
@@ -91,7 +91,7 @@
 
 struct HostsState {
     fleet: Fleet,
-    /// Nothing is answered until then, by host.
+    /// By host, the time until which it answers nothing.
     silent_until: Vec<Instant>,
     connections: BTreeMap<LinkId, Connection>,
     last_link: LinkId,
@@ -125,19 +125,19 @@
         self.last_link
     }
 
-    /// Whether a host's process runs and it answers.
+    /// Whether a host's process runs and is not silent.
     fn is_reachable(&self, host: HostId, now: Instant) -> bool {
         !self.fleet[host].dead && self.silent_until[host.0] <= now
     }
 
-    /// Draws how long a host takes for one request.
+    /// Draws the time that a host takes for one request.
     fn draw_service_time(&mut self, host: HostId, now: Instant) -> Span {
         let usual = Span::from_micros(self.random.random_range(SERVICE_TIME_US));
         self.fleet[host].service_time(usual, now)
     }
 }
 
-/// What the threads of the hosts share.
+/// State that the threads of the hosts share.
 struct SharedState {
     state: Mutex<HostsState>,
     /// Notified at every scheduled event, and when the hosts stop.
@@ -145,13 +145,13 @@
     feed: StandInFeed,
 }
 
-/// The hosts; clones are the same ones.
+/// The running hosts; clones share their state.
 #[derive(Clone)]
 pub struct StandInHosts(Arc<SharedState>);
 
 impl StandInHosts {
-    /// Serves the hosts behind their listeners, in threads that end with the process. Their health is stated by the
-    /// feed.
+    /// Serves the hosts on their listeners, in threads that end with the process. Changes of the hosts'
+    /// health are published on `feed`.
     pub fn serve(listeners: HostListeners, feed: &StandInFeed, plan: &HostsPlan<'_>) -> Self {
         let state = Mutex::new(HostsState::new(plan));
         let shared = SharedState { state, changed: Condvar::new(), feed: feed.clone() };
@@ -176,7 +176,7 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many requests have come so far.
+    /// Returns the numbers of requests that were received so far.
     pub fn counts(&self) -> HostCounts {
         self.lock().counts
     }
@@ -188,7 +188,7 @@
     }
 }
 
-/// The hosts' clock: it reads Unix time, which their answers state.
+/// Returns the time of the hosts' clock. It is Unix time, since the hosts' answers state Unix times.
 fn now() -> Instant {
     Instant::from_micros(unix_time(SystemTime::now()).as_micros())
 }
--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -1,9 +1,9 @@
-//! The project's own laboratory: load and experiment tools that drive the edge proxy over its real fronts on
-//! loopback. Nothing here is on the data path.
+//! Load and measurement tools that drive the edge proxy over its real fronts on loopback. Nothing here is on
+//! the data path.
 //!
-//! - [`replay`]: replays a trace against stand-in [`hosts`]; [`synthetic_trace`] makes one up.
-//! - [`flood`]: known clients beside an address that floods.
-//! - `xds`: measures the control service by stand-in clients, whose logs [`views`] checks.
+//! - [`replay`]: replays a trace against stand-in [`hosts`]; [`synthetic_trace`] generates a trace.
+//! - [`flood`]: known clients, while one address floods the front with connections.
+//! - `xds`: measures the control service with stand-in clients, whose logs [`views`] checks.
 
 pub mod flood;
 pub mod hosts;
--- a/src/lab/replay/clients.rs
+++ b/src/lab/replay/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of a replay: each sends its share of the requests at the trace's times on a connection of its own, and
-//! connects again when that ends.
+//! The clients of a replay. Each sends its share of the requests at the trace's times on a connection of its
+//! own, and reconnects when the connection has ended.
 
 use super::connection::{ClientConnection, OpenRequest, OpenRequests};
 use super::request_outcome::RequestOutcome;
@@ -13,42 +13,42 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests that are open at the end are waited for this long.
+/// Time that a client waits at its end for the answers to open requests.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(6);
-/// The pause between two looks whether requests are still open.
+/// Pause between two checks whether requests are still open.
 const LAST_ANSWERS_PAUSE: Duration = Duration::from_millis(10);
-/// A request is written on the client's connection, or else once on a new one.
+/// Attempts to write a request: on the client's connection, and if that fails once more on a new connection.
 const WRITE_ATTEMPTS: usize = 2;
-/// The bits of a trace id that number the requests of a replay.
+/// Low bits of a trace id, which hold the number of the request in the replay; the seed is above them.
 const REQUEST_BITS: u32 = 32;
 
-/// What the clients saw.
+/// The results of all clients.
 pub(super) struct ClientResults {
     pub(super) outcomes: Vec<RequestOutcome>,
-    /// How late a request was sent at the worst.
+    /// How much later than planned a request was sent, at most.
     pub(super) max_lateness: Duration,
 }
 
-/// What the clients of a replay share.
+/// The trace, settings and clock that the clients of a replay share.
 #[derive(Clone, Copy)]
 pub(super) struct ReplayContext<'a> {
     pub(super) trace: &'a Trace,
     pub(super) plan: &'a ReplayPlan,
-    /// By class.
+    /// Objectives by class.
     pub(super) objectives: &'a [ClassObjectives],
-    /// The edge proxy's front.
+    /// Address of the edge proxy's Thrift front.
     pub(super) target: SocketAddr,
     pub(super) started: Instant,
     pub(super) progress: &'a ProgressBar,
 }
 
 impl ReplayContext<'_> {
-    /// When a request is sent, from the start.
+    /// Returns when a request is due to be sent, from the start of the replay.
     fn sending_time(&self, request: &Played) -> Duration {
         Duration::from_secs_f64(request.at.as_secs_f64() / self.plan.speed)
     }
 
-    /// The frame of the request of this place in the trace.
+    /// Returns the frame of a request, the one with index `number` in the trace.
     fn frame(&self, number: usize, request: &Played, seqid: i32) -> Vec<u8> {
         let class = self.trace.classes[request.class].as_str();
         let object = format!("{:016x}", request.object);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends all requests at their times over the connections, and gathers how they end.
+/// Sends all requests at their times over the clients' connections, and collects their outcomes.
 pub(super) fn run_clients(context: &ReplayContext<'_>) -> io::Result<ClientResults> {
     let (sender, outcomes) = channel();
     let clients = context.plan.connections.max(1);
@@ -81,20 +81,18 @@
         let outcomes: Vec<RequestOutcome> = outcomes.iter().collect();
         let mut max_lateness = Duration::ZERO;
         for client in running {
-            let lateness =
-                client.join().map_err(|_| io::Error::other("a client of the load tool panicked"))?;
+            let lateness = client.join().map_err(|_| io::Error::other("a client of the replay panicked"))?;
             max_lateness = max_lateness.max(lateness);
         }
         Ok(ClientResults { outcomes, max_lateness })
     })
 }
 
-/// One client.
 struct ReplayClient<'a> {
     context: ReplayContext<'a>,
     outcomes: Sender<RequestOutcome>,
     connection: Option<ClientConnection>,
-    /// The open requests of all its connections so far.
+    /// The open requests of all connections that the client has had.
     open: Vec<OpenRequests>,
     last_seqid: i32,
     max_lateness: Duration,
@@ -106,8 +104,8 @@
         ReplayClient { context, outcomes, connection: None, open: Vec::new(), last_seqid: 0, max_lateness }
     }
 
-    /// Sends the requests of the client of this number among `clients`, and waits for the last answers; returns how
-    /// late it sent at the worst.
+    /// Sends the requests of client `number` of `clients`, and waits for the last answers. Returns how much
+    /// later than planned a request was sent, at most.
     fn run(mut self, number: usize, clients: usize) -> Duration {
         let requests = self.context.trace.requests.iter().enumerate();
         for (number, request) in requests.skip(number).step_by(clients) {
@@ -120,7 +118,7 @@
         self.max_lateness
     }
 
-    /// Sleeps until a time from the start; records how late it is.
+    /// Sleeps until `time` from the start, and records by how much that was missed.
     fn wait_for(&mut self, time: Duration) {
         let started = self.context.started;
         if let Some(wait) = time.checked_sub(started.elapsed()) {
@@ -129,7 +127,7 @@
         self.max_lateness = self.max_lateness.max(started.elapsed().saturating_sub(time));
     }
 
-    /// Sends a request. Writing shows that a connection has ended; the request then goes on a new one.
+    /// Sends a request. If the write shows that the connection has ended, the request is sent on a new one.
     fn send(&mut self, number: usize, request: &Played) {
         self.last_seqid += 1;
         let frame = self.context.frame(number, request, self.last_seqid);
@@ -167,7 +165,7 @@
         }
     }
 
-    /// Closes the connection; what is still open has no answer.
+    /// Closes the connection. Requests that are still open are reported as unanswered.
     fn finish(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.close();
--- a/src/lab/replay/connection.rs
+++ b/src/lab/replay/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection to the edge proxy, and the requests that are open on it.
+//! A client's connection to the edge proxy, and its open requests.
 
 use super::request_outcome::RequestOutcome;
 use crate::standin::thrift_client;
@@ -10,18 +10,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The bytes of one read.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
 /// A request that has no answer yet.
 pub(super) struct OpenRequest {
-    /// Its class, by its place in the trace's map.
+    /// Index of the request's class in the trace's map.
     pub(super) class: usize,
-    /// When it was sent, from the start.
+    /// When the request was sent, from the start of the replay.
     pub(super) sent: Duration,
 }
 
-/// The open requests of one connection by sequence number, which its reading thread shares.
+/// The open requests of one connection, by sequence number. They are shared with the thread that reads the
+/// answers.
 #[derive(Clone, Default)]
 pub(super) struct OpenRequests(Arc<Mutex<BTreeMap<i32, OpenRequest>>>);
 
@@ -38,7 +39,7 @@
 }
 
 impl ClientConnection {
-    /// Connects, and reads answers in a thread of its own; `None`: that failed.
+    /// Connects, and reads answers in a thread of its own; `None` if the connect failed.
     pub(super) fn open(
         target: SocketAddr,
         started: Instant,
@@ -53,7 +54,7 @@
         Some(ClientConnection { stream, open })
     }
 
-    /// Writes a request's frame; `false`: the connection has ended.
+    /// Writes a request's frame; `false` if the connection has ended.
     pub(super) fn write(&mut self, seqid: i32, request: OpenRequest, frame: &[u8]) -> bool {
         self.open.lock().insert(seqid, request);
         let is_written = self.stream.write_all(frame).is_ok();
@@ -63,7 +64,7 @@
         is_written
     }
 
-    /// Closes the connection; its reading thread ends.
+    /// Closes the connection, which ends its reading thread.
     pub(super) fn close(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -1,10 +1,10 @@
-//! Replays a trace over the edge proxy's real front: stand-in hosts and feed on loopback, the edge proxy as a process
-//! of its own, and clients that send at the trace's times whatever the answers do (an open loop). Bounded in count
-//! and time.
+//! Replays a trace over the edge proxy's real front. Stand-in hosts and a stand-in feed run on loopback, and
+//! the edge proxy runs in a process of its own. The clients send requests at the trace's times, however
+//! slowly these are answered (an open loop). The number of requests and the time are bounded.
 //!
 //! - `proxy`: the edge proxy's process.
-//! - `clients`: the clients, with one `connection` at a time each.
-//! - `report`: what a replay came to; `render` prints it.
+//! - `clients`: the clients, each with one `connection` at a time.
+//! - `report`: the results of a replay; `render` prints them.
 
 mod clients;
 mod connection;
@@ -29,26 +29,28 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The most requests of one replay.
+/// Maximum number of requests in a replay.
 const MAX_REQUESTS: usize = 2_000_000;
-/// The longest real time of one replay.
+/// Maximum real time of a replay.
 const MAX_DURATION: Duration = Duration::from_secs(3600);
-/// The sockets that the edge proxy may have.
+/// Limit of the edge proxy's sockets.
 const PROXY_SOCKETS: u64 = 4096;
 
-/// Why a replay was not played.
+/// Why a trace was not replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
     /// Files, sockets or the edge proxy's process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The map names a class that the site lacks.
-    #[error("no class {0:?}; the stand-in site has piece, replay, standing and result")]
+    /// The map names a class that the stand-in site does not have.
+    #[error("class {0:?} is not defined in the stand-in site, which has piece, replay, standing and result")]
     UnknownClass(String),
-    /// The trace is longer than a replay may be: its requests, and its length in seconds.
-    #[error("{0} requests in {1:.0} s: at most {MAX_REQUESTS} requests and an hour")]
+    /// The replay would exceed a bound; holds its number of requests and its length in seconds.
+    #[error(
+        "the replay has {0} requests in {1:.0} s, at most {MAX_REQUESTS} requests and 3600 s are allowed"
+    )]
     TraceTooLong(usize, f64),
-    /// The edge proxy did not start; with the last line of its log.
+    /// The edge proxy did not start; holds the last line of its log.
     #[error("the edge proxy did not start: {0}")]
     ProxyStart(String),
 }
@@ -56,23 +58,23 @@
 /// How a trace is replayed.
 #[derive(Clone, Debug)]
 pub struct ReplayPlan {
-    /// The program that serves.
+    /// Path of the edge proxy's program.
     pub program: PathBuf,
-    /// The stand-in site.
+    /// Size and seed of the stand-in site.
     pub shape: Shape,
-    /// Client connections.
+    /// Number of clients, each with one connection at a time.
     pub connections: usize,
-    /// How many times as fast the trace's time runs, which multiplies its rate.
+    /// Factor by which the trace's time is sped up; it multiplies the request rate.
     pub speed: f64,
-    /// What goes wrong, in real time from the start.
+    /// Faults; their times are real time from the start.
     pub faults: Vec<Fault>,
-    /// The seed of the site and of the hosts' service times.
+    /// Seed of the trace ids and of the hosts' service times.
     pub seed: u64,
     /// Whether progress is shown on standard error.
     pub progress: bool,
 }
 
-/// What a class's answers are worth, and by when.
+/// Latency objective, deadline and priority weight of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassObjectives {
     latency_objective_ms: f64,
@@ -91,7 +93,7 @@
     }
 }
 
-/// The terms of a trace's classes in a site's settings.
+/// Returns the objectives of a trace's classes from a site's settings.
 fn class_objectives(trace: &Trace, site: &Value) -> Result<Vec<ClassObjectives>, ReplayError> {
     let grades = site["settings"]["grades"].as_array().cloned().unwrap_or_default();
     let objectives = trace.classes.iter().map(|class| {
@@ -101,11 +103,12 @@
     objectives.collect()
 }
 
-/// Replays a trace.
+/// Replays a trace and returns the report.
 ///
 /// # Errors
 ///
-/// What keeps it from being played; how clients are answered is no error but the result.
+/// Returns an error if the trace cannot be replayed. Rejected, failed and unanswered requests are not errors;
+/// the report counts them.
 pub fn replay(trace: &Trace, plan: &ReplayPlan) -> Result<Report, ReplayError> {
     let length = trace.length.as_secs_f64() / plan.speed;
     if trace.requests.len() > MAX_REQUESTS || length > MAX_DURATION.as_secs_f64() {
--- a/src/lab/replay/proxy.rs
+++ b/src/lab/replay/proxy.rs
@@ -1,4 +1,4 @@
-//! The edge proxy as a process of its own, with a folder for its files. Both are removed when it is dropped.
+//! An edge proxy in a process of its own, with a folder for its files.
 
 use super::ReplayError;
 use std::io::{BufRead, BufReader, Read};
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The edge proxy has started by then.
+/// Longest wait for the edge proxy to start.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// What the log says before the address of the front.
+/// Text before the address of the front in the edge proxy's log.
 const LISTEN_TEXT: &str = "listens on ";
 
-/// A running edge proxy.
+/// A running edge proxy. Its process is killed and its folder removed when this is dropped.
 pub(super) struct ProxyProcess {
     child: Child,
-    /// The address of its Thrift front.
+    /// Address of the Thrift front.
     pub(super) address: SocketAddr,
     folder: PathBuf,
 }
@@ -31,7 +31,7 @@
 }
 
 impl ProxyProcess {
-    /// Starts a program with a configuration, and waits until it listens.
+    /// Starts `program` with a configuration, and waits until it listens.
     pub(super) fn start(program: &Path, config: &str) -> Result<Self, ReplayError> {
         let folder = std::env::temp_dir().join(format!("dahliatrack-replay-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -49,23 +49,23 @@
         }
         let mut proxy = ProxyProcess { child, address: SocketAddr::from(([127, 0, 0, 1], 0)), folder };
         proxy.address = wait_for_address(&lines)?;
-        // The rest of the log is dropped; it ends with the process.
+        // Discards the rest of the log; the thread ends with the process.
         thread::spawn(move || lines.iter().for_each(drop));
         Ok(proxy)
     }
 }
 
-/// Reads a log to its end, so that it never fills its pipe.
+/// Forwards the lines of a log until it ends, so that its pipe never fills up.
 fn forward_lines(log: impl Read, lines: &Sender<String>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         let _ = lines.send(line);
     }
 }
 
-/// Waits for the line of the log that states the address of the front.
+/// Waits for the log line with the address of the front, and returns the address.
 fn wait_for_address(lines: &Receiver<String>) -> Result<SocketAddr, ReplayError> {
     let until = Instant::now() + START_TIMEOUT;
-    let mut last = "it said nothing".to_owned();
+    let mut last = "it wrote no log line".to_owned();
     while let Ok(line) = lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
         let address = line.split_once(LISTEN_TEXT).and_then(|(_, address)| address.parse().ok());
         if let Some(address) = address {
--- a/src/lab/replay/render.rs
+++ b/src/lab/replay/render.rs
@@ -1,15 +1,15 @@
-//! Prints a report: a table for the terminal, and a page with plots (minijinja).
+//! Prints a report as a table for the terminal, or as an HTML page with plots (minijinja).
 
 use super::report::{ClassResults, Report};
 use crate::lab::hosts::HostCounts;
 use std::fmt;
 
 impl Report {
-    /// The report as an HTML page.
+    /// Returns the report as an HTML page.
     ///
     /// # Errors
     ///
-    /// The template does not fit the report, which is a defect.
+    /// Returns an error if the template does not fit the report, which is a bug.
     pub fn to_html(&self) -> Result<String, minijinja::Error> {
         let mut templates = minijinja::Environment::new();
         templates.add_filter("format", format_number);
@@ -24,7 +24,8 @@
     }
 }
 
-/// The page's filter for numbers: `%.2f`, `%+.1f`; one place where the form has none.
+/// The page's filter for numbers, for formats such as `%.2f` and `%+.1f`. A format that gives no decimal
+/// places has one.
 fn format_number(form: &str, value: f64) -> String {
     let places = form.trim_end_matches('f').rsplit('.').next().and_then(|places| places.parse().ok());
     let places = places.unwrap_or(1);
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -1,4 +1,4 @@
-//! What a replay came to: figures by class and over time.
+//! The results of a replay, by class and over time.
 
 use super::clients::ClientResults;
 use super::request_outcome::RequestOutcome;
@@ -11,41 +11,41 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Points of the plot.
+/// Number of points of the plot.
 const PLOT_POINTS: usize = 60;
-/// The shortest part of the replay that is a point of the plot, s.
+/// Shortest interval that a point of the plot stands for, in s.
 const MIN_POINT_S: f64 = 1e-6;
-/// The longest time that is recorded, us; more than any deadline.
+/// Longest latency that is recorded, in us; more than any deadline.
 const MAX_RECORDED_US: u64 = 60_000_000;
-/// The significant digits with which times are recorded.
+/// Significant digits of recorded latencies.
 const RECORDED_DIGITS: u8 = 3;
 
-/// One class's figures.
+/// The results of one class.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassResults {
-    /// Its name.
+    /// Name of the class.
     pub class: String,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Served.
+    /// Number of served requests.
     pub served: u64,
-    /// Served within the class's latency objective.
+    /// Number of requests served within the class's latency objective.
     pub on_time: u64,
-    /// Rejected.
+    /// Number of rejected requests.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Never answered.
+    /// Number of requests that were never answered.
     pub unanswered: u64,
-    /// The median time of served requests, ms.
+    /// Median latency of served requests, in ms.
     pub p50_ms: f64,
-    /// The 99th percentile of the time of served requests, ms.
+    /// 99th percentile of the latency of served requests, in ms.
     pub p99_ms: f64,
-    /// The value of the requests that were served in time, and of all.
+    /// Priority weight of the requests served within the latency objective, and of all requests.
     #[serde(rename = "worth")]
     pub value: EarnedValue,
-    /// The rate of the trace against that of the sample.
+    /// Rate of the sample compared with that of the trace.
     #[serde(serialize_with = "as_list")]
     pub rate: RateComparison,
 }
@@ -54,13 +54,13 @@
     <(f64, f64, f64)>::from(*rate).serialize(to)
 }
 
-/// The value that was earned, of what could be; serialized as a list.
+/// Sums of the priority weight of requests; serialized as a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct EarnedValue {
-    /// The value earned.
+    /// Weight of the requests served within their class's latency objective.
     pub earned: f64,
-    /// The value of all requests.
+    /// Weight of all requests.
     pub possible: f64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl EarnedValue {
-    /// The earned part; 0 where nothing could be earned.
+    /// Returns the earned share of the possible value, 0 if nothing was possible.
     pub fn earned_share(&self) -> f64 {
         if self.possible > 0.0 {
             self.earned / self.possible
@@ -81,49 +81,49 @@
     }
 }
 
-/// A point of the plot: requests by the part of the replay in which they were sent.
+/// A point of the plot: the requests that were sent in one interval of the replay.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PlotInterval {
-    /// When the part begins, seconds from the start.
+    /// Start of the interval, in seconds from the start of the replay.
     pub at_s: f64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Served.
+    /// Number of served requests.
     pub served: u64,
-    /// Rejected, failed or not answered.
+    /// Number of requests that were rejected, failed or not answered.
     pub lost: u64,
-    /// The longest time of a served request, ms.
+    /// Longest latency of a served request, in ms.
     pub slowest_ms: f64,
 }
 
-/// What a replay came to.
+/// The report of a replay.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The trace's time that was played, s.
+    /// Length of the trace's sample that was replayed, in seconds of the trace's time.
     pub trace_s: f64,
-    /// The real time that it took, s.
+    /// Real time that the replay took, in s.
     pub took_s: f64,
-    /// How many times as fast the trace's time ran.
+    /// Factor by which the trace's time was sped up.
     pub speed: f64,
-    /// What became of the trace's rows, in words.
+    /// Text that counts the trace's rows by what became of them.
     pub rows: String,
-    /// Slices that the sample is made of.
+    /// Number of slices of the trace that the sample consists of.
     pub slices: usize,
-    /// By class.
+    /// Results by class, in the map's order.
     pub classes: Vec<ClassResults>,
-    /// Requests that reached the stand-in hosts.
+    /// Numbers of requests that reached the stand-in hosts.
     #[serde(rename = "upstream")]
     pub host_counts: HostCounts,
-    /// The faults, in words.
+    /// The faults as texts, each with its time.
     pub faults: Vec<String>,
-    /// Over time.
+    /// The points of the plot, ordered by time.
     pub moments: Vec<PlotInterval>,
-    /// How late a request was sent at the worst, ms.
+    /// How much later than planned a request was sent, at most, in ms.
     #[serde(rename = "behind_ms")]
     pub max_lateness_ms: f64,
 }
 
-/// What was measured.
+/// The measured data of a replay.
 pub(super) struct Measurement {
     pub(super) played: ClientResults,
     pub(super) took: Duration,
@@ -131,7 +131,7 @@
 }
 
 impl Report {
-    /// The report of a replay, with the terms of the trace's classes.
+    /// Makes the report of a replay; `objectives` are those of the trace's classes, in the same order.
     pub(super) fn new(
         trace: &Trace,
         plan: &ReplayPlan,
@@ -164,7 +164,7 @@
     }
 }
 
-/// The requests over time, of a replay of this length in seconds.
+/// Returns the points of the plot for a replay of `length_s` seconds.
 fn plot_intervals(outcomes: &[RequestOutcome], length_s: f64) -> Vec<PlotInterval> {
     let part = (length_s / PLOT_POINTS as f64).max(MIN_POINT_S);
     let at = |number| PlotInterval { at_s: number as f64 * part, ..PlotInterval::default() };
@@ -183,7 +183,7 @@
     moments
 }
 
-/// The figures of a class's requests, without its name and rate.
+/// Returns the results of a class from the outcomes of its requests, without the class's name and rate.
 fn class_results<'a>(
     outcomes: impl Iterator<Item = &'a RequestOutcome>,
     objectives: &ClassObjectives,
--- a/src/lab/replay/request_outcome.rs
+++ b/src/lab/replay/request_outcome.rs
@@ -1,15 +1,16 @@
-//! The ends of a replay's requests.
+//! The outcome of a request of a replay.
 
 use crate::standin::thrift_client::Answered;
 use std::time::Duration;
 
 /// How a request ended, as its client saw it.
 pub(super) struct RequestOutcome {
-    /// Its class, by its place in the trace's map.
+    /// Index of the request's class in the trace's map.
     pub(super) class: usize,
-    /// When it was sent, from the start.
+    /// When the request was sent, from the start of the replay.
     pub(super) sent: Duration,
+    /// Time from sending the request to its answer; zero if it got no answer.
     pub(super) latency: Duration,
-    /// `None`: it got no answer.
+    /// Kind of the answer; `None` if the request got no answer.
     pub(super) answer: Option<Answered>,
 }
--- a/src/lab/synthetic_trace.rs
+++ b/src/lab/synthetic_trace.rs
@@ -1,49 +1,50 @@
-//! Synthetic traces in a published format, the same for the same seed: an evening that swells and falls, with bursts,
-//! objects by Zipf's law, durations log-normal.
+//! Synthetic traces in a published format; the same seed gives the same trace. The rate rises and falls as
+//! over an evening, with bursts. The objects' popularity follows Zipf's law, and durations are log-normal.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Zipf};
 use std::io::{self, Write};
 
-/// A synthetic trace.
+/// Size and seed of a synthetic trace.
 #[derive(Clone, Copy, Debug)]
 pub struct SyntheticTrace {
-    /// Its length, s.
+    /// Length of the trace, in s.
     pub seconds: f64,
-    /// Its mean rate, rows a second.
+    /// Mean rate, in rows per second.
     pub rate: f64,
-    /// Objects.
+    /// Number of different objects.
     pub objects: u64,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
 /// A row of the trace.
 struct SyntheticRow {
-    /// When it ends, s.
+    /// End of the request, in s from the start of the trace.
     end: f64,
-    /// How long it takes, s.
+    /// Duration of the request, in s.
     duration: f64,
     object: u64,
 }
 
-/// The longest duration of a row, s.
+/// Longest duration of a row, in s.
 const MAX_DURATION_S: f64 = 30.0;
-/// The parameters of the durations' log-normal distribution, of seconds.
+/// Parameters of the log-normal distribution of durations in seconds.
 const DURATION_MU: f64 = -3.0;
 const DURATION_SIGMA: f64 = 1.2;
-/// The exponent of the objects' Zipf distribution.
+/// Exponent of the objects' Zipf distribution.
 const ZIPF_EXPONENT: f64 = 1.0;
-/// One in so many half minutes has a burst.
+/// One of every `BURST_PERIOD` half minutes has a burst: the one with index `BURST_OFFSET`, counted from 0.
 const BURST_PERIOD: u64 = 7;
 const BURST_OFFSET: u64 = 3;
-/// Objects are spread over so many applications.
+/// Number of applications that the objects are spread over.
 const APPLICATIONS: u64 = 17;
 
 impl SyntheticTrace {
-    /// Rows a second at a time: an evening with half its mean at the ends and one and a half times in the middle, and
-    /// bursts of half a minute.
+    /// Returns the rate at a time, in rows per second. Apart from bursts of half a minute, it rises from 0.5
+    /// to about 1.3 times a base rate in the middle of the trace and falls again. The base rate is 0.9 times
+    /// the mean rate, and 1.6 times in a burst.
     fn rate_at(&self, at: f64) -> f64 {
         let part = at / self.seconds;
         let evening = 0.5 + (std::f64::consts::PI * part).sin() * std::f64::consts::FRAC_PI_4;
@@ -52,7 +53,7 @@
         (self.rate * evening * burst).max(1e-6)
     }
 
-    /// The rows, in the order of their ends.
+    /// Draws the rows and returns them in the order of their ends.
     fn rows(&self) -> io::Result<Vec<SyntheticRow>> {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         let zipf = Zipf::new(self.objects.max(1) as f64, ZIPF_EXPONENT).map_err(io::Error::other)?;
@@ -69,12 +70,12 @@
         Ok(rows)
     }
 
-    /// Writes it in the format of the Azure Functions Invocation Trace 2021:
-    /// `app,func,end_timestamp,duration`, in the order of the ends.
+    /// Writes the trace in the format of the Azure Functions Invocation Trace 2021
+    /// (`app,func,end_timestamp,duration`), in the order of the ends.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// Returns an error if `out` cannot be written, or if a distribution has no valid parameters.
     pub fn write_azure(&self, out: &mut dyn Write) -> io::Result<()> {
         let rows = self.rows()?;
         writeln!(out, "app,func,end_timestamp,duration")?;
--- a/src/lab/views.rs
+++ b/src/lab/views.rs
@@ -1,7 +1,7 @@
-//! The logs of xDS clients, and what they break.
+//! Logs of xDS clients, and the rules that they must satisfy.
 //!
-//! [`find_breaches`] holds the logs against the control feed's events: drains and purges within a deadline, and no
-//! client ever goes back to an older version.
+//! [`find_breaches`] checks the logs against the control feed's events: drains and purges must reach each
+//! client within a deadline, and no client may go back to an older version.
 
 mod check;
 mod log;
--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -1,4 +1,4 @@
-//! Holds clients' logs against what the control feed stated. Pure: logs in, breaches out.
+//! Checks clients' logs against the control feed's events. Does no I/O and keeps no state.
 
 use super::log::{ClientEvent, FeedChange, FeedEvent, LogEntry, View};
 use crate::control::resource::ResourceType;
@@ -6,70 +6,71 @@
 use crate::interface::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that a client's log breaks.
+/// A rule that a client's log breaks, with the case in which it does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// It still had a server that had left, later than the deadline allows.
+    /// The client had a server, or received it again, after the deadline that follows its drain or removal.
     StaleServer {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The server.
+        /// Name of the server.
         server: String,
-        /// How long after the feed's event.
+        /// Time from the feed's event to the first late view with the server. If there was none: to the view
+        /// that replaced the stale one, or to the deadline if none did.
         after: Span,
     },
-    /// It did not know of a purge within the deadline.
+    /// The client was not told of a purge within the deadline.
     MissedPurge {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The object or group.
+        /// Object or group that was purged.
         what: String,
     },
-    /// A version came after a newer one of the same run.
+    /// The client received a version after a newer one of the same run of the control service.
     OlderVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The resource type.
+        /// Resource type of both versions.
         resource_type: ResourceType,
-        /// The newer version, which came first.
+        /// The newer version, which was received first.
         newer: String,
-        /// The older version.
+        /// The older version, which was received later.
         older: String,
     },
-    /// A version that is none of the control service's.
+    /// The client received a version that is not in the control service's format.
     MalformedVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The version.
+        /// The version as received.
         version: String,
     },
-    /// A version came again that the client had rejected.
+    /// The client received a version that it had rejected before.
     ResentVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The version.
+        /// The rejected version.
         version: String,
     },
 }
 
-/// A server that left, as far as the feed says.
+/// The period in which a server must not be used, by the feed's events.
 struct UnusablePeriod<'a> {
     server: &'a str,
     unusable_at: Instant,
-    /// Until when clients may still have it.
+    /// Time until which clients may still have the server.
     deadline: Instant,
-    /// When it may be used again; [`Instant::MAX`]: it does not return.
+    /// When the server may be used again; [`Instant::MAX`] if it does not return.
     usable_at: Instant,
 }
 
-/// The log of one client, in the order of time.
+/// The log of one client, ordered by time.
 struct ClientLog<'a> {
     client: &'a str,
     entries: Vec<&'a LogEntry>,
 }
 
-/// For each departure of a server and each client that had it: how long after the feed's event the client accepted a
-/// view without it. The measurement behind the deadline.
+/// Returns the delays that the drain deadline bounds: for each event that makes a server unusable and each
+/// client that had the server, the time from the event until the client accepted endpoints without it.
 pub fn drain_delays(log: &[LogEntry], events: &[FeedEvent]) -> Vec<Span> {
     let clients = by_client(log);
     let mut delays = Vec::new();
@@ -80,7 +81,8 @@
     delays
 }
 
-/// Holds logs against the feed's events. `bound` is how long after an event a client may still have the old view.
+/// Checks logs against the feed's events and returns the breaches, sorted. `bound` is how long after an event
+/// a client may still have the old view.
 pub fn find_breaches(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
     for client in by_client(log) {
@@ -102,7 +104,7 @@
     breaches.into_iter().collect()
 }
 
-/// When a server that left at some time may be used again.
+/// Returns when a server that became unusable at `unusable_at` may be used again, [`Instant::MAX`] for never.
 fn usable_at(events: &[FeedEvent], server: &str, unusable_at: Instant) -> Instant {
     let later_events = events.iter().filter(|event| event.at > unusable_at);
     let later_events = later_events
@@ -120,7 +122,7 @@
 }
 
 impl<'a> ClientLog<'a> {
-    /// The views of a type that the client accepted, and when.
+    /// Returns the views of a type that the client accepted, each with the time at which it did.
     fn accepted(&self, resource_type: ResourceType) -> impl Iterator<Item = (Instant, &'a View)> + '_ {
         self.entries.iter().filter_map(move |entry| match &entry.event {
             ClientEvent::Received(view) if view.resource_type == resource_type && view.accepted => {
@@ -130,13 +132,13 @@
         })
     }
 
-    /// The view of a type that is in force at some time.
+    /// Returns the view of a type that is in force at a time: the last one that was accepted until then.
     fn view_in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
         let earlier = self.accepted(resource_type).take_while(|(accepted_at, _)| *accepted_at <= at);
         earlier.last().map(|(_, view)| view)
     }
 
-    /// Whether the client was connected from one time to another without a break.
+    /// Whether the client was connected from `from` to `to` without interruption.
     fn was_connected(&self, from: Instant, to: Instant) -> bool {
         let mut connected = false;
         for entry in &self.entries {
@@ -150,8 +152,8 @@
         connected
     }
 
-    /// How long after a server left the client accepted endpoints without it; `None`: it did not have it, or never
-    /// accepted such.
+    /// Returns the time from when a server became unusable until the client accepted endpoints without it;
+    /// `None` if the client did not have the server, or never accepted endpoints without it.
     fn drain_delay(&self, server: &str, unusable_at: Instant) -> Option<Span> {
         let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < unusable_at).last();
         before.filter(|(_, view)| view.servers.contains(server))?;
@@ -170,7 +172,10 @@
         Some(Breach::StaleServer { client, server: period.server.to_owned(), after })
     }
 
-    /// How long after a server left the client still had it, or got it anew, between the deadline and its return.
+    /// Returns how long after a server became unusable the client still had it, or received it again, in the
+    /// time from the deadline until the server may be used again. `None` if neither was the case. A client
+    /// that was not connected up to the deadline is not blamed for a view that it still had, only for one
+    /// that it received later.
     fn stale_for(&self, resource_type: ResourceType, period: &UnusablePeriod<'_>) -> Option<Span> {
         let forbidden = period.deadline..period.usable_at;
         let lists_server = |view: &View| view.servers.contains(period.server);
@@ -196,7 +201,7 @@
         Some(Breach::MissedPurge { client: self.client.to_owned(), what: what.to_owned() })
     }
 
-    /// The versions of one run never go back, and what was rejected does not come again.
+    /// Checks that the versions of one run never go back, and that a rejected version is not received again.
     fn check_versions(&self, breaches: &mut BTreeSet<Breach>) {
         let mut newest: BTreeMap<(ResourceType, Epoch), Version> = BTreeMap::new();
         let mut rejected: BTreeSet<(ResourceType, Epoch, Sequence)> = BTreeSet::new();
--- a/src/lab/views/log.rs
+++ b/src/lab/views/log.rs
@@ -1,48 +1,50 @@
-//! The logs of xDS clients: what each received, and when; and what the control feed stated meanwhile.
+//! Logs of xDS clients (what each client received, and when) and the control feed's events during the same
+//! time.
 
 use crate::control::resource::ResourceType;
 use crate::interface::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A line of a client's log.
+/// An entry of a client's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
-    /// The client's name; one that reconnects keeps it.
+    /// Name of the client, which it keeps when it reconnects.
     pub client: String,
-    /// When, on the clock of all logs.
+    /// Time on the clock that all logs share.
     pub at: Instant,
-    /// What happened.
+    /// What happened to the client.
     pub event: ClientEvent,
 }
 
-/// What happened to a client.
+/// An event in a client's log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
-    /// Its stream came up.
+    /// The client's stream was opened.
     Connected,
-    /// Its stream ended.
+    /// The client's stream ended, or the client was stopped.
     Ended,
-    /// It received a response.
+    /// The client received a response, which results in this view.
     Received(View),
 }
 
-/// What a client knows of one resource type by a response, and whether it accepted it.
+/// The content of one resource type at a client after a response, and whether the client accepted the
+/// response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// The resource type.
+    /// Resource type of the response.
     pub resource_type: ResourceType,
-    /// The version that came with it, as it was stated.
+    /// Version of the response, as received.
     pub version: String,
-    /// The servers that the client would send to by now, all resources of the type together.
+    /// Servers that the client would send requests to, over all resources of the type.
     pub servers: BTreeSet<String>,
-    /// By the object or group that was purged: the Unix millisecond that copies must be newer than.
+    /// By purged object or group, the Unix time in ms that cached copies must be newer than.
     pub newer_than_ms: BTreeMap<String, i64>,
     /// Whether the client accepted it (ACK) or rejected it (NACK).
     pub accepted: bool,
 }
 
 impl View {
-    /// An accepted view of a type that names no server.
+    /// Returns an accepted view of a type, without servers or purges.
     pub fn new(resource_type: ResourceType, version: &str) -> Self {
         View {
             resource_type,
@@ -54,27 +56,27 @@
     }
 }
 
-/// What the control feed stated, and when.
+/// An event of the control feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedEvent {
-    /// When, on the clock of all logs.
+    /// When the feed published the event, on the clock that all logs share.
     pub at: Instant,
-    /// What changed.
+    /// What the event changes.
     pub change: FeedChange,
 }
 
-/// What the control feed stated.
+/// The change that an event of the control feed makes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedChange {
-    /// A server may no longer be used: it drains or was removed.
+    /// The server of this name must no longer be used: it is draining or was removed.
     ServerUnusable(String),
-    /// A server may be used again.
+    /// The server of this name may be used again.
     ServerUsable(String),
-    /// A purge.
+    /// Copies of an object or of a group of objects were purged.
     Purged {
-        /// The object or group as the routes name it.
+        /// Object or group, named as in the routes.
         what: String,
-        /// The Unix millisecond at which it was made.
+        /// Unix time of the purge, in ms.
         at_ms: i64,
     },
 }
--- a/src/lab/views/tests.rs
+++ b/src/lab/views/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `views`.
-
 use super::*;
 use crate::control::resource::ResourceType;
 use crate::interface::{Instant, Span};
@@ -7,7 +5,7 @@
 
 const BOUND: Span = Span::from_millis(1);
 
-/// At microseconds of the logs' clock.
+/// Returns a log entry of client "a"; `at` is in us.
 fn entry(at: i64, event: ClientEvent) -> LogEntry {
     LogEntry { client: "a".into(), at: Instant::from_micros(at), event }
 }
@@ -53,9 +51,10 @@
     assert_eq!(
         find_breaches(&[connected.clone(), before.clone()], &events, BOUND),
         [stale_server(1000)],
-        "never told"
+        "no view without the server was received"
     );
-    // One that was not connected can't be blamed for what it had, but must not get it later.
+    // A client that was not connected is not blamed for the server that it had, but must not receive it
+    // later.
     let ended = entry(200, ClientEvent::Ended);
     assert_eq!(find_breaches(&[connected.clone(), before.clone(), ended.clone()], &events, BOUND), []);
     let again = [
@@ -70,7 +69,7 @@
     assert_eq!(
         find_breaches(&again, &[server_unusable(100), returned], BOUND),
         [],
-        "it may be used again by then"
+        "the server may be used again by then"
     );
     // A rejected view is not in force.
     let nacked = [connected.clone(), before, received(500, rejected(view(Endpoints, "e.2", &["t"])))];
--- a/src/lab/xds/client.rs
+++ b/src/lab/xds/client.rs
@@ -1,4 +1,4 @@
-//! A client that runs by itself.
+//! A client that answers, logs and reconnects without being driven by a test.
 
 use super::log_clock::log_time;
 use super::state::ClientState;
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a client waits before it connects again after a failure.
+/// Wait after a failed connect before the next one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// The client's task.
 struct Client {
     plan: ClientPlan,
     state: ClientState,
     log: mpsc::UnboundedSender<LogEntry>,
 }
 
-/// Runs a client until it is told to stop: takes views, answers them, logs them, and reconnects with what it has.
+/// Runs a client until `stop` is true: it receives views, answers and logs them, and reconnects with the
+/// state it has.
 pub async fn run_client(
     plan: ClientPlan,
     log: mpsc::UnboundedSender<LogEntry>,
@@ -39,7 +39,7 @@
 }
 
 impl Client {
-    /// Takes and answers views until the stream ends or the client is to stop.
+    /// Receives and answers views until the stream ends or the client is stopped.
     async fn serve(&mut self, mut stream: ClientStream, stop: &mut watch::Receiver<bool>) {
         self.log(ClientEvent::Connected);
         for resource_type in ResourceType::ALL {
@@ -60,7 +60,8 @@
         self.log(ClientEvent::Ended);
     }
 
-    /// The server for whose lack the client rejects a view; it does so once.
+    /// Returns the required server if the view is one of endpoints without it, so that the client rejects the
+    /// view. This happens only once: the server is not required after that.
     fn missing_server(&mut self, view: &View) -> Option<String> {
         let is_endpoints = view.resource_type == ResourceType::Endpoints;
         let is_missing = |server: &mut String| is_endpoints && !view.servers.contains(server);
--- a/src/lab/xds/decode.rs
+++ b/src/lab/xds/decode.rs
@@ -1,4 +1,4 @@
-//! What a client reads from the resources that it was sent.
+//! Decodes the resources that a client received.
 
 use crate::control::resource::ResourceType;
 use crate::control::wire;
@@ -16,7 +16,7 @@
 use envoy_types::pb::google::protobuf::Any;
 use prost::{DecodeError, Message};
 
-/// Adds what a resource states to a view of its type.
+/// Adds the servers and purges of a resource to a view of its type.
 pub(super) fn add_to_view(body: &[u8], view: &mut View) -> Result<(), DecodeError> {
     match view.resource_type {
         ResourceType::Clusters => {}
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// A resource's own name; state-of-the-world responses do not state it beside the resource.
+/// Returns the name inside a resource. State-of-the-world responses do not state it outside the resource.
 pub(super) fn resource_name(resource_type: ResourceType, any: &Any) -> Result<String, DecodeError> {
     let body = &any.value[..];
     Ok(match resource_type {
@@ -56,14 +56,14 @@
     }
 }
 
-/// The value of a header that a route adds.
+/// Returns the value of a request header that a route adds.
 fn added_header<'a>(route: &'a Route, name: &str) -> Option<&'a str> {
     let mut headers = route.request_headers_to_add.iter().filter_map(|option| option.header.as_ref());
     let header = headers.find(|header| header.key == name)?;
     Some(&header.value)
 }
 
-/// The value that a route matches of a header.
+/// Returns the exact value that a route matches a header against.
 fn matched_header<'a>(route: &'a Route, name: &str) -> Option<&'a str> {
     let headers = &route.r#match.as_ref()?.headers;
     let header = headers.iter().find(|header| header.name == name)?;
@@ -76,7 +76,7 @@
     }
 }
 
-/// The servers that a route names as subsets of its cluster.
+/// Returns the servers that a route names in the subset metadata of its weighted clusters.
 fn subset_servers(route: &Route) -> Vec<String> {
     let Some(Action::Route(action)) = &route.action else { return Vec::new() };
     let Some(ClusterSpecifier::WeightedClusters(weighted)) = &action.cluster_specifier else {
--- a/src/lab/xds/log_clock.rs
+++ b/src/lab/xds/log_clock.rs
@@ -1,13 +1,13 @@
-//! The clock of the clients' logs.
+//! The clock that all clients' logs share.
 
 use crate::control::clock::ServiceClock;
 use crate::interface::Instant;
 use std::sync::LazyLock;
 
-/// The clock of all logs of this process, so that their times can be compared.
+/// One clock for all logs of this process, so that their times can be compared.
 static LOG_CLOCK: LazyLock<ServiceClock> = LazyLock::new(ServiceClock::system);
 
-/// The time of logs: monotonic, from the Unix time of its first use on.
+/// Returns the time for log entries. It is monotonic and starts at the Unix time of its first use.
 pub fn log_time() -> Instant {
     LOG_CLOCK.now()
 }
--- a/src/lab/xds/measure/clients.rs
+++ b/src/lab/xds/measure/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a measurement, and what they have logged so far.
+//! The clients of a measurement and their logs.
 
 use super::delays::DrainDelays;
 use super::MeasurePlan;
@@ -17,19 +17,19 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long after a drain a client may still have the cache: the platform's bound.
+/// The drain deadline: how long after a drain a client may still have the cache.
 const DRAIN_BOUND: Span = Span::from_secs(1);
-/// The class of table caches in a made-up site's list.
+/// Class of table caches in a stand-in site's endpoint list.
 const CACHE_CLASS: &str = "std";
 
-/// The clients, and what they have logged so far.
+/// The running clients, and what they have logged so far.
 pub(super) struct MeasuredClients {
-    /// Each client's point.
+    /// Point of each client.
     client_points: Vec<String>,
     entries: mpsc::UnboundedReceiver<LogEntry>,
     stop: watch::Sender<bool>,
     log: Vec<LogEntry>,
-    /// By client and resource type: the servers of the last view.
+    /// By client and resource type, the servers of the last view.
     servers: BTreeMap<String, BTreeMap<ResourceType, BTreeSet<String>>>,
     feed_events: Vec<FeedEvent>,
 }
@@ -60,13 +60,14 @@
         }
     }
 
-    /// Clients that have views of all types.
+    /// Returns the number of clients that have views of all types.
     pub(super) fn ready(&self) -> usize {
         let types = ResourceType::ALL.len();
         self.servers.values().filter(|servers| servers.len() == types).count()
     }
 
-    /// Waits until all clients have views of all types.
+    /// Waits until all clients have views of all types. Gives up when `timeout` has passed since `started`,
+    /// which is checked after each entry, or when no entry was received for `timeout`.
     pub(super) async fn wait_until_ready(&mut self, timeout: Duration, started: std::time::Instant) {
         while self.ready() < self.client_points.len() && started.elapsed() < timeout {
             if let Ok(Some(entry)) = tokio::time::timeout(timeout, self.entries.recv()).await {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes in an entry of a client's log.
+    /// Adds an entry to the log and updates the servers of the client's last view.
     fn record(&mut self, entry: LogEntry) {
         if let ClientEvent::Received(view) = &entry.event {
             let servers = self.servers.entry(entry.client.clone()).or_default();
@@ -84,19 +85,19 @@
         self.log.push(entry);
     }
 
-    /// Whether a client's last view of endpoints has a server.
+    /// Whether a client's last view of endpoints lists a server.
     fn lists(&self, client: &str, server: &str) -> bool {
         let servers = self.servers.get(client);
         let endpoints = servers.and_then(|servers| servers.get(&ResourceType::Endpoints));
         endpoints.is_some_and(|endpoints| endpoints.contains(server))
     }
 
-    /// Clients whose last view of endpoints has a server.
+    /// Returns the number of clients whose last view of endpoints lists a server.
     fn count_listing(&self, server: &str) -> usize {
         self.servers.keys().filter(|client| self.lists(client, server)).count()
     }
 
-    /// Drains caches one after another, each of which returns before the next.
+    /// Drains caches one after another; each is restored before the next one is drained.
     pub(super) async fn drain_caches(
         &mut self,
         plan: &MeasurePlan,
@@ -112,7 +113,7 @@
         Ok(delays)
     }
 
-    /// Drains a cache and records how long its clients' views without it took.
+    /// Drains a cache, and records how long each client and the last one took to receive a view without it.
     async fn drain(&mut self, feed: &StandInFeed, host: &Value, timeout: Duration, delays: &mut DrainDelays) {
         let server = server_name(host);
         let drained_at = self.set_health(feed, host, "draining", FeedChange::ServerUnusable(server.clone()));
@@ -129,7 +130,7 @@
         delays.last_client.saturating_record(slowest);
     }
 
-    /// Lets a cache return, and waits until all clients of its point have it.
+    /// Sets a drained cache to `up`, and waits until all clients of its point have it again.
     async fn restore(&mut self, feed: &StandInFeed, host: &Value, timeout: Duration) {
         let server = server_name(host);
         let returned_at = self.set_health(feed, host, "up", FeedChange::ServerUsable(server.clone()));
@@ -141,7 +142,7 @@
         }
     }
 
-    /// States a server's new health over the feed; returns when.
+    /// Publishes a server's new health on the feed and returns the time of the event.
     fn set_health(&mut self, feed: &StandInFeed, host: &Value, health: &str, change: FeedChange) -> Instant {
         let at = log_time();
         feed.publish_health(host, health);
@@ -149,7 +150,8 @@
         at
     }
 
-    /// The next entry of any client's log; `None`: none came within `wait` after `since`.
+    /// Waits for the next log entry of any client; `None` if none was received within `timeout` after
+    /// `since`.
     async fn next_entry(&mut self, since: Instant, timeout: Duration) -> Option<LogEntry> {
         let waited = log_time() - since;
         let remaining = timeout.saturating_sub(waited.to_std());
@@ -162,7 +164,7 @@
         is_endpoints_without(view, server) && self.lists(&entry.client, server)
     }
 
-    /// Stops clients and service; returns what the logs break.
+    /// Stops the clients and the service, and returns the breaches in the logs.
     pub(super) async fn stop(mut self, running: Running) -> Result<Vec<Breach>, ControlError> {
         let _ = self.stop.send(true);
         running.stop().await?;
@@ -181,7 +183,7 @@
     host["host"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The points that have caches, sorted.
+/// Returns the points that have caches, sorted.
 fn points(hosts: &[Value]) -> Vec<String> {
     let caches = hosts.iter().filter(|host| host["class"] == CACHE_CLASS);
     let points: BTreeSet<&str> = caches.filter_map(|host| host["site"].as_str()).collect();
--- a/src/lab/xds/measure/delays.rs
+++ b/src/lab/xds/measure/delays.rs
@@ -1,18 +1,18 @@
-//! How long drains took to reach the clients.
+//! Histograms of how long drains took to reach the clients.
 
 use crate::control::service::ControlError;
 use hdrhistogram::Histogram;
 
-/// The longest time that is recorded.
+/// Longest time that is recorded, in us; longer ones are recorded as this.
 const MAX_RECORDED_US: u64 = 600_000_000;
-/// The significant digits with which times are recorded.
+/// Significant digits of recorded times.
 const RECORDED_DIGITS: u8 = 3;
 
-/// How long drains took to reach the clients, us.
+/// How long drains took to reach the clients, in us.
 pub(super) struct DrainDelays {
-    /// To each client's view.
+    /// From a drain to each client's view without the cache.
     pub(super) each_client: Histogram<u64>,
-    /// To the last client's view.
+    /// From a drain to the last client's view without the cache.
     pub(super) last_client: Histogram<u64>,
 }
 
--- a/src/lab/xds/measure/mod.rs
+++ b/src/lab/xds/measure/mod.rs
@@ -1,8 +1,9 @@
-//! The measurement: clients come up, caches are drained one after another, and each client's view is awaited.
+//! Measures the control service: starts clients, drains caches one after another, and waits for each client's
+//! view without the drained cache.
 //!
-//! - `clients`: the clients and their logs; drains caches and waits for the views.
-//! - `delays`: how long drains took.
-//! - `report`: what was measured.
+//! - `clients`: runs the clients, drains caches and waits for the views.
+//! - `delays`: histograms of the drain delays.
+//! - `report`: the result and its text.
 
 mod clients;
 mod delays;
@@ -19,24 +20,25 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How the control service is measured.
+/// Size and duration of a measurement of the control service.
 #[derive(Clone, Debug)]
 pub struct MeasurePlan {
-    /// Clients, half of each variant, assigned to the points in turn.
+    /// Number of clients. Half of them use each protocol variant; they are assigned to the points in turn.
     pub clients: usize,
-    /// The site.
+    /// Size and seed of the stand-in site.
     pub shape: Shape,
-    /// Caches drained one after another, each of which returns before the next.
+    /// Number of drains, one after another; each cache is restored before the next drain.
     pub drains: usize,
-    /// The longest that one drain is waited for.
+    /// Timeout of the wait for all clients' first views, and of the wait for the clients' views after each
+    /// drain and each restore.
     pub timeout: Duration,
 }
 
-/// Measures a control service in this process, with stand-in clients in it too.
+/// Measures a control service that runs in this process, as its stand-in clients do.
 ///
 /// # Errors
 ///
-/// The service does not start, or the measurement's histograms can't be had.
+/// Returns an error if the service does not start or stop, or if a histogram cannot be created.
 pub async fn measure(plan: &MeasurePlan) -> Result<Measurement, ControlError> {
     raise_descriptor_limit();
     let feed = StandInFeed::default();
@@ -71,7 +73,7 @@
     })
 }
 
-/// What the process has used and the service has done so far.
+/// Processor time of the process and counters of the service, up to now.
 struct Counters {
     processor_time: Duration,
     snapshots: u64,
--- a/src/lab/xds/measure/report.rs
+++ b/src/lab/xds/measure/report.rs
@@ -1,33 +1,35 @@
-//! What was measured, and how it is printed.
+//! The result of a measurement, and its text.
 
 use crate::lab::views::Breach;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::Duration;
 
-/// The breaches that a report lists.
+/// Number of breaches that the text lists at most.
 const LISTED_BREACHES: usize = 5;
 
-/// What was measured.
+/// The result of a measurement.
 #[derive(Clone, Debug)]
 pub struct Measurement {
-    /// From a drain to each client's view without the cache, us.
+    /// Time from a drain to each client's view without the cache, in us.
     pub each_client: Histogram<u64>,
-    /// From a drain to the last client's view without the cache, us.
+    /// Time from a drain to the last client's view without the cache, in us.
     pub last_client: Histogram<u64>,
-    /// What the logs break.
+    /// Rules that the clients' logs break.
     pub breaches: Vec<Breach>,
-    /// Memory of the process beyond what it had before clients came, bytes by client: both ends of each connection.
+    /// Memory that the process gained since before the clients were started, in bytes per client. It includes
+    /// both ends of each connection.
     pub memory_per_client: u64,
-    /// Processor time of the process during the drains, by snapshot: both ends.
+    /// Processor time of the process during the drains, per snapshot. It includes both ends of each
+    /// connection.
     pub processor_time_per_snapshot: Duration,
-    /// Snapshots that were published meanwhile.
+    /// Number of snapshots that the service published during the drains.
     pub snapshots: u64,
-    /// Responses that were sent meanwhile.
+    /// Number of responses that the service sent during the drains.
     pub sent: u64,
-    /// Clients that had views of all types in time.
+    /// Number of clients that had views of all types before the drains began.
     pub ready_clients: usize,
-    /// How long until the last of them had.
+    /// Time from the start of the clients until these had all views, or until the timeout.
     pub ready_after: Duration,
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Writes a breach on a line of its own, its span in microseconds.
+/// Writes a breach on a line of its own, with its time span in us.
 fn write_breach(formatter: &mut fmt::Formatter, breach: &Breach) -> fmt::Result {
     let Breach::StaleServer { client, server, after } = breach else {
         return write!(formatter, "\n  {breach:?}");
--- a/src/lab/xds/mod.rs
+++ b/src/lab/xds/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in xDS clients that log each view they receive, and the measurement of the control service by them: from the
-//! feed's event of a drain to the last client's view without that cache.
+//! Stand-in xDS clients that log each view they receive, and a measurement of the control service with them:
+//! the time from the feed's event of a drain to the last client's view without that cache.
 
 mod client;
 mod decode;
--- a/src/lab/xds/site.rs
+++ b/src/lab/xds/site.rs
@@ -1,4 +1,4 @@
-//! A control service of a made-up site, in this process.
+//! Starts the control service of a stand-in site in this process.
 
 use crate::config::hcl_document::HclDocument;
 use crate::config::{Config, ConfigError};
@@ -10,33 +10,34 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The port of the site's first server; nothing listens there.
+/// Port of the site's first server. Nothing listens there.
 const FIRST_PORT: usize = 10_000;
 
-/// How a site's control service is started.
+/// How the control service of a stand-in site is started.
 pub struct SiteSetup<'a> {
-    /// The site.
+    /// Size and seed of the site.
     pub shape: Shape,
-    /// The operator's file.
+    /// Text of the operator's settings file (HCL).
     pub control: &'a str,
-    /// The control feed that the service watches; one that has stated nothing states the site's list first.
+    /// Control feed that the service watches. If it has no events yet, the site's endpoint list is published
+    /// first.
     pub feed: &'a StandInFeed,
-    /// What the service knows at its start; `None`: what the feed has stated.
+    /// Events that the service knows when it starts; `None` for all events of the feed so far.
     pub known: Option<Value>,
-    /// The clock that it goes by.
+    /// Clock of the service.
     pub clock: ServiceClock,
 }
 
-/// A control service that is up.
+/// A running control service of a stand-in site.
 pub struct StartedSite {
-    /// The service.
+    /// The running service, to be stopped by the caller.
     pub running: Running,
-    /// The entries of the site's endpoint list.
+    /// Entries of the site's endpoint list.
     pub hosts: Vec<Value>,
 }
 
 impl<'a> SiteSetup<'a> {
-    /// A site whose service knows what the feed has stated, and goes by the system's clocks.
+    /// Returns a setup in which the service knows all events of the feed and uses the system's clocks.
     pub fn new(shape: Shape, control: &'a str, feed: &'a StandInFeed) -> Self {
         SiteSetup { shape, control, feed, known: None, clock: ServiceClock::system() }
     }
@@ -45,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// The service does not start.
+    /// Returns an error if the feed cannot listen, or if the service does not start.
     pub async fn start(self) -> Result<StartedSite, ControlError> {
         let feed_addr = self.feed.serve()?.to_string();
         let mut site = config(&self.shape, &feed_addr, |number| format!("127.0.0.1:{}", FIRST_PORT + number));
@@ -56,7 +57,7 @@
         }
         site["known"] = self.known.unwrap_or_else(|| self.feed.known());
         let config = Config::parse(site.to_string().as_bytes())
-            .map_err(|text| ConfigError::invalid(Path::new("made-up site"), text))?;
+            .map_err(|text| ConfigError::invalid(Path::new("stand-in site"), text))?;
         let settings = ControlSettings::parse(HclDocument { file: "control.hcl", text: self.control })?;
         let running = start_with_clock(&config, settings, self.clock).await?;
         Ok(StartedSite { running, hosts })
--- a/src/lab/xds/state.rs
+++ b/src/lab/xds/state.rs
@@ -1,4 +1,4 @@
-//! What a client has in force, and the responses by which it changes.
+//! The state of a client, and the responses that change it.
 
 use super::decode::{add_to_view, resource_name};
 use crate::control::resource::ResourceType;
@@ -11,36 +11,37 @@
 use std::collections::{BTreeMap, HashMap};
 use tonic::Status;
 
-/// A resource as a client has it.
+/// A resource in a client's state.
 #[derive(Clone, Debug, PartialEq)]
 struct StoredResource {
-    /// Incremental: its version.
+    /// Version of the resource; empty in the state-of-the-world variant, whose resources have none.
     version: String,
     body: Vec<u8>,
 }
 
-/// What a client has in force, for its next stream.
+/// The resources and versions that a client has in force; it keeps them over reconnects.
 #[derive(Clone, Debug, Default)]
 pub struct ClientState {
-    /// By type: the version that came with the last view accepted.
+    /// By type, the version of the last view that the client accepted.
     pub versions: BTreeMap<ResourceType, String>,
-    /// By type and name.
+    /// Resources by type and name.
     resources: BTreeMap<ResourceType, BTreeMap<String, StoredResource>>,
 }
 
 impl ClientState {
-    /// The version of a type in force; empty: none.
+    /// Returns the version of a type that is in force, empty if there is none.
     pub fn version(&self, resource_type: ResourceType) -> String {
         self.versions.get(&resource_type).cloned().unwrap_or_default()
     }
 
-    /// By name the versions of a type's resources.
+    /// Returns the versions of a type's resources by name.
     pub(super) fn resource_versions(&self, resource_type: ResourceType) -> HashMap<String, String> {
         let resources = self.resources.get(&resource_type).into_iter().flatten();
         resources.map(|(name, resource)| (name.clone(), resource.version.clone())).collect()
     }
 
-    /// Takes in a response.
+    /// Applies a response. A state-of-the-world response replaces all resources of its type, an incremental
+    /// one adds and removes some.
     pub(super) fn apply(&mut self, variant: Variant, response: Response) {
         let stored = self.resources.entry(response.resource_type).or_default();
         if variant == Variant::StateOfTheWorld {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// What the client knows of a type by now.
+    /// Returns the view of a type that follows from its resources.
     pub(super) fn view(&self, resource_type: ResourceType, version: &str) -> Result<View, Status> {
         let mut view = View::new(resource_type, version);
         for resource in self.resources.get(&resource_type).into_iter().flat_map(BTreeMap::values) {
@@ -65,15 +66,15 @@
     }
 }
 
-/// A resource of a response.
+/// A resource in a response.
 struct Resource {
     name: String,
-    /// Incremental: its version.
+    /// Version of the resource; empty in the state-of-the-world variant.
     version: String,
     any: Any,
 }
 
-/// A response of either variant, as far as a client reads it.
+/// The parts of a response of either variant that a client reads.
 pub(super) struct Response {
     pub(super) resource_type: ResourceType,
     pub(super) version: String,
@@ -118,5 +119,5 @@
 }
 
 fn parse_type_url(url: &str) -> Result<ResourceType, Status> {
-    wire::resource_type(url).ok_or_else(|| Status::internal(format!("a response of type {url:?}")))
+    wire::resource_type(url).ok_or_else(|| Status::internal(format!("response type {url:?} is unknown")))
 }
--- a/src/lab/xds/stream.rs
+++ b/src/lab/xds/stream.rs
@@ -1,4 +1,4 @@
-//! A client's stream, driven by hand: for tests that answer, wait or reject as they like.
+//! A client's stream. Tests can use it directly to decide when a response is read, accepted or rejected.
 
 use super::state::{ClientState, Response};
 use crate::control::resource::ResourceType;
@@ -20,53 +20,54 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status, Streaming};
 
-/// How long a connection may take to come up.
+/// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Requests that may wait to be sent.
+/// Number of requests that may be queued for sending.
 const REQUEST_BUFFER: usize = 16;
 
-/// What a client does.
+/// Identity and behaviour of a client.
 #[derive(Clone, Debug)]
 pub struct ClientPlan {
-    /// The control service.
+    /// Address of the control service.
     pub target: SocketAddr,
-    /// The client's name: `node.id`.
+    /// Name of the client, sent as `node.id`.
     pub name: String,
-    /// Its point: `node.locality.zone`.
+    /// Point of the client, sent as `node.locality.zone`.
     pub point: String,
-    /// The protocol variant that it uses.
+    /// Protocol variant that the client uses.
     pub variant: Variant,
-    /// Rejects the first view of endpoints that lacks this server.
+    /// Server that must be in the endpoints: the client rejects the first view of them without it. `None` if
+    /// the client accepts every view.
     pub required_server: Option<String>,
 }
 
 /// A response as a client received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedResponse {
-    /// The resource type.
+    /// Resource type of the response.
     pub resource_type: ResourceType,
-    /// Its version.
+    /// Version of the response.
     pub version: String,
-    /// Its nonce, for the answer.
+    /// Nonce of the response, which the ACK or NACK repeats.
     pub nonce: Nonce,
-    /// What the client knows by it.
+    /// View of the resource type after the response.
     pub view: View,
 }
 
-/// A request of either variant.
+/// A discovery request of either variant.
 #[derive(Default)]
 struct Request {
     type_url: String,
-    /// State of the world: the version in force.
+    /// Version in force; sent only in the state-of-the-world variant.
     version: String,
-    /// The nonce of the response that it answers.
+    /// Nonce of the response that the request answers.
     nonce: String,
     error: Option<RpcStatus>,
-    /// Incremental: by name the versions of the resources in force.
+    /// Versions of the resources in force, by name; sent only in the incremental variant.
     initial_versions: HashMap<String, String>,
 }
 
-/// Requests go in by the sender, responses come out.
+/// A stream of either variant: the sender of requests, and the responses.
 enum MessageStream {
     StateOfTheWorld(mpsc::Sender<DiscoveryRequest>, Streaming<DiscoveryResponse>),
     Incremental(mpsc::Sender<DeltaDiscoveryRequest>, Streaming<DeltaDiscoveryResponse>),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sends a request; a stream that has ended says so at its next response.
+    /// Sends a request. A failure is ignored, since a stream that has ended reports it on the next receive.
     async fn send(&self, node: Option<Node>, request: Request) {
         match self {
             MessageStream::StateOfTheWorld(sender, _) => {
@@ -129,10 +130,10 @@
     }
 }
 
-/// A client's stream.
+/// An open stream of a client.
 pub struct ClientStream {
     variant: Variant,
-    /// The client, until the first request has named it.
+    /// Identity of the client, until the first request has sent it.
     node: Option<Node>,
     message_stream: MessageStream,
 }
@@ -142,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// No connection, or the service's rejection.
+    /// Returns a status if the service cannot be reached or rejects the stream.
     pub async fn open(plan: &ClientPlan) -> Result<Self, Status> {
         let endpoint = Endpoint::from_shared(format!("http://{}", plan.target))
             .map_err(|error| Status::internal(error.to_string()))?
@@ -155,7 +156,7 @@
         Ok(ClientStream { variant: plan.variant, node: Some(node), message_stream })
     }
 
-    /// Subscribes to all resources of a type, stating what is in force of it.
+    /// Subscribes to all resources of a type and sends the versions that are in force.
     pub async fn subscribe(&mut self, resource_type: ResourceType, state: &ClientState) {
         let request = Request {
             type_url: wire::type_url(resource_type).to_owned(),
@@ -172,7 +173,8 @@
         self.send(request).await;
     }
 
-    /// Rejects a response (NACK) for a reason; `in_force` is the version that stays in force, empty for none.
+    /// Rejects a response (NACK) with a reason; `in_force` is the version that stays in force, empty for
+    /// none.
     pub async fn nack(&mut self, received: &ReceivedResponse, in_force: &str, reason: &str) {
         let code = Code::InvalidArgument as i32;
         let error = RpcStatus { code, message: reason.to_owned(), details: Vec::new() };
@@ -185,11 +187,13 @@
         self.message_stream.send(self.node.take(), request).await;
     }
 
-    /// Waits for the next response and takes it into `state`, without answering it. `None`: the stream has ended.
+    /// Waits for the next response and applies it to `state`, without answering it. Returns `None` if the
+    /// stream has ended.
     ///
     /// # Errors
     ///
-    /// The status with which the stream ended, or a response that cannot be read.
+    /// Returns the status with which the stream ended, or an internal error if the response cannot be
+    /// decoded.
     pub async fn receive(&mut self, state: &mut ClientState) -> Result<Option<ReceivedResponse>, Status> {
         let Some(response) = self.message_stream.receive().await? else { return Ok(None) };
         let resource_type = response.resource_type;
