--- a/src/lab/flood/known_clients.rs
+++ b/src/lab/flood/known_clients.rs
@@ -1,7 +1,7 @@
 //! Known clients. Each connects, pings, sends one request, reads the answer, and connects again.
 
 use super::{connect, FloodPlan};
-use crate::standin::thrift_client::{answer, invoke, ping, send, Answered};
+use crate::standin::thrift_client::{invoke, ping, read_answer, send, AnswerKind};
 use hdrhistogram::Histogram;
 use std::io;
 use std::net::TcpStream;
@@ -101,18 +101,18 @@
     let started = Instant::now();
     let mut stream = connect(plan.known_from, plan.target, CONNECT_TIMEOUT)?;
     send(&mut stream, &ping(PING_SEQID))?;
-    let (_, answered) = answer(&mut stream)?;
+    let (_, answered) = read_answer(&mut stream)?;
     match answered {
-        Answered::Served => outcome.latency = Some(started.elapsed()),
-        Answered::Refused => {
+        AnswerKind::Served => outcome.latency = Some(started.elapsed()),
+        AnswerKind::Rejected => {
             outcome.is_rejected = true;
             return Ok(());
         }
-        Answered::Failed => return Err(io::ErrorKind::InvalidData.into()),
+        AnswerKind::Failed => return Err(io::ErrorKind::InvalidData.into()),
     }
     send_request(&mut stream, plan, &trace_id(number, started))?;
     outcome.is_written = true;
-    let (seqid, _) = answer(&mut stream)?;
+    let (seqid, _) = read_answer(&mut stream)?;
     outcome.is_answered = seqid == INVOKE_SEQID;
     Ok(())
 }
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -3,7 +3,7 @@
 use super::event_queue::ScheduledEvent;
 use super::{now, Connection, HostsState, StandInHosts};
 use crate::interface::{Instant, Span};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use crate::standin::line_protocol::{take_lines, FetchRequest, HostLine, HEALTHY};
 use std::io::{self, Read};
 use std::net::TcpStream;
@@ -25,18 +25,18 @@
         if state.fleet[host].dead || state.is_stopped {
             return;
         }
-        let link = state.next_link();
-        state.connections.insert(link, Connection { host, stream });
+        let connection_id = state.next_connection_id();
+        state.connections.insert(connection_id, Connection { host, stream });
         drop(state);
         let hosts = self.clone();
         thread::spawn(move || {
-            let _ = hosts.read(host, link, read_half);
-            hosts.lock().connections.remove(&link);
+            let _ = hosts.read(host, connection_id, read_half);
+            hosts.lock().connections.remove(&connection_id);
         });
     }
 
     /// Reads requests until the connection ends.
-    fn read(&self, host: HostId, link: LinkId, mut stream: TcpStream) -> io::Result<()> {
+    fn read(&self, host: HostId, connection_id: ConnectionId, mut stream: TcpStream) -> io::Result<()> {
         let (mut input, mut buffer) = (Vec::new(), [0; READ_BYTES]);
         loop {
             let count = stream.read(&mut buffer)?;
@@ -48,22 +48,30 @@
             let mut state = self.lock();
             for line in lines {
                 match line {
-                    HostLine::Fetch(request) => self.receive(&mut state, host, link, request),
-                    HostLine::Cancel(id) => drop(state.fleet[host].open.remove(&(link, id))),
-                    HostLine::HealthCheck(tag) => state.send(link, &HEALTHY.encode(&tag)),
+                    HostLine::Fetch(request) => self.receive(&mut state, host, connection_id, request),
+                    HostLine::Cancel(id) => {
+                        drop(state.fleet[host].open_requests.remove(&(connection_id, id)))
+                    }
+                    HostLine::HealthCheck(tag) => state.send(connection_id, &HEALTHY.encode(&tag)),
                 }
             }
         }
     }
 
     /// Adds a request to the host's open ones and schedules its answer.
-    fn receive(&self, state: &mut HostsState, host: HostId, link: LinkId, request: FetchRequest) {
+    fn receive(
+        &self,
+        state: &mut HostsState,
+        host: HostId,
+        connection_id: ConnectionId,
+        request: FetchRequest,
+    ) {
         let now = now();
         state.counts.requests += 1;
         let after = state.draw_answer_delay(host, &request, now);
         let id = request.id.clone();
-        state.fleet[host].open.insert((link, id.clone()), request);
-        self.schedule(state, now + after, ScheduledEvent::HostAnswers(host, link, id));
+        state.fleet[host].open_requests.insert((connection_id, id.clone()), request);
+        self.schedule(state, now + after, ScheduledEvent::HostAnswers(host, connection_id, id));
     }
 }
 
--- a/src/lab/hosts/event_queue.rs
+++ b/src/lab/hosts/event_queue.rs
@@ -4,7 +4,7 @@
 use crate::interface::Instant;
 use crate::standin::faults::FaultKind;
 use crate::standin::fleet::Fleet;
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use crate::standin::line_protocol::GARBLED_ANSWER;
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -16,7 +16,7 @@
 
 pub(super) enum ScheduledEvent {
     /// A host answers the attempt with this id on this connection.
-    HostAnswers(HostId, LinkId, String),
+    HostAnswers(HostId, ConnectionId, String),
     /// A fault starts.
     Fault(FaultKind),
     /// A killed host restarts.
@@ -66,7 +66,9 @@
     fn handle(&self, state: &mut HostsState, event: ScheduledEvent) {
         let now = now();
         match event {
-            ScheduledEvent::HostAnswers(host, link, id) => self.answer(state, host, link, id, now),
+            ScheduledEvent::HostAnswers(host, connection_id, id) => {
+                self.answer(state, host, connection_id, id, now)
+            }
             ScheduledEvent::Fault(fault) => self.begin_fault(state, now, fault),
             ScheduledEvent::HostRestarts(host) => {
                 state.fleet[host].restart(now);
@@ -81,27 +83,36 @@
     }
 
     /// Answers an attempt, unless it was cancelled. A silent host answers when its silence ends.
-    fn answer(&self, state: &mut HostsState, host: HostId, link: LinkId, id: String, now: Instant) {
+    fn answer(
+        &self,
+        state: &mut HostsState,
+        host: HostId,
+        connection_id: ConnectionId,
+        id: String,
+        now: Instant,
+    ) {
         let silent_until = state.silent_until[host.0];
         if silent_until > now {
-            return self.schedule(state, silent_until, ScheduledEvent::HostAnswers(host, link, id));
+            return self.schedule(state, silent_until, ScheduledEvent::HostAnswers(host, connection_id, id));
         }
-        let Some(request) = state.fleet[host].open.remove(&(link, id.clone())) else { return };
-        if std::mem::take(&mut state.fleet[host].garbles_next) {
-            return state.send(link, GARBLED_ANSWER);
+        let Some(request) = state.fleet[host].open_requests.remove(&(connection_id, id.clone())) else {
+            return;
+        };
+        if std::mem::take(&mut state.fleet[host].garbles_next_answer) {
+            return state.send(connection_id, GARBLED_ANSWER);
         }
         let silent_until = &state.silent_until;
         let is_reachable = |fleet: &Fleet, host: HostId| !fleet[host].dead && silent_until[host.0] <= now;
         let answer = state.fleet.answer(host, &request, now, &is_reachable);
-        state.send(link, &answer.encode(&id));
+        state.send(connection_id, &answer.encode(&id));
     }
 }
 
 impl HostsState {
     /// Writes to a connection if it is still open. A failure is ignored, since the connection's reading
     /// thread sees it.
-    pub(super) fn send(&mut self, link: LinkId, bytes: &[u8]) {
-        if let Some(connection) = self.connections.get_mut(&link) {
+    pub(super) fn send(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
             let _ = connection.stream.write_all(bytes);
         }
     }
--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -15,7 +15,7 @@
 use crate::standin::feed::StandInFeed;
 use crate::standin::fleet::Fleet;
 use crate::standin::host::{Host, Tier};
-use crate::standin::ids::{HostId, LinkId};
+use crate::standin::ids::{ConnectionId, HostId};
 use event_queue::{EventQueue, ScheduledEvent};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -93,8 +93,8 @@
     fleet: Fleet,
     /// By host, the time until which it answers nothing.
     silent_until: Vec<Instant>,
-    connections: BTreeMap<LinkId, Connection>,
-    last_link: LinkId,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last_connection_id: ConnectionId,
     event_queue: EventQueue,
     random: ChaCha8Rng,
     is_stopped: bool,
@@ -110,9 +110,9 @@
         let hosts: Vec<Host> = plan.entries.iter().enumerate().map(host).collect();
         HostsState {
             silent_until: vec![Instant::ZERO; hosts.len()],
-            fleet: Fleet { hosts, sparse_notes: false },
+            fleet: Fleet { hosts, served_status_only: false },
             connections: BTreeMap::new(),
-            last_link: LinkId(0),
+            last_connection_id: ConnectionId(0),
             event_queue: EventQueue::default(),
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             is_stopped: false,
@@ -120,9 +120,9 @@
         }
     }
 
-    fn next_link(&mut self) -> LinkId {
-        self.last_link = LinkId(self.last_link.0 + 1);
-        self.last_link
+    fn next_connection_id(&mut self) -> ConnectionId {
+        self.last_connection_id = ConnectionId(self.last_connection_id.0 + 1);
+        self.last_connection_id
     }
 
     /// Whether a host's process runs and is not silent.
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -4,7 +4,7 @@
 use super::request_outcome::RequestOutcome;
 use super::{ClassObjectives, ReplayPlan};
 use crate::lab::hosts::HostCounts;
-use crate::standin::thrift_client::Answered;
+use crate::standin::thrift_client::AnswerKind;
 use crate::trace::sample::RateComparison;
 use crate::trace::Trace;
 use hdrhistogram::Histogram;
@@ -173,7 +173,7 @@
         let number = (outcome.sent.as_secs_f64() / part) as usize;
         let moment = &mut moments[number.min(PLOT_POINTS - 1)];
         moment.sent += 1;
-        if outcome.answer == Some(Answered::Served) {
+        if outcome.answer == Some(AnswerKind::Served) {
             moment.served += 1;
             moment.slowest_ms = moment.slowest_ms.max(outcome.latency.as_secs_f64() * 1000.0);
         } else {
@@ -194,7 +194,7 @@
     for outcome in outcomes {
         service.sent += 1;
         match outcome.answer {
-            Some(Answered::Served) => {
+            Some(AnswerKind::Served) => {
                 service.served += 1;
                 let us = outcome.latency.as_micros().clamp(1, u128::from(MAX_RECORDED_US)) as u64;
                 service.on_time += u64::from(us as f64 <= latency_objective_us);
@@ -202,8 +202,8 @@
                     times.saturating_record(us);
                 }
             }
-            Some(Answered::Refused) => service.rejected += 1,
-            Some(Answered::Failed) => service.failed += 1,
+            Some(AnswerKind::Rejected) => service.rejected += 1,
+            Some(AnswerKind::Failed) => service.failed += 1,
             None => service.unanswered += 1,
         }
     }
--- a/src/lab/replay/request_outcome.rs
+++ b/src/lab/replay/request_outcome.rs
@@ -1,6 +1,6 @@
 //! The outcome of a request of a replay.
 
-use crate::standin::thrift_client::Answered;
+use crate::standin::thrift_client::AnswerKind;
 use std::time::Duration;
 
 /// How a request ended, as its client saw it.
@@ -12,5 +12,5 @@
     /// Time from sending the request to its answer; zero if it got no answer.
     pub(super) latency: Duration,
     /// Kind of the answer; `None` if the request got no answer.
-    pub(super) answer: Option<Answered>,
+    pub(super) answer: Option<AnswerKind>,
 }
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -1,11 +1,11 @@
-//! Passes what arrives on the network to clients, hosts and the feed.
+//! Passes the network's events to the clients, the hosts and the feed.
 
 use super::{numbered_address, ClientId, World, FEED};
 use crate::net::fabric::ActorEvent;
-use crate::standin::ids::LinkId;
+use crate::standin::ids::ConnectionId;
 
 impl World<'_> {
-    /// Passes on all that has arrived.
+    /// Passes on all events that have arrived.
     pub(super) fn deliver(&mut self) {
         for event in self.fabric.take_actor_events() {
             match self.client_of(link_of(&event)) {
@@ -20,9 +20,9 @@
             ActorEvent::Bytes { bytes, .. } => self.client_received(client, &bytes),
             ActorEvent::Closed { link } => {
                 self.fabric.close(link);
-                self.client_disconnected(client, LinkId(link));
+                self.client_disconnected(client, ConnectionId(link));
             }
-            ActorEvent::Broken { link } => self.client_disconnected(client, LinkId(link)),
+            ActorEvent::Broken { link } => self.client_disconnected(client, ConnectionId(link)),
             ActorEvent::Opened { .. } => {}
         }
     }
@@ -53,10 +53,10 @@
     }
 }
 
-fn link_of(event: &ActorEvent) -> LinkId {
+fn link_of(event: &ActorEvent) -> ConnectionId {
     let (ActorEvent::Opened { link, .. }
     | ActorEvent::Bytes { link, .. }
     | ActorEvent::Closed { link }
     | ActorEvent::Broken { link }) = event;
-    LinkId(*link)
+    ConnectionId(*link)
 }
--- a/src/standin/fleet/tests.rs
+++ b/src/standin/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fleet`.
+//! Tests of the answers of a fleet of stand-in hosts.
 
 use super::super::line_protocol::Item;
 use super::*;
@@ -6,10 +6,10 @@
 const CACHE: HostId = HostId(0);
 const PARENT: HostId = HostId(1);
 
-fn fleet(sparse_notes: bool) -> Fleet {
+fn fleet(served_status_only: bool) -> Fleet {
     let host = |name, tier| Host::new(tier, serde_json::json!({"host": name, "share": 1.0}));
     let hosts = vec![host("cache", Tier::Cache), host("parent", Tier::Parent), host("origin", Tier::Origin)];
-    Fleet { hosts, sparse_notes }
+    Fleet { hosts, served_status_only }
 }
 
 fn fill(class: &str, source: &str) -> FetchRequest {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_parent_that_errs_fails_the_fills_that_caches_ask_of_it() {
+fn failing_parent_fails_the_fills_through_it() {
     let mut fleet = fleet(false);
     fleet[PARENT].fails_until = Instant::from_micros(1_000);
     for class in ["segment", "result"] {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn sparse_notes_tell_of_served_requests_only() {
+fn served_status_only_leaves_out_the_status_of_failures() {
     let mut fleet = fleet(true);
     let request = fill("segment", "parent");
     let unreachable = fleet.answer(CACHE, &request, Instant::ZERO, &|_, host| host != PARENT);
--- a/tests/federation/rig.rs
+++ b/tests/federation/rig.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::{Mode, Relay};
 use crate::stand_ins::*;
-use dahliatrack::standin::thrift_client::{answer, invoke, send, Answered};
+use dahliatrack::standin::thrift_client::{invoke, read_answer, send, AnswerKind};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -137,7 +137,7 @@
 
     fn launch(&self, id: u64) -> RunningMember {
         let (proxy, admin) = self.launch_without_listener(id);
-        let listen = address(&proxy.wait_for_log("federation listens on "));
+        let listen = address(&proxy.wait_for_log("federation: listening on "));
         RunningMember { proxy, admin, listen }
     }
 
@@ -240,7 +240,7 @@
         ];
         send(&mut client, &invoke(self.seqid, &fields, b"")).expect("written");
         self.caches[0].next_line().answer("200", "ver=a", b"x");
-        assert_eq!(answer(&mut client).expect("an answer"), (self.seqid, Answered::Served));
+        assert_eq!(read_answer(&mut client).expect("an answer"), (self.seqid, AnswerKind::Served));
     }
 }
 
