--- a/src/lab/replay/mod.rs
+++ b/src/lab/replay/mod.rs
@@ -139,9 +139,9 @@
         started,
         progress: &progress,
     };
-    let played = run_clients(&context)?;
+    let client_results = run_clients(&context)?;
     progress.finish_and_clear();
-    let measured = Measurement { played, took: started.elapsed(), hosts: hosts.counts() };
+    let measured = Measurement { client_results, took: started.elapsed(), hosts: hosts.counts() };
     hosts.stop();
     Ok(Report::new(trace, plan, &objectives, &measured))
 }
--- a/src/lab/replay/report.rs
+++ b/src/lab/replay/report.rs
@@ -125,7 +125,7 @@
 
 /// The measured data of a replay.
 pub(super) struct Measurement {
-    pub(super) played: ClientResults,
+    pub(super) client_results: ClientResults,
     pub(super) took: Duration,
     pub(super) hosts: HostCounts,
 }
@@ -138,7 +138,7 @@
         objectives: &[ClassObjectives],
         measured: &Measurement,
     ) -> Self {
-        let outcomes = &measured.played.outcomes;
+        let outcomes = &measured.client_results.outcomes;
         let rates = trace.rates.compare();
         let classes =
             trace.classes.iter().zip(objectives).enumerate().map(|(number, (class, objectives))| {
@@ -159,28 +159,28 @@
             host_counts: measured.hosts,
             faults: faults.collect(),
             moments: plot_intervals(outcomes, trace.length.as_secs_f64() / plan.speed),
-            max_lateness_ms: measured.played.max_lateness.as_secs_f64() * 1000.0,
+            max_lateness_ms: measured.client_results.max_lateness.as_secs_f64() * 1000.0,
         }
     }
 }
 
 /// Returns the points of the plot for a replay of `length_s` seconds.
 fn plot_intervals(outcomes: &[RequestOutcome], length_s: f64) -> Vec<PlotInterval> {
-    let part = (length_s / PLOT_POINTS as f64).max(MIN_POINT_S);
-    let at = |number| PlotInterval { at_s: number as f64 * part, ..PlotInterval::default() };
-    let mut moments: Vec<PlotInterval> = (0..PLOT_POINTS).map(at).collect();
+    let interval_s = (length_s / PLOT_POINTS as f64).max(MIN_POINT_S);
+    let at = |number| PlotInterval { at_s: number as f64 * interval_s, ..PlotInterval::default() };
+    let mut intervals: Vec<PlotInterval> = (0..PLOT_POINTS).map(at).collect();
     for outcome in outcomes {
-        let number = (outcome.sent.as_secs_f64() / part) as usize;
-        let moment = &mut moments[number.min(PLOT_POINTS - 1)];
-        moment.sent += 1;
+        let number = (outcome.sent.as_secs_f64() / interval_s) as usize;
+        let interval = &mut intervals[number.min(PLOT_POINTS - 1)];
+        interval.sent += 1;
         if outcome.answer == Some(AnswerKind::Served) {
-            moment.served += 1;
-            moment.slowest_ms = moment.slowest_ms.max(outcome.latency.as_secs_f64() * 1000.0);
+            interval.served += 1;
+            interval.slowest_ms = interval.slowest_ms.max(outcome.latency.as_secs_f64() * 1000.0);
         } else {
-            moment.lost += 1;
+            interval.lost += 1;
         }
     }
-    moments
+    intervals
 }
 
 /// Returns the results of a class from the outcomes of its requests, without the class's name and rate.
@@ -188,30 +188,30 @@
     outcomes: impl Iterator<Item = &'a RequestOutcome>,
     objectives: &ClassObjectives,
 ) -> ClassResults {
-    let mut service = ClassResults::default();
+    let mut results = ClassResults::default();
     let mut times = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, RECORDED_DIGITS).ok();
     let latency_objective_us = objectives.latency_objective_ms * 1000.0;
     for outcome in outcomes {
-        service.sent += 1;
+        results.sent += 1;
         match outcome.answer {
             Some(AnswerKind::Served) => {
-                service.served += 1;
+                results.served += 1;
                 let us = outcome.latency.as_micros().clamp(1, u128::from(MAX_RECORDED_US)) as u64;
-                service.on_time += u64::from(us as f64 <= latency_objective_us);
+                results.on_time += u64::from(us as f64 <= latency_objective_us);
                 if let Some(times) = &mut times {
                     times.saturating_record(us);
                 }
             }
-            Some(AnswerKind::Rejected) => service.rejected += 1,
-            Some(AnswerKind::Failed) => service.failed += 1,
-            None => service.unanswered += 1,
+            Some(AnswerKind::Rejected) => results.rejected += 1,
+            Some(AnswerKind::Failed) => results.failed += 1,
+            None => results.unanswered += 1,
         }
     }
     let percentile_ms =
-        |part: f64| times.as_ref().map_or(0.0, |times| times.value_at_quantile(part) as f64 / 1000.0);
-    service.p50_ms = percentile_ms(0.5);
-    service.p99_ms = percentile_ms(0.99);
-    service.value.earned = service.on_time as f64 * objectives.priority_weight;
-    service.value.possible = service.sent as f64 * objectives.priority_weight;
-    service
+        |quantile: f64| times.as_ref().map_or(0.0, |times| times.value_at_quantile(quantile) as f64 / 1000.0);
+    results.p50_ms = percentile_ms(0.5);
+    results.p99_ms = percentile_ms(0.99);
+    results.value.earned = results.on_time as f64 * objectives.priority_weight;
+    results.value.possible = results.sent as f64 * objectives.priority_weight;
+    results
 }
--- a/src/lab/synthetic_trace.rs
+++ b/src/lab/synthetic_trace.rs
@@ -42,15 +42,15 @@
 const APPLICATIONS: u64 = 17;
 
 impl SyntheticTrace {
-    /// Returns the rate at a time, in rows per second. Apart from bursts of half a minute, it rises from 0.5
-    /// to about 1.3 times a base rate in the middle of the trace and falls again. The base rate is 0.9 times
-    /// the mean rate, and 1.6 times in a burst.
+    /// Returns the rate at a time, in rows per second: the mean rate times two factors. The first is 0.5 at both
+    /// ends of the trace and about 1.3 in the middle. The second is 1.6 in bursts of half a minute and 0.9
+    /// otherwise. Each factor is 1 on average.
     fn rate_at(&self, at: f64) -> f64 {
-        let part = at / self.seconds;
-        let evening = 0.5 + (std::f64::consts::PI * part).sin() * std::f64::consts::FRAC_PI_4;
+        let progress = at / self.seconds;
+        let evening_factor = 0.5 + (std::f64::consts::PI * progress).sin() * std::f64::consts::FRAC_PI_4;
         let is_burst = (at / 30.0) as u64 % BURST_PERIOD == BURST_OFFSET;
-        let burst = if is_burst { 1.6 } else { 0.9 };
-        (self.rate * evening * burst).max(1e-6)
+        let burst_factor = if is_burst { 1.6 } else { 0.9 };
+        (self.rate * evening_factor * burst_factor).max(1e-6)
     }
 
     /// Draws the rows and returns them in the order of their ends.
