--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -83,7 +83,6 @@
     }
 }
 
-/// A connection to a host.
 struct Connection {
     host: HostId,
     stream: TcpStream,
--- a/src/lab/views/log.rs
+++ b/src/lab/views/log.rs
@@ -39,7 +39,7 @@
     pub servers: BTreeSet<String>,
     /// By purged object or group, the Unix time in ms that cached copies must be newer than.
     pub newer_than_ms: BTreeMap<String, i64>,
-    /// Whether the client accepted it (ACK) or rejected it (NACK).
+    /// Whether the client accepted the response (ACK); otherwise it rejected it (NACK).
     pub accepted: bool,
 }
 
--- a/src/lab/views/tests.rs
+++ b/src/lab/views/tests.rs
@@ -48,11 +48,8 @@
     );
     let late = [connected.clone(), before.clone(), without_server(1101)];
     assert_eq!(find_breaches(&late, &events, BOUND), [stale_server(1001)]);
-    assert_eq!(
-        find_breaches(&[connected.clone(), before.clone()], &events, BOUND),
-        [stale_server(1000)],
-        "no view without the server was received"
-    );
+    let unchanged = [connected.clone(), before.clone()];
+    assert_eq!(find_breaches(&unchanged, &events, BOUND), [stale_server(1000)], "no new view was received");
     // A client that was not connected is not blamed for the server that it had, but must not receive it
     // later.
     let ended = entry(200, ClientEvent::Ended);
@@ -65,12 +62,8 @@
         received(1600, view(Endpoints, "f.1", &["s"])),
     ];
     assert_eq!(find_breaches(&again, &events, BOUND), [stale_server(1500)]);
-    let returned = feed_event(1550, FeedChange::ServerUsable("s".into()));
-    assert_eq!(
-        find_breaches(&again, &[server_unusable(100), returned], BOUND),
-        [],
-        "the server may be used again by then"
-    );
+    let with_return = [server_unusable(100), feed_event(1550, FeedChange::ServerUsable("s".into()))];
+    assert_eq!(find_breaches(&again, &with_return, BOUND), [], "the server may be used again by then");
     // A rejected view is not in force.
     let nacked = [connected.clone(), before, received(500, rejected(view(Endpoints, "e.2", &["t"])))];
     assert_eq!(find_breaches(&nacked, &events, BOUND), [stale_server(1000)]);
