--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -1,4 +1,4 @@
-//! Holds clients' logs against what the control feed stated. Pure: logs in, breaches out.
+//! Checks clients' logs against the control feed's events. Does no I/O and keeps no state.
 
 use super::log::{ClientEvent, FeedChange, FeedEvent, LogEntry, View};
 use crate::control::resource::ResourceType;
@@ -6,95 +6,97 @@
 use crate::interface::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that a client's log breaks.
+/// A rule that a client's log breaks, with the case in which it does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// It still had a server that had left, later than the deadline allows.
+    /// The client had a server, or received it again, after the deadline that follows its drain or removal.
     StaleServer {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The server.
+        /// Name of the server.
         server: String,
-        /// How long after the feed's event.
+        /// Time from the feed's event to the first late view with the server. If there was none: to the view
+        /// that replaced the stale one, or to the deadline if none did.
         after: Span,
     },
-    /// It did not know of a purge within the deadline.
+    /// The client was not told of a purge within the deadline.
     MissedPurge {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The object or group.
+        /// Object or group that was purged.
         what: String,
     },
-    /// A version came after a newer one of the same run.
+    /// The client received a version after a newer one of the same run of the control service.
     OlderVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The resource type.
+        /// Resource type of both versions.
         resource_type: ResourceType,
-        /// The newer version, which came first.
+        /// The newer version, which was received first.
         newer: String,
-        /// The older version.
+        /// The older version, which was received later.
         older: String,
     },
-    /// A version that is none of the control service's.
+    /// The client received a version that is not in the control service's format.
     MalformedVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The version.
+        /// The version as received.
         version: String,
     },
-    /// A version came again that the client had rejected.
+    /// The client received a version that it had rejected before.
     ResentVersion {
-        /// The client.
+        /// Name of the client.
         client: String,
-        /// The version.
+        /// The rejected version.
         version: String,
     },
 }
 
-/// A server that left, as far as the feed says.
-struct Departure<'a> {
+/// The period in which a server must not be used, by the feed's events.
+struct UnusablePeriod<'a> {
     server: &'a str,
-    left_at: Instant,
-    /// Until when clients may still have it.
+    unusable_at: Instant,
+    /// Time until which clients may still have the server.
     deadline: Instant,
-    /// When it may be used again; [`Instant::MAX`]: it does not return.
-    returned_at: Instant,
+    /// When the server may be used again; [`Instant::MAX`] if it does not return.
+    usable_at: Instant,
 }
 
-/// The log of one client, in the order of time.
+/// The log of one client, ordered by time.
 struct ClientLog<'a> {
     client: &'a str,
     entries: Vec<&'a LogEntry>,
 }
 
-/// For each departure of a server and each client that had it: how long after the feed's event the client accepted a
-/// view without it. The measurement behind the deadline.
+/// Returns the delays that the drain deadline bounds: for each event that makes a server unusable and each
+/// client that had the server, the time from the event until the client accepted endpoints without it.
 pub fn drain_delays(log: &[LogEntry], events: &[FeedEvent]) -> Vec<Span> {
     let clients = by_client(log);
     let mut delays = Vec::new();
     for event in events {
-        let FeedChange::ServerLeft(server) = &event.change else { continue };
+        let FeedChange::ServerUnusable(server) = &event.change else { continue };
         delays.extend(clients.iter().filter_map(|client| client.drain_delay(server, event.at)));
     }
     delays
 }
 
-/// Holds logs against the feed's events. `bound` is how long after an event a client may still have the old view.
-pub fn check(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
+/// Checks logs against the feed's events and returns the breaches, sorted. `bound` is how long after an event
+/// a client may still have the old view.
+pub fn find_breaches(log: &[LogEntry], events: &[FeedEvent], bound: Span) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
     for client in by_client(log) {
         client.check_versions(&mut breaches);
         for event in events {
             let deadline = event.at + bound;
             let breach = match &event.change {
-                FeedChange::ServerLeft(server) => {
-                    let returned_at = returned_at(events, server, event.at);
-                    let departure = Departure { server, left_at: event.at, deadline, returned_at };
-                    client.check_departure(&departure)
+                FeedChange::ServerUnusable(server) => {
+                    let usable_at = usable_at(events, server, event.at);
+                    let period = UnusablePeriod { server, unusable_at: event.at, deadline, usable_at };
+                    client.check_unusable_server(&period)
                 }
                 FeedChange::Purged { what, at_ms } => client.check_purge(what, *at_ms, event.at, deadline),
-                FeedChange::ServerReturned(_) => None,
+                FeedChange::ServerUsable(_) => None,
             };
             breaches.extend(breach);
         }
@@ -102,12 +104,12 @@
     breaches.into_iter().collect()
 }
 
-/// When a server that left at some time may be used again.
-fn returned_at(events: &[FeedEvent], server: &str, left_at: Instant) -> Instant {
-    let returns = events.iter().filter(|event| event.at > left_at);
-    let returns = returns
-        .filter(|event| matches!(&event.change, FeedChange::ServerReturned(returned) if returned == server));
-    returns.map(|event| event.at).min().unwrap_or(Instant::MAX)
+/// Returns when a server that became unusable at `unusable_at` may be used again, [`Instant::MAX`] for never.
+fn usable_at(events: &[FeedEvent], server: &str, unusable_at: Instant) -> Instant {
+    let later_events = events.iter().filter(|event| event.at > unusable_at);
+    let later_events = later_events
+        .filter(|event| matches!(&event.change, FeedChange::ServerUsable(returned) if returned == server));
+    later_events.map(|event| event.at).min().unwrap_or(Instant::MAX)
 }
 
 fn by_client(log: &[LogEntry]) -> Vec<ClientLog<'_>> {
@@ -120,7 +122,7 @@
 }
 
 impl<'a> ClientLog<'a> {
-    /// The views of a type that the client accepted, and when.
+    /// Returns the views of a type that the client accepted, each with the time at which it did.
     fn accepted(&self, resource_type: ResourceType) -> impl Iterator<Item = (Instant, &'a View)> + '_ {
         self.entries.iter().filter_map(move |entry| match &entry.event {
             ClientEvent::Received(view) if view.resource_type == resource_type && view.accepted => {
@@ -130,13 +132,13 @@
         })
     }
 
-    /// The view of a type that is in force at some time.
-    fn in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
+    /// Returns the view of a type that is in force at a time: the last one that was accepted until then.
+    fn view_in_force(&self, resource_type: ResourceType, at: Instant) -> Option<&'a View> {
         let earlier = self.accepted(resource_type).take_while(|(accepted_at, _)| *accepted_at <= at);
         earlier.last().map(|(_, view)| view)
     }
 
-    /// Whether the client was connected from one time to another without a break.
+    /// Whether the client was connected from `from` to `to` without interruption.
     fn was_connected(&self, from: Instant, to: Instant) -> bool {
         let mut connected = false;
         for entry in &self.entries {
@@ -150,53 +152,56 @@
         connected
     }
 
-    /// How long after a server left the client accepted endpoints without it; `None`: it did not have it, or never
-    /// accepted such.
-    fn drain_delay(&self, server: &str, left_at: Instant) -> Option<Span> {
-        let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < left_at).last();
+    /// Returns the time from when a server became unusable until the client accepted endpoints without it;
+    /// `None` if the client did not have the server, or never accepted endpoints without it.
+    fn drain_delay(&self, server: &str, unusable_at: Instant) -> Option<Span> {
+        let before = self.accepted(ResourceType::Endpoints).take_while(|(at, _)| *at < unusable_at).last();
         before.filter(|(_, view)| view.servers.contains(server))?;
-        let mut after = self.accepted(ResourceType::Endpoints).filter(|(at, _)| *at >= left_at);
+        let mut after = self.accepted(ResourceType::Endpoints).filter(|(at, _)| *at >= unusable_at);
         let (at, _) = after.find(|(_, view)| !view.servers.contains(server))?;
-        Some(at - left_at)
+        Some(at - unusable_at)
     }
 
-    fn check_departure(&self, departure: &Departure<'_>) -> Option<Breach> {
-        if departure.deadline >= departure.returned_at {
+    fn check_unusable_server(&self, period: &UnusablePeriod<'_>) -> Option<Breach> {
+        if period.deadline >= period.usable_at {
             return None;
         }
         let types = [ResourceType::Endpoints, ResourceType::Routes];
-        let after = types.into_iter().find_map(|resource_type| self.kept_for(resource_type, departure))?;
+        let after = types.into_iter().find_map(|resource_type| self.stale_for(resource_type, period))?;
         let client = self.client.to_owned();
-        Some(Breach::StaleServer { client, server: departure.server.to_owned(), after })
+        Some(Breach::StaleServer { client, server: period.server.to_owned(), after })
     }
 
-    /// How long after a server left the client still had it, or got it anew, between the deadline and its return.
-    fn kept_for(&self, resource_type: ResourceType, departure: &Departure<'_>) -> Option<Span> {
-        let late = departure.deadline..departure.returned_at;
-        let names = |view: &View| view.servers.contains(departure.server);
+    /// Returns how long after a server became unusable the client still had it, or received it again, in the
+    /// time from the deadline until the server may be used again. `None` if neither was the case. A client
+    /// that was not connected up to the deadline is not blamed for a view that it still had, only for one
+    /// that it received later.
+    fn stale_for(&self, resource_type: ResourceType, period: &UnusablePeriod<'_>) -> Option<Span> {
+        let forbidden = period.deadline..period.usable_at;
+        let lists_server = |view: &View| view.servers.contains(period.server);
         let mut views = self.accepted(resource_type);
-        if let Some((at, _)) = views.find(|(at, view)| late.contains(at) && names(view)) {
-            return Some(at - departure.left_at);
+        if let Some((at, _)) = views.find(|(at, view)| forbidden.contains(at) && lists_server(view)) {
+            return Some(at - period.unusable_at);
         }
-        let has = self.in_force(resource_type, departure.deadline).is_some_and(names);
-        if !has || !self.was_connected(departure.left_at, departure.deadline) {
+        let is_in_force = self.view_in_force(resource_type, period.deadline).is_some_and(lists_server);
+        if !is_in_force || !self.was_connected(period.unusable_at, period.deadline) {
             return None;
         }
-        let replaced = self.accepted(resource_type).find(|(at, _)| *at > departure.deadline);
-        let until = replaced.map_or(departure.deadline, |(at, _)| at);
-        Some(until - departure.left_at)
+        let replaced = self.accepted(resource_type).find(|(at, _)| *at > period.deadline);
+        let until = replaced.map_or(period.deadline, |(at, _)| at);
+        Some(until - period.unusable_at)
     }
 
     fn check_purge(&self, what: &str, at_ms: i64, stated_at: Instant, deadline: Instant) -> Option<Breach> {
-        let routes = self.in_force(ResourceType::Routes, deadline)?;
-        let knows = routes.newer_than_ms.get(what).is_some_and(|newer_than| *newer_than > at_ms);
-        if knows || !self.was_connected(stated_at, deadline) {
+        let routes = self.view_in_force(ResourceType::Routes, deadline)?;
+        let is_known = routes.newer_than_ms.get(what).is_some_and(|newer_than| *newer_than > at_ms);
+        if is_known || !self.was_connected(stated_at, deadline) {
             return None;
         }
         Some(Breach::MissedPurge { client: self.client.to_owned(), what: what.to_owned() })
     }
 
-    /// The versions of one run never go back, and what was rejected does not come again.
+    /// Checks that the versions of one run never go back, and that a rejected version is not received again.
     fn check_versions(&self, breaches: &mut BTreeSet<Breach>) {
         let mut newest: BTreeMap<(ResourceType, Epoch), Version> = BTreeMap::new();
         let mut rejected: BTreeSet<(ResourceType, Epoch, Sequence)> = BTreeSet::new();
@@ -207,16 +212,16 @@
                 breaches.insert(Breach::MalformedVersion { client, version: view.version.clone() });
                 continue;
             };
-            let known = newest.entry((view.resource_type, version.epoch)).or_insert(version);
-            if version.sequence < known.sequence {
+            let newest_known = newest.entry((view.resource_type, version.epoch)).or_insert(version);
+            if version.sequence < newest_known.sequence {
                 breaches.insert(Breach::OlderVersion {
                     client: self.client.to_owned(),
                     resource_type: view.resource_type,
-                    newer: known.to_string(),
+                    newer: newest_known.to_string(),
                     older: view.version.clone(),
                 });
             } else {
-                *known = version;
+                *newest_known = version;
             }
             let key = (view.resource_type, version.epoch, version.sequence);
             if rejected.contains(&key) {
--- a/src/lab/xds/client.rs
+++ b/src/lab/xds/client.rs
@@ -1,24 +1,24 @@
-//! A client that runs by itself.
+//! A client that answers, logs and reconnects without being driven by a test.
 
 use super::log_clock::log_time;
 use super::state::ClientState;
-use super::stream::{ClientPlan, ClientStream, Received};
+use super::stream::{ClientPlan, ClientStream, ReceivedResponse};
 use crate::control::resource::ResourceType;
 use crate::lab::views::{ClientEvent, LogEntry, View};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a client waits before it connects again after a failure.
+/// Wait after a failed connect before the next one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// The client's task.
 struct Client {
     plan: ClientPlan,
     state: ClientState,
     log: mpsc::UnboundedSender<LogEntry>,
 }
 
-/// Runs a client until it is told to stop: takes views, answers them, logs them, and reconnects with what it has.
+/// Runs a client until `stop` is true: it receives views, answers and logs them, and reconnects with the
+/// state it has.
 pub async fn run_client(
     plan: ClientPlan,
     log: mpsc::UnboundedSender<LogEntry>,
@@ -39,7 +39,7 @@
 }
 
 impl Client {
-    /// Takes and answers views until the stream ends or the client is to stop.
+    /// Receives and answers views until the stream ends or the client is stopped.
     async fn serve(&mut self, mut stream: ClientStream, stop: &mut watch::Receiver<bool>) {
         self.log(ClientEvent::Connected);
         for resource_type in ResourceType::ALL {
@@ -52,7 +52,7 @@
                 _ = stop.wait_for(|stop| *stop) => break,
             };
             let Ok(Some(received)) = received else { break };
-            match self.rejects(&received.view) {
+            match self.missing_server(&received.view) {
                 Some(missing) => self.reject(&mut stream, received, &missing).await,
                 None => self.accept(&mut stream, received, state).await,
             }
@@ -60,21 +60,22 @@
         self.log(ClientEvent::Ended);
     }
 
-    /// The server for whose lack the client rejects a view; it does so once.
-    fn rejects(&mut self, view: &View) -> Option<String> {
+    /// Returns the required server if the view is one of endpoints without it, so that the client rejects the
+    /// view. This happens only once: the server is not required after that.
+    fn missing_server(&mut self, view: &View) -> Option<String> {
         let is_endpoints = view.resource_type == ResourceType::Endpoints;
-        let lacks = |server: &mut String| is_endpoints && !view.servers.contains(server);
-        self.plan.rejects_without.take_if(lacks)
+        let is_missing = |server: &mut String| is_endpoints && !view.servers.contains(server);
+        self.plan.required_server.take_if(is_missing)
     }
 
-    async fn accept(&mut self, stream: &mut ClientStream, received: Received, state: ClientState) {
+    async fn accept(&mut self, stream: &mut ClientStream, received: ReceivedResponse, state: ClientState) {
         self.state = state;
         self.state.versions.insert(received.resource_type, received.version.clone());
         self.log(ClientEvent::Received(received.view.clone()));
         stream.ack(&received).await;
     }
 
-    async fn reject(&mut self, stream: &mut ClientStream, received: Received, missing: &str) {
+    async fn reject(&mut self, stream: &mut ClientStream, received: ReceivedResponse, missing: &str) {
         let view = View { accepted: false, ..received.view.clone() };
         self.log(ClientEvent::Received(view));
         let in_force = self.state.version(received.resource_type);
--- a/src/lab/xds/mod.rs
+++ b/src/lab/xds/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in xDS clients that log each view they receive, and the measurement of the control service by them: from the
-//! feed's event of a drain to the last client's view without that cache.
+//! Stand-in xDS clients that log each view they receive, and a measurement of the control service with them:
+//! the time from the feed's event of a drain to the last client's view without that cache.
 
 mod client;
 mod decode;
@@ -15,4 +15,4 @@
 pub use measure::{measure, MeasurePlan, Measurement};
 pub use site::{SiteSetup, StartedSite};
 pub use state::ClientState;
-pub use stream::{ClientPlan, ClientStream, Received};
+pub use stream::{ClientPlan, ClientStream, ReceivedResponse};
--- a/src/lab/xds/state.rs
+++ b/src/lab/xds/state.rs
@@ -1,4 +1,4 @@
-//! What a client has in force, and the responses by which it changes.
+//! The state of a client, and the responses that change it.
 
 use super::decode::{add_to_view, resource_name};
 use crate::control::resource::ResourceType;
@@ -11,51 +11,52 @@
 use std::collections::{BTreeMap, HashMap};
 use tonic::Status;
 
-/// A resource as a client has it.
+/// A resource in a client's state.
 #[derive(Clone, Debug, PartialEq)]
-struct HeldResource {
-    /// Incremental: its version.
+struct StoredResource {
+    /// Version of the resource; empty in the state-of-the-world variant, whose resources have none.
     version: String,
     body: Vec<u8>,
 }
 
-/// What a client has in force, for its next stream.
+/// The resources and versions that a client has in force; it keeps them over reconnects.
 #[derive(Clone, Debug, Default)]
 pub struct ClientState {
-    /// By type: the version that came with the last view accepted.
+    /// By type, the version of the last view that the client accepted.
     pub versions: BTreeMap<ResourceType, String>,
-    /// By type and name.
-    resources: BTreeMap<ResourceType, BTreeMap<String, HeldResource>>,
+    /// Resources by type and name.
+    resources: BTreeMap<ResourceType, BTreeMap<String, StoredResource>>,
 }
 
 impl ClientState {
-    /// The version of a type in force; empty: none.
+    /// Returns the version of a type that is in force, empty if there is none.
     pub fn version(&self, resource_type: ResourceType) -> String {
         self.versions.get(&resource_type).cloned().unwrap_or_default()
     }
 
-    /// By name the versions of a type's resources.
+    /// Returns the versions of a type's resources by name.
     pub(super) fn resource_versions(&self, resource_type: ResourceType) -> HashMap<String, String> {
         let resources = self.resources.get(&resource_type).into_iter().flatten();
         resources.map(|(name, resource)| (name.clone(), resource.version.clone())).collect()
     }
 
-    /// Takes in a response.
+    /// Applies a response. A state-of-the-world response replaces all resources of its type, an incremental
+    /// one adds and removes some.
     pub(super) fn apply(&mut self, variant: Variant, response: Response) {
-        let held = self.resources.entry(response.resource_type).or_default();
+        let stored = self.resources.entry(response.resource_type).or_default();
         if variant == Variant::StateOfTheWorld {
-            held.clear();
+            stored.clear();
         }
         for name in &response.removed {
-            held.remove(name);
+            stored.remove(name);
         }
         for resource in response.resources {
             let Resource { name, version, any } = resource;
-            held.insert(name, HeldResource { version, body: any.value });
+            stored.insert(name, StoredResource { version, body: any.value });
         }
     }
 
-    /// What the client knows of a type by now.
+    /// Returns the view of a type that follows from its resources.
     pub(super) fn view(&self, resource_type: ResourceType, version: &str) -> Result<View, Status> {
         let mut view = View::new(resource_type, version);
         for resource in self.resources.get(&resource_type).into_iter().flat_map(BTreeMap::values) {
@@ -65,15 +66,15 @@
     }
 }
 
-/// A resource of a response.
+/// A resource in a response.
 struct Resource {
     name: String,
-    /// Incremental: its version.
+    /// Version of the resource; empty in the state-of-the-world variant.
     version: String,
     any: Any,
 }
 
-/// A response of either variant, as far as a client reads it.
+/// The parts of a response of either variant that a client reads.
 pub(super) struct Response {
     pub(super) resource_type: ResourceType,
     pub(super) version: String,
@@ -83,8 +84,8 @@
 }
 
 impl Response {
-    pub(super) fn of_state_of_the_world(message: DiscoveryResponse) -> Result<Self, Status> {
-        let resource_type = known_type(&message.type_url)?;
+    pub(super) fn from_state_of_the_world(message: DiscoveryResponse) -> Result<Self, Status> {
+        let resource_type = parse_type_url(&message.type_url)?;
         let mut resources = Vec::new();
         for any in message.resources {
             let name = resource_name(resource_type, &any);
@@ -100,8 +101,8 @@
         })
     }
 
-    pub(super) fn of_incremental(message: DeltaDiscoveryResponse) -> Result<Self, Status> {
-        let resource_type = known_type(&message.type_url)?;
+    pub(super) fn from_incremental(message: DeltaDiscoveryResponse) -> Result<Self, Status> {
+        let resource_type = parse_type_url(&message.type_url)?;
         let mut resources = Vec::new();
         for resource in message.resources {
             let Some(any) = resource.resource else { continue };
@@ -117,6 +118,6 @@
     }
 }
 
-fn known_type(url: &str) -> Result<ResourceType, Status> {
-    wire::resource_type(url).ok_or_else(|| Status::internal(format!("a response of type {url:?}")))
+fn parse_type_url(url: &str) -> Result<ResourceType, Status> {
+    wire::resource_type(url).ok_or_else(|| Status::internal(format!("response type {url:?} is unknown")))
 }
