--- a/src/commands/sim.rs
+++ b/src/commands/sim.rs
@@ -70,7 +70,7 @@
 ) -> Result<(), CommandError> {
     let script = plan.script(seed);
     let kept: Vec<Fault> = numbers.iter().filter_map(|number| script.get(*number).cloned()).collect();
-    let outcome = runner::play(plan, seed, &kept, sabotage);
+    let outcome = runner::run_seed(plan, seed, &kept, sabotage);
     print(&serde_json::json!(outcome));
     fail_if_broken(!outcome.breaches.is_empty())
 }
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -22,7 +22,7 @@
         let mut state = self.lock();
         // A killed process would refuse the connection. The listener can't be closed here, so the accepted
         // connection is closed at once.
-        if state.fleet[host].dead || state.is_stopped {
+        if state.fleet[host].is_dead || state.is_stopped {
             return;
         }
         let connection_id = state.next_connection_id();
--- a/src/lab/hosts/event_queue.rs
+++ b/src/lab/hosts/event_queue.rs
@@ -102,7 +102,7 @@
             return state.send(connection_id, GARBLED_ANSWER);
         }
         let silent_until = &state.silent_until;
-        let is_reachable = |fleet: &Fleet, host: HostId| !fleet[host].dead && silent_until[host.0] <= now;
+        let is_reachable = |fleet: &Fleet, host: HostId| !fleet[host].is_dead && silent_until[host.0] <= now;
         let answer = state.fleet.answer(host, &request, now, &is_reachable);
         state.send(connection_id, &answer.encode(&id));
     }
--- a/src/lab/hosts/faults.rs
+++ b/src/lab/hosts/faults.rs
@@ -22,7 +22,7 @@
             FaultKind::Killed { host, ms } => {
                 state.close_connections(host);
                 state.fleet[host].copies.clear();
-                state.fleet[host].dead = true;
+                state.fleet[host].is_dead = true;
                 self.schedule(state, now + Span::from_millis(ms), ScheduledEvent::HostRestarts(host));
             }
             FaultKind::Reset { host } => state.close_connections(host),
--- a/src/lab/hosts/mod.rs
+++ b/src/lab/hosts/mod.rs
@@ -126,7 +126,7 @@
 
     /// Whether a host's process runs and is not silent.
     fn is_reachable(&self, host: HostId, now: Instant) -> bool {
-        !self.fleet[host].dead && self.silent_until[host.0] <= now
+        !self.fleet[host].is_dead && self.silent_until[host.0] <= now
     }
 
     /// Draws the time that a host takes for one request.
--- a/src/net/fabric/actors.rs
+++ b/src/net/fabric/actors.rs
@@ -88,7 +88,7 @@
     }
 
     /// Connects a client to a port on which processes listen; returns the connection's number.
-    pub fn dial(&self, from: SocketAddr, to: SocketAddr) -> u64 {
+    pub fn connect_client(&self, from: SocketAddr, to: SocketAddr) -> u64 {
         let mut state = self.state();
         let draw = state.draw();
         let id = state.new_link(NO_PROCESS, from);
--- a/src/net/fabric/injected_errors.rs
+++ b/src/net/fabric/injected_errors.rs
@@ -91,8 +91,8 @@
 impl Fabric {
     /// Connects a client that is gone before its connection is accepted. Accepting the connection fails with
     /// `error`.
-    pub fn dial_aborted(&self, from: SocketAddr, to: SocketAddr, error: Errno) {
-        let link = self.dial(from, to);
+    pub fn connect_aborted_client(&self, from: SocketAddr, to: SocketAddr, error: Errno) {
+        let link = self.connect_client(from, to);
         if let Some(link) = self.state().links.get_mut(&link) {
             (link.is_aborted, link.error) = (true, error);
         }
--- a/src/net/fabric/tests.rs
+++ b/src/net/fabric/tests.rs
@@ -107,7 +107,7 @@
     fabric.start_process(2);
     let front = host(9);
     let port = fabric.listen(1, front, 0).expect("listening succeeds");
-    let link = fabric.dial("127.0.2.1:40000".parse().expect("the address is valid"), front);
+    let link = fabric.connect_client("127.0.2.1:40000".parse().expect("the address is valid"), front);
     fabric.send(link, b"ping");
     run_until(&fabric, at(MS));
     assert_eq!(fabric.take_ready(1).sources, [0]);
@@ -126,7 +126,7 @@
     assert_eq!((read(end), &unprocessed[..]), (Ok("ping".into()), &b"pi"[..]));
     // A connection that is being handed over to a process that ends is broken.
     let port = fabric.listen(2, front, 0).expect("listening succeeds");
-    let other = fabric.dial("127.0.2.2:40000".parse().expect("the address is valid"), front);
+    let other = fabric.connect_client("127.0.2.2:40000".parse().expect("the address is valid"), front);
     run_until(&fabric, at(3 * MS));
     let (end, _) = port.accept().expect("a connection is waiting");
     fabric.start_process(3);
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -47,8 +47,8 @@
 fn accept_skips_connections_that_failed_in_the_backlog() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::PERM] {
         let (fabric, mut net, listener) = listening_process();
-        (0..10).for_each(|number| fabric.dial_aborted(client(number), host(FRONT_HOST), error));
-        fabric.dial(client(99), host(FRONT_HOST));
+        (0..10).for_each(|number| fabric.connect_aborted_client(client(number), host(FRONT_HOST), error));
+        fabric.connect_client(client(99), host(FRONT_HOST));
         run_until(&fabric, at(MS));
         let accepted = net.accept(at(MS), &listener, Role::Thrift);
         assert!(matches!(accepted, Ok(Some(_))), "{error}: {accepted:?}");
@@ -59,7 +59,7 @@
 #[test]
 fn accepting_stops_after_too_many_failures_in_a_row() {
     let (fabric, mut net, listener) = listening_process();
-    (0..500).for_each(|number| fabric.dial_aborted(client(number), host(FRONT_HOST), Errno::PROTO));
+    (0..500).for_each(|number| fabric.connect_aborted_client(client(number), host(FRONT_HOST), Errno::PROTO));
     run_until(&fabric, at(MS));
     assert!(net.accept(at(MS), &listener, Role::Thrift).is_err());
 }
@@ -68,7 +68,7 @@
 fn exhaustion_is_an_error_and_loses_no_waiting_connection() {
     for error in [Errno::NFILE, Errno::MFILE, Errno::NOBUFS] {
         let (fabric, mut net, listener) = listening_process();
-        fabric.dial(client(1), host(FRONT_HOST));
+        fabric.connect_client(client(1), host(FRONT_HOST));
         fabric.exhaust_descriptors(error, at(5 * MS));
         run_until(&fabric, at(MS));
         let failed = net.accept(at(MS), &listener, Role::Thrift).expect_err("descriptors are exhausted");
@@ -83,7 +83,7 @@
 #[test]
 fn interrupted_calls_are_repeated() {
     let (fabric, mut net, listener) = listening_process();
-    fabric.dial(client(1), host(FRONT_HOST));
+    fabric.connect_client(client(1), host(FRONT_HOST));
     run_until(&fabric, at(MS));
     fabric.interrupt_calls(at(100 * MS));
     let accepted = net
@@ -109,7 +109,7 @@
 fn interrupted_calls_do_not_turn_a_close_into_a_reset() {
     for calls in 0..3 {
         let (fabric, mut net, listener) = listening_process();
-        let link = fabric.dial(client(1), host(FRONT_HOST));
+        let link = fabric.connect_client(client(1), host(FRONT_HOST));
         fabric.send(link, b"never read");
         run_until(&fabric, at(MS));
         let key = net
--- a/src/server/acceptor/tests.rs
+++ b/src/server/acceptor/tests.rs
@@ -68,8 +68,8 @@
 fn aborted_connection_does_not_delay_the_next_accept() {
     for error in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
         let mut simulated = SimulatedServer::new();
-        simulated.fabric.dial_aborted(client(1), host(FRONT), error);
-        simulated.fabric.dial(client(2), host(FRONT));
+        simulated.fabric.connect_aborted_client(client(1), host(FRONT), error);
+        simulated.fabric.connect_client(client(2), host(FRONT));
         simulated.run_until(START + MS);
         assert_eq!(simulated.clients(), 1, "{error}");
     }
@@ -85,7 +85,7 @@
         simulated.fabric.exhaust_descriptors(error, START + 2000 * MS);
         for number in 0..CLIENTS {
             simulated.run_until(START + 1000 * MS + i64::from(number) * Span::from_micros(2_300));
-            simulated.fabric.dial(client(number), host(FRONT));
+            simulated.fabric.connect_client(client(number), host(FRONT));
         }
         simulated.run_until(START + 1999 * MS);
         assert_eq!(simulated.clients(), 0, "{error}");
@@ -105,7 +105,7 @@
     let mut simulated = SimulatedServer::new();
     simulated.run_until(START + 100 * MS);
     simulated.fabric.exhaust_descriptors(Errno::MFILE, START + 1500 * MS);
-    let link = simulated.fabric.dial(client(1), host(FRONT));
+    let link = simulated.fabric.connect_client(client(1), host(FRONT));
     simulated.fabric.send(link, &thrift_client::ping(1));
     simulated.run_until(START + 200 * MS);
     simulated.server.terminate();
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -42,7 +42,7 @@
     /// Name of the host in the endpoint list.
     pub host_name: &'a str,
     /// Connection on which the attempt arrived.
-    pub link: ConnectionId,
+    pub connection: ConnectionId,
     /// Trace id of the client's request.
     pub trace: &'a str,
     /// When its first byte was written. The rule for drains compares this time, not the time of arrival.
@@ -177,7 +177,7 @@
             WriteState::DidNotRun => None,
         });
         let first = may_have_run.min();
-        states.insert((attempt.host, attempt.link), WriteState::MayHaveRun(sent));
+        states.insert((attempt.host, attempt.connection), WriteState::MayHaveRun(sent));
         let Some((first_sent, first_host)) = first else { return };
         let (rule, is_allowed) = match self.dedup_window {
             None => ("result-twice", false),
@@ -192,9 +192,9 @@
     }
 
     /// Records that a host has stated that a request did not run there.
-    pub fn did_not_run(&mut self, host: HostId, link: ConnectionId, trace: &str) {
+    pub fn did_not_run(&mut self, host: HostId, connection: ConnectionId, trace: &str) {
         if let Some(states) = self.writes.get_mut(trace) {
-            states.insert((host, link), WriteState::DidNotRun);
+            states.insert((host, connection), WriteState::DidNotRun);
         }
     }
 
--- a/src/sim/rules/tests.rs
+++ b/src/sim/rules/tests.rs
@@ -5,7 +5,7 @@
 const FIRST: HostId = HostId(0);
 const SECOND: HostId = HostId(1);
 /// Connection of the first host; that of the second has the next number.
-const FIRST_LINK: ConnectionId = ConnectionId(7);
+const FIRST_CONNECTION: ConnectionId = ConnectionId(7);
 
 fn at(micros: i64) -> Instant {
     Instant::from_micros(micros)
@@ -16,8 +16,8 @@
 }
 
 fn attempt(host: HostId, trace: &str, sent: Instant) -> ReceivedAttempt<'_> {
-    let link = ConnectionId(FIRST_LINK.0 + host.0 as u64);
-    ReceivedAttempt { host, host_name: "a", link, trace, sent, is_write: false }
+    let connection = ConnectionId(FIRST_CONNECTION.0 + host.0 as u64);
+    ReceivedAttempt { host, host_name: "a", connection, trace, sent, is_write: false }
 }
 
 fn write(host: HostId, trace: &str, sent: Instant) -> ReceivedAttempt<'_> {
@@ -30,7 +30,7 @@
     // A write that did not run may be sent to another host. A write that may have run must not be sent again.
     // Requests that are not writes may be sent any number of times.
     rules.attempt_received(at(1), &write(FIRST, "t1", at(1)));
-    rules.did_not_run(FIRST, FIRST_LINK, "t1");
+    rules.did_not_run(FIRST, FIRST_CONNECTION, "t1");
     rules.attempt_received(at(2), &write(SECOND, "t1", at(2)));
     rules.attempt_received(at(3), &attempt(FIRST, "t2", at(3)));
     rules.attempt_received(at(4), &attempt(SECOND, "t2", at(4)));
--- a/src/sim/runner.rs
+++ b/src/sim/runner.rs
@@ -17,7 +17,7 @@
 use std::time::Instant;
 
 /// Plays one seed with the given faults of its script. A panic is reported as a breach of the rule "panic".
-pub fn play(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
+pub fn run_seed(plan: &RunPlan, seed: u64, faults: &[Fault], planted_bug: Option<PlantedBug>) -> RunOutcome {
     let played = catch_unwind(AssertUnwindSafe(|| run(plan, seed, faults, planted_bug)));
     played.unwrap_or_else(|panic| {
         let breach = Breach { rule: "panic", at: Span::ZERO, text: panics::message(&*panic) };
@@ -30,15 +30,15 @@
 pub fn shrink(plan: &RunPlan, seed: u64, rule: &str, planted_bug: Option<PlantedBug>) -> Failure {
     let script = plan.script(seed);
     let pick = |keep: &[usize]| -> Vec<Fault> { keep.iter().map(|n| script[*n].clone()).collect() };
-    let play_kept = |keep: &[usize]| play(plan, seed, &pick(keep), planted_bug);
-    let is_broken = |keep: &Vec<usize>| play_kept(keep).breach_of(rule).is_some();
+    let run_kept = |keep: &[usize]| run_seed(plan, seed, &pick(keep), planted_bug);
+    let is_broken = |keep: &Vec<usize>| run_kept(keep).breach_of(rule).is_some();
     let mut keep: Vec<usize> = (0..script.len()).collect();
     loop {
         let fewer = lists_without_one(&keep).find(is_broken);
         let Some(fewer) = fewer else { break };
         keep = fewer;
     }
-    let outcome = play_kept(&keep);
+    let outcome = run_kept(&keep);
     let describe = |breach: &Breach| format!("at {} ms: {}", breach.at.as_millis(), breach.text);
     Failure {
         seed,
@@ -98,8 +98,8 @@
 ) -> Summary {
     let begun = Instant::now();
     let count = seeds.end.saturating_sub(seeds.start);
-    let play_seed = |seed| Totals::of_run(seed, &play(plan, seed, &plan.script(seed), planted_bug));
-    let totals = seeds.into_par_iter().map(play_seed).reduce(Totals::default, Totals::add);
+    let totals_of_seed = |seed| Totals::of_run(seed, &run_seed(plan, seed, &plan.script(seed), planted_bug));
+    let totals = seeds.into_par_iter().map(totals_of_seed).reduce(Totals::default, Totals::add);
     let mut broken: BTreeMap<String, u64> = BTreeMap::new();
     for rule in totals.failed.values() {
         *broken.entry((*rule).to_owned()).or_default() += 1;
--- a/src/sim/tests.rs
+++ b/src/sim/tests.rs
@@ -1,6 +1,6 @@
 //! Hard cases as fault scripts, the planted bugs, and a few hundred seeds.
 
-use super::runner::{play, search, shrink};
+use super::runner::{run_seed, search, shrink};
 use super::world::{run, PlantedBug, RunOutcome};
 use crate::standin::faults::system_error::SystemError;
 use crate::standin::faults::{Fault, FaultKind, RunPlan};
@@ -18,7 +18,8 @@
 /// the 150 requests have an outcome.
 fn assert_no_breach(seeds: std::ops::Range<u64>, script: impl Fn(i64) -> Vec<Fault>) -> Vec<RunOutcome> {
     let plan = RunPlan { requests: 150, ..RunPlan::default() };
-    let outcomes: Vec<RunOutcome> = seeds.map(|seed| play(&plan, seed, &script(seed as i64), None)).collect();
+    let outcomes: Vec<RunOutcome> =
+        seeds.map(|seed| run_seed(&plan, seed, &script(seed as i64), None)).collect();
     for (n, outcome) in outcomes.iter().enumerate() {
         assert_eq!(outcome.breaches, [], "run {n}");
         assert!(outcome.answers.total() >= 140, "run {n}: {outcome:?}");
@@ -67,10 +68,10 @@
         assert_eq!((failure.rule.as_str(), failure.keep.len()), (rule, needs), "{failure:?}");
         // The shrunk script reproduces the failure with the same trace each time. Without the bug, it breaks
         // no rule.
-        let replay = || play(plan, failure.seed, &failure.faults, Some(planted_bug));
+        let replay = || run_seed(plan, failure.seed, &failure.faults, Some(planted_bug));
         assert_eq!((replay().trace, replay()), (failure.trace, replay()));
         assert_eq!(replay().breaches[0].rule, rule);
-        assert_eq!(play(plan, failure.seed, &failure.faults, None).breaches, []);
+        assert_eq!(run_seed(plan, failure.seed, &failure.faults, None).breaches, []);
         assert_eq!(shrink(plan, failure.seed, rule, Some(planted_bug)).keep, failure.keep);
     }
 }
@@ -174,7 +175,7 @@
         });
         let with = |steps: [FaultKind; 2]| {
             let steps = [at(500, steps[0]), at(2500, steps[1])];
-            play(&plan, seed, &[&script[..], &steps].concat(), None)
+            run_seed(&plan, seed, &[&script[..], &steps].concat(), None)
         };
         let steady = with([FaultKind::ClockStep { ms: 0 }; 2]);
         let stepped = with([clock_step(seed as i64), clock_step(seed as i64 + 1)]);
@@ -265,7 +266,7 @@
 fn interrupted_and_short_calls_do_not_change_answers() {
     let plan = RunPlan { requests: 150, ..RunPlan::default() };
     for seed in 0..30 {
-        let with = |what| play(&plan, seed, &[at(100, what)], None);
+        let with = |what| run_seed(&plan, seed, &[at(100, what)], None);
         let steady = with(FaultKind::Interrupted { ms: 0 });
         let interrupted = with(FaultKind::Interrupted { ms: 6000 });
         let short = with(FaultKind::ShortIo { bytes: 60, ms: 6000 });
--- a/src/sim/world/clients.rs
+++ b/src/sim/world/clients.rs
@@ -40,7 +40,7 @@
 /// A stand-in client, with the state of its connection if it has one.
 #[derive(Default)]
 pub(super) struct Client {
-    pub(super) link: Option<ConnectionId>,
+    pub(super) connection: Option<ConnectionId>,
     last_seqid: i32,
     pub(super) input: Vec<u8>,
     /// Requests without an answer, by sequence number.
@@ -61,7 +61,7 @@
 
     /// Drops the state of the connection; returns the requests that were open.
     fn disconnect(&mut self) -> BTreeMap<i32, OpenRequest> {
-        self.link = None;
+        self.connection = None;
         self.input.clear();
         self.cancelled.clear();
         std::mem::take(&mut self.open)
@@ -74,8 +74,8 @@
     }
 
     /// Returns the client to which a connection belongs.
-    pub(super) fn client_of(&self, link: ConnectionId) -> Option<ClientId> {
-        self.clients.iter().position(|client| client.link == Some(link)).map(ClientId)
+    pub(super) fn client_of(&self, connection: ConnectionId) -> Option<ClientId> {
+        self.clients.iter().position(|client| client.connection == Some(connection)).map(ClientId)
     }
 
     /// Sends a client's request, on a new connection if it has none. Does nothing once the run is ending.
@@ -84,8 +84,8 @@
             return;
         }
         let request = self.request(number).clone();
-        let link = match self.client(request.client).link {
-            Some(link) => link,
+        let connection = match self.client(request.client).connection {
+            Some(connection) => connection,
             None => self.connect_client(request.client),
         };
         let now = self.now;
@@ -93,7 +93,7 @@
         let seqid = client.next_seqid();
         let sent = now.max(client.accepted_by);
         client.open.insert(seqid, OpenRequest { number, written: now, sent, is_resent });
-        self.fabric.send(link.0, &invoke_frame(seqid, &request));
+        self.fabric.send(connection.0, &invoke_frame(seqid, &request));
         let answered_by = request.client_timeout + MAX_ANSWER_DELAY;
         self.schedule_in(answered_by, ScheduledEvent::CheckAnswered(request.client, seqid));
         if let Some(after) = request.cancelled_after {
@@ -103,14 +103,14 @@
 
     fn connect_client(&mut self, id: ClientId) -> ConnectionId {
         let from = SocketAddr::from(([127, 0, 2, id.0 as u8 + 1], 40_000));
-        let link = ConnectionId(self.fabric.dial(from, numbered_address(FRONT)));
+        let connection = ConnectionId(self.fabric.connect_client(from, numbered_address(FRONT)));
         let now = self.now;
         let client = self.client(id);
-        client.link = Some(link);
+        client.connection = Some(connection);
         client.connected_at = now;
         client.accepted_by = now;
         self.delay_acceptance(id);
-        link
+        connection
     }
 
     /// Moves the time at which a client's requests count as sent to the end of a descriptor shortage, if the
@@ -120,7 +120,7 @@
         let client = self.client(id);
         let connected_before = client.connected_at + MAX_TRANSIT < since;
         let connected_after = until + ACCEPT_RESUME_DELAY < client.connected_at;
-        if client.link.is_none() || connected_before || connected_after {
+        if client.connection.is_none() || connected_before || connected_after {
             return;
         }
         client.accepted_by = client.accepted_by.max(until + ACCEPT_RESUME_DELAY);
@@ -138,35 +138,35 @@
     /// Cancels a client's request if it is still open.
     pub(super) fn cancel_request(&mut self, id: ClientId, seqid: i32) {
         let client = self.client(id);
-        let Some(link) = client.link else { return };
+        let Some(connection) = client.connection else { return };
         let Some(open) = client.open.remove(&seqid) else { return };
         client.cancelled.insert(seqid);
         let frame = thrift_client::abort(client.next_seqid(), seqid);
         self.rules.client_left(self.now, &self.requests[open.number.index()].trace);
         if self.planted_bug != Some(PlantedBug::DeafToClients) {
-            self.fabric.send(link.0, &frame);
+            self.fabric.send(connection.0, &frame);
         }
         self.answers.excused += 1;
     }
 
     /// Resets a client's connection.
     pub(super) fn reset_client(&mut self, client: ClientId) {
-        if let Some(link) = self.end_client_connection(client) {
-            self.fabric.reset(link.0);
+        if let Some(connection) = self.end_client_connection(client) {
+            self.fabric.reset(connection.0);
         }
     }
 
     /// Closes a client's connection without a reset.
     pub(super) fn close_client(&mut self, client: ClientId) {
-        if let Some(link) = self.end_client_connection(client) {
-            self.fabric.close(link.0);
+        if let Some(connection) = self.end_client_connection(client) {
+            self.fabric.close(connection.0);
         }
     }
 
     /// Ends a client's connection for its part, and excuses its open requests. Returns the connection to
     /// close or reset; `None` if it has none, or if the planted bug keeps it open.
     fn end_client_connection(&mut self, id: ClientId) -> Option<ConnectionId> {
-        let link = self.client(id).link?;
+        let connection = self.client(id).connection?;
         if self.planted_bug == Some(PlantedBug::DeafToClients) {
             let open = std::mem::take(&mut self.client(id).open);
             self.excuse_open_requests(&open);
@@ -175,7 +175,7 @@
         }
         let open = self.client(id).disconnect();
         self.excuse_open_requests(&open);
-        Some(link)
+        Some(connection)
     }
 
     fn excuse_open_requests(&mut self, open: &BTreeMap<i32, OpenRequest>) {
@@ -187,9 +187,9 @@
 
     /// Handles the end of a client's connection by the other side. Open requests that no process had to
     /// answer are excused; those that may have crossed the end are sent once more; any other is a breach.
-    pub(super) fn client_disconnected(&mut self, id: ClientId, link: ConnectionId) {
+    pub(super) fn client_disconnected(&mut self, id: ClientId, connection: ConnectionId) {
         let open = self.client(id).disconnect();
-        let process = self.fabric.process_of(link.0).map(ProcessId).filter(ProcessId::is_assigned);
+        let process = self.fabric.process_of(connection.0).map(ProcessId).filter(ProcessId::is_assigned);
         for open in open.into_values() {
             self.answers.excused += 1;
             if self.needs_no_answer(&open, process) {
--- a/src/sim/world/faults/feed.rs
+++ b/src/sim/world/faults/feed.rs
@@ -22,8 +22,8 @@
     }
 
     pub(super) fn reset_feed(&mut self) {
-        for link in self.feed.disconnect_all() {
-            self.fabric.reset(link.0);
+        for connection in self.feed.disconnect_all() {
+            self.fabric.reset(connection.0);
         }
         self.cut_feed(self.now);
     }
--- a/src/sim/world/faults/host.rs
+++ b/src/sim/world/faults/host.rs
@@ -12,7 +12,7 @@
 
 impl World<'_> {
     pub(super) fn silence_host(&mut self, host: HostId, until: Instant) {
-        if !self.fleet[host].dead {
+        if !self.fleet[host].is_dead {
             self.fabric.set_host_behaviour(host_address(host), HostBehaviour::SilentUntil(until));
         }
     }
@@ -45,21 +45,23 @@
     }
 
     /// Closes a host's idle connections. Bytes that are on their way to it on them are not read.
-    pub(super) fn close_idle_links(&mut self, id: HostId) {
+    pub(super) fn close_idle_connections(&mut self, id: HostId) {
         let host = &mut self.fleet[id];
-        let is_open = |link: &ConnectionId| host.open_requests.keys().any(|(open_link, _)| open_link == link);
+        let is_open = |connection: &ConnectionId| {
+            host.open_requests.keys().any(|(open_connection, _)| open_connection == connection)
+        };
         let idle: Vec<ConnectionId> =
-            host.partial_inputs.keys().copied().filter(|link| !is_open(link)).collect();
-        for link in idle {
-            host.partial_inputs.remove(&link);
-            self.fabric.close(link.0);
+            host.partial_inputs.keys().copied().filter(|connection| !is_open(connection)).collect();
+        for connection in idle {
+            host.partial_inputs.remove(&connection);
+            self.fabric.close(connection.0);
         }
     }
 
     /// Breaks all connections of a host with the given system error instead of a plain reset.
-    pub(super) fn fail_links(&mut self, host: HostId, error: SystemError) {
-        for link in self.forget_links(host) {
-            self.fabric.reset_with_error(link.0, error.errno());
+    pub(super) fn fail_connections(&mut self, host: HostId, error: SystemError) {
+        for connection in self.remove_connections(host) {
+            self.fabric.reset_with_error(connection.0, error.errno());
         }
     }
 }
--- a/src/sim/world/faults/mod.rs
+++ b/src/sim/world/faults/mod.rs
@@ -27,7 +27,7 @@
         match fault {
             FaultKind::Silent { host, ms } => self.silence_host(host, after(ms)),
             FaultKind::Killed { host, ms } => self.kill_host_until(host, after(ms)),
-            FaultKind::Reset { host } => self.reset_links(host),
+            FaultKind::Reset { host } => self.reset_connections(host),
             FaultKind::Slow { host, times, ms } => {
                 self.fleet[host].slowdown = Slowdown { factor: times, until: after(ms) };
             }
@@ -43,7 +43,7 @@
             FaultKind::ClientGone { client } => self.reset_client(client),
             FaultKind::ClientCloses { client } => self.close_client(client),
             FaultKind::SlowDials { host, late_ms, ms } => self.delay_connects(host, late_ms, after(ms)),
-            FaultKind::ClosesIdle { host } => self.close_idle_links(host),
+            FaultKind::ClosesIdle { host } => self.close_idle_connections(host),
             FaultKind::AnswersTwice { host } => self.fleet[host].repeats_next_answer = true,
             FaultKind::PollsLost => self.lose_polls(),
             FaultKind::WholeList => self.publish_whole_list(),
@@ -57,7 +57,7 @@
             FaultKind::ConnectFails { host, error, at_once, ms } => {
                 self.fabric.fail_connects(host_address(host), error.errno(), at_once, after(ms));
             }
-            FaultKind::LinksFail { host, error } => self.fail_links(host, error),
+            FaultKind::LinksFail { host, error } => self.fail_connections(host, error),
             FaultKind::ShortIo { bytes, ms } => self.fabric.limit_io_bytes(bytes, after(ms)),
             FaultKind::Interrupted { ms } => self.fabric.interrupt_calls(after(ms)),
         }
--- a/src/sim/world/faults/system.rs
+++ b/src/sim/world/faults/system.rs
@@ -19,7 +19,7 @@
     pub(super) fn abort_connects(&mut self, error: SystemError, count: usize) {
         for number in 0..count {
             let from = SocketAddr::from(([127, 0, 3, 1], 40_000 + number as u16));
-            self.fabric.dial_aborted(from, numbered_address(FRONT), error.errno());
+            self.fabric.connect_aborted_client(from, numbered_address(FRONT), error.errno());
         }
     }
 
--- a/src/sim/world/feed.rs
+++ b/src/sim/world/feed.rs
@@ -27,7 +27,7 @@
     /// All events so far, without their numbers: those are their places in the list, from 1.
     pub(super) events: Vec<Value>,
     /// Input that is no complete request yet, by connection.
-    links: BTreeMap<ConnectionId, Vec<u8>>,
+    partial_inputs: BTreeMap<ConnectionId, Vec<u8>>,
     polls: BTreeMap<ConnectionId, OpenPoll>,
     /// Events that are published before this time count as stated at it: the processes cannot poll the feed
     /// earlier.
@@ -35,23 +35,23 @@
 }
 
 impl Feed {
-    pub(super) fn connected(&mut self, link: ConnectionId) {
-        self.links.insert(link, Vec::new());
+    pub(super) fn connected(&mut self, connection: ConnectionId) {
+        self.partial_inputs.insert(connection, Vec::new());
     }
 
-    pub(super) fn is_connected(&self, link: ConnectionId) -> bool {
-        self.links.contains_key(&link)
+    pub(super) fn is_connected(&self, connection: ConnectionId) -> bool {
+        self.partial_inputs.contains_key(&connection)
     }
 
-    pub(super) fn disconnected(&mut self, link: ConnectionId) {
-        self.links.remove(&link);
-        self.polls.remove(&link);
+    pub(super) fn disconnected(&mut self, connection: ConnectionId) {
+        self.partial_inputs.remove(&connection);
+        self.polls.remove(&connection);
     }
 
     /// Drops all connections and polls from the state; returns the connections.
     pub(super) fn disconnect_all(&mut self) -> Vec<ConnectionId> {
         self.lose_polls();
-        std::mem::take(&mut self.links).into_keys().collect()
+        std::mem::take(&mut self.partial_inputs).into_keys().collect()
     }
 
     /// Drops the open polls, so that they are never answered.
@@ -60,8 +60,8 @@
     }
 
     /// Adds bytes to the input of a connection; returns the head of a request if it is complete.
-    fn take_head(&mut self, link: ConnectionId, bytes: &[u8]) -> Option<String> {
-        let input = self.links.get_mut(&link)?;
+    fn take_head(&mut self, connection: ConnectionId, bytes: &[u8]) -> Option<String> {
+        let input = self.partial_inputs.get_mut(&connection)?;
         input.extend_from_slice(bytes);
         let end = input.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
         let head = String::from_utf8_lossy(&input[..end]).into_owned();
@@ -72,25 +72,25 @@
 
 impl World<'_> {
     /// Handles bytes that have reached the feed: opens a poll once its request is complete.
-    pub(super) fn feed_received(&mut self, link: ConnectionId, bytes: &[u8]) {
-        let Some(head) = self.feed.take_head(link, bytes) else { return };
+    pub(super) fn feed_received(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        let Some(head) = self.feed.take_head(connection, bytes) else { return };
         let poll = PollRequest::parse(head.split(' ').nth(1).unwrap_or_default());
         let until = self.now + Span::from(poll.wait);
-        self.feed.polls.insert(link, OpenPoll { after: poll.after, until });
-        self.event_queue.schedule(until, ScheduledEvent::PollEnds(link));
-        self.answer_poll(link);
+        self.feed.polls.insert(connection, OpenPoll { after: poll.after, until });
+        self.event_queue.schedule(until, ScheduledEvent::PollEnds(connection));
+        self.answer_poll(connection);
     }
 
     /// Answers a poll if there is an event for it or its waiting time is over.
-    pub(super) fn answer_poll(&mut self, link: ConnectionId) {
-        let Some(OpenPoll { after, until }) = self.feed.polls.get(&link).copied() else { return };
+    pub(super) fn answer_poll(&mut self, connection: ConnectionId) {
+        let Some(OpenPoll { after, until }) = self.feed.polls.get(&connection).copied() else { return };
         if self.feed.events.len() <= after && self.now < until {
             return;
         }
-        self.feed.polls.remove(&link);
+        self.feed.polls.remove(&connection);
         let body = self.events_after(after).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        self.fabric.send(link.0, &[head.as_bytes(), body.as_bytes()].concat());
+        self.fabric.send(connection.0, &[head.as_bytes(), body.as_bytes()].concat());
     }
 
     /// Returns the events after the first `after`, as sent to processes: an event that a planted bug
@@ -119,9 +119,9 @@
     /// Publishes an event; returns the time at which it counts as stated.
     pub(super) fn publish(&mut self, event: Value) -> Instant {
         self.feed.events.push(event);
-        let links: Vec<ConnectionId> = self.feed.polls.keys().copied().collect();
-        for link in links {
-            self.answer_poll(link);
+        let connections: Vec<ConnectionId> = self.feed.polls.keys().copied().collect();
+        for connection in connections {
+            self.answer_poll(connection);
         }
         self.now.max(self.feed.unreachable_until)
     }
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -21,28 +21,34 @@
 const WARM_UP_COST_S: f64 = 0.02;
 
 impl World<'_> {
-    pub(super) fn host_connected(&mut self, host: HostId, link: ConnectionId) {
+    pub(super) fn host_connected(&mut self, host: HostId, connection: ConnectionId) {
         let input = PartialInput { bytes: Vec::new(), first_sent: self.now };
-        self.fleet[host].partial_inputs.insert(link, input);
+        self.fleet[host].partial_inputs.insert(connection, input);
     }
 
     /// Returns the host to which a connection belongs.
-    pub(super) fn host_of(&self, link: ConnectionId) -> Option<HostId> {
-        self.fleet.hosts.iter().position(|host| host.partial_inputs.contains_key(&link)).map(HostId)
+    pub(super) fn host_of(&self, connection: ConnectionId) -> Option<HostId> {
+        self.fleet.hosts.iter().position(|host| host.partial_inputs.contains_key(&connection)).map(HostId)
     }
 
-    pub(super) fn host_disconnected(&mut self, link: ConnectionId) {
+    pub(super) fn host_disconnected(&mut self, connection: ConnectionId) {
         for host in &mut self.fleet.hosts {
-            if host.partial_inputs.remove(&link).is_some() {
-                host.open_requests.retain(|(open_link, _), _| *open_link != link);
+            if host.partial_inputs.remove(&connection).is_some() {
+                host.open_requests.retain(|(open_connection, _), _| *open_connection != connection);
             }
         }
     }
 
     /// Handles bytes that were sent at `sent` and have reached a host.
-    pub(super) fn host_received(&mut self, id: HostId, link: ConnectionId, bytes: &[u8], sent: Instant) {
+    pub(super) fn host_received(
+        &mut self,
+        id: HostId,
+        connection: ConnectionId,
+        bytes: &[u8],
+        sent: Instant,
+    ) {
         let host = &mut self.fleet[id];
-        let Some(input) = host.partial_inputs.get_mut(&link).filter(|_| !host.dead) else { return };
+        let Some(input) = host.partial_inputs.get_mut(&connection).filter(|_| !host.is_dead) else { return };
         // An incomplete line that is left over was first sent with earlier bytes.
         let first_sent = if input.bytes.is_empty() { sent } else { input.first_sent };
         input.first_sent = sent;
@@ -53,33 +59,41 @@
         };
         for line in lines {
             match line {
-                HostLine::Fetch(request) => self.attempt_received(id, link, request, first_sent),
-                HostLine::Cancel(attempt) => drop(self.fleet[id].open_requests.remove(&(link, attempt))),
-                HostLine::HealthCheck(tag) => self.fabric.send(link.0, &HEALTHY.encode(&tag)),
+                HostLine::Fetch(request) => self.attempt_received(id, connection, request, first_sent),
+                HostLine::Cancel(attempt) => {
+                    drop(self.fleet[id].open_requests.remove(&(connection, attempt)))
+                }
+                HostLine::HealthCheck(tag) => self.fabric.send(connection.0, &HEALTHY.encode(&tag)),
             }
         }
     }
 
-    fn attempt_received(&mut self, id: HostId, link: ConnectionId, request: FetchRequest, sent: Instant) {
+    fn attempt_received(
+        &mut self,
+        id: HostId,
+        connection: ConnectionId,
+        request: FetchRequest,
+        sent: Instant,
+    ) {
         let host = &self.fleet[id];
         let attempt = ReceivedAttempt {
             host: id,
             host_name: &host.name,
-            link,
+            connection,
             trace: &request.id,
             sent,
             is_write: request.is_write(),
         };
         self.rules.attempt_received(self.now, &attempt);
-        if host.open_requests.contains_key(&(link, request.id.clone())) {
+        if host.open_requests.contains_key(&(connection, request.id.clone())) {
             let text = format!("{} comes twice on one connection", request.id);
             self.rules.record_breach(self.now, "same-id", text);
         }
         self.check_warm_up(id);
         let answered_after = self.answering_time(id, &request);
         let attempt = request.id.clone();
-        self.fleet[id].open_requests.insert((link, attempt.clone()), request);
-        self.schedule_in(answered_after, ScheduledEvent::HostAnswers(id, link, attempt));
+        self.fleet[id].open_requests.insert((connection, attempt.clone()), request);
+        self.schedule_in(answered_after, ScheduledEvent::HostAnswers(id, connection, attempt));
     }
 
     /// Draws how long a host takes to answer a request, including the fill if it needs one.
@@ -130,24 +144,26 @@
     }
 
     /// Answers an attempt, unless it was cancelled or the host's process has ended.
-    pub(super) fn answer_attempt(&mut self, id: HostId, link: ConnectionId, attempt: &str) {
-        let Some(request) = self.fleet[id].open_requests.remove(&(link, attempt.to_owned())) else { return };
-        if self.fleet[id].dead {
+    pub(super) fn answer_attempt(&mut self, id: HostId, connection: ConnectionId, attempt: &str) {
+        let Some(request) = self.fleet[id].open_requests.remove(&(connection, attempt.to_owned())) else {
+            return;
+        };
+        if self.fleet[id].is_dead {
             return;
         }
         if std::mem::take(&mut self.fleet[id].garbles_next_answer) {
-            return self.fabric.send(link.0, GARBLED_ANSWER);
+            return self.fabric.send(connection.0, GARBLED_ANSWER);
         }
         let (fabric, now) = (&self.fabric, self.now);
         let is_reachable = |fleet: &Fleet, host: HostId| is_reachable(fabric, now, fleet, host);
         let answer = self.fleet.answer(id, &request, now, &is_reachable);
         if answer.proves_not_run() {
-            self.rules.did_not_run(id, link, attempt);
+            self.rules.did_not_run(id, connection, attempt);
         }
         let bytes = answer.encode(attempt);
-        self.fabric.send(link.0, &bytes);
+        self.fabric.send(connection.0, &bytes);
         if std::mem::take(&mut self.fleet[id].repeats_next_answer) {
-            self.schedule_in(REPEATED_ANSWER_DELAY, ScheduledEvent::HostRepeats(link, bytes));
+            self.schedule_in(REPEATED_ANSWER_DELAY, ScheduledEvent::HostRepeats(connection, bytes));
         }
     }
 
@@ -162,9 +178,9 @@
 
     /// Kills a host's process: its connections are reset, its copies are lost, and new connects are refused.
     pub(super) fn kill_host(&mut self, host: HostId) {
-        self.reset_links(host);
+        self.reset_connections(host);
         self.fleet[host].copies.clear();
-        self.fleet[host].dead = true;
+        self.fleet[host].is_dead = true;
         self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Refusing);
     }
 
@@ -174,7 +190,7 @@
         let host = &mut self.fleet[id];
         let is_removed = host.entry["health"] == "removed";
         let restarted_now = host.started.is_none_or(|started| started == self.now);
-        if !host.dead || is_removed && restarted_now {
+        if !host.is_dead || is_removed && restarted_now {
             return;
         }
         host.restart(self.now);
@@ -185,14 +201,14 @@
         }
     }
 
-    pub(super) fn reset_links(&mut self, host: HostId) {
-        for link in self.forget_links(host) {
-            self.fabric.reset(link.0);
+    pub(super) fn reset_connections(&mut self, host: HostId) {
+        for connection in self.remove_connections(host) {
+            self.fabric.reset(connection.0);
         }
     }
 
     /// Drops a host's connections and open requests from its state; returns the connections.
-    pub(super) fn forget_links(&mut self, host: HostId) -> Vec<ConnectionId> {
+    pub(super) fn remove_connections(&mut self, host: HostId) -> Vec<ConnectionId> {
         let host = &mut self.fleet[host];
         host.open_requests.clear();
         std::mem::take(&mut host.partial_inputs).into_keys().collect()
@@ -201,5 +217,5 @@
 
 /// Whether a host's process runs and the host is not silent.
 fn is_reachable(fabric: &Fabric, now: Instant, fleet: &Fleet, host: HostId) -> bool {
-    !fleet[host].dead && fabric.silent_until(host_address(host)) <= now
+    !fleet[host].is_dead && fabric.silent_until(host_address(host)) <= now
 }
--- a/src/sim/world/network.rs
+++ b/src/sim/world/network.rs
@@ -8,7 +8,7 @@
     /// Passes on all events that have arrived.
     pub(super) fn deliver(&mut self) {
         for event in self.fabric.take_actor_events() {
-            match self.client_of(link_of(&event)) {
+            match self.client_of(connection_of(&event)) {
                 Some(client) => self.deliver_to_client(client, event),
                 None => self.deliver_to_server(event),
             }
@@ -29,31 +29,33 @@
 
     /// Passes an event to the feed or a host.
     fn deliver_to_server(&mut self, event: ActorEvent) {
-        let link = link_of(&event);
+        let connection = connection_of(&event);
         match event {
-            ActorEvent::Opened { host, .. } if host == numbered_address(FEED) => self.feed.connected(link),
+            ActorEvent::Opened { host, .. } if host == numbered_address(FEED) => {
+                self.feed.connected(connection)
+            }
             ActorEvent::Opened { host, .. } => {
                 if let Some(host) = self.host_ids.get(&host).copied() {
-                    self.host_connected(host, link);
+                    self.host_connected(host, connection);
                 }
             }
-            ActorEvent::Bytes { bytes, .. } if self.feed.is_connected(link) => {
-                self.feed_received(link, &bytes);
+            ActorEvent::Bytes { bytes, .. } if self.feed.is_connected(connection) => {
+                self.feed_received(connection, &bytes);
             }
             ActorEvent::Bytes { bytes, sent, .. } => {
-                if let Some(host) = self.host_of(link) {
-                    self.host_received(host, link, &bytes, sent);
+                if let Some(host) = self.host_of(connection) {
+                    self.host_received(host, connection, &bytes, sent);
                 }
             }
             ActorEvent::Closed { .. } | ActorEvent::Broken { .. } => {
-                self.feed.disconnected(link);
-                self.host_disconnected(link);
+                self.feed.disconnected(connection);
+                self.host_disconnected(connection);
             }
         }
     }
 }
 
-fn link_of(event: &ActorEvent) -> ConnectionId {
+fn connection_of(event: &ActorEvent) -> ConnectionId {
     let (ActorEvent::Opened { link, .. }
     | ActorEvent::Bytes { link, .. }
     | ActorEvent::Closed { link }
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -38,7 +38,7 @@
     first_event: Value,
     /// Capacity of each host's network link, as the number of answers that it can send at once at full pace.
     /// It stays the same if the variant hides it from the endpoint list.
-    links: Vec<f64>,
+    capacities: Vec<f64>,
     /// Time for which a write may be repeated; `None`: never.
     dedup_window: Option<Span>,
     variant: SiteVariant,
@@ -56,12 +56,12 @@
         config["settings"]["grades"][WRITE_CLASS]["effect"] = "side_effect".into();
         let mut first_event = config["known"]["events"][0].clone();
         let hosts = &mut first_event["members"]["hosts"];
-        let link = |entry: &Value| entry["share"].as_f64().unwrap_or(1.0);
-        let links: Vec<f64> = hosts.as_array().into_iter().flatten().map(link).collect();
+        let capacity = |entry: &Value| entry["share"].as_f64().unwrap_or(1.0);
+        let capacities: Vec<f64> = hosts.as_array().into_iter().flatten().map(capacity).collect();
         let variant = SiteVariant::draw(seed);
         variant.apply(&mut config["settings"], hosts);
         let dedup_window = variant.keyed_writes.then_some(Span::from_millis(DEDUP_WINDOW_MS));
-        let mut site = Site { config, first_event, links, dedup_window, variant };
+        let mut site = Site { config, first_event, capacities, dedup_window, variant };
         site.plant_bug(planted_bug);
         site
     }
@@ -130,7 +130,7 @@
             let tier = Tier::of(host, self.plan.caches, self.plan.parents);
             self.fabric.set_host_behaviour(host_address(host), HostBehaviour::Up);
             self.host_ids.insert(host_address(host), host);
-            self.fleet.hosts.push(Host { capacity: site.links[number], ..Host::new(tier, entry) });
+            self.fleet.hosts.push(Host { capacity: site.capacities[number], ..Host::new(tier, entry) });
         }
         self.fabric.set_host_behaviour(numbered_address(FEED), HostBehaviour::Up);
     }
--- a/src/standin/host.rs
+++ b/src/standin/host.rs
@@ -73,7 +73,7 @@
     /// Whether the next answer is sent twice.
     pub repeats_next_answer: bool,
     /// Whether the host's process is not running.
-    pub dead: bool,
+    pub is_dead: bool,
     /// Last start of the process; `None` if it has been running since before the run.
     pub started: Option<Instant>,
     /// Times of recently received requests while the host was warming up.
@@ -95,7 +95,7 @@
             fails_until: Instant::ZERO,
             garbles_next_answer: false,
             repeats_next_answer: false,
-            dead: false,
+            is_dead: false,
             started: None,
             warm_up_requests: Vec::new(),
         }
@@ -131,7 +131,7 @@
 
     /// Restarts the process and sets `born_ms` in the host's entry to the time of the start.
     pub fn restart(&mut self, now: Instant) {
-        self.dead = false;
+        self.is_dead = false;
         self.started = Some(now);
         self.warm_up_requests.clear();
         self.entry["born_ms"] = unix_ms(now).into();
