--- a/src/control/model/registry.rs
+++ b/src/control/model/registry.rs
@@ -43,7 +43,7 @@
 /// All servers of the endpoint list.
 #[derive(Default)]
 pub(super) struct ServerRegistry {
-    members: ServerNames,
+    server_names: ServerNames,
     servers: BTreeMap<ServerId, Server>,
 }
 
@@ -71,7 +71,7 @@
             }
         }
         for entry in entries.iter().filter(|entry| entry.state == ServerState::Removed) {
-            self.members.remove(entry.server);
+            self.server_names.remove(entry.server);
         }
         let lost_ready = !ready_before.is_subset(&self.ready());
         let kind = if change.whole { ListUpdate::Full } else { ListUpdate::Delta };
@@ -85,7 +85,7 @@
         host: &events::FeedServer,
         names: &ProgramSettings,
     ) -> Server {
-        let mut member = self.members.endpoint(host, names);
+        let mut member = self.server_names.endpoint(host, names);
         let started_unix = host.started_at();
         member.started_at =
             started_unix.map(|started_unix| self.start_time(moment, member.server, started_unix));
--- a/src/server/active_config.rs
+++ b/src/server/active_config.rs
@@ -14,7 +14,7 @@
     /// Address of the Thrift front; a change takes effect at the next start.
     pub listen: SocketAddr,
     /// Keys present in the configuration file. A reload fails if one of them is missing.
-    pub keys: BTreeSet<String>,
+    pub key_paths: BTreeSet<String>,
     /// Limits on memory and descriptors.
     pub limits: ProcessLimits,
     /// The site's settings: policy and program.
@@ -28,15 +28,15 @@
             files,
             name: config.name.clone(),
             listen: config.listen,
-            keys: config.key_paths.clone(),
+            key_paths: config.key_paths.clone(),
             limits: config.limits,
             settings: config.settings.clone(),
         }
     }
 
     /// Replaces the parts that a reload may change.
-    pub fn update(&mut self, keys: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
-        self.keys = keys;
+    pub fn update(&mut self, key_paths: BTreeSet<String>, limits: ProcessLimits, settings: SiteSettings) {
+        self.key_paths = key_paths;
         self.limits = limits;
         self.settings = settings;
     }
--- a/src/server/endpoint_list.rs
+++ b/src/server/endpoint_list.rs
@@ -29,9 +29,9 @@
     }
 
     /// Removes a server that is no longer listed.
-    fn forget(&mut self, server: ServerId) {
+    fn remove(&mut self, server: ServerId) {
         self.names.remove(server);
-        self.unix_time.forget(server);
+        self.unix_time.remove(server);
     }
 }
 
@@ -85,7 +85,7 @@
         let removed = endpoints.iter().filter(|endpoint| endpoint.state == ServerState::Removed);
         let removed: Vec<ServerId> = removed.map(|endpoint| endpoint.server).collect();
         self.core.update_endpoints(self.now, update, endpoints, &mut self.deadlines);
-        removed.into_iter().for_each(|server| self.endpoints.forget(server));
+        removed.into_iter().for_each(|server| self.endpoints.remove(server));
     }
 
     /// Updates the upstream side for one entry of the list: sets or removes the address to connect to.
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -27,7 +27,7 @@
     admission: AdmissionSettings,
     federation: CheckedSettings,
     signed: Option<(Vec<RouteClass>, SignedConfig)>,
-    keys: BTreeSet<String>,
+    key_paths: BTreeSet<String>,
     limits: ProcessLimits,
     feed: SocketAddr,
     settings: SiteSettings,
@@ -66,30 +66,30 @@
         let admission = files.read_admission()?;
         let federation = self.federation.check(files)?;
         let LoadedFiles { config, signed } = files.read()?;
-        if let Some(key) = self.config.keys.difference(&config.key_paths).next() {
+        if let Some(key) = self.config.key_paths.difference(&config.key_paths).next() {
             return Err(ConfigError::invalid(
                 &files.config,
                 format!("key {key:?} is missing, but the configuration in force has it"),
             )
             .into());
         }
-        let Config { name, listen, limits, feed, key_paths: keys, settings, .. } = config;
+        let Config { name, listen, limits, feed, key_paths, settings, .. } = config;
         let reconfigured = settings.reconfigure(&self.config.settings);
         let Reconfiguration { settings, needs_restart } =
             reconfigured.map_err(|error| ConfigError::invalid(&files.config, error))?;
         let needs_restart = needs_restart || name != self.config.name || listen != self.config.listen;
         let signed = signed.map(|signed| route_classes(&signed, &settings).map(|routes| (routes, signed)));
         let signed = signed.transpose()?;
-        Ok(CheckedConfig { admission, federation, signed, keys, limits, feed, settings, needs_restart })
+        Ok(CheckedConfig { admission, federation, signed, key_paths, limits, feed, settings, needs_restart })
     }
 
     fn apply(&mut self, checked: CheckedConfig) {
-        let CheckedConfig { admission, federation, signed, keys, limits, feed, settings, needs_restart } =
+        let CheckedConfig { admission, federation, signed, key_paths, limits, feed, settings, needs_restart } =
             checked;
         self.core.reconfigure(settings.policy.clone());
         self.admission.reconfigure(admission);
         self.federation.reload(federation);
-        self.config.update(keys, limits, settings);
+        self.config.update(key_paths, limits, settings);
         self.update_process_share();
         if let (Some(endpoint), Some((routes, signed))) = (&mut self.signed, signed) {
             endpoint.routes = routes;
--- a/src/server/unix_time.rs
+++ b/src/server/unix_time.rs
@@ -105,7 +105,7 @@
     }
 
     /// Removes a server that is no longer listed.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove(&mut self, server: ServerId) {
         self.starts.remove(&server);
     }
 
--- a/src/server/unix_time/tests.rs
+++ b/src/server/unix_time/tests.rs
@@ -115,7 +115,7 @@
         let mut converter = started(before);
         assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
         // The start of a server that was removed and came back is converted again.
-        converter.forget(SERVER);
+        converter.remove(SERVER);
         assert_eq!(converter.convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), NOW);
         let latest = NOW - SECOND + 3 * MS;
         assert_eq!(with_bounds(before).convert_start_time(in_service(HOUR), SERVER, UNIX - SECOND), latest);
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -35,7 +35,7 @@
     /// An answer was not continued or not completed in time.
     AnswerStalled(ConnectionKey),
     /// A connection is old enough for a write, so that queued writes can be dispatched.
-    FitForWrite,
+    OldEnoughForWrites,
 }
 
 /// Why a connection could not be opened.
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -77,7 +77,7 @@
         connection.is_up = true;
         (connection.up_since, connection.idle_since) = (now, now);
         if connection.queue == QueueKind::Writes {
-            deadlines.add(now + MIN_WRITE_CONNECTION_AGE, ConnectionDeadline::FitForWrite);
+            deadlines.add(now + MIN_WRITE_CONNECTION_AGE, ConnectionDeadline::OldEnoughForWrites);
         }
         if let Some(handle) = connection.connect_deadline.take() {
             deadlines.remove(handle);
@@ -204,7 +204,7 @@
         deadlines: &mut dyn Schedule<ConnectionDeadline>,
     ) {
         let (key, reason) = match deadline {
-            ConnectionDeadline::FitForWrite => return, // the next dispatch writes the waiting jobs
+            ConnectionDeadline::OldEnoughForWrites => return, // the next dispatch writes the waiting jobs
             ConnectionDeadline::Connect(key) => (key, Reason::ConnectTimeout),
             ConnectionDeadline::AnswerStalled(key) => (key, Reason::Stalled),
             ConnectionDeadline::Idle(key) => (key, Reason::Idle),
@@ -213,7 +213,7 @@
         let applies = match deadline {
             ConnectionDeadline::Connect(_) => !connection.is_up,
             ConnectionDeadline::Idle(_) => connection.open_jobs.is_empty(),
-            ConnectionDeadline::AnswerStalled(_) | ConnectionDeadline::FitForWrite => true,
+            ConnectionDeadline::AnswerStalled(_) | ConnectionDeadline::OldEnoughForWrites => true,
         };
         if applies {
             self.drop_connection(now, key, reason, net, deadlines);
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_silent_cache_is_ejected_and_its_attempts_are_retried_elsewhere() {
+fn a_silent_cache_is_ejected_and_its_attempts_retried_elsewhere() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.serve(7).server;
     let waiting = [harness.first_attempt(7), harness.first_attempt(7)];
@@ -271,7 +271,7 @@
 /// Guards against unbounded growth: the state of removed caches would be kept for good where caches are replaced all
 /// day.
 #[test]
-fn a_removed_server_is_forgotten_once_nothing_is_in_flight_there() {
+fn a_removed_server_is_dropped_once_nothing_is_in_flight() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     let home = endpoints().into_iter().find(|m| m.server == attempt.server).expect("a listed cache");
