--- a/src/federation/tests.rs
+++ b/src/federation/tests.rs
@@ -305,7 +305,7 @@
     let long = (MAX_HANDSHAKE_BYTES as u32 + 1).to_be_bytes();
     for (bytes, wanted) in [
         (&[2][..], WireError::Version(2)),
-        (&[&[1][..], &long].concat()[..], WireError::Oversize),
+        (&[&[1][..], &long].concat()[..], WireError::Oversize { max: MAX_HANDSHAKE_BYTES }),
         (&[1, 0, 0, 0, 1, 7], WireError::Malformed),
         (&[&[1, 0, 0, 0, 17][..], &[0; 17]].concat()[..], WireError::Malformed), // one byte too many
     ] {
--- a/src/federation/wire.rs
+++ b/src/federation/wire.rs
@@ -36,8 +36,11 @@
     #[error("protocol version {0} is not supported, expected {VERSION}")]
     Version(u8),
     /// The length exceeds [`MAX_HANDSHAKE_BYTES`], or [`MAX_MESSAGE_BYTES`] and a tag after the handshake.
-    #[error("a message is too long")]
-    Oversize,
+    #[error("a message is too long, the maximum is {max} bytes")]
+    Oversize {
+        /// Maximum length in bytes, with the tag.
+        max: usize,
+    },
     /// The message cannot be decoded, or its tag is wrong.
     #[error("a message cannot be decoded or its tag is wrong")]
     Malformed,
@@ -76,8 +79,9 @@
         return Err(WireError::Version(*version));
     }
     let length = u32::from_be_bytes(*length) as usize;
-    if length > if authenticator.is_some() { MAX_MESSAGE_BYTES + TAG_BYTES } else { MAX_HANDSHAKE_BYTES } {
-        return Err(WireError::Oversize);
+    let max = if authenticator.is_some() { MAX_MESSAGE_BYTES + TAG_BYTES } else { MAX_HANDSHAKE_BYTES };
+    if length > max {
+        return Err(WireError::Oversize { max });
     }
     let Some(message) = input.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
     let body = match authenticator {
--- a/src/front/thrift/limits.rs
+++ b/src/front/thrift/limits.rs
@@ -12,7 +12,7 @@
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 1 << 20;
 /// Maximum number of unread bytes that are searched for cancellations and handed over with a connection.
 pub(super) const MAX_SCANNED_BYTES: usize = 512 * 1024;
-/// Maximum number of messages taken from one connection before the others have their turns.
+/// Maximum number of messages taken from one connection before the others are read.
 pub(super) const MESSAGES_PER_TURN: usize = 8;
 
 /// Interval between checks of a connection's timeouts.
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -2,8 +2,8 @@
 //! each connection, and writes one answer to each.
 //!
 //! - `session`: state of one connection; `arrivals`: when its unconsumed input arrived.
-//! - `reading`: reads messages, the connections taking turns, and cancellations; `frames` splits the input
-//!   into frames; `codec` decodes calls and encodes replies.
+//! - `reading`: reads messages, a limited number per connection at a time, and cancellations; `frames` splits
+//!   the input into frames; `codec` decodes calls and encodes replies.
 //! - `answering`: writes answers.
 //! - `closing`: timeouts, graceful and immediate closing.
 //! - `handover`: hands connections over to a newer process, or closes them once they are idle.
@@ -83,7 +83,8 @@
 #[derive(Default)]
 pub struct ThriftFront {
     sessions: Sessions<Session>,
-    /// Connections that may have more to read than their last turn allowed, in the order of their next turns.
+    /// Connections that reached the limit of a read and may have more to read, in the order in which they are read
+    /// next.
     turns: VecDeque<ConnectionKey>,
     /// Whether connections are closed once they are idle.
     is_draining: bool,
@@ -118,7 +119,7 @@
         self.sessions.get(conn).is_some_and(|session| session.has_sent_message)
     }
 
-    /// Removes and returns the next connection that may have more to read than its last turn allowed.
+    /// Removes and returns the first of the connections that may have more to read.
     pub fn next_readable_connection(&mut self) -> Option<ConnectionKey> {
         let conn = self.turns.pop_front()?;
         if let Some(session) = self.sessions.get_mut(conn) {
@@ -127,7 +128,7 @@
         Some(conn)
     }
 
-    /// Returns the number of connections that wait for a turn.
+    /// Returns the number of connections that wait to be read again.
     pub fn connections_with_more_to_read(&self) -> usize {
         self.turns.len()
     }
--- a/src/front/thrift/reading.rs
+++ b/src/front/thrift/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from clients: complete messages, a limited number per turn, and cancellations even where no other
+//! Reading from clients: complete messages, a limited number at a time, and cancellations even where no other
 //! messages are taken.
 
 use super::codec::{self, ExceptionKind, Method, ThriftReply, LENGTH_BYTES};
@@ -14,12 +14,12 @@
 use bytes::Bytes;
 use tracing::warn;
 
-/// How a connection's turn ended.
+/// How a read from a connection ended.
 #[derive(PartialEq, Eq)]
 enum TurnEnd {
     /// All complete messages of the input are taken.
     Drained,
-    /// The turn's limit is reached, and the input may have more complete messages.
+    /// [`MESSAGES_PER_TURN`] is reached, and the input may have more complete messages.
     LimitReached,
 }
 
@@ -91,7 +91,7 @@
         Vec::new()
     }
 
-    /// Reads from a connection for one turn.
+    /// Reads from a connection, up to [`MESSAGES_PER_TURN`] messages.
     fn read(
         &mut self,
         now: Instant,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes the complete frames of the input, up to the limit of the turn.
+    /// Takes the complete frames of the input, up to [`MESSAGES_PER_TURN`].
     fn take_frames(
         &mut self,
         now: Instant,
@@ -150,7 +150,7 @@
     }
 
     /// Searches the input of a connection from which no request is taken now for cancellations of its open
-    /// requests. The bytes stay in the input for the connection's next turn.
+    /// requests. The bytes stay in the input for the connection's next read.
     fn read_cancellations(
         &mut self,
         now: Instant,
--- a/src/front/thrift/session.rs
+++ b/src/front/thrift/session.rs
@@ -25,7 +25,7 @@
     pub awaiting_message_since: Option<Instant>,
     /// Whether the client has sent a complete message, or the connection was adopted.
     pub has_sent_message: bool,
-    /// Whether the connection is queued for its next turn.
+    /// Whether the connection is queued to be read again.
     pub is_queued: bool,
     /// Since when reading is paused, so that the connection can be handed over once its open requests are
     /// answered.
@@ -129,7 +129,7 @@
             && !has_unused_input(net)
     }
 
-    /// Queues the connection for its next turn, unless it is queued already.
+    /// Queues the connection to be read again, unless it is queued already.
     pub(super) fn queue(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
         if !self.is_queued {
             self.is_queued = true;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ends the pause and queues the connection for its next turn.
+    /// Ends the pause and queues the connection to be read again.
     pub(super) fn resume(&mut self, conn: ConnectionKey, turns: &mut VecDeque<ConnectionKey>) {
         self.paused_since = None;
         self.queue(conn, turns);
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -152,7 +152,7 @@
     assert_eq!(
         hand_over(&mut fixture, start + HANDOVER_PAUSE, 1, false),
         (0, false, 1),
-        "the unread request is queued for its turn"
+        "the connection with the unread request is queued"
     );
     assert_eq!(hand_over(&mut fixture, start + 2 * HANDOVER_PAUSE - US, 1, false), (0, false, 1));
     assert_eq!(fixture.front.next_readable_connection(), Some(fixture.conn));
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Reads once more from each connection that had more to read than the limit of its last turn allowed.
+    /// Reads once more from each connection that reached the limit of its last read and may have more to read.
     fn read_waiting_connections(&mut self) {
         for _ in 0..self.thrift.connections_with_more_to_read() {
             let Some(conn) = self.thrift.next_readable_connection() else { break };
--- a/src/sim/world/setup.rs
+++ b/src/sim/world/setup.rs
@@ -36,7 +36,7 @@
     config: Value,
     /// Event with the first endpoint list.
     first_event: Value,
-    /// Capacity of each host's network link, as the number of answers that it can send at once at full pace.
+    /// Capacity of each host's network link, as the number of answers that it can send at once at top speed.
     /// It stays the same if the variant hides it from the endpoint list.
     capacities: Vec<f64>,
     /// Time for which a write may be repeated; `None`: never.
--- a/src/upstream/reading.rs
+++ b/src/upstream/reading.rs
@@ -12,7 +12,7 @@
 pub(super) const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// A whole line must fit. Otherwise its connection would be read again and again without progress.
 const _: () = assert!(READ_BUFFER_BYTES > 2 * line_protocol::MAX_LINE_BYTES);
-/// Maximum number of reads from one connection in a turn, so that a server that sends endlessly does not
+/// Maximum number of consecutive reads from one connection, so that a server that sends endlessly does not
 /// block the others.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
 /// Time after which the connection is closed if no more bytes of a partial answer are received, since all
@@ -123,7 +123,7 @@
     }
 
     /// Reads from a connection and ends the jobs that were answered. A connection that still has more to read
-    /// after [`MAX_READS_PER_TURN`] reads gets its next turn after all others.
+    /// after [`MAX_READS_PER_TURN`] reads is read again after all others.
     pub(super) fn read(&mut self, now: Instant, key: ConnectionKey, net: &mut Net) -> Result<(), Reason> {
         for _ in 0..MAX_READS_PER_TURN {
             let needed_bytes =
@@ -185,12 +185,12 @@
         }
     }
 
-    /// Removes and returns the next connection that had more to read than its last turn allowed.
+    /// Removes and returns the first of the connections that had more to read.
     pub fn next_readable_connection(&mut self) -> Option<ConnectionKey> {
         self.read_turns.pop_front()
     }
 
-    /// Returns the number of connections that wait for another turn to be read.
+    /// Returns the number of connections that wait to be read again.
     pub fn connections_with_more_to_read(&self) -> usize {
         self.read_turns.len()
     }
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -34,10 +34,12 @@
         name: &'static str,
     },
     /// A span or a count is less than its minimum.
-    #[error("{name} is too small")]
+    #[error("{name} is too small, the minimum is {min}")]
     TooSmall {
         /// Name of the setting.
         name: &'static str,
+        /// The minimum, with its unit.
+        min: &'static str,
     },
 }
 
@@ -116,7 +118,7 @@
 impl SiteLimits {
     fn check(&self) -> Check {
         check_all([
-            at_least("max_attempts", self.max_attempts, 1),
+            at_least("max_attempts", self.max_attempts, (1, "1")),
             non_negative_span("max_retry_after", self.max_retry_after),
         ])
     }
@@ -137,18 +139,19 @@
 
 /// Checks that a span is 0 or more.
 fn non_negative_span(name: &'static str, value: Span) -> Check {
-    at_least(name, value, Span::ZERO)
+    at_least(name, value, (Span::ZERO, "0"))
 }
 
 /// Checks that a span is more than 0.
 fn positive_span(name: &'static str, value: Span) -> Check {
-    at_least(name, value, Span::from_micros(1))
+    at_least(name, value, (Span::from_micros(1), "1 microsecond"))
 }
 
-fn at_least<T: PartialOrd>(name: &'static str, value: T, min: T) -> Check {
+/// Checks that a value is not less than a minimum, which is given with its text.
+fn at_least<T: PartialOrd>(name: &'static str, value: T, (min, text): (T, &'static str)) -> Check {
     match value >= min {
         true => Ok(()),
-        false => Err(SettingsError::TooSmall { name }),
+        false => Err(SettingsError::TooSmall { name, min: text }),
     }
 }
 
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -109,7 +109,7 @@
     let at = rig.leader(&[1, 2, 3]);
     for (bytes, wanted) in [
         (&b"GET / HTTP/1.1\r\n\r\n"[..], "protocol version 71 is not supported"),
-        (&[1, 255, 255, 255, 255, 0][..], "a message is too long"),
+        (&[1, 255, 255, 255, 255, 0][..], "a message is too long, the maximum is 1024 bytes"),
         (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message cannot be decoded"),
     ] {
         let running = &rig.running[&at.0];
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -26,10 +26,10 @@
         error(|s| s.protection.cache_slow_start.initial_share = f64::INFINITY),
         invalid_number("cold_share")
     );
-    let too_small = |name| Some(SettingsError::TooSmall { name });
-    assert_eq!(error(|s| s.classes[0].latency_objective = Span::ZERO), too_small("target"));
-    assert_eq!(error(|s| s.protection.overload_window = Span::ZERO), too_small("fall_span"));
-    assert_eq!(error(|s| s.protection.purge_settled_after = -MICROSECOND), too_small("purge_settles"));
+    let too_small = |name, min| Some(SettingsError::TooSmall { name, min });
+    assert_eq!(error(|s| s.classes[0].latency_objective = Span::ZERO), too_small("target", "1 microsecond"));
+    assert_eq!(error(|s| s.protection.overload_window = Span::ZERO), too_small("fall_span", "1 microsecond"));
+    assert_eq!(error(|s| s.protection.purge_settled_after = -MICROSECOND), too_small("purge_settles", "0"));
 }
 
 #[test]
