--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -11,8 +11,8 @@
 
 /// Maximum number of servers that a label names for one key.
 const MAX_NAMED_SERVERS: usize = 4;
-/// The part of a label that stands for `late`.
-const LATE_LABEL: &str = "some edge proxies still have the old list";
+/// The part of a label that stands for `late`. The text is part of reports.
+const LATE_LABEL: &str = "some edge proxies not knowing";
 
 /// A key that makes one scenario for each of its servers.
 struct EachKey {
