--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -110,7 +110,7 @@
     for (bytes, wanted) in [
         (&b"GET / HTTP/1.1\r\n\r\n"[..], "protocol version 71 is not supported"),
         (&[1, 255, 255, 255, 255, 0][..], "a message is too long"),
-        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message cannot be decoded"),
+        (&[1, 0, 0, 0, 3, 9, 9, 9][..], "a message cannot be decoded or its tag is wrong"),
     ] {
         let running = &rig.running[&at.0];
         let mut stream = TcpStream::connect(running.listen).expect("a connection");
