--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
-    open: OpenConnections,
+    open_connections: OpenConnections,
     address_rates: RateLimiter,
     prefix_rates: RateLimiter,
     /// Addresses that had a connection in good standing within [`AdmissionSettings::known_window_s`].
@@ -67,7 +67,7 @@
     /// Returns admission control without any connections. The settings must have been checked.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
-            open: OpenConnections::default(),
+            open_connections: OpenConnections::default(),
             address_rates: RateLimiter::new(settings.tracked_capacity),
             prefix_rates: RateLimiter::new(settings.tracked_capacity),
             known: LruTable::new(settings.known_capacity),
@@ -109,7 +109,7 @@
 
     /// Returns the number of admitted connections that are open.
     pub fn open_connections(&self) -> usize {
-        self.open.len()
+        self.open_connections.len()
     }
 
     /// Returns the numbers of addresses in the tables.
@@ -120,7 +120,7 @@
 
     /// Returns the counts of open connections of an address and of its prefix.
     pub fn open_connections_of(&self, address: IpAddr) -> AddressCounts {
-        self.open.counts(self.client_address(address))
+        self.open_connections.counts(self.client_address(address))
     }
 
     /// Whether an address had a connection in good standing within the window for known addresses.
@@ -136,7 +136,7 @@
         match checked {
             Ok(()) => {
                 self.counts.admitted += 1;
-                self.open.insert(id, client);
+                self.open_connections.insert(id, client);
                 Decision::Admit
             }
             Err(Rejection { cause, wait }) => {
@@ -161,7 +161,7 @@
     /// Puts a connection into good standing and makes its address known. Called when the edge proxy has
     /// answered a request on the connection.
     pub fn set_good_standing(&mut self, now: Instant, id: ConnectionId) {
-        let Some(standing) = self.open.set_good(id) else { return };
+        let Some(standing) = self.open_connections.set_good(id) else { return };
         self.known.touch(now, standing.address, || ());
         if standing.is_new {
             self.counts.good += 1;
@@ -171,13 +171,13 @@
     /// Adds a connection that was handed over by another process of this edge proxy, where it was in good
     /// standing.
     pub fn add_handed_over(&mut self, now: Instant, id: ConnectionId, address: IpAddr) {
-        self.open.insert(id, self.client_address(address));
+        self.open_connections.insert(id, self.client_address(address));
         self.set_good_standing(now, id);
     }
 
     /// Removes a connection that has ended. A connection that was not admitted is ignored.
     pub fn remove(&mut self, id: ConnectionId) {
-        self.open.remove(id);
+        self.open_connections.remove(id);
     }
 
     fn client_address(&self, address: IpAddr) -> ClientAddress {
@@ -212,10 +212,10 @@
     }
 
     fn check_caps(&self, client: ClientAddress) -> Result<(), Rejection> {
-        if self.open.is_address_at_cap(client, self.settings.per_address) {
+        if self.open_connections.is_address_at_cap(client, self.settings.per_address) {
             return Err(Rejection::without_wait(RejectionCause::Address));
         }
-        if self.open.is_prefix_at_cap(client, self.settings.per_prefix) {
+        if self.open_connections.is_prefix_at_cap(client, self.settings.per_prefix) {
             return Err(Rejection::without_wait(RejectionCause::Prefix));
         }
         Ok(())
--- a/src/server/unix_time.rs
+++ b/src/server/unix_time.rs
@@ -77,9 +77,9 @@
     /// now.
     pub fn convert_purge_time(&mut self, reception: Reception, made_at: UnixTime) -> Instant {
         self.observe_stamp(reception.now, made_at);
-        match self.by_wall_clock(reception, made_at).filter(|_| !reception.is_first) {
+        match self.instant_from_wall_clock(reception, made_at).filter(|_| !reception.is_first) {
             Some(instant) => instant,
-            None => self.by_bounds(reception, made_at),
+            None => self.instant_from_lower_bound(reception, made_at),
         }
     }
 
@@ -95,10 +95,10 @@
         if let Some(known) = self.starts.get(&server).filter(|known| known.stated == stated) {
             return known.instant;
         }
-        let instant = match self.by_wall_clock(reception, stated) {
+        let instant = match self.instant_from_wall_clock(reception, stated) {
             _ if reception.is_first => instant_at_offset(reception.now, reception.wall_offset(), stated),
             Some(instant) => instant,
-            None => self.by_bounds(reception, stated),
+            None => self.instant_from_lower_bound(reception, stated),
         };
         self.starts.insert(server, ServerStart { stated, instant });
         instant
@@ -112,7 +112,7 @@
     /// Returns the instant by the wall clock, if that was not stepped since the start and agrees with the
     /// recorded stamps. While there is no upper bound, only instants within [`MAX_FEED_DELAY`] before now are
     /// trusted.
-    fn by_wall_clock(&self, reception: Reception, stamp: UnixTime) -> Option<Instant> {
+    fn instant_from_wall_clock(&self, reception: Reception, stamp: UnixTime) -> Option<Instant> {
         let offset = reception.wall_offset();
         let instant = instant_at_offset(reception.now, offset, stamp);
         let moved = offset.as_micros().abs_diff(self.initial_offset.as_micros());
@@ -125,7 +125,7 @@
     }
 
     /// Returns an instant that is certainly not before the true one, by the lower bound of the offset.
-    fn by_bounds(&self, reception: Reception, stamp: UnixTime) -> Instant {
+    fn instant_from_lower_bound(&self, reception: Reception, stamp: UnixTime) -> Instant {
         // A stamp that is received now is at most the true Unix time, so it is a lower bound too.
         let own = offset(stamp, reception.now);
         let lower_bound = self.min_offset.map_or(own, |min| min.max(own));
--- a/src/trace/map/reader.rs
+++ b/src/trace/map/reader.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the number of a column that the format names; errors point at the `trace` block.
-    fn format_column(&self, name: &str) -> Result<usize, HclError> {
+    fn column_of_format(&self, name: &str) -> Result<usize, HclError> {
         self.column(name, self.doc.position(self.block))
     }
 
@@ -60,8 +60,8 @@
         let at = self.doc.position(self.block);
         let format = self.format.ok_or_else(|| self.doc.error(at, "the trace block has no time block"))?;
         let unit_micros = self.micros_in(format.time.unit, at)?;
-        let minus = format.time.minus.map(|minus| self.format_column(minus)).transpose()?;
-        Ok(TimeRule { column: self.format_column(format.time.column)?, unit_micros, minus })
+        let minus = format.time.minus.map(|minus| self.column_of_format(minus)).transpose()?;
+        Ok(TimeRule { column: self.column_of_format(format.time.column)?, unit_micros, minus })
     }
 
     /// Returns the number of microseconds in a unit.
@@ -85,7 +85,7 @@
         let format = self.format.ok_or_else(|| {
             self.doc.error(at, "the trace block has no object: list the columns that identify the object")
         })?;
-        format.object.iter().map(|name| self.format_column(name)).collect()
+        format.object.iter().map(|name| self.column_of_format(name)).collect()
     }
 
     /// Reads the value that rows must have, from the map's `only` block or from the format.
@@ -102,7 +102,7 @@
 
     fn format_filter(&self) -> Result<Option<RowFilter>, HclError> {
         let Some(filter) = self.format.and_then(|format| format.filter.as_ref()) else { return Ok(None) };
-        Ok(Some(RowFilter { column: self.format_column(filter.column)?, value: filter.value.to_owned() }))
+        Ok(Some(RowFilter { column: self.column_of_format(filter.column)?, value: filter.value.to_owned() }))
     }
 
     /// Reads a span in whole seconds, from `min` to [`MAX_SECONDS`].
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -68,7 +68,7 @@
 
 /// The strangers have another key, belong to another federation, or use another store under a member's id.
 #[test]
-fn connections_of_strangers_are_rejected_and_logged() {
+fn unauthorized_connections_are_rejected_and_logged() {
     let mut rig = Rig::new("strangers", voters(1..=3));
     let at = rig.leader(&[1, 2, 3]);
     type Case<'a> = (&'a str, fn(String) -> String, &'a str);
@@ -88,10 +88,10 @@
             std::fs::write(folder.join("federation.secret"), KEY.replace('c', "d")).expect("written");
         }
         assert!(rig.init(3, false).status.success());
-        let (stranger, _) = rig.launch_without_listener(3);
+        let (unauthorized_member, _) = rig.launch_without_listener(3);
         let line = rig.running[&target].proxy.wait_for_log("federation: a connection is rejected");
         assert!(line.contains(wanted), "{case}: {line}");
-        drop(stranger);
+        drop(unauthorized_member);
         std::fs::rename(folder.join("kept"), folder.join("federation.redb")).expect("moved");
     }
     let now = rig.leader(&rig.others(3));
--- a/tests/sockets/admission.rs
+++ b/tests/sockets/admission.rs
@@ -222,9 +222,9 @@
     new.wait_for_log("the older process has ended");
     // The newer process received the two connections in good standing: it knows their address, but not that of
     // another client.
-    let mut stranger = Client(connect_from("127.0.0.8", new.addr));
-    stranger.send(&request(1, "replay"));
-    assert_eq!(stranger.reply(), (1, Reply::Refused { pause: true }));
+    let mut unknown_client = Client(connect_from("127.0.0.8", new.addr));
+    unknown_client.send(&request(1, "replay"));
+    assert_eq!(unknown_client.reply(), (1, Reply::Refused { pause: true }));
     let mut third = Client(connect_from("127.0.0.7", new.addr));
     assert!(read_is_served(&mut third, &[&cache, &parent], 1), "the address is known from the older process");
 }
