--- a/src/server/acceptor.rs
+++ b/src/server/acceptor.rs
@@ -64,7 +64,7 @@
     /// Accepts on all listeners after the timer has fired.
     pub(super) fn on_accept_timer(&mut self) {
         self.accept_timer.on_fired();
-        if self.handover.missed_newer() {
+        if self.handover.newer_accept_pending() {
             self.on_handover_event(EventSource::HandoverListener);
         }
         self.accept_admin_callers();
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -22,7 +22,7 @@
     pub(super) fn on_handover_event(&mut self, source: EventSource) {
         let mut inherited = Vec::new();
         let processes_changed = self.handover.on_event(source, &mut self.net, &mut inherited);
-        if self.handover.missed_newer() {
+        if self.handover.newer_accept_pending() {
             self.accept_at(self.now + ACCEPT_RETRY_INTERVAL);
         }
         inherited.into_iter().for_each(|connection| self.take_over_connection(connection));
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -103,8 +103,8 @@
     }
 
     /// Whether a newer process may be waiting that could not be accepted. No further event reports it.
-    pub fn missed_newer(&self) -> bool {
-        self.listener.missed_newer()
+    pub fn newer_accept_pending(&self) -> bool {
+        self.listener.newer_accept_pending()
     }
 
     /// Returns this process's share of the limits.
--- a/src/server/handover/sibling.rs
+++ b/src/server/handover/sibling.rs
@@ -47,7 +47,7 @@
     fn accept_newer(&mut self, has_newer: bool, net: &mut Net) -> Option<Box<dyn Sibling>>;
 
     /// Whether a newer process may be waiting that could not be accepted.
-    fn missed_newer(&self) -> bool;
+    fn newer_accept_pending(&self) -> bool;
 
     /// Undoes [`HandoverListener::publish`].
     fn close(&mut self);
--- a/src/server/handover/simulated.rs
+++ b/src/server/handover/simulated.rs
@@ -98,7 +98,7 @@
         Some(Box::new(self.sibling(newer, EventSource::OlderProcess)))
     }
 
-    fn missed_newer(&self) -> bool {
+    fn newer_accept_pending(&self) -> bool {
         false
     }
 
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -162,7 +162,7 @@
     path: PathBuf,
     /// Accepts the next process. `None` while there is one, or if listening failed.
     listener: Option<UnixListener>,
-    missed_newer: bool,
+    newer_accept_pending: bool,
 }
 
 impl SocketListener {
@@ -171,7 +171,7 @@
         // The name is short, since the system limits such a path to about a hundred bytes. The number in
         // `dt1` is the version of the message format.
         let path = std::env::temp_dir().join(format!("dt1-{}-{}", addr.ip(), addr.port()));
-        let mut listener = SocketListener { path, listener: None, missed_newer: false };
+        let mut listener = SocketListener { path, listener: None, newer_accept_pending: false };
         let older = listener.connect_to_older(net);
         listener.publish(net);
         (listener, older)
@@ -209,7 +209,7 @@
 
     fn accept(&mut self) -> Option<UnixStream> {
         let listener = self.listener.as_ref()?;
-        self.missed_newer = false;
+        self.newer_accept_pending = false;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => return Some(stream),
@@ -221,7 +221,7 @@
                             "handover socket {}: accepting a newer process failed: {error}; trying again",
                             self.path.display()
                         );
-                        self.missed_newer = true;
+                        self.newer_accept_pending = true;
                         return None;
                     }
                 },
@@ -254,8 +254,8 @@
         Some(Box::new(newer))
     }
 
-    fn missed_newer(&self) -> bool {
-        self.missed_newer
+    fn newer_accept_pending(&self) -> bool {
+        self.newer_accept_pending
     }
 
     fn close(&mut self) {
