--- a/src/federation/runtime/participant.rs
+++ b/src/federation/runtime/participant.rs
@@ -126,10 +126,7 @@
                     self.node.propose(&command);
                 }
             }
-            _ => warn!(
-                peer = from.get(),
-                "federation: ignored a message that a member sent in the name of another"
-            ),
+            _ => warn!(peer = from.get(), "federation: ignored a message that the member may not send"),
         }
     }
 
--- a/tests/federation/duties.rs
+++ b/tests/federation/duties.rs
@@ -78,7 +78,7 @@
         let view = rig.view(before.0);
         assert!(
             !may_act(&view) && lease(&view) == Some(before),
-            "it knows no other holder, and may not act: {view}"
+            "its view still shows its own lease, and it must not act: {view}"
         );
         rig.set_relay_modes(before.0, Mode::Pass, (true, true));
         rig.wait_for_view(before.0, "the new holder", |view| {
