--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -13,9 +13,9 @@
 //!
 //! A connection is in *good standing* once a complete, well-formed request on it was answered by the edge
 //! proxy, and not by admission control. Its address is then *known* for
-//! [`AdmissionSettings::known_window_s`]. Caps count open connections beyond those in good standing. So many
-//! clients behind one shared address (NAT) are not capped as one client, but a flood of connections that send
-//! no request is.
+//! [`AdmissionSettings::known_window_s`]. Caps count open connections beyond those in good standing.
+//! Therefore many clients behind one NAT address are not capped like a single client, while a flood of
+//! connections that send no request is.
 
 mod client_address;
 mod decision;
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -71,9 +71,9 @@
     /// Number of connections that one address may open at once before the rate limits it; at least 1 if there
     /// is a rate.
     pub burst: f64,
-    /// Maximum rate of new connections of one known address, per second; 0 means no limit. The caps grow with
-    /// the number of connections in good standing, so they do not bound a flood whose connections each send a
-    /// request. The address of such a flood is known, so this rate bounds it.
+    /// Maximum rate of new connections of one known address, per second; 0 means no limit. The caps do not
+    /// count connections in good standing, so they do not limit a flood in which each connection sends a
+    /// request. The address of such a flood is known, so this rate limits it.
     pub known_rate_per_s: f64,
     /// Burst of a known address, in connections.
     pub known_burst: f64,
--- a/src/federation/node.rs
+++ b/src/federation/node.rs
@@ -136,7 +136,7 @@
     state: State,
     applied: LogIndex,
     /// Whether the member's own removal was applied. It then does nothing more: the `raft` crate assumes that
-    /// a leader is a member, so a leader that applied its own removal would go on leading.
+    /// a leader is a member, so a leader that applied its own removal would remain leader.
     removed: bool,
     random: ChaCha8Rng,
     election_timeout: ElectionTimeout,
--- a/src/federation/runtime/lifecycle.rs
+++ b/src/federation/runtime/lifecycle.rs
@@ -77,7 +77,7 @@
             ..View::default()
         };
         let member = settings.id.get();
-        // The view is published first, so that whoever reads the log line finds the reason in the view.
+        // Publishes the view before logging, so that it already has the reason when the log line appears.
         self.publish();
         if failure.report {
             error!(member, why = %reason, "federation: this member is halted; the edge proxy keeps serving");
--- a/src/federation/state.rs
+++ b/src/federation/state.rs
@@ -68,7 +68,7 @@
         /// The revision of the file.
         revision: u64,
     },
-    /// Requests the lease of a duty that nobody holds.
+    /// Requests the lease of a free duty.
     Acquire {
         /// The duty's name.
         duty: String,
--- a/src/front/signed/credentials/error.rs
+++ b/src/front/signed/credentials/error.rs
@@ -22,7 +22,7 @@
     NotYetValid,
 }
 
-/// What is wrong with a credential.
+/// What is wrong with a credential. The texts are codes too, as those of [`Denial`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCredential {
     /// The credential's parameters are not the last ones of the URL, or are in the wrong order.
--- a/src/front/signed/credentials/token.rs
+++ b/src/front/signed/credentials/token.rs
@@ -30,7 +30,8 @@
         self.check_claims(&claims, key, uri, now)
     }
 
-    /// Returns the key that a token names, or the only key for tokens if it names none.
+    /// Returns the key for tokens whose name is the token's `kid`. Without a `kid`, returns the key for
+    /// tokens if there is exactly one.
     fn token_key(&self, header: &Map<String, Value>) -> Option<&Key> {
         let mut keys = self.keys.iter().filter(|key| jwt_algorithm(key.algorithm).is_some());
         match header.get("kid") {
--- a/src/front/thrift/handover.rs
+++ b/src/front/thrift/handover.rs
@@ -32,8 +32,9 @@
     }
 
     /// Returns the connections that can be handed over: they have no open request and no unwritten answer. On
-    /// those with at most `max_open` open requests, reading pauses for [`HANDOVER_PAUSE`], then goes on for
-    /// as long before the next pause. If `is_end_near`, reading pauses on all connections, and no pause ends.
+    /// those with at most `max_open` open requests, reading pauses for [`HANDOVER_PAUSE`] and then resumes
+    /// for the same time before the next pause. If `is_end_near`, reading pauses on all connections, and no
+    /// pause ends.
     pub fn connections_to_hand_over(
         &mut self,
         now: Instant,
--- a/src/lab/hosts/connection.rs
+++ b/src/lab/hosts/connection.rs
@@ -9,7 +9,7 @@
 use std::net::TcpStream;
 use std::thread;
 
-/// Time after which a host gives up on a fill source that is not reachable.
+/// Timeout of a host's fill from a fill source that is not reachable.
 const SOURCE_TIMEOUT: Span = Span::from_millis(300);
 /// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
--- a/src/lab/views/check.rs
+++ b/src/lab/views/check.rs
@@ -19,7 +19,7 @@
         /// that replaced the stale one, or to the deadline if none did.
         after: Span,
     },
-    /// The client was not told of a purge within the deadline.
+    /// The client did not receive a purge within the deadline.
     MissedPurge {
         /// Name of the client.
         client: String,
--- a/src/net/fabric/state.rs
+++ b/src/net/fabric/state.rs
@@ -11,8 +11,8 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// Delays of connections are multiples of this, in microseconds. With whole milliseconds, an event more often
-/// arrives at the same time as a deadline passes, so runs cover such coincidences.
+/// Delays of connections are multiples of this, in microseconds. Whole milliseconds make it likelier
+/// that an event and a deadline fall on the same instant, so that runs cover this case.
 const DELAY_STEP_MICROS: i64 = 1_000;
 
 /// A registered connection of a process on which something happened.
--- a/src/server/connection_handover.rs
+++ b/src/server/connection_handover.rs
@@ -11,8 +11,8 @@
 use crate::net::{Ready, Reason, Role};
 use tracing::warn;
 
-/// To hand a connection over, reading from it pauses, but only if few of its requests are open. The allowed
-/// number starts at 0 and grows by one each time this has passed since the signal. Connections with fewer
+/// Interval at which the limit on open requests is raised by one. Before a handover, reading pauses on
+/// connections with at most that many open requests; the limit is 0 at the signal. Connections with fewer
 /// open requests come first, since requests that arrive there during the pause wait less long for the last
 /// open answer.
 const PAUSE_LIMIT_STEP: Span = Span::from_millis(400);
@@ -92,8 +92,8 @@
         }
         // There is no readiness event for the bytes that the older process had already read.
         self.on_ready(Ready::readable(conn));
-        // Attempts are written only after all ready events are handled, since the client may have closed the
-        // connection by now.
+        // This does not write attempts yet: the client may have closed the connection, which is known only
+        // after all ready events are handled.
         self.process_commands();
     }
 }
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -162,6 +162,7 @@
     path: PathBuf,
     /// Accepts the next process. `None` while there is one, or if listening failed.
     listener: Option<UnixListener>,
+    /// Whether the last accept failed, so a newer process may still be waiting.
     newer_accept_pending: bool,
 }
 
--- a/src/server/refused_connections.rs
+++ b/src/server/refused_connections.rs
@@ -11,7 +11,7 @@
 
 /// A connection of the Thrift front that was refused. Pings on it are answered as on any other.
 pub(super) struct RefusedConnection {
-    /// How long the client is told to wait before it retries.
+    /// Retry-After that is sent to the client.
     retry_after: Span,
     /// Whether a request on this connection was rejected.
     has_rejected: bool,
@@ -77,8 +77,7 @@
     }
 
     /// Closes a refused connection once a request on it was rejected and all its calls are answered. A ping
-    /// alone is no reason to close, since its client is about to send a request, which would then cross the
-    /// close.
+    /// does not close it: the client usually sends a request next, which would race with the close.
     pub(super) fn close_if_refused(&mut self, conn: ConnectionKey) {
         if self.admission.refused.get(&conn).is_some_and(|refused| refused.has_rejected) {
             self.thrift.close_if_idle(self.now, conn, Reason::Rejected, &mut self.net, &mut self.deadlines);
--- a/src/server/translate/attempts.rs
+++ b/src/server/translate/attempts.rs
@@ -98,8 +98,8 @@
     })
 }
 
-/// Returns how long the body takes to transfer at the configured full rate; zero if no rate is configured. An
-/// answer without a body (not modified) has zero too, which says nothing about the object's size.
+/// Returns how long the body takes to transfer at the configured full rate; zero if no rate is configured. It
+/// is also zero for an answer without a body (not modified), where the object's size is unknown.
 fn transfer_time(answer: &WireAnswer, settings: &ProgramSettings) -> Span {
     let micros = answer.body.len() as f64 / settings.transfer_bytes_per_s.max(1.0) * 1_000_000.0;
     if settings.transfer_bytes_per_s > 0.0 {
--- a/src/sim/rules.rs
+++ b/src/sim/rules.rs
@@ -1,5 +1,5 @@
-//! Rules that every run must keep, checked at each event; a breach states its rule and its time. Does no I/O,
-//! and knows of the simulated world only what is reported through these methods.
+//! Rules that every run must keep, checked at each event; a breach states its rule and its time. Does no
+//! I/O; what it checks is reported to it by calls of its methods.
 
 use crate::interface::{Instant, Span};
 use crate::standin::ids::{ConnectionId, HostId};
--- a/src/sim/world/hosts.rs
+++ b/src/sim/world/hosts.rs
@@ -13,7 +13,7 @@
 
 /// Time between an answer and its repetition, where a host answers twice.
 const REPEATED_ANSWER_DELAY: Span = Span::from_millis(8);
-/// Time after which a host gives up an unreachable fill source.
+/// Timeout of a host's fill from a fill source that is not reachable.
 const SOURCE_TIMEOUT: Span = Span::from_millis(300);
 /// Time that a host takes for a request, in ms.
 const SERVICE_TIME_MS: std::ops::RangeInclusive<i64> = 2..=12;
--- a/src/upstream/selection.rs
+++ b/src/upstream/selection.rs
@@ -77,8 +77,8 @@
             && self.queue.backoff_until <= self.now
     }
 
-    /// Whether no connection accepts the id of the job and none may be added. Such a job must not block its
-    /// queue.
+    /// Whether no connection accepts the job's id, because it is or was in use there, and no connection may
+    /// be added. Such a job must not block its queue.
     fn is_id_taken_everywhere(&self) -> bool {
         self.is_full
             && self.kind == QueueKind::Reads
--- a/src/upstream/tests.rs
+++ b/src/upstream/tests.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against a job that ends as not connected, which makes its server count as down, although a reset
-/// before the connection is up does not prove that.
+/// Guards against ending a job as not connected after a reset before the connection is up. The server would
+/// count as down, which such a reset does not prove.
 #[test]
 fn connection_reset_before_up_is_reopened() {
     let mut pool = pool();
@@ -94,8 +94,8 @@
     );
 }
 
-/// Guards against a write that fails as one that may have run because its connection had broken unnoticed
-/// before.
+/// Guards against failing a write as possibly executed when its connection had already broken unnoticed
+/// before the write was sent.
 #[test]
 fn unsent_job_moves_to_another_connection() {
     let mut pool = pool();
@@ -144,8 +144,8 @@
     }
 }
 
-/// Guards against jobs that wait in vain behind a partial answer whose rest never comes on an open
-/// connection.
+/// Guards against jobs that wait until their timeout behind a partial answer that is never completed, on a
+/// connection that stays open.
 #[test]
 fn connection_with_stalled_answer_is_closed() {
     let mut pool = pool();
@@ -163,8 +163,8 @@
     assert_eq!(pool.upstream.take_events(), [UpstreamEvent::JobEnded { job: JobId(7), end: JobEnd::Reset }]);
 }
 
-/// Guards against writes that fail as ones that may have run, because their connection is reset just after it
-/// came up or is closed as idle by its server at that moment.
+/// Guards against failing writes as possibly executed when their connection is reset just after it came up,
+/// or when its server closes it as idle at that moment.
 #[test]
 fn write_takes_unused_connection_of_minimum_age() {
     let mut pool = pool_of(QueueKind::Writes);
@@ -235,8 +235,7 @@
     );
 }
 
-/// Guards against a write that fails as one that may have run because the server had already closed its
-/// connection.
+/// Guards against failing a write as possibly executed when the server had already closed its connection.
 #[test]
 fn write_is_not_sent_on_connection_closed_by_server() {
     let mut pool = pool_of(QueueKind::Writes);
@@ -259,8 +258,8 @@
     );
 }
 
-/// Guards against a server that counts as failed because this process has no descriptor left for a connection
-/// to it.
+/// Guards against counting a server as failed when this process has no descriptor left for a connection to
+/// it.
 #[test]
 fn connection_limit_evicts_longest_idle_or_ends_job_unsent() {
     let mut pool = pool();
--- a/tests/federation/crashes.rs
+++ b/tests/federation/crashes.rs
@@ -36,7 +36,7 @@
     last
 }
 
-/// With a single voter, nobody else has the entries that it committed.
+/// With a single voter, no other member has the entries that it committed.
 #[test]
 fn single_voter_recovers_committed_entries_after_kill() {
     let mut rig = rig("crash-one", 1);
--- a/tests/federation/members.rs
+++ b/tests/federation/members.rs
@@ -66,7 +66,8 @@
     rig.wait_for_agreement(&[1, 2, 3]);
 }
 
-/// The strangers have another key, belong to another federation, or use another store under a member's id.
+/// The unauthorized members have another key, belong to another federation, or use another store under a
+/// member's id.
 #[test]
 fn unauthorized_connections_are_rejected_and_logged() {
     let mut rig = Rig::new("strangers", voters(1..=3));
