--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -48,7 +48,7 @@
 const OBJECT: ObjectId = ObjectId(0x7f3a_9c21_e0b4_d655);
 
 #[test]
-fn a_broken_rule_names_its_scenario_position_and_server() {
+fn broken_rule_names_its_scenario_position_and_server() {
     let site = parse_site(&site_config());
     let [home, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let body = format!("class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n from_point = \"north\"\n goes_to = [\"{home}\"]");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_failure_by_random_choice_repeats_with_its_seed() {
+fn failure_by_random_choice_repeats_with_its_seed() {
     let site = parse_site(&site_config());
     let [_, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |rule: &str, seeds: u64| {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_class_that_fills_through_a_drained_hub_is_rejected() {
+fn class_that_fills_through_a_drained_hub_is_rejected() {
     let mut text = site_config();
     let good = parse_site(&text);
     assert_eq!(lint(&good), Vec::<Finding>::new());
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_fill_cycle_across_two_endpoint_lists_is_rejected() {
+fn fill_cycle_across_two_endpoint_lists_is_rejected() {
     let site = parse_site(&site_config());
     let [home, _] = home_and_next(&site, OBJECT);
     // Some edge proxies know that the home's weight has dropped to almost nothing: for them the next cache is
@@ -290,7 +290,7 @@
 /// Changes at other points are left out of a scenario before it is explored. This must not change the
 /// module's decisions.
 #[test]
-fn a_scenario_at_another_point_changes_no_decision_here() {
+fn scenario_at_another_point_changes_no_decision_here() {
     let site = parse_site(&site_config());
     let point = ZoneId(0);
     let objects = [OBJECT, ObjectId(1), ObjectId(2)];
--- a/src/front/thrift/tests.rs
+++ b/src/front/thrift/tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_message_that_arrives_byte_by_byte_is_read() {
+fn message_that_arrives_byte_by_byte_is_read() {
     let mut fixture = Fixture::new();
     for message in [PING, &invoke(1)] {
         for (i, byte) in message.iter().enumerate() {
@@ -130,7 +130,7 @@
 /// Guards against a fault in which reading stayed paused while one request was open for long, so that all
 /// requests behind it stayed unread until its deadline.
 #[test]
-fn a_handover_pause_ends_even_with_open_requests() {
+fn handover_pause_ends_even_with_open_requests() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     let hand_over = |fixture: &mut Fixture, now, max_open, is_end_near| {
@@ -188,7 +188,7 @@
 
 /// A cancelled request must not be retried while its cancellation waits unread.
 #[test]
-fn a_cancellation_is_found_while_reading_is_paused() {
+fn cancellation_is_found_while_reading_is_paused() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
@@ -204,7 +204,7 @@
 /// A request that arrives just before its client closes the connection must not be passed on: no one reads
 /// the answer.
 #[test]
-fn a_close_cancels_open_requests_and_drops_unread_ones() {
+fn close_cancels_open_requests_and_drops_unread_ones() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
@@ -216,7 +216,7 @@
 
 /// The client's timeout runs while its request waits unread, so the request must keep its arrival time.
 #[test]
-fn a_request_that_waited_unread_keeps_its_arrival_time() {
+fn request_that_waited_unread_keeps_its_arrival_time() {
     let arrived = |events: &[ThriftEvent]| match events {
         [ThriftEvent::Request { arrived, .. }] => *arrived,
         other => panic!("{other:?}"),
@@ -271,7 +271,7 @@
 /// Guards against a fault in which a cancellation was not found behind more unread bytes than one frame may
 /// have.
 #[test]
-fn a_cancellation_is_found_behind_long_messages() {
+fn cancellation_is_found_behind_long_messages() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
@@ -302,7 +302,7 @@
 /// A client cannot tell answers to two requests with one sequence number apart, so these two are cancelled.
 /// The others must still get their answers.
 #[test]
-fn a_repeated_sequence_number_leaves_other_requests_open() {
+fn repeated_sequence_number_leaves_other_requests_open() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, &invoke(1)).len(), 1);
     fixture.front.set_handle(fixture.conn, SequenceId(1), HANDLE);
@@ -330,7 +330,7 @@
 
 /// A request that arrives just before its idle connection would be closed must be answered.
 #[test]
-fn an_idle_connection_is_read_once_more_before_it_is_closed() {
+fn idle_connection_is_read_once_more_before_it_is_closed() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.send(Instant::ZERO, PING).len(), 1);
     fixture.client.write_all(&invoke(1)).expect("written");
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -116,7 +116,7 @@
         let Some(to) = self.servers.get_mut(&server) else { return };
         let is_silent = match is_source_without_status {
             true => 2 * overdue.len() > in_flight,
-            false => to.last_heard + min_objective <= now,
+            false => to.silent_since + min_objective <= now,
         };
         let has_enough_overdue = overdue.len() >= MIN_OVERDUE || (to.ejected && !overdue.is_empty());
         if !is_silent || !has_enough_overdue {
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -51,7 +51,7 @@
     pub first_byte_at: Instant,
     /// Start of its current silence: when it last answered or filled, or was sent an attempt while none was
     /// in flight.
-    pub last_heard: Instant,
+    pub silent_since: Instant,
     /// Whether it gets only probes, since it failed or is silent.
     pub ejected: bool,
     pub ejected_until: Instant,
@@ -65,7 +65,7 @@
             endpoint,
             smoothed_at: now,
             first_byte_at: now,
-            last_heard: now,
+            silent_since: now,
             ejected_until: now,
             connection_broke_at: now - MICROSECOND,
             ..Server::default()
@@ -89,7 +89,7 @@
     pub fn on_attempt_sent(&mut self, now: Instant, smoothing_span: Span) {
         self.update_smoothed_in_flight(now, smoothing_span);
         if self.in_flight == 0 {
-            self.last_heard = now;
+            self.silent_since = now;
         }
         self.in_flight += 1;
     }
@@ -148,7 +148,7 @@
         if self.ejected {
             self.latency_deviation = self.latency_deviation.min(deviation.max(MIN_DEVIATION));
         }
-        self.last_heard = now;
+        self.silent_since = now;
         if self.error_rate < RECOVERED_ERROR_RATE || !self.ejected {
             self.ejected = false;
             self.ejected_until = now;
@@ -165,7 +165,7 @@
         smooth(self.first_byte.get_or_insert(first_byte), SMOOTHING, first_byte);
         self.count_success();
         self.first_byte_at = now;
-        self.last_heard = now;
+        self.silent_since = now;
         self.ejected = false;
     }
 
--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_miss_waits_for_a_fetch_slot_and_is_rejected_in_time() {
+fn miss_waits_for_a_fetch_slot_and_is_rejected_in_time() {
     let (mut harness, in_flight) = harness_with_low_fetch_limit(settings());
     let waiting: Vec<FillAttempt> = (300..303).map(|object| harness.first_attempt(object)).collect();
     assert!(waiting.iter().all(|attempt| attempt.only_if_cached), "cached copies are still served");
--- a/tests/policy/fill_sources.rs
+++ b/tests/policy/fill_sources.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_parent_whose_fills_fail_is_ejected_and_no_cache_is() {
+fn failing_fills_eject_the_parent_but_no_cache() {
     let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     let fails = |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Error);
     let (served, failed) = play(&mut harness, 1..400, fails);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_parent_that_rejects_every_fill_is_ejected_and_no_cache_is() {
+fn parent_that_rejects_every_fill_is_ejected_but_no_cache() {
     let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     let rejects =
         |attempt: &FillAttempt| (attempt.source == FAILING_PARENT).then_some(AttemptResult::Rejected);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_failed_fill_is_retried_there_from_another_source() {
+fn failed_fill_is_retried_at_the_same_cache_from_another_source() {
     let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     let first = harness.first_attempt(7);
     let second = attempt_in(&harness.end_attempt(&first, 0, AttemptResult::Error, None)).expect("a retry");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_cache_that_fails_half_its_attempts_is_ejected_alone() {
+fn cache_that_fails_half_its_attempts_is_ejected_alone() {
     let failing_cache = ServerId(2);
     let mut harness = Harness::new(settings_without_failure_status(), endpoints());
     let count = std::cell::Cell::new(0);
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_empty_location_rejects_at_once_with_a_bounded_retry_after() {
+fn empty_location_rejects_at_once_with_a_bounded_retry_after() {
     let mut harness = Harness::new(settings(), vec![endpoint(9, CACHE, 2), endpoint(11, PARENT, 1)]);
     let wait = retry_after_in(&harness.send_request(7).1).expect("a rejection");
     assert!(wait > Span::ZERO && wait <= 200 * MS);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_overloaded_home_rejects_instead_of_moving_the_object() {
+fn overloaded_home_rejects_instead_of_moving_the_object() {
     let mut small = endpoints();
     small.iter_mut().for_each(|m| m.weight = 2.0);
     let mut harness = Harness::new(settings(), small);
@@ -108,14 +108,14 @@
     let mut list = endpoints();
     list.iter_mut().for_each(|member| member.weight = 2.0);
     let mut harness = Harness::new(custom, list);
-    let ask = |harness: &mut Harness, object| {
+    let send_request = |harness: &mut Harness, object| {
         harness.next_id += 1;
         let request = Request { size_kb: 0.0, ..request(harness.next_id, object) };
         harness.event(Event::Request(request))
     };
     for object in 0..60 {
         harness.now += 100 * MS;
-        let attempt = attempt_in(&ask(&mut harness, object)).expect("an attempt");
+        let attempt = attempt_in(&send_request(&mut harness, object)).expect("an attempt");
         let outcome = AttemptOutcome {
             request: attempt.request,
             attempt: 0,
@@ -132,7 +132,7 @@
     }
     harness.now += SECOND;
     for out in 0..10 {
-        let actions = ask(&mut harness, 7);
+        let actions = send_request(&mut harness, 7);
         assert!(
             attempt_in(&actions).is_some(),
             "rejected with {out} attempts in flight at one cache: {actions:?}"
@@ -147,18 +147,19 @@
 }
 
 impl Links {
-    /// Requests `each` new objects in every 100 ms of `span`. Returns the number of requests, and how many were
-    /// rejected as overload.
-    fn play(&mut self, harness: &mut Harness, span: Span, each: u64) -> (usize, usize) {
+    /// Requests `requests_per_100_ms` new objects in every 100 ms of `span`. Returns the number of requests,
+    /// and how many were rejected as overload.
+    fn run(&mut self, harness: &mut Harness, span: Span, requests_per_100_ms: u64) -> (usize, usize) {
         const TRANSFER_TIME: Span = Span::from_millis(400);
-        let (mut asked, mut rejected, until) = (0, 0, harness.now + span);
+        let (mut requested, mut rejected, until) = (0, 0, harness.now + span);
         while harness.now < until {
             harness.now += 20 * MS;
             harness.event(Event::Timer(0));
-            for _ in 0..if (harness.now - Instant::ZERO) % (100 * MS) == Span::ZERO { each } else { 0 } {
+            let is_request_time = (harness.now - Instant::ZERO) % (100 * MS) == Span::ZERO;
+            for _ in 0..if is_request_time { requests_per_100_ms } else { 0 } {
                 let object = harness.next_id + 1000;
                 let (id, actions) = harness.send_request_of_size(object, 0.0);
-                asked += 1;
+                requested += 1;
                 let is_overload = |a: &Action| matches!(a, Action::Reject { reason: RejectionReason::Overloaded, request, .. } if *request == id);
                 rejected += usize::from(actions.iter().any(is_overload));
                 self.in_flight.extend(attempt_in(&actions).map(|attempt| (harness.now, attempt)));
@@ -188,7 +189,7 @@
                 }));
             }
         }
-        (asked, rejected)
+        (requested, rejected)
     }
 }
 
@@ -199,24 +200,24 @@
 fn link_capacity_is_measured_where_weights_do_not_state_it() {
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
     let unit_weights = || endpoints().into_iter().map(one).collect::<Vec<_>>();
-    let played = |weights_state_links, capacity, each| {
+    let run = |weights_state_links, capacity, requests_per_100_ms| {
         let mut settings = settings();
         settings.topology.weights_state_links = weights_state_links;
         let mut harness = Harness::new(settings, unit_weights());
         let mut links = Links { capacity, in_flight: Vec::new() };
-        links.play(&mut harness, 5 * SECOND, 4);
-        links.play(&mut harness, 5 * SECOND, each)
+        links.run(&mut harness, 5 * SECOND, 4);
+        links.run(&mut harness, 5 * SECOND, requests_per_100_ms)
     };
-    let (asked, rejected) = played(true, 8.0, 4);
-    assert!(4 * rejected > asked, "{rejected} of {asked} rejected at a stated link of one");
-    let (asked, rejected) = played(false, 8.0, 4);
+    let (requested, rejected) = run(true, 8.0, 4);
+    assert!(4 * rejected > requested, "{rejected} of {requested} rejected at a stated link of one");
+    let (requested, rejected) = run(false, 8.0, 4);
     assert!(
-        20 * rejected < asked,
-        "{rejected} of {asked} rejected at three links of eight that carry sixteen"
+        20 * rejected < requested,
+        "{rejected} of {requested} rejected at three links of eight that carry sixteen"
     );
-    let (asked, rejected) = played(false, 3.0, 12);
+    let (requested, rejected) = run(false, 3.0, 12);
     assert!(
-        4 * rejected > asked,
-        "{rejected} of {asked} rejected at links of three under five times their capacity"
+        4 * rejected > requested,
+        "{rejected} of {requested} rejected at links of three under five times their capacity"
     );
 }
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -39,11 +39,11 @@
     let mut harness = Harness::new(with_peers, endpoints());
     harness.make_popular(7);
     let first = harness.first_attempt(7);
-    let told = harness.end_attempt(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
-    assert!(!told.iter().any(|a| matches!(a, Action::SendToPeer { .. })), "{told:?}");
-    let mut about_a_stranger = 7u64.to_le_bytes().to_vec();
-    about_a_stranger.extend(77u32.to_le_bytes());
-    for bytes in [vec![], vec![1, 2, 3], about_a_stranger, vec![255; 256]] {
+    let actions = harness.end_attempt(&first, 0, AttemptResult::Ok, Some(CacheStatus::Filled));
+    assert!(!actions.iter().any(|a| matches!(a, Action::SendToPeer { .. })), "{actions:?}");
+    let mut unknown_server_message = 7u64.to_le_bytes().to_vec();
+    unknown_server_message.extend(77u32.to_le_bytes());
+    for bytes in [vec![], vec![1, 2, 3], unknown_server_message, vec![255; 256]] {
         assert!(harness.event(Event::PeerMessage { from: 900, bytes }).is_empty());
     }
     let after = harness.first_attempt(7).server;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_retry_avoids_a_server_and_source_that_began_to_drain() {
+fn retry_avoids_a_server_and_source_that_began_to_drain() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     let drains = |server: ServerId, kind, zone| Endpoint {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_purge_lowers_max_age_below_the_fresh_time() {
+fn purge_lowers_max_age_below_the_fresh_time() {
     let mut ageing = settings();
     (ageing.classes[0].fresh_for, ageing.classes[0].stale_for) = (5 * SECOND, 20 * SECOND);
     let mut harness = Harness::new(ageing, endpoints());
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_fails() {
+fn non_idempotent_request_that_may_have_run_fails() {
     for (result, repeats) in [
         (AttemptResult::Miss, true),
         (AttemptResult::ConnectFailed, true),
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_streaming_answer_is_neither_hedged_nor_cancelled() {
+fn streaming_answer_is_neither_hedged_nor_cancelled() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     harness.event(Event::FirstByte {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_failed_discovery_subscription_is_renewed_after_a_delay() {
+fn failed_discovery_subscription_is_renewed_after_a_delay() {
     let mut polling = settings();
     polling.limits.polls_discovery = true;
     let mut harness = Harness::new(polling, endpoints());
@@ -298,7 +298,7 @@
 /// Guards against an initial transfer time of a whole latency objective for uncached classes: writes were rejected as
 /// overload in the first seconds of every day.
 #[test]
-fn a_write_at_the_start_is_not_rejected_as_overload() {
+fn write_at_the_start_is_not_rejected_as_overload() {
     let mut custom = settings();
     (custom.classes[0].uncached, custom.classes[0].objective_stretch) = (true, 0.0);
     let mut list = endpoints();
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_cache_that_mostly_fails_gets_probes_only_and_no_writes() {
+fn cache_that_mostly_fails_gets_probes_only_and_no_writes() {
     // Guards against a cache that fails fast and stays the home: each error cost a further attempt, and a write that
     // failed was lost.
     let mut custom = settings();
--- a/tests/policy/popular_directory.rs
+++ b/tests/policy/popular_directory.rs
@@ -4,7 +4,7 @@
 use dahliatrack::*;
 
 #[test]
-fn a_popular_object_gets_delegates_with_the_home_as_source() {
+fn popular_object_gets_delegates_with_the_home_as_source() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.make_popular(7);
     let first = harness.first_attempt(7);
@@ -25,7 +25,7 @@
 /// Guards against delegates that name an ejected home as their source: each fill postponed the probe of the home,
 /// which never recovered.
 #[test]
-fn an_ejected_home_is_no_source_for_delegates_and_is_probed() {
+fn ejected_home_is_no_source_for_delegates_and_is_probed() {
     let mut harness = Harness::new(settings(), endpoints());
     for object in 1..60 {
         harness.make_popular(object);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_delegate_that_misses_ends_and_the_request_goes_home() {
+fn request_is_retried_at_the_home_after_a_delegate_miss() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.make_popular(7);
     let delegate = harness.first_attempt(7);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn after_a_failed_delegate_none_is_started_for_a_second() {
+fn no_delegate_is_used_for_1_s_after_one_failed() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.make_popular(7);
     let delegate = harness.first_attempt(7);
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_silent_cache_is_ejected_and_its_attempts_are_retried_elsewhere() {
+fn silent_cache_is_ejected_and_its_attempts_are_retried() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.serve(7).server;
     let waiting = [harness.first_attempt(7), harness.first_attempt(7)];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_silent_parent_is_ejected_and_its_caches_are_not() {
+fn silent_parent_is_ejected_and_its_caches_are_not() {
     let mut harness = Harness::new(settings(), endpoints());
     let mut waiting = Vec::new();
     for object in 1..40 {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_failed_connection_ejects_a_cache_until_a_probe_succeeds() {
+fn failed_connection_ejects_a_cache_until_a_probe_succeeds() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     let again = attempt_in(&harness.end_attempt(&attempt, 0, AttemptResult::ConnectFailed, None))
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_fetch_limit_follows_the_speed_of_the_origin() {
+fn fetch_limit_follows_the_speed_of_the_origin() {
     let at_once = |harness: &mut Harness| {
         let attempts: Vec<FillAttempt> = (1000..1100)
             .map(|object| harness.first_attempt(object))
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_slow_hub_parent_is_replaced_by_a_farther_one() {
+fn slow_hub_parent_is_replaced_by_a_farther_one() {
     let mut one = endpoints();
     one.retain(|m| m.server.0 != 12);
     one.push(endpoint(13, PARENT, 2));
@@ -194,7 +194,7 @@
 /// Guards against ejecting a cache for one unreadable answer, which ends the connection with all attempts on it. The
 /// other caches were then overloaded and rejected the requests.
 #[test]
-fn a_broken_connection_counts_once_and_is_retried_in_place() {
+fn broken_connection_counts_once_and_is_retried_in_place() {
     let mut harness = Harness::new(settings(), endpoints());
     let home = harness.serve(7).server;
     let open: Vec<FillAttempt> = (300..340).map(|object| harness.first_attempt(object)).collect();
@@ -258,7 +258,7 @@
 /// Guards against late probes: with a small share of the objects while it was ejected, a cache waited many seconds for
 /// its probe.
 #[test]
-fn an_ejected_cache_is_probed_with_its_next_own_object() {
+fn ejected_cache_is_probed_with_its_next_own_object() {
     let mut harness = Harness::new(settings(), endpoints());
     let (home, own) = (harness.serve(7).server, 7);
     let attempt = harness.first_attempt(own);
@@ -271,7 +271,7 @@
 /// Guards against unbounded growth: the state of removed caches would be kept for good where caches are replaced all
 /// day.
 #[test]
-fn a_removed_server_is_forgotten_once_nothing_is_in_flight_there() {
+fn removed_server_is_forgotten_once_nothing_is_in_flight() {
     let mut harness = Harness::new(settings(), endpoints());
     let attempt = harness.first_attempt(7);
     let home = endpoints().into_iter().find(|m| m.server == attempt.server).expect("a listed cache");
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_warming_cache_gets_at_most_its_budget_in_a_window() {
+fn warming_cache_gets_at_most_its_budget_in_a_window() {
     let mut warming = endpoint(1, CACHE, 0);
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 10.0);
     let mut harness = Harness::new(settings(), vec![warming, endpoint(21, ORIGIN, 1)]);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_warming_parents_budget_is_shared_and_counts_possible_fills() {
+fn warming_parents_budget_is_shared_and_counts_possible_fills() {
     let mut warming = endpoint(11, PARENT, 1);
     (warming.started_at, warming.weight) = (Some(Instant::ZERO), 20.0);
     let mut harness = Harness::new(settings(), vec![endpoint(1, CACHE, 0), warming, endpoint(12, PARENT, 1)]);
@@ -229,7 +229,7 @@
 
 /// Shows that the check can fail: routers that each use the whole budget exceed it.
 #[test]
-fn a_budget_that_is_not_divided_is_exceeded() {
+fn budget_that_is_not_divided_is_exceeded() {
     for routers in [5, 20, 30] {
         for (case, fleet) in warming_fleets(routers, true).iter().enumerate() {
             let worst = (0..5).map(|seed| fleet.excess(seed)).fold(f64::MIN, f64::max);
