--- a/src/config/hcl_document/mod.rs
+++ b/src/config/hcl_document/mod.rs
@@ -2,7 +2,7 @@
 //! which keeps the positions that `hcl-rs` drops.
 //!
 //! - `document`: a file's name and text, and errors at a position in it.
-//! - `reader`: reads the keys of one block; a key that was never asked for is an error.
+//! - `reader`: reads the keys of one block; a key that the caller never reads is an error.
 //! - `position`: line and column, and values with their position.
 //! - `suggestion`: error texts for unknown names, with the closest known name.
 
--- a/src/config/hcl_document/reader.rs
+++ b/src/config/hcl_document/reader.rs
@@ -16,11 +16,11 @@
 }
 
 /// Reads the attributes and inner blocks of one block by name. [`BlockReader::finish`] returns an error for a name that
-/// was not asked for.
+/// was not read.
 pub struct BlockReader<'a> {
     doc: HclDocument<'a>,
     body: &'a Body,
-    /// The names that were asked for, whether they are present or not.
+    /// The names that were read, whether they are present or not.
     known: BTreeSet<String>,
 }
 
--- a/src/control/model/hot.rs
+++ b/src/control/model/hot.rs
@@ -10,8 +10,8 @@
 use crate::Router;
 use std::collections::BTreeMap;
 
-/// Number of requests with which a router is asked for a hot object: enough for its entry in the popular directory to
-/// pass any threshold.
+/// Number of queries (requests) that a router gets, to find a hot object's caches: enough for the object's entry in
+/// the popular directory to pass any threshold.
 const QUERY_COUNT: usize = 12;
 /// The first query whose answer counts. Earlier ones go to the home cache and create delegates; from this one on, the
 /// choice of caches is stable.
--- a/src/control/model/mod.rs
+++ b/src/control/model/mod.rs
@@ -55,7 +55,7 @@
     purges: PurgeLog,
     epoch: Epoch,
     sequence: Sequence,
-    /// The interval at which the routers are asked for hot objects.
+    /// The interval at which the routers are queried for the caches of hot objects.
     refresh: Span,
     refresh_at: Instant,
     /// When the weights of caches that are warming up are computed next; `None` if no server is warming up.
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Replaces the hot objects, for a reload on SIGHUP. The routers are asked for the new ones at the next tick.
+    /// Replaces the hot objects, for a reload on SIGHUP. The routers are queried for the new ones at the next tick.
     ///
     /// # Errors
     ///
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -7,7 +7,7 @@
 //!   debounce_ms      = 50     # changes that may wait are published after this long without another change
 //!   debounce_most_ms = 250    # and at the latest this long after the first change
 //!   poll_ms          = 250    # how long the control feed may hold back a response
-//!   refresh_s        = 5      # interval at which the decision module is asked for hot objects' delegates
+//!   refresh_s        = 5      # interval at which the decision module is queried for hot objects' delegates
 //!   hot "piece" {
 //!     objects = ["7f3a9c21e0b4d655"]
 //!   }
@@ -20,8 +20,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum number of hot objects in a file. It is bounded because the decision module is asked for each of them at each
-/// point.
+/// Maximum number of hot objects in a file. It is bounded because the decision module is queried for each of them at
+/// each point.
 const MAX_HOT_OBJECTS: usize = 1000;
 
 const DEFAULT_MAX_CLIENTS: u64 = 2000;
@@ -43,7 +43,7 @@
     pub debounce_limit: Duration,
     /// How long the control feed may hold back a response.
     pub poll_wait: Duration,
-    /// The interval at which the decision module is asked for hot objects' delegates.
+    /// The interval at which the decision module is queried for hot objects' delegates.
     pub refresh: Duration,
     /// The hot objects, one entry for each `hot` block.
     pub hot: Vec<HotClass>,
--- a/src/control/tests/model.rs
+++ b/src/control/tests/model.rs
@@ -79,7 +79,7 @@
             "{left:?} without {cache}"
         );
     }
-    // A server that left is not used even before the router is asked again.
+    // A server that left is not used even before the router is queried again.
     let mut fixture = Fixture::new();
     let held = hot(&fixture.routes()).expect("a route for the hot object").caches[0].name.clone();
     let host = fixture.hosts.iter().find(|host| name(host) == held).cloned().expect("a listed host");
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// What an attempt asks its server for; determined when the attempt is written.
+/// The request that an attempt sends to its server; determined when the attempt is written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingAttempt {
     /// The request that the attempt belongs to.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -510,7 +510,7 @@
     assert!(!harness.core.is_answered(request));
     assert!(
         harness.core.write_attempt(at(11 * MS), next[0], &mut harness.deadlines).is_some(),
-        "the second attempt goes on"
+        "the second attempt is still written"
     );
     harness.end_attempt(at(20 * MS), next[0], AttemptResult::Ok);
     assert!(matches!(harness.take_answer(at(21 * MS), request), Some(FinalAnswer::Served(_))));
--- a/src/expect/expectation.rs
+++ b/src/expect/expectation.rs
@@ -75,9 +75,9 @@
     MaxAttempts(u64),
     /// Maximum number of servers to which one object's requests go.
     MaxCaches(u64),
-    /// Minimum rank at which a copy is cached.
+    /// Minimum cache rank of a copy; see [`FillAttempt::cache_rank`](crate::interface::FillAttempt::cache_rank).
     MinRank(u64),
-    /// Maximum rank at which a copy is cached; 0: no copy is cached.
+    /// Maximum cache rank of a copy; 0 means that no copy may be cached.
     MaxRank(u64),
     /// Maximum share of the objects that have the same server as their home, from 0 to 1.
     MaxHomeShare(f64),
--- a/src/expect/language/scenarios.rs
+++ b/src/expect/language/scenarios.rs
@@ -58,7 +58,7 @@
     reader: BlockReader<'a>,
     /// The changes that are part of each scenario.
     base: Scenario,
-    /// Descriptions of the changes in `base`, for labels.
+    /// Descriptions of the changes in `base`; the label of each scenario begins with them.
     changes: Vec<String>,
 }
 
@@ -135,8 +135,8 @@
     }
 }
 
-/// Returns a scenario's label: the changes to all servers, then the change to one server of an `each_...`
-/// key.
+/// Returns a scenario's label: `changes`, then the change `one` to a single server of an `each_...` key, then
+/// [`LATE_LABEL`] if `late`.
 fn label(changes: &[String], one: Option<&str>, late: bool) -> String {
     let changes = changes.iter().map(String::as_str);
     let changes: Vec<&str> = changes.chain(one).chain(late.then_some(LATE_LABEL)).collect();
--- a/src/expect/planned_end.rs
+++ b/src/expect/planned_end.rs
@@ -30,7 +30,7 @@
         PlannedEnd::new(ANSWER_TIME, AttemptResult::Ok, Some(CacheStatus::Hit))
     }
 
-    /// Returns the end of an attempt that is answered after a fill; `cache_status` tells from where.
+    /// Returns the end of an attempt that is answered after a fill; `cache_status` states how it was filled.
     pub(super) fn filled(cache_status: CacheStatus, fill_wait: Span) -> Self {
         let elapsed = ANSWER_TIME + fill_wait;
         PlannedEnd { fill_wait, ..PlannedEnd::new(elapsed, AttemptResult::Ok, Some(cache_status)) }
--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(format!("{failed:?}"), format!("{:?}", single_verdict(&site, &text(&never, 16))));
     let one_seed = text(&never, 1).replace("explore {", &format!("explore {{\n seed = {}", broken.seed));
     assert!(!single_verdict(&site, &one_seed).passed, "the seed in the report reproduces the failure");
-    // A verdict tells whether random choices other than those seen could break the rule.
+    // A verdict states whether random choices that were not explored could break the rule.
     let home_too = single_verdict(&site, &text("caches_at_most = 3", 8));
     assert!(home_too.passed);
     assert!(matches!(home_too.choices, Choices::Explored { seeds: [1, 8], eligible: 4, .. }), "{home_too:?}");
@@ -220,8 +220,8 @@
 fn fill_cycle_across_two_endpoint_lists_is_rejected() {
     let site = parse_site(&site_config());
     let [home, _] = home_and_next(&site, OBJECT);
-    // Some edge proxies know that the home's weight has dropped to almost nothing: for them the next cache is
-    // the home, and the old home is a delegate that fills from it. For the others the next cache is still the
+    // Some edge proxies already have the list in which the home's weight is nearly 0: for them the next cache is
+    // the home, and the old home is a delegate that fills from it. With the old list the next cache is the
     // delegate.
     let text = |late: bool| {
         format!(
--- a/src/front/thrift/codec/reading.rs
+++ b/src/front/thrift/codec/reading.rs
@@ -32,7 +32,7 @@
     },
     /// `abort`: cancels the request with this sequence number.
     Abort(SequenceId),
-    /// `ping`: asks whether the edge proxy is ready.
+    /// `ping`: checks whether the edge proxy is ready.
     Ping,
     /// A method that the service does not have.
     Unknown,
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -36,7 +36,7 @@
     },
     /// Set a timer for [`Event::Timer`](super::Event::Timer).
     Timer {
-        /// Returned with the event; tells the router's timers apart.
+        /// Returned with the event; identifies the timer.
         token: u32,
         /// Time from now until the timer expires.
         after: Span,
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -25,7 +25,7 @@
     /// The server's size. For caches and parents it is the capacity of the server's link, in concurrent transfers at
     /// top speed, if [`Topology::weights_state_links`](super::Topology::weights_state_links) is set.
     pub weight: f64,
-    /// Number of the kind of machine; tells parents and the origin from caches.
+    /// Number of the kind of machine; distinguishes parents and the origin from caches.
     pub kind: u16,
     /// Number of the cell that the server belongs to.
     pub cell: u16,
--- a/src/net/opening.rs
+++ b/src/net/opening.rs
@@ -14,7 +14,7 @@
     ///
     /// # Errors
     ///
-    /// The connect call fails at once. [`is_local_error`](super::is_local_error) tells whether the cause is
+    /// The connect call fails at once. [`is_local_error`](super::is_local_error) returns whether the cause is
     /// local, such as a missing descriptor or port. No bytes were sent in either case.
     pub fn connect(&mut self, now: Instant, peer: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         loop {
--- a/src/policy/fetch_limit.rs
+++ b/src/policy/fetch_limit.rs
@@ -16,10 +16,12 @@
 /// Change of the limit after a fast fetch, while the limit is under its initial value or nearly reached.
 const INCREASE: LimitChange = LimitChange { rate_per_s: 1.0, max_elapsed: SECOND };
 
-/// An exponential change of the limit: the rate of its logarithm, and the longest time that one fetch
-/// accounts for. The change depends on the elapsed time, so that few fetches count as much as many.
+/// An exponential change of the limit at the end of a fetch. It grows with the time since the previous fetch
+/// ended, so that few fetches change the limit as much as many.
 struct LimitChange {
+    /// Change of the limit's natural logarithm per second.
     rate_per_s: f64,
+    /// Maximum time since the previous fetch that counts.
     max_elapsed: Span,
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,10 +4,10 @@
 //! Popular Directory; docs/design.md lists the deviations from it and when they apply. `Router::handle`
 //! passes each event to one of:
 //!
-//! - `dispatch`: a request's next attempt. It asks `home` (which cache), `delegates` (which other cache for a
-//!   popular object), `fill_source` (which server supplies a miss), `freshness` (how old a copy may be),
-//!   `idempotency` (what may be sent again), `load` (which server is overloaded) and `slow_start` (which
-//!   server is still warming up).
+//! - `dispatch`: a request's next attempt. It uses `home` (choice of the cache), `delegates` (choice of
+//!   another cache for a popular object), `fill_source` (choice of the server that supplies a miss),
+//!   `freshness` (how old a copy may be), `idempotency` (what may be sent again), `load` (which server is
+//!   overloaded) and `slow_start` (which server is still warming up).
 //! - `outcomes`: the end of an attempt; `attribution` and `measurements` record what it shows.
 //! - `final_answers`: rejection, failure, and the end of a request.
 //! - `overdue`: checks for attempts that take too long, hedged requests, ejection of silent servers.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -12,7 +12,7 @@
 /// Latency deviation of a server that refuses connections, is silent or has been ejected for errors; also the
 /// maximum of a sample.
 const MAX_DEVIATION: f64 = 3.0;
-/// Weight of a fill that never came in the smoothed first byte of its source.
+/// Weight of a lost fill in the smoothed time to the first byte of its source.
 const LOST_FILL_WEIGHT: f64 = 0.3;
 /// Weight of a new answer in the error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.25;
@@ -49,8 +49,7 @@
     pub first_byte: Option<f64>,
     /// When it last supplied or lost a fill.
     pub first_byte_at: Instant,
-    /// Start of its current silence: when it last answered or filled, or was sent an attempt while none was
-    /// in flight.
+    /// When it last answered, supplied a fill, or was sent an attempt while none was in flight.
     pub silent_since: Instant,
     /// Whether it gets only probes, since it failed or is silent.
     pub ejected: bool,
@@ -169,8 +168,8 @@
         self.ejected = false;
     }
 
-    /// Records a fill that never came. It has more weight than an answer, and its whole time counts as
-    /// waiting.
+    /// Records a lost fill: an attempt with this fill source timed out or was cancelled after `waited`. It weighs
+    /// more than a supplied fill, and its time to the first byte is taken as at least `waited`.
     pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
--- a/src/server/admission.rs
+++ b/src/server/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of new connections. Asks [`crate::admission::Admission`] about each new client's connection,
+//! Admission of new connections. Checks each new client connection with [`crate::admission::Admission`],
 //! refuses those that it rejects, and reports to it which connections are in good standing and which are
 //! closed. All decisions are made in [`crate::admission`].
 
--- a/src/sim/federation/members.rs
+++ b/src/sim/federation/members.rs
@@ -129,7 +129,7 @@
         self.drive(id);
     }
 
-    /// Ticks a member's node, which then proposes the changes that its file asks for, and its own enrolment.
+    /// Ticks a member's node, which then proposes the changes that its file requires, and its own enrolment.
     fn tick_node(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let (file, revision) = (member.file as usize, member.file_revision());
--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -25,7 +25,10 @@
             let actions =
                 harness.end_attempt(&attempt, 0, AttemptResult::Rejected, Some(CacheStatus::OriginFailed));
             if let Some(next) = attempt_in(&actions) {
-                assert!(next.only_if_cached, "a request asks the failing origin once");
+                assert!(
+                    next.only_if_cached,
+                    "only one attempt of a request may fetch from the failing origin"
+                );
                 harness.end_attempt(&next, 1, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
             }
         }
--- a/tests/policy/home_cache.rs
+++ b/tests/policy/home_cache.rs
@@ -100,7 +100,7 @@
 
 #[test]
 fn uncached_answers_update_the_transfer_time_of_their_class() {
-    // Guards against ignoring the times of filled answers, which are all that an uncached class has. Its transfer time
+    // Guards against ignoring the times of filled answers: an uncached class has no others. Its transfer time
     // then stayed at the initial guess, which was a whole latency objective, and writes of a few milliseconds were
     // rejected at any cache with other attempts.
     let mut custom = settings();
@@ -193,9 +193,9 @@
     }
 }
 
-/// Guards against reading weights that state nothing as link capacities. At red-sucursales (2026-12-02), where all
-/// weights are 1 ("silent"), each link was taken to carry one answer at top speed, and 34 to 43 % of the attempts were
-/// rejected as overload at idle caches.
+/// Guards against using weights as link capacities where they do not state them. At the site red-sucursales
+/// (2026-12-02) all weights are 1 ("silent"): each link was assumed to carry one answer at top speed, and 34 to 43 % of
+/// the attempts were rejected as overload at idle caches.
 #[test]
 fn link_capacity_is_measured_where_weights_do_not_state_it() {
     let one = |member: Endpoint| Endpoint { weight: 1.0, ..member };
@@ -209,15 +209,18 @@
         links.run(&mut harness, 5 * SECOND, requests_per_100_ms)
     };
     let (requested, rejected) = run(true, 8.0, 4);
-    assert!(4 * rejected > requested, "{rejected} of {requested} rejected at a stated link of one");
+    assert!(
+        4 * rejected > requested,
+        "{rejected} of {requested} rejected with a stated capacity of 1 per link"
+    );
     let (requested, rejected) = run(false, 8.0, 4);
     assert!(
         20 * rejected < requested,
-        "{rejected} of {requested} rejected at three links of eight that carry sixteen"
+        "{rejected} of {requested} rejected with capacity 8 on each of three links and 16 requests in flight"
     );
     let (requested, rejected) = run(false, 3.0, 12);
     assert!(
         4 * rejected > requested,
-        "{rejected} of {requested} rejected at links of three under five times their capacity"
+        "{rejected} of {requested} rejected with capacity 3 on each of three links and a load of five times that"
     );
 }
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -357,8 +357,8 @@
     assert_eq!(write(&mut harness), bad, "the cache is used again after successful answers");
 }
 
-/// Guards against a parent that fails some of its fills and is used for writes again after its next good one: the
-/// writes that it failed were lost.
+/// Guards against using an unreliable parent for writes again after one successful fill: the writes that it then failed
+/// were lost.
 #[test]
 fn no_write_is_filled_by_a_parent_that_failed_recently() {
     let mut custom = settings();
--- a/tests/policy/server_health.rs
+++ b/tests/policy/server_health.rs
@@ -290,7 +290,7 @@
 
 /// Guards against ejecting a cache for attempts that take no longer than usual. While all answers are slow (a shared
 /// link is full), two attempts in flight for as long as others took are no sign of a silent cache. Each such ejection
-/// moved homes and caused more fills (500 in a quiet simulated day of 25 s).
+/// moved homes and caused more fills (500 ejections in a quiet simulated day of 25 s).
 #[test]
 fn attempts_within_the_usual_time_do_not_make_a_cache_silent() {
     let mut harness = Harness::new(settings(), endpoints());
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -196,7 +196,8 @@
     }
 }
 
-/// Returns cases of caches and parents that start or join, with a burst of requests.
+/// Returns four cases: a warming cache or parent that starts at 0 s or joins at 2 s, with a burst of requests from 2 s
+/// or 3 s on.
 fn warming_fleets(routers: u32, undivided: bool) -> Vec<WarmingFleet> {
     let cache = Endpoint { weight: 1.0, ..endpoint(1, CACHE, 0) };
     let parent = Endpoint { weight: 2.0, ..endpoint(11, PARENT, 1) };
