--- a/src/expect/tests.rs
+++ b/src/expect/tests.rs
@@ -48,7 +48,7 @@
 const OBJECT: ObjectId = ObjectId(0x7f3a_9c21_e0b4_d655);
 
 #[test]
-fn a_broken_rule_names_its_scenario_position_and_server() {
+fn broken_rule_names_its_scenario_position_and_server() {
     let site = parse_site(&site_config());
     let [home, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let body = format!("class = \"piece\"\n objects = [\"7f3a9c21e0b4d655\"]\n from_point = \"north\"\n goes_to = [\"{home}\"]");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_failure_by_random_choice_repeats_with_its_seed() {
+fn failure_by_random_choice_repeats_with_its_seed() {
     let site = parse_site(&site_config());
     let [_, next] = home_and_next(&site, OBJECT).map(|server| site.name(server).to_owned());
     let text = |rule: &str, seeds: u64| {
@@ -83,7 +83,7 @@
     assert_eq!(format!("{failed:?}"), format!("{:?}", single_verdict(&site, &text(&never, 16))));
     let one_seed = text(&never, 1).replace("explore {", &format!("explore {{\n seed = {}", broken.seed));
     assert!(!single_verdict(&site, &one_seed).passed, "the seed in the report reproduces the failure");
-    // A verdict tells whether random choices other than those seen could break the rule.
+    // A verdict states whether random choices that were not explored could break the rule.
     let home_too = single_verdict(&site, &text("caches_at_most = 3", 8));
     assert!(home_too.passed);
     assert!(matches!(home_too.choices, Choices::Explored { seeds: [1, 8], eligible: 4, .. }), "{home_too:?}");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_class_that_fills_through_a_drained_hub_is_rejected() {
+fn class_that_fills_through_a_drained_hub_is_rejected() {
     let mut text = site_config();
     let good = parse_site(&text);
     assert_eq!(lint(&good), Vec::<Finding>::new());
@@ -217,11 +217,11 @@
 }
 
 #[test]
-fn a_fill_cycle_across_two_endpoint_lists_is_rejected() {
+fn fill_cycle_across_two_endpoint_lists_is_rejected() {
     let site = parse_site(&site_config());
     let [home, _] = home_and_next(&site, OBJECT);
-    // Some edge proxies know that the home's weight has dropped to almost nothing: for them the next cache is
-    // the home, and the old home is a delegate that fills from it. For the others the next cache is still the
+    // Some edge proxies already have the list in which the home's weight is nearly 0: for them the next cache is
+    // the home, and the old home is a delegate that fills from it. With the old list the next cache is the
     // delegate.
     let text = |late: bool| {
         format!(
@@ -290,7 +290,7 @@
 /// Changes at other points are left out of a scenario before it is explored. This must not change the
 /// module's decisions.
 #[test]
-fn a_scenario_at_another_point_changes_no_decision_here() {
+fn scenario_at_another_point_changes_no_decision_here() {
     let site = parse_site(&site_config());
     let point = ZoneId(0);
     let objects = [OBJECT, ObjectId(1), ObjectId(2)];
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -12,7 +12,7 @@
 /// Latency deviation of a server that refuses connections, is silent or has been ejected for errors; also the
 /// maximum of a sample.
 const MAX_DEVIATION: f64 = 3.0;
-/// Weight of a fill that never came in the smoothed first byte of its source.
+/// Weight of a lost fill in the smoothed time to the first byte of its source.
 const LOST_FILL_WEIGHT: f64 = 0.3;
 /// Weight of a new answer in the error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.25;
@@ -49,9 +49,8 @@
     pub first_byte: Option<f64>,
     /// When it last supplied or lost a fill.
     pub first_byte_at: Instant,
-    /// Start of its current silence: when it last answered or filled, or was sent an attempt while none was
-    /// in flight.
-    pub last_heard: Instant,
+    /// When it last answered, supplied a fill, or was sent an attempt while none was in flight.
+    pub silent_since: Instant,
     /// Whether it gets only probes, since it failed or is silent.
     pub ejected: bool,
     pub ejected_until: Instant,
@@ -65,7 +64,7 @@
             endpoint,
             smoothed_at: now,
             first_byte_at: now,
-            last_heard: now,
+            silent_since: now,
             ejected_until: now,
             connection_broke_at: now - MICROSECOND,
             ..Server::default()
@@ -89,7 +88,7 @@
     pub fn on_attempt_sent(&mut self, now: Instant, smoothing_span: Span) {
         self.update_smoothed_in_flight(now, smoothing_span);
         if self.in_flight == 0 {
-            self.last_heard = now;
+            self.silent_since = now;
         }
         self.in_flight += 1;
     }
@@ -148,7 +147,7 @@
         if self.ejected {
             self.latency_deviation = self.latency_deviation.min(deviation.max(MIN_DEVIATION));
         }
-        self.last_heard = now;
+        self.silent_since = now;
         if self.error_rate < RECOVERED_ERROR_RATE || !self.ejected {
             self.ejected = false;
             self.ejected_until = now;
@@ -165,12 +164,12 @@
         smooth(self.first_byte.get_or_insert(first_byte), SMOOTHING, first_byte);
         self.count_success();
         self.first_byte_at = now;
-        self.last_heard = now;
+        self.silent_since = now;
         self.ejected = false;
     }
 
-    /// Records a fill that never came. It has more weight than an answer, and its whole time counts as
-    /// waiting.
+    /// Records a lost fill: an attempt with this fill source timed out or was cancelled after `waited`. It weighs
+    /// more than a supplied fill, and its time to the first byte is taken as at least `waited`.
     pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
--- a/tests/policy/fetch_limit.rs
+++ b/tests/policy/fetch_limit.rs
@@ -25,7 +25,10 @@
             let actions =
                 harness.end_attempt(&attempt, 0, AttemptResult::Rejected, Some(CacheStatus::OriginFailed));
             if let Some(next) = attempt_in(&actions) {
-                assert!(next.only_if_cached, "a request asks the failing origin once");
+                assert!(
+                    next.only_if_cached,
+                    "only one attempt of a request may fetch from the failing origin"
+                );
                 harness.end_attempt(&next, 1, AttemptResult::Miss, Some(CacheStatus::SourceMiss));
             }
         }
@@ -79,7 +82,7 @@
 }
 
 #[test]
-fn a_miss_waits_for_a_fetch_slot_and_is_rejected_in_time() {
+fn miss_waits_for_a_fetch_slot_and_is_rejected_in_time() {
     let (mut harness, in_flight) = harness_with_low_fetch_limit(settings());
     let waiting: Vec<FillAttempt> = (300..303).map(|object| harness.first_attempt(object)).collect();
     assert!(waiting.iter().all(|attempt| attempt.only_if_cached), "cached copies are still served");
