--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -168,8 +168,8 @@
         self.ejected = false;
     }
 
-    /// Records a lost fill: an attempt with this fill source timed out or was cancelled after `waited`. It weighs
-    /// more than a supplied fill, and its time to the first byte is taken as at least `waited`.
+    /// Records a lost fill: an attempt with this fill source timed out or was cancelled after `waited`. It
+    /// weighs more than a supplied fill, and its time to the first byte is taken as at least `waited`.
     pub fn on_lost_fill(&mut self, now: Instant, waited: f64) {
         let known = self.first_byte.get_or_insert(waited);
         smooth(known, LOST_FILL_WEIGHT, waited.max(*known));
